--- a/test.sh
+++ b/test.sh
@@ -35,6 +35,19 @@
   exit
 fi
 
+# tracked_binaries lists the binary files under version control, the journal's aside.
+tracked_binaries() {
+  local empty_tree
+  empty_tree=$(git hash-object -t tree /dev/null)
+  git diff --numstat "$empty_tree" HEAD -- . ':!journal' | awk -F'\t' '$1 == "-" {print $3}'
+}
+
+binaries=$(tracked_binaries)
+if [ -n "$binaries" ]; then
+  echo "binary files are tracked: $binaries" >&2
+  exit 1
+fi
+
 at_size='^TestFourThousandMachines$'
 
 if ! command -v gcc >/dev/null; then
