--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 const (
@@ -30,8 +30,8 @@
 // stand-ins that they need.
 type cluster struct {
 	b       testing.TB
-	d       *standin.Deployment
-	server  *standin.Server
+	d       *simulator.Deployment
+	server  *simulator.Server
 	nodes   []string // addresses for users and workers
 	client  *http.Client
 	mu      sync.Mutex // guards rnd
@@ -63,8 +63,8 @@
 	return l.Addr().String()
 }
 
-func newCluster(b testing.TB, d *standin.Deployment) *cluster {
-	c := &cluster{b: b, d: d, server: standin.NewServer(d.World(time.Now())), rnd: rand.New(rand.NewPCG(1, 1)), stop: make(chan struct{}),
+func newCluster(b testing.TB, d *simulator.Deployment) *cluster {
+	c := &cluster{b: b, d: d, server: simulator.NewServer(d.World(time.Now())), rnd: rand.New(rand.NewPCG(1, 1)), stop: make(chan struct{}),
 		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 3000, MaxIdleConns: 0, IdleConnTimeout: time.Minute}}}
 	return c
 }
@@ -156,14 +156,14 @@
 }
 
 // user submits a job and asks for it until it is done.
-func (c *cluster) user(class *standin.Class, n int) {
+func (c *cluster) user(class *simulator.Class, n int) {
 	c.mu.Lock()
 	run, runTime := class.NewJob(n, c.rnd)
 	c.mu.Unlock()
-	c.server.With(func(w *standin.World) {
-		w.Jobs[run.UID] = &standin.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+	c.server.With(func(w *simulator.World) {
+		w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
 	})
-	body := standin.Submission(&run)
+	body := simulator.Submission(&run)
 	accepted := false
 	c.every(time.Second, func() {
 		if !accepted {
@@ -188,7 +188,7 @@
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
 	}
-	for _, d := range []*standin.Deployment{standin.Small(), standin.Large()} {
+	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
 				d.Boot = 10 * time.Second // the fill is not what is looked at here
@@ -214,14 +214,14 @@
 	c.every(100*time.Millisecond, c.server.Tick)
 	c.workers()
 	jobs := 0
-	for _, class := range []*standin.Class{&c.d.Services, &c.d.Arrays} {
+	for _, class := range []*simulator.Class{&c.d.Services, &c.d.Arrays} {
 		for range class.Initial {
 			c.user(class, jobs)
 			jobs++
 		}
 	}
 	for end := time.Now().Add(playedFor); time.Now().Before(end); time.Sleep(time.Second) {
-		for _, class := range []*standin.Class{&c.d.Services, &c.d.Arrays} {
+		for _, class := range []*simulator.Class{&c.d.Services, &c.d.Arrays} {
 			if c.random(1000) < int(class.PerSecond*1000) {
 				c.user(class, jobs)
 				jobs++
@@ -242,7 +242,7 @@
 	}
 	close(c.stop)
 	c.running.Wait()
-	c.server.With(func(w *standin.World) {
+	c.server.With(func(w *simulator.World) {
 		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.Hosts), jobs, w.Broken)
 	})
 }
@@ -259,7 +259,7 @@
 	known := map[string]*reporting{}
 	var mu sync.Mutex // guards known and what is in it
 	c.every(100*time.Millisecond, func() {
-		c.server.With(func(w *standin.World) {
+		c.server.With(func(w *simulator.World) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, host := range w.Cloud.Names() {
@@ -294,12 +294,12 @@
 // report sends a worker's report and has it take in the answer.
 func (c *cluster) report(host string, node int, report []byte, sent time.Time, session uint64) {
 	status, body := c.send(node, "POST", "/checkin", report)
-	c.server.With(func(w *standin.World) {
+	c.server.With(func(w *simulator.World) {
 		x := w.Cloud.Hosts[host]
 		if x == nil || x.Cut { // the answer is lost
 			return
 		}
-		o, steward, err := standin.ParseAnswer(body)
+		o, steward, err := simulator.ParseAnswer(body)
 		switch {
 		case status == 200 && err != nil:
 			c.b.Error(err)
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -13,7 +13,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/config"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 const (
@@ -24,10 +24,10 @@
 )
 
 // loopbackDeployment is small, and its workers report and are given up soon.
-func loopbackDeployment() *standin.Deployment {
-	return &standin.Deployment{
+func loopbackDeployment() *simulator.Deployment {
+	return &simulator.Deployment{
 		Name: "loopback", ReportS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Pull: 500 * time.Millisecond,
-		Flavor: standin.Flavor{Label: "m", CPUs: 12, GPUs: 2, MemGB: 96},
+		Flavor: simulator.Flavor{Label: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		State:  config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
 }
@@ -67,9 +67,9 @@
 		t.Fatal(err)
 	}
 	z.files = z.settings(dir)
-	z.server.With(func(w *standin.World) {
+	z.server.With(func(w *simulator.World) {
 		w.Lag = time.Second
-		w.AtStart = func(x *standin.Worker, uid string) {
+		w.AtStart = func(x *simulator.Worker, uid string) {
 			if x.Site == "x" {
 				z.history = append(z.history, startInX{w.Now, uid, x.Host, w.Jobs[uid].Run.Kind == api.Service, arraysInX(w)})
 			}
@@ -85,7 +85,7 @@
 }
 
 // arraysInX counts the tasks of arrays in zone x.
-func arraysInX(w *standin.World) (n int) {
+func arraysInX(w *simulator.World) (n int) {
 	for _, x := range w.Cloud.Workers() {
 		if x.Site != "x" {
 			continue
@@ -153,11 +153,11 @@
 	}
 	change(&run)
 	z.uids = append(z.uids, run.UID)
-	z.server.With(func(w *standin.World) {
-		w.Jobs[run.UID] = &standin.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+	z.server.With(func(w *simulator.World) {
+		w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
 	})
 	z.wait(run.UID+" is accepted", func() bool {
-		status, body := z.send(z.random(processNodes), "POST", "/v2/runs", standin.Submission(&run))
+		status, body := z.send(z.random(processNodes), "POST", "/v2/runs", simulator.Submission(&run))
 		z.told(run.UID, status, body, true)
 		return status == 200 || status == 201
 	})
@@ -170,7 +170,7 @@
 		Phase string `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // an answer without a phase has none
-	z.server.With(func(w *standin.World) { w.Told(uid, status, a.Phase, submission) })
+	z.server.With(func(w *simulator.World) { w.Told(uid, status, a.Phase, submission) })
 	return a.Phase
 }
 
@@ -190,7 +190,7 @@
 
 // runningInX counts the tasks of jobs that run in zone x on machines that can be reached.
 func (z *zoneCluster) runningInX(uids ...string) (n int) {
-	z.server.With(func(w *standin.World) {
+	z.server.With(func(w *simulator.World) {
 		for _, x := range w.Cloud.Workers() {
 			for _, task := range x.Report().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
@@ -204,8 +204,8 @@
 }
 
 // machines lists the machines of zone x, those with readers first.
-func (z *zoneCluster) machines() (withReaders, others []*standin.Worker) {
-	z.server.With(func(w *standin.World) {
+func (z *zoneCluster) machines() (withReaders, others []*simulator.Worker) {
+	z.server.With(func(w *simulator.World) {
 		for _, x := range w.Cloud.Workers() {
 			if x.Site != "x" {
 				continue
@@ -220,8 +220,8 @@
 	return withReaders, others
 }
 
-func (z *zoneCluster) cut(machines []*standin.Worker, cut bool) {
-	z.server.With(func(*standin.World) {
+func (z *zoneCluster) cut(machines []*simulator.Worker, cut bool) {
+	z.server.With(func(*simulator.World) {
 		for _, x := range machines {
 			x.Cut = cut
 		}
@@ -229,8 +229,8 @@
 }
 
 // lose has machines end for good.
-func (z *zoneCluster) lose(machines []*standin.Worker) {
-	z.server.With(func(w *standin.World) {
+func (z *zoneCluster) lose(machines []*simulator.Worker) {
+	z.server.With(func(w *simulator.World) {
 		for _, x := range machines {
 			w.Cloud.Kill(x.Host)
 		}
@@ -240,7 +240,7 @@
 // zoneIs tells whether the zone's record has a state.
 func (z *zoneCluster) zoneIs(state string) func() bool {
 	return func() (is bool) {
-		z.server.With(func(w *standin.World) {
+		z.server.With(func(w *simulator.World) {
 			for _, item := range w.Store.Items("live/z/x") {
 				is = strings.Contains(string(item.Value), `"s":"`+state+`"`)
 			}
@@ -254,7 +254,7 @@
 // returned take beside the readers.
 func (z *zoneCluster) checkReadersFirst(when string, since time.Time, machines int) {
 	z.t.Helper()
-	z.server.With(func(*standin.World) {
+	z.server.With(func(*simulator.World) {
 		readers, most := 0, 0
 		for _, s := range z.history {
 			switch {
@@ -277,7 +277,7 @@
 
 // now is the world's time.
 func (z *zoneCluster) now() (now time.Time) {
-	z.server.With(func(w *standin.World) { now = w.Now })
+	z.server.With(func(w *simulator.World) { now = w.Now })
 	return now
 }
 
@@ -290,7 +290,7 @@
 func TestZoneReturnsOnLoopback(t *testing.T) {
 	z := newZoneCluster(t)
 	arrays := z.fill()
-	z.server.With(func(w *standin.World) { w.Cloud.Full = true })
+	z.server.With(func(w *simulator.World) { w.Cloud.Full = true })
 	z.partReturns()
 	z.flaps()
 	for _, uid := range arrays {
@@ -299,7 +299,7 @@
 			return z.told(uid, status, body, false) == api.Done
 		})
 	}
-	z.server.With(func(w *standin.World) {
+	z.server.With(func(w *simulator.World) {
 		for _, broken := range w.Broken {
 			t.Error(broken)
 		}
@@ -344,10 +344,10 @@
 }
 
 // waitEmpty waits until nothing runs on machines any more, but for those that were given up.
-func (z *zoneCluster) waitEmpty(machines []*standin.Worker) {
+func (z *zoneCluster) waitEmpty(machines []*simulator.Worker) {
 	z.wait("nothing runs there any more", func() (none bool) {
-		z.server.With(func(w *standin.World) {
-			none = !slices.ContainsFunc(w.Cloud.Workers(), func(x *standin.Worker) bool {
+		z.server.With(func(w *simulator.World) {
+			none = !slices.ContainsFunc(w.Cloud.Workers(), func(x *simulator.Worker) bool {
 				return slices.Contains(machines, x) && len(x.Present()) > 0
 			})
 		})
@@ -368,6 +368,6 @@
 	z.cut(all, true)
 	z.waitEmpty(all)
 	z.cut(all, false)
-	z.server.With(func(w *standin.World) { w.Cloud.Full = false })
+	z.server.With(func(w *simulator.World) { w.Cloud.Full = false })
 	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -13,7 +13,7 @@
 	"violetturn/internal/config"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -42,16 +42,16 @@
 		stamp++
 		c.replica.apply(key, api.JSON(v), stamp)
 	}
-	apply(ownKey+"n0", part.Ownership{Node: "n0", Incarnation: c.incarnation, Term: 1})
+	apply(ownKey+"n0", shard.Ownership{Node: "n0", Incarnation: c.incarnation, Term: 1})
 	c.mine["n0"] = &ownPart{term: 1, stamp: stamp}
-	apply(partKey+"n0", part.Record{Term: 1, By: "n0", Free: part.Free{}})
-	page := part.Page{}
+	apply(partKey+"n0", shard.Record{Term: 1, By: "n0", Free: shard.Free{}})
+	page := shard.Page{}
 	for i := range machines {
 		host := fmt.Sprintf("i-%06d", i)
-		page[host] = &part.Machine{Part: "n0", MachineType: "m", Zone: "x"}
+		page[host] = &shard.Machine{Part: "n0", MachineType: "m", Zone: "x"}
 		if id := pageID(host, coarse); i == machines-1 || id != pageID(fmt.Sprintf("i-%06d", i+1), coarse) {
 			apply(pageKey+id, page)
-			page = part.Page{}
+			page = shard.Page{}
 		}
 	}
 	run := func(id int, rank string) *job.Main {
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -4,13 +4,13 @@
 	"maps"
 	"time"
 
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // claim is what a transaction takes of a part's room.
 type claim struct {
-	free   part.Free
+	free   shard.Free
 	use    map[string][3]float64
 	shares map[string]sched.Resources
 }
@@ -22,10 +22,10 @@
 	if rec.v == nil || c.replica.owns[p].v == nil {
 		return nil
 	}
-	x := &claim{free: part.Free{}, shares: map[string]sched.Resources{}}
+	x := &claim{free: shard.Free{}, shares: map[string]sched.Resources{}}
 	if c.owned(p) != nil {
 		for h, r := range c.freeOf(p, now) {
-			x.free[h] = part.Vec(r)
+			x.free[h] = shard.Vec(r)
 		}
 		x.use = c.useOf(p)
 		return x
@@ -68,10 +68,10 @@
 	n := need(r)
 	f, in := cl.free[pl.host.Name]
 	fits := len(pl.victims) == 0
-	if fits && (!in || !part.Unvec(f).Fits(n)) {
+	if fits && (!in || !shard.Unvec(f).Fits(n)) {
 		return nil, 0, nil // the record has moved on
 	}
-	use := part.Unvec(cl.use[r.Team]).Add(n)
+	use := shard.Unvec(cl.use[r.Team]).Add(n)
 	share, grown, within := c.share(r.Team, p, use, cl.shares, x.by)
 	if !within {
 		c.short[r.Team] = true
@@ -86,14 +86,14 @@
 			x.more++
 		}
 		if team, _ := c.cfg.Team(r.Team); team.Limited() {
-			cl.use[r.Team] = part.Vec(use)
+			cl.use[r.Team] = shard.Vec(use)
 			if grown {
 				cl.shares[r.Team] = share
 				x.more++
 			}
 		}
 		if fits {
-			cl.free[pl.host.Name] = part.Vec(part.Unvec(f).Sub(n))
+			cl.free[pl.host.Name] = shard.Vec(shard.Unvec(f).Sub(n))
 		} else {
 			delete(cl.free, pl.host.Name) // its owner tells what is free when the others have left
 		}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 )
 
 // workerContact is what a node knows of whether its workers reach it. One that loses
@@ -110,7 +110,7 @@
 }
 
 // nodeRecord is what this node says of itself. Call with the lock held.
-func (c *Controller) nodeRecord() part.Ownership {
-	return part.Ownership{Node: c.cfg.HostName, Incarnation: c.incarnation, Mute: c.contact.mute, Hear: c.contact.some, V: forms,
+func (c *Controller) nodeRecord() shard.Ownership {
+	return shard.Ownership{Node: c.cfg.HostName, Incarnation: c.incarnation, Mute: c.contact.mute, Hear: c.contact.some, V: forms,
 		Features: c.features.Names()}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,9 +20,9 @@
 	"violetturn/internal/features"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
 	"violetturn/internal/peer"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 	"violetturn/internal/worker"
@@ -107,7 +107,7 @@
 	validTil           time.Time // our hold surely lasts until then
 	seen               time.Time // all changes until then are in the replica
 	mine               map[string]*ownPart
-	sessions           map[string]*part.Session
+	sessions           map[string]*shard.Session
 	absent             map[string]time.Time // parts without an owner, since when
 	homeUp             map[string]time.Time // nodes alive, since when seen so
 	contact            workerContact
@@ -118,8 +118,8 @@
 	hires              int
 	past               map[string]job.Past
 	pastKeys           []string
-	adopt              map[string]part.Machine // strangers to be recorded
-	retryAt            map[string]time.Time    // jobs that failed, when they are tried again
+	adopt              map[string]shard.Machine // strangers to be recorded
+	retryAt            map[string]time.Time     // jobs that failed, when they are tried again
 	errSeen            map[string]int
 	inList             map[string]bool    // machines in the cloud's newest list
 	booting            map[string]bool    // those that it shows as starting
@@ -217,14 +217,14 @@
 		nudging:        make(chan struct{}, max(8, cfg.Facts.Limits.MaxSockets/32)),
 		users:          make(chan struct{}, 128),
 		mine:           map[string]*ownPart{},
-		sessions:       map[string]*part.Session{},
+		sessions:       map[string]*shard.Session{},
 		absent:         map[string]time.Time{},
 		homeUp:         map[string]time.Time{},
 		sharers:        cfg.Facts.Size,
 		away:           map[string]time.Time{},
 		refused:        map[string]refusal{},
 		past:           map[string]job.Past{},
-		adopt:          map[string]part.Machine{},
+		adopt:          map[string]shard.Machine{},
 		confirmedUntil: map[string]time.Time{},
 		retryAt:        map[string]time.Time{},
 		errSeen:        map[string]int{},
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"violetturn/internal/config"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -90,10 +90,10 @@
 }
 
 // writePart writes a part's free-room record. Call with the lock held.
-func (c *Controller) writePart(t *txn, p string, free part.Free, use map[string][3]float64) {
+func (c *Controller) writePart(t *txn, p string, free shard.Free, use map[string][3]float64) {
 	rec := c.replica.parts[p]
 	t.guard(partKey+p, rec.stamp)
-	r := part.Record{Term: rec.v.Term, By: rec.v.By, Doubt: rec.v.Doubt, Free: free, Use: use}
+	r := shard.Record{Term: rec.v.Term, By: rec.v.By, Doubt: rec.v.Doubt, Free: free, Use: use}
 	if o := c.owned(p); o != nil && c.now().After(o.answered) {
 		r.Doubt = false // the grace of whoever came before us is over
 	}
@@ -139,7 +139,7 @@
 	use := map[string][3]float64{}
 	for _, t := range c.cfg.Facts.Teams {
 		if r, ok := sum[t.Name]; ok && t.Limited() {
-			use[t.Name] = part.Vec(r)
+			use[t.Name] = shard.Vec(r)
 		}
 	}
 	return use
@@ -153,9 +153,9 @@
 	if u := c.replica.teams[teamID(team)].v; u != nil {
 		for q, v := range u.Held {
 			if q == p {
-				held = part.Unvec(v)
+				held = shard.Unvec(v)
 			} else {
-				others = others.Add(part.Unvec(v))
+				others = others.Add(shard.Unvec(v))
 			}
 		}
 	}
@@ -165,19 +165,19 @@
 // writeShares writes what parts hold of teams' limits from now on. It goes only
 // with writes of those parts' records. Call with the lock held.
 func (c *Controller) writeShares(t *txn, shares map[string]map[string]sched.Resources) {
-	teams := map[string]part.Usage{}
+	teams := map[string]shard.Usage{}
 	for p, byTeam := range shares {
 		for name, r := range byTeam {
 			id := teamID(name)
 			u, ok := teams[id]
 			if !ok {
-				u = part.Usage{Held: map[string][3]float64{}}
+				u = shard.Usage{Held: map[string][3]float64{}}
 				if old := c.replica.teams[id].v; old != nil {
 					maps.Copy(u.Held, old.Held)
 				}
 				teams[id] = u
 			}
-			u.Held[p] = part.Vec(r)
+			u.Held[p] = shard.Vec(r)
 		}
 	}
 	for id, u := range teams {
@@ -188,9 +188,9 @@
 
 // atLeast tells whether every machine that is offered has the room that it is offered
 // with.
-func atLeast(now, offered part.Free) bool {
+func atLeast(now, offered shard.Free) bool {
 	for h, v := range offered {
-		if r, ok := now[h]; !ok || !part.Unvec(r).Fits(part.Unvec(v)) {
+		if r, ok := now[h]; !ok || !shard.Unvec(r).Fits(shard.Unvec(v)) {
 			return false
 		}
 	}
@@ -207,15 +207,15 @@
 		if c.owned(p) == nil || rec.v == nil || len(c.machineTypes) == 0 || now.Sub(o.kept) < 6*c.cfg.Pause() {
 			continue
 		}
-		free := part.Free{}
+		free := shard.Free{}
 		for h, r := range c.freeOf(p, now) {
-			free[h] = part.Vec(r)
+			free[h] = shard.Vec(r)
 		}
 		use := c.useOf(p)
 		shares := map[string]sched.Resources{}
 		for _, team := range c.cfg.Facts.Teams {
 			held, others := c.shareOf(team.Name, p)
-			if u := part.Unvec(use[team.Name]); team.Limited() && sched.Excess(limitOf(team), others, held, u) {
+			if u := shard.Unvec(use[team.Name]); team.Limited() && sched.Excess(limitOf(team), others, held, u) {
 				if less, ok := sched.Share(limitOf(team), others, u); ok {
 					shares[team.Name] = less
 				}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -7,20 +7,20 @@
 
 	"violetturn/internal/config"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // peerDemand is what peers are likely to look for, as it was worked out last.
 type peerDemand struct {
 	at    time.Time
-	sizes []part.Demand
+	sizes []shard.Demand
 }
 
 // demandOfPeers tells what room peers are likely to look for in the parts of this node:
 // what their jobs wait for now, and what came lately. It decides which machines a part's
 // record names when it can't name all. Call with the lock held.
-func (c *Controller) demandOfPeers(now time.Time) []part.Demand {
+func (c *Controller) demandOfPeers(now time.Time) []shard.Demand {
 	if !c.demand.at.IsZero() && now.Sub(c.demand.at) < c.cfg.Report() {
 		return c.demand.sizes
 	}
@@ -37,9 +37,9 @@
 			}
 		}
 	}
-	sizes := make([]part.Demand, 0, len(tasks))
+	sizes := make([]shard.Demand, 0, len(tasks))
 	for _, size := range slices.SortedFunc(maps.Keys(tasks), compareResources) {
-		sizes = append(sizes, part.Demand{Need: size, Tasks: tasks[size]})
+		sizes = append(sizes, shard.Demand{Need: size, Tasks: tasks[size]})
 	}
 	c.demand = peerDemand{now, sizes}
 	return sizes
@@ -47,7 +47,7 @@
 
 // trimOffer leaves out of a part's free room what does not fit its record beside what
 // teams use, and tells how many machines that are. Call with the lock held.
-func (c *Controller) trimOffer(free part.Free, use map[string][3]float64, now time.Time) (left int) {
+func (c *Controller) trimOffer(free shard.Free, use map[string][3]float64, now time.Time) (left int) {
 	size := c.valueRoom() - 128*len(use)
 	if free.Fits(size) {
 		return 0
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -8,14 +8,14 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
 // ending is an attempt that is over.
 type ending struct {
 	pl  *placedTask
-	rel part.Release
+	rel shard.Release
 }
 
 // over tells whether a placed task has completed, though that need not be
@@ -70,7 +70,7 @@
 }
 
 // release notes that an attempt is over. Call with the lock held.
-func (c *Controller) release(host string, s *part.Session, id string, r part.Release) {
+func (c *Controller) release(host string, s *shard.Session, id string, r shard.Release) {
 	s.Releases[id] = r
 	delete(c.replica.loads, host)
 }
@@ -96,10 +96,10 @@
 		// Entries of tasks that are no longer there do no harm, for a later
 		// attempt has another number: they go when there are too many.
 		if len(s.Started) > len(on) {
-			maps.DeleteFunc(s.Started, func(id string, _ part.Start) bool { return on[id] == nil })
+			maps.DeleteFunc(s.Started, func(id string, _ shard.Start) bool { return on[id] == nil })
 		}
 		if len(s.Sent) > len(on) {
-			maps.DeleteFunc(s.Sent, func(id string, _ part.Sent) bool { return on[id] == nil })
+			maps.DeleteFunc(s.Sent, func(id string, _ shard.Sent) bool { return on[id] == nil })
 		}
 		for id, r := range s.Releases {
 			if pl := on[id]; pl == nil || pl.p.Attempt != r.Try {
@@ -120,7 +120,7 @@
 		}
 		for id, pl := range on {
 			if _, ok := s.Releases[id]; !ok && dead {
-				c.release(host, s, id, part.Release{Try: pl.p.Attempt, At: now})
+				c.release(host, s, id, shard.Release{Try: pl.p.Attempt, At: now})
 			}
 			if r, ok := s.Releases[id]; ok && c.replica.jobs[pl.uid] != nil {
 				k := chunkID{pl.uid, pl.chunk}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/sched"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // gang submits one to a world where room for it is up.
@@ -28,7 +28,7 @@
 }
 
 // holder gives a machine that has a task of the job.
-func (s *sim) holder(id string) *standin.Worker {
+func (s *sim) holder(id string) *simulator.Worker {
 	for _, h := range s.w.Cloud.Names() {
 		for _, p := range s.w.Cloud.Hosts[h].Report().Tasks {
 			if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
@@ -264,7 +264,7 @@
 			id := fmt.Sprintf("run-%06d", 1000+k)
 			r := s.w.Jobs[large].Run
 			r.UID, r.Tasks = id, 2
-			s.w.Jobs[id] = &standin.Job{Run: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
+			s.w.Jobs[id] = &simulator.Job{Run: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.done(large)()
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // Four thousand stand-in machines: three controllers fill them, one ends and its machines
@@ -16,9 +16,9 @@
 // It is simulated time in one goroutine, so nothing shows how real processes keep up; and
 // it takes minutes under the race detector, for which test.sh runs it apart.
 func TestFourThousandMachines(t *testing.T) {
-	l := newLoadSim(standin.Huge())
+	l := newLoadSim(simulator.Huge())
 	l.phase = "fill"
-	for _, class := range []*standin.Class{&l.d.Services, &l.d.Arrays} {
+	for _, class := range []*simulator.Class{&l.d.Services, &l.d.Arrays} {
 		for range class.Initial {
 			l.newJob(class)
 		}
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -7,8 +7,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // returnRound decides which machines go back and returns them.
@@ -152,7 +152,7 @@
 }
 
 // judge decides whether a machine is to be returned. Call with the lock held.
-func (c *Controller) judge(host string, m *part.Machine, s *part.Session, view *idleView) {
+func (c *Controller) judge(host string, m *shard.Machine, s *shard.Session, view *idleView) {
 	now := view.now
 	_, f := c.capOf(m.MachineType)
 	if f == nil || s.Drain {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -9,8 +9,8 @@
 	"violetturn/internal/api"
 	"violetturn/internal/config"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 )
 
 // grown makes a world of the version in production under limits that let it write
@@ -82,7 +82,7 @@
 	s.rounds(t, 900, "done", s.done(inside))
 	s.rounds(t, 900, "done", s.done(chunked))
 	s.rounds(t, 400, "no large record of a job is left", func() bool {
-		return !slices.ContainsFunc(s.w.Store.Items(live), func(it standin.Item) bool {
+		return !slices.ContainsFunc(s.w.Store.Items(live), func(it simulator.Item) bool {
 			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(jobKey)] != pageKey
 		})
 	})
@@ -137,9 +137,9 @@
 	s := newSim()
 	m := s.nodes[0].c.replica
 	page := func(id string, stamp uint64, hosts ...string) {
-		p := part.Page{}
+		p := shard.Page{}
 		for _, h := range hosts {
-			p[h] = &part.Machine{Part: id, MachineType: "m"}
+			p[h] = &shard.Machine{Part: id, MachineType: "m"}
 		}
 		m.apply(pageKey+id, api.JSON(p), stamp)
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -18,7 +18,7 @@
 	"violetturn/internal/api"
 	"violetturn/internal/config"
 	"violetturn/internal/httpwire"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -31,7 +31,7 @@
 
 // budgetedStore keeps to a share of the changes of a second, as the real client does.
 type budgetedStore struct {
-	*standin.Client
+	*simulator.Client
 	budget *transport.Budget
 	now    func() time.Time
 }
@@ -50,14 +50,14 @@
 // loadSim plays a deployment at its size, and measures what its controllers do.
 type loadSim struct {
 	*sim
-	d        *standin.Deployment
+	d        *simulator.Deployment
 	rnd      *rand.Rand
 	phase    string
 	nextTime map[string]time.Time // by machine, of its next report
 	seen     map[string]string    // by machine, what its last report said
 	pollAt   map[string]time.Time // by unfinished job
 	endAt    map[string]time.Time // by service, when its user cancels it
-	due      map[*standin.Class]float64
+	due      map[*simulator.Class]float64
 	submit   []string // refused, to be repeated
 	costs    map[string]*phaseCost
 }
@@ -71,10 +71,10 @@
 	holds     map[string]*LockUse
 }
 
-func newLoadSim(d *standin.Deployment) *loadSim {
+func newLoadSim(d *simulator.Deployment) *loadSim {
 	w := d.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	l := &loadSim{d: d, rnd: rand.New(rand.NewPCG(1, 1)), nextTime: map[string]time.Time{}, seen: map[string]string{}, pollAt: map[string]time.Time{},
-		endAt: map[string]time.Time{}, due: map[*standin.Class]float64{}, costs: map[string]*phaseCost{}}
+		endAt: map[string]time.Time{}, due: map[*simulator.Class]float64{}, costs: map[string]*phaseCost{}}
 	l.sim = &sim{
 		w:       w,
 		state:   d.State,
@@ -93,7 +93,7 @@
 	l.sim.started = func(n *simNode) {
 		perNode := d.State.WriteRPS / float64(len(l.nodes))
 		n.c.store = &budgetedStore{
-			n.c.store.(*standin.Client),
+			n.c.store.(*simulator.Client),
 			transport.NewBudget(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
@@ -202,7 +202,7 @@
 		}
 		sent, session := l.w.Now, x.Session
 		status, body := l.request("report", to, "POST", "/checkin", api.JSON(x.Report()))
-		orders, steward, err := standin.ParseAnswer(body)
+		orders, steward, err := simulator.ParseAnswer(body)
 		if err != nil {
 			panic(err)
 		}
@@ -215,7 +215,7 @@
 
 // users submit jobs, ask for them and cancel the services whose time has come.
 func (l *loadSim) users() {
-	for _, class := range []*standin.Class{&l.d.Services, &l.d.Arrays} {
+	for _, class := range []*simulator.Class{&l.d.Services, &l.d.Arrays} {
 		l.due[class] += class.PerSecond * loadStep.Seconds()
 		for ; l.due[class] >= 1; l.due[class]-- {
 			l.newJob(class)
@@ -255,18 +255,18 @@
 	}
 }
 
-func (l *loadSim) newJob(class *standin.Class) {
+func (l *loadSim) newJob(class *simulator.Class) {
 	run, runTime := class.NewJob(len(l.uids), l.rnd)
 	if class.Service {
 		l.endAt[run.UID] = l.w.Now.Add(runTime)
 	}
-	l.w.Jobs[run.UID] = &standin.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+	l.w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
 	l.uids = append(l.uids, run.UID)
 	l.send(run.UID)
 }
 
 func (l *loadSim) send(uid string) {
-	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", standin.Submission(&l.w.Jobs[uid].Run))
+	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.w.Jobs[uid].Run))
 	l.told(uid, status, body, true)
 	if status == 200 || status == 201 {
 		l.pollAt[uid] = l.w.Now.Add(pollEvery)
@@ -307,7 +307,7 @@
 // controller and its return, an outage of the state service, the last controller left.
 func (l *loadSim) day() {
 	l.phase = "fill"
-	for _, class := range []*standin.Class{&l.d.Services, &l.d.Arrays} {
+	for _, class := range []*simulator.Class{&l.d.Services, &l.d.Arrays} {
 		for range class.Initial {
 			l.newJob(class)
 		}
@@ -366,7 +366,7 @@
 // -cpuprofile and -memprofile it shows where a controller's time and memory go; the
 // labels "phase" and "work" part them (pprof -tagfocus, -tagroot).
 func BenchmarkDeployment(b *testing.B) {
-	for _, d := range []*standin.Deployment{standin.Small(), standin.Large(), standin.Huge()} {
+	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large(), simulator.Huge()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
 				l := newLoadSim(d)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -19,7 +19,7 @@
 		return false
 	}
 	t := newTxn()
-	pages := map[string]part.Page{}
+	pages := map[string]shard.Page{}
 	var names []string
 	size := 0 // bytes of the pages
 	count := map[string]int{}
@@ -106,7 +106,7 @@
 		return false
 	}
 	t := newTxn()
-	pages := map[string]part.Page{}
+	pages := map[string]shard.Page{}
 	size := 0 // bytes of the pages
 	var names []string
 	for host, s := range c.sessions {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 )
 
 // A machine that was fenced before its first report was answered once counted
@@ -106,7 +106,7 @@
 	s := warmSim()
 	c := s.nodes[0].c
 	for i := range 60 {
-		c.adopt[fmt.Sprintf("i-9%05d", i)] = part.Machine{MachineType: "m", Zone: "x"}
+		c.adopt[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
 	}
 	before := s.w.Store.Writes
 	for len(c.adopt) > 0 && s.w.Store.Writes < before+60 {
@@ -127,7 +127,7 @@
 		s := warmSim()
 		id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 		s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 2 })
-		var deaf *standin.Worker
+		var deaf *simulator.Worker
 		for h := range s.hostsOf(id) {
 			deaf = s.w.Cloud.Hosts[h]
 		}
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -8,8 +8,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // capOf gives a machine type's size. Call with the lock held.
@@ -78,7 +78,7 @@
 func (c *Controller) hosts(now time.Time) []*sched.Host {
 	type view struct {
 		own  bool
-		free part.Free // of a peer's part
+		free shard.Free // of a peer's part
 	}
 	parts := map[string]view{}
 	for _, p := range c.parts {
@@ -107,7 +107,7 @@
 		} else {
 			var vec [3]float64
 			vec, ok = v.free[h]
-			free = part.Unvec(vec)
+			free = shard.Unvec(vec)
 			size, _ = c.capOf(m.MachineType)
 		}
 		if !ok {
@@ -131,7 +131,7 @@
 func (c *Controller) teamUse(name string) sched.Resources {
 	var r sched.Resources
 	for _, p := range c.replica.parts {
-		r = r.Add(part.Unvec(p.v.Use[name]))
+		r = r.Add(shard.Unvec(p.v.Use[name]))
 	}
 	return r
 }
--- a/internal/controller/meet_leaders_test.go
+++ b/internal/controller/meet_leaders_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // Leaders change ten times in two minutes, also inside an outage: with machines that
@@ -36,7 +36,7 @@
 	leader, other := s.served(t, off)
 	s.w.Store.Cut[s.nodes[leader].name], s.alone[leader] = true, true
 	for i, n := range s.nodes { // nor do the others reach its workers, which stay with it
-		n.direct.Apart = func(*standin.Worker) bool { return i != leader }
+		n.direct.Apart = func(*simulator.Worker) bool { return i != leader }
 	}
 	s.w.Cloud.Down = true // or the machines, silent to the new leader, go back
 	s.cancel(other, off)
@@ -211,7 +211,7 @@
 	old := s.copies
 	s.nodes[leader].up = false
 	for _, n := range s.nodes { // fences of the new leader are held up
-		n.direct.Apart = func(*standin.Worker) bool { return true }
+		n.direct.Apart = func(*simulator.Worker) bool { return true }
 	}
 	held := [][]byte{}
 	for _, h := range s.w.Cloud.Names() {
--- a/internal/controller/meet_test.go
+++ b/internal/controller/meet_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // A scripted day for each meeting of troubles that docs/meetings.md lists and no older
@@ -141,12 +141,12 @@
 // take of a part after it was taken again and handed back.
 func TestMeetLateTransaction(t *testing.T) {
 	s := warmSim()
-	s.w.Store.Next["n0"] = standin.Late
+	s.w.Store.Next["n0"] = simulator.Late
 	a := s.array(2, time.Second, nil)
 	s.submit(1, a)
 	b := s.array(2, 4*time.Second, nil)
 	s.rounds(t, 80, "b runs", func() bool { return s.running(b) == 2 })
-	s.w.Store.Next["n2"] = standin.Late
+	s.w.Store.Next["n2"] = simulator.Late
 	s.cancel(2, b)
 	s.rounds(t, 80, "both done", func() bool { return s.done(a)() && s.done(b)() })
 	s.start(1) // remembers nothing
@@ -162,7 +162,7 @@
 	s.nodes[leader].up = false
 	for range 12 { // whoever takes the part hears nothing, and so for all else
 		for _, n := range s.nodes {
-			s.w.Store.Next[n.name] = standin.Late
+			s.w.Store.Next[n.name] = simulator.Late
 		}
 		s.pass(t, 1)
 	}
@@ -222,7 +222,7 @@
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(on) == 3 })
 	hold := func(held bool) {
 		for _, n := range s.nodes {
-			n.direct.Apart = func(*standin.Worker) bool { return held }
+			n.direct.Apart = func(*simulator.Worker) bool { return held }
 		}
 	}
 	deliver := func() {
@@ -293,7 +293,7 @@
 // stall has every node's next transaction wait for something.
 func (s *sim) stall(f func(node int)) {
 	for i, n := range s.nodes {
-		n.c.store.(*standin.Client).Stall = func() { f(i) }
+		n.c.store.(*simulator.Client).Stall = func() { f(i) }
 	}
 }
 
@@ -307,7 +307,7 @@
 		// Who rents hears no answer and ends: only the machines tell that they are there.
 		for k := 0; k < 20 && len(s.w.Cloud.Hosts) == 0; k++ {
 			for _, n := range s.nodes {
-				s.w.Cloud.Next[n.name] = standin.LoseAfter
+				s.w.Cloud.Next[n.name] = simulator.LoseAfter
 			}
 			s.pass(t, 1)
 		}
@@ -319,8 +319,8 @@
 		}
 		s.service(3, nil)
 		for k := range 30 {
-			s.w.Store.Next[s.nodes[k%3].name] = standin.Fault(k % 4)
-			s.w.Cloud.Next[s.nodes[(k+1)%3].name] = standin.Fault(k % 3)
+			s.w.Store.Next[s.nodes[k%3].name] = simulator.Fault(k % 4)
+			s.w.Cloud.Next[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
 			if k%5 == 4 {
 				s.w.Store.DeliverLate()
 			}
--- a/internal/controller/meet_users_test.go
+++ b/internal/controller/meet_users_test.go
@@ -8,7 +8,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/config"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // One-task jobs come four a second for minutes and a quarter of them is cancelled, through
@@ -27,7 +27,7 @@
 		case 40:
 			s.start(0)
 		case 80:
-			s.w.Store.Next["n1"] = standin.Late
+			s.w.Store.Next["n1"] = simulator.Late
 		case 90:
 			s.w.Store.DeliverLate()
 		}
@@ -40,7 +40,7 @@
 // read what it wrote and tell it: an acceptance, an end, a cancellation.
 func TestMeetLostAnswerWhileOthersRead(t *testing.T) {
 	s := warmSim()
-	s.w.Store.Next["n0"] = standin.LoseAfter
+	s.w.Store.Next["n0"] = simulator.LoseAfter
 	a := s.array(2, 4*time.Second, nil) // its user may have heard nothing
 	if !s.w.Jobs[a].Told {
 		t.Error("an acceptance whose answer was lost is not settled by reading")
@@ -48,7 +48,7 @@
 	s.lookEverywhere(a)
 	b := s.service(2, nil)
 	s.rounds(t, 80, "all run", func() bool { return s.running(b) == 2 })
-	s.w.Store.Next["n1"] = standin.LoseAfter
+	s.w.Store.Next["n1"] = simulator.LoseAfter
 	s.cancel(1, b)
 	s.lookEverywhere(b)
 	if s.w.Jobs[b].Phase != api.Cancelled {
@@ -56,7 +56,7 @@
 	}
 	for range 60 { // each end's answer is lost too
 		for _, n := range s.nodes {
-			s.w.Store.Next[n.name] = standin.LoseAfter
+			s.w.Store.Next[n.name] = simulator.LoseAfter
 		}
 		s.pass(t, 1)
 		s.lookEverywhere(a)
@@ -71,7 +71,7 @@
 // with no other trouble and with one that loses answers.
 func TestMeetLastTaskEnds(t *testing.T) {
 	for node := range 3 {
-		for _, f := range []standin.Fault{standin.None, standin.LoseAfter, standin.LoseBefore, standin.Late} {
+		for _, f := range []simulator.Fault{simulator.None, simulator.LoseAfter, simulator.LoseBefore, simulator.Late} {
 			for _, shape := range []string{api.Array, api.Gang} {
 				s := warmSim()
 				id := s.array(2, 2*time.Second, func(r *api.Job) { r.Kind = shape })
@@ -246,11 +246,11 @@
 	s.pass(t, 6)
 	r := s.w.Jobs[id].Run
 	r.Image = strings.Repeat("x", 4000)
-	if got := s.nodes[1].c.submit(t.Context(), standin.Submission(&r)); got.Status != 200 {
+	if got := s.nodes[1].c.submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
 		t.Errorf("answered %d", got.Status)
 	}
 	r.UID = "run-999999"
-	if got := s.nodes[1].c.submit(t.Context(), standin.Submission(&r)); got.Status != 400 {
+	if got := s.nodes[1].c.submit(t.Context(), simulator.Submission(&r)); got.Status != 400 {
 		t.Errorf("one that nobody knows is answered %d", got.Status)
 	}
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -85,14 +85,14 @@
 	t.guard(termKey, c.replica.stamps[termKey])
 	t.guard(partKey+p, rec.stamp)
 	t.write(termKey, term)
-	t.write(ownKey+p, part.Ownership{Node: me, Incarnation: c.incarnation, Term: term})
+	t.write(ownKey+p, shard.Ownership{Node: me, Incarnation: c.incarnation, Term: term})
 	t.permit[ownKey+p] = c.lease
 	// An earlier life of this process has ended, and one that released the part
 	// has stopped answering; any other may go on for its grace. So may one before
 	// those, if they did not live to see its grace out: the doubt stays with the
 	// record, or a quick restart of ours would forget it.
 	clean := rec.v == nil || (rec.v.By == me || rec.v.Released) && !rec.v.Doubt
-	t.write(partKey+p, part.Record{Term: term, By: me, Doubt: !clean, Free: part.Free{}, Use: c.useOf(p)})
+	t.write(partKey+p, shard.Record{Term: term, By: me, Doubt: !clean, Free: shard.Free{}, Use: c.useOf(p)})
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.Hold)
 	if !done {
@@ -144,10 +144,10 @@
 }
 
 // session gives the session of a machine of an own part. Call with the lock held.
-func (c *Controller) session(host string, o *ownPart) *part.Session {
+func (c *Controller) session(host string, o *ownPart) *shard.Session {
 	s := c.sessions[host]
 	if s == nil || s.Term != o.term {
-		s = part.NewSession(o.term, c.now(), o.answered)
+		s = shard.NewSession(o.term, c.now(), o.answered)
 		c.sessions[host] = s
 		delete(c.replica.loads, host)
 	}
@@ -223,7 +223,7 @@
 				c.accept(host, s, r)
 			}
 			c.mu.Unlock()
-			if done || part.TermOf(r.Token) >= term {
+			if done || shard.TermOf(r.Token) >= term {
 				return
 			}
 			o.Session = r.Session
@@ -273,7 +273,7 @@
 // atOnce gives the orders that need not wait for the worker's next report: they
 // may be carried out at any later time, and tells whether there are stops among
 // them, and whether there are starts, which have to wait. Call with the lock held.
-func (c *Controller) atOnce(host string, s *part.Session) (out []api.Command, stop, start bool) {
+func (c *Controller) atOnce(host string, s *shard.Session) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
 	listed := map[attempt]string{}
 	for _, p := range s.Report.Tasks {
@@ -322,7 +322,7 @@
 }
 
 // accept takes in a report and looks at what it says. Call with the lock held.
-func (c *Controller) accept(host string, s *part.Session, r *api.Report) bool {
+func (c *Controller) accept(host string, s *shard.Session, r *api.Report) bool {
 	old, deaf := s.Report, s.Deaf
 	if !s.Accept(r, c.now()) {
 		return false
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 )
 
 // A part taken by a transaction whose answer was lost once was nobody's: the
@@ -16,7 +16,7 @@
 	s := newSim()
 	for i, n := range s.nodes { // the first transaction registers, the next takes the part
 		s.step(i)
-		s.w.Store.Next[n.name] = standin.LoseAfter
+		s.w.Store.Next[n.name] = simulator.LoseAfter
 	}
 	s.rounds(t, 40, "parts owned", func() bool {
 		return s.owner("n0") != "" && s.owner("n1") != "" && s.owner("n2") != ""
@@ -101,7 +101,7 @@
 	s.nodes[1].up = false
 	s.rounds(t, 40, "part of n1 without an owner", func() bool { return s.nodes[0].c.replica.owns["n1"].v == nil })
 	for _, n := range s.nodes {
-		s.w.Store.Next[n.name] = standin.Late // the take is on its way when its sender ends
+		s.w.Store.Next[n.name] = simulator.Late // the take is on its way when its sender ends
 	}
 	for i := range s.nodes {
 		s.step(i)
@@ -237,7 +237,7 @@
 	}
 	for _, x := range s.w.Cloud.Hosts { // a worker that the new owner's fence has not reached must not be held
 		r := x.Report()
-		r.Token = part.TokenOf(s.nodes[cut].c.mine[home].term, 0)
+		r.Token = shard.TokenOf(s.nodes[cut].c.mine[home].term, 0)
 		if status, _, _ := s.deliver(cut, api.JSON(r)); status == 200 {
 			t.Error("it answers reports beyond its grace")
 		}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
 	"violetturn/internal/recovery"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -88,7 +88,7 @@
 			if x == nil || len(cl.by) > 0 && len(cl.by) >= c.limits().TxnOps-1 {
 				continue
 			}
-			if use := part.Unvec(x.use[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
+			if use := shard.Unvec(x.use[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
 				x.shares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
 				cl.by[p] = x
 			}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -13,8 +13,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -198,11 +198,11 @@
 		"job-inner.json":   func(raw json.RawMessage) (any, error) { return job.ParseMain(raw) },
 		"job-chunked.json": func(raw json.RawMessage) (any, error) { return job.ParseMain(raw) },
 		"chunk.json":       func(raw json.RawMessage) (any, error) { return job.ParseChunk(raw) },
-		"owner.json":       func(raw json.RawMessage) (any, error) { v := part.Ownership{}; return &v, json.Unmarshal(raw, &v) },
-		"node.json":        func(raw json.RawMessage) (any, error) { v := part.Ownership{}; return &v, json.Unmarshal(raw, &v) },
-		"part.json":        func(raw json.RawMessage) (any, error) { v := part.Record{}; return &v, json.Unmarshal(raw, &v) },
-		"page.json":        func(raw json.RawMessage) (any, error) { v := part.Page{}; return &v, json.Unmarshal(raw, &v) },
-		"team.json":        func(raw json.RawMessage) (any, error) { v := part.Usage{}; return &v, json.Unmarshal(raw, &v) },
+		"owner.json":       func(raw json.RawMessage) (any, error) { v := shard.Ownership{}; return &v, json.Unmarshal(raw, &v) },
+		"node.json":        func(raw json.RawMessage) (any, error) { v := shard.Ownership{}; return &v, json.Unmarshal(raw, &v) },
+		"part.json":        func(raw json.RawMessage) (any, error) { v := shard.Record{}; return &v, json.Unmarshal(raw, &v) },
+		"page.json":        func(raw json.RawMessage) (any, error) { v := shard.Page{}; return &v, json.Unmarshal(raw, &v) },
+		"team.json":        func(raw json.RawMessage) (any, error) { v := shard.Usage{}; return &v, json.Unmarshal(raw, &v) },
 		"past.json":        func(raw json.RawMessage) (any, error) { v := job.Past{}; return &v, json.Unmarshal(raw, &v) },
 	} {
 		raw, err := os.ReadFile(filepath.Join("testdata", "production", name))
@@ -244,7 +244,7 @@
 			continue // it knows no such records, and leaves them alone
 		}
 		if strings.HasPrefix(it.Key, nodeKey) {
-			var o part.Ownership
+			var o shard.Ownership
 			if err := json.Unmarshal(it.Value, &o); err != nil {
 				t.Fatal(err)
 			}
@@ -270,10 +270,10 @@
 	}
 	gang := func() int {
 		r := &api.Job{UID: "run-000900", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 2, CPUs: 1, MemGB: 1, Image: "i"}
-		s.w.Jobs[r.UID] = &standin.Job{Run: *r, RunTime: time.Second, Done: map[int]bool{}}
+		s.w.Jobs[r.UID] = &simulator.Job{Run: *r, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.up && !n.old {
-				return n.c.submit(context.Background(), standin.Submission(r)).Status
+				return n.c.submit(context.Background(), simulator.Submission(r)).Status
 			}
 		}
 		return 0
@@ -321,7 +321,7 @@
 		s.round()
 	}
 	r := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.w.Jobs[r.UID] = &standin.Job{Run: r, RunTime: time.Second, Done: map[int]bool{}}
+	s.w.Jobs[r.UID] = &simulator.Job{Run: r, RunTime: time.Second, Done: map[int]bool{}}
 	m := &job.Main{Spec: r, Part: "n1", AtMS: s.w.Now.UnixMilli()}
 	m.Fit(2, 300, false)
 	a := &submission{ctx: context.Background(), main: m, out: make(chan transport.Response, 1)}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -7,8 +7,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // start is an attempt to be launched.
@@ -28,7 +28,7 @@
 type reconciliation struct {
 	c       *Controller
 	report  *api.Report
-	session *part.Session
+	session *shard.Session
 	now     time.Time
 
 	reported map[attempt]*api.TaskState
@@ -42,7 +42,7 @@
 
 // commandsFor gives the commands for a worker that has just reported. Call with the lock
 // held.
-func (c *Controller) commandsFor(r *api.Report, s *part.Session, now time.Time) []api.Command {
+func (c *Controller) commandsFor(r *api.Report, s *shard.Session, now time.Time) []api.Command {
 	if !c.canAct(now) {
 		return c.cancelledOn(r.Host)
 	}
@@ -107,7 +107,7 @@
 	s, a := x.session, attempt{state.Task, state.Attempt}
 	_, released := s.Releases[id]
 	if state.Phase == api.Running && s.Started[id].Try != a.try {
-		s.Started[id] = part.Start{Try: a.try, At: x.now}
+		s.Started[id] = shard.Start{Try: a.try, At: x.now}
 		x.c.log.Info("task running", "task", a.name, "try", a.try, "host", x.report.Host)
 		if isGang(j) {
 			x.c.gang(pl.uid).ran = a.try
@@ -136,7 +136,7 @@
 	spec := &j.main.Spec
 	done := state.Cause == api.CauseDone
 	failed := state.Cause == api.CauseError || state.Cause == api.CauseUnknown
-	x.release(id, part.Release{Try: pl.p.Attempt, Done: done && spec.Kind != api.Service, Failed: failed, Exit: exitOf(state.Cause)})
+	x.release(id, shard.Release{Try: pl.p.Attempt, Done: done && spec.Kind != api.Service, Failed: failed, Exit: exitOf(state.Cause)})
 	if started := x.session.Started[id]; done && started.Try == pl.p.Attempt && spec.EstimateS > 0 {
 		x.c.observe(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
@@ -155,7 +155,7 @@
 	case stop:
 		// Never launched, or gone with an earlier session: this report was
 		// made after any answer of ours that launched it, and no later one will.
-		x.release(id, part.Release{Try: try})
+		x.release(id, shard.Release{Try: try})
 	case s.Deaf || unheard:
 		// It is not there, and no answer given so far will start it: this
 		// report was made after the worker took in or gave up on each of
@@ -165,7 +165,7 @@
 			s.Raise(x.now)
 			x.c.log.Info("worker does not obey", "host", x.report.Host, "task", pl.name(j), "launches", s.Sent[id].N)
 		}
-		x.release(id, part.Release{Try: try, Exit: job.ExitRefused})
+		x.release(id, shard.Release{Try: try, Exit: job.ExitRefused})
 	case x.c.heldBack(x.report.Host, pl, j, x.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
@@ -176,7 +176,7 @@
 }
 
 // release notes that an attempt is over.
-func (x *reconciliation) release(id string, r part.Release) {
+func (x *reconciliation) release(id string, r shard.Release) {
 	r.At = x.now
 	x.c.release(x.report.Host, x.session, id, r)
 	x.c.poke()
@@ -202,7 +202,7 @@
 	for _, st := range x.starts {
 		sent := x.session.Sent[st.id]
 		if sent.Try != st.a.try {
-			sent = part.Sent{Try: st.a.try}
+			sent = shard.Sent{Try: st.a.try}
 		}
 		if x.sized && !x.free.Fits(st.need) {
 			x.block(st, sent)
@@ -217,11 +217,11 @@
 
 // block counts that a start had no room. A peer may have taken the room of a task that had
 // completed, whose end was not committed yet, when its room was another's already.
-func (x *reconciliation) block(st start, sent part.Sent) {
+func (x *reconciliation) block(st start, sent shard.Sent) {
 	if sent.Blocked++; x.leaving {
 		sent.Blocked = 0
 	}
 	if x.session.Sent[st.id] = sent; sent.Blocked >= mostUnheard {
-		x.release(st.id, part.Release{Try: st.a.try, Exit: job.ExitRefused})
+		x.release(st.id, shard.Release{Try: st.a.try, Exit: job.ExitRefused})
 	}
 }
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"violetturn/internal/cloud"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 )
 
 // cloudLoop rents, lists and returns machines.
@@ -270,7 +270,7 @@
 			"asked", r.Count, "hosts", hosts,
 		)
 		for _, h := range hosts {
-			c.adopt[h] = part.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: home}
+			c.adopt[h] = shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: home}
 		}
 		refused = len(hosts) < r.Count
 	case errors.Is(err, cloud.ErrNoCapacity):
@@ -320,7 +320,7 @@
 			if first, ok := seen[h.UID]; !ok {
 				seen[h.UID] = now
 			} else if now.Sub(first) > 4*lag && h.Phase != "failed" {
-				c.stranger(h.UID, part.Machine{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Addr: h.Addr})
+				c.stranger(h.UID, shard.Machine{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Addr: h.Addr})
 			}
 			continue
 		}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -10,8 +10,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
 )
@@ -57,14 +57,14 @@
 	gangs   map[string]bool // those of them whose tasks start together
 	// chunks' records as they are, those of other divisions and of no job included
 	recs              map[string]map[chunkRec]value[job.Chunk]
-	parts             map[string]value[part.Record]
-	owns              map[string]value[part.Ownership]
-	nodes             map[string]value[part.Ownership]
-	marks             map[string]value[part.Mark]
+	parts             map[string]value[shard.Record]
+	owns              map[string]value[shard.Ownership]
+	nodes             map[string]value[shard.Ownership]
+	marks             map[string]value[shard.Mark]
 	zones             map[string]value[zonehealth.Record]
-	pages             map[string]value[part.Page]
-	hosts             map[string]*part.Machine // of all pages
-	teams             map[string]value[part.Usage]
+	pages             map[string]value[shard.Page]
+	hosts             map[string]*shard.Machine // of all pages
+	teams             map[string]value[shard.Usage]
 	term              uint64
 	cancellations     []cancellation                    // the last ones
 	cancellationsFrom uint64                            // all after that revision are among them
@@ -96,14 +96,14 @@
 		jobs:    map[string]*liveJob{},
 		gangs:   map[string]bool{},
 		recs:    map[string]map[chunkRec]value[job.Chunk]{},
-		marks:   map[string]value[part.Mark]{},
+		marks:   map[string]value[shard.Mark]{},
 		zones:   map[string]value[zonehealth.Record]{},
-		parts:   map[string]value[part.Record]{},
-		owns:    map[string]value[part.Ownership]{},
-		nodes:   map[string]value[part.Ownership]{},
-		pages:   map[string]value[part.Page]{},
-		hosts:   map[string]*part.Machine{},
-		teams:   map[string]value[part.Usage]{},
+		parts:   map[string]value[shard.Record]{},
+		owns:    map[string]value[shard.Ownership]{},
+		nodes:   map[string]value[shard.Ownership]{},
+		pages:   map[string]value[shard.Page]{},
+		hosts:   map[string]*shard.Machine{},
+		teams:   map[string]value[shard.Usage]{},
 		onHost:  map[string]map[string]*placedTask{},
 		loads:   map[string]*load{},
 		images:  map[string]map[string]bool{},
@@ -123,7 +123,7 @@
 
 // applyRecord is the same for a change of this node's own, of which a part's record, the
 // largest there is, need not be read again.
-func (m *replica) applyRecord(key string, raw json.RawMessage, stamp uint64, own *part.Record) {
+func (m *replica) applyRecord(key string, raw json.RawMessage, stamp uint64, own *shard.Record) {
 	if stamp <= m.epoch && !m.loading {
 		return
 	}
@@ -156,7 +156,7 @@
 		err = m.applyChunk(id, raw, stamp)
 	case partKey:
 		if own != nil {
-			m.parts[id] = value[part.Record]{own, stamp, len(raw)}
+			m.parts[id] = value[shard.Record]{own, stamp, len(raw)}
 		} else {
 			err = set(m.parts, id, raw, stamp)
 		}
@@ -200,7 +200,7 @@
 	}
 	m.names = nil
 	touched := map[string]bool{}
-	note := func(p *part.Page) {
+	note := func(p *shard.Page) {
 		if p != nil {
 			for host := range *p {
 				touched[host] = true
@@ -255,7 +255,7 @@
 
 // record gives a machine's record: of the finest page that there is for it, be the
 // machine in it or not.
-func (m *replica) record(host string) *part.Machine {
+func (m *replica) record(host string) *shard.Machine {
 	for cut := 1; cut <= coarse; cut++ {
 		if p := m.pages[pageID(host, cut)].v; p != nil {
 			return (*p)[host]
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -11,7 +11,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 )
 
 // Answers of reads and of own transactions come in any order, some late. However
@@ -32,7 +32,7 @@
 			if c.drop {
 				m.apply(c.key, nil, c.stamp)
 			} else {
-				m.apply(c.key, api.JSON(part.Ownership{Term: c.stamp}), c.stamp)
+				m.apply(c.key, api.JSON(shard.Ownership{Term: c.stamp}), c.stamp)
 			}
 		}
 		var late []func()
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -5,7 +5,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/httpwire"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/transport"
 )
 
@@ -27,7 +27,7 @@
 		// Only one that the cloud lists: a copy of a report may come long after
 		// its machine is gone, and nobody else remembers that it was there.
 		if c.inList[r.Host] {
-			c.stranger(r.Host, part.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
+			c.stranger(r.Host, shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
 		}
 		return errBusy
 	}
@@ -39,10 +39,10 @@
 	if s.Stale(r, now, reportPatience) {
 		return errBusy // nobody waits for it, and it says nothing about now
 	}
-	if part.TermOf(r.Token) > o.term {
+	if shard.TermOf(r.Token) > o.term {
 		// It has seen a token above ours, so it drops what we say. When the term
 		// record knows it, somebody else has taken the part.
-		if part.TermOf(r.Token) <= c.replica.term {
+		if shard.TermOf(r.Token) <= c.replica.term {
 			o.bump = true
 		}
 		return reply(421, struct{}{})
@@ -52,7 +52,7 @@
 	}
 	s.Last = [2]uint64{r.Session, r.Sequence}
 	commands := []api.Command{}
-	if part.TermOf(r.Token) < o.term {
+	if shard.TermOf(r.Token) < o.term {
 		if !c.introduce(s, now) {
 			return errBusy
 		}
@@ -80,7 +80,7 @@
 // told of it. One that was answered and reports as before does not hear: our answers renew
 // no lease there, and to count them would keep its tasks waiting for ever. Call with the
 // lock held.
-func (c *Controller) introduce(s *part.Session, now time.Time) bool {
+func (c *Controller) introduce(s *shard.Session, now time.Time) bool {
 	if s.Unheard >= mostUnheard {
 		if s.Dead(now, c.cfg.LeaseBound()) {
 			s.Unheard = 0 // nothing runs there any more: it may try again
@@ -109,7 +109,7 @@
 // what a cut held back, or a list that lags, must not bring it back as a ghost
 // that counts as coming room. Only machines that the cloud lists come here, which bounds
 // how many there are. Call with the lock held.
-func (c *Controller) stranger(host string, m part.Machine) {
+func (c *Controller) stranger(host string, m shard.Machine) {
 	if c.replica.gone[host] {
 		return
 	}
@@ -123,7 +123,7 @@
 // recalled tells whether the cloud takes the machine away so soon that the task
 // has to leave now; until then it runs on, for it may complete. Call with the
 // lock held.
-func (c *Controller) recalled(s *part.Session, j *liveJob) bool {
+func (c *Controller) recalled(s *shard.Session, j *liveJob) bool {
 	if s.Report == nil || s.Report.NoticeS == nil {
 		return false
 	}
@@ -136,7 +136,7 @@
 
 // ended notes what a task's end says of the machine and of its job. Call with
 // the lock held.
-func (c *Controller) ended(host string, s *part.Session, j *liveJob, _ *placedTask, l *api.TaskState) {
+func (c *Controller) ended(host string, s *shard.Session, j *liveJob, _ *placedTask, l *api.TaskState) {
 	uid := j.main.Spec.UID
 	if !api.KnownCause(l.Cause) {
 		c.log.Error("a worker gives a cause that is not known", "host", host, "cause", l.Cause)
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -16,13 +16,13 @@
 	"violetturn/internal/config"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/peer"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // sim joins controllers with the stand-ins. It runs everything in one
 // goroutine, so that a seed gives the same day every time.
 type sim struct {
-	w       *standin.World
+	w       *simulator.World
 	nodes   []*simNode
 	held    []func()             // reports held back by cuts
 	copies  []copied             // reports that arrived, to arrive once more, late
@@ -84,7 +84,7 @@
 type simNode struct {
 	name   string
 	c      *Controller
-	direct *standin.Direct
+	direct *simulator.Direct
 	aside  []func()
 	up     bool
 	old    bool // it behaves as the version in production
@@ -120,8 +120,8 @@
 }
 
 func newSim() *sim {
-	w := standin.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.Flavor = standin.Flavor{Label: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: 6 * time.Second, Pull: 2 * time.Second}
+	w := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w.Flavor = simulator.Flavor{Label: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: 6 * time.Second, Pull: 2 * time.Second}
 	w.Zones = []string{"x", "y"}
 	w.Lease, w.CancelS, w.Lag = 9*time.Second, 40*time.Second, 2*time.Second
 	w.GangWait, w.GangPeer = 12*time.Second, 3*time.Second
@@ -167,9 +167,9 @@
 			n.aside = append(n.aside, f)
 		}
 	}
-	n.direct = &standin.Direct{W: s.w, Node: n.name, Apart: func(x *standin.Worker) bool { return s.parted(s.zone(i), x.Site) }}
+	n.direct = &simulator.Direct{W: s.w, Node: n.name, Apart: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Site) }}
 	c.peers = link{s, i}
-	c.store = &standin.Client{
+	c.store = &simulator.Client{
 		S:      s.w.Store,
 		Node:   n.name,
 		Heard:  c.storeAnswered,
@@ -177,12 +177,12 @@
 		ValueB: int(cfg.Facts.State.ValueKB * 1024),
 	}
 	if !n.old { // it makes nothing larger than the coming limits but what the version before made
-		c.store.(*standin.Client).TxnOps = cfg.Lowest().TxnOps
+		c.store.(*simulator.Client).TxnOps = cfg.Lowest().TxnOps
 	}
 	if n.old {
 		c.store = &productionStore{c.store, shapes{}}
 	}
-	c.cloud = &standin.CloudClient{C: s.w.Cloud, Node: n.name}
+	c.cloud = &simulator.CloudClient{C: s.w.Cloud, Node: n.name}
 	c.workers = n.direct
 	n.up, n.still = true, false
 	if s.started != nil {
@@ -225,7 +225,7 @@
 )
 
 // report lets a worker report to its controller.
-func (s *sim) report(x *standin.Worker, f reportFault) {
+func (s *sim) report(x *simulator.Worker, f reportFault) {
 	if !x.Up() || x.Hung {
 		return
 	}
@@ -261,7 +261,7 @@
 }
 
 // answered lets a worker take in an answer that it heard.
-func (s *sim) answered(x *standin.Worker, to, status int, o api.Response, steward string, sent time.Time, tenure uint64) {
+func (s *sim) answered(x *simulator.Worker, to, status int, o api.Response, steward string, sent time.Time, tenure uint64) {
 	switch {
 	case status == 200:
 		x.Answer(o, sent, tenure)
@@ -278,7 +278,7 @@
 		return 0, api.Response{}, ""
 	}
 	r := n.c.checkin(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
-	o, steward, err := standin.ParseAnswer(r.Body)
+	o, steward, err := simulator.ParseAnswer(r.Body)
 	if err != nil {
 		panic(err)
 	}
@@ -289,7 +289,7 @@
 	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Run.Kind == api.Gang {
 		return // nothing new is asked of the version before
 	}
-	r := s.nodes[i].c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: standin.Submission(&s.w.Jobs[uid].Run)})
+	r := s.nodes[i].c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Run)})
 	s.told(uid, r.Status, r.Body, true)
 }
 
--- a/internal/controller/simjobs_test.go
+++ b/internal/controller/simjobs_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // job adds a job to the world and submits it to the first controller.
@@ -20,7 +20,7 @@
 	if change != nil {
 		change(r, &d)
 	}
-	s.w.Jobs[id] = &standin.Job{Run: *r, RunTime: d, Done: map[int]bool{}}
+	s.w.Jobs[id] = &simulator.Job{Run: *r, RunTime: d, Done: map[int]bool{}}
 	s.uids = append(s.uids, id)
 	s.submit(0, id)
 	return id
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -66,7 +66,7 @@
 	t.write(nodeKey+me, self)
 	t.permit[nodeKey+me] = c.lease
 	if !marked {
-		t.write(markKey+me, part.Mark{V: forms, Features: self.Features})
+		t.write(markKey+me, shard.Mark{V: forms, Features: self.Features})
 	}
 	return t
 }
@@ -117,7 +117,7 @@
 
 // retakes tells whether this node takes a part anew that has an owner. Call with the lock
 // held.
-func (c *Controller) retakes(p string, owner *part.Ownership, mute bool) bool {
+func (c *Controller) retakes(p string, owner *shard.Ownership, mute bool) bool {
 	o := c.mine[p]
 	if owner.Node == c.cfg.HostName && (owner.Incarnation != c.incarnation || o == nil) && !mute {
 		// Our own earlier life, which is over, or a take whose answer was
--- a/internal/controller/transaction.go
+++ b/internal/controller/transaction.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -16,7 +16,7 @@
 	drops  map[string]bool
 	order  []string
 
-	records map[string]*part.Record // of the writes, those of parts' free room
+	records map[string]*shard.Record // of the writes, those of parts' free room
 }
 
 func newTxn() *txn {
@@ -25,7 +25,7 @@
 		writes:  map[string]json.RawMessage{},
 		permit:  map[string]uint64{},
 		drops:   map[string]bool{},
-		records: map[string]*part.Record{},
+		records: map[string]*shard.Record{},
 	}
 }
 
@@ -39,7 +39,7 @@
 }
 
 // writePart writes a part's free-room record, which nobody changes from now on.
-func (t *txn) writePart(key string, r *part.Record) {
+func (t *txn) writePart(key string, r *shard.Record) {
 	t.write(key, r)
 	t.records[key] = r
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 func randomRun(t *rapid.T, uid, shape string) (*api.Job, time.Duration) {
@@ -53,7 +53,7 @@
 // trouble is the state machine's set of actions.
 func (s *sim) trouble(_ *rapid.T) map[string]func(*rapid.T) {
 	node := func(t *rapid.T) int { return rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node") }
-	host := func(t *rapid.T) *standin.Worker {
+	host := func(t *rapid.T) *simulator.Worker {
 		names := s.w.Cloud.Names()
 		if len(names) == 0 {
 			t.Skip("no machine")
@@ -72,7 +72,7 @@
 		}
 		id := fmt.Sprintf("run-%06d", len(s.uids))
 		run, d := randomRun(t, id, shape)
-		s.w.Jobs[id] = &standin.Job{Run: *run, RunTime: d, Done: map[int]bool{}}
+		s.w.Jobs[id] = &simulator.Job{Run: *run, RunTime: d, Done: map[int]bool{}}
 		s.uids = append(s.uids, id)
 		s.submit(node(t), id)
 	}
@@ -151,11 +151,11 @@
 			s.w.Store.Refuse[n] = !s.w.Store.Refuse[n]
 		},
 		"lose": func(t *rapid.T) {
-			s.w.Store.Next[s.nodes[node(t)].name] = standin.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
+			s.w.Store.Next[s.nodes[node(t)].name] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
 		},
 		"late": func(_ *rapid.T) { s.w.Store.DeliverLate() },
 		"loseCloud": func(t *rapid.T) {
-			s.w.Cloud.Next[s.nodes[node(t)].name] = standin.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
+			s.w.Cloud.Next[s.nodes[node(t)].name] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
 		},
 		"cloud": func(_ *rapid.T) { s.w.Cloud.Down = !s.w.Cloud.Down },
 		"full":  func(_ *rapid.T) { s.w.Cloud.Full = !s.w.Cloud.Full },
@@ -241,9 +241,9 @@
 		"unlink": func(_ *rapid.T) { s.refuse = !s.refuse },
 		"stall": func(t *rapid.T) { // stands still before a transaction, and then acts on what it believed
 			n, rounds := s.nodes[node(t)], rapid.IntRange(1, 30).Draw(t, "rounds")
-			client, ok := n.c.store.(*standin.Client)
+			client, ok := n.c.store.(*simulator.Client)
 			if !ok {
-				client = n.c.store.(*productionStore).stateService.(*standin.Client)
+				client = n.c.store.(*productionStore).stateService.(*simulator.Client)
 			}
 			client.Stall = func() {
 				c := n.c
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // What users get wrong is told them, and a known job is answered with its state
@@ -30,7 +30,7 @@
 			Image:    "i",
 		}
 		change(r)
-		return standin.Submission(r)
+		return simulator.Submission(r)
 	}
 	if r := c.submit(ctx, body(func(*api.Job) {})); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("before the machine types are known: %d", r.Status)
@@ -82,7 +82,7 @@
 	}
 	if r := c.submit(
 		context.Background(),
-		standin.Submission(&api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Array, Priority: "idle", Tasks: 1, Image: "i"}),
+		simulator.Submission(&api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Array, Priority: "idle", Tasks: 1, Image: "i"}),
 	); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("a submission in an outage: %d, to come back after %d s", r.Status, r.RetryAfter)
 	}
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"violetturn/internal/config"
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 )
 
@@ -89,10 +89,10 @@
 // openPage gives a copy of a machine's page to be changed and guards what it rests
 // on. A fine page that is new takes over what a coarser one has of its machines: from
 // then on it alone counts for them. Call with the lock held.
-func (c *Controller) openPage(t *txn, host string) (string, part.Page) {
+func (c *Controller) openPage(t *txn, host string) (string, shard.Page) {
 	id := c.pageFor(host)
 	t.guard(pageKey+id, c.replica.pages[id].stamp)
-	page := part.Page{}
+	page := shard.Page{}
 	if old := c.replica.pages[id].v; old != nil {
 		maps.Copy(page, *old)
 		return id, page
@@ -113,7 +113,7 @@
 
 // closePage writes a page, or drops an empty one, unless a coarser one would speak
 // for its machines again. Call with the lock held.
-func (c *Controller) closePage(t *txn, id string, page part.Page) {
+func (c *Controller) closePage(t *txn, id string, page shard.Page) {
 	if len(page) == 0 {
 		hides := false
 		if len(id) > 2 {
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 
 	"violetturn/internal/api"
-	"violetturn/internal/part"
 	"violetturn/internal/peer"
 	"violetturn/internal/sched"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 )
 
 // lookEverywhere asks all nodes about a job, and repeats its submission, within one moment.
@@ -37,7 +37,7 @@
 	send := func(uid string, change func(m map[string]any)) int {
 		var m map[string]any
 		_ = json.Unmarshal(
-			standin.Submission(&api.Job{
+			simulator.Submission(&api.Job{
 				UID:      uid,
 				Class:    "l",
 				Team:     "b",
@@ -118,13 +118,13 @@
 // checkPartRecords compares the parts' records that a controller holds, which it does not
 // read back when it wrote them itself, with what the state service has of that version.
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
-	store := standin.Client{S: s.w.Store}
+	store := simulator.Client{S: s.w.Store}
 	for id, held := range n.c.replica.parts {
 		it, found, err := store.Get(context.Background(), partKey+id, 0)
 		if err != nil || !found || it.Version != held.stamp {
 			continue // it has moved on, or can't be read now
 		}
-		var recorded part.Record
+		var recorded shard.Record
 		if err := json.Unmarshal(it.Value, &recorded); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -7,8 +7,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/features"
-	"violetturn/internal/part"
-	"violetturn/internal/standin"
+	"violetturn/internal/shard"
+	"violetturn/internal/simulator"
 	"violetturn/internal/zonehealth"
 )
 
@@ -24,7 +24,7 @@
 }
 
 // drop cuts all machines of zone x off until the zone is down.
-func (z *zoneWorld) drop() (withReaders, others []*standin.Worker) {
+func (z *zoneWorld) drop() (withReaders, others []*simulator.Worker) {
 	z.t.Helper()
 	withReaders, others = z.in()
 	cutAll(withReaders, true)
@@ -94,7 +94,7 @@
 		t.Errorf("gone: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.sessions[x.Host] = part.NewSession(c.sessions[x.Host].Term, c.now(), c.now())
+		c.sessions[x.Host] = shard.NewSession(c.sessions[x.Host].Term, c.now(), c.now())
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("not heard of yet: room for %d tasks", n)
@@ -220,7 +220,7 @@
 // Two zones drop at once: the third is witness for both, and both recover.
 func TestTwoZonesAtOnce(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
-	var lost []*standin.Worker
+	var lost []*simulator.Worker
 	for _, x := range z.w.Cloud.Workers() {
 		if x.Site != "z" {
 			lost = append(lost, x)
--- a/internal/controller/zonemeasure_test.go
+++ b/internal/controller/zonemeasure_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 	"github.com/go-echarts/go-echarts/v2/opts"
 
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 )
 
 // zoneOutcome is what one return of a zone came to.
@@ -90,7 +90,7 @@
 }
 
 // follow measures from the return of machines on.
-func (z *zoneWorld) follow(staying []*standin.Worker) (o zoneOutcome, runs bool) {
+func (z *zoneWorld) follow(staying []*simulator.Worker) (o zoneOutcome, runs bool) {
 	returned, writes, from := z.w.Now, z.w.Store.Writes, len(z.starts)
 	room := 2*len(staying) - readerTasks
 	const most = 600
--- a/internal/controller/zoneplan_test.go
+++ b/internal/controller/zoneplan_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"violetturn/internal/part"
+	"violetturn/internal/shard"
 	"violetturn/internal/zonehealth"
 )
 
@@ -13,7 +13,7 @@
 func (c *Controller) withZone(r zonehealth.Record) {
 	c.features.ZoneRecovery.Enabled = true
 	for _, node := range c.parts {
-		c.replica.marks[node] = value[part.Mark]{v: &part.Mark{V: forms, Features: c.features.Names()}}
+		c.replica.marks[node] = value[shard.Mark]{v: &shard.Mark{V: forms, Features: c.features.Names()}}
 	}
 	c.replica.zones["x"] = value[zonehealth.Record]{v: &r}
 }
--- a/internal/controller/zonerecovery_test.go
+++ b/internal/controller/zonerecovery_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"violetturn/internal/api"
-	"violetturn/internal/standin"
+	"violetturn/internal/simulator"
 	"violetturn/internal/zonehealth"
 )
 
@@ -71,7 +71,7 @@
 	for range 3 { // they wait for the room of the others
 		z.arrays = append(z.arrays, z.array(arrayTasks, time.Hour))
 	}
-	z.w.AtStart = func(x *standin.Worker, uid string) {
+	z.w.AtStart = func(x *simulator.Worker, uid string) {
 		if x.Site == "x" {
 			z.starts = append(z.starts, zoneStart{z.w.Now, uid, z.isReader(uid), x.Host})
 		}
@@ -105,7 +105,7 @@
 }
 
 // in lists the machines of zone x, those with readers first.
-func (z *zoneWorld) in() (withReaders, others []*standin.Worker) {
+func (z *zoneWorld) in() (withReaders, others []*simulator.Worker) {
 	for _, x := range z.w.Cloud.Workers() {
 		switch {
 		case x.Site != "x":
@@ -119,7 +119,7 @@
 }
 
 // cut cuts machines off, or has them return.
-func cutAll(machines []*standin.Worker, cut bool) {
+func cutAll(machines []*simulator.Worker, cut bool) {
 	for _, x := range machines {
 		x.Cut = cut
 	}
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -9,8 +9,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/features"
-	"violetturn/internal/part"
 	"violetturn/internal/sched"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
 )
@@ -213,7 +213,7 @@
 )
 
 // seenOf tells what an owner sees of a machine. Call with the lock held.
-func (c *Controller) seenOf(host string, m *part.Machine, s *part.Session, now time.Time) machineSight {
+func (c *Controller) seenOf(host string, m *shard.Machine, s *shard.Session, now time.Time) machineSight {
 	patience := 2 * c.cfg.Report() // who reports at all has done so
 	switch {
 	case s.Gone, s.Drain && now.Sub(s.Seen) > patience:
@@ -239,7 +239,7 @@
 }
 
 // addWaiting counts the production tasks of a machine that is not heard. Call with the lock held.
-func (c *Controller) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *part.Machine) {
+func (c *Controller) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
 	for _, pl := range c.replica.onHost[host] {
 		j := c.replica.jobs[pl.uid]
 		if j == nil || j.leaves(pl.p) {
@@ -289,7 +289,7 @@
 }
 
 func demandKind(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: part.Vec(need(spec)), Spot: spec.Spot}
+	return zonehealth.Demand{Need: shard.Vec(need(spec)), Spot: spec.Spot}
 }
 
 // zoneName gives the zone of a record's key.
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -16,8 +16,8 @@
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
 	"violetturn/internal/job"
-	"violetturn/internal/part"
 	"violetturn/internal/peer"
+	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
 )
@@ -67,10 +67,10 @@
 		Places: map[int]*job.Placement{1: {Attempt: 2, Host: "i-1", Stop: true, AtS: 9}},
 	},
 	"job.Gang":                &job.Gang{Try: 2, Go: true, Halt: true, Over: true, Done: true, AtS: 9, Errors: 1, Fails: 2},
-	"part.Own":                &part.Ownership{Node: "n0", Incarnation: 5, Term: 6, Mute: true, Hear: true, V: 2},
-	"part.Mark":               &part.Mark{V: 2},
-	"part.Mark with features": &part.Mark{V: 2, Features: []string{"zone_recovery"}},
-	"part.Own with features":  &part.Ownership{Node: "n0", Incarnation: 5, V: 2, Features: []string{"zone_recovery"}},
+	"part.Own":                &shard.Ownership{Node: "n0", Incarnation: 5, Term: 6, Mute: true, Hear: true, V: 2},
+	"part.Mark":               &shard.Mark{V: 2},
+	"part.Mark with features": &shard.Mark{V: 2, Features: []string{"zone_recovery"}},
+	"part.Own with features":  &shard.Ownership{Node: "n0", Incarnation: 5, V: 2, Features: []string{"zone_recovery"}},
 	"zonehealth.Record": &zonehealth.Record{
 		State: zonehealth.Recovering, Number: 7, SinceMS: 3, FailedMS: 2, Start: 0.25, Before: 9, Mark: 1,
 		Sights: map[string]zonehealth.Sight{"n0": {
@@ -78,17 +78,17 @@
 			Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
 		}},
 	},
-	"part.Record": &part.Record{
+	"part.Record": &shard.Record{
 		Term:     6,
 		By:       "n0",
 		Released: true,
 		Doubt:    true,
-		Free:     part.Free{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
+		Free:     shard.Free{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
 		Use:      map[string][3]float64{"a": {1, 2, 3}},
 	},
-	"part.Machine": &part.Machine{Part: "n0", MachineType: "m", Zone: "x", Spot: true, Addr: "10.0.0.1:9", RentedFor: "n1", AtMS: 7},
-	"part.Page":    &part.Page{"i-1": {Part: "n0", MachineType: "m", Zone: "x", AtMS: 7}},
-	"part.Usage":   &part.Usage{Held: map[string][3]float64{"n0": {1, 2, 3}}},
+	"part.Machine": &shard.Machine{Part: "n0", MachineType: "m", Zone: "x", Spot: true, Addr: "10.0.0.1:9", RentedFor: "n1", AtMS: 7},
+	"part.Page":    &shard.Page{"i-1": {Part: "n0", MachineType: "m", Zone: "x", AtMS: 7}},
+	"part.Usage":   &shard.Usage{Held: map[string][3]float64{"n0": {1, 2, 3}}},
 	"peer.Request": &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9},
 	"peer.Reply": &peer.Reply{
 		StoreReached: true,
--- a/internal/part/offer_test.go
+++ b/internal/shard/offer_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"encoding/json"
--- a/internal/part/part.go
+++ b/internal/shard/part.go
@@ -2,7 +2,7 @@
 // divide the machines, and the sessions of the workers in the parts that this
 // controller owns: who may speak for a machine, what it last said, and when its
 // tasks are surely dead.
-package part
+package shard
 
 import (
 	"encoding/json"
--- a/internal/standin/world.go
+++ b/internal/simulator/world.go
@@ -3,7 +3,7 @@
 // its own clock and with faults. It checks PROTOCOL's rules as it goes. Nothing
 // in it runs by itself: a test, or one day a rehearsal, drives it step by step,
 // so that the same seed gives the same day.
-package standin
+package simulator
 
 import (
 	"fmt"
