--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -56,7 +56,7 @@
 		return exitUsage
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	for _, x := range in.policy.Outdated() {
+	for _, x := range in.policy.DeprecatedNames() {
 		log.Warn("policy names a variable as it was called earlier", "old", x.Old, "new", x.New)
 	}
 	if ctx.Command() == "check" {
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -97,7 +97,7 @@
 		fmt.Fprintf(
 			&s,
 			"[facts.workers]\nreport_s = %g\nlease_s = %g\ncancel_s = %g\ngang_wait_s = 50.0\ngang_peer_s = 5.0\n",
-			c.d.ReportS, c.d.LeaseS, c.d.CancelS,
+			c.d.HeartbeatS, c.d.LeaseS, c.d.CancelS,
 		)
 		fmt.Fprintf(
 			&s, "[facts.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = %g\ntxn_ops = %d\n", c.d.State.RPS,
@@ -161,7 +161,7 @@
 	run, runTime := class.NewJob(n, c.rnd)
 	c.mu.Unlock()
 	c.server.With(func(w *simulator.World) {
-		w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+		w.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
 	})
 	body := simulator.Submission(&run)
 	accepted := false
@@ -243,7 +243,7 @@
 	close(c.stop)
 	c.running.Wait()
 	c.server.With(func(w *simulator.World) {
-		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.Hosts), jobs, w.Broken)
+		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.Hosts), jobs, w.Violations)
 	})
 }
 
@@ -270,16 +270,16 @@
 					known[host] = r
 				}
 				state := ""
-				if x.Up() && !x.Cut && !r.sending {
+				if x.Up() && !x.Partitioned && !r.sending {
 					state = x.Summary()
 				}
 				if state == "" || w.Now.Before(r.next) &&
-					(state == r.said || w.Now.Before(r.next.Add(-time.Duration(c.d.ReportS*float64(time.Second))+500*time.Millisecond))) {
+					(state == r.said || w.Now.Before(r.next.Add(-time.Duration(c.d.HeartbeatS*float64(time.Second))+500*time.Millisecond))) {
 					continue
 				}
 				r.said, r.sending = state, true
-				r.next = w.Now.Add(time.Duration((0.75 + 0.5*float64(c.random(1000))/1000) * c.d.ReportS * float64(time.Second)))
-				report, sent, session, node := api.JSON(x.Report()), w.Now, x.Session, x.Node
+				r.next = w.Now.Add(time.Duration((0.75 + 0.5*float64(c.random(1000))/1000) * c.d.HeartbeatS * float64(time.Second)))
+				report, sent, session, node := api.JSON(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
 				c.running.Go(func() {
 					c.report(host, node, report, sent, session)
 					mu.Lock()
@@ -296,17 +296,17 @@
 	status, body := c.send(node, "POST", "/checkin", report)
 	c.server.With(func(w *simulator.World) {
 		x := w.Cloud.Hosts[host]
-		if x == nil || x.Cut { // the answer is lost
+		if x == nil || x.Partitioned { // the answer is lost
 			return
 		}
-		o, steward, err := simulator.ParseAnswer(body)
+		o, leader, err := simulator.ParseHeartbeatResponse(body)
 		switch {
 		case status == 200 && err != nil:
 			c.b.Error(err)
 		case status == 200:
-			x.Answer(o, sent, session)
-		case status == 421 && steward != "":
-			fmt.Sscanf(steward, "n%d", &x.Node)
+			x.HandleResponse(o, sent, session)
+		case status == 421 && leader != "":
+			fmt.Sscanf(leader, "n%d", &x.Node)
 		default:
 			x.Node = (node + 1) % processNodes
 		}
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -26,9 +26,9 @@
 // loopbackDeployment is small, and its workers report and are given up soon.
 func loopbackDeployment() *simulator.Deployment {
 	return &simulator.Deployment{
-		Name: "loopback", ReportS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Pull: 500 * time.Millisecond,
-		Flavor: simulator.Flavor{Label: "m", CPUs: 12, GPUs: 2, MemGB: 96},
-		State:  config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
+		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Fetch: 500 * time.Millisecond,
+		MachineType: simulator.MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
+		State:       config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
 }
 
@@ -68,10 +68,10 @@
 	}
 	z.files = z.settings(dir)
 	z.server.With(func(w *simulator.World) {
-		w.Lag = time.Second
-		w.AtStart = func(x *simulator.Worker, uid string) {
-			if x.Site == "x" {
-				z.history = append(z.history, startInX{w.Now, uid, x.Host, w.Jobs[uid].Run.Kind == api.Service, arraysInX(w)})
+		w.ListLag = time.Second
+		w.OnTaskStarted = func(x *simulator.Worker, uid string) {
+			if x.Zone == "x" {
+				z.history = append(z.history, startInX{w.Now, uid, x.Host, w.Jobs[uid].Spec.Kind == api.Service, arraysInX(w)})
 			}
 		}
 	})
@@ -87,11 +87,11 @@
 // arraysInX counts the tasks of arrays in zone x.
 func arraysInX(w *simulator.World) (n int) {
 	for _, x := range w.Cloud.Workers() {
-		if x.Site != "x" {
+		if x.Zone != "x" {
 			continue
 		}
-		for _, uid := range x.Present() {
-			if w.Jobs[uid].Run.Kind == api.Array {
+		for _, uid := range x.PresentJobs() {
+			if w.Jobs[uid].Spec.Kind == api.Array {
 				n++
 			}
 		}
@@ -154,7 +154,7 @@
 	change(&run)
 	z.uids = append(z.uids, run.UID)
 	z.server.With(func(w *simulator.World) {
-		w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+		w.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
 	})
 	z.wait(run.UID+" is accepted", func() bool {
 		status, body := z.send(z.random(processNodes), "POST", "/v2/runs", simulator.Submission(&run))
@@ -170,7 +170,7 @@
 		Phase string `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // an answer without a phase has none
-	z.server.With(func(w *simulator.World) { w.Told(uid, status, a.Phase, submission) })
+	z.server.With(func(w *simulator.World) { w.CheckAnswer(uid, status, a.Phase, submission) })
 	return a.Phase
 }
 
@@ -192,9 +192,9 @@
 func (z *zoneCluster) runningInX(uids ...string) (n int) {
 	z.server.With(func(w *simulator.World) {
 		for _, x := range w.Cloud.Workers() {
-			for _, task := range x.Report().Tasks {
+			for _, task := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
-				if x.Site == "x" && !x.Cut && slices.Contains(uids, uid) && task.Phase == api.Running {
+				if x.Zone == "x" && !x.Partitioned && slices.Contains(uids, uid) && task.Phase == api.Running {
 					n++
 				}
 			}
@@ -207,10 +207,10 @@
 func (z *zoneCluster) machines() (withReaders, others []*simulator.Worker) {
 	z.server.With(func(w *simulator.World) {
 		for _, x := range w.Cloud.Workers() {
-			if x.Site != "x" {
+			if x.Zone != "x" {
 				continue
 			}
-			if present := x.Present(); len(present) > 0 && w.Jobs[present[0]].Run.Kind == api.Service {
+			if present := x.PresentJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
 				withReaders = append(withReaders, x)
 			} else {
 				others = append(others, x)
@@ -223,7 +223,7 @@
 func (z *zoneCluster) cut(machines []*simulator.Worker, cut bool) {
 	z.server.With(func(*simulator.World) {
 		for _, x := range machines {
-			x.Cut = cut
+			x.Partitioned = cut
 		}
 	})
 }
@@ -300,7 +300,7 @@
 		})
 	}
 	z.server.With(func(w *simulator.World) {
-		for _, broken := range w.Broken {
+		for _, broken := range w.Violations {
 			t.Error(broken)
 		}
 	})
@@ -348,7 +348,7 @@
 	z.wait("nothing runs there any more", func() (none bool) {
 		z.server.With(func(w *simulator.World) {
 			none = !slices.ContainsFunc(w.Cloud.Workers(), func(x *simulator.Worker) bool {
-				return slices.Contains(machines, x) && len(x.Present()) > 0
+				return slices.Contains(machines, x) && len(x.PresentJobs()) > 0
 			})
 		})
 		return none
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -13,7 +13,7 @@
 		"together": true, "scatter": false, "loaners": true, "guessS": 240.0, "bookmarkS": 30.0, "stowS": 4.0, "dueS": 900.0}
 }
 
-func TestRunFields(t *testing.T) {
+func TestJobFields(t *testing.T) {
 	nullable := map[string]bool{"builds": true, "site": true, "dueS": true}
 	if _, err := ParseJob(JSON(valid())); err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestRunValues(t *testing.T) {
+func TestJobValues(t *testing.T) {
 	for name, values := range map[string][]any{
 		"uid":       {"", "run-", "run-x", "job-000001", "run-000001/2", "run-0000000000000000000000"},
 		"shape":     {"gang", "Sweep", ""},
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestPieceNames(t *testing.T) {
+func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		i := rapid.IntRange(0, MaxTasks-1).Draw(t, "i")
 		uid, n, ok := SplitTaskName(TaskName("run-000001", i))
--- a/internal/api/checkin.go
+++ b/internal/api/checkin.go
@@ -17,14 +17,14 @@
 
 // Causes of a task's end.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
-	CauseMates   = "mates_gone" // of a gang: another task of it is gone
-	CauseAlone   = "alone"      // of a gang: it was not complete in time
+	CauseDone           = "done"
+	CauseStopped        = "stopped"
+	CauseError          = "error"
+	CauseNoRoom         = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
+	CausePeerLost       = "mates_gone" // of a gang: another task of it is gone
+	CauseGangIncomplete = "alone"      // of a gang: it was not complete in time
 )
 
 // KnownPhase and KnownCause tell whether PROTOCOL, as this version knows it, has such
@@ -41,7 +41,7 @@
 // KnownCause is said of causes of an end.
 func KnownCause(s string) bool {
 	switch s {
-	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CauseMates, CauseAlone:
+	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
 		return true
 	}
 	return false
@@ -56,32 +56,32 @@
 	Saved   bool   `json:"saved"`
 }
 
-// Report is a worker's report.
-type Report struct {
+// Heartbeat is a worker's report.
+type Heartbeat struct {
 	Host        string      `json:"host"`
 	Addr        string      `json:"addr"`
 	MachineType string      `json:"build"`
 	Zone        string      `json:"site"`
 	Spot        bool        `json:"loaners"`
-	Session     uint64      `json:"tenure"`
+	AgentEpoch  uint64      `json:"tenure"`
 	Sequence    uint64      `json:"tick"`
 	Token       uint64      `json:"baton"`
-	NoticeS     *float64    `json:"recallS"`
+	SpotNoticeS *float64    `json:"recallS"`
 	Tasks       []TaskState `json:"pieces"`
 }
 
 // Newer tells whether c was made after the report (tenure, tick).
-func (c *Report) Newer(tenure, tick uint64) bool {
-	return c.Session > tenure || c.Session == tenure && c.Sequence > tick
+func (c *Heartbeat) Newer(agentEpoch, tick uint64) bool {
+	return c.AgentEpoch > agentEpoch || c.AgentEpoch == agentEpoch && c.Sequence > tick
 }
 
-// ParseReport reads a report.
-func ParseReport(body []byte) (*Report, error) {
-	var c Report
+// ParseHeartbeat reads a report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var c Heartbeat
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
-	if c.Host == "" || c.Session == 0 || len(c.Host) > 100 || strings.ContainsAny(c.Host, " /?&#%") {
+	if c.Host == "" || c.AgentEpoch == 0 || len(c.Host) > 100 || strings.ContainsAny(c.Host, " /?&#%") {
 		return nil, errors.New("host or tenure missing")
 	}
 	return &c, nil
@@ -102,11 +102,11 @@
 	Clear  = "clear"
 )
 
-// Response answers a report, or goes to /commands (then with a tenure).
-type Response struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"tenure,omitempty"`
-	Commands []Command `json:"orders"`
+// CommandBatch answers a report, or goes to /commands (then with a tenure).
+type CommandBatch struct {
+	Token      uint64    `json:"baton"`
+	AgentEpoch uint64    `json:"tenure,omitempty"`
+	Commands   []Command `json:"orders"`
 }
 
 // TaskName names task i of a job.
--- a/internal/api/run.go
+++ b/internal/api/run.go
@@ -29,12 +29,12 @@
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
 
-// ranks from the most to the least important.
-var ranks = map[string]int{"production": 0, "urgent": 1, "standard": 2, "idle": 3}
+// priorities from the most to the least important.
+var priorities = map[string]int{"production": 0, "urgent": 1, "standard": 2, "idle": 3}
 
 // PriorityOf gives the place of a rank: 0 is the most important.
-func PriorityOf(rank string) (int, bool) {
-	n, ok := ranks[rank]
+func PriorityOf(priority string) (int, bool) {
+	n, ok := priorities[priority]
 	return n, ok
 }
 
@@ -96,16 +96,16 @@
 	return m.Shape
 }
 
-type fields struct {
-	m   map[string]json.RawMessage
-	err error
+type jsonFields struct {
+	values map[string]json.RawMessage
+	err    error
 }
 
-func (f *fields) get(name string, nullable bool, v any) {
+func (f *jsonFields) get(name string, nullable bool, v any) {
 	if f.err != nil {
 		return
 	}
-	raw, ok := f.m[name]
+	raw, ok := f.values[name]
 	if !ok || string(raw) == "null" {
 		if !nullable {
 			f.err = fmt.Errorf("%s: missing", name)
@@ -117,26 +117,26 @@
 	}
 }
 
-func (f *fields) check(name string, ok bool) {
+func (f *jsonFields) check(name string, ok bool) {
 	if f.err == nil && !ok {
 		f.err = fmt.Errorf("%s: invalid", name)
 	}
 }
 
-func (f *fields) text(name string, v *string) {
+func (f *jsonFields) text(name string, v *string) {
 	f.get(name, false, v)
 	f.check(name, *v != "")
 }
 
-func (f *fields) amount(name string, v *float64) {
+func (f *jsonFields) amount(name string, v *float64) {
 	f.get(name, false, v)
 	f.check(name, *v >= 0 && !math.IsInf(*v, 0))
 }
 
 // ParseJob reads a submission.
 func ParseJob(body []byte) (*Job, error) {
-	f := &fields{}
-	if err := json.Unmarshal(body, &f.m); err != nil || f.m == nil {
+	f := &jsonFields{}
+	if err := json.Unmarshal(body, &f.values); err != nil || f.values == nil {
 		return nil, errors.New("not a JSON object")
 	}
 	r := &Job{}
@@ -147,7 +147,7 @@
 	f.text("shape", &r.Kind)
 	f.check("shape", r.Kind == Array || r.Kind == Service || r.Kind == Gang)
 	f.text("rank", &r.Priority)
-	_, ok := ranks[r.Priority]
+	_, ok := priorities[r.Priority]
 	f.check("rank", ok)
 	f.get("pieces", false, &r.Tasks)
 	f.check("pieces", r.Tasks >= 1 && r.Tasks <= MaxTasks)
@@ -156,21 +156,21 @@
 	f.amount("memGb", &r.MemGB)
 	f.text("bundle", &r.Image)
 	f.amount("sizeGb", &r.ImageGB)
-	var builds []*string
-	f.get("builds", true, &builds)
-	if builds != nil {
+	var machineTypes []*string
+	f.get("builds", true, &machineTypes)
+	if machineTypes != nil {
 		r.MachineTypes = []string{}
 	}
-	for _, b := range builds {
+	for _, b := range machineTypes {
 		f.check("builds", b != nil)
 		if f.err == nil {
 			r.MachineTypes = append(r.MachineTypes, *b)
 		}
 	}
-	var site *string
-	f.get("site", true, &site)
-	if site != nil {
-		r.Zone = *site
+	var zone *string
+	f.get("site", true, &zone)
+	if zone != nil {
+		r.Zone = *zone
 		f.check("site", r.Zone != "")
 	}
 	f.get("together", false, &r.Together)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -15,8 +15,8 @@
 
 // Errors of the cloud.
 var (
-	ErrNoCapacity = errors.New("cloud has no capacity")
-	ErrTrouble    = errors.New("cloud in trouble")
+	ErrNoCapacity  = errors.New("cloud has no capacity")
+	ErrUnavailable = errors.New("cloud in trouble")
 )
 
 // MachineType is a machine type.
@@ -44,8 +44,8 @@
 	AgeS        float64 `json:"heldS"`
 }
 
-// Rental asks for machines. Hire names the request and is never used again.
-type Rental struct {
+// RentalRequest asks for machines. Hire names the request and is never used again.
+type RentalRequest struct {
 	Name        string `json:"hire"`
 	MachineType string `json:"build"`
 	Zone        string `json:"site"`
@@ -65,12 +65,12 @@
 	http     *transport.Client
 	addr     string
 	deadline time.Duration
-	budget   *transport.Budget
+	budget   *transport.TokenBucket
 }
 
 // New makes a client.
 func New(h *transport.Client, addr string, deadline time.Duration, rps float64) *Client {
-	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewBudget(rps, 2*rps)}
+	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewTokenBucket(rps, 2*rps)}
 }
 
 func (c *Client) do(ctx context.Context, method, target string, body, v any) error {
@@ -82,7 +82,7 @@
 		select {
 		case <-time.After(d):
 		case <-ctx.Done():
-			return ErrTrouble
+			return ErrUnavailable
 		}
 	}
 	var b []byte
@@ -94,7 +94,7 @@
 	}
 	m, err := c.http.Do(ctx, c.addr, method, target, b, c.deadline)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrTrouble, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return answer(m, v)
 }
@@ -116,7 +116,7 @@
 	if m.Status == 503 && e.Error == "no capacity" {
 		return ErrNoCapacity
 	}
-	return fmt.Errorf("%w: status %d", ErrTrouble, m.Status)
+	return fmt.Errorf("%w: status %d", ErrUnavailable, m.Status)
 }
 
 // MachineTypes reads the machine types.
@@ -129,7 +129,7 @@
 }
 
 // Rent rents machines and gives their names.
-func (c *Client) Rent(ctx context.Context, r Rental) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, r RentalRequest) ([]string, error) {
 	var a struct {
 		Hosts []string `json:"hosts"`
 	}
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -20,7 +20,7 @@
 
 func (p *pagedList) Page(_ context.Context, since string) ([]Host, bool, error) {
 	if p.failing {
-		return nil, false, ErrTrouble
+		return nil, false, ErrUnavailable
 	}
 	p.pages++
 	from, found := slices.BinarySearch(p.names, since)
@@ -73,9 +73,9 @@
 			}
 			create(rapid.IntRange(0, 20).Draw(t, "created"))
 			if n := len(source.names); n > 0 {
-				gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-				delete(stays, source.names[gone])
-				source.names = slices.Delete(source.names, gone, gone+1)
+				terminated := rapid.IntRange(0, n-1).Draw(t, "gone")
+				delete(stays, source.names[terminated])
+				source.names = slices.Delete(source.names, terminated, terminated+1)
 			}
 		}
 		if need := (len(stays) + MaxPage - 1) / MaxPage; source.pages-before < need {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -18,7 +18,7 @@
 
 // checkNames checks what names and addresses controllers.
 func (s *Settings) checkNames() error {
-	for _, f := range []struct{ name, v string }{{"host_name", s.HostName}, {"site", s.Site}} {
+	for _, f := range []struct{ name, v string }{{"host_name", s.HostName}, {"site", s.Zone}} {
 		if f.v == "" {
 			return fmt.Errorf("%s: missing", f.name)
 		}
@@ -75,8 +75,8 @@
 // positive tells whether a number is above zero and finite.
 func positive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
-// notNegative tells whether a number is at least zero and finite.
-func notNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// nonNegative tells whether a number is at least zero and finite.
+func nonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
 // checkLimits checks the limits of the state service and of this machine.
 func (s *Settings) checkLimits() error {
@@ -84,14 +84,14 @@
 		return err
 	}
 	l := &s.Facts.Limits
-	if !notNegative(l.Cores) {
+	if !nonNegative(l.Cores) {
 		return fmt.Errorf("facts.machine_limits.cores: must be a number of at least 0")
 	}
-	if l.MemoryMB < leastMB {
-		return fmt.Errorf("facts.machine_limits.memory_mb: %g, the service needs at least %d", l.MemoryMB, leastMB)
+	if l.MemoryMB < minMemoryMB {
+		return fmt.Errorf("facts.machine_limits.memory_mb: %g, the service needs at least %d", l.MemoryMB, minMemoryMB)
 	}
 	// A sixteenth of the sockets takes the other controllers' connections.
-	if need := max(leastSockets, 16*len(s.Members)); l.MaxSockets < need {
+	if need := max(minSockets, 16*len(s.Members)); l.MaxSockets < need {
 		return fmt.Errorf(
 			"facts.machine_limits.max_sockets: %d, the service needs at least %d with so many controllers",
 			l.MaxSockets, need,
@@ -112,13 +112,13 @@
 		v    *float64
 		now  float64
 	}{{"rps", &next.RPS, now.RPS}, {"write_rps", &next.WriteRPS, now.WriteRPS}, {"value_kb", &next.ValueKB, now.ValueKB}} {
-		if !present(s.named, "facts", "state", "next", p.name) {
+		if !hasSetting(s.document, "facts", "state", "next", p.name) {
 			*p.v = p.now
 		} else if !positive(*p.v) {
 			return fmt.Errorf("facts.state.next.%s: must be a number above 0", p.name)
 		}
 	}
-	if !present(s.named, "facts", "state", "next", "txn_ops") {
+	if !hasSetting(s.document, "facts", "state", "next", "txn_ops") {
 		next.TxnOps = now.TxnOps
 	}
 	return next.check("facts.state.next")
@@ -131,7 +131,7 @@
 		name string
 		v    float64
 	}{{"facts.workers.gang_wait_s", w.GangWaitS}, {"facts.workers.gang_peer_s", w.GangPeerS}} {
-		if !notNegative(p.v) {
+		if !nonNegative(p.v) {
 			return fmt.Errorf("%s: must be a number of at least 0", p.name)
 		}
 	}
@@ -150,7 +150,7 @@
 		}
 		teams[t.Name] = true
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if !notNegative(v) {
+			if !nonNegative(v) {
 				return fmt.Errorf("facts.teams[%d]: amounts must be numbers of at least 0", i)
 			}
 		}
@@ -159,11 +159,11 @@
 }
 
 func (l *StateLimits) check(name string) error {
-	if l.TxnOps < leastOps {
-		return fmt.Errorf("%s.txn_ops: %d, the service needs at least %d changes in one transaction", name, l.TxnOps, leastOps)
+	if l.TxnOps < minTxnOps {
+		return fmt.Errorf("%s.txn_ops: %d, the service needs at least %d changes in one transaction", name, l.TxnOps, minTxnOps)
 	}
-	if l.ValueKB < leastKB {
-		return fmt.Errorf("%s.value_kb: %g, the service needs values of at least %d KiB", name, l.ValueKB, leastKB)
+	if l.ValueKB < minValueKB {
+		return fmt.Errorf("%s.value_kb: %g, the service needs values of at least %d KiB", name, l.ValueKB, minValueKB)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 // Member is another controller.
 type Member struct {
 	HostName string `toml:"host_name"`
-	Site     string `toml:"site"`
+	Zone     string `toml:"site"`
 	Addr     string `toml:"addr"`
 }
 
@@ -49,7 +49,7 @@
 // Settings is the platform's file. Unknown fields are ignored.
 type Settings struct {
 	HostName      string   `toml:"host_name"`
-	Site          string   `toml:"site"`
+	Zone          string   `toml:"site"`
 	ServeOn       string   `toml:"serve_on"`
 	ClusterListen string   `toml:"cluster_listen"`
 	Members       []Member `toml:"members"`
@@ -86,7 +86,7 @@
 		} `toml:"machine_limits"`
 	} `toml:"facts"`
 
-	named map[string]any // the file as a table: what it names at all
+	document map[string]any // the file as a table: what it names at all
 }
 
 // Load reads and checks a settings file. Its errors name file, field and
@@ -109,7 +109,7 @@
 	if err := toml.Unmarshal(b, &s); err != nil {
 		return nil, fmt.Errorf("not valid: %w", err)
 	}
-	if err := toml.Unmarshal(b, &s.named); err != nil {
+	if err := toml.Unmarshal(b, &s.document); err != nil {
 		return nil, fmt.Errorf("not valid: %w", err)
 	}
 	return &s, s.check()
@@ -119,15 +119,15 @@
 // (a placement with its part's record and its team's) takes 4 changes, and a
 // submission of ordinary length has to fit a value.
 const (
-	leastOps = 4
-	leastKB  = 1
+	minTxnOps  = 4
+	minValueKB = 1
 )
 
 // The least that a controller of any deployment takes: its program and an empty replica,
 // and some connections of each kind.
 const (
-	leastMB      = 16
-	leastSockets = 64
+	minMemoryMB = 16
+	minSockets  = 64
 )
 
 // Processors is how many processors the process uses at once: one if the settings name
@@ -143,8 +143,8 @@
 	return int64(min(s.Facts.Limits.MemoryMB, most/(1<<20)) * 0.7 * (1 << 20))
 }
 
-// present tells whether a table of settings has a value at a path.
-func present(table map[string]any, path ...string) bool {
+// hasSetting tells whether a table of settings has a value at a path.
+func hasSetting(table map[string]any, path ...string) bool {
 	for i, p := range path {
 		v, ok := table[p]
 		if !ok || i == len(path)-1 {
@@ -155,9 +155,9 @@
 	return false
 }
 
-// Lowest gives the limits that hold whatever the state service's become: the smaller
+// LowestLimits gives the limits that hold whatever the state service's become: the smaller
 // of today's and the coming ones. Nothing new is made larger than they allow.
-func (s *Settings) Lowest() StateLimits {
+func (s *Settings) LowestLimits() StateLimits {
 	l := s.Facts.State.StateLimits
 	if n := s.Facts.State.Next; n != nil {
 		l.RPS, l.WriteRPS, l.ValueKB = min(l.RPS, n.RPS), min(l.WriteRPS, n.WriteRPS), min(l.ValueKB, n.ValueKB)
@@ -166,76 +166,76 @@
 	return l
 }
 
-func secs(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// Lease is how long a worker runs on after its last answered report was sent.
-func (s *Settings) Lease() time.Duration { return secs(s.Facts.Workers.LeaseS) }
+// WorkerLease is how long a worker runs on after its last answered report was sent.
+func (s *Settings) WorkerLease() time.Duration { return seconds(s.Facts.Workers.LeaseS) }
 
-// Report is how often a worker reports.
-func (s *Settings) Report() time.Duration { return secs(s.Facts.Workers.ReportS) }
+// HeartbeatInterval is how often a worker reports.
+func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Facts.Workers.ReportS) }
 
-// drift widens a bound on another machine's clock: steady clocks differ by up
+// clockDriftFactor widens a bound on another machine's clock: steady clocks differ by up
 // to 0.05 per cent (PROTOCOL), doubled for two of them, doubled again.
-const drift = 1.002
+const clockDriftFactor = 1.002
 
-// LeaseBound is when a worker's tasks are surely dead, counted on our clock
+// WorkerLeaseBound is when a worker's tasks are surely dead, counted on our clock
 // from the last answer it can have accepted.
-func (s *Settings) LeaseBound() time.Duration {
-	return time.Duration(float64(s.Lease())*drift) + s.Report()/8
+func (s *Settings) WorkerLeaseBound() time.Duration {
+	return time.Duration(float64(s.WorkerLease())*clockDriftFactor) + s.HeartbeatInterval()/8
 }
 
-// GangWait is how long a task of a gang waits on its machine for the others.
-func (s *Settings) GangWait() time.Duration { return secs(s.Facts.Workers.GangWaitS) }
+// GangGatherTimeout is how long a task of a gang waits on its machine for the others.
+func (s *Settings) GangGatherTimeout() time.Duration { return seconds(s.Facts.Workers.GangWaitS) }
 
-// GangPeer is how soon tasks of a gang notice that one of them is gone, and within
+// GangPeerTimeout is how soon tasks of a gang notice that one of them is gone, and within
 // what time all have to be told to stop for their progress to be saved.
-func (s *Settings) GangPeer() time.Duration { return secs(s.Facts.Workers.GangPeerS) }
+func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerS) }
 
-// Pause is how long a controller lets things come together before it commits
+// DecisionInterval is how long a controller lets things come together before it commits
 // again: about three changes' time at its share of the write rate, and short
 // against a report round.
-func (s *Settings) Pause() time.Duration {
-	return min(s.Report()/12, secs(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
+func (s *Settings) DecisionInterval() time.Duration {
+	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
 }
 
-// ReadEvery is how far apart reads for users' questions are at least: about a
+// ReadInterval is how far apart reads for users' questions are at least: about a
 // quarter of this controller's share of the request rate.
-func (s *Settings) ReadEvery() time.Duration {
-	return secs(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
+func (s *Settings) ReadInterval() time.Duration {
+	return seconds(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
 }
 
-// HoldTTL is the life of a controller's hold: two report rounds, so that
+// ControllerLeaseTTL is the life of a controller's hold: two report rounds, so that
 // others take over before the workers' leases run out.
-func (s *Settings) HoldTTL() time.Duration {
-	return max(min(2*s.Report(), s.Lease()/3), 500*time.Millisecond)
+func (s *Settings) ControllerLeaseTTL() time.Duration {
+	return max(min(2*s.HeartbeatInterval(), s.WorkerLease()/3), 500*time.Millisecond)
 }
 
-// Grace is how long after its hold may have ended an owner still answers
+// LeadershipGrace is how long after its hold may have ended an owner still answers
 // reports when it can't reach the store. A cancellation it can't see must end
 // within cancel_s even so: hold, grace and lease together stay below that.
-func (s *Settings) Grace() time.Duration {
-	return max(0, min(2*s.Lease(), s.beyondLease()-s.HoldTTL()))
+func (s *Settings) LeadershipGrace() time.Duration {
+	return max(0, min(2*s.WorkerLease(), s.cancelMargin()-s.ControllerLeaseTTL()))
 }
 
-// Unseen is how long after it last read the changes an owner may answer reports: a
+// MaxStaleness is how long after it last read the changes an owner may answer reports: a
 // cancellation committed since then is not known to it, and its tasks must be gone
 // within cancel_s.
-func (s *Settings) Unseen() time.Duration {
-	return max(s.HoldTTL(), s.beyondLease())
+func (s *Settings) MaxStaleness() time.Duration {
+	return max(s.ControllerLeaseTTL(), s.cancelMargin())
 }
 
-// beyondLease is what cancel_s leaves besides a worker's lease.
-func (s *Settings) beyondLease() time.Duration {
-	return secs(s.Facts.Workers.CancelS/drift) - s.LeaseBound() - s.Report()/4
+// cancelMargin is what cancel_s leaves besides a worker's lease.
+func (s *Settings) cancelMargin() time.Duration {
+	return seconds(s.Facts.Workers.CancelS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
 }
 
-// ConfirmsEmpty tells whether a cancellation is confirmed only when the last task of
+// ConfirmsCancelWhenEmpty tells whether a cancellation is confirmed only when the last task of
 // the job is off its machine. It has to be where cancel_s leaves an owner less time
 // besides a lease than it needs to renew its hold: no answer of it would be safe then.
-func (s *Settings) ConfirmsEmpty() bool { return s.beyondLease() < s.HoldTTL() }
+func (s *Settings) ConfirmsCancelWhenEmpty() bool { return s.cancelMargin() < s.ControllerLeaseTTL() }
 
-// LimitsTeams tells whether any team has a limit.
-func (s *Settings) LimitsTeams() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
+// HasTeamLimits tells whether any team has a limit.
+func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
 
 // Team finds a team by name.
 func (s *Settings) Team(name string) (Team, bool) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 host_name = "n0"
 site = "x"
 serve_on = "127.0.0.1:1"
@@ -44,7 +44,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		"facts.teams[0]":                       {"gpus = 2.0", "gpus = inf"},
 		"not valid":                            {"size = 2", "size = "},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", field, err)
 		}
@@ -92,7 +92,7 @@
 		{"cores = 0.1", "cores = 1e300", 8},
 		{"memory_mb = 98.0", "memory_mb = 1e300", 1},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, x.from, x.to, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, x.from, x.to, 1)))
 		if err != nil {
 			t.Errorf("%s: %v", x.to, err)
 			continue
@@ -108,9 +108,9 @@
 
 // Coming limits are checked like today's. What they don't name stays, and nothing is
 // made larger than both allow.
-func TestComingLimits(t *testing.T) {
+func TestNextLimits(t *testing.T) {
 	with := func(next string) (*Settings, error) {
-		return Parse([]byte(strings.Replace(good, "[facts.cloud]", "[facts.state.next]\n"+next+"\n[facts.cloud]", 1)))
+		return Parse([]byte(strings.Replace(validSettings, "[facts.cloud]", "[facts.state.next]\n"+next+"\n[facts.cloud]", 1)))
 	}
 	for field, next := range map[string]string{
 		"facts.state.next.txn_ops":   "txn_ops = 0",
@@ -133,29 +133,29 @@
 		"value_kb = 64.0\ntxn_ops = 200": {120, 25, 4, 8},
 	} {
 		s, err := with(next)
-		if err != nil || s.Lowest() != want {
+		if err != nil || s.LowestLimits() != want {
 			t.Errorf("%q: %v, %v", next, s, err)
 		}
 	}
-	if s, err := Parse([]byte(good)); err != nil || s.Facts.State.Next != nil || s.Lowest() != (StateLimits{120, 25, 4, 8}) {
+	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.Next != nil || s.LowestLimits() != (StateLimits{120, 25, 4, 8}) {
 		t.Error("no change is coming", err)
 	}
 }
 
 // What an owner may do without the state service ends in time for a
 // cancellation that it can't see, whatever the settings.
-func TestGraceLeavesCancellationsTime(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestLeadershipGraceLeavesTimeToCancel(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, w := range [][3]float64{{1.5, 10, 40}, {3, 45, 75}, {1, 30, 31}, {0.5, 2, 100}} {
 		f := &s.Facts.Workers
 		f.ReportS, f.LeaseS, f.CancelS = w[0], w[1], w[2]
-		if s.HoldTTL() > s.Lease()/3+500e6 {
-			t.Errorf("%v: hold of %v", w, s.HoldTTL())
+		if s.ControllerLeaseTTL() > s.WorkerLease()/3+500e6 {
+			t.Errorf("%v: hold of %v", w, s.ControllerLeaseTTL())
 		}
-		if g := s.Grace(); g > 0 && s.HoldTTL()+g+s.LeaseBound() > secs(f.CancelS) {
+		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelS) {
 			t.Errorf("%v: grace of %v", w, g)
 		}
 	}
@@ -163,7 +163,7 @@
 
 // A policy that names variables as they were called earlier means the same, and the names
 // are told, each once; unknown ones are refused in both forms.
-func TestOutdatedNamesOfVariables(t *testing.T) {
+func TestDeprecatedVariableNames(t *testing.T) {
 	const old = `
 weight = "job.lane == 'a' && job.owner == 'b' && job.shape == 'sweep' ? job.pieces - job.rank : -job.rank"
 preempt = "job.rank < victim.rank && victim['lane'] != 'a'"
@@ -181,23 +181,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(a.Outdated()) != 6 || len(b.Outdated()) != 0 || len(DefaultPolicy().Outdated()) != 0 {
-		t.Errorf("outdated: %v and %v", a.Outdated(), b.Outdated())
+	if len(a.DeprecatedNames()) != 6 || len(b.DeprecatedNames()) != 0 || len(DefaultPolicy().DeprecatedNames()) != 0 {
+		t.Errorf("outdated: %v and %v", a.DeprecatedNames(), b.DeprecatedNames())
 	}
-	for _, w := range []Work{{Class: "a", Team: "b", Kind: "sweep", Tasks: 9, Priority: 2}, {Class: "c", Priority: 1}} {
-		for _, v := range []Work{{Class: "a", Priority: 3}, {Class: "c", Priority: 3}} {
+	for _, w := range []JobVariables{{Class: "a", Team: "b", Kind: "sweep", Tasks: 9, Priority: 2}, {Class: "c", Priority: 1}} {
+		for _, v := range []JobVariables{{Class: "a", Priority: 3}, {Class: "c", Priority: 3}} {
 			if a.Weight(w) != b.Weight(w) || a.Preempt(w, v, 1) != b.Preempt(w, v, 1) || a.Idle(1, 1, true) != b.Idle(1, 1, true) {
 				t.Errorf("%+v, %+v: the names decide", w, v)
 			}
 		}
 	}
-	if a.Weight(Work{
+	if a.Weight(JobVariables{
 		Class:    "a",
 		Team:     "b",
 		Kind:     "sweep",
 		Tasks:    9,
 		Priority: 2,
-	}) != 7 || a.Preempt(Work{}, Work{Class: "c", Priority: 3}, 1) != true {
+	}) != 7 || a.Preempt(JobVariables{}, JobVariables{Class: "c", Priority: 3}, 1) != true {
 		t.Error("other values than written")
 	}
 	for _, src := range []string{`weight = "job.lanes"`, `idle_s = "loaner ? 1 : 2"`} {
@@ -215,11 +215,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Weight(Work{Class: "x"}) != 10 || p.Weight(Work{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 || p.Idle(40, 3, true) != 5 {
+	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 || p.Idle(40, 3, true) != 5 {
 		t.Error("expressions give other values")
 	}
-	if !p.Preempt(Work{}, Work{Priority: 3}, 100) || p.Headroom(Work{Priority: 3}, 4, 40, 10) != 0 ||
-		p.Headroom(Work{Priority: 1}, 4, 40, 10) != 10 {
+	if !p.Preempt(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
+		p.Headroom(JobVariables{Priority: 1}, 4, 40, 10) != 10 {
 		t.Error("what is left out is not as built in")
 	}
 	for name, src := range map[string]string{
@@ -232,7 +232,7 @@
 			t.Errorf("%s: %v", src, err)
 		}
 	}
-	if p, err = ParsePolicy([]byte(`weight = "job.age / job.gpus"`)); err == nil && p.Weight(Work{Age: 1}) != 0 {
+	if p, err = ParsePolicy([]byte(`weight = "job.age / job.gpus"`)); err == nil && p.Weight(JobVariables{Age: 1}) != 0 {
 		t.Error("a weight that is not finite must count as none")
 	}
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -19,19 +19,19 @@
 // narrows what is allowed, and the rest decides order and money.
 type Policy struct {
 	weight, preempt, headroom, idle *vm.Program
-	narrows                         bool // preempt is more than what is built in
-	outdated                        []OutdatedName
+	restrictsPreemption             bool // preempt is more than what is built in
+	deprecated                      []DeprecatedName
 }
 
-// OutdatedName is a variable that a policy names as it was called earlier.
-type OutdatedName struct{ Old, New string }
+// DeprecatedName is a variable that a policy names as it was called earlier.
+type DeprecatedName struct{ Old, New string }
 
-// Outdated gives the variables that the policy names as they were called earlier, each
+// DeprecatedNames gives the variables that the policy names as they were called earlier, each
 // once. They go on working.
-func (p *Policy) Outdated() []OutdatedName { return p.outdated }
+func (p *Policy) DeprecatedNames() []DeprecatedName { return p.deprecated }
 
-// Work is what an expression knows of a job.
-type Work struct {
+// JobVariables is what an expression knows of a job.
+type JobVariables struct {
 	Class      string  `expr:"class"`
 	Team       string  `expr:"team"`
 	Kind       string  `expr:"kind"`       // as submitted: "sweep", "daemon" or "ensemble"
@@ -45,20 +45,20 @@
 }
 
 type weightEnv struct {
-	Job Work `expr:"job"`
+	Job JobVariables `expr:"job"`
 }
 
 type preemptEnv struct {
-	Job    Work    `expr:"job"`
-	Victim Work    `expr:"victim"`
-	Lost   float64 `expr:"lost"` // seconds of the victim's work that stopping it loses
+	Job    JobVariables `expr:"job"`
+	Victim JobVariables `expr:"victim"`
+	Lost   float64      `expr:"lost"` // seconds of the victim's work that stopping it loses
 }
 
 type headroomEnv struct {
-	Job       Work    `expr:"job"`       // the class's latest job
-	Deviation float64 `expr:"deviation"` // by how many tasks the class's arrivals during a boot fluctuate
-	Startup   float64 `expr:"startup"`   // seconds that a machine boots
-	Slack     float64 `expr:"slack"`     // seconds that jobs of the class can wait
+	Job       JobVariables `expr:"job"`       // the class's latest job
+	Deviation float64      `expr:"deviation"` // by how many tasks the class's arrivals during a boot fluctuate
+	Startup   float64      `expr:"startup"`   // seconds that a machine boots
+	Slack     float64      `expr:"slack"`     // seconds that jobs of the class can wait
 }
 
 type idleEnv struct {
@@ -118,7 +118,7 @@
 }
 
 func compile(f policyFile) (*Policy, error) {
-	p := &Policy{narrows: strings.TrimSpace(f.Preempt) != defaultPolicy.Preempt}
+	p := &Policy{restrictsPreemption: strings.TrimSpace(f.Preempt) != defaultPolicy.Preempt}
 	for _, x := range []struct {
 		name, src string
 		env, zero any
@@ -130,7 +130,7 @@
 		{"headroom", f.Headroom, headroomEnv{}, 0.0, expr.AsFloat64(), &p.headroom},
 		{"idle_s", f.Idle, idleEnv{}, 0.0, expr.AsFloat64(), &p.idle},
 	} {
-		names := &currentNames{found: &p.outdated}
+		names := &variableRenamer{found: &p.deprecated}
 		prog, err := expr.Compile(x.src, expr.Env(x.env), x.as, expr.Patch(names))
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", x.name, oneLine(err))
@@ -146,18 +146,18 @@
 	return p, nil
 }
 
-// currentName gives what variables are called now, by what they were called earlier.
-var currentName = map[string]string{
+// renamedVariables gives what variables are called now, by what they were called earlier.
+var renamedVariables = map[string]string{
 	"lane": "class", "owner": "team", "shape": "kind", "rank": "priority", "pieces": "tasks", "loaners": "spot",
 }
 
-// currentNames turns earlier names of variables in an expression into those of now.
-type currentNames struct {
-	found *[]OutdatedName
+// variableRenamer turns earlier names of variables in an expression into those of now.
+type variableRenamer struct {
+	found *[]DeprecatedName
 }
 
 // Visit implements ast.Visitor.
-func (v *currentNames) Visit(node *ast.Node) {
+func (v *variableRenamer) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.IdentifierNode:
 		n.Value = v.current(n.Value)
@@ -168,12 +168,12 @@
 	}
 }
 
-func (v *currentNames) current(name string) string {
-	now, outdated := currentName[name]
+func (v *variableRenamer) current(name string) string {
+	now, outdated := renamedVariables[name]
 	if !outdated {
 		return name
 	}
-	if entry := (OutdatedName{name, now}); !slices.Contains(*v.found, entry) {
+	if entry := (DeprecatedName{name, now}); !slices.Contains(*v.found, entry) {
 		*v.found = append(*v.found, entry)
 	}
 	return now
@@ -190,14 +190,14 @@
 	return err
 }
 
-// machines run expressions; a plan has hundreds to evaluate.
-var machines = sync.Pool{New: func() any { return &vm.VM{} }}
+// vmPool run expressions; a plan has hundreds to evaluate.
+var vmPool = sync.Pool{New: func() any { return &vm.VM{} }}
 
 // run evaluates an expression; one that fails or is not finite gives the fallback.
 func run[T any](p *vm.Program, env any, fallback T) T {
-	m, _ := machines.Get().(*vm.VM)
+	m, _ := vmPool.Get().(*vm.VM)
 	v, err := m.Run(p, env)
-	machines.Put(m)
+	vmPool.Put(m)
 	if err != nil {
 		return fallback
 	}
@@ -212,23 +212,23 @@
 }
 
 // Weight orders jobs: the heaviest is served first.
-func (p *Policy) Weight(w Work) float64 { return run(p.weight, weightEnv{w}, 0.0) }
+func (p *Policy) Weight(w JobVariables) float64 { return run(p.weight, weightEnv{w}, 0.0) }
 
-// Narrows tells whether Preempt forbids anything at all. It is asked of every
+// RestrictsPreemption tells whether Preempt forbids anything at all. It is asked of every
 // task that could be stopped, so the built-in one is not evaluated.
-func (p *Policy) Narrows() bool { return p.narrows }
+func (p *Policy) RestrictsPreemption() bool { return p.restrictsPreemption }
 
 // Preempt tells whether the job may stop the victim, where PROTOCOL allows it.
-func (p *Policy) Preempt(job, victim Work, lost float64) bool {
+func (p *Policy) Preempt(job, victim JobVariables, lost float64) bool {
 	return run(p.preempt, preemptEnv{job, victim, lost}, false)
 }
 
 // Headroom is the number of tasks of a lane to keep room for.
-func (p *Policy) Headroom(w Work, deviation, startup, slack float64) float64 {
+func (p *Policy) Headroom(w JobVariables, deviation, startup, slack float64) float64 {
 	return min(max(run(p.headroom, headroomEnv{w, deviation, startup, slack}, 0.0), 0), 1000)
 }
 
 // Idle is for how many seconds a machine without tasks is kept.
-func (p *Policy) Idle(startup, price float64, loaners bool) float64 {
-	return max(run(p.idle, idleEnv{startup, price, loaners}, startup), 0)
+func (p *Policy) Idle(startup, price float64, spot bool) float64 {
+	return max(run(p.idle, idleEnv{startup, price, spot}, startup), 0)
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -25,7 +25,7 @@
 	c := newController(cfg, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Unix(1_800_000_000, 0)
 	c.now = func() time.Time { return now }
-	c.loaded, c.lease, c.validTil, c.seen = true, 1, now.Add(time.Hour), now
+	c.loaded, c.leaseID, c.leaseValidUntil, c.changesReadAt = true, 1, now.Add(time.Hour), now
 	c.machineTypes = []cloud.MachineType{{
 		Name:        "m",
 		CPUs:        16,
@@ -37,46 +37,46 @@
 		BootS:       60,
 		Zones:       zones,
 	}}
-	stamp := uint64(1)
+	version := uint64(1)
 	apply := func(key string, v any) {
-		stamp++
-		c.replica.apply(key, api.JSON(v), stamp)
+		version++
+		c.replica.apply(key, api.JSON(v), version)
 	}
-	apply(ownKey+"n0", shard.Ownership{Node: "n0", Incarnation: c.incarnation, Term: 1})
-	c.mine["n0"] = &ownPart{term: 1, stamp: stamp}
-	apply(partKey+"n0", shard.Record{Term: 1, By: "n0", Free: shard.Free{}})
+	apply(leaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.incarnation, Term: 1})
+	c.leaderships["n0"] = &leadership{term: 1, version: version}
+	apply(capacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	page := shard.Page{}
 	for i := range machines {
 		host := fmt.Sprintf("i-%06d", i)
-		page[host] = &shard.Machine{Part: "n0", MachineType: "m", Zone: "x"}
-		if id := pageID(host, coarse); i == machines-1 || id != pageID(fmt.Sprintf("i-%06d", i+1), coarse) {
-			apply(pageKey+id, page)
+		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
+		if id := pageID(host, coarsestPageCut); i == machines-1 || id != pageID(fmt.Sprintf("i-%06d", i+1), coarsestPageCut) {
+			apply(machinePagePrefix+id, page)
 			page = shard.Page{}
 		}
 	}
-	run := func(id int, rank string) *job.Main {
-		m := &job.Main{Spec: api.Job{UID: fmt.Sprintf("run-%06d", id), Class: "l", Team: "b", Kind: api.Array, Priority: rank, Tasks: 16,
-			CPUs: 5 + float64(id%10)/10, GPUs: 1, MemGB: 40, Image: fmt.Sprintf("img-%d", id%18), ImageGB: 7, EstimateS: 70}, Part: "n0", AtMS: now.UnixMilli()}
-		m.Fit(64, 500, false)
+	run := func(id int, priority string) *job.Record {
+		m := &job.Record{Spec: api.Job{UID: fmt.Sprintf("run-%06d", id), Class: "l", Team: "b", Kind: api.Array, Priority: priority, Tasks: 16,
+			CPUs: 5 + float64(id%10)/10, GPUs: 1, MemGB: 40, Image: fmt.Sprintf("img-%d", id%18), ImageGB: 7, EstimateS: 70}, Shard: "n0", AcceptedMS: now.UnixMilli()}
+		m.ChooseLayout(64, 500, false)
 		return m
 	}
 	for i := 0; i < machines; i += 8 { // sixteen tasks on eight machines
 		m := run(i, "standard")
-		m.Only = (*job.Chunk)(nil).Copy()
+		m.InlineRange = (*job.TaskRange)(nil).Copy()
 		for k := range 16 {
 			if i/8%16 > 0 || k > 1 { // one machine in 128 is empty
-				m.Only.Put(k, fmt.Sprintf("i-%06d", i+k/2), 0)
+				m.InlineRange.Place(k, fmt.Sprintf("i-%06d", i+k/2), 0)
 			}
 		}
-		apply(jobKey+m.Spec.UID, m)
+		apply(jobPrefix+m.Spec.UID, m)
 	}
 	for i := range waiting {
 		m := run(500_000+i, []string{"production", "standard"}[i%2])
-		apply(jobKey+m.Spec.UID, m)
+		apply(jobPrefix+m.Spec.UID, m)
 	}
-	for h := range c.replica.hosts {
-		s := c.session(h, c.mine["n0"])
-		s.Fenced, s.Seen, s.Answered, s.Report = true, now, now, &api.Report{Host: h}
+	for h := range c.replica.machines {
+		s := c.agentOf(h, c.leaderships["n0"])
+		s.Fenced, s.LastSeen, s.LastAnswered, s.Heartbeat = true, now, now, &api.Heartbeat{Host: h}
 	}
 	return c
 }
@@ -97,10 +97,10 @@
 // BenchmarkCheckin is the answer to one report in such a part.
 func BenchmarkCheckin(b *testing.B) {
 	c := sized(800, 80)
-	s := c.sessions["i-000009"]
+	s := c.agents["i-000009"]
 	for range b.N {
-		s.Report.Sequence++
-		c.commandsFor(s.Report, s, c.now())
+		s.Heartbeat.Sequence++
+		c.commandsFor(s.Heartbeat, s, c.now())
 	}
 }
 
@@ -108,14 +108,14 @@
 // the orders.
 func BenchmarkReport(b *testing.B) {
 	c := sized(800, 80)
-	x := &api.Report{Host: "i-000009", MachineType: "m", Zone: "x", Session: 1, Token: c.sessions["i-000009"].Token()}
-	for _, pl := range c.replica.onHost[x.Host] {
-		x.Tasks = append(x.Tasks, api.TaskState{Task: pl.name(c.replica.jobs[pl.uid]), Attempt: pl.p.Attempt, Phase: api.Running})
+	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.agents["i-000009"].Token()}
+	for _, pl := range c.replica.placements[x.Host] {
+		x.Tasks = append(x.Tasks, api.TaskState{Task: pl.taskName(c.replica.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running})
 	}
 	b.ReportAllocs()
 	for range b.N {
 		x.Sequence++
-		if r := c.checkin(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
+		if r := c.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
 			b.Fatal(r.Status)
 		}
 	}
@@ -127,24 +127,24 @@
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, n/10)
 		var items []store.Item
-		for key, stamp := range c.replica.stamps {
+		for key, version := range c.replica.versions {
 			var v any
 			switch {
-			case strings.HasPrefix(key, jobKey):
-				v = c.replica.jobs[key[len(jobKey):]].main
-			case strings.HasPrefix(key, pageKey):
-				v = c.replica.pages[key[len(pageKey):]].v
-			case strings.HasPrefix(key, partKey):
-				v = c.replica.parts[key[len(partKey):]].v
+			case strings.HasPrefix(key, jobPrefix):
+				v = c.replica.jobs[key[len(jobPrefix):]].record
+			case strings.HasPrefix(key, machinePagePrefix):
+				v = c.replica.pages[key[len(machinePagePrefix):]].record
+			case strings.HasPrefix(key, capacityPrefix):
+				v = c.replica.capacities[key[len(capacityPrefix):]].record
 			default:
 				continue
 			}
-			items = append(items, store.Item{Key: key, Value: api.JSON(v), Version: stamp})
+			items = append(items, store.Item{Key: key, Value: api.JSON(v), Version: version})
 		}
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				newReplica(c.log, func(*job.Main) {}, func(string) {}).reload(items, c.replica.epoch+1)
+				newReplica(c.log, func(*job.Record) {}, func(string) {}).reload(items, c.replica.revision+1)
 			}
 		})
 	}
@@ -156,24 +156,24 @@
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, 0)
 		for _, j := range c.replica.jobs {
-			j.main.Spec.Kind = api.Service
-			for _, p := range j.chunks[0].v.Places {
-				p.AtS = -3600
+			j.record.Spec.Kind = api.Service
+			for _, p := range j.ranges[0].record.Placements {
+				p.PlacedS = -3600
 			}
-			for i := range j.chunks[0].v.Places {
+			for i := range j.ranges[0].record.Placements {
 				if i%4 > 0 {
-					c.replica.unplace(j.main.Spec.UID, 0, i, j.chunks[0].v.Places[i])
+					c.replica.removePlacement(j.record.Spec.UID, 0, i, j.ranges[0].record.Placements[i])
 				}
 			}
 		}
 		clear(c.replica.loads)
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
-				v := &idleView{c: c, now: c.now()}
-				for host, m := range c.replica.hosts {
-					s := c.sessions[host]
-					s.Loose = time.Time{}
-					c.judge(host, m, s, v)
+				v := &scaleInView{c: c, now: c.now()}
+				for host, m := range c.replica.machines {
+					s := c.agents[host]
+					s.UnderusedSince = time.Time{}
+					c.considerScaleIn(host, m, s, v)
 				}
 			}
 		})
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -19,7 +19,7 @@
 		}
 		for _, h := range s.w.Cloud.Names() {
 			if x := s.w.Cloud.Hosts[h]; len(x.Tasks) == 2 {
-				x.Cut = true
+				x.Partitioned = true
 			}
 		}
 		for range 60 {
@@ -79,7 +79,7 @@
 		}
 		for _, h := range s.w.Cloud.Names() {
 			if s.hostsOf(id)[h] == 2 {
-				s.w.Cloud.Hosts[h].Cut = true
+				s.w.Cloud.Hosts[h].Partitioned = true
 			}
 		}
 		for range 60 {
@@ -97,9 +97,9 @@
 		for range 60 {
 			s.round()
 		}
-		at := s.holder(id).Site
+		at := s.holder(id).Zone
 		for _, x := range s.w.Cloud.Hosts {
-			x.Cut = x.Site == at
+			x.Partitioned = x.Zone == at
 		}
 		for range 60 {
 			s.round()
@@ -156,11 +156,11 @@
 			}
 			x.day(s)
 			caught := false
-			for _, b := range s.w.Broken {
+			for _, b := range s.w.Violations {
 				caught = caught || strings.HasPrefix(b, x.rule)
 			}
 			if caught != mutated {
-				t.Errorf("%s, mutated %t: %v", x.rule, mutated, s.w.Broken)
+				t.Errorf("%s, mutated %t: %v", x.rule, mutated, s.w.Violations)
 			}
 		}
 	}
--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -19,57 +19,57 @@
 
 // cancellation is a job that was called off, and the revision at which that was seen.
 type cancellation struct {
-	uid   string
-	stamp uint64
+	uid     string
+	version uint64
 }
 
-// mostCancelled bounds the cancellations that are kept to be told: entries of some tens
+// maxCancellations bounds the cancellations that are kept to be told: entries of some tens
 // of bytes, a quarter of what a message may hold. Who asks from before them is told
 // that this node can't say.
-const mostCancelled = 1024
+const maxCancellations = 1024
 
-// cancelled notes a job that was called off.
-func (m *replica) cancelled(uid string, stamp uint64) {
-	m.cancellations = append(m.cancellations, cancellation{uid, stamp})
-	if n := len(m.cancellations) - mostCancelled; n > 0 {
+// noteCancellation notes a job that was called off.
+func (m *replica) noteCancellation(uid string, version uint64) {
+	m.cancellations = append(m.cancellations, cancellation{uid, version})
+	if n := len(m.cancellations) - maxCancellations; n > 0 {
 		for _, x := range m.cancellations[:n] { // not in order of their revisions
-			m.cancellationsFrom = max(m.cancellationsFrom, x.stamp)
+			m.cancellationsCompleteFrom = max(m.cancellationsCompleteFrom, x.version)
 		}
 		m.cancellations = append(m.cancellations[:0], m.cancellations[n:]...)
 	}
 }
 
-// callOff takes it from a peer that a job was called off, before its record shows that.
-func (m *replica) callOff(uid string) {
+// noteCancelledByPeer takes it from a peer that a job was called off, before its record shows that.
+func (m *replica) noteCancelledByPeer(uid string) {
 	j := m.jobs[uid]
-	if j == nil || j.off {
+	if j == nil || j.cancelledByPeer {
 		return
 	}
-	j.off = true
-	m.unload(j.chunks)
-	for _, ch := range j.chunks {
-		for _, p := range ch.v.Places {
-			m.onTask(p.Host)
+	j.cancelledByPeer = true
+	m.invalidateLoads(j.ranges)
+	for _, ch := range j.ranges {
+		for _, p := range ch.record.Placements {
+			m.onTasksChanged(p.Host)
 		}
 	}
 }
 
-// vouch says what this node has done after a revision, up to now.
-func (c *Controller) vouch(since uint64) *peer.Vouch {
+// acknowledgement says what this node has done after a revision, up to now.
+func (c *Controller) acknowledgement(since uint64) *peer.Vouch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := &peer.Vouch{Complete: c.loaded && since >= c.replica.cancellationsFrom}
+	v := &peer.Vouch{Complete: c.loaded && since >= c.replica.cancellationsCompleteFrom}
 	if !v.Complete {
 		return v
 	}
 	for _, x := range c.replica.cancellations {
-		if x.stamp > since {
+		if x.version > since {
 			v.Cancelled = append(v.Cancelled, x.uid)
 		}
 	}
-	for _, p := range c.parts {
-		if rec, own := c.replica.parts[p].v, c.replica.owns[p].v; rec != nil {
-			t := &peer.Tenancy{Part: p, Owner: rec.By, Term: rec.Term}
+	for _, p := range c.shards {
+		if rec, own := c.replica.capacities[p].record, c.replica.leaders[p].record; rec != nil {
+			t := &peer.Tenancy{Part: p, Owner: rec.Leader, Term: rec.Term}
 			if own != nil && own.Term > t.Term {
 				t.Owner, t.Term = own.Node, own.Term
 			}
@@ -79,35 +79,35 @@
 	return v
 }
 
-// vouchedBy takes in what a peer answers for, asked at the given time with the given
+// noteAcknowledgement takes in what a peer answers for, asked at the given time with the given
 // revision. Call with the lock held.
-func (c *Controller) vouchedBy(node string, v *peer.Vouch, sent time.Time) {
+func (c *Controller) noteAcknowledgement(node string, v *peer.Vouch, sent time.Time) {
 	if !v.GetComplete() || !c.loaded {
 		return
 	}
 	for _, uid := range v.GetCancelled() {
-		c.replica.callOff(uid)
+		c.replica.noteCancelledByPeer(uid)
 	}
 	for _, t := range v.GetTenancies() {
-		if o := c.mine[t.GetPart()]; o != nil && t.GetTerm() > o.term && o.taker == "" {
+		if o := c.leaderships[t.GetPart()]; o != nil && t.GetTerm() > o.term && o.successor == "" {
 			c.log.Info("part taken by another", "part", t.GetPart(), "owner", t.GetOwner(), "term", t.GetTerm())
-			o.taker = t.GetOwner()
+			o.successor = t.GetOwner()
 		}
 	}
-	if sent.After(c.confirmedUntil[node]) {
-		c.confirmedUntil[node] = sent
+	if sent.After(c.acknowledgedUntil[node]) {
+		c.acknowledgedUntil[node] = sent
 	}
 }
 
-// vouchedUntil is the moment up to which all controllers that could have called a job
+// acknowledgedByAllUntil is the moment up to which all controllers that could have called a job
 // off, or taken a part, have answered for themselves. Call with the lock held.
-func (c *Controller) vouchedUntil() time.Time {
+func (c *Controller) acknowledgedByAllUntil() time.Time {
 	if len(c.cfg.Members)+1 < c.cfg.Facts.Size {
 		return time.Time{} // there are some that we can't ask
 	}
 	until := c.now()
 	for _, m := range c.cfg.Members {
-		at, ok := c.confirmedUntil[m.HostName]
+		at, ok := c.acknowledgedUntil[m.HostName]
 		if !ok {
 			return time.Time{}
 		}
@@ -118,19 +118,19 @@
 	return until
 }
 
-// canAnswer tells whether this node may still answer reports for what it owned when it
+// mayAnswerHeartbeats tells whether this node may still answer reports for what it owned when it
 // last could reach the state service: no longer after its hold than a new owner allows
 // for, and no longer after it last knew of all cancellations than leaves a lease of
 // cancel_s. Call with the lock held.
-func (c *Controller) canAnswer(now time.Time) bool {
-	if !c.loaded || c.lease == 0 {
+func (c *Controller) mayAnswerHeartbeats(now time.Time) bool {
+	if !c.loaded || c.leaseID == 0 {
 		return false
 	}
-	v := c.vouchedUntil()
-	return now.Before(later(c.validTil, v).Add(c.cfg.Grace())) && now.Before(later(c.seen, v).Add(c.cfg.Unseen()))
+	v := c.acknowledgedByAllUntil()
+	return now.Before(latest(c.leaseValidUntil, v).Add(c.cfg.LeadershipGrace())) && now.Before(latest(c.changesReadAt, v).Add(c.cfg.MaxStaleness()))
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -140,15 +140,15 @@
 // askPeer asks one peer what it sees of the state service and what it has done.
 func (c *Controller) askPeer(ctx context.Context, name, addr string) {
 	c.mu.Lock()
-	since, sent := c.replica.epoch, c.now()
+	since, sent := c.replica.revision, c.now()
 	c.mu.Unlock()
-	r, err := c.peers.Ask(ctx, addr, &peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.cfg.HostName, Since: since}, c.cfg.HoldTTL()/4)
+	r, err := c.peers.Ask(ctx, addr, &peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.cfg.HostName, Since: since}, c.cfg.ControllerLeaseTTL()/4)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		delete(c.reach.peers, name)
+		delete(c.reachability.peers, name)
 		return
 	}
-	c.reach.peers[name] = r.GetStoreReached()
-	c.vouchedBy(name, r.GetVouch(), sent)
+	c.reachability.peers[name] = r.GetStoreReached()
+	c.noteAcknowledgement(name, r.GetVouch(), sent)
 }
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -25,173 +25,173 @@
 // What was written by a late transaction after the first step changes only records
 // that no longer count. The old records are dropped when there is time.
 
-// blocked tells whether a job's tasks may not change now: it is being divided, or has
+// isBlocked tells whether a job's tasks may not change now: it is being divided, or has
 // to be before its records can grow. Call with the lock held.
-func (c *Controller) blocked(j *liveJob) bool {
-	return j.main.Frozen || c.narrow[j.main.Spec.UID] == j.main.Gen+1
+func (c *Controller) isBlocked(j *liveJob) bool {
+	return j.record.Frozen || c.splitRequests[j.record.Spec.UID] == j.record.Generation+1
 }
 
-// divisible tells whether a job's records take more than the coming limits allow and can
+// canSplit tells whether a job's records take more than the coming limits allow and can
 // be made smaller. Call with the lock held.
-func (c *Controller) divisible(j *liveJob, most int) bool {
-	m := j.main
-	if !m.Inner && m.Chunk <= job.ChunkSize(c.cfg.Lowest().ValueKB) {
+func (c *Controller) canSplit(j *liveJob, most int) bool {
+	m := j.record
+	if !m.Inline && m.RangeSize <= job.TaskRangeSize(c.cfg.LowestLimits().ValueKB) {
 		return false
 	}
-	if j.size > most && m.Inner {
+	if j.size > most && m.Inline {
 		return true
 	}
-	for _, ch := range j.chunks {
-		if !m.Inner && ch.size > most {
+	for _, ch := range j.ranges {
+		if !m.Inline && ch.size > most {
 			return true
 		}
 	}
 	return false
 }
 
-// toDivide picks the next job to be divided, nil if none is to be now. Those that
+// nextToSplit picks the next job to be divided, nil if none is to be now. Those that
 // wait for it come first; for the others there is time, and a fraction of the changes.
 // Call with the lock held.
-func (c *Controller) toDivide() *liveJob {
-	most := c.mostBytes()
+func (c *Controller) nextToSplit() *liveJob {
+	most := c.maxRecordBytes()
 	now := c.now()
-	paced := now.Sub(c.dividedAt) < 8*c.cfg.Pause()
+	paced := now.Sub(c.splitAt) < 8*c.cfg.DecisionInterval()
 	var other *liveJob
-	for _, uid := range slices.Sorted(maps.Keys(c.narrow)) {
+	for _, uid := range slices.Sorted(maps.Keys(c.splitRequests)) {
 		j := c.replica.jobs[uid]
-		if j == nil || c.narrow[uid] != j.main.Gen+1 {
-			delete(c.narrow, uid)
+		if j == nil || c.splitRequests[uid] != j.record.Generation+1 {
+			delete(c.splitRequests, uid)
 			continue
 		}
 		return j
 	}
 	for _, j := range c.replica.jobs {
-		if c.owned(j.main.Part) == nil {
+		if c.leadershipOf(j.record.Shard) == nil {
 			continue
 		}
-		if j.main.Frozen {
+		if j.record.Frozen {
 			return j
 		}
-		if !paced && (other == nil || byAge(j, other) < 0) && !j.main.Cancelled && c.divisible(j, most) {
+		if !paced && (other == nil || compareAge(j, other) < 0) && !j.record.Cancelled && c.canSplit(j, most) {
 			other = j
 		}
 	}
 	if other != nil {
-		c.dividedAt = now
+		c.splitAt = now
 	}
 	return other
 }
 
-// divideRound takes the next step in dividing a job. It tells whether there is more.
-func (c *Controller) divideRound(ctx context.Context) bool {
+// splitRecords takes the next step in dividing a job. It tells whether there is more.
+func (c *Controller) splitRecords(ctx context.Context) bool {
 	c.mu.Lock()
-	if !c.upgraded() {
+	if !c.schemaUpgraded() {
 		c.mu.Unlock()
 		return false
 	}
-	j := c.toDivide()
+	j := c.nextToSplit()
 	if j == nil {
 		c.mu.Unlock()
-		return c.sweepRound(ctx)
+		return c.collectGarbage(ctx)
 	}
-	m, uid := j.main, j.main.Spec.UID
-	k := m.Finer(c.cfg.Lowest().ValueKB)
-	t := newTxn()
-	t.guard(jobKey+uid, j.stamp)
+	m, uid := j.record, j.record.Spec.UID
+	k := m.SplitSize(c.cfg.LowestLimits().ValueKB)
+	t := newTransaction()
+	t.require(jobPrefix+uid, j.version)
 	over := false
 	switch {
-	case !m.Inner && k >= m.Chunk:
+	case !m.Inline && k >= m.RangeSize:
 		// It can't be: a record of the smallest chunk still is too large. It is told
 		// and left alone until it is over.
 		c.log.Error("record can't be made smaller", "job", uid)
-		delete(c.narrow, uid)
+		delete(c.splitRequests, uid)
 		c.mu.Unlock()
 		return false
-	case !m.Inner && !m.Frozen:
+	case !m.Inline && !m.Frozen:
 		x := m.Copy()
 		x.Frozen = true
-		t.write(jobKey+uid, x)
+		t.put(jobPrefix+uid, x)
 	default:
-		for n, ch := range j.chunks {
-			if !c.draft(t, j, n, ch, k) {
+		for n, ch := range j.ranges {
+			if !c.copyRange(t, j, n, ch, k) {
 				break
 			}
 		}
-		if t.ops() == 0 {
+		if t.changes() == 0 {
 			x := m.Copy()
-			x.Divide(k)
-			t.write(jobKey+uid, x)
+			x.Split(k)
+			t.put(jobPrefix+uid, x)
 			over = true
 		}
 	}
 	c.mu.Unlock()
-	done, _, err := c.commit(ctx, "divided", t, store.Decision)
+	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
 		c.log.Info("job's tasks divided into smaller records", "job", uid, "chunk", k)
-		c.poke()
+		c.wakeDecider()
 	}
 	return done || err == nil
 }
 
-// draft adds small chunks of the next generation that stand for a chunk, those that
+// copyRange adds small chunks of the next generation that stand for a chunk, those that
 // are not there yet. It is false when the transaction takes no more. Call with the lock
 // held.
-func (c *Controller) draft(t *txn, j *liveJob, n int, ch value[job.Chunk], k int) bool {
-	uid, each := j.main.Spec.UID, j.main.Chunk/k
-	key, stamp := j.chunkAt(n)
-	length := j.main.ChunkLen(n)
+func (c *Controller) copyRange(t *transaction, j *liveJob, n int, ch cached[job.TaskRange], k int) bool {
+	uid, each := j.record.Spec.UID, j.record.RangeSize/k
+	key, version := j.rangeRecord(n)
+	length := j.record.RangeLen(n)
 	for s := 0; s*k < length; s++ {
-		rec := chunkRec{j.main.Gen + 1, n*each + s}
-		old := c.replica.recs[uid][rec]
-		if old.v != nil && old.stamp > max(stamp, j.stamp) {
+		rec := rangeGeneration{j.record.Generation + 1, n*each + s}
+		old := c.replica.taskRanges[uid][rec]
+		if old.record != nil && old.version > max(version, j.version) {
 			continue // copied from what there is
 		}
-		l := c.limits()
-		if t.ops() >= l.TxnOps || len(t.guards) >= 4*l.TxnOps-1 {
+		l := c.transactionLimits()
+		if t.changes() >= l.TxnOps || len(t.preconditions) >= 4*l.TxnOps-1 {
 			return false
 		}
-		t.guard(key, stamp)
-		t.write(chunkKey(uid, rec.gen, rec.n), ch.v.Part(s*k, min(k, length-s*k)))
+		t.require(key, version)
+		t.put(taskRangeKey(uid, rec.generation, rec.index), ch.record.Slice(s*k, min(k, length-s*k)))
 	}
 	return true
 }
 
-// sweepRound drops records of chunks that no longer count: of an earlier division of
+// collectGarbage drops records of chunks that no longer count: of an earlier division of
 // their job, or of a job that is over. Nothing waits for it.
-func (c *Controller) sweepRound(ctx context.Context) bool {
+func (c *Controller) collectGarbage(ctx context.Context) bool {
 	now := c.now()
 	c.mu.Lock()
-	if now.Sub(c.sweptAt) < c.cfg.Lease()/4 {
+	if now.Sub(c.garbageCollectedAt) < c.cfg.WorkerLease()/4 {
 		c.mu.Unlock()
 		return false
 	}
-	t := newTxn()
-	l := c.limits()
-	for uid, recs := range c.replica.recs {
+	t := newTransaction()
+	l := c.transactionLimits()
+	for uid, recs := range c.replica.taskRanges {
 		j := c.replica.jobs[uid]
-		if j != nil && c.owned(j.main.Part) == nil || j == nil && c.owned(c.parts[0]) == nil {
+		if j != nil && c.leadershipOf(j.record.Shard) == nil || j == nil && c.leadershipOf(c.shards[0]) == nil {
 			continue
 		}
 		for rec, ch := range recs {
-			if t.ops() >= l.TxnOps || len(t.guards)+2 > 4*l.TxnOps {
+			if t.changes() >= l.TxnOps || len(t.preconditions)+2 > 4*l.TxnOps {
 				break
 			}
-			if j != nil && (rec.gen >= j.main.Gen && !j.main.Inner || rec.gen > j.main.Gen) {
+			if j != nil && (rec.generation >= j.record.Generation && !j.record.Inline || rec.generation > j.record.Generation) {
 				continue
 			}
 			if j == nil {
-				t.guard(jobKey+uid, 0)
+				t.require(jobPrefix+uid, 0)
 			}
-			key := chunkKey(uid, rec.gen, rec.n)
-			t.guard(key, ch.stamp)
-			t.drop(key)
+			key := taskRangeKey(uid, rec.generation, rec.index)
+			t.require(key, ch.version)
+			t.delete(key)
 		}
 	}
 	c.mu.Unlock()
-	if t.ops() == 0 {
+	if t.changes() == 0 {
 		return false
 	}
-	_, _, _ = c.commit(ctx, "swept", t, store.Submission)
-	c.sweptAt = now
+	_, _, _ = c.commit(ctx, "swept", t, store.PrioritySubmission)
+	c.garbageCollectedAt = now
 	return false
 }
--- a/internal/controller/edit.go
+++ b/internal/controller/edit.go
@@ -8,167 +8,167 @@
 	"violetturn/internal/store"
 )
 
-type chunkID struct {
-	uid string
-	n   int
+type rangeID struct {
+	uid   string
+	index int
 }
 
-// edit collects changes of jobs' records for one transaction.
-type edit struct {
-	c      *Controller
-	t      *txn
-	jobs   map[string]*liveJob
-	mains  map[string]*job.Main
-	chunks map[chunkID]*job.Chunk
-	drops  map[chunkID]bool
-	n      int  // changes so far
-	most   int  // changes at most
-	tight  bool // some record outgrew a value: nothing of this is to be committed
+// recordEditor collects changes of jobs' records for one transaction.
+type recordEditor struct {
+	c          *Controller
+	txn        *transaction
+	jobs       map[string]*liveJob
+	records    map[string]*job.Record
+	ranges     map[rangeID]*job.TaskRange
+	deletes    map[rangeID]bool
+	changes    int  // changes so far
+	maxChanges int  // changes at most
+	outgrown   bool // some record outgrew a value: nothing of this is to be committed
 }
 
-func (c *Controller) edit() *edit {
-	return &edit{
-		c:      c,
-		t:      newTxn(),
-		jobs:   map[string]*liveJob{},
-		mains:  map[string]*job.Main{},
-		chunks: map[chunkID]*job.Chunk{},
-		drops:  map[chunkID]bool{},
-		most:   c.most(),
+func (c *Controller) newRecordEditor() *recordEditor {
+	return &recordEditor{
+		c:          c,
+		txn:        newTransaction(),
+		jobs:       map[string]*liveJob{},
+		records:    map[string]*job.Record{},
+		ranges:     map[rangeID]*job.TaskRange{},
+		deletes:    map[rangeID]bool{},
+		maxChanges: c.maxChanges(),
 	}
 }
 
-// most is how many changes a transaction may have now: what the budget holds, so
+// maxChanges is how many changes a transaction may have now: what the budget holds, so
 // that one of many changes does not keep others waiting for as long as it takes
 // to earn them, and at least as many as one step needs.
-func (c *Controller) most() int {
+func (c *Controller) maxChanges() int {
 	const step = 4
-	return min(c.limits().TxnOps, max(step, c.store.Ready(context.Background(), 0, store.Decision)))
+	return min(c.transactionLimits().TxnOps, max(step, c.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)))
 }
 
-// main gives a copy of the job's main record to be changed.
-func (e *edit) main(j *liveJob) *job.Main {
-	uid := j.main.Spec.UID
-	m := e.mains[uid]
+// record gives a copy of the job's main record to be changed.
+func (e *recordEditor) record(j *liveJob) *job.Record {
+	uid := j.record.Spec.UID
+	m := e.records[uid]
 	if m == nil {
-		m = j.main.Copy()
-		e.mains[uid], e.jobs[uid] = m, j
-		e.t.guard(jobKey+uid, j.stamp)
-		e.n++
+		m = j.record.Copy()
+		e.records[uid], e.jobs[uid] = m, j
+		e.txn.require(jobPrefix+uid, j.version)
+		e.changes++
 	}
 	return m
 }
 
-// chunk gives a copy of a chunk to be changed.
-func (e *edit) chunk(j *liveJob, n int) *job.Chunk {
-	id := chunkID{j.main.Spec.UID, n}
-	ch := e.chunks[id]
+// taskRange gives a copy of a chunk to be changed.
+func (e *recordEditor) taskRange(j *liveJob, n int) *job.TaskRange {
+	id := rangeID{j.record.Spec.UID, n}
+	ch := e.ranges[id]
 	if ch == nil {
-		ch = j.chunks[n].v.Copy()
-		e.chunks[id], e.jobs[id.uid] = ch, j
+		ch = j.ranges[n].record.Copy()
+		e.ranges[id], e.jobs[id.uid] = ch, j
 		// The main record's version covers a gang's tasks and those of a job that is
 		// being divided, wherever they are recorded.
-		e.t.guard(jobKey+id.uid, j.stamp)
-		if j.main.Inner || oneVersion(j) {
-			e.main(j)
+		e.txn.require(jobPrefix+id.uid, j.version)
+		if j.record.Inline || recordCoversTasks(j) {
+			e.record(j)
 		}
-		if !j.main.Inner {
-			e.t.guard(j.chunkAt(n))
-			e.n++
+		if !j.record.Inline {
+			e.txn.require(j.rangeRecord(n))
+			e.changes++
 		}
 	}
 	return ch
 }
 
-// oneVersion tells whether the main record is written with every change of the job's
+// recordCoversTasks tells whether the main record is written with every change of the job's
 // tasks, so that its version is that of all of them: of a gang, and of a scattered job
 // that was divided, whose zones are counted over several chunks. A transaction that is
 // carried out late would otherwise place a task by an old count.
-func oneVersion(j *liveJob) bool {
-	return isGang(j) || j.main.Half > 0
+func recordCoversTasks(j *liveJob) bool {
+	return isGang(j) || j.record.SpreadRangeSize > 0
 }
 
-// cost is how many changes opening a chunk adds.
-func (e *edit) cost(j *liveJob, n int) int {
-	uid := j.main.Spec.UID
-	if e.chunks[chunkID{uid, n}] != nil {
+// rangeCost is how many changes opening a chunk adds.
+func (e *recordEditor) rangeCost(j *liveJob, n int) int {
+	uid := j.record.Spec.UID
+	if e.ranges[rangeID{uid, n}] != nil {
 		return 0
 	}
 	k := 0
-	if !j.main.Inner {
+	if !j.record.Inline {
 		k++
 	}
-	if (j.main.Inner || oneVersion(j)) && e.mains[uid] == nil {
+	if (j.record.Inline || recordCoversTasks(j)) && e.records[uid] == nil {
 		k++
 	}
 	return k
 }
 
-// dropChunk drops a chunk's record of a job that is over.
-func (e *edit) dropChunk(j *liveJob, n int) {
-	uid := j.main.Spec.UID
-	e.t.guard(jobKey+uid, j.stamp)
-	e.t.guard(j.chunkAt(n))
-	e.t.drop(chunkKey(uid, j.main.Gen, n))
-	e.n++
+// deleteRange drops a chunk's record of a job that is over.
+func (e *recordEditor) deleteRange(j *liveJob, n int) {
+	uid := j.record.Spec.UID
+	e.txn.require(jobPrefix+uid, j.version)
+	e.txn.require(j.rangeRecord(n))
+	e.txn.delete(taskRangeKey(uid, j.record.Generation, n))
+	e.changes++
 }
 
-// done moves a job to the past.
-func (e *edit) done(j *liveJob, p job.Past) {
-	uid := j.main.Spec.UID
-	e.main(j)
-	e.mains[uid] = nil
-	e.t.drop(jobKey + uid)
-	e.t.guard(pastKey+uid, 0)
-	e.t.write(pastKey+uid, p)
-	e.n++
+// archive moves a job to the past.
+func (e *recordEditor) archive(j *liveJob, p job.FinalState) {
+	uid := j.record.Spec.UID
+	e.record(j)
+	e.records[uid] = nil
+	e.txn.delete(jobPrefix + uid)
+	e.txn.require(finalStatePrefix+uid, 0)
+	e.txn.put(finalStatePrefix+uid, p)
+	e.changes++
 }
 
-// txn puts the changes into the transaction.
-func (e *edit) txn() *txn {
-	for id, ch := range e.chunks {
-		j, m := e.jobs[id.uid], e.mains[id.uid]
+// transaction puts the changes into the transaction.
+func (e *recordEditor) transaction() *transaction {
+	for id, ch := range e.ranges {
+		j, m := e.jobs[id.uid], e.records[id.uid]
 		switch {
-		case j.main.Inner:
+		case j.record.Inline:
 			if m != nil { // not moved to the past
-				m.Only = ch
+				m.InlineRange = ch
 			}
-		case e.drops[id]:
-			e.t.drop(chunkKey(id.uid, j.main.Gen, id.n))
+		case e.deletes[id]:
+			e.txn.delete(taskRangeKey(id.uid, j.record.Generation, id.index))
 		default:
-			e.t.write(chunkKey(id.uid, j.main.Gen, id.n), ch)
+			e.txn.put(taskRangeKey(id.uid, j.record.Generation, id.index), ch)
 		}
 	}
-	for uid, m := range e.mains {
+	for uid, m := range e.records {
 		if m != nil {
-			e.t.write(jobKey+uid, m)
+			e.txn.put(jobPrefix+uid, m)
 		}
 	}
-	most := e.c.mostBytes()
+	most := e.c.maxRecordBytes()
 	for uid, j := range e.jobs {
-		for _, k := range e.t.order {
-			if len(e.t.writes[k]) > most && (k == jobKey+uid || strings.HasPrefix(k, taskKey+uid+"/")) {
-				e.c.narrow[uid] = j.main.Gen + 1 // divided before it is changed again
-				e.tight = true
+		for _, k := range e.txn.order {
+			if len(e.txn.writes[k]) > most && (k == jobPrefix+uid || strings.HasPrefix(k, taskRangePrefix+uid+"/")) {
+				e.c.splitRequests[uid] = j.record.Generation + 1 // divided before it is changed again
+				e.outgrown = true
 			}
 		}
 	}
-	return e.t
+	return e.txn
 }
 
-// full tells whether more changes, besides so many others, would pass the
+// isFull tells whether more changes, besides so many others, would pass the
 // limits of a transaction.
-func (e *edit) full(more, others int) bool {
+func (e *recordEditor) isFull(more, others int) bool {
 	const guards, bytes = 4, 48 << 10 // of PROTOCOL's 4 guards for each change and 64 KiB
-	f := e.c.limits()
+	f := e.c.transactionLimits()
 	each := 512.0 // bytes of a change and its guard, records aside
 	size := 0.0
-	for id, ch := range e.chunks {
-		size += float64(64*len(ch.Places) + len(ch.Bits))
-		if e.jobs[id.uid].main.Inner {
+	for id, ch := range e.ranges {
+		size += float64(64*len(ch.Placements) + len(ch.DoneBits))
+		if e.jobs[id.uid].record.Inline {
 			size += 768
 		}
 	}
-	return e.n+more+others > e.most || len(e.t.guards)+2*more+others > guards*f.TxnOps ||
-		size+each*float64(e.n+more)+f.ValueKB*1024*float64(min(others, 2)) > bytes
+	return e.changes+more+others > e.maxChanges || len(e.txn.preconditions)+2*more+others > guards*f.TxnOps ||
+		size+each*float64(e.changes+more)+f.ValueKB*1024*float64(min(others, 2)) > bytes
 }
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -12,132 +12,132 @@
 	"violetturn/internal/store"
 )
 
-// ending is an attempt that is over.
-type ending struct {
-	pl  *placedTask
-	rel shard.Release
+// endedTask is an attempt that is over.
+type endedTask struct {
+	task *placedTask
+	end  shard.EndedAttempt
 }
 
-// over tells whether a placed task has completed, though that need not be
+// isCompleted tells whether a placed task has completed, though that need not be
 // committed yet: its room is free, and its end is recorded with others to save
 // changes. Call with the lock held.
-func (c *Controller) over(host, id string, pl *placedTask) bool {
-	s := c.sessions[host]
+func (c *Controller) isCompleted(host, id string, pl *placedTask) bool {
+	s := c.agents[host]
 	if s == nil {
 		return false
 	}
-	r, ok := s.Releases[id]
-	return ok && r.Done && r.Try == pl.p.Attempt
+	r, ok := s.EndedAttempts[id]
+	return ok && r.Done && r.Attempt == pl.placement.Attempt
 }
 
 // loadOf gives what is placed on a machine. A plan asks for that of all machines,
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (places, the jobs' records, Releases) drops it. Call with the lock
 // held.
-func (c *Controller) loadOf(host string) *load {
+func (c *Controller) loadOf(host string) *machineLoad {
 	l := c.replica.loads[host]
 	if l != nil {
 		return l
 	}
-	l = &load{}
-	for id, pl := range c.replica.onHost[host] {
+	l = &machineLoad{}
+	for id, pl := range c.replica.placements[host] {
 		j := c.replica.jobs[pl.uid]
 		if j != nil {
-			l.newest = max(l.newest, j.main.AtMS+pl.p.AtS*1000)
+			l.lastPlacedMS = max(l.lastPlacedMS, j.record.AcceptedMS+pl.placement.PlacedS*1000)
 		}
-		if c.over(host, id, pl) {
+		if c.isCompleted(host, id, pl) {
 			continue
 		}
 		if j == nil {
-			l.sweeps++
+			l.arrays++
 			continue
 		}
-		n := need(&j.main.Spec)
+		n := resourcesOf(&j.record.Spec)
 		l.used = l.used.Add(n)
-		if j.main.Spec.Kind == api.Service {
-			l.daemons++
+		if j.record.Spec.Kind == api.Service {
+			l.services++
 		} else {
-			l.sweeps++
+			l.arrays++
 		}
-		if j.leaves(pl.p) {
-			l.leaving = l.leaving.Add(n)
-		} else if rank, _ := api.PriorityOf(j.main.Spec.Priority); rank < len(l.staying) {
-			l.staying[rank] = l.staying[rank].Add(n)
+		if j.mustStop(pl.placement) {
+			l.stopping = l.stopping.Add(n)
+		} else if priority, _ := api.PriorityOf(j.record.Spec.Priority); priority < len(l.runningByPriority) {
+			l.runningByPriority[priority] = l.runningByPriority[priority].Add(n)
 		}
 	}
 	c.replica.loads[host] = l
 	return l
 }
 
-// release notes that an attempt is over. Call with the lock held.
-func (c *Controller) release(host string, s *shard.Session, id string, r shard.Release) {
-	s.Releases[id] = r
+// noteEnd notes that an attempt is over. Call with the lock held.
+func (c *Controller) noteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
+	s.EndedAttempts[id] = r
 	delete(c.replica.loads, host)
 }
 
-// busy counts the tasks on a machine that are not over. Call with the lock held.
-func (c *Controller) busy(host string) int {
+// unfinishedTasks counts the tasks on a machine that are not over. Call with the lock held.
+func (c *Controller) unfinishedTasks(host string) int {
 	l := c.loadOf(host)
-	return l.daemons + l.sweeps
+	return l.services + l.arrays
 }
 
-// endings looks over the machines of own parts and collects the attempts that
+// endedTasks looks over the machines of own parts and collects the attempts that
 // are over, by chunk. Call with the lock held.
-func (c *Controller) endings(now time.Time) map[chunkID][]ending {
-	chunks := map[chunkID][]ending{}
-	bound := c.cfg.LeaseBound()
-	for host, m := range c.replica.hosts {
-		o := c.owned(m.Part)
-		if o == nil || c.replica.parts[m.Part].v == nil {
+func (c *Controller) endedTasks(now time.Time) map[rangeID][]endedTask {
+	chunks := map[rangeID][]endedTask{}
+	bound := c.cfg.WorkerLeaseBound()
+	for host, m := range c.replica.machines {
+		o := c.leadershipOf(m.Shard)
+		if o == nil || c.replica.capacities[m.Shard].record == nil {
 			continue
 		}
-		s := c.session(host, o)
-		on := c.replica.onHost[host]
+		s := c.agentOf(host, o)
+		on := c.replica.placements[host]
 		// Entries of tasks that are no longer there do no harm, for a later
 		// attempt has another number: they go when there are too many.
-		if len(s.Started) > len(on) {
-			maps.DeleteFunc(s.Started, func(id string, _ shard.Start) bool { return on[id] == nil })
+		if len(s.FirstRuns) > len(on) {
+			maps.DeleteFunc(s.FirstRuns, func(id string, _ shard.FirstRun) bool { return on[id] == nil })
 		}
-		if len(s.Sent) > len(on) {
-			maps.DeleteFunc(s.Sent, func(id string, _ shard.Sent) bool { return on[id] == nil })
+		if len(s.PendingLaunches) > len(on) {
+			maps.DeleteFunc(s.PendingLaunches, func(id string, _ shard.PendingLaunch) bool { return on[id] == nil })
 		}
-		for id, r := range s.Releases {
-			if pl := on[id]; pl == nil || pl.p.Attempt != r.Try {
-				delete(s.Releases, id) // committed
+		for id, r := range s.EndedAttempts {
+			if pl := on[id]; pl == nil || pl.placement.Attempt != r.Attempt {
+				delete(s.EndedAttempts, id) // committed
 			}
 		}
-		dead := s.Dead(now, bound)
-		if dead && !s.Dark {
-			s.Dark = true
+		dead := s.IsLeaseExpired(now, bound)
+		if dead && !s.LeaseExpired {
+			s.LeaseExpired = true
 			if len(on) > 0 {
-				c.log.Info("worker's lease is over", "host", host, "tasks", len(on), "gone", s.Gone)
+				c.log.Info("worker's lease is over", "host", host, "tasks", len(on), "gone", s.Terminated)
 			}
 		} else if !dead {
-			s.Dark = false
+			s.LeaseExpired = false
 		}
-		if len(s.Releases) == 0 && !dead {
+		if len(s.EndedAttempts) == 0 && !dead {
 			continue
 		}
 		for id, pl := range on {
-			if _, ok := s.Releases[id]; !ok && dead {
-				c.release(host, s, id, shard.Release{Try: pl.p.Attempt, At: now})
+			if _, ok := s.EndedAttempts[id]; !ok && dead {
+				c.noteEnd(host, s, id, shard.EndedAttempt{Attempt: pl.placement.Attempt, EndedAt: now})
 			}
-			if r, ok := s.Releases[id]; ok && c.replica.jobs[pl.uid] != nil {
-				k := chunkID{pl.uid, pl.chunk}
-				chunks[k] = append(chunks[k], ending{pl, r})
+			if r, ok := s.EndedAttempts[id]; ok && c.replica.jobs[pl.uid] != nil {
+				k := rangeID{pl.uid, pl.rangeIndex}
+				chunks[k] = append(chunks[k], endedTask{pl, r})
 			}
 		}
 	}
 	return chunks
 }
 
-// due tells whether the ends of tasks of a chunk are to be committed now. A task
+// endsAreDue tells whether the ends of tasks of a chunk are to be committed now. A task
 // that completed while others of its chunk run on can wait for them, unless its
 // machine is to go or its team is near its limit; one that has to run again can
 // not, nor can the last one of a chunk. Call with the lock held.
-func (c *Controller) due(k chunkID, ends []ending, now time.Time) bool {
+func (c *Controller) endsAreDue(k rangeID, ends []endedTask, now time.Time) bool {
 	j := c.replica.jobs[k.uid]
-	ch := j.chunks[k.n].v
+	ch := j.ranges[k.index].record
 	if ch == nil {
 		return false
 	}
@@ -145,139 +145,139 @@
 	// of its own have ended and no task waits for room any more. The last to do so
 	// completes the chunk.
 	own := 0
-	for _, p := range ch.Places {
-		if m := c.replica.hosts[p.Host]; m != nil && c.owned(m.Part) != nil {
+	for _, p := range ch.Placements {
+		if m := c.replica.machines[p.Host]; m != nil && c.leadershipOf(m.Shard) != nil {
 			own++
 		}
 	}
-	if len(ends) == own && (j.main.Cancelled || ch.DoneCount()+len(ch.Places) >= j.main.ChunkLen(k.n)) {
+	if len(ends) == own && (j.record.Cancelled || ch.DoneCount()+len(ch.Placements) >= j.record.RangeLen(k.index)) {
 		return true
 	}
-	if j.main.Cancelled {
-		return now.Sub(ends[0].rel.At) > c.cfg.Lease()
+	if j.record.Cancelled {
+		return now.Sub(ends[0].end.EndedAt) > c.cfg.WorkerLease()
 	}
-	team, _ := c.cfg.Team(j.main.Spec.Team)
+	team, _ := c.cfg.Team(j.record.Spec.Team)
 	for _, e := range ends {
-		s := c.sessions[e.pl.p.Host]
-		if !e.rel.Done || s == nil || s.Drain || s.Gone || now.Sub(e.rel.At) > 2*c.cfg.Lease() {
+		s := c.agents[e.task.placement.Host]
+		if !e.end.Done || s == nil || s.Cordoned || s.Terminated || now.Sub(e.end.EndedAt) > 2*c.cfg.WorkerLease() {
 			return true
 		}
 	}
 	if team.Limited() {
-		held, others := c.shareOf(team.Name, "")
-		limit, all := limitOf(team), held.Add(others)
+		held, others := c.quotaShares(team.Name, "")
+		limit, all := quotaLimitOf(team), held.Add(others)
 		return limit.CPUs > 0 && all.CPUs > limit.CPUs*3/4 || limit.GPUs > 0 && all.GPUs > limit.GPUs*3/4
 	}
 	return false
 }
 
-// releaseRound commits ended attempts. The room they free shows in the parts'
+// commitEnds commits ended attempts. The room they free shows in the parts'
 // records with the next write of those.
-func (c *Controller) releaseRound(ctx context.Context) bool {
+func (c *Controller) commitEnds(ctx context.Context) bool {
 	now := c.now()
 	c.mu.Lock()
-	e := c.edit()
-	for p := range c.mine {
-		c.guardOwn(e.t, p)
+	e := c.newRecordEditor()
+	for p := range c.leaderships {
+		c.requireLeadership(e.txn, p)
 	}
-	chunks := c.endings(now)
-	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b chunkID) int { // jobs that may be complete first
+	chunks := c.endedTasks(now)
+	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b rangeID) int { // jobs that may be complete first
 		if a.uid != b.uid {
 			if a.uid < b.uid {
 				return -1
 			}
 			return 1
 		}
-		return a.n - b.n
+		return a.index - b.index
 	})
 	more := false
 	for _, k := range keys {
 		ends := chunks[k]
 		j := c.replica.jobs[k.uid]
-		if j.main.Spec.Kind == api.Gang || c.blocked(j) || !c.due(k, ends, now) {
+		if j.record.Spec.Kind == api.Gang || c.isBlocked(j) || !c.endsAreDue(k, ends, now) {
 			continue
 		}
 		cost := 3 // chunk, main record and past record
-		if j.main.Inner {
+		if j.record.Inline {
 			cost = 2
 		}
-		if e.full(cost, 0) {
+		if e.isFull(cost, 0) {
 			more = true // the rest goes into the next transaction
 			break
 		}
-		r := &j.main.Spec
-		ch := e.chunk(j, k.n)
+		r := &j.record.Spec
+		ch := e.taskRange(j, k.index)
 		for _, x := range ends {
-			ch.End(x.pl.index, x.rel.Try, x.rel.Done && r.Kind == api.Array, x.rel.Failed)
+			ch.EndAttempt(x.task.index, x.end.Attempt, x.end.Done && r.Kind == api.Array, x.end.Failed)
 		}
-		if r.Kind != api.Array || j.main.Cancelled || ch.DoneCount() < j.main.ChunkLen(k.n) {
+		if r.Kind != api.Array || j.record.Cancelled || ch.DoneCount() < j.record.RangeLen(k.index) {
 			continue
 		}
-		m := e.main(j)
-		m.Finish(k.n)
-		e.drops[k] = true
+		m := e.record(j)
+		m.FinishRange(k.index)
+		e.deletes[k] = true
 		if m.Complete() {
-			e.done(j, job.Past{Phase: api.Done, Done: r.Tasks})
+			e.archive(j, job.FinalState{Phase: api.Done, Done: r.Tasks})
 			c.log.Info("job done", "job", k.uid)
 		}
 	}
-	n := e.n
-	t := e.txn()
+	n := e.changes
+	t := e.transaction()
 	c.mu.Unlock()
-	if n == 0 || e.tight {
-		return e.tight
+	if n == 0 || e.outgrown {
+		return e.outgrown
 	}
-	done, _, err := c.commit(ctx, "ends", t, store.Decision)
+	done, _, err := c.commit(ctx, "ends", t, store.PriorityDecision)
 	return more && (done || err == nil)
 }
 
-// retireRound moves withdrawn jobs without tasks on machines to the past.
-func (c *Controller) retireRound(ctx context.Context) bool {
+// archiveJobs moves withdrawn jobs without tasks on machines to the past.
+func (c *Controller) archiveJobs(ctx context.Context) bool {
 	c.mu.Lock()
-	e := c.edit()
+	e := c.newRecordEditor()
 	for _, j := range c.replica.jobs {
-		over := j.main.Cancelled || j.main.Gang != nil && j.main.Gang.Done
-		if !over || c.owned(j.main.Part) == nil || e.full(2, 0) {
+		over := j.record.Cancelled || j.record.Gang != nil && j.record.Gang.Done
+		if !over || c.leadershipOf(j.record.Shard) == nil || e.isFull(2, 0) {
 			continue
 		}
-		on, done := 0, j.main.FinishedTasks()
-		for n, ch := range j.chunks {
-			on += len(ch.v.Places)
-			if !j.main.Finished(n) {
-				done += ch.v.DoneCount()
+		on, done := 0, j.record.FinishedTasks()
+		for n, ch := range j.ranges {
+			on += len(ch.record.Placements)
+			if !j.record.RangeFinished(n) {
+				done += ch.record.DoneCount()
 			}
 		}
-		past := job.Past{Phase: api.Cancelled, Done: done}
-		if g := j.main.Gang; g != nil && g.Done {
-			past = job.Past{Phase: api.Done, Done: j.main.Spec.Tasks}
-			if on > 0 && c.counted(j) {
+		past := job.FinalState{Phase: api.Cancelled, Done: done}
+		if g := j.record.Gang; g != nil && g.Done {
+			past = job.FinalState{Phase: api.Done, Done: j.record.Spec.Tasks}
+			if on > 0 && c.countsAgainstQuota(j) {
 				continue
 			}
 		} else if on > 0 {
 			continue
 		}
-		c.guardOwn(e.t, j.main.Part)
+		c.requireLeadership(e.txn, j.record.Shard)
 		all := true
-		if !j.main.Inner {
-			for n := range j.chunks {
-				if e.full(1, 0) {
+		if !j.record.Inline {
+			for n := range j.ranges {
+				if e.isFull(1, 0) {
 					all = false
 					break
 				}
-				e.dropChunk(j, n)
+				e.deleteRange(j, n)
 			}
 		}
 		// No start can come between: it would need the job not withdrawn.
-		if all && !e.full(2, 0) {
-			e.done(j, past)
+		if all && !e.isFull(2, 0) {
+			e.archive(j, past)
 		}
 	}
-	n := e.n
-	t := e.txn()
+	n := e.changes
+	t := e.transaction()
 	c.mu.Unlock()
-	if n == 0 || e.tight {
-		return e.tight
+	if n == 0 || e.outgrown {
+		return e.outgrown
 	}
-	ok, _, _ := c.commit(ctx, "withdrawn", t, store.Decision)
+	ok, _, _ := c.commit(ctx, "withdrawn", t, store.PriorityDecision)
 	return ok
 }
--- a/internal/controller/estimate.go
+++ b/internal/controller/estimate.go
@@ -6,32 +6,32 @@
 	"violetturn/internal/api"
 )
 
-// observe learns how long tasks of a lane run against their owners' estimates,
+// observeRuntime learns how long tasks of a lane run against their owners' estimates,
 // which are often mostly too high or mostly too low. Call with the lock held.
-func (c *Controller) observe(lane string, ratio float64) {
+func (c *Controller) observeRuntime(class string, ratio float64) {
 	const lanes = 64
-	if _, ok := c.bias[lane]; !ok && len(c.bias) >= lanes {
-		clear(c.bias)
+	if _, ok := c.runtimeBias[class]; !ok && len(c.runtimeBias) >= lanes {
+		clear(c.runtimeBias)
 	}
 	ratio = min(max(ratio, 0.1), 10)
-	if old, ok := c.bias[lane]; ok {
+	if old, ok := c.runtimeBias[class]; ok {
 		ratio = math.Exp(0.9*math.Log(old) + 0.1*math.Log(ratio))
 	}
-	c.bias[lane] = ratio
+	c.runtimeBias[class] = ratio
 }
 
-// runs estimates how long a task of the job runs, image apart. Call with the
+// estimatedRuntime estimates how long a task of the job runs, image apart. Call with the
 // lock held.
-func (c *Controller) runs(r *api.Job) float64 {
-	if b, ok := c.bias[r.Class]; ok {
+func (c *Controller) estimatedRuntime(r *api.Job) float64 {
+	if b, ok := c.runtimeBias[r.Class]; ok {
 		return r.EstimateS * b
 	}
 	return r.EstimateS
 }
 
-// within is when a job should be complete, in seconds from its submission.
-func (c *Controller) within(r *api.Job) float64 {
-	w := float64(never)
+// deadlineSeconds is when a job should be complete, in seconds from its submission.
+func (c *Controller) deadlineSeconds(r *api.Job) float64 {
+	w := float64(unlimitedSeconds)
 	if r.DeadlineS != nil {
 		w = *r.DeadlineS
 	}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -13,7 +13,7 @@
 // and nothing more was rented before they were up.
 func TestLargeJobRentsAllItNeeds(t *testing.T) {
 	s := newSim()
-	s.w.Flavor.Boot = 100 * time.Second
+	s.w.MachineType.Boot = 100 * time.Second
 	for range 10 {
 		s.round()
 	}
@@ -34,17 +34,17 @@
 func TestLatelyGoneMachinesAreRemembered(t *testing.T) {
 	m := newReplica(nil, nil, nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
-	const machines = 3 * leastGone
+	const machines = 3 * minTerminated
 	for i := range machines {
-		m.noteGone(name(i))
-		for back := range min(i, leastGone/2) {
-			if back%97 == 0 && !m.gone[name(i-back)] {
+		m.noteTerminated(name(i))
+		for back := range min(i, minTerminated/2) {
+			if back%97 == 0 && !m.terminated[name(i-back)] {
 				t.Fatalf("of %d that went the %dth last is not remembered", i+1, back+1)
 			}
 		}
 	}
-	if len(m.gone) > leastGone {
-		t.Errorf("%d are remembered", len(m.gone))
+	if len(m.terminated) > minTerminated {
+		t.Errorf("%d are remembered", len(m.terminated))
 	}
 }
 
@@ -55,11 +55,11 @@
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 2 })
 	s.nodes[2].still = true
-	s.w.Store.Age()
+	s.w.Store.ExpireHistory()
 	s.nodes[2].still = false
-	gone := s.job(nil)
+	terminated := s.job(nil)
 	s.rounds(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
-		return s.nodes[2].c.loaded && s.nodes[2].c.replica.epoch >= s.nodes[0].c.replica.epoch && s.done(gone)()
+		return s.nodes[2].c.loaded && s.nodes[2].c.replica.revision >= s.nodes[0].c.replica.revision && s.done(terminated)()
 	})
 	if n := s.running(id); n != 2 {
 		t.Errorf("%d of 2 replicas run", n)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -21,7 +21,7 @@
 			change(r, d)
 		}
 	})
-	if !s.w.Jobs[id].Told {
+	if !s.w.Jobs[id].Accepted {
 		t.Fatal("not accepted")
 	}
 	return id
@@ -30,7 +30,7 @@
 // holder gives a machine that has a task of the job.
 func (s *sim) holder(id string) *simulator.Worker {
 	for _, h := range s.w.Cloud.Names() {
-		for _, p := range s.w.Cloud.Hosts[h].Report().Tasks {
+		for _, p := range s.w.Cloud.Hosts[h].Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
 				return s.w.Cloud.Hosts[h]
 			}
@@ -43,7 +43,7 @@
 func (s *sim) phases(id, phase string) int {
 	n := 0
 	for _, x := range s.w.Cloud.Hosts {
-		for _, p := range x.Report().Tasks {
+		for _, p := range x.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(p.Task); uid == id && p.Phase == phase {
 				n++
 			}
@@ -72,7 +72,7 @@
 		s.rounds(t, 200, "done", s.done(id))
 		s.rounds(t, 40, "its records are gone", func() bool {
 			c := s.nodes[0].c
-			return c.replica.jobs[id] == nil && len(c.replica.recs[id]) == 0
+			return c.replica.jobs[id] == nil && len(c.replica.taskRanges[id]) == 0
 		})
 	}
 }
@@ -87,13 +87,13 @@
 	}
 	other := s.gang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.rounds(t, 300, "done", s.done(other))
-	s.w.Flavor.Pull = 6 * time.Second
+	s.w.MachineType.Fetch = 6 * time.Second
 	id := s.gang(t, nil)
 	s.rounds(t, 40, "some have been launched", func() bool { return s.phases(id, api.Fetching) == 4 })
 	s.w.Cloud.Kill(s.holder(id).Host)
 	s.rounds(t, 100, "all run", func() bool { return s.phases(id, api.Running) == 4 })
-	if g := s.nodes[0].c.replica.jobs[id].main.Gang; g.Try != 1 {
-		t.Fatalf("runs as attempt %d", g.Try)
+	if g := s.nodes[0].c.replica.jobs[id].record.Gang; g.Attempt != 1 {
+		t.Fatalf("runs as attempt %d", g.Attempt)
 	}
 	s.rounds(t, 200, "done", s.done(id))
 }
@@ -115,11 +115,11 @@
 		case "hangs":
 			x.Hung = true
 		case "cut":
-			x.Cut = true
+			x.Partitioned = true
 		}
 		s.rounds(t, 400, how+": a later attempt runs", func() bool {
 			j := s.nodes[0].c.replica.jobs[id]
-			return j != nil && j.main.Gang.Try > 1 && s.phases(id, api.Running) == 4
+			return j != nil && j.record.Gang.Attempt > 1 && s.phases(id, api.Running) == 4
 		})
 		s.rounds(t, 300, "done", s.done(id))
 	}
@@ -141,7 +141,7 @@
 	saved := false
 	s.rounds(t, 100, "the gang has left", func() bool {
 		for _, x := range s.w.Cloud.Hosts {
-			for _, p := range x.Report().Tasks {
+			for _, p := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(p.Task)
 				saved = saved || uid == id && p.Phase == api.Ended && p.Saved
 			}
@@ -162,12 +162,12 @@
 	c := s.nodes[0].c
 	warm := s.job(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, 2*time.Second })
 	s.rounds(t, 300, "done", s.done(warm))
-	hold := func(withdraw bool) {
+	lease := func(withdraw bool) {
 		id := s.gang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
 		j := c.replica.jobs[id]
 		var host *sched.Host
-		for _, h := range c.hosts(c.now()) {
-			if h.Part == "n0" {
+		for _, h := range c.schedulableHosts(c.now()) {
+			if h.Shard == "n0" {
 				host = h
 			}
 		}
@@ -175,7 +175,7 @@
 			t.Fatal("no machine of its own part")
 		}
 		c.mu.Lock()
-		tx, _, _ := c.gangTxn(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.now())
+		tx, _, _ := c.gangTransaction(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.now())
 		c.mu.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
@@ -183,23 +183,23 @@
 		if done, _, err := c.commit(t.Context(), "gangs", tx, 0); !done {
 			t.Fatal(err)
 		}
-		if p := j.gangPhase(); p != job.GangHolding {
+		if p := j.gangPhase(); p != job.GangReserving {
 			t.Fatalf("is %s", p)
 		}
 		if withdraw {
 			s.cancel(0, id)
-			c.gangRound(t.Context())
-			if n := j.placed(); n != 0 {
+			c.updateGangs(t.Context())
+			if n := j.countPlaced(); n != 0 {
 				t.Fatalf("%d places are held after the cancellation", n)
 			}
 			return
 		}
-		s.rounds(t, 40, "released", func() bool { return j.placed() == 0 })
-		if !c.released(id) {
+		s.rounds(t, 40, "released", func() bool { return j.countPlaced() == 0 })
+		if !c.hasReleasedClaims(id) {
 			t.Fatal("does not go before newer ones")
 		}
 		for _, x := range s.w.Cloud.Hosts {
-			for _, p := range x.Report().Tasks {
+			for _, p := range x.Heartbeat().Tasks {
 				if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
 					t.Fatal("a task was started without the others")
 				}
@@ -207,8 +207,8 @@
 		}
 		s.cancel(0, id)
 	}
-	hold(true)
-	hold(false)
+	lease(true)
+	lease(false)
 }
 
 // Once one task is done all are, whatever becomes of their machines and of the part's
@@ -237,12 +237,12 @@
 // What a newer worker says in words that this version doesn't have is read as the
 // safest: a task that runs, an end without success.
 func TestUnknownWords(t *testing.T) {
-	if exitOf("melted") != job.ExitLost || api.KnownCause("melted") || api.KnownPhase("melting") {
+	if exitReasonOf("melted") != job.ExitLost || api.KnownCause("melted") || api.KnownPhase("melting") {
 		t.Fatal("an unknown word is taken for a known one")
 	}
-	for _, how := range []string{api.CauseMates, api.CauseAlone} {
-		g := &job.Gang{Try: 1, Go: true}
-		if g.Ended(1, exitOf(how), true); !g.Over {
+	for _, how := range []string{api.CausePeerLost, api.CauseGangIncomplete} {
+		g := &job.Gang{Attempt: 1, Launched: true}
+		if g.TaskEnded(1, exitReasonOf(how), true); !g.Ended {
 			t.Fatalf("goes on after %s", how)
 		}
 	}
@@ -262,9 +262,9 @@
 	s.rounds(t, 480, "the large one", func() bool {
 		if k++; k%6 == 0 {
 			id := fmt.Sprintf("run-%06d", 1000+k)
-			r := s.w.Jobs[large].Run
+			r := s.w.Jobs[large].Spec
 			r.UID, r.Tasks = id, 2
-			s.w.Jobs[id] = &simulator.Job{Run: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
+			s.w.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.done(large)()
@@ -276,8 +276,10 @@
 // was left to rent, while the other had tasks of lower rank.
 func TestGangTakesTheZoneThatYields(t *testing.T) {
 	s := warmSim()
-	for zone, rank := range map[string]string{"x": "standard", "y": "idle"} {
-		s.job(func(r *api.Job, d *time.Duration) { r.Zone, r.Priority, r.Tasks, *d = zone, rank, 4, 10*time.Minute })
+	for zone, priority := range map[string]string{"x": "standard", "y": "idle"} {
+		s.job(func(r *api.Job, d *time.Duration) {
+			r.Zone, r.Priority, r.Tasks, *d = zone, priority, 4, 10*time.Minute
+		})
 	}
 	s.rounds(t, 100, "both zones are full", func() bool { return s.running("run-000000")+s.running("run-000001") == 8 })
 	s.w.Cloud.Full = true
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -15,9 +15,9 @@
 // served gives the node that owns the machine of one of a job's tasks, and another.
 func (s *sim) served(t interface{ Fatalf(string, ...any) }, uid string) (owner, other int) {
 	for h := range s.hostsOf(uid) {
-		m := s.nodes[0].c.replica.hosts[h]
+		m := s.nodes[0].c.replica.machines[h]
 		for i, n := range s.nodes {
-			if n.c.owned(m.Part) != nil {
+			if n.c.leadershipOf(m.Shard) != nil {
 				return i, (i + 1) % len(s.nodes)
 			}
 		}
@@ -32,21 +32,21 @@
 // off and one that was not; meet happens right after the confirmation.
 func gapDay(t *testing.T, meet func(s *sim, leader, other int)) (s *sim, off, on string) {
 	s = warmSim()
-	site := func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" }
-	off, on = s.job(site), s.job(site)
+	zone := func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" }
+	off, on = s.job(zone), s.job(zone)
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(off) == 3 && s.running(on) == 3 })
 	leader, other := s.served(t, off)
 	s.w.Store.Refuse[s.nodes[leader].name] = true
 	s.step(leader) // it notices
-	if s.cancel(other, off); s.w.Jobs[off].Phase != api.Cancelled {
+	if s.cancel(other, off); s.w.Jobs[off].FinalPhase != api.Cancelled {
 		t.Fatal("not confirmed")
 	}
 	s.w.Store.Down = true
 	meet(s, leader, other)
 	for range int(s.w.CancelS/(500*time.Millisecond)) + 20 {
 		s.round()
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 	}
 	if n := s.running(off); n > 0 {
@@ -82,7 +82,7 @@
 			}
 		},
 		"the leader can't reach the others, its workers can": func(s *sim, leader, _ int) {
-			s.w.Store.Cut[s.nodes[leader].name], s.refuse = true, true
+			s.w.Store.Unreachable[s.nodes[leader].name], s.refuse = true, true
 		},
 	} {
 		t.Run(what, func(t *testing.T) { gapDay(t, meet) })
@@ -161,10 +161,10 @@
 		slices.SortStableFunc(events, func(a, b event) int { return a.at.Compare(b.at) })
 		step := rapid.SampledFrom([]time.Duration{200, 300, 500}).Draw(t, "step") * time.Millisecond
 		check := func() {
-			if len(s.w.Broken) > 0 {
+			if len(s.w.Violations) > 0 {
 				t.Fatalf(
-					"lease %v, cancel_s %v, grace %v, unseen %v: %v", s.w.Lease, s.w.CancelS, s.nodes[0].c.cfg.Grace(),
-					s.nodes[0].c.cfg.Unseen(), s.w.Broken,
+					"lease %v, cancel_s %v, grace %v, unseen %v: %v", s.w.Lease, s.w.CancelS, s.nodes[0].c.cfg.LeadershipGrace(),
+					s.nodes[0].c.cfg.MaxStaleness(), s.w.Violations,
 				)
 			}
 		}
@@ -184,19 +184,19 @@
 				}
 				s.report(s.w.Cloud.Hosts[h], f)
 			}
-			if s.w.Jobs[off].AskedStop { // any node may be the one that tells
+			if s.w.Jobs[off].CancelRequested { // any node may be the one that tells
 				s.poll(k%len(s.nodes), off)
 			}
 			s.w.Advance(step)
 			check()
 		}
 		s.heal()
-		for k := 0; k < 300 && s.w.Jobs[off].Phase == ""; k++ {
+		for k := 0; k < 300 && s.w.Jobs[off].FinalPhase == ""; k++ {
 			s.round()
 			s.cancel(other, off)
 			check()
 		}
-		if s.w.Jobs[off].Phase != api.Cancelled {
+		if s.w.Jobs[off].FinalPhase != api.Cancelled {
 			t.Fatalf("lease %v, cancel_s %v: never confirmed", s.w.Lease, s.w.CancelS)
 		}
 		for range int(s.w.CancelS/(500*time.Millisecond)) + 2 {
@@ -215,34 +215,34 @@
 		s.round()
 	}
 	c := s.nodes[1].c
-	before := c.replica.epoch
+	before := c.replica.revision
 	s.cancel(1, id)
-	if v := c.vouch(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), id) {
+	if v := c.acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), id) {
 		t.Errorf("what it confirmed is not told: %v", v)
 	}
-	if err := c.newest(context.Background()); err != nil {
+	if err := c.readNewest(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if v := c.vouch(c.replica.epoch); !v.GetComplete() || len(v.GetCancelled()) > 0 {
+	if v := c.acknowledgement(c.replica.revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
 		t.Errorf("told what the asker has read: %v", v)
 	}
-	for i := range mostCancelled {
-		c.replica.cancelled("run-9", c.replica.epoch+uint64(i)+1)
+	for i := range maxCancellations {
+		c.replica.noteCancellation("run-9", c.replica.revision+uint64(i)+1)
 	}
-	if c.vouch(before).GetComplete() {
+	if c.acknowledgement(before).GetComplete() {
 		t.Error("it says that it told all, and has forgotten some")
 	}
 	s.start(1)
-	if s.nodes[1].c.vouch(before).GetComplete() {
+	if s.nodes[1].c.acknowledgement(before).GetComplete() {
 		t.Error("it vouches before it has read what there is")
 	}
 	for range 4 {
 		s.round()
 	}
-	if s.nodes[1].c.vouch(before).GetComplete() {
+	if s.nodes[1].c.acknowledgement(before).GetComplete() {
 		t.Error("it vouches for its earlier life")
 	}
-	if !s.nodes[1].c.vouch(s.nodes[1].c.replica.epoch).GetComplete() {
+	if !s.nodes[1].c.acknowledgement(s.nodes[1].c.replica.revision).GetComplete() {
 		t.Error("it never vouches again")
 	}
 
@@ -250,18 +250,18 @@
 	// does not know the question, or can't say, is as good as silent.
 	o := s.nodes[0].c
 	now := o.now()
-	o.vouchedBy("n1", &peer.Vouch{Complete: true}, now)
-	if !o.vouchedUntil().IsZero() {
+	o.noteAcknowledgement("n1", &peer.Vouch{Complete: true}, now)
+	if !o.acknowledgedByAllUntil().IsZero() {
 		t.Error("one peer of two vouches for both")
 	}
-	o.vouchedBy("n2", &peer.Vouch{Complete: true}, now.Add(-time.Second))
-	o.vouchedBy("n2", nil, now)
-	o.vouchedBy("n2", &peer.Vouch{}, now)
-	if got := o.vouchedUntil(); !got.Equal(now.Add(-time.Second)) {
+	o.noteAcknowledgement("n2", &peer.Vouch{Complete: true}, now.Add(-time.Second))
+	o.noteAcknowledgement("n2", nil, now)
+	o.noteAcknowledgement("n2", &peer.Vouch{}, now)
+	if got := o.acknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("vouched until %v, not the oldest answer's %v", got, now.Add(-time.Second))
 	}
 	o.cfg.Facts.Size = 4
-	if !o.vouchedUntil().IsZero() {
+	if !o.acknowledgedByAllUntil().IsZero() {
 		t.Error("a controller that can't be asked is vouched for")
 	}
 	old := &peer.Reply{StoreReached: true, Status: 404}
@@ -282,12 +282,12 @@
 	s.rounds(t, 40, "taken", func() bool { o := s.owner(home); return o != "" && o != home })
 	c := s.nodes[leader].c
 	c.askPeers(context.Background())
-	if o := c.mine[home]; o == nil || o.taker != s.owner(home) {
+	if o := c.leaderships[home]; o == nil || o.successor != s.owner(home) {
 		t.Fatalf("it does not know: %+v", o)
 	}
-	for h, m := range c.replica.hosts {
-		if x := s.w.Cloud.Hosts[h]; m.Part == home && x != nil && x.Up() {
-			r := x.Report()
+	for h, m := range c.replica.machines {
+		if x := s.w.Cloud.Hosts[h]; m.Shard == home && x != nil && x.Up() {
+			r := x.Heartbeat()
 			r.Token = 0
 			if status, _, steward := s.deliver(leader, api.JSON(r)); status != 421 || steward != s.owner(home) {
 				t.Errorf("%s is answered %d, steward %q", h, status, steward)
@@ -296,8 +296,8 @@
 	}
 	for range 60 {
 		s.round()
-		if len(s.w.Broken) > 0 || s.running(id) != 3 {
-			t.Fatalf("%d replicas, %v", s.running(id), s.w.Broken)
+		if len(s.w.Violations) > 0 || s.running(id) != 3 {
+			t.Fatalf("%d replicas, %v", s.running(id), s.w.Violations)
 		}
 	}
 }
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -13,7 +13,7 @@
 // the first minutes with too few machines.
 func TestHeadroomBeyondOneRental(t *testing.T) {
 	s := newSim()
-	s.w.Flavor.Boot = time.Minute
+	s.w.MachineType.Boot = time.Minute
 	for range 4 {
 		s.round()
 	}
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -33,7 +33,7 @@
 
 	l.nodes[2].up = false
 	l.play("takeover", 30*time.Second)
-	if own := l.nodes[0].c.replica.owns["n2"].v; own == nil || own.Node == "n2" {
+	if own := l.nodes[0].c.replica.leaders["n2"].record; own == nil || own.Node == "n2" {
 		t.Fatalf("the lost controller's part is owned by %v", own)
 	}
 	for i := range l.nodes {
@@ -45,7 +45,7 @@
 		t.Errorf("%d tasks run after the restart, %d before", after, before)
 	}
 	l.checkAccepted(t)
-	for _, broken := range l.w.Broken {
+	for _, broken := range l.w.Violations {
 		t.Error(broken)
 	}
 }
@@ -65,7 +65,7 @@
 func (l *loadSim) tasksRunning() int {
 	n := 0
 	for _, x := range l.w.Cloud.Workers() {
-		n += len(x.Present())
+		n += len(x.PresentJobs())
 	}
 	return n
 }
@@ -78,7 +78,7 @@
 		for _, uid := range l.uids {
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.told(uid, status, body, false)
-			if j := l.w.Jobs[uid]; j.Told && status != 200 && j.Phase != api.Cancelled {
+			if j := l.w.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.Cancelled {
 				t.Errorf("controller %d answers %d for %s", i, status, uid)
 			}
 		}
--- a/internal/controller/idle_test.go
+++ b/internal/controller/idle_test.go
@@ -12,11 +12,11 @@
 // taken back: the answer is that of a trial on copies, and nothing is left changed.
 func TestFitElsewhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sites := []string{"x", "y"}
+		zones := []string{"x", "y"}
 		var hosts []*sched.Host
 		for i := range rapid.IntRange(1, 8).Draw(t, "hosts") {
 			gpus := float64(rapid.IntRange(0, 4).Draw(t, "free"))
-			hosts = append(hosts, &sched.Host{Name: string(rune('a' + i)), MachineType: "m", Zone: rapid.SampledFrom(sites).Draw(t, "site"), Cap: sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
+			hosts = append(hosts, &sched.Host{Name: string(rune('a' + i)), MachineType: "m", Zone: rapid.SampledFrom(zones).Draw(t, "site"), Cap: sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
 				Free: sched.Resources{CPUs: 2 * gpus, GPUs: gpus, MemGB: 16 * gpus}, Services: rapid.IntRange(0, 1).Draw(t, "daemons"), Images: map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true}})
 		}
 		from := hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "from")]
@@ -54,7 +54,7 @@
 		for _, h := range hosts {
 			before = append(before, h.Free)
 		}
-		v := &idleView{hosts: hosts}
+		v := &scaleInView{hosts: hosts}
 		if got := v.fitElsewhere(from.Name, from.Zone, asks); got != want {
 			t.Fatalf("fits %t, on copies %t", got, want)
 		}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -49,7 +49,7 @@
 
 // fall brings the limits of the state service down.
 func (s *sim) fall() {
-	s.w.Store.Ops, s.w.Store.ValueB = s.next.TxnOps, int(s.next.ValueKB*1024)
+	s.w.Store.MaxOps, s.w.Store.MaxValueBytes = s.next.TxnOps, int(s.next.ValueKB*1024)
 }
 
 // Jobs that the version in production recorded for large values run on, are cancelled
@@ -65,7 +65,7 @@
 		return s.running(inside) == 120 && s.running(withdrawn) == 110 && s.running(chunked) == 450
 	})
 	large := 0
-	for _, it := range s.w.Store.Items(live) {
+	for _, it := range s.w.Store.Items(livePrefix) {
 		if len(it.Value) > int(s.next.ValueKB*1024) {
 			large++
 		}
@@ -77,17 +77,17 @@
 	s.fall()
 	s.rounds(t, 60, "cancelled", func() bool {
 		s.cancel(1, withdrawn)
-		return s.w.Jobs[withdrawn].Phase == api.Cancelled
+		return s.w.Jobs[withdrawn].FinalPhase == api.Cancelled
 	})
 	s.rounds(t, 900, "done", s.done(inside))
 	s.rounds(t, 900, "done", s.done(chunked))
 	s.rounds(t, 400, "no large record of a job is left", func() bool {
-		return !slices.ContainsFunc(s.w.Store.Items(live), func(it simulator.Item) bool {
-			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(jobKey)] != pageKey
+		return !slices.ContainsFunc(s.w.Store.Items(livePrefix), func(it simulator.Item) bool {
+			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(jobPrefix)] != machinePagePrefix
 		})
 	})
-	if s.w.Store.Large > 20 {
-		t.Fatalf("%d transactions were refused for their size", s.w.Store.Large)
+	if s.w.Store.TooLarge > 20 {
+		t.Fatalf("%d transactions were refused for their size", s.w.Store.TooLarge)
 	}
 }
 
@@ -99,14 +99,14 @@
 	})
 	s.rounds(t, 100, "all run", func() bool { return s.running(id) == 120 })
 	s.upgrade()
-	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.replica.jobs[id].main.Gen == 1 })
+	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.replica.jobs[id].record.Generation == 1 })
 	for range 60 {
 		s.round()
 		if n := s.running(id); n != 120 {
 			t.Fatalf("%d of its tasks run", n)
 		}
 	}
-	if s.fall(); s.w.Store.Large > 0 {
+	if s.fall(); s.w.Store.TooLarge > 0 {
 		t.Fatal("something was refused for its size")
 	}
 }
@@ -121,13 +121,13 @@
 	s.fall()
 	s.cancel(0, id)
 	s.rounds(t, 400, "all machines have gone and are forgotten", func() bool {
-		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.replica.hosts) == 0
+		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.replica.machines) == 0
 	})
 	s.rounds(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].c.replica.pages) == 0 })
 	again := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.rounds(t, 400, "done", s.done(again))
-	if s.w.Store.Large > 3 {
-		t.Fatalf("%d transactions were refused for their size", s.w.Store.Large)
+	if s.w.Store.TooLarge > 3 {
+		t.Fatalf("%d transactions were refused for their size", s.w.Store.TooLarge)
 	}
 }
 
@@ -136,25 +136,25 @@
 func TestFinePageHidesCoarse(t *testing.T) {
 	s := newSim()
 	m := s.nodes[0].c.replica
-	page := func(id string, stamp uint64, hosts ...string) {
+	page := func(id string, version uint64, hosts ...string) {
 		p := shard.Page{}
 		for _, h := range hosts {
-			p[h] = &shard.Machine{Part: id, MachineType: "m"}
+			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.apply(pageKey+id, api.JSON(p), stamp)
+		m.apply(machinePagePrefix+id, api.JSON(p), version)
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
-	if m.hosts["i-000231"].Part != "i-00023-" || m.hosts["i-000232"] != nil || m.hosts["i-000247"] == nil || !m.gone["i-000232"] {
-		t.Fatal(m.hosts)
+	if m.machines["i-000231"].Shard != "i-00023-" || m.machines["i-000232"] != nil || m.machines["i-000247"] == nil || !m.terminated["i-000232"] {
+		t.Fatal(m.machines)
 	}
 	page("i-0002-", 3, "i-000232", "i-000239", "i-000247")
-	if m.hosts["i-000232"] != nil || m.hosts["i-000239"] != nil || len(m.hosts) != 2 {
-		t.Fatal("a late write brings machines back", m.hosts)
+	if m.machines["i-000232"] != nil || m.machines["i-000239"] != nil || len(m.machines) != 2 {
+		t.Fatal("a late write brings machines back", m.machines)
 	}
-	m.apply(pageKey+"i-0002-", nil, 4)
-	if len(m.hosts) != 1 || m.hosts["i-000231"] == nil {
-		t.Fatal(m.hosts)
+	m.apply(machinePagePrefix+"i-0002-", nil, 4)
+	if len(m.machines) != 1 || m.machines["i-000231"] == nil {
+		t.Fatal(m.machines)
 	}
 }
 
@@ -188,28 +188,28 @@
 // chunks may each have all of their tasks in one, so they are counted together. Counted
 // apart they once let too many into a zone.
 func TestDividedJobStaysScattered(t *testing.T) {
-	m := &job.Main{Chunk: 8}
+	m := &job.Record{RangeSize: 8}
 	m.Spec.Tasks, m.Spec.Spread = 8, true
-	c := (*job.Chunk)(nil).Copy()
-	j := &liveJob{main: m, chunks: map[int]value[job.Chunk]{0: {v: c}}}
-	z := &zones{j: j, count: map[int]map[string]int{}}
+	c := (*job.TaskRange)(nil).Copy()
+	j := &liveJob{record: m, ranges: map[int]cached[job.TaskRange]{0: {record: c}}}
+	z := &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
 	for range 4 {
 		z.add(0, "x")
 	}
-	if z.ok(0, "x") {
+	if z.allows(0, "x") {
 		t.Fatal("more than half in a zone")
 	}
-	m.Divide(2)
-	z = &zones{j: j, count: map[int]map[string]int{}}
+	m.Split(2)
+	z = &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
 	for _, chunk := range []int{0, 0, 1, 1} {
 		z.add(chunk, "x")
 	}
 	for chunk := range 4 {
-		if z.ok(chunk, "x") || !z.ok(chunk, "y") {
-			t.Fatalf("chunk %d of the divided job: x %t, y %t", chunk, z.ok(chunk, "x"), z.ok(chunk, "y"))
+		if z.allows(chunk, "x") || !z.allows(chunk, "y") {
+			t.Fatalf("chunk %d of the divided job: x %t, y %t", chunk, z.allows(chunk, "x"), z.allows(chunk, "y"))
 		}
 	}
-	if !oneVersion(j) {
+	if !recordCoversTasks(j) {
 		t.Fatal("a late transaction could place by an old count")
 	}
 }
--- a/internal/controller/livejob.go
+++ b/internal/controller/livejob.go
@@ -11,137 +11,137 @@
 
 // liveJob is a job with its chunks.
 type liveJob struct {
-	main   *job.Main
-	stamp  uint64
-	size   int                      // bytes of its main record
-	chunks map[int]value[job.Chunk] // those of its present division
-	open   []task                   // what is neither done nor placed; nil: to be worked out
-	off    bool                     // a peer says that it was called off, though its record doesn't show it yet
+	record          *job.Record
+	version         uint64
+	size            int                           // bytes of its main record
+	ranges          map[int]cached[job.TaskRange] // those of its present division
+	pending         []taskIndex                   // what is neither done nor placed; nil: to be worked out
+	cancelledByPeer bool                          // a peer says that it was called off, though its record doesn't show it yet
 }
 
-func (m *replica) applyJob(uid string, raw json.RawMessage, stamp uint64) error {
+func (m *replica) applyJob(uid string, raw json.RawMessage, version uint64) error {
 	j := m.jobs[uid]
 	if raw == nil {
 		if j != nil {
-			if !m.loading && m.onEnd != nil {
-				m.onEnd(uid, j.pastOf())
+			if !m.loading && m.onJobEnded != nil {
+				m.onJobEnded(uid, j.finalState())
 			}
-			for n := range j.chunks {
-				m.setChunk(uid, j.chunks, n, value[job.Chunk]{stamp: stamp})
+			for n := range j.ranges {
+				m.setTaskRange(uid, j.ranges, n, cached[job.TaskRange]{version: version})
 			}
 			delete(m.jobs, uid)
 			delete(m.gangs, uid)
 		}
 		return nil
 	}
-	v, err := job.ParseMain(raw)
+	v, err := job.ParseRecord(raw)
 	if err != nil {
 		return err
 	}
-	var was *job.Main
+	var was *job.Record
 	if j == nil {
-		j = &liveJob{chunks: map[int]value[job.Chunk]{}}
+		j = &liveJob{ranges: map[int]cached[job.TaskRange]{}}
 		m.jobs[uid] = j
 		if v.Spec.Kind == api.Gang {
 			m.gangs[uid] = true
 		}
-		m.onJob(v)
+		m.onJobAdded(v)
 	} else {
-		was = j.main
+		was = j.record
 	}
-	if was != nil && (v.Cancelled && !was.Cancelled || turned(was.Gang, v.Gang)) { // its tasks are useless from now on, or may start
-		m.unload(j.chunks)
-		for _, ch := range j.chunks {
-			for _, p := range ch.v.Places {
-				m.onTask(p.Host)
+	if was != nil && (v.Cancelled && !was.Cancelled || gangStateChanged(was.Gang, v.Gang)) { // its tasks are useless from now on, or may start
+		m.invalidateLoads(j.ranges)
+		for _, ch := range j.ranges {
+			for _, p := range ch.record.Placements {
+				m.onTasksChanged(p.Host)
 			}
 		}
 	}
 	if v.Cancelled && (was == nil || !was.Cancelled) {
-		m.cancelled(uid, stamp)
+		m.noteCancellation(uid, version)
 	}
-	j.main, j.stamp, j.size, j.open = v, stamp, len(raw), nil
-	if v.Inner {
-		m.setChunk(uid, j.chunks, 0, value[job.Chunk]{v.Only, stamp, len(raw)})
+	j.record, j.version, j.size, j.pending = v, version, len(raw), nil
+	if v.Inline {
+		m.setTaskRange(uid, j.ranges, 0, cached[job.TaskRange]{v.InlineRange, version, len(raw)})
 	}
-	if !v.Inner && (was == nil || was.Inner || was.Gen != v.Gen) {
-		for n := range j.chunks {
-			m.setChunk(uid, j.chunks, n, value[job.Chunk]{stamp: stamp})
+	if !v.Inline && (was == nil || was.Inline || was.Generation != v.Generation) {
+		for n := range j.ranges {
+			m.setTaskRange(uid, j.ranges, n, cached[job.TaskRange]{version: version})
 		}
-		for k, c := range m.recs[uid] {
-			if k.gen == v.Gen {
-				m.setChunk(uid, j.chunks, k.n, c)
+		for k, c := range m.taskRanges[uid] {
+			if k.generation == v.Generation {
+				m.setTaskRange(uid, j.ranges, k.index, c)
 			}
 		}
 	}
 	return nil
 }
 
-// turned tells whether what a gang's tasks are to do has changed.
-func turned(a, b *job.Gang) bool {
+// gangStateChanged tells whether what a gang's tasks are to do has changed.
+func gangStateChanged(a, b *job.Gang) bool {
 	if a == nil || b == nil {
 		return a != b
 	}
-	return a.Try != b.Try || a.Go != b.Go || a.Halt != b.Halt || a.Over != b.Over || a.Done != b.Done
+	return a.Attempt != b.Attempt || a.Launched != b.Launched || a.Stopping != b.Stopping || a.Ended != b.Ended || a.Done != b.Done
 }
 
-// chunkKey names the record of chunk n of a job that was divided gen times.
-func chunkKey(uid string, gen, n int) string {
+// taskRangeKey names the record of chunk n of a job that was divided gen times.
+func taskRangeKey(uid string, gen, n int) string {
 	if gen == 0 {
-		return taskKey + uid + "/" + strconv.Itoa(n)
+		return taskRangePrefix + uid + "/" + strconv.Itoa(n)
 	}
-	return taskKey + uid + "/g" + strconv.Itoa(gen) + "." + strconv.Itoa(n)
+	return taskRangePrefix + uid + "/g" + strconv.Itoa(gen) + "." + strconv.Itoa(n)
 }
 
-func parseChunkKey(id string) (uid string, rec chunkRec, err error) {
+func parseTaskRangeKey(id string) (uid string, rec rangeGeneration, err error) {
 	uid, ns, _ := strings.Cut(id, "/")
 	if g, n, ok := strings.Cut(ns, "."); ok {
-		if rec.gen, err = strconv.Atoi(strings.TrimPrefix(g, "g")); err != nil {
+		if rec.generation, err = strconv.Atoi(strings.TrimPrefix(g, "g")); err != nil {
 			return uid, rec, err
 		}
 		ns = n
 	}
-	rec.n, err = strconv.Atoi(ns)
+	rec.index, err = strconv.Atoi(ns)
 	return uid, rec, err
 }
 
-func (m *replica) applyChunk(id string, raw json.RawMessage, stamp uint64) error {
-	uid, rec, err := parseChunkKey(id)
+func (m *replica) applyTaskRange(id string, raw json.RawMessage, version uint64) error {
+	uid, rec, err := parseTaskRangeKey(id)
 	if err != nil {
 		return err
 	}
-	c := value[job.Chunk]{stamp: stamp, size: len(raw)}
+	c := cached[job.TaskRange]{version: version, size: len(raw)}
 	if raw != nil {
-		if c.v, err = job.ParseChunk(raw); err != nil {
+		if c.record, err = job.ParseTaskRange(raw); err != nil {
 			return err
 		}
 	}
-	recs := m.recs[uid]
+	recs := m.taskRanges[uid]
 	if recs == nil {
-		recs = map[chunkRec]value[job.Chunk]{}
-		m.recs[uid] = recs
+		recs = map[rangeGeneration]cached[job.TaskRange]{}
+		m.taskRanges[uid] = recs
 	}
-	if recs[rec] = c; c.v == nil {
+	if recs[rec] = c; c.record == nil {
 		if delete(recs, rec); len(recs) == 0 {
-			delete(m.recs, uid)
+			delete(m.taskRanges, uid)
 		}
 	}
-	if j := m.jobs[uid]; j != nil && !j.main.Inner && j.main.Gen == rec.gen {
-		m.setChunk(uid, j.chunks, rec.n, c)
+	if j := m.jobs[uid]; j != nil && !j.record.Inline && j.record.Generation == rec.generation {
+		m.setTaskRange(uid, j.ranges, rec.index, c)
 	}
 	return nil
 }
 
-// setChunk replaces a chunk and with it what is placed on machines.
-func (m *replica) setChunk(uid string, chunks map[int]value[job.Chunk], n int, to value[job.Chunk]) {
-	c := to.v
+// setTaskRange replaces a chunk and with it what is placed on machines.
+func (m *replica) setTaskRange(uid string, chunks map[int]cached[job.TaskRange], n int, to cached[job.TaskRange]) {
+	c := to.record
 	if j := m.jobs[uid]; j != nil {
-		j.open = nil
+		j.pending = nil
 	}
-	old := chunks[n].v
+	old := chunks[n].record
 	if old != nil {
-		for i, p := range old.Places {
-			m.unplace(uid, n, i, p)
+		for i, p := range old.Placements {
+			m.removePlacement(uid, n, i, p)
 		}
 	}
 	if c == nil {
@@ -149,63 +149,63 @@
 		return
 	}
 	chunks[n] = to
-	for i, p := range c.Places {
-		on := m.onHost[p.Host]
+	for i, p := range c.Placements {
+		on := m.placements[p.Host]
 		if on == nil {
 			on = map[string]*placedTask{}
-			m.onHost[p.Host] = on
+			m.placements[p.Host] = on
 		}
 		delete(m.loads, p.Host)
-		on[taskID(uid, n, i)] = &placedTask{uid, n, i, p}
+		on[placementKey(uid, n, i)] = &placedTask{uid, n, i, p}
 		if j := m.jobs[uid]; j != nil {
 			if m.images[p.Host] == nil {
 				m.images[p.Host] = map[string]bool{}
 			}
-			m.images[p.Host][j.main.Spec.Image] = true
+			m.images[p.Host][j.record.Spec.Image] = true
 		}
-		if was := old.PlaceOf(i); was == nil || *was != *p {
-			m.onTask(p.Host)
+		if was := old.PlacementOf(i); was == nil || *was != *p {
+			m.onTasksChanged(p.Host)
 		}
 	}
 }
 
-// pastOf tells how a job ended whose record was just dropped, from the version
+// finalState tells how a job ended whose record was just dropped, from the version
 // before, which is the last there was: each change of a record was seen, in
 // order. A job is dropped when it is withdrawn and empty, or else done. So users
 // who ask how it ended need no further read.
-func (j *liveJob) pastOf() job.Past {
-	if !j.main.Cancelled || j.main.Gang != nil && j.main.Gang.Done {
-		return job.Past{Phase: api.Done, Done: j.main.Spec.Tasks}
+func (j *liveJob) finalState() job.FinalState {
+	if !j.record.Cancelled || j.record.Gang != nil && j.record.Gang.Done {
+		return job.FinalState{Phase: api.Done, Done: j.record.Spec.Tasks}
 	}
-	return job.Past{Phase: api.Cancelled, Done: j.stateOf(false).Done}
+	return job.FinalState{Phase: api.Cancelled, Done: j.userState(false).Done}
 }
 
-// chunkAt gives the key and version of the record that holds chunk n.
-func (j *liveJob) chunkAt(n int) (string, uint64) {
-	if j.main.Inner {
-		return jobKey + j.main.Spec.UID, j.stamp
+// rangeRecord gives the key and version of the record that holds chunk n.
+func (j *liveJob) rangeRecord(n int) (string, uint64) {
+	if j.record.Inline {
+		return jobPrefix + j.record.Spec.UID, j.version
 	}
-	return chunkKey(j.main.Spec.UID, j.main.Gen, n), j.chunks[n].stamp
+	return taskRangeKey(j.record.Spec.UID, j.record.Generation, n), j.ranges[n].version
 }
 
-// stateOf tells users of a living job. One that was called off is told so at once, or
+// userState tells users of a living job. One that was called off is told so at once, or
 // else (config.ConfirmsEmpty) when it has no task left.
-func (j *liveJob) stateOf(confirmsEmpty bool) api.State {
-	s := api.State{UID: j.main.Spec.UID, Phase: api.Pending, Done: j.main.FinishedTasks()}
-	g := j.main.Gang
+func (j *liveJob) userState(confirmsEmpty bool) api.State {
+	s := api.State{UID: j.record.Spec.UID, Phase: api.Pending, Done: j.record.FinishedTasks()}
+	g := j.record.Gang
 	if g != nil && g.Done { // committed, though not all of its records are gone yet
-		return api.State{UID: s.UID, Phase: api.Done, Done: j.main.Spec.Tasks}
+		return api.State{UID: s.UID, Phase: api.Done, Done: j.record.Spec.Tasks}
 	}
-	for n, c := range j.chunks {
-		if !j.main.Finished(n) {
-			s.Done += c.v.DoneCount()
+	for n, c := range j.ranges {
+		if !j.record.RangeFinished(n) {
+			s.Done += c.record.DoneCount()
 		}
-		s.Running += len(c.v.Places)
+		s.Running += len(c.record.Placements)
 	}
 	switch {
-	case j.main.Cancelled && (s.Running == 0 || !confirmsEmpty):
+	case j.record.Cancelled && (s.Running == 0 || !confirmsEmpty):
 		s.Phase = api.Cancelled
-	case j.main.Spec.Kind == api.Gang && (g == nil || !g.Go):
+	case j.record.Spec.Kind == api.Gang && (g == nil || !g.Launched):
 		s.Running = 0 // places that are held run nothing yet
 	case s.Running > 0:
 		s.Phase = api.Running
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -32,12 +32,12 @@
 // budgetedStore keeps to a share of the changes of a second, as the real client does.
 type budgetedStore struct {
 	*simulator.Client
-	budget *transport.Budget
+	budget *transport.TokenBucket
 	now    func() time.Time
 }
 
-func (b *budgetedStore) Ready(_ context.Context, n int, _ store.Priority) int {
-	return min(n, int(b.budget.Has(b.now(), 0)))
+func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
+	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
 func (b *budgetedStore) Multi(ctx context.Context, t *store.Txn, r store.Priority) (uint64, bool, []string, error) {
@@ -84,7 +84,7 @@
 		log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 	l.sim.adjust = func(_ *simNode, cfg *config.Settings) {
-		cfg.Facts.Workers.ReportS = d.ReportS
+		cfg.Facts.Workers.ReportS = d.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
 			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPUs/2, d.TeamGPUs
@@ -94,7 +94,7 @@
 		perNode := d.State.WriteRPS / float64(len(l.nodes))
 		n.c.store = &budgetedStore{
 			n.c.store.(*simulator.Client),
-			transport.NewBudget(perNode, 0.6*d.State.WriteRPS),
+			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
 		n.c.mu.meter = newLockMeter()
@@ -139,16 +139,16 @@
 	ctx := context.Background()
 	l.measure("watch", func() {
 		if n.c.loaded {
-			_ = n.c.catchUp(ctx, n.c.replica.epoch, 0) // refused in an outage
-			n.c.nudgeRound(ctx)
+			_ = n.c.applyChanges(ctx, n.c.replica.revision, 0) // refused in an outage
+			n.c.requestHeartbeats(ctx)
 		} else {
-			_ = n.c.load(ctx)
+			_ = n.c.loadReplica(ctx)
 		}
 	})
-	l.measure("lease", func() { n.c.holdStep(ctx) })
+	l.measure("lease", func() { n.c.maintainLease(ctx) })
 	l.measure("decide", func() { n.c.decide(ctx) })
 	if l.w.Now.UnixMilli()%1000 == 0 {
-		l.measure("cloud", func() { n.c.cloudStep(ctx) })
+		l.measure("cloud", func() { n.c.autoscale(ctx) })
 	}
 	aside := n.aside
 	n.aside = nil
@@ -193,20 +193,20 @@
 			continue
 		}
 		l.seen[host] = state
-		l.nextTime[host] = l.w.Now.Add(time.Duration(l.d.ReportS * (0.75 + 0.5*l.rnd.Float64()) * float64(time.Second)))
+		l.nextTime[host] = l.w.Now.Add(time.Duration(l.d.HeartbeatS * (0.75 + 0.5*l.rnd.Float64()) * float64(time.Second)))
 		to := x.Node
 		if !l.nodes[to].works() {
 			x.Node = (to + 1) % len(l.nodes)
 			l.nextTime[host] = l.w.Now.Add(time.Second)
 			continue
 		}
-		sent, session := l.w.Now, x.Session
-		status, body := l.request("report", to, "POST", "/checkin", api.JSON(x.Report()))
-		orders, steward, err := simulator.ParseAnswer(body)
+		sent, session := l.w.Now, x.AgentEpoch
+		status, body := l.request("report", to, "POST", "/checkin", api.JSON(x.Heartbeat()))
+		orders, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
 			panic(err)
 		}
-		l.answered(x, to, status, orders, steward, sent, session)
+		l.answered(x, to, status, orders, leader, sent, session)
 		if status != 200 {
 			l.nextTime[host] = l.w.Now.Add(time.Second)
 		}
@@ -234,14 +234,14 @@
 		l.pollAt[uid] = l.w.Now.Add(pollEvery)
 		to := l.anyNode()
 		if end, service := l.endAt[uid]; service && l.w.Now.After(end) {
-			l.w.Jobs[uid].AskedStop = true
+			l.w.Jobs[uid].CancelRequested = true
 			status, body := l.request("user", to, "POST", "/v2/runs/"+uid+"/cancel", nil)
 			l.told(uid, status, body, false)
 		} else {
 			status, body := l.request("user", to, "GET", "/v2/runs/"+uid, nil)
 			l.told(uid, status, body, false)
 		}
-		if l.w.Jobs[uid].Phase != "" {
+		if l.w.Jobs[uid].FinalPhase != "" {
 			delete(l.pollAt, uid)
 		}
 	}
@@ -260,13 +260,13 @@
 	if class.Service {
 		l.endAt[run.UID] = l.w.Now.Add(runTime)
 	}
-	l.w.Jobs[run.UID] = &simulator.Job{Run: run, RunTime: runTime, Done: map[int]bool{}}
+	l.w.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
 	l.uids = append(l.uids, run.UID)
 	l.send(run.UID)
 }
 
 func (l *loadSim) send(uid string) {
-	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.w.Jobs[uid].Run))
+	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.w.Jobs[uid].Spec))
 	l.told(uid, status, body, true)
 	if status == 200 || status == 201 {
 		l.pollAt[uid] = l.w.Now.Add(pollEvery)
@@ -351,9 +351,9 @@
 	}
 	jobs := map[string]int{}
 	for _, j := range l.w.Jobs {
-		jobs[j.Phase]++
+		jobs[j.FinalPhase]++
 	}
-	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.w.Cloud.Hosts), jobs, len(l.w.Broken))
+	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.w.Cloud.Hosts), jobs, len(l.w.Violations))
 }
 
 // mostHeld gives the functions that held a lock longest in all.
@@ -372,8 +372,8 @@
 				l := newLoadSim(d)
 				l.day()
 				l.print()
-				if len(l.w.Broken) > 0 {
-					b.Fatal(l.w.Broken[0])
+				if len(l.w.Violations) > 0 {
+					b.Fatal(l.w.Violations[0])
 				}
 				runtime.GC()
 				runtime.KeepAlive(l)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -40,10 +40,10 @@
 	id := s.job(nil)
 	s.rounds(t, 60, "array done", s.done(id))
 	host := s.w.Cloud.Names()[0]
-	late := api.JSON(s.w.Cloud.Hosts[host].Report())
+	late := api.JSON(s.w.Cloud.Hosts[host].Heartbeat())
 	s.rounds(
 		t, 60, "machine returned and forgotten",
-		func() bool { return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.replica.hosts[host] == nil },
+		func() bool { return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.replica.machines[host] == nil },
 	)
 	for range 20 {
 		for i := range s.nodes {
@@ -51,7 +51,7 @@
 		}
 		s.round()
 		for _, n := range s.nodes {
-			if n.c.replica.hosts[host] != nil {
+			if n.c.replica.machines[host] != nil {
 				t.Fatal("recorded again")
 			}
 		}
@@ -63,10 +63,10 @@
 func TestMachineOutlivesChangesOfOwner(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.replica.hosts) > 0 })
+	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.replica.machines) > 0 })
 	home := 0
-	for _, m := range s.nodes[0].c.replica.hosts {
-		home = int(m.Part[1] - '0')
+	for _, m := range s.nodes[0].c.replica.machines {
+		home = int(m.Shard[1] - '0')
 	}
 	s.w.Store.Refuse[s.nodes[home].name] = true // before the machine is up
 	s.rounds(t, 60, "replica runs", func() bool { return s.running(id) == 1 })
@@ -92,11 +92,11 @@
 	for range 90 { // long enough for any boot
 		s.round()
 	}
-	home := int(s.nodes[0].c.replica.hosts[host].Part[1] - '0')
-	s.w.Cloud.Hosts[host].Cut = true
+	home := int(s.nodes[0].c.replica.machines[host].Shard[1] - '0')
+	s.w.Cloud.Hosts[host].Partitioned = true
 	s.w.Store.Refuse[s.nodes[home].name] = true
 	cfg := s.nodes[0].c.cfg
-	bound := cfg.Grace() + cfg.LeaseBound() + 2*cfg.HoldTTL() + 2*time.Second // its task is surely dead then
+	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
 	s.rounds(t, int(bound/(500*time.Millisecond)), "machine returned", func() bool { return s.w.Cloud.Hosts[host] == nil })
 }
 
@@ -106,14 +106,14 @@
 	s := warmSim()
 	c := s.nodes[0].c
 	for i := range 60 {
-		c.adopt[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
+		c.unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
 	}
 	before := s.w.Store.Writes
-	for len(c.adopt) > 0 && s.w.Store.Writes < before+60 {
-		c.recordStrangers(context.Background())
+	for len(c.unregistered) > 0 && s.w.Store.Writes < before+60 {
+		c.registerMachines(context.Background())
 	}
-	if n := s.w.Store.Writes - before; n > 6 || len(c.replica.hosts) < 60 {
-		t.Fatalf("%d changes for %d machines", n, len(c.replica.hosts))
+	if n := s.w.Store.Writes - before; n > 6 || len(c.replica.machines) < 60 {
+		t.Fatalf("%d changes for %d machines", n, len(c.replica.machines))
 	}
 }
 
@@ -131,9 +131,9 @@
 		for h := range s.hostsOf(id) {
 			deaf = s.w.Cloud.Hosts[h]
 		}
-		deaf.Deaf = true
+		deaf.InboundLost = true
 		if handover {
-			s.start(int(s.nodes[0].c.replica.hosts[deaf.Host].Part[1] - '0'))
+			s.start(int(s.nodes[0].c.replica.machines[deaf.Host].Shard[1] - '0'))
 		}
 		elsewhere := func() bool {
 			on := s.hostsOf(id)
@@ -165,8 +165,8 @@
 	}
 	var copies [][]byte
 	for range 8 {
-		copies = append(copies, api.JSON(s.w.Cloud.Hosts[host].Report()))
-		s.deliver(int(s.nodes[0].c.replica.hosts[host].Part[1]-'0'), copies[len(copies)-1])
+		copies = append(copies, api.JSON(s.w.Cloud.Hosts[host].Heartbeat()))
+		s.deliver(int(s.nodes[0].c.replica.machines[host].Shard[1]-'0'), copies[len(copies)-1])
 	}
 	s.w.Cloud.Kill(host)
 	again := func() {
@@ -184,20 +184,20 @@
 	if s.running(id) < 2 {
 		t.Fatalf("%d of 2 replicas run while copies of the lost machine's reports come in", s.running(id))
 	}
-	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.replica.hosts[host] == nil })
+	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.replica.machines[host] == nil })
 	for i := range s.nodes {
 		s.start(i)
 	}
 	for range 40 {
 		again()
 		for _, n := range s.nodes {
-			if n.c.replica.hosts[host] != nil {
+			if n.c.replica.machines[host] != nil {
 				t.Fatal("a machine that is long gone is recorded again")
 			}
 		}
 	}
-	if len(s.w.Broken) > 0 {
-		t.Fatal(s.w.Broken)
+	if len(s.w.Violations) > 0 {
+		t.Fatal(s.w.Violations)
 	}
 }
 
@@ -206,14 +206,14 @@
 func TestOtherNodesSendWorkersOn(t *testing.T) {
 	s := warmSim()
 	s.job(nil)
-	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.replica.hosts) > 0 && len(s.w.Cloud.Hosts) > 0 })
-	for h, m := range s.nodes[0].c.replica.hosts {
+	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.replica.machines) > 0 && len(s.w.Cloud.Hosts) > 0 })
+	for h, m := range s.nodes[0].c.replica.machines {
 		x := s.w.Cloud.Hosts[h]
 		for i, n := range s.nodes {
-			status, _, steward := s.deliver(i, api.JSON(x.Report()))
-			switch own := n.name == m.Part; {
-			case own && status != 200, !own && (status != 421 || steward != m.Part):
-				t.Errorf("%s of part %s at %s: %d %q", h, m.Part, n.name, status, steward)
+			status, _, leader := s.deliver(i, api.JSON(x.Heartbeat()))
+			switch own := n.name == m.Shard; {
+			case own && status != 200, !own && (status != 421 || leader != m.Shard):
+				t.Errorf("%s of part %s at %s: %d %q", h, m.Shard, n.name, status, leader)
 			}
 		}
 	}
@@ -221,9 +221,9 @@
 		s.w.Store.Refuse["n0"] = true
 		s.round()
 	}
-	for h := range s.nodes[1].c.replica.hosts {
+	for h := range s.nodes[1].c.replica.machines {
 		if x := s.w.Cloud.Hosts[h]; x != nil {
-			if status, _, _ := s.deliver(0, api.JSON(x.Report())); status == 200 {
+			if status, _, _ := s.deliver(0, api.JSON(x.Heartbeat())); status == 200 {
 				t.Error("answers 200 long after its hold has ended")
 			}
 		}
@@ -241,24 +241,24 @@
 	for h := range s.hostsOf(id) {
 		host = h
 	}
-	home := int(s.nodes[0].c.replica.hosts[host].Part[1] - '0')
+	home := int(s.nodes[0].c.replica.machines[host].Shard[1] - '0')
 	c := s.nodes[home].c
 	for range 2 * int(s.w.Lease/time.Second) { // raises count again
 		s.round()
 	}
-	raises := c.sessions[host].Raises
+	raises := c.agents[host].TokenSequence
 	s.cancel(home, id)
 	s.step(home)
-	if s.running(id) != 0 || c.sessions[host].Raises != raises {
-		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.sessions[host].Raises-raises)
+	if s.running(id) != 0 || c.agents[host].TokenSequence != raises {
+		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.agents[host].TokenSequence-raises)
 	}
-	s.rounds(t, 6, "machine empty", func() bool { return len(c.replica.onHost[host]) == 0 && len(c.sessions[host].Report.Tasks) == 0 })
+	s.rounds(t, 6, "machine empty", func() bool { return len(c.replica.placements[host]) == 0 && len(c.agents[host].Heartbeat.Tasks) == 0 })
 	next := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	for range 2 {
 		s.step(0)
 		s.step(home)
 	}
-	if on := c.replica.onHost[host]; len(on) != 1 || c.sessions[host].Raises != raises+1 {
-		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.sessions[host].Raises-raises)
+	if on := c.replica.placements[host]; len(on) != 1 || c.agents[host].TokenSequence != raises+1 {
+		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.agents[host].TokenSequence-raises)
 	}
 }
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -12,27 +12,27 @@
 	"violetturn/internal/shard"
 )
 
-// capOf gives a machine type's size. Call with the lock held.
-func (c *Controller) capOf(build string) (sched.Resources, *cloud.MachineType) {
+// machineCapacity gives a machine type's size. Call with the lock held.
+func (c *Controller) machineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
-		if f.Name == build {
+		if f.Name == machineType {
 			return sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}, f
 		}
 	}
 	return sched.Resources{}, nil
 }
 
-// usable tells whether a machine of an own part can take tasks. Call with the
+// isSchedulable tells whether a machine of an own part can take tasks. Call with the
 // lock held.
-func (c *Controller) usable(host string, now time.Time) bool {
-	s := c.sessions[host]
-	return s != nil && s.Fenced && !s.Gone && !s.Dark && !s.Drain && !s.Deaf && s.Report.NoticeS == nil && !now.Before(s.Avoid) &&
-		now.Sub(s.Seen) < 3*c.cfg.Report()
+func (c *Controller) isSchedulable(host string, now time.Time) bool {
+	s := c.agents[host]
+	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil && !now.Before(s.AvoidUntil) &&
+		now.Sub(s.LastSeen) < 3*c.cfg.HeartbeatInterval()
 }
 
-// pull is how long fetching a job's image takes at least. Call with the lock held.
-func (c *Controller) pull(r *api.Job) float64 {
+// fetchSeconds is how long fetching a job's image takes at least. Call with the lock held.
+func (c *Controller) fetchSeconds(r *api.Job) float64 {
 	best := 0.0
 	for _, f := range c.machineTypes {
 		best = max(best, f.FetchGBPerS)
@@ -43,29 +43,29 @@
 	return r.ImageGB / best
 }
 
-// freeOf computes the free room of the usable machines of an own part from the
+// freeInShard computes the free room of the usable machines of an own part from the
 // committed placements, less those that are over. A machine without any is left
 // out. Call with the lock held.
-func (c *Controller) freeOf(p string, now time.Time) map[string]sched.Resources {
+func (c *Controller) freeInShard(p string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
-	for _, host := range c.replica.hostNames() {
-		if c.replica.hosts[host].Part != p {
+	for _, host := range c.replica.machineNames() {
+		if c.replica.machines[host].Shard != p {
 			continue
 		}
-		if r, _, ok := c.freeOn(host, now); ok {
+		if r, _, ok := c.freeOnMachine(host, now); ok {
 			free[host] = r
 		}
 	}
 	return free
 }
 
-// freeOn gives the free room of a machine of an own part, and the size of the machine;
+// freeOnMachine gives the free room of a machine of an own part, and the size of the machine;
 // false if it has none or can't take tasks. Call with the lock held.
-func (c *Controller) freeOn(host string, now time.Time) (free, size sched.Resources, ok bool) {
-	if !c.usable(host, now) {
+func (c *Controller) freeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+	if !c.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
-	size, f := c.capOf(c.replica.hosts[host].MachineType)
+	size, f := c.machineCapacity(c.replica.machines[host].MachineType)
 	if f == nil {
 		return sched.Resources{}, size, false
 	}
@@ -73,42 +73,42 @@
 	return free, size, free.CPUs > 1e-6 && free.MemGB > 1e-6
 }
 
-// hosts lists the machines with their free room: of own parts as computed, of
+// schedulableHosts lists the machines with their free room: of own parts as computed, of
 // peers' as their records say. Call with the lock held.
-func (c *Controller) hosts(now time.Time) []*sched.Host {
+func (c *Controller) schedulableHosts(now time.Time) []*sched.Host {
 	type view struct {
 		own  bool
-		free shard.Free // of a peer's part
+		free shard.FreeCapacity // of a peer's part
 	}
-	parts := map[string]view{}
-	for _, p := range c.parts {
-		own, rec := c.replica.owns[p].v, c.replica.parts[p].v
+	shards := map[string]view{}
+	for _, p := range c.shards {
+		own, rec := c.replica.leaders[p].record, c.replica.capacities[p].record
 		if own == nil || rec == nil {
 			continue
 		}
-		if c.owned(p) != nil {
-			parts[p] = view{own: true}
+		if c.leadershipOf(p) != nil {
+			shards[p] = view{own: true}
 		} else if own.Node != c.cfg.HostName {
-			parts[p] = view{free: rec.Free}
+			shards[p] = view{free: rec.Free}
 		}
 	}
-	names := c.replica.hostNames()
+	names := c.replica.machineNames()
 	room := make([]sched.Host, 0, len(names))
 	out := make([]*sched.Host, 0, len(names))
 	for _, h := range names {
-		m := c.replica.hosts[h]
-		v, ok := parts[m.Part]
+		m := c.replica.machines[h]
+		v, ok := shards[m.Shard]
 		if !ok {
 			continue
 		}
 		var free, size sched.Resources
 		if v.own {
-			free, size, ok = c.freeOn(h, now)
+			free, size, ok = c.freeOnMachine(h, now)
 		} else {
 			var vec [3]float64
 			vec, ok = v.free[h]
 			free = shard.Unvec(vec)
-			size, _ = c.capOf(m.MachineType)
+			size, _ = c.machineCapacity(m.MachineType)
 		}
 		if !ok {
 			continue
@@ -117,9 +117,9 @@
 		room = append(
 			room,
 			sched.Host{
-				WaitS: c.waitOn(h, l, now), Name: h, Part: m.Part, MachineType: m.MachineType, Zone: m.Zone,
-				Spot: m.Spot, Cap: size, Free: free, Leaving: l.leaving, Images: c.replica.images[h],
-				Services: l.daemons, Arrays: l.sweeps,
+				StartDelayS: c.startDelay(h, l, now), Name: h, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone,
+				Spot: m.Spot, Cap: size, Free: free, Stopping: l.stopping, Images: c.replica.images[h],
+				Services: l.services, Arrays: l.arrays,
 			},
 		)
 		out = append(out, &room[len(room)-1])
@@ -130,71 +130,71 @@
 // teamUse is what a team's tasks hold in all, by the parts' records.
 func (c *Controller) teamUse(name string) sched.Resources {
 	var r sched.Resources
-	for _, p := range c.replica.parts {
-		r = r.Add(shard.Unvec(p.v.Use[name]))
+	for _, p := range c.replica.capacities {
+		r = r.Add(shard.Unvec(p.record.QuotaUse[name]))
 	}
 	return r
 }
 
-func teamID(name string) string { return url.PathEscape(name) }
+func quotaID(name string) string { return url.PathEscape(name) }
 
-// least gives the smallest amounts that any waiting task asks for: a machine
+// smallestRequest gives the smallest amounts that any waiting task asks for: a machine
 // with less has no room for anybody. Call with the lock held.
-func least(queue []*queued) sched.Resources {
+func smallestRequest(queue []*queueEntry) sched.Resources {
 	inf := math.Inf(1)
 	m := sched.Resources{CPUs: inf, GPUs: inf, MemGB: inf}
 	for _, q := range queue {
-		if len(q.j.pending()) > 0 {
-			n := need(&q.j.main.Spec)
+		if len(q.job.pendingTasks()) > 0 {
+			n := resourcesOf(&q.job.record.Spec)
 			m = sched.Resources{CPUs: min(m.CPUs, n.CPUs), GPUs: min(m.GPUs, n.GPUs), MemGB: min(m.MemGB, n.MemGB)}
 		}
 	}
 	return m
 }
 
-// fitting gives the machines that have as much room, by part.
-func fitting(hosts []*sched.Host, n sched.Resources) map[string][]*sched.Host {
+// hostsWithRoom gives the machines that have as much room, by part.
+func hostsWithRoom(hosts []*sched.Host, n sched.Resources) map[string][]*sched.Host {
 	out := map[string][]*sched.Host{}
 	for _, h := range hosts {
 		if h.Free.Fits(n) {
-			out[h.Part] = append(out[h.Part], h)
+			out[h.Shard] = append(out[h.Shard], h)
 		}
 	}
 	return out
 }
 
-// without takes a machine from a list, which it changes.
-func without(l []*sched.Host, h *sched.Host) []*sched.Host {
+// removeHost takes a machine from a list, which it changes.
+func removeHost(l []*sched.Host, h *sched.Host) []*sched.Host {
 	if i := slices.Index(l, h); i >= 0 {
 		return slices.Delete(l, i, i+1)
 	}
 	return l
 }
 
-// vacate adds to what is free on machines the room that tasks on their way out
+// releaseStopping adds to what is free on machines the room that tasks on their way out
 // will leave.
-func vacate(hosts []*sched.Host) {
+func releaseStopping(hosts []*sched.Host) {
 	for _, h := range hosts {
-		if h.Leaving != (sched.Resources{}) {
-			h.Free = h.Free.Add(h.Leaving)
+		if h.Stopping != (sched.Resources{}) {
+			h.Free = h.Free.Add(h.Stopping)
 		}
 	}
 }
 
-// recentPlan is the newest plan that a decision made, and when.
-type recentPlan struct {
+// lastPlan is the newest plan that a decision made, and when.
+type lastPlan struct {
 	plan *plan
 	at   time.Time
 }
 
-// takePlan gives a plan that was made since the last round of rentals, or else makes
+// reusePlan gives a plan that was made since the last round of rentals, or else makes
 // one: a plan is the dearest thing that a controller works out, and what a decision
 // found to lack room lacks it for rentals too. Each plan is given once, for who rents
 // fills its machines. Call with the lock held.
-func (c *Controller) takePlan(now time.Time) *plan {
-	recent := c.recent
-	c.recent = recentPlan{}
-	if recent.plan != nil && now.Sub(recent.at) <= c.cloudPause() {
+func (c *Controller) reusePlan(now time.Time) *plan {
+	recent := c.lastPlan
+	c.lastPlan = lastPlan{}
+	if recent.plan != nil && now.Sub(recent.at) <= c.autoscaleInterval() {
 		return recent.plan
 	}
 	return c.plan(now)
--- a/internal/controller/meet_leaders_test.go
+++ b/internal/controller/meet_leaders_test.go
@@ -34,9 +34,9 @@
 	off, on := s.service(3, nil), s.service(2, nil)
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(off) == 3 && s.running(on) == 2 })
 	leader, other := s.served(t, off)
-	s.w.Store.Cut[s.nodes[leader].name], s.alone[leader] = true, true
+	s.w.Store.Unreachable[s.nodes[leader].name], s.alone[leader] = true, true
 	for i, n := range s.nodes { // nor do the others reach its workers, which stay with it
-		n.direct.Apart = func(*simulator.Worker) bool { return i != leader }
+		n.direct.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
 	s.w.Cloud.Down = true // or the machines, silent to the new leader, go back
 	s.cancel(other, off)
@@ -87,13 +87,13 @@
 		s.rounds(t, 80, "tasks run", func() bool { return s.running(id) == 4 })
 		leader, _ := s.served(t, id)
 		for h := range s.hostsOf(id) {
-			s.w.Cloud.Hosts[h].Cut, s.w.Cloud.Hosts[h].Deaf = !deaf, deaf
+			s.w.Cloud.Hosts[h].Partitioned, s.w.Cloud.Hosts[h].InboundLost = !deaf, deaf
 		}
 		s.nodes[leader].up = false
 		s.rounds(t, 200, "tasks run elsewhere", func() bool {
 			n := 0
 			for h, k := range s.hostsOf(id) {
-				if x := s.w.Cloud.Hosts[h]; !x.Cut && !x.Deaf {
+				if x := s.w.Cloud.Hosts[h]; !x.Partitioned && !x.InboundLost {
 					n += k
 				}
 			}
@@ -124,7 +124,7 @@
 		s.cancel(leader, ids[2])
 		s.rounds(t, 80, "cancelled ones gone", func() bool {
 			for _, id := range ids[:3] {
-				if s.w.Jobs[id].Phase == "" { // their users ask again
+				if s.w.Jobs[id].FinalPhase == "" { // their users ask again
 					s.cancel(other, id)
 				}
 			}
@@ -138,23 +138,23 @@
 // not committed yet are found by the next one, and the job is known to be done at once
 // when its last task is.
 func TestMeetEndsFarApart(t *testing.T) {
-	for _, pieces := range []int{2, 3} {
+	for _, tasks := range []int{2, 3} {
 		s := warmSim()
-		id := s.array(pieces, 3*time.Second, nil)
+		id := s.array(tasks, 3*time.Second, nil)
 		s.w.Jobs[id].Step = 12 * time.Second
 		s.rounds(t, 80, "the first has ended", func() bool { return len(s.w.Jobs[id].Done) == 1 })
 		leader, _ := s.served(t, id)
 		s.start(leader) // its release of the first is forgotten
 		s.pass(t, 8)
 		s.nodes[leader].up = false
-		s.rounds(t, 80, "all have ended", func() bool { return len(s.w.Jobs[id].Done) == pieces })
+		s.rounds(t, 80, "all have ended", func() bool { return len(s.w.Jobs[id].Done) == tasks })
 		s.rounds(t, 8, "known to be done", func() bool {
 			for i, n := range s.nodes {
 				if n.up {
 					s.poll(i, id)
 				}
 			}
-			return s.w.Jobs[id].Phase == api.Done
+			return s.w.Jobs[id].FinalPhase == api.Done
 		})
 		s.finish(t)
 	}
@@ -169,14 +169,14 @@
 	s.rounds(t, 120, "machines are up", s.done(first))
 	var held [][]byte
 	for _, h := range s.w.Cloud.Names() {
-		held = append(held, api.JSON(s.w.Cloud.Hosts[h].Report()))
+		held = append(held, api.JSON(s.w.Cloud.Hosts[h].Heartbeat()))
 	}
 	off := s.service(5, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(off) == 5 })
 	spare := s.service(4, func(r *api.Job) { r.Zone = "y" }) // leaves machines with room when it goes
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(spare) == 4 })
 	for h := range s.hostsOf(off) {
-		s.w.Cloud.Hosts[h].Cut = true
+		s.w.Cloud.Hosts[h].Partitioned = true
 	}
 	s.pass(t, 1)
 	for i := range s.nodes {
@@ -211,11 +211,11 @@
 	old := s.copies
 	s.nodes[leader].up = false
 	for _, n := range s.nodes { // fences of the new leader are held up
-		n.direct.Apart = func(*simulator.Worker) bool { return true }
+		n.direct.PartitionedFrom = func(*simulator.Worker) bool { return true }
 	}
 	held := [][]byte{}
 	for _, h := range s.w.Cloud.Names() {
-		held = append(held, api.JSON(s.w.Cloud.Hosts[h].Report()))
+		held = append(held, api.JSON(s.w.Cloud.Hosts[h].Heartbeat()))
 	}
 	for range 60 {
 		for i := range s.nodes {
@@ -244,8 +244,8 @@
 				}
 			}
 		}
-		if s.running(id) != 2 || len(s.w.Broken) > 0 {
-			t.Fatalf("round %d: %d of 2 replicas, %v", k, s.running(id), s.w.Broken)
+		if s.running(id) != 2 || len(s.w.Violations) > 0 {
+			t.Fatalf("round %d: %d of 2 replicas, %v", k, s.running(id), s.w.Violations)
 		}
 	}
 	s.cancel(other, id)
--- a/internal/controller/meet_test.go
+++ b/internal/controller/meet_test.go
@@ -30,14 +30,14 @@
 		for _, id := range s.uids {
 			j := s.w.Jobs[id]
 			want := 0
-			if j.Phase == "" && j.Run.Kind == api.Service && j.Told {
-				want = j.Run.Tasks
+			if j.FinalPhase == "" && j.Spec.Kind == api.Service && j.Accepted {
+				want = j.Spec.Tasks
 			}
-			if s.present(id) != want || j.Told && j.Phase == "" && j.Run.Kind != api.Service {
+			if s.present(id) != want || j.Accepted && j.FinalPhase == "" && j.Spec.Kind != api.Service {
 				return false
 			}
 			for _, n := range s.nodes {
-				if j.Told && n.c.query(t.Context(), id).Status != 200 {
+				if j.Accepted && n.c.query(t.Context(), id).Status != 200 {
 					return false
 				}
 			}
@@ -51,7 +51,7 @@
 func (s *sim) present(id string) int {
 	n := 0
 	for _, x := range s.w.Cloud.Hosts {
-		for _, uid := range x.Present() {
+		for _, uid := range x.PresentJobs() {
 			if uid == id {
 				n++
 			}
@@ -65,25 +65,25 @@
 	t.Helper()
 	for range rounds {
 		s.round()
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 	}
 }
 
 // service and array submit jobs of team b in zone x, if no change says otherwise.
-func (s *sim) service(pieces int, change func(*api.Job)) string {
+func (s *sim) service(tasks int, change func(*api.Job)) string {
 	return s.job(func(r *api.Job, _ *time.Duration) {
-		r.Kind, r.Tasks = api.Service, pieces
+		r.Kind, r.Tasks = api.Service, tasks
 		if change != nil {
 			change(r)
 		}
 	})
 }
 
-func (s *sim) array(pieces int, run time.Duration, change func(*api.Job)) string {
+func (s *sim) array(tasks int, run time.Duration, change func(*api.Job)) string {
 	return s.job(func(r *api.Job, d *time.Duration) {
-		r.Tasks, *d = pieces, run
+		r.Tasks, *d = tasks, run
 		if change != nil {
 			change(r)
 		}
@@ -97,7 +97,7 @@
 	for _, trouble := range []string{"cut", "hang", "deaf"} {
 		t.Run(trouble, func(t *testing.T) {
 			s := newSim()
-			s.w.Limits["b"] = 5
+			s.w.TeamGPULimits["b"] = 5
 			s.w.Lease, s.w.CancelS = 18*time.Second, 60*time.Second
 			for i := range s.nodes {
 				s.start(i)
@@ -114,7 +114,7 @@
 			for k, h := range s.w.Cloud.Names() {
 				if k%2 == 0 {
 					x := s.w.Cloud.Hosts[h]
-					x.Cut, x.Hung, x.Deaf = trouble == "cut", trouble == "hang", trouble == "deaf"
+					x.Partitioned, x.Hung, x.InboundLost = trouble == "cut", trouble == "hang", trouble == "deaf"
 				}
 			}
 			leader, other := s.served(t, off[0])
@@ -186,7 +186,7 @@
 	s.rounds(t, 80, "some run", func() bool { return s.running(a) > 0 })
 	for range 3 {
 		for k, h := range s.w.Cloud.Names() {
-			if x := s.w.Cloud.Hosts[h]; x.Site == "y" && k%2 == 0 {
+			if x := s.w.Cloud.Hosts[h]; x.Zone == "y" && k%2 == 0 {
 				s.w.Cloud.Kill(h)
 			}
 		}
@@ -220,27 +220,27 @@
 	s := warmSim()
 	on := s.service(3, nil)
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(on) == 3 })
-	hold := func(held bool) {
+	lease := func(held bool) {
 		for _, n := range s.nodes {
-			n.direct.Apart = func(*simulator.Worker) bool { return held }
+			n.direct.PartitionedFrom = func(*simulator.Worker) bool { return held }
 		}
 	}
 	deliver := func() {
 		for _, n := range s.nodes {
-			held := n.direct.Held
-			n.direct.Held = nil
+			held := n.direct.Delayed
+			n.direct.Delayed = nil
 			for _, f := range held {
 				f()
 			}
 		}
 	}
 	s.pass(t, 10) // tokens may be raised again
-	hold(true)
+	lease(true)
 	off := s.array(1, time.Hour, nil) // the machine with room hears of it only with its next report
 	s.rounds(t, 20, "it runs", func() bool { return s.running(off) == 1 })
 	var early []func() // what was sent for the start
 	for _, n := range s.nodes {
-		early, n.direct.Held = append(early, n.direct.Held...), nil
+		early, n.direct.Delayed = append(early, n.direct.Delayed...), nil
 	}
 	s.cancel(1, off)
 	s.rounds(t, 20, "it is gone", func() bool { return s.present(off) == 0 })
@@ -256,7 +256,7 @@
 	s.cancel(1, next)
 	s.pass(t, 6)
 	deliver()
-	hold(false)
+	lease(false)
 	s.rounds(t, 40, "it is gone", func() bool { return s.present(next) == 0 })
 	if s.running(on) != 3 || s.w.LateStarts > 0 {
 		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.running(on), s.w.LateStarts)
@@ -273,13 +273,13 @@
 	low := s.array(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
 	s.rounds(t, 80, "as many machines have room to be taken", func() bool { return s.running(low) == 4 })
 	s.w.Cloud.Down = true // nothing is rented or returned
-	mute := map[string]bool{}
+	unreachable := map[string]bool{}
 	for h := range s.hostsOf(id) {
-		s.w.Cloud.Hosts[h].Mute, mute[h] = true, true
+		s.w.Cloud.Hosts[h].OutboundLost, unreachable[h] = true, true
 	}
 	s.rounds(t, 3*int(s.w.Lease/(500*time.Millisecond)), "replicas run elsewhere", func() bool {
 		on := s.hostsOf(id)
-		for h := range mute {
+		for h := range unreachable {
 			if on[h] > 0 {
 				return false
 			}
@@ -293,7 +293,7 @@
 // stall has every node's next transaction wait for something.
 func (s *sim) stall(f func(node int)) {
 	for i, n := range s.nodes {
-		n.c.store.(*simulator.Client).Stall = func() { f(i) }
+		n.c.store.(*simulator.Client).BeforeCommit = func() { f(i) }
 	}
 }
 
@@ -302,7 +302,7 @@
 func TestMeetFastBoot(t *testing.T) {
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
 		s := warmSim()
-		s.w.Flavor.Boot = boot
+		s.w.MachineType.Boot = boot
 		a := s.array(12, 2*time.Second, nil)
 		// Who rents hears no answer and ends: only the machines tell that they are there.
 		for k := 0; k < 20 && len(s.w.Cloud.Hosts) == 0; k++ {
@@ -359,8 +359,8 @@
 			s.report(s.w.Cloud.Hosts[h], f)
 		}
 		s.w.Advance(500 * time.Millisecond)
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 	}
 	for _, id := range urgent {
--- a/internal/controller/meet_users_test.go
+++ b/internal/controller/meet_users_test.go
@@ -42,7 +42,7 @@
 	s := warmSim()
 	s.w.Store.Next["n0"] = simulator.LoseAfter
 	a := s.array(2, 4*time.Second, nil) // its user may have heard nothing
-	if !s.w.Jobs[a].Told {
+	if !s.w.Jobs[a].Accepted {
 		t.Error("an acceptance whose answer was lost is not settled by reading")
 	}
 	s.lookEverywhere(a)
@@ -51,7 +51,7 @@
 	s.w.Store.Next["n1"] = simulator.LoseAfter
 	s.cancel(1, b)
 	s.lookEverywhere(b)
-	if s.w.Jobs[b].Phase != api.Cancelled {
+	if s.w.Jobs[b].FinalPhase != api.Cancelled {
 		t.Error("other nodes don't read the cancellation")
 	}
 	for range 60 { // each end's answer is lost too
@@ -61,7 +61,7 @@
 		s.pass(t, 1)
 		s.lookEverywhere(a)
 	}
-	if s.w.Jobs[a].Phase != api.Done {
+	if s.w.Jobs[a].FinalPhase != api.Done {
 		t.Error("an end whose answers are lost is never told")
 	}
 	s.finish(t)
@@ -76,7 +76,7 @@
 				s := warmSim()
 				id := s.array(2, 2*time.Second, func(r *api.Job) { r.Kind = shape })
 				ends := 0
-				s.w.AtEnd = func(uid string) {
+				s.w.OnTaskDone = func(uid string) {
 					if ends++; uid == id && ends == 2 {
 						s.w.Store.Next[s.nodes[node].name] = f
 						s.cancel(node, id)
@@ -90,7 +90,7 @@
 				}
 				s.w.Store.DeliverLate()
 				s.lookEverywhere(id)
-				if s.finish(t); s.w.Jobs[id].Phase == "" {
+				if s.finish(t); s.w.Jobs[id].FinalPhase == "" {
 					t.Errorf("node %d, fault %d, %s: never over", node, f, shape)
 				}
 			}
@@ -110,7 +110,7 @@
 			id := s.array(2, 2*time.Second, func(r *api.Job) { r.Kind = shape })
 			if last {
 				ends := 0
-				s.w.AtEnd = func(uid string) {
+				s.w.OnTaskDone = func(uid string) {
 					if uid == id {
 						ends++
 					}
@@ -123,7 +123,7 @@
 					return
 				}
 				s.cancel((node+1)%3, id)
-				told = s.w.Jobs[id].Phase
+				told = s.w.Jobs[id].FinalPhase
 				s.lookEverywhere(id)
 			})
 			for range 12 {
@@ -157,7 +157,7 @@
 		if k%3 == 0 {
 			s.cancel((k+1)%3, id)
 			s.lookEverywhere(id)
-			if s.w.Jobs[id].Phase != api.Cancelled {
+			if s.w.Jobs[id].FinalPhase != api.Cancelled {
 				t.Fatal("not confirmed")
 			}
 		}
@@ -187,7 +187,7 @@
 func TestFinishCatches(t *testing.T) {
 	for _, planted := range []bool{false, true} {
 		s := newSim()
-		s.w.Limits["b"] = 8
+		s.w.TeamGPULimits["b"] = 8
 		for i := range s.nodes {
 			s.start(i)
 		}
@@ -206,8 +206,8 @@
 			s.round()
 			s.waits(since)
 		}
-		if caught := len(s.w.Broken) > 0; caught != planted {
-			t.Errorf("planted %t: %v", planted, s.w.Broken)
+		if caught := len(s.w.Violations) > 0; caught != planted {
+			t.Errorf("planted %t: %v", planted, s.w.Violations)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	s.rounds(t, 80, "done", s.done(id))
 	s.start(1)
 	s.pass(t, 6)
-	r := s.w.Jobs[id].Run
+	r := s.w.Jobs[id].Spec
 	r.Image = strings.Repeat("x", 4000)
 	if got := s.nodes[1].c.submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
 		t.Errorf("answered %d", got.Status)
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -36,8 +36,8 @@
 	s.start(taker)
 	s.rounds(t, 10, "taken again", func() bool { return s.owner("n1") == s.nodes[taker].name })
 	c := s.nodes[taker].c
-	if got := c.mine["n1"].answered.Sub(c.now()); got <= c.cfg.Grace()/2 {
-		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.cfg.Grace())
+	if got := c.leaderships["n1"].predecessorAnswersUntil.Sub(c.now()); got <= c.cfg.LeadershipGrace()/2 {
+		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.cfg.LeadershipGrace())
 	}
 }
 
@@ -75,8 +75,8 @@
 func TestPartIsNotTakenFromALivingOwner(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[1].c
-	before := c.mine["n1"].term
-	old := c.replica.owns["n0"].stamp
+	before := c.leaderships["n1"].term
+	old := c.replica.leaders["n0"].version
 	s.nodes[0].up = false
 	s.rounds(t, 40, "part of n0 taken", func() bool { o := s.owner("n0"); return o != "" })
 	taker := s.owner("n0")
@@ -85,8 +85,8 @@
 		other = s.nodes[2]
 	}
 	s.round()
-	other.c.acquire(context.Background(), "n0", old) // it still looks at the old owner's key
-	if s.owner("n0") != taker || other.c.mine["n0"] != nil || c.mine["n1"].term != before {
+	other.c.acquireShard(context.Background(), "n0", old) // it still looks at the old owner's key
+	if s.owner("n0") != taker || other.c.leaderships["n0"] != nil || c.leaderships["n1"].term != before {
 		t.Fatal("the part changed hands")
 	}
 }
@@ -99,7 +99,7 @@
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 4 })
 	s.nodes[1].up = false
-	s.rounds(t, 40, "part of n1 without an owner", func() bool { return s.nodes[0].c.replica.owns["n1"].v == nil })
+	s.rounds(t, 40, "part of n1 without an owner", func() bool { return s.nodes[0].c.replica.leaders["n1"].record == nil })
 	for _, n := range s.nodes {
 		s.w.Store.Next[n.name] = simulator.Late // the take is on its way when its sender ends
 	}
@@ -123,8 +123,8 @@
 			t.Fatal("a replica was lost")
 		}
 	}
-	if len(s.w.Broken) > 0 {
-		t.Fatal(s.w.Broken)
+	if len(s.w.Violations) > 0 {
+		t.Fatal(s.w.Violations)
 	}
 }
 
@@ -135,21 +135,21 @@
 	s := warmSim()
 	s.start(1)
 	c := s.nodes[1].c
-	if err := c.load(context.Background()); err != nil {
+	if err := c.loadReplica(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if c.lease, err = c.store.GrantLease(context.Background(), c.cfg.HoldTTL()); err != nil {
+	if c.leaseID, err = c.store.GrantLease(context.Background(), c.cfg.ControllerLeaseTTL()); err != nil {
 		t.Fatal(err)
 	}
-	for len(c.orphans) > 0 {
-		<-c.orphans
+	for len(c.leaderlessShard) > 0 {
+		<-c.leaderlessShard
 	}
-	old := c.replica.owns["n1"].stamp
-	s.nodes[0].c.acquire(context.Background(), "n0", s.nodes[0].c.replica.owns["n0"].stamp) // raises the term
-	c.acquire(context.Background(), "n1", old)
-	if c.mine["n1"] != nil || len(c.orphans) != 1 {
-		t.Fatalf("taken %t, to be tried again %d", c.mine["n1"] != nil, len(c.orphans))
+	old := c.replica.leaders["n1"].version
+	s.nodes[0].c.acquireShard(context.Background(), "n0", s.nodes[0].c.replica.leaders["n0"].version) // raises the term
+	c.acquireShard(context.Background(), "n1", old)
+	if c.leaderships["n1"] != nil || len(c.leaderlessShard) != 1 {
+		t.Fatalf("taken %t, to be tried again %d", c.leaderships["n1"] != nil, len(c.leaderlessShard))
 	}
 }
 
@@ -205,8 +205,8 @@
 			t.Fatalf("part of %s has no owner", n.name)
 		}
 	}
-	if len(s.w.Broken) > 0 {
-		t.Fatal(s.w.Broken)
+	if len(s.w.Violations) > 0 {
+		t.Fatal(s.w.Violations)
 	}
 }
 
@@ -216,28 +216,28 @@
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 4 })
-	home := s.nodes[0].c.replica.hosts[s.w.Cloud.Names()[0]].Part
-	s.w.Store.Cut[home] = true
+	home := s.nodes[0].c.replica.machines[s.w.Cloud.Names()[0]].Shard
+	s.w.Store.Unreachable[home] = true
 	cfg := s.nodes[0].c.cfg
-	s.rounds(t, int((cfg.HoldTTL()+cfg.Grace()+cfg.LeaseBound())/(500*time.Millisecond))+20, "part served by another", func() bool {
+	s.rounds(t, int((cfg.ControllerLeaseTTL()+cfg.LeadershipGrace()+cfg.WorkerLeaseBound())/(500*time.Millisecond))+20, "part served by another", func() bool {
 		o := s.owner(home)
 		if o == "" || o == home {
 			return false
 		}
-		for h, m := range s.nodes[int(o[1]-'0')].c.replica.hosts {
-			if x := s.w.Cloud.Hosts[h]; m.Part == home && (x == nil || s.nodes[x.Node].name != o) {
+		for h, m := range s.nodes[int(o[1]-'0')].c.replica.machines {
+			if x := s.w.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
 				return false
 			}
 		}
 		return true
 	})
 	cut := int(home[1] - '0')
-	for range int((cfg.HoldTTL() + cfg.Grace()) / (500 * time.Millisecond)) {
+	for range int((cfg.ControllerLeaseTTL() + cfg.LeadershipGrace()) / (500 * time.Millisecond)) {
 		s.round()
 	}
 	for _, x := range s.w.Cloud.Hosts { // a worker that the new owner's fence has not reached must not be held
-		r := x.Report()
-		r.Token = shard.TokenOf(s.nodes[cut].c.mine[home].term, 0)
+		r := x.Heartbeat()
+		r.Token = shard.FencingToken(s.nodes[cut].c.leaderships[home].term, 0)
 		if status, _, _ := s.deliver(cut, api.JSON(r)); status == 200 {
 			t.Error("it answers reports beyond its grace")
 		}
@@ -245,7 +245,7 @@
 	low := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
 	s.submit(1, low)
 	s.rounds(t, 120, "replicas and new work run", func() bool { return s.done(low)() && s.running(id) == 4 })
-	s.w.Store.Cut[home] = false
+	s.w.Store.Unreachable[home] = false
 	s.rounds(t, 60, "part back at home", func() bool { return s.owner(home) == home })
 }
 
@@ -256,12 +256,12 @@
 	c := s.nodes[0].c
 	s.step(0)
 	s.step(0)
-	if c.sharers != 3 {
-		t.Fatalf("%d share before the others have registered", c.sharers)
+	if c.rateSharers != 3 {
+		t.Fatalf("%d share before the others have registered", c.rateSharers)
 	}
-	s.rounds(t, 4, "all three share", func() bool { return c.sharers == 3 })
+	s.rounds(t, 4, "all three share", func() bool { return c.rateSharers == 3 })
 	s.nodes[1].up, s.nodes[2].up = false, false
-	s.rounds(t, 20, "alone", func() bool { return c.sharers == 1 && c.secondsWrites() == int(c.cfg.Lowest().WriteRPS) })
+	s.rounds(t, 20, "alone", func() bool { return c.rateSharers == 1 && c.writesPerSecond() == int(c.cfg.LowestLimits().WriteRPS) })
 	s.start(2)
-	s.rounds(t, 20, "two share", func() bool { return c.sharers == 2 })
+	s.rounds(t, 20, "two share", func() bool { return c.rateSharers == 2 })
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -12,38 +12,38 @@
 	"violetturn/internal/transport"
 )
 
-// reach is what a node knows of the state service and of its peers' sight of
+// reachability is what a node knows of the state service and of its peers' sight of
 // it. A node can't tell an outage from a refusal of itself alone; peers can.
-type reach struct {
-	store bool            // our last request was served
-	since time.Time       // since when that is so
-	asked bool            // the peers have been asked since
-	peers map[string]bool // peers that answer, and whether they reach the state service
+type reachability struct {
+	storeReachable bool            // our last request was served
+	since          time.Time       // since when that is so
+	peersAsked     bool            // the peers have been asked since
+	peers          map[string]bool // peers that answer, and whether they reach the state service
 }
 
-// storeAnswered notes whether the state service served a request.
-func (c *Controller) storeAnswered(ok bool) {
+// noteStoreAnswer notes whether the state service served a request.
+func (c *Controller) noteStoreAnswer(ok bool) {
 	c.mu.Lock()
-	if c.reach.store != ok {
-		c.reach.store, c.reach.since, c.reach.asked = ok, c.now(), false
+	if c.reachability.storeReachable != ok {
+		c.reachability.storeReachable, c.reachability.since, c.reachability.peersAsked = ok, c.now(), false
 		c.log.Info("state service", "reached", ok)
 	}
 	c.mu.Unlock()
 }
 
-// reached tells whether the state service served our last request.
-func (c *Controller) reached() bool {
+// storeReachable tells whether the state service served our last request.
+func (c *Controller) storeReachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reach.store
+	return c.reachability.storeReachable
 }
 
 // peerLoop asks the peers for their sight of the state service while ours is
 // gone.
 func (c *Controller) peerLoop(ctx context.Context) {
-	for sleep(ctx, c.cfg.HoldTTL()/8) {
+	for sleep(ctx, c.cfg.ControllerLeaseTTL()/8) {
 		c.mu.Lock()
-		lost := !c.reach.store
+		lost := !c.reachability.storeReachable
 		c.mu.Unlock()
 		if !lost {
 			continue
@@ -59,45 +59,45 @@
 		c.askPeer(ctx, m.HostName, m.Addr)
 	}
 	c.mu.Lock()
-	c.reach.asked = !c.reach.store
+	c.reachability.peersAsked = !c.reachability.storeReachable
 	c.mu.Unlock()
 }
 
-// helper names a peer that can serve users for us while we can't reach the
+// forwardingPeer names a peer that can serve users for us while we can't reach the
 // state service; "" when we can, or nobody else can.
-func (c *Controller) helper() string {
+func (c *Controller) forwardingPeer() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reach.store {
+	if c.reachability.storeReachable {
 		return ""
 	}
 	for _, m := range c.cfg.Members {
-		if c.reach.peers[m.HostName] {
+		if c.reachability.peers[m.HostName] {
 			return m.Addr
 		}
 	}
 	return ""
 }
 
-// serve answers a user's request here, or lets a peer do it when this node
+// serveOrForward answers a user's request here, or lets a peer do it when this node
 // can't reach the state service and the peer can.
-func (c *Controller) serve(ctx context.Context, r *peer.Request) transport.Response {
-	if addr := c.helper(); addr != "" {
+func (c *Controller) serveOrForward(ctx context.Context, r *peer.Request) transport.Response {
+	if addr := c.forwardingPeer(); addr != "" {
 		// A peer of the version before would call a new shape malformed, for good.
-		if r.GetKind() == peer.Request_KIND_SUBMIT && !c.takes(api.KindOf(r.GetBody())) {
-			return errBusy
+		if r.GetKind() == peer.Request_KIND_SUBMIT && !c.acceptsKind(api.KindOf(r.GetBody())) {
+			return responseBusy
 		}
 		r.From = c.cfg.HostName
-		a, err := c.peers.Ask(ctx, addr, r, userPatience*3/4)
+		a, err := c.peers.Ask(ctx, addr, r, userRequestTimeout*3/4)
 		if err == nil && a.GetStatus() != 0 {
 			return transport.Response{Status: int(a.GetStatus()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfter())}
 		}
-		return errBusy // it may have been carried out: the user asks again
+		return responseBusy // it may have been carried out: the user asks again
 	}
-	return c.local(ctx, r)
+	return c.serveLocally(ctx, r)
 }
 
-func (c *Controller) local(ctx context.Context, r *peer.Request) transport.Response {
+func (c *Controller) serveLocally(ctx context.Context, r *peer.Request) transport.Response {
 	switch r.GetKind() {
 	case peer.Request_KIND_SUBMIT:
 		return c.submit(ctx, r.GetBody())
@@ -123,43 +123,43 @@
 		}
 		return transport.Response{Status: 200, Body: b}
 	}
-	if !c.serves(&r) {
-		return answer(c.standing(&r)), true
+	if !c.servesForPeer(&r) {
+		return answer(c.peerStatus(&r)), true
 	}
 	select {
-	case c.users <- struct{}{}:
+	case c.userSlots <- struct{}{}:
 	default:
-		return answer(peerReply(errBusy)), true
+		return answer(peerReply(responseBusy)), true
 	}
 	go func() {
-		defer func() { <-c.users }()
-		ctx, cancel := context.WithTimeout(context.Background(), userPatience/2)
+		defer func() { <-c.userSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout/2)
 		defer cancel()
-		later(answer(peerReply(c.local(ctx, &r))))
+		later(answer(peerReply(c.serveLocally(ctx, &r))))
 	}()
 	return transport.Response{}, false
 }
 
-// reachedLoaded tells whether this node can serve users of its own and of peers.
-func (c *Controller) reachedLoaded() bool {
+// canServe tells whether this node can serve users of its own and of peers.
+func (c *Controller) canServe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loaded && c.reach.store
+	return c.loaded && c.reachability.storeReachable
 }
 
-// serves tells whether a peer's request is to be carried out: it asks for more
+// servesForPeer tells whether a peer's request is to be carried out: it asks for more
 // than our sight of the state service, and we can.
-func (c *Controller) serves(r *peer.Request) bool {
+func (c *Controller) servesForPeer(r *peer.Request) bool {
 	k := r.GetKind()
-	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_VOUCH && c.reachedLoaded()
+	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_VOUCH && c.canServe()
 }
 
-// standing answers a peer what this node sees of the state service and, if asked, what
+// peerStatus answers a peer what this node sees of the state service and, if asked, what
 // it has done.
-func (c *Controller) standing(r *peer.Request) *peer.Reply {
-	a := &peer.Reply{StoreReached: c.reachedLoaded()}
+func (c *Controller) peerStatus(r *peer.Request) *peer.Reply {
+	a := &peer.Reply{StoreReached: c.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
-		a.Vouch = c.vouch(r.GetSince())
+		a.Vouch = c.acknowledgement(r.GetSince())
 	}
 	return a
 }
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -8,15 +8,15 @@
 	c := warmSim().nodes[0].c
 	now := c.now()
 	first := &plan{}
-	c.recent = recentPlan{first, now}
-	if c.takePlan(now) != first {
+	c.lastPlan = lastPlan{first, now}
+	if c.reusePlan(now) != first {
 		t.Fatal("the newest plan is not taken")
 	}
-	if c.takePlan(now) == first {
+	if c.reusePlan(now) == first {
 		t.Fatal("taken twice")
 	}
-	c.recent = recentPlan{first, now}
-	if c.takePlan(now.Add(c.cloudPause()+1)) == first {
+	c.lastPlan = lastPlan{first, now}
+	if c.reusePlan(now.Add(c.autoscaleInterval()+1)) == first {
 		t.Fatal("taken though it is old")
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,34 +9,34 @@
 	"violetturn/internal/sched"
 )
 
-// mayStop tells whether the job takes room from the other one, which PROTOCOL lets both a
+// mayPreempt tells whether the job takes room from the other one, which PROTOCOL lets both a
 // higher rank and a guarantee do. Between teams the guarantee decides first: what is
 // within one yields to no rank of another team that is beyond its own, or the one would
 // take back by its guarantee what the other took by its rank, again and again.
-func (c *Controller) mayStop(q *queued, v *api.Job, over bool) bool {
-	rank, _ := api.PriorityOf(v.Priority)
-	own := v.Team == q.j.main.Spec.Team
-	if rank > q.rank {
-		return own || q.guarantee || over
+func (c *Controller) mayPreempt(q *queueEntry, v *api.Job, over bool) bool {
+	priority, _ := api.PriorityOf(v.Priority)
+	own := v.Team == q.job.record.Spec.Team
+	if priority > q.priority {
+		return own || q.withinGuarantee || over
 	}
-	return !own && q.guarantee && over
+	return !own && q.withinGuarantee && over
 }
 
 // preemption finds tasks to stop for others, within one plan. It looks over the machines
 // once for a kind of job, not for each job and each of its tasks.
 type preemption struct {
-	c      *Controller
-	now    time.Time
-	hosts  []*sched.Host
-	beyond map[string]bool // jobs beyond their teams' guarantees
-	taken  map[*placedTask]bool
-	kinds  map[preemptorKind]*victimHosts
-	on     map[*sched.Host][]*victimHost // of all kinds
+	c               *Controller
+	now             time.Time
+	hosts           []*sched.Host
+	beyondGuarantee map[string]bool // jobs beyond their teams' guarantees
+	taken           map[*placedTask]bool
+	victimsByKind   map[preemptorKind]*victimHosts
+	victimsOnHost   map[*sched.Host][]*victimHost // of all kinds
 }
 
 // preemptorKind is what decides which tasks a job may stop.
 type preemptorKind struct {
-	rank      int
+	priority  int
 	guarantee bool
 	team      string
 }
@@ -58,9 +58,9 @@
 // out anew only when something has changed on the machine.
 type preemptOption struct {
 	*victimHost
-	warm bool // it has the job's image
-	take []sched.Victim
-	cost float64
+	warm     bool // it has the job's image
+	selected []sched.Victim
+	cost     float64
 
 	seenFree       sched.Resources // when take was worked out
 	seenCandidates int
@@ -70,38 +70,38 @@
 func (o *preemptOption) best(need sched.Resources) ([]sched.Victim, float64) {
 	if o.seenCandidates != len(o.candidates) || o.seenFree != o.host.Free {
 		o.seenCandidates, o.seenFree = len(o.candidates), o.host.Free
-		o.take, o.cost = sched.Preempt(o.seenFree, need, o.candidates)
+		o.selected, o.cost = sched.Preempt(o.seenFree, need, o.candidates)
 	}
-	return o.take, o.cost
+	return o.selected, o.cost
 }
 
 // newPreemption begins the search for tasks to stop within one plan. Call with the lock
 // held, as all of its methods.
-func (c *Controller) newPreemption(queue []*queued, hosts []*sched.Host, now time.Time) *preemption {
-	p := &preemption{c: c, now: now, hosts: hosts, beyond: map[string]bool{}, taken: map[*placedTask]bool{},
-		kinds: map[preemptorKind]*victimHosts{}, on: map[*sched.Host][]*victimHost{}}
+func (c *Controller) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
+	p := &preemption{c: c, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*placedTask]bool{},
+		victimsByKind: map[preemptorKind]*victimHosts{}, victimsOnHost: map[*sched.Host][]*victimHost{}}
 	for _, q := range queue {
-		p.beyond[q.uid] = !q.guarantee
+		p.beyondGuarantee[q.uid] = !q.withinGuarantee
 	}
 	return p
 }
 
 // hostsFor finds the machines where a kind of job may stop tasks.
-func (p *preemption) hostsFor(q *queued) *victimHosts {
-	kind := preemptorKind{q.rank, q.guarantee, q.j.main.Spec.Team}
-	found := p.kinds[kind]
+func (p *preemption) hostsFor(q *queueEntry) *victimHosts {
+	kind := preemptorKind{q.priority, q.withinGuarantee, q.job.record.Spec.Team}
+	found := p.victimsByKind[kind]
 	if found != nil {
 		return found
 	}
 	found = &victimHosts{warm: map[string][]*victimHost{}}
-	p.kinds[kind] = found
+	p.victimsByKind[kind] = found
 	for _, h := range p.hosts {
 		if !p.mayHoldVictims(q, h) {
 			continue
 		}
 		if v := p.victimsOn(q, h); len(v.candidates) > 0 {
 			found.all = append(found.all, v)
-			p.on[h] = append(p.on[h], v)
+			p.victimsOnHost[h] = append(p.victimsOnHost[h], v)
 		}
 	}
 	return found
@@ -109,35 +109,35 @@
 
 // mayHoldVictims tells, from the sums by rank alone, whether a machine may hold tasks that
 // the job can stop: with a guarantee it may stop work of any rank.
-func (p *preemption) mayHoldVictims(q *queued, h *sched.Host) bool {
-	staying := p.c.loadOf(h.Name).staying[:]
-	return q.guarantee || slices.ContainsFunc(
-		staying[min(q.rank+1, len(staying)):],
+func (p *preemption) mayHoldVictims(q *queueEntry, h *sched.Host) bool {
+	staying := p.c.loadOf(h.Name).runningByPriority[:]
+	return q.withinGuarantee || slices.ContainsFunc(
+		staying[min(q.priority+1, len(staying)):],
 		func(r sched.Resources) bool { return r != sched.Resources{} },
 	)
 }
 
 // victimsOn lists the tasks on a machine that the job may stop.
-func (p *preemption) victimsOn(q *queued, h *sched.Host) *victimHost {
+func (p *preemption) victimsOn(q *queueEntry, h *sched.Host) *victimHost {
 	c := p.c
 	v := &victimHost{host: h}
-	only := c.newestOn(h)
-	for id, pl := range c.replica.onHost[h.Name] {
+	only := c.newestOverplaced(h)
+	for id, pl := range c.replica.placements[h.Name] {
 		j := c.replica.jobs[pl.uid]
 		switch {
-		case j == nil, only != nil && only != pl, j.leaves(pl.p), p.taken[pl]:
-		case !c.mayStop(q, &j.main.Spec, p.beyond[pl.uid]), c.over(h.Name, id, pl):
+		case j == nil, only != nil && only != pl, j.mustStop(pl.placement), p.taken[pl]:
+		case !c.mayPreempt(q, &j.record.Spec, p.beyondGuarantee[pl.uid]), c.isCompleted(h.Name, id, pl):
 		default:
-			cost := c.lostBy(h.Name, j, pl, p.now)
-			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: need(&j.main.Spec), Cost: cost, Ref: len(v.tasks)})
+			cost := c.lostWork(h.Name, j, pl, p.now)
+			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: resourcesOf(&j.record.Spec), Cost: cost, Ref: len(v.tasks)})
 			v.tasks = append(v.tasks, pl)
 		}
 	}
 	return v
 }
 
-// having gives the machines that have an image.
-func (v *victimHosts) having(image string) []*victimHost {
+// withImage gives the machines that have an image.
+func (v *victimHosts) withImage(image string) []*victimHost {
 	warm, known := v.warm[image]
 	if !known {
 		for _, x := range v.all {
@@ -152,14 +152,14 @@
 
 // search gives machines where stopping tasks would make room for one of the job's, a
 // bounded number of them: first those that have its image, then any, from a random one on.
-func (p *preemption) search(q *queued, a *sched.TaskRequest, most int) []*preemptOption {
+func (p *preemption) search(q *queueEntry, a *sched.TaskRequest, most int) []*preemptOption {
 	hosts := p.hostsFor(q)
 	var found []*preemptOption
-	for _, from := range [][]*victimHost{hosts.having(a.Image), hosts.all} {
+	for _, from := range [][]*victimHost{hosts.withImage(a.Image), hosts.all} {
 		if len(from) == 0 {
 			continue
 		}
-		first := p.c.rnd.IntN(len(from))
+		first := p.c.random.IntN(len(from))
 		warmFound := len(found) > 0 // those are not to come twice
 		for i := 0; i < len(from) && len(found) < most; i++ {
 			v := from[(first+i)%len(from)]
@@ -181,16 +181,16 @@
 
 // allowed narrows a machine's candidates to what the operators' policy lets the job stop;
 // nil if nothing is left.
-func (p *preemption) allowed(q *queued, v *victimHost) *victimHost {
+func (p *preemption) allowed(q *queueEntry, v *victimHost) *victimHost {
 	c := p.c
-	if c.policy.Narrows() {
+	if c.policy.RestrictsPreemption() {
 		forbidden := func(x sched.Victim) bool {
 			j := c.replica.jobs[v.tasks[x.Ref].uid]
-			rank, _ := api.PriorityOf(j.main.Spec.Priority)
-			return !c.policy.Preempt(q.work, c.describe(j, rank, !p.beyond[j.main.Spec.UID], p.now), x.Cost)
+			priority, _ := api.PriorityOf(j.record.Spec.Priority)
+			return !c.policy.Preempt(q.variables, c.policyVariables(j, priority, !p.beyondGuarantee[j.record.Spec.UID], p.now), x.Cost)
 		}
 		v = &victimHost{host: v.host, tasks: v.tasks, candidates: slices.DeleteFunc(slices.Clone(v.candidates), forbidden)}
-		p.on[v.host] = append(p.on[v.host], v)
+		p.victimsOnHost[v.host] = append(p.victimsOnHost[v.host], v)
 	}
 	if len(v.candidates) == 0 {
 		return nil
@@ -198,24 +198,24 @@
 	return v
 }
 
-// newestOn gives the task that was last placed on a peer's machine where more is
+// newestOverplaced gives the task that was last placed on a peer's machine where more is
 // placed than there is room for: some have completed and others have taken their
 // room, but the ends are not committed yet and only the owner knows which. The
 // newest is the one that is surely there. It gives nil where all are.
-func (c *Controller) newestOn(h *sched.Host) *placedTask {
-	if c.owned(h.Part) != nil {
+func (c *Controller) newestOverplaced(h *sched.Host) *placedTask {
+	if c.leadershipOf(h.Shard) != nil {
 		return nil
 	}
 	used := h.Free
 	var newest *placedTask
 	last := int64(0)
-	for _, pl := range c.replica.onHost[h.Name] {
+	for _, pl := range c.replica.placements[h.Name] {
 		j := c.replica.jobs[pl.uid]
 		if j == nil {
 			continue
 		}
-		used = used.Add(need(&j.main.Spec))
-		if at := j.main.AtMS/1000 + pl.p.AtS; newest == nil || at > last {
+		used = used.Add(resourcesOf(&j.record.Spec))
+		if at := j.record.AcceptedMS/1000 + pl.placement.PlacedS; newest == nil || at > last {
 			newest, last = pl, at
 		}
 	}
@@ -231,14 +231,14 @@
 	var best *preemptOption
 	bestCost := 0.0
 	for _, o := range options {
-		if !a.Allows(o.host.MachineType, o.host.Zone, o.host.Spot) || a.NeedImage && !o.warm {
+		if !a.Allows(o.host.MachineType, o.host.Zone, o.host.Spot) || a.RequireImage && !o.warm {
 			continue
 		}
 		take, cost := o.best(a.Need)
 		if !o.warm {
 			cost += a.FetchS // the task waits for its image there
 			if a.PreferImage {
-				cost += never // and misses its aim: any machine that has it is better
+				cost += unlimitedSeconds // and misses its aim: any machine that has it is better
 			}
 		}
 		if take != nil && cost <= most && (best == nil || cost < bestCost) {
@@ -248,41 +248,41 @@
 	if best == nil {
 		return nil, nil
 	}
-	return p.stop(best), best.host
+	return p.claimVictims(best), best.host
 }
 
-// stop takes an option, so that its tasks are no candidates any more.
-func (p *preemption) stop(o *preemptOption) []*placedTask {
+// claimVictims takes an option, so that its tasks are no candidates any more.
+func (p *preemption) claimVictims(o *preemptOption) []*placedTask {
 	var tasks []*placedTask
-	for _, v := range o.take {
+	for _, v := range o.selected {
 		tasks = append(tasks, o.tasks[v.Ref])
 		p.taken[o.tasks[v.Ref]] = true
 	}
-	for _, v := range p.on[o.host] {
+	for _, v := range p.victimsOnHost[o.host] {
 		v.candidates = slices.DeleteFunc(v.candidates, func(x sched.Victim) bool { return p.taken[v.tasks[x.Ref]] })
 	}
 	return tasks
 }
 
-// lostBy estimates the work that stopping a task on a machine loses, in seconds: none if it
+// lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
 // went with its zone and has not started again. Call with the lock held.
-func (c *Controller) lostBy(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
-	s := c.sessions[host]
-	if s == nil || s.Report == nil || !c.heldBack(host, pl, j, now) {
-		return lost(j, pl.p, now)
+func (c *Controller) lostWork(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
+	s := c.agents[host]
+	if s == nil || s.Heartbeat == nil || !c.isHeldBack(host, pl, j, now) {
+		return lostSeconds(j, pl.placement, now)
 	}
-	name := pl.name(j)
-	there := slices.ContainsFunc(s.Report.Tasks, func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.p.Attempt })
+	name := pl.taskName(j)
+	there := slices.ContainsFunc(s.Heartbeat.Tasks, func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.placement.Attempt })
 	if there {
-		return lost(j, pl.p, now)
+		return lostSeconds(j, pl.placement, now)
 	}
 	return 0
 }
 
-// lost estimates the work that stopping a task loses, in seconds.
-func lost(j *liveJob, p *job.Placement, now time.Time) float64 {
-	r := &j.main.Spec
-	run := max(float64(now.UnixMilli()-j.main.AtMS)/1000-float64(p.AtS), 0)
+// lostSeconds estimates the work that stopping a task loses, in seconds.
+func lostSeconds(j *liveJob, p *job.Placement, now time.Time) float64 {
+	r := &j.record.Spec
+	run := max(float64(now.UnixMilli()-j.record.AcceptedMS)/1000-float64(p.PlacedS), 0)
 	saved := r.CheckpointS > 0
 	if saved { // what it saves before it leaves is not lost
 		run = min(run, r.SaveS) + run/1000
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -79,7 +79,7 @@
 type shapes map[string]string
 
 func (s shapes) read(key string, raw json.RawMessage) json.RawMessage {
-	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, jobKey) {
+	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, jobPrefix) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		if s[key] = m.Run.Kind; m.Run.Kind != api.Service {
@@ -91,7 +91,7 @@
 }
 
 func (s shapes) write(key string, raw json.RawMessage) json.RawMessage {
-	if was := s[key]; was != "" && strings.HasPrefix(key, jobKey) {
+	if was := s[key]; was != "" && strings.HasPrefix(key, jobPrefix) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		m.Run.Kind = was
@@ -105,19 +105,19 @@
 func asProduction(key string, raw json.RawMessage) (json.RawMessage, error) {
 	var v any
 	switch {
-	case strings.HasPrefix(key, jobKey):
+	case strings.HasPrefix(key, jobPrefix):
 		v = &prodMain{}
-	case strings.HasPrefix(key, taskKey):
+	case strings.HasPrefix(key, taskRangePrefix):
 		v = &prodChunk{}
-	case strings.HasPrefix(key, partKey):
+	case strings.HasPrefix(key, capacityPrefix):
 		v = &prodRecord{}
-	case strings.HasPrefix(key, ownKey), strings.HasPrefix(key, nodeKey):
+	case strings.HasPrefix(key, leaderPrefix), strings.HasPrefix(key, nodePrefix):
 		v = &prodOwn{}
-	case strings.HasPrefix(key, pageKey):
+	case strings.HasPrefix(key, machinePagePrefix):
 		v = &map[string]*prodMachine{}
-	case strings.HasPrefix(key, teamKey):
+	case strings.HasPrefix(key, quotaPrefix):
 		v = &prodUsage{}
-	case strings.HasPrefix(key, markKey):
+	case strings.HasPrefix(key, capabilityPrefix):
 		return nil, nil
 	default:
 		return raw, nil
@@ -137,18 +137,18 @@
 }
 
 func (p *productionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
-	items, epoch, err := p.stateService.List(ctx, prefix)
+	items, revision, err := p.stateService.List(ctx, prefix)
 	var out []store.Item
 	for _, it := range items {
 		if it.Value = p.shapes.read(it.Key, it.Value); it.Value != nil {
 			out = append(out, it)
 		}
 	}
-	return out, epoch, err
+	return out, revision, err
 }
 
 func (p *productionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
-	log, epoch, err := p.stateService.Changes(ctx, prefix, since, block)
+	log, revision, err := p.stateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, e := range log {
 		if e.Drop == "" {
@@ -158,11 +158,11 @@
 		}
 		out = append(out, e)
 	}
-	return out, epoch, err
+	return out, revision, err
 }
 
 func (p *productionStore) Multi(ctx context.Context, t *store.Txn, r store.Priority) (uint64, bool, []string, error) {
-	u := &store.Txn{Guards: t.Guards, Ops: []store.Op{}}
+	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
 		if op.Drop == "" {
 			v, err := asProduction(op.Write, op.Value)
@@ -195,15 +195,18 @@
 // the files are its own work.
 func TestReadsProductionRecords(t *testing.T) {
 	for name, read := range map[string]func(raw json.RawMessage) (any, error){
-		"job-inner.json":   func(raw json.RawMessage) (any, error) { return job.ParseMain(raw) },
-		"job-chunked.json": func(raw json.RawMessage) (any, error) { return job.ParseMain(raw) },
-		"chunk.json":       func(raw json.RawMessage) (any, error) { return job.ParseChunk(raw) },
-		"owner.json":       func(raw json.RawMessage) (any, error) { v := shard.Ownership{}; return &v, json.Unmarshal(raw, &v) },
-		"node.json":        func(raw json.RawMessage) (any, error) { v := shard.Ownership{}; return &v, json.Unmarshal(raw, &v) },
-		"part.json":        func(raw json.RawMessage) (any, error) { v := shard.Record{}; return &v, json.Unmarshal(raw, &v) },
-		"page.json":        func(raw json.RawMessage) (any, error) { v := shard.Page{}; return &v, json.Unmarshal(raw, &v) },
-		"team.json":        func(raw json.RawMessage) (any, error) { v := shard.Usage{}; return &v, json.Unmarshal(raw, &v) },
-		"past.json":        func(raw json.RawMessage) (any, error) { v := job.Past{}; return &v, json.Unmarshal(raw, &v) },
+		"job-inner.json":   func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
+		"job-chunked.json": func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
+		"chunk.json":       func(raw json.RawMessage) (any, error) { return job.ParseTaskRange(raw) },
+		"owner.json":       func(raw json.RawMessage) (any, error) { v := shard.LeaderRecord{}; return &v, json.Unmarshal(raw, &v) },
+		"node.json":        func(raw json.RawMessage) (any, error) { v := shard.LeaderRecord{}; return &v, json.Unmarshal(raw, &v) },
+		"part.json": func(raw json.RawMessage) (any, error) {
+			v := shard.CapacityRecord{}
+			return &v, json.Unmarshal(raw, &v)
+		},
+		"page.json": func(raw json.RawMessage) (any, error) { v := shard.Page{}; return &v, json.Unmarshal(raw, &v) },
+		"team.json": func(raw json.RawMessage) (any, error) { v := shard.QuotaRecord{}; return &v, json.Unmarshal(raw, &v) },
+		"past.json": func(raw json.RawMessage) (any, error) { v := job.FinalState{}; return &v, json.Unmarshal(raw, &v) },
 	} {
 		raw, err := os.ReadFile(filepath.Join("testdata", "production", name))
 		if err != nil {
@@ -231,7 +234,7 @@
 	for range 20 {
 		s.round()
 	}
-	items, _, err := s.nodes[0].c.store.List(context.Background(), live)
+	items, _, err := s.nodes[0].c.store.List(context.Background(), livePrefix)
 	if err != nil || len(items) < 8 {
 		t.Fatal(len(items), err)
 	}
@@ -240,22 +243,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.HasPrefix(it.Key, markKey) {
+		if strings.HasPrefix(it.Key, capabilityPrefix) {
 			continue // it knows no such records, and leaves them alone
 		}
-		if strings.HasPrefix(it.Key, nodeKey) {
-			var o shard.Ownership
+		if strings.HasPrefix(it.Key, nodePrefix) {
+			var o shard.LeaderRecord
 			if err := json.Unmarshal(it.Value, &o); err != nil {
 				t.Fatal(err)
 			}
-			o.V = 0
+			o.SchemaVersion = 0
 			it.Value = api.JSON(o)
 		}
 		if !same(t, it.Value, old) {
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
 		}
 	}
-	if s.nodes[0].c.upgraded() {
+	if s.nodes[0].c.schemaUpgraded() {
 		t.Error("upgraded with one of the version in production")
 	}
 }
@@ -270,7 +273,7 @@
 	}
 	gang := func() int {
 		r := &api.Job{UID: "run-000900", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 2, CPUs: 1, MemGB: 1, Image: "i"}
-		s.w.Jobs[r.UID] = &simulator.Job{Run: *r, RunTime: time.Second, Done: map[int]bool{}}
+		s.w.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.up && !n.old {
 				return n.c.submit(context.Background(), simulator.Submission(r)).Status
@@ -321,15 +324,15 @@
 		s.round()
 	}
 	r := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.w.Jobs[r.UID] = &simulator.Job{Run: r, RunTime: time.Second, Done: map[int]bool{}}
-	m := &job.Main{Spec: r, Part: "n1", AtMS: s.w.Now.UnixMilli()}
-	m.Fit(2, 300, false)
-	a := &submission{ctx: context.Background(), main: m, out: make(chan transport.Response, 1)}
+	s.w.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, Done: map[int]bool{}}
+	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.w.Now.UnixMilli()}
+	m.ChooseLayout(2, 300, false)
+	a := &submission{ctx: context.Background(), record: m, response: make(chan transport.Response, 1)}
 	s.nodes[0].c.acceptBatch(context.Background(), []*submission{a}) // without asking who may read it
 	for range 200 {
 		s.round()
 	}
-	if !slices.ContainsFunc(s.w.Broken, func(b string) bool { return strings.HasPrefix(b, "attempts") }) {
-		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.w.Broken)
+	if !slices.ContainsFunc(s.w.Violations, func(b string) bool { return strings.HasPrefix(b, "attempts") }) {
+		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.w.Violations)
 	}
 }
