--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -10,100 +10,100 @@
 	"violetturn/internal/sched"
 )
 
-// queued is a job with tasks to place.
-type queued struct {
-	j         *liveJob
-	uid       string
-	rank      int
-	guarantee bool
-	mine      bool
-	starving  bool
-	released  bool // a gang that has begun its search for room again
-	work      config.Work
-	weight    float64
+// queueEntry is a job with tasks to place.
+type queueEntry struct {
+	job             *liveJob
+	uid             string
+	priority        int
+	withinGuarantee bool
+	led             bool
+	starving        bool
+	released        bool // a gang that has begun its search for room again
+	variables       config.JobVariables
+	weight          float64
 }
 
-// describe tells expressions of a job. Call with the lock held.
-func (c *Controller) describe(j *liveJob, rank int, guarantee bool, now time.Time) config.Work {
-	r := &j.main.Spec
-	w := config.Work{
+// policyVariables tells expressions of a job. Call with the lock held.
+func (c *Controller) policyVariables(j *liveJob, priority int, guarantee bool, now time.Time) config.JobVariables {
+	r := &j.record.Spec
+	w := config.JobVariables{
 		Class:      r.Class,
 		Team:       r.Team,
 		Kind:       r.Kind,
-		Priority:   rank,
+		Priority:   priority,
 		Guaranteed: guarantee,
 		Tasks:      r.Tasks,
 		GPUs:       r.GPUs,
 		CPUs:       r.CPUs,
-		Age:        float64(now.UnixMilli()-j.main.AtMS) / 1000,
-		Slack:      never,
+		Age:        float64(now.UnixMilli()-j.record.AcceptedMS) / 1000,
+		Slack:      unlimitedSeconds,
 	}
-	if in := c.within(r); in < never {
-		w.Slack = in - w.Age - c.runs(r)
+	if in := c.deadlineSeconds(r); in < unlimitedSeconds {
+		w.Slack = in - w.Age - c.estimatedRuntime(r)
 	}
 	return w
 }
 
-// bySlack puts first what has least slack, but what is late anyhow after all
+// compareSlack puts first what has least slack, but what is late anyhow after all
 // that can still be in time.
-func bySlack(a, b config.Work) int {
+func compareSlack(a, b config.JobVariables) int {
 	return cmp.Or(-sched.CompareBool(a.Slack >= 0, b.Slack >= 0), cmp.Compare(max(a.Slack, 0), max(b.Slack, 0)))
 }
 
-// inOrder is the order in which jobs are served: by weight (by default rank, then what
+// compareEntries is the order in which jobs are served: by weight (by default rank, then what
 // is within a team's guarantee), then own ones, then what starves or was released, then
 // slack, then age. Own ones come first since those of peers are placed by them, and what
 // they will take is only kept from what comes after them: without that a peer's job would
 // first see its room taken and then stop the taker to get it back.
-func inOrder(a, b *queued) int {
-	return cmp.Or(-cmp.Compare(a.weight, b.weight), -sched.CompareBool(a.mine, b.mine), -sched.CompareBool(a.starving, b.starving),
-		-sched.CompareBool(a.released, b.released), bySlack(a.work, b.work), byAge(a.j, b.j))
+func compareEntries(a, b *queueEntry) int {
+	return cmp.Or(-cmp.Compare(a.weight, b.weight), -sched.CompareBool(a.led, b.led), -sched.CompareBool(a.starving, b.starving),
+		-sched.CompareBool(a.released, b.released), compareSlack(a.variables, b.variables), compareAge(a.job, b.job))
 }
 
 // queue lists the living jobs in the order in which they are served. Call with the lock
 // held.
-func (c *Controller) queue(now time.Time) []*queued {
-	var q []*queued
+func (c *Controller) queue(now time.Time) []*queueEntry {
+	var q []*queueEntry
 	byTeam := map[string][]*liveJob{}
 	for _, j := range c.replica.jobs {
-		if !j.main.Cancelled {
-			byTeam[j.main.Spec.Team] = append(byTeam[j.main.Spec.Team], j)
+		if !j.record.Cancelled {
+			byTeam[j.record.Spec.Team] = append(byTeam[j.record.Spec.Team], j)
 		}
 	}
 	for name, jobs := range byTeam {
 		team, _ := c.cfg.Team(name)
-		slices.SortFunc(jobs, byAge)
+		slices.SortFunc(jobs, compareAge)
 		cpus, gpus := 0.0, 0.0
 		for _, j := range jobs {
-			r := &j.main.Spec
-			left := float64(r.Tasks - j.main.FinishedTasks())
+			r := &j.record.Spec
+			left := float64(r.Tasks - j.record.FinishedTasks())
 			cpus += r.CPUs * left
 			gpus += r.GPUs * left
-			rank, _ := api.PriorityOf(r.Priority)
-			within := withinGuarantee(team, cpus, gpus)
-			w := c.describe(j, rank, within, now)
+			priority, _ := api.PriorityOf(r.Priority)
+			within := fitsGuarantee(team, cpus, gpus)
+			w := c.policyVariables(j, priority, within, now)
 			q = append(
 				q,
-				&queued{
-					j:         j,
-					uid:       r.UID,
-					rank:      rank,
-					guarantee: within,
-					mine:      c.owned(j.main.Part) != nil,
-					work:      w,
-					weight:    c.policy.Weight(w),
-					starving:  c.starving(j, w.Age),
-					released:  c.released(r.UID),
+				&queueEntry{
+					job:             j,
+					uid:             r.UID,
+					priority:        priority,
+					withinGuarantee: within,
+					led:             c.leadershipOf(j.record.Shard) != nil,
+					variables:       w,
+					weight:          c.policy.Weight(w),
+					starving:        c.starving(j, w.Age),
+					released:        c.hasReleasedClaims(r.UID),
 				},
 			)
 		}
 	}
-	slices.SortFunc(q, inOrder)
+	slices.SortFunc(q, compareEntries)
 	return q
 }
 
-// withinGuarantee tells whether a team's jobs fit its guarantee together.
-func withinGuarantee(team config.Team, cpus, gpus float64) bool {
+// fitsGuarantee tells whether a team's jobs fit its guarantee together.
+func fitsGuarantee(team config.Team, cpus, gpus float64) bool {
 	const eps = 1e-6 // sums of decimal fractions are not exact
 	if team.CPUs == 0 && team.GPUs == 0 {
 		return false
@@ -111,8 +111,8 @@
 	return (team.CPUs == 0 || cpus <= team.CPUs+eps) && (team.GPUs == 0 || gpus <= team.GPUs+eps)
 }
 
-// mustBegin is within what time even the largest job has to begin (PROTOCOL).
-const mustBegin = 4 * time.Minute
+// maxStartDelay is within what time even the largest job has to begin (PROTOCOL).
+const maxStartDelay = 4 * time.Minute
 
 // starving tells whether a job has not begun although its own aim, or half of
 // what PROTOCOL grants the largest jobs, has passed. Such a job goes first within
@@ -120,82 +120,82 @@
 // that can still be in time a large one would never begin. Call with the lock
 // held.
 func (c *Controller) starving(j *liveJob, age float64) bool {
-	if age < min(c.within(&j.main.Spec), (mustBegin/2).Seconds()) || len(j.main.Fin) > 0 {
+	if age < min(c.deadlineSeconds(&j.record.Spec), (maxStartDelay/2).Seconds()) || len(j.record.FinishedRanges) > 0 {
 		return false
 	}
 	if isGang(j) { // what it holds or did before is no beginning
-		return j.main.Gang == nil || !j.main.Gang.Go || j.main.Gang.Over
+		return j.record.Gang == nil || !j.record.Gang.Launched || j.record.Gang.Ended
 	}
-	for _, ch := range j.chunks {
-		if ch.v.Tries > 0 {
+	for _, ch := range j.ranges {
+		if ch.record.LastAttempt > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func byAge(a, b *liveJob) int {
-	return cmp.Or(cmp.Compare(a.main.AtMS, b.main.AtMS), cmp.Compare(a.main.Spec.UID, b.main.Spec.UID))
+func compareAge(a, b *liveJob) int {
+	return cmp.Or(cmp.Compare(a.record.AcceptedMS, b.record.AcceptedMS), cmp.Compare(a.record.Spec.UID, b.record.Spec.UID))
 }
 
-// mostPending is how many tasks of one job are looked at at once: what some sixteen thousand
+// maxPendingTasks is how many tasks of one job are looked at at once: what some sixteen thousand
 // machines of two accelerators take. A job may have more (api.MaxTasks); they follow when
 // some of these are placed.
-const mostPending = 1 << 15
+const maxPendingTasks = 1 << 15
 
-// pending gives the job's tasks that are neither done nor placed, at most mostPending.
+// pendingTasks gives the job's tasks that are neither done nor placed, at most mostPending.
 // Plans ask for those of all jobs, so they are kept until the job changes. Who
 // changes the list copies it. Call with the lock held.
-func (j *liveJob) pending() []task {
-	most := mostPending
-	if j.open != nil {
-		return j.open
+func (j *liveJob) pendingTasks() []taskIndex {
+	most := maxPendingTasks
+	if j.pending != nil {
+		return j.pending
 	}
-	j.open = []task{}
-	m := j.main
+	j.pending = []taskIndex{}
+	m := j.record
 	if m.Frozen {
-		return j.open
+		return j.pending
 	}
 	if isGang(j) {
-		if most = m.Spec.Tasks; !m.Gang.Holds() && (m.Gang.Done || j.placed() > 0) {
-			return j.open // all of the attempt has to be over first
+		if most = m.Spec.Tasks; !m.Gang.AcceptsPlacements() && (m.Gang.Done || j.countPlaced() > 0) {
+			return j.pending // all of the attempt has to be over first
 		}
 	}
-	for n := range m.Chunks() {
-		if m.Finished(n) {
+	for n := range m.RangeCount() {
+		if m.RangeFinished(n) {
 			continue
 		}
-		ch := j.chunks[n].v
-		for i, done := range ch.DoneFlags(m.ChunkLen(n)) {
-			if done || ch.PlaceOf(i) != nil {
+		ch := j.ranges[n].record
+		for i, done := range ch.DoneFlags(m.RangeLen(n)) {
+			if done || ch.PlacementOf(i) != nil {
 				continue
 			}
-			if j.open = append(j.open, task{n, i}); len(j.open) == most {
-				return j.open
+			if j.pending = append(j.pending, taskIndex{n, i}); len(j.pending) == most {
+				return j.pending
 			}
 		}
 	}
-	return j.open
+	return j.pending
 }
 
-// backingOff tells whether a job whose tasks failed waits before the next try:
+// isBackingOff tells whether a job whose tasks failed waits before the next try:
 // ever longer, so that a job that fails everywhere hurts nobody.
-func (c *Controller) backingOff(q *queued, now time.Time) bool {
+func (c *Controller) isBackingOff(q *queueEntry, now time.Time) bool {
 	e := 0
-	for _, ch := range q.j.chunks {
-		e += ch.v.Errors
+	for _, ch := range q.job.ranges {
+		e += ch.record.Errors
 	}
-	if g := q.j.main.Gang; g != nil {
-		e += max(g.Errors, g.Fails-1) // one attempt may fail by chance, and the next goes at once
+	if g := q.job.record.Gang; g != nil {
+		e += max(g.ErrorStreak, g.FailureStreak-1) // one attempt may fail by chance, and the next goes at once
 	}
 	if e == 0 {
-		delete(c.errSeen, q.uid)
+		delete(c.errorsSeen, q.uid)
 		delete(c.retryAt, q.uid)
 		return false
 	}
-	if e > c.errSeen[q.uid] {
-		c.retryAt[q.uid] = now.Add(min(c.cfg.Report()<<min(e-1, 10), c.cfg.Lease()))
+	if e > c.errorsSeen[q.uid] {
+		c.retryAt[q.uid] = now.Add(min(c.cfg.HeartbeatInterval()<<min(e-1, 10), c.cfg.WorkerLease()))
 	}
-	c.errSeen[q.uid] = e
+	c.errorsSeen[q.uid] = e
 	return now.Before(c.retryAt[q.uid])
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -11,11 +11,11 @@
 	"violetturn/internal/shard"
 )
 
-// start is an attempt to be launched.
-type start struct {
-	id   string
-	a    attempt
-	need sched.Resources
+// pendingLaunch is an attempt to be launched.
+type pendingLaunch struct {
+	key     string
+	attempt attemptID
+	need    sched.Resources
 }
 
 // reconciliation compares what is committed for a machine with what its worker reported,
@@ -26,202 +26,202 @@
 // a direct command: a worker has one report in flight, so a report shows what
 // became of the answers to those before, which a command's answer does not.
 type reconciliation struct {
-	c       *Controller
-	report  *api.Report
-	session *shard.Session
-	now     time.Time
-
-	reported map[attempt]*api.TaskState
-	wanted   map[attempt]bool // committed for the machine
-	starts   []start
-	leaving  bool // some task is on its way out
-	free     sched.Resources
-	sized    bool // free is known
-	commands []api.Command
+	c         *Controller
+	heartbeat *api.Heartbeat
+	agent     *shard.Agent
+	now       time.Time
+
+	reported      map[attemptID]*api.TaskState
+	desired       map[attemptID]bool // committed for the machine
+	launches      []pendingLaunch
+	stopping      bool // some task is on its way out
+	free          sched.Resources
+	capacityKnown bool // free is known
+	commands      []api.Command
 }
 
 // commandsFor gives the commands for a worker that has just reported. Call with the lock
 // held.
-func (c *Controller) commandsFor(r *api.Report, s *shard.Session, now time.Time) []api.Command {
-	if !c.canAct(now) {
-		return c.cancelledOn(r.Host)
+func (c *Controller) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
+	if !c.mayAct(now) {
+		return c.stopCancelledTasks(r.Host)
 	}
 	// What runs on takes its room until a later report shows its end; what is
 	// stopped without saving leaves before the starts in the same answer.
-	size, machineType := c.capOf(r.MachineType)
-	x := &reconciliation{c: c, report: r, session: s, now: now, reported: map[attempt]*api.TaskState{}, wanted: map[attempt]bool{},
-		free: size, sized: machineType != nil, commands: []api.Command{}}
-	x.readReport()
-	for id, pl := range c.replica.onHost[r.Host] {
+	size, machineType := c.machineCapacity(r.MachineType)
+	x := &reconciliation{c: c, heartbeat: r, agent: s, now: now, reported: map[attemptID]*api.TaskState{}, desired: map[attemptID]bool{},
+		free: size, capacityKnown: machineType != nil, commands: []api.Command{}}
+	x.readHeartbeat()
+	for id, pl := range c.replica.placements[r.Host] {
 		if j := c.replica.jobs[pl.uid]; j != nil {
-			x.settle(id, pl, j)
+			x.reconcileTask(id, pl, j)
 		}
 	}
 	x.removeUnwanted()
-	x.launch()
+	x.launchDesired()
 	return x.commands
 }
 
-// cancelledOn gives the commands that stop the tasks of cancelled jobs on a machine: what
+// stopCancelledTasks gives the commands that stop the tasks of cancelled jobs on a machine: what
 // is committed may have changed where this node can't see it, but a cancelled job stays
 // cancelled, and its tasks have to go in time. Call with the lock held.
-func (c *Controller) cancelledOn(host string) []api.Command {
+func (c *Controller) stopCancelledTasks(host string) []api.Command {
 	commands := []api.Command{}
-	for _, pl := range c.replica.onHost[host] {
-		if j := c.replica.jobs[pl.uid]; j != nil && j.gone() {
-			commands = append(commands, c.haltOf(j, attempt{pl.name(j), pl.p.Attempt}))
+	for _, pl := range c.replica.placements[host] {
+		if j := c.replica.jobs[pl.uid]; j != nil && j.isCancelled() {
+			commands = append(commands, c.stopCommand(j, attemptID{pl.taskName(j), pl.placement.Attempt}))
 		}
 	}
 	return commands
 }
 
-// readReport lists the reported attempts.
-func (x *reconciliation) readReport() {
-	for i := range x.report.Tasks {
-		t := &x.report.Tasks[i]
+// readHeartbeat lists the reported attempts.
+func (x *reconciliation) readHeartbeat() {
+	for i := range x.heartbeat.Tasks {
+		t := &x.heartbeat.Tasks[i]
 		if !api.KnownPhase(t.Phase) {
-			x.c.log.Error("a worker gives a phase that is not known", "host", x.report.Host, "phase", t.Phase)
+			x.c.log.Error("a worker gives a phase that is not known", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
-		x.reported[attempt{t.Task, t.Attempt}] = t
+		x.reported[attemptID{t.Task, t.Attempt}] = t
 	}
 }
 
-// settle compares one committed task with what was reported of it.
-func (x *reconciliation) settle(id string, pl *placedTask, j *liveJob) {
-	a := attempt{pl.name(j), pl.p.Attempt}
-	x.wanted[a] = true
-	stop := j.leaves(pl.p)
+// reconcileTask compares one committed task with what was reported of it.
+func (x *reconciliation) reconcileTask(id string, pl *placedTask, j *liveJob) {
+	a := attemptID{pl.taskName(j), pl.placement.Attempt}
+	x.desired[a] = true
+	stop := j.mustStop(pl.placement)
 	if !isGang(j) { // a gang is stopped as a whole, or else goes on
-		stop = stop || x.session.Drain || x.c.recalled(x.session, j)
+		stop = stop || x.agent.Cordoned || x.c.interruptionIsDue(x.agent, j)
 	}
 	if state := x.reported[a]; state != nil {
-		delete(x.session.Sent, id)
-		x.settlePresent(id, pl, j, state, stop)
+		delete(x.agent.PendingLaunches, id)
+		x.reconcilePresent(id, pl, j, state, stop)
 		return
 	}
-	x.settleAbsent(id, pl, j, stop)
+	x.reconcileAbsent(id, pl, j, stop)
 }
 
-// settlePresent deals with a committed task that is on the machine.
-func (x *reconciliation) settlePresent(id string, pl *placedTask, j *liveJob, state *api.TaskState, stop bool) {
-	s, a := x.session, attempt{state.Task, state.Attempt}
-	_, released := s.Releases[id]
-	if state.Phase == api.Running && s.Started[id].Try != a.try {
-		s.Started[id] = shard.Start{Try: a.try, At: x.now}
-		x.c.log.Info("task running", "task", a.name, "try", a.try, "host", x.report.Host)
+// reconcilePresent deals with a committed task that is on the machine.
+func (x *reconciliation) reconcilePresent(id string, pl *placedTask, j *liveJob, state *api.TaskState, stop bool) {
+	s, a := x.agent, attemptID{state.Task, state.Attempt}
+	_, released := s.EndedAttempts[id]
+	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.attempt {
+		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
+		x.c.log.Info("task running", "task", a.task, "try", a.attempt, "host", x.heartbeat.Host)
 		if isGang(j) {
-			x.c.gang(pl.uid).ran = a.try
+			x.c.gangStateOf(pl.uid).runningAttempt = a.attempt
 		}
 	}
 	switch {
 	case state.Phase == api.Ended:
 		if !released {
-			x.end(id, pl, j, state)
+			x.noteEnd(id, pl, j, state)
 		}
 	case stop || released:
-		x.leaving = true
-		if state.Phase == api.Saving || saves(j) {
-			x.free = x.free.Sub(need(&j.main.Spec))
+		x.stopping = true
+		if state.Phase == api.Saving || savesOnStop(j) {
+			x.free = x.free.Sub(resourcesOf(&j.record.Spec))
 		}
-		if state.Phase != api.Saving || j.gone() {
-			x.commands = append(x.commands, x.c.haltOf(j, a))
+		if state.Phase != api.Saving || j.isCancelled() {
+			x.commands = append(x.commands, x.c.stopCommand(j, a))
 		}
 	default:
-		x.free = x.free.Sub(need(&j.main.Spec))
+		x.free = x.free.Sub(resourcesOf(&j.record.Spec))
 	}
 }
 
-// end notes that a task has ended, and why.
-func (x *reconciliation) end(id string, pl *placedTask, j *liveJob, state *api.TaskState) {
-	spec := &j.main.Spec
+// noteEnd notes that a task has ended, and why.
+func (x *reconciliation) noteEnd(id string, pl *placedTask, j *liveJob, state *api.TaskState) {
+	spec := &j.record.Spec
 	done := state.Cause == api.CauseDone
 	failed := state.Cause == api.CauseError || state.Cause == api.CauseUnknown
-	x.release(id, shard.Release{Try: pl.p.Attempt, Done: done && spec.Kind != api.Service, Failed: failed, Exit: exitOf(state.Cause)})
-	if started := x.session.Started[id]; done && started.Try == pl.p.Attempt && spec.EstimateS > 0 {
-		x.c.observe(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
+	x.endAttempt(id, shard.EndedAttempt{Attempt: pl.placement.Attempt, Done: done && spec.Kind != api.Service, Failed: failed, Reason: exitReasonOf(state.Cause)})
+	if started := x.agent.FirstRuns[id]; done && started.Attempt == pl.placement.Attempt && spec.EstimateS > 0 {
+		x.c.observeRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
-	x.c.ended(x.report.Host, x.session, j, pl, state)
+	x.c.noteTaskEnd(x.heartbeat.Host, x.agent, j, pl, state)
 }
 
-// settleAbsent deals with a committed task that is not on the machine.
-func (x *reconciliation) settleAbsent(id string, pl *placedTask, j *liveJob, stop bool) {
-	s, try := x.session, pl.p.Attempt
-	_, released := s.Releases[id]
-	unheard := s.Sent[id].Try == try && s.Sent[id].N >= mostUnheard
+// reconcileAbsent deals with a committed task that is not on the machine.
+func (x *reconciliation) reconcileAbsent(id string, pl *placedTask, j *liveJob, stop bool) {
+	s, try := x.agent, pl.placement.Attempt
+	_, released := s.EndedAttempts[id]
+	unheard := s.PendingLaunches[id].Attempt == try && s.PendingLaunches[id].Answers >= maxUnheardAnswers
 	switch {
-	case !stop && !j.starts(pl.p):
+	case !stop && !j.mayLaunch(pl.placement):
 		// Held for a gang that is not complete: nothing is started yet.
 	case released:
 	case stop:
 		// Never launched, or gone with an earlier session: this report was
 		// made after any answer of ours that launched it, and no later one will.
-		x.release(id, shard.Release{Try: try})
-	case s.Deaf || unheard:
+		x.endAttempt(id, shard.EndedAttempt{Attempt: try})
+	case s.Unresponsive || unheard:
 		// It is not there, and no answer given so far will start it: this
 		// report was made after the worker took in or gave up on each of
 		// them. A worker that does not hear must not keep its tasks waiting.
-		if !s.Deaf {
-			s.Deaf = true
-			s.Raise(x.now)
-			x.c.log.Info("worker does not obey", "host", x.report.Host, "task", pl.name(j), "launches", s.Sent[id].N)
+		if !s.Unresponsive {
+			s.Unresponsive = true
+			s.RaiseToken(x.now)
+			x.c.log.Info("worker does not obey", "host", x.heartbeat.Host, "task", pl.taskName(j), "launches", s.PendingLaunches[id].Answers)
 		}
-		x.release(id, shard.Release{Try: try, Exit: job.ExitRefused})
-	case x.c.heldBack(x.report.Host, pl, j, x.now):
+		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
+	case x.c.isHeldBack(x.heartbeat.Host, pl, j, x.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
 		// a zone's arrays anew would take the changes that the readers' placements need.
-	case !s.Dead(x.now, x.c.cfg.LeaseBound()):
-		x.starts = append(x.starts, start{id, attempt{pl.name(j), try}, need(&j.main.Spec)})
+	case !s.IsLeaseExpired(x.now, x.c.cfg.WorkerLeaseBound()):
+		x.launches = append(x.launches, pendingLaunch{id, attemptID{pl.taskName(j), try}, resourcesOf(&j.record.Spec)})
 	}
 }
 
-// release notes that an attempt is over.
-func (x *reconciliation) release(id string, r shard.Release) {
-	r.At = x.now
-	x.c.release(x.report.Host, x.session, id, r)
-	x.c.poke()
+// endAttempt notes that an attempt is over.
+func (x *reconciliation) endAttempt(id string, r shard.EndedAttempt) {
+	r.EndedAt = x.now
+	x.c.noteEnd(x.heartbeat.Host, x.agent, id, r)
+	x.c.wakeDecider()
 }
 
 // removeUnwanted clears or stops what was reported and is not committed.
 func (x *reconciliation) removeUnwanted() {
 	for a, state := range x.reported {
 		switch {
-		case x.wanted[a]:
+		case x.desired[a]:
 		case state.Phase == api.Ended:
-			x.commands = append(x.commands, api.Command{Action: api.Clear, Task: a.name, Attempt: a.try})
+			x.commands = append(x.commands, api.Command{Action: api.Clear, Task: a.task, Attempt: a.attempt})
 		default:
-			x.commands = append(x.commands, api.Command{Action: api.Stop, Task: a.name, Attempt: a.try, GraceS: new(float64)})
+			x.commands = append(x.commands, api.Command{Action: api.Stop, Task: a.task, Attempt: a.attempt, GraceS: new(float64)})
 		}
 	}
 }
 
-// launch starts what is committed and not there yet. Starts come last, and only those
+// launchDesired starts what is committed and not there yet. Starts come last, and only those
 // whose room is there: a task that takes another's room waits for one that saves.
-func (x *reconciliation) launch() {
-	slices.SortFunc(x.starts, func(a, b start) int { return cmp.Compare(a.id, b.id) })
-	for _, st := range x.starts {
-		sent := x.session.Sent[st.id]
-		if sent.Try != st.a.try {
-			sent = shard.Sent{Try: st.a.try}
+func (x *reconciliation) launchDesired() {
+	slices.SortFunc(x.launches, func(a, b pendingLaunch) int { return cmp.Compare(a.key, b.key) })
+	for _, st := range x.launches {
+		sent := x.agent.PendingLaunches[st.key]
+		if sent.Attempt != st.attempt.attempt {
+			sent = shard.PendingLaunch{Attempt: st.attempt.attempt}
 		}
-		if x.sized && !x.free.Fits(st.need) {
-			x.block(st, sent)
+		if x.capacityKnown && !x.free.Fits(st.need) {
+			x.noteBlocked(st, sent)
 			continue
 		}
 		x.free = x.free.Sub(st.need)
-		sent.N, sent.Blocked = sent.N+1, 0
-		x.session.Sent[st.id] = sent
-		x.commands = append(x.commands, api.Command{Action: api.Launch, Task: st.a.name, Attempt: st.a.try})
+		sent.Answers, sent.Blocked = sent.Answers+1, 0
+		x.agent.PendingLaunches[st.key] = sent
+		x.commands = append(x.commands, api.Command{Action: api.Launch, Task: st.attempt.task, Attempt: st.attempt.attempt})
 	}
 }
 
-// block counts that a start had no room. A peer may have taken the room of a task that had
+// noteBlocked counts that a start had no room. A peer may have taken the room of a task that had
 // completed, whose end was not committed yet, when its room was another's already.
-func (x *reconciliation) block(st start, sent shard.Sent) {
-	if sent.Blocked++; x.leaving {
+func (x *reconciliation) noteBlocked(st pendingLaunch, sent shard.PendingLaunch) {
+	if sent.Blocked++; x.stopping {
 		sent.Blocked = 0
 	}
-	if x.session.Sent[st.id] = sent; sent.Blocked >= mostUnheard {
-		x.release(st.id, shard.Release{Try: st.a.try, Exit: job.ExitRefused})
+	if x.agent.PendingLaunches[st.key] = sent; sent.Blocked >= maxUnheardAnswers {
+		x.endAttempt(st.key, shard.EndedAttempt{Attempt: st.attempt.attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -19,7 +19,7 @@
 // write that came after the drop of its key once left a ghost for good.
 func TestReplicaWithLateAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newReplica(slog.New(slog.NewTextHandler(io.Discard, nil)), func(*job.Main) {}, func(string) {})
+		m := newReplica(slog.New(slog.NewTextHandler(io.Discard, nil)), func(*job.Record) {}, func(string) {})
 		type change struct {
 			key   string
 			drop  bool
@@ -27,17 +27,17 @@
 		}
 		var log []change
 		there := map[string]uint64{}
-		epoch := uint64(0)
+		revision := uint64(0)
 		take := func(c change) {
 			if c.drop {
 				m.apply(c.key, nil, c.stamp)
 			} else {
-				m.apply(c.key, api.JSON(shard.Ownership{Term: c.stamp}), c.stamp)
+				m.apply(c.key, api.JSON(shard.LeaderRecord{Term: c.stamp}), c.stamp)
 			}
 		}
 		var late []func()
 		read := func() func() {
-			since, until := m.epoch, epoch
+			since, until := m.revision, revision
 			return func() {
 				for _, c := range log {
 					if c.stamp > since && c.stamp <= until {
@@ -49,13 +49,13 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				key := nodeKey + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
-				epoch++
-				c := change{key, there[key] != 0 && rapid.Bool().Draw(t, "drop"), epoch}
+				key := nodePrefix + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
+				revision++
+				c := change{key, there[key] != 0 && rapid.Bool().Draw(t, "drop"), revision}
 				if log = append(log, c); c.drop {
 					delete(there, key)
 				} else {
-					there[key] = epoch
+					there[key] = revision
 				}
 				if rapid.Bool().Draw(t, "own") {
 					late = append(late, func() { take(c) })
@@ -76,8 +76,8 @@
 			f()
 		}
 		read()()
-		if !maps.Equal(m.stamps, there) || len(m.nodes) != len(there) {
-			t.Fatalf("the replica has %v, the service %v", m.stamps, there)
+		if !maps.Equal(m.versions, there) || len(m.nodes) != len(there) {
+			t.Fatalf("the replica has %v, the service %v", m.versions, there)
 		}
 	})
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -94,9 +94,9 @@
 	c := s.nodes[0].c
 	j := c.replica.jobs[id]
 	for e := 1; e < 40; e++ {
-		j.chunks[0] = value[job.Chunk]{&job.Chunk{Errors: e, Places: map[int]*job.Placement{}}, j.stamp, 0}
-		c.backingOff(&queued{j: j, uid: id}, c.now())
-		if wait := c.retryAt[id].Sub(c.now()); wait > c.cfg.Lease() || wait <= 0 {
+		j.ranges[0] = cached[job.TaskRange]{&job.TaskRange{Errors: e, Placements: map[int]*job.Placement{}}, j.version, 0}
+		c.isBackingOff(&queueEntry{job: j, uid: id}, c.now())
+		if wait := c.retryAt[id].Sub(c.now()); wait > c.cfg.WorkerLease() || wait <= 0 {
 			t.Fatalf("waits %v after %d failures", wait, e)
 		}
 	}
@@ -109,7 +109,7 @@
 	s := warmSim()
 	s.w.Cloud.Full = true
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // its limit is 5
-	for range 2 * int(mustBegin/time.Second) {
+	for range 2 * int(maxStartDelay/time.Second) {
 		s.round()
 	}
 	s.w.Cloud.Full = false
@@ -124,18 +124,18 @@
 	c := warmSim().nodes[0].c
 	rapid.Check(t, func(t *rapid.T) {
 		type side struct {
-			q    *queued
+			q    *queueEntry
 			run  *api.Job
 			over bool
 		}
 		draw := func(owner string) side {
-			rank := rapid.SampledFrom([]string{"production", "urgent", "standard", "idle"}).Draw(t, "rank")
-			n, _ := api.PriorityOf(rank)
+			priority := rapid.SampledFrom([]string{"production", "urgent", "standard", "idle"}).Draw(t, "rank")
+			n, _ := api.PriorityOf(priority)
 			within := rapid.Bool().Draw(t, "within")
-			run := &api.Job{Team: owner, Priority: rank}
-			return side{&queued{j: &liveJob{main: &job.Main{Spec: *run}}, rank: n, guarantee: within}, run, !within}
+			run := &api.Job{Team: owner, Priority: priority}
+			return side{&queueEntry{job: &liveJob{record: &job.Record{Spec: *run}}, priority: n, withinGuarantee: within}, run, !within}
 		}
-		stops := func(a, b side) bool { return c.mayStop(a.q, b.run, b.over) }
+		stops := func(a, b side) bool { return c.mayPreempt(a.q, b.run, b.over) }
 		x, y, z := draw("x"), draw("y"), draw("z")
 		if stops(x, y) && stops(y, x) {
 			t.Fatalf("%+v and %+v stop each other", x, y)
@@ -143,13 +143,13 @@
 		if stops(x, y) && stops(y, z) && stops(z, x) {
 			t.Fatalf("%+v, %+v and %+v go round", x, y, z)
 		}
-		if x.over && y.over && x.q.rank < y.q.rank != stops(x, y) {
+		if x.over && y.over && x.q.priority < y.q.priority != stops(x, y) {
 			t.Fatalf("without guarantees %+v, %+v are not decided by rank", x, y)
 		}
 		if !x.over && y.over && !stops(x, y) {
 			t.Fatalf("%+v does not get its guarantee from %+v", x, y)
 		}
-		if own := draw("x"); x.q.rank < own.q.rank != stops(x, own) {
+		if own := draw("x"); x.q.priority < own.q.priority != stops(x, own) {
 			t.Fatalf("within a team %+v, %+v are not decided by rank", x, own)
 		}
 	})
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -58,7 +58,7 @@
 func (s *sim) cutZone(zone string) {
 	s.cutOff = zone
 	for i, n := range s.nodes {
-		s.w.Store.Cut[n.name], s.w.Cloud.Cut[n.name] = s.zone(i) == zone, s.zone(i) == zone
+		s.w.Store.Unreachable[n.name], s.w.Cloud.Unreachable[n.name] = s.zone(i) == zone, s.zone(i) == zone
 	}
 }
 
@@ -75,16 +75,16 @@
 	if l.s.refuse || l.s.alone[l.from] || l.s.alone[to] || !n.works() || l.s.parted(l.s.zone(l.from), l.s.zone(to)) {
 		return nil, errors.New("refused")
 	}
-	if !n.c.serves(r) {
-		return n.c.standing(r), nil
+	if !n.c.servesForPeer(r) {
+		return n.c.peerStatus(r), nil
 	}
-	return peerReply(n.c.local(ctx, r)), nil
+	return peerReply(n.c.serveLocally(ctx, r)), nil
 }
 
 type simNode struct {
 	name   string
 	c      *Controller
-	direct *simulator.Direct
+	direct *simulator.CommandClient
 	aside  []func()
 	up     bool
 	old    bool // it behaves as the version in production
@@ -95,16 +95,16 @@
 
 // inFlight is an answer that a worker still waits for.
 type inFlight struct {
-	o      api.Response
+	o      api.CommandBatch
 	sent   time.Time
 	tenure uint64
 }
 
 func settings(i int, names, zones []string, limits map[string]float64) *config.Settings {
-	s := &config.Settings{HostName: names[i], Site: zones[i%len(zones)]}
+	s := &config.Settings{HostName: names[i], Zone: zones[i%len(zones)]}
 	for k, n := range names {
 		if k != i {
-			s.Members = append(s.Members, config.Member{HostName: n, Site: zones[k%len(zones)], Addr: n})
+			s.Members = append(s.Members, config.Member{HostName: n, Zone: zones[k%len(zones)], Addr: n})
 		}
 	}
 	f := &s.Facts
@@ -121,11 +121,11 @@
 
 func newSim() *sim {
 	w := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.Flavor = simulator.Flavor{Label: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: 6 * time.Second, Pull: 2 * time.Second}
+	w.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: 6 * time.Second, Fetch: 2 * time.Second}
 	w.Zones = []string{"x", "y"}
-	w.Lease, w.CancelS, w.Lag = 9*time.Second, 40*time.Second, 2*time.Second
+	w.Lease, w.CancelS, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
 	w.GangWait, w.GangPeer = 12*time.Second, 3*time.Second
-	w.Limits = map[string]float64{"a": 5}
+	w.TeamGPULimits = map[string]float64{"a": 5}
 	s := &sim{w: w, state: config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}, next: config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4},
 		answers: map[string]*inFlight{}, alone: map[int]bool{}, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	if os.Getenv("SIM_LOG") != "" {
@@ -142,7 +142,7 @@
 func (s *sim) start(i int) {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
-	cfg := settings(i, names, s.w.Zones, s.w.Limits)
+	cfg := settings(i, names, s.w.Zones, s.w.TeamGPULimits)
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = s.w.Lease.Seconds(), s.w.CancelS.Seconds()
 	next := s.next
 	cfg.Facts.State.StateLimits, cfg.Facts.State.Next = s.state, &next
@@ -153,31 +153,31 @@
 		s.adjust(n, cfg)
 	}
 	n.c = newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
-	n.c.rnd = rand.New(rand.NewPCG(uint64(i), 1))
+	n.c.random = rand.New(rand.NewPCG(uint64(i), 1))
 	begin := s.w.Now
 	fast := float64(i) * 0.00025 // clocks run up to 0.05 per cent fast
 	n.c.now = func() time.Time {
 		return s.w.Now.Add(time.Duration(float64(s.w.Now.Sub(begin)) * fast))
 	}
 	n.aside = nil
-	n.c.stepped = true
+	n.c.steppedClock = true
 	c := n.c
-	c.spawn = func(f func()) {
+	c.runAsync = func(f func()) {
 		if n.c == c {
 			n.aside = append(n.aside, f)
 		}
 	}
-	n.direct = &simulator.Direct{W: s.w, Node: n.name, Apart: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Site) }}
+	n.direct = &simulator.CommandClient{W: s.w, Node: n.name, PartitionedFrom: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Zone) }}
 	c.peers = link{s, i}
 	c.store = &simulator.Client{
-		S:      s.w.Store,
-		Node:   n.name,
-		Heard:  c.storeAnswered,
-		TxnOps: cfg.Facts.State.TxnOps,
-		ValueB: int(cfg.Facts.State.ValueKB * 1024),
+		S:             s.w.Store,
+		Node:          n.name,
+		OnServed:      c.noteStoreAnswer,
+		TxnOps:        cfg.Facts.State.TxnOps,
+		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
 	if !n.old { // it makes nothing larger than the coming limits but what the version before made
-		c.store.(*simulator.Client).TxnOps = cfg.Lowest().TxnOps
+		c.store.(*simulator.Client).TxnOps = cfg.LowestLimits().TxnOps
 	}
 	if n.old {
 		c.store = &productionStore{c.store, shapes{}}
@@ -197,17 +197,17 @@
 		return
 	}
 	ctx := context.Background()
-	if !n.c.reached() {
+	if !n.c.storeReachable() {
 		n.c.askPeers(ctx)
 	}
 	if n.c.loaded {
-		_ = n.c.catchUp(ctx, n.c.replica.epoch, 0) // refused in an outage
+		_ = n.c.applyChanges(ctx, n.c.replica.revision, 0) // refused in an outage
 	} else {
-		_ = n.c.load(ctx)
+		_ = n.c.loadReplica(ctx)
 	}
-	n.c.holdStep(ctx)
+	n.c.maintainLease(ctx)
 	n.c.decide(ctx)
-	n.c.cloudStep(ctx)
+	n.c.autoscale(ctx)
 	aside := n.aside
 	n.aside = nil
 	for _, f := range aside {
@@ -232,13 +232,13 @@
 	if a := s.answers[x.Host]; a != nil {
 		delete(s.answers, x.Host)
 		if s.w.Now.Sub(a.sent) < 4*time.Second {
-			x.Answer(a.o, a.sent, a.tenure)
+			x.HandleResponse(a.o, a.sent, a.tenure)
 		}
 		return
 	}
-	body := api.JSON(x.Report())
+	body := api.JSON(x.Heartbeat())
 	to := x.Node
-	if cut := x.Cut || x.Mute || s.nodes[to].direct.Cut || s.parted(s.zone(to), x.Site); cut || !s.nodes[to].works() {
+	if cut := x.Partitioned || x.OutboundLost || s.nodes[to].direct.Cut || s.parted(s.zone(to), x.Zone); cut || !s.nodes[to].works() {
 		if cut && f == reportHeld {
 			s.held = append(s.held, func() { s.deliver(to, body) })
 		}
@@ -248,54 +248,54 @@
 	if len(s.copies) < 64 {
 		s.copies = append(s.copies, copied{to, body})
 	}
-	sent, tenure := s.w.Now, x.Session
-	status, o, steward := s.deliver(to, body)
+	sent, agentEpoch := s.w.Now, x.AgentEpoch
+	status, o, leader := s.deliver(to, body)
 	switch {
-	case f == answerLost || x.Deaf:
+	case f == answerLost || x.InboundLost:
 		x.Node = (to + 1) % len(s.nodes)
 	case status == 200 && f == answerSlow:
-		s.answers[x.Host] = &inFlight{o, sent, tenure}
+		s.answers[x.Host] = &inFlight{o, sent, agentEpoch}
 	default:
-		s.answered(x, to, status, o, steward, sent, tenure)
+		s.answered(x, to, status, o, leader, sent, agentEpoch)
 	}
 }
 
 // answered lets a worker take in an answer that it heard.
-func (s *sim) answered(x *simulator.Worker, to, status int, o api.Response, steward string, sent time.Time, tenure uint64) {
+func (s *sim) answered(x *simulator.Worker, to, status int, o api.CommandBatch, leader string, sent time.Time, agentEpoch uint64) {
 	switch {
 	case status == 200:
-		x.Answer(o, sent, tenure)
-	case status == 421 && steward != "" && steward != s.nodes[to].name:
-		x.Node = slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.name == steward })
+		x.HandleResponse(o, sent, agentEpoch)
+	case status == 421 && leader != "" && leader != s.nodes[to].name:
+		x.Node = slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.name == leader })
 	default:
 		x.Node = (to + 1) % len(s.nodes)
 	}
 }
 
-func (s *sim) deliver(to int, body []byte) (int, api.Response, string) {
+func (s *sim) deliver(to int, body []byte) (int, api.CommandBatch, string) {
 	n := s.nodes[to]
 	if !n.works() {
-		return 0, api.Response{}, ""
+		return 0, api.CommandBatch{}, ""
 	}
-	r := n.c.checkin(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
-	o, steward, err := simulator.ParseAnswer(r.Body)
+	r := n.c.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
+	o, leader, err := simulator.ParseHeartbeatResponse(r.Body)
 	if err != nil {
 		panic(err)
 	}
-	return r.Status, o, steward
+	return r.Status, o, leader
 }
 
 func (s *sim) submit(i int, uid string) {
-	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Run.Kind == api.Gang {
+	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Spec.Kind == api.Gang {
 		return // nothing new is asked of the version before
 	}
-	r := s.nodes[i].c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Run)})
+	r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Spec)})
 	s.told(uid, r.Status, r.Body, true)
 }
 
 func (s *sim) poll(i int, uid string) {
 	if s.nodes[i].works() {
-		r := s.nodes[i].c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
+		r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
 		s.told(uid, r.Status, r.Body, false)
 	}
 }
@@ -304,8 +304,8 @@
 	if !s.nodes[i].works() {
 		return
 	}
-	s.w.Jobs[uid].AskedStop = true
-	r := s.nodes[i].c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+	s.w.Jobs[uid].CancelRequested = true
+	r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 	s.told(uid, r.Status, r.Body, false)
 }
 
@@ -314,7 +314,7 @@
 		Phase string `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // an answer without a phase has none
-	s.w.Told(uid, status, a.Phase, submission)
+	s.w.CheckAnswer(uid, status, a.Phase, submission)
 }
 
 // round lets everybody do what they do in half a second.
@@ -332,11 +332,11 @@
 func (s *sim) heal() {
 	s.w.Store.Down, s.w.Cloud.Down, s.w.Cloud.Full = false, false, false
 	clear(s.w.Store.Refuse)
-	clear(s.w.Store.Cut)
-	clear(s.w.Cloud.Cut)
+	clear(s.w.Store.Unreachable)
+	clear(s.w.Cloud.Unreachable)
 	s.cutOff, s.apart, s.refuse = "", false, false
 	clear(s.alone)
-	s.w.Flavor.Boot = 6 * time.Second
+	s.w.MachineType.Boot = 6 * time.Second
 	for i, n := range s.nodes {
 		if !n.up || n.old {
 			n.old = false
@@ -344,7 +344,7 @@
 		}
 	}
 	for _, x := range s.w.Cloud.Hosts {
-		x.Cut, x.Deaf, x.Mute, x.Hung = false, false, false, false
+		x.Partitioned, x.InboundLost, x.OutboundLost, x.Hung = false, false, false, false
 	}
 	for _, n := range s.nodes {
 		n.direct.Cut = false
@@ -355,11 +355,11 @@
 func (s *sim) settled() bool {
 	for _, id := range s.uids {
 		j := s.w.Jobs[id]
-		if j.Phase != "" || j.Run.Kind == api.Service {
+		if j.FinalPhase != "" || j.Spec.Kind == api.Service {
 			continue
 		}
 		// It may be accepted although no user was told.
-		if s.poll(0, id); j.Told && j.Phase == "" {
+		if s.poll(0, id); j.Accepted && j.FinalPhase == "" {
 			return false
 		}
 	}
@@ -371,26 +371,26 @@
 	c := s.nodes[0].c
 	out := ""
 	if j := c.replica.jobs[uid]; j != nil {
-		out = fmt.Sprintf("main %s", api.JSON(j.main))
-		for n, ch := range j.chunks {
-			out += fmt.Sprintf(" chunk %d %s", n, api.JSON(ch.v))
+		out = fmt.Sprintf("main %s", api.JSON(j.record))
+		for n, ch := range j.ranges {
+			out += fmt.Sprintf(" chunk %d %s", n, api.JSON(ch.record))
 		}
 	}
-	for t, u := range c.replica.teams {
-		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.v))
+	for t, u := range c.replica.quotas {
+		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.record))
 	}
-	for _, p := range c.parts {
-		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.replica.parts[p].v), api.JSON(c.replica.owns[p].v))
+	for _, p := range c.shards {
+		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.replica.capacities[p].record), api.JSON(c.replica.leaders[p].record))
 	}
-	for h, m := range c.replica.hosts {
+	for h, m := range c.replica.machines {
 		x := s.w.Cloud.Hosts[h]
 		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
 	}
 	for _, n := range s.nodes {
 		p := n.c.plan(n.c.now())
 		out += fmt.Sprintf(
-			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.unmet), n.c.refused,
-			n.c.renting.inDoubt, len(n.c.machineTypes),
+			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.unmet), n.c.capacityBackoffs,
+			n.c.rentals.unanswered, len(n.c.machineTypes),
 		)
 	}
 	return out
--- a/internal/controller/simjobs_test.go
+++ b/internal/controller/simjobs_test.go
@@ -20,7 +20,7 @@
 	if change != nil {
 		change(r, &d)
 	}
-	s.w.Jobs[id] = &simulator.Job{Run: *r, RunTime: d, Done: map[int]bool{}}
+	s.w.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, Done: map[int]bool{}}
 	s.uids = append(s.uids, id)
 	s.submit(0, id)
 	return id
@@ -43,8 +43,8 @@
 			return
 		}
 		s.round()
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 	}
 	t.Fatalf("%s: not after %d rounds", what, most)
@@ -53,14 +53,14 @@
 func (s *sim) done(id string) func() bool {
 	return func() bool {
 		s.poll(1, id)
-		return s.w.Jobs[id].Phase == api.Done
+		return s.w.Jobs[id].FinalPhase == api.Done
 	}
 }
 
 func (s *sim) running(id string) int {
 	n := 0
 	for _, x := range s.w.Cloud.Hosts {
-		for _, p := range x.Report().Tasks {
+		for _, p := range x.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(p.Task); uid == id && p.Phase == api.Running {
 				n++
 			}
@@ -69,9 +69,9 @@
 	return n
 }
 
-func (s *sim) owner(part string) string {
+func (s *sim) owner(shard string) string {
 	for _, n := range s.nodes {
-		if n.up && n.c.owned(part) != nil && n.c.canAct(n.c.now()) {
+		if n.up && n.c.leadershipOf(shard) != nil && n.c.mayAct(n.c.now()) {
 			return n.name
 		}
 	}
@@ -82,7 +82,7 @@
 func (s *sim) hostsOf(id string) map[string]int {
 	on := map[string]int{}
 	for h, x := range s.w.Cloud.Hosts {
-		for _, p := range x.Report().Tasks {
+		for _, p := range x.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(p.Task); uid == id && p.Phase == api.Running {
 				on[h]++
 			}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -13,9 +13,9 @@
 
 // submission is a submission on its way to the store.
 type submission struct {
-	ctx  context.Context
-	main *job.Main
-	out  chan transport.Response
+	ctx      context.Context
+	record   *job.Record
+	response chan transport.Response
 }
 
 // submit accepts a job, or tells its user why not. A known job is answered with its state,
@@ -23,9 +23,9 @@
 func (c *Controller) submit(ctx context.Context, body []byte) transport.Response {
 	r, err := api.ParseJob(body)
 	if err != nil {
-		refusal := reply(400, map[string]string{"error": err.Error()})
+		refusal := jsonResponse(400, map[string]string{"error": err.Error()})
 		if uid, ok := api.UIDOf(body); ok {
-			return c.knownOr(ctx, uid, refusal)
+			return c.stateOrRefusal(ctx, uid, refusal)
 		}
 		return refusal
 	}
@@ -34,68 +34,68 @@
 	_, live := c.replica.jobs[r.UID]
 	c.mu.Unlock()
 	if undecided {
-		return c.knownOr(ctx, r.UID, errBusy)
+		return c.stateOrRefusal(ctx, r.UID, responseBusy)
 	}
-	if why := c.never(r); why != "" {
-		return c.knownOr(ctx, r.UID, reply(422, map[string]string{"error": why}))
+	if why := c.rejectionReason(r); why != "" {
+		return c.stateOrRefusal(ctx, r.UID, jsonResponse(422, map[string]string{"error": why}))
 	}
 	if live {
-		if s, found, err := c.known(ctx, r.UID); err != nil {
-			return errBusy
+		if s, found, err := c.jobState(ctx, r.UID); err != nil {
+			return responseBusy
 		} else if found {
-			return reply(200, s)
+			return jsonResponse(200, s)
 		}
 	}
-	if !c.reached() || !c.takes(r.Kind) {
-		return errBusy
+	if !c.storeReachable() || !c.acceptsKind(r.Kind) {
+		return responseBusy
 	}
-	m := &job.Main{Spec: *r, Part: c.cfg.HostName, AtMS: c.now().UnixMilli()}
+	m := &job.Record{Spec: *r, Shard: c.cfg.HostName, AcceptedMS: c.now().UnixMilli()}
 	size := len(api.JSON(m))
-	if size > c.valueRoom() { // room for what is added later
-		return c.knownOr(ctx, r.UID, reply(400, map[string]string{"error": "submission too long"}))
+	if size > c.maxValueBytes() { // room for what is added later
+		return c.stateOrRefusal(ctx, r.UID, jsonResponse(400, map[string]string{"error": "submission too long"}))
 	}
 	c.mu.Lock()
-	dense := c.upgraded()
+	dense := c.schemaUpgraded()
 	c.mu.Unlock()
-	m.Fit(c.cfg.Lowest().ValueKB, size, dense)
-	return c.await(&submission{ctx: ctx, main: m, out: make(chan transport.Response, 1)})
+	m.ChooseLayout(c.cfg.LowestLimits().ValueKB, size, dense)
+	return c.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
 }
 
-// knownOr answers with the state of a job that is known, or else with a refusal.
-func (c *Controller) knownOr(ctx context.Context, uid string, refusal transport.Response) transport.Response {
-	s, found, err := c.known(ctx, uid)
+// stateOrRefusal answers with the state of a job that is known, or else with a refusal.
+func (c *Controller) stateOrRefusal(ctx context.Context, uid string, refusal transport.Response) transport.Response {
+	s, found, err := c.jobState(ctx, uid)
 	switch {
 	case err != nil:
-		return errBusy
+		return responseBusy
 	case found:
-		return reply(200, s)
+		return jsonResponse(200, s)
 	}
 	return refusal
 }
 
-// await has a submission committed and gives its answer.
-func (c *Controller) await(a *submission) transport.Response {
+// commitSubmission has a submission committed and gives its answer.
+func (c *Controller) commitSubmission(a *submission) transport.Response {
 	if !c.enqueue(a) {
-		return errBusy
+		return responseBusy
 	}
 	select {
-	case resp := <-a.out:
+	case resp := <-a.response:
 		return resp
 	case <-a.ctx.Done():
-		return errBusy
+		return responseBusy
 	}
 }
 
-// takes tells whether a job of that shape can be kept safely: a controller of the
+// acceptsKind tells whether a job of that shape can be kept safely: a controller of the
 // version before would place an ensemble task by task.
-func (c *Controller) takes(shape string) bool {
+func (c *Controller) acceptsKind(shape string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return shape != api.Gang || c.upgraded()
+	return shape != api.Gang || c.schemaUpgraded()
 }
 
-// never tells why a job can never run, "" if it can.
-func (c *Controller) never(r *api.Job) string {
+// rejectionReason tells why a job can never run, "" if it can.
+func (c *Controller) rejectionReason(r *api.Job) string {
 	team, ok := c.cfg.Team(r.Team)
 	if !ok {
 		return "unknown team"
@@ -107,30 +107,30 @@
 	if team.CPUsMax > 0 && r.CPUs*k > team.CPUsMax+1e-6 || team.GPUsMax > 0 && r.GPUs*k > team.GPUsMax+1e-6 {
 		return "more than the team's limit"
 	}
-	ask := askOf(r)
-	sites := map[string]bool{}
+	ask := taskRequestOf(r)
+	zones := map[string]bool{}
 	c.mu.Lock()
 	for _, f := range c.machineTypes {
 		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
 		for _, s := range f.Zones {
 			if cp.Fits(ask.Need) && ask.Allows(f.Name, s, false) {
-				sites[s] = true
+				zones[s] = true
 			}
 		}
 	}
 	c.mu.Unlock()
 	switch {
-	case len(sites) == 0:
+	case len(zones) == 0:
 		return "fits no allowed machine type"
-	case r.Spread && r.Tasks > 1 && (len(sites) == 1 || r.Together):
+	case r.Spread && r.Tasks > 1 && (len(zones) == 1 || r.Together):
 		return "can't be scattered"
 	}
 	return ""
 }
 
-func askOf(r *api.Job) sched.TaskRequest {
+func taskRequestOf(r *api.Job) sched.TaskRequest {
 	return sched.TaskRequest{
-		Need:         need(r),
+		Need:         resourcesOf(r),
 		MachineTypes: r.MachineTypes,
 		Zone:         r.Zone,
 		Spot:         r.Spot,
@@ -153,23 +153,23 @@
 	c.submissions.busy = true
 	c.submissions.Unlock()
 	if lead {
-		c.commitLine()
+		c.commitQueued()
 	}
 	return true
 }
 
-// commitLine commits the submissions in line, several in one transaction when
+// commitQueued commits the submissions in line, several in one transaction when
 // they came together: half of what a transaction takes, so that one batch does
 // not use up the writes that decisions need.
-func (c *Controller) commitLine() {
-	most := max(1, min(c.cfg.Lowest().TxnOps, c.secondsWrites())/2)
+func (c *Controller) commitQueued() {
+	most := max(1, min(c.cfg.LowestLimits().TxnOps, c.writesPerSecond())/2)
 	var batch, rest []*submission
 	c.submissions.Lock()
 	for _, a := range c.submissions.queue {
 		if a.ctx.Err() != nil {
 			continue // its user was told to come back, and may be asking elsewhere
 		}
-		if len(batch) < most && !sameUID(batch, a) {
+		if len(batch) < most && !containsUID(batch, a) {
 			batch = append(batch, a)
 		} else {
 			rest = append(rest, a)
@@ -177,7 +177,7 @@
 	}
 	c.submissions.queue = rest
 	c.submissions.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), userPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
 	if len(batch) > 0 {
 		c.acceptBatch(ctx, batch)
 	}
@@ -187,13 +187,13 @@
 	c.submissions.busy = more
 	c.submissions.Unlock()
 	if more {
-		c.spawn(c.commitLine)
+		c.runAsync(c.commitQueued)
 	}
 }
 
-func sameUID(batch []*submission, a *submission) bool {
+func containsUID(batch []*submission, a *submission) bool {
 	for _, b := range batch {
-		if b.main.Spec.UID == a.main.Spec.UID {
+		if b.record.Spec.UID == a.record.Spec.UID {
 			return true
 		}
 	}
@@ -202,53 +202,53 @@
 
 func (c *Controller) acceptBatch(ctx context.Context, batch []*submission) {
 	for len(batch) > 0 {
-		t := newTxn()
+		t := newTransaction()
 		for _, a := range batch {
-			uid := a.main.Spec.UID
-			t.guard(jobKey+uid, 0)
-			t.guard(pastKey+uid, 0)
-			t.write(jobKey+uid, a.main)
+			uid := a.record.Spec.UID
+			t.require(jobPrefix+uid, 0)
+			t.require(finalStatePrefix+uid, 0)
+			t.put(jobPrefix+uid, a.record)
 		}
-		rank := store.Submission
-		if slices.ContainsFunc(batch, func(a *submission) bool { return a.main.Spec.Kind == api.Gang }) {
-			rank = store.Gang
+		priority := store.PrioritySubmission
+		if slices.ContainsFunc(batch, func(a *submission) bool { return a.record.Spec.Kind == api.Gang }) {
+			priority = store.PriorityGang
 		}
-		done, failed, err := c.commit(ctx, "accepted", t, rank)
+		done, failed, err := c.commit(ctx, "accepted", t, priority)
 		if done {
 			for _, a := range batch {
-				uid := a.main.Spec.UID
+				uid := a.record.Spec.UID
 				c.log.Info(
-					"job accepted", "job", uid, "lane", a.main.Spec.Class, "owner", a.main.Spec.Team, "rank",
-					a.main.Spec.Priority, "tasks", a.main.Spec.Tasks,
+					"job accepted", "job", uid, "lane", a.record.Spec.Class, "owner", a.record.Spec.Team, "rank",
+					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
 				)
-				a.out <- reply(201, map[string]string{"uid": uid, "phase": api.Pending})
+				a.response <- jsonResponse(201, map[string]string{"uid": uid, "phase": api.Pending})
 			}
-			if rank == store.Gang {
+			if priority == store.PriorityGang {
 				select {
-				case c.newGang <- struct{}{}:
+				case c.gangAccepted <- struct{}{}:
 				default:
 				}
 			}
-			c.poke()
+			c.wakeDecider()
 			return
 		}
 		var rest []*submission
 		for _, a := range batch {
-			uid := a.main.Spec.UID
-			if err == nil && !contains(failed, jobKey+uid) && !contains(failed, pastKey+uid) {
+			uid := a.record.Spec.UID
+			if err == nil && !contains(failed, jobPrefix+uid) && !contains(failed, finalStatePrefix+uid) {
 				rest = append(rest, a)
 				continue
 			}
 			// Known already, or the outcome is in doubt: only reading settles it.
-			if s, found, kerr := c.known(a.ctx, uid); kerr == nil && found {
-				a.out <- reply(200, s)
+			if s, found, kerr := c.jobState(a.ctx, uid); kerr == nil && found {
+				a.response <- jsonResponse(200, s)
 			} else {
-				a.out <- errBusy
+				a.response <- responseBusy
 			}
 		}
 		if err == nil && len(rest) == len(batch) {
 			for _, a := range rest {
-				a.out <- errBusy
+				a.response <- responseBusy
 			}
 			return
 		}
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -10,188 +10,188 @@
 	"violetturn/internal/store"
 )
 
-// tendParts registers this node, takes parts without an owner and hands parts
+// maintainLeaderships registers this node, takes parts without an owner and hands parts
 // back to their home controllers.
-func (c *Controller) tendParts(ctx context.Context) {
+func (c *Controller) maintainLeaderships(ctx context.Context) {
 	now := c.now()
 	c.mu.Lock()
 	if !c.loaded {
 		c.mu.Unlock()
 		return
 	}
-	c.dropLostParts()
-	c.shareAmong(now)
-	mute := c.listen(ctx, now)
+	c.dropLostLeaderships()
+	c.updateRateSharing(now)
+	unreachable := c.checkWorkerContact(ctx, now)
 	registration := c.registration()
-	c.noteNodesUp(now)
-	tending := c.sortParts(now, mute)
+	c.notePeersReachable(now)
+	tending := c.planLeadershipChanges(now, unreachable)
 	c.mu.Unlock()
 	if registration != nil {
-		if _, _, err := c.commit(ctx, "node", registration, store.Hold); errors.Is(err, store.ErrNoLease) {
+		if _, _, err := c.commit(ctx, "node", registration, store.PriorityLease); errors.Is(err, store.ErrNoLease) {
 			return
 		}
 	}
-	for _, p := range tending.give {
-		c.handBack(ctx, p)
+	for _, p := range tending.release {
+		c.releaseShard(ctx, p)
 	}
-	for _, p := range tending.take {
-		c.acquire(ctx, p, tending.seen[p])
+	for _, p := range tending.acquire {
+		c.acquireShard(ctx, p, tending.leaderVersions[p])
 	}
 }
 
-// dropLostParts forgets the parts that the replica shows as somebody else's. Call with the
+// dropLostLeaderships forgets the parts that the replica shows as somebody else's. Call with the
 // lock held.
-func (c *Controller) dropLostParts() {
-	for p, o := range c.mine {
-		v, ok := c.replica.owns[p]
-		ours := ok && v.v.Incarnation == c.incarnation && v.v.Node == c.cfg.HostName
-		if !ours && (!ok || v.stamp > o.stamp) {
+func (c *Controller) dropLostLeaderships() {
+	for p, o := range c.leaderships {
+		v, ok := c.replica.leaders[p]
+		ours := ok && v.record.Incarnation == c.incarnation && v.record.Node == c.cfg.HostName
+		if !ours && (!ok || v.version > o.version) {
 			c.log.Info("part lost", "part", p, "term", o.term)
-			c.dropPart(p)
+			c.dropLeadership(p)
 		}
 	}
 }
 
 // registration gives the transaction that has this node's record tell what is so now; nil
 // if it does. Call with the lock held.
-func (c *Controller) registration() *txn {
+func (c *Controller) registration() *transaction {
 	me := c.cfg.HostName
-	n, self := c.replica.nodes[me].v, c.nodeRecord()
-	mark := c.replica.marks[me].v
-	marked := mark != nil && mark.V >= forms && slices.Equal(mark.Features, self.Features)
-	if marked && n != nil && n.Incarnation == c.incarnation && n.Mute == self.Mute && n.Hear == self.Hear {
+	n, self := c.replica.nodes[me].record, c.nodeRecord()
+	mark := c.replica.capabilities[me].record
+	marked := mark != nil && mark.SchemaVersion >= schemaVersion && slices.Equal(mark.Features, self.Features)
+	if marked && n != nil && n.Incarnation == c.incarnation && n.WorkersUnreachable == self.WorkersUnreachable && n.HearsWorkers == self.HearsWorkers {
 		return nil
 	}
-	t := newTxn()
-	t.write(nodeKey+me, self)
-	t.permit[nodeKey+me] = c.lease
+	t := newTransaction()
+	t.put(nodePrefix+me, self)
+	t.leases[nodePrefix+me] = c.leaseID
 	if !marked {
-		t.write(markKey+me, shard.Mark{V: forms, Features: self.Features})
+		t.put(capabilityPrefix+me, shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: self.Features})
 	}
 	return t
 }
 
-// noteNodesUp notes since when each node lives and is reached by workers. Call with the
+// notePeersReachable notes since when each node lives and is reached by workers. Call with the
 // lock held.
-func (c *Controller) noteNodesUp(now time.Time) {
-	for _, x := range c.parts {
-		if !c.listens(x) {
-			delete(c.homeUp, x)
-		} else if _, ok := c.homeUp[x]; !ok {
-			c.homeUp[x] = now
+func (c *Controller) notePeersReachable(now time.Time) {
+	for _, x := range c.shards {
+		if !c.workersReach(x) {
+			delete(c.peerReachableSince, x)
+		} else if _, ok := c.peerReachableSince[x]; !ok {
+			c.peerReachableSince[x] = now
 		}
 	}
 }
 
-// partTending is what is to be done with parts.
-type partTending struct {
-	take, give []string
-	seen       map[string]uint64 // versions of the owners' keys that this rests on
+// leadershipChanges is what is to be done with parts.
+type leadershipChanges struct {
+	acquire, release []string
+	leaderVersions   map[string]uint64 // versions of the owners' keys that this rests on
 }
 
-// sortParts tells which parts this node takes now and which it hands to others. Call with
+// planLeadershipChanges tells which parts this node takes now and which it hands to others. Call with
 // the lock held.
-func (c *Controller) sortParts(now time.Time, mute bool) partTending {
-	x := partTending{seen: map[string]uint64{}}
-	for _, p := range c.parts {
-		v, owned := c.replica.owns[p]
-		x.seen[p] = v.stamp
+func (c *Controller) planLeadershipChanges(now time.Time, unreachable bool) leadershipChanges {
+	x := leadershipChanges{leaderVersions: map[string]uint64{}}
+	for _, p := range c.shards {
+		v, owned := c.replica.leaders[p]
+		x.leaderVersions[p] = v.version
 		if owned {
-			delete(c.absent, p)
-			if c.retakes(p, v.v, mute) {
-				x.take = append(x.take, p)
-			} else if c.gives(p, now, mute) {
-				x.give = append(x.give, p)
+			delete(c.leaderlessSince, p)
+			if c.mustReacquire(p, v.record, unreachable) {
+				x.acquire = append(x.acquire, p)
+			} else if c.mustRelease(p, now, unreachable) {
+				x.release = append(x.release, p)
 			}
 			continue
 		}
-		if _, ok := c.absent[p]; !ok {
-			c.absent[p] = now
+		if _, ok := c.leaderlessSince[p]; !ok {
+			c.leaderlessSince[p] = now
 		}
-		if !mute && now.Sub(c.absent[p]) >= c.turn(p) {
-			x.take = append(x.take, p)
+		if !unreachable && now.Sub(c.leaderlessSince[p]) >= c.takeoverDelay(p) {
+			x.acquire = append(x.acquire, p)
 		}
 	}
 	return x
 }
 
-// retakes tells whether this node takes a part anew that has an owner. Call with the lock
+// mustReacquire tells whether this node takes a part anew that has an owner. Call with the lock
 // held.
-func (c *Controller) retakes(p string, owner *shard.Ownership, mute bool) bool {
-	o := c.mine[p]
-	if owner.Node == c.cfg.HostName && (owner.Incarnation != c.incarnation || o == nil) && !mute {
+func (c *Controller) mustReacquire(p string, owner *shard.LeaderRecord, unreachable bool) bool {
+	o := c.leaderships[p]
+	if owner.Node == c.cfg.HostName && (owner.Incarnation != c.incarnation || o == nil) && !unreachable {
 		// Our own earlier life, which is over, or a take whose answer was
 		// lost: the key is ours and nobody else would ever act on it.
 		return true
 	}
-	return o != nil && o.bump
+	return o != nil && o.needsNewTerm
 }
 
-// gives tells whether this node hands a part to others: all if no worker reaches it, one
+// mustRelease tells whether this node hands a part to others: all if no worker reaches it, one
 // whose release is in doubt again until it shows, and a peer's own when that peer has been
 // up for a while. Call with the lock held.
-func (c *Controller) gives(p string, now time.Time, mute bool) bool {
-	o := c.mine[p]
+func (c *Controller) mustRelease(p string, now time.Time, unreachable bool) bool {
+	o := c.leaderships[p]
 	switch {
 	case o == nil:
 		return false
-	case mute, o.leaving:
+	case unreachable, o.releasing:
 		return true
 	case p == c.cfg.HostName:
 		return false
 	}
-	up, ok := c.homeUp[p]
-	return ok && now.Sub(up) > c.cfg.HoldTTL()/2 && !c.backward(p)
+	up, ok := c.peerReachableSince[p]
+	return ok && now.Sub(up) > c.cfg.ControllerLeaseTTL()/2 && !c.isDowngraded(p)
 }
 
-// shareAmong divides the state service's rates among the controllers that live: one
+// updateRateSharing divides the state service's rates among the controllers that live: one
 // that is left alone has all of them. One that is not there counts until it has been
 // away for a hold's time: at the start, and when all come back, none has registered
 // yet, and to take all for oneself would have the others refused. Call with the lock
 // held.
-func (c *Controller) shareAmong(now time.Time) {
+func (c *Controller) updateRateSharing(now time.Time) {
 	n := 0
-	for _, x := range c.parts {
-		if x == c.cfg.HostName || c.replica.nodes[x].v != nil {
-			delete(c.away, x)
-		} else if _, ok := c.away[x]; !ok {
-			c.away[x] = now
+	for _, x := range c.shards {
+		if x == c.cfg.HostName || c.replica.nodes[x].record != nil {
+			delete(c.peerAbsentSince, x)
+		} else if _, ok := c.peerAbsentSince[x]; !ok {
+			c.peerAbsentSince[x] = now
 		}
-		if since, ok := c.away[x]; !ok || now.Sub(since) < c.cfg.HoldTTL() {
+		if since, ok := c.peerAbsentSince[x]; !ok || now.Sub(since) < c.cfg.ControllerLeaseTTL() {
 			n++
 		}
 	}
-	if n != c.sharers {
-		c.log.Info("rates shared", "controllers", n, "before", c.sharers)
-		c.sharers = n
-		c.store.Among(n)
+	if n != c.rateSharers {
+		c.log.Info("rates shared", "controllers", n, "before", c.rateSharers)
+		c.rateSharers = n
+		c.store.SetControllers(n)
 	}
 }
 
-// turn is how long this node waits before it takes a part without an owner: the
+// takeoverDelay is how long this node waits before it takes a part without an owner: the
 // home controller goes first, then the others that live, in a ring order that
 // spreads several parts over several nodes. Call with the lock held.
-func (c *Controller) turn(p string) time.Duration {
+func (c *Controller) takeoverDelay(p string) time.Duration {
 	if p == c.cfg.HostName {
 		return 0
 	}
 	wait := time.Duration(0)
-	step := c.cfg.HoldTTL() / 8
-	if c.listens(p) || c.replica.parts[p].v == nil {
+	step := c.cfg.ControllerLeaseTTL() / 8
+	if c.workersReach(p) || c.replica.capacities[p].record == nil {
 		wait = 8 * step // it lives, or is only now being started, and should come for it
 	}
 	start := 0
-	for i, x := range c.parts {
+	for i, x := range c.shards {
 		if x == p {
 			start = i
 		}
 	}
-	for k := 1; k < len(c.parts); k++ {
-		x := c.parts[(start+k)%len(c.parts)]
+	for k := 1; k < len(c.shards); k++ {
+		x := c.shards[(start+k)%len(c.shards)]
 		if x == c.cfg.HostName {
 			break
 		}
-		if c.listens(x) {
+		if c.workersReach(x) {
 			wait += step
 		}
 	}
--- a/internal/controller/transaction.go
+++ b/internal/controller/transaction.go
@@ -8,65 +8,65 @@
 	"violetturn/internal/store"
 )
 
-// txn collects a transaction with what to tell the replica when it commits.
-type txn struct {
-	guards map[string]uint64
-	writes map[string]json.RawMessage
-	permit map[string]uint64
-	drops  map[string]bool
-	order  []string
+// transaction collects a transaction with what to tell the replica when it commits.
+type transaction struct {
+	preconditions map[string]uint64
+	writes        map[string]json.RawMessage
+	leases        map[string]uint64
+	deletes       map[string]bool
+	order         []string
 
-	records map[string]*shard.Record // of the writes, those of parts' free room
+	capacities map[string]*shard.CapacityRecord // of the writes, those of parts' free room
 }
 
-func newTxn() *txn {
-	return &txn{
-		guards:  map[string]uint64{},
-		writes:  map[string]json.RawMessage{},
-		permit:  map[string]uint64{},
-		drops:   map[string]bool{},
-		records: map[string]*shard.Record{},
+func newTransaction() *transaction {
+	return &transaction{
+		preconditions: map[string]uint64{},
+		writes:        map[string]json.RawMessage{},
+		leases:        map[string]uint64{},
+		deletes:       map[string]bool{},
+		capacities:    map[string]*shard.CapacityRecord{},
 	}
 }
 
-func (t *txn) guard(key string, stamp uint64) { t.guards[key] = stamp }
+func (t *transaction) require(key string, version uint64) { t.preconditions[key] = version }
 
-func (t *txn) write(key string, v any) {
+func (t *transaction) put(key string, v any) {
 	if _, ok := t.writes[key]; !ok {
 		t.order = append(t.order, key)
 	}
 	t.writes[key] = api.JSON(v)
 }
 
-// writePart writes a part's free-room record, which nobody changes from now on.
-func (t *txn) writePart(key string, r *shard.Record) {
-	t.write(key, r)
-	t.records[key] = r
+// putCapacity writes a part's free-room record, which nobody changes from now on.
+func (t *transaction) putCapacity(key string, r *shard.CapacityRecord) {
+	t.put(key, r)
+	t.capacities[key] = r
 }
 
-func (t *txn) drop(key string) {
-	if !t.drops[key] {
+func (t *transaction) delete(key string) {
+	if !t.deletes[key] {
 		t.order = append(t.order, key)
 	}
-	t.drops[key] = true
+	t.deletes[key] = true
 	delete(t.writes, key)
 }
 
-// ops is the number of changes so far.
-func (t *txn) ops() int {
+// changes is the number of changes so far.
+func (t *transaction) changes() int {
 	n := 0
 	for _, k := range t.order {
-		if t.drops[k] || t.writes[k] != nil {
+		if t.deletes[k] || t.writes[k] != nil {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *txn) wire() *store.Txn {
-	w := &store.Txn{Guards: []store.Guard{}, Ops: []store.Op{}}
-	for k, s := range t.guards {
-		w.Guards = append(w.Guards, store.Guard{Key: k, Version: s})
+func (t *transaction) request() *store.Txn {
+	w := &store.Txn{Preconditions: []store.Precondition{}, Ops: []store.Op{}}
+	for k, s := range t.preconditions {
+		w.Preconditions = append(w.Preconditions, store.Precondition{Key: k, Version: s})
 	}
 	seen := map[string]bool{}
 	for _, k := range t.order {
@@ -74,11 +74,11 @@
 			continue
 		}
 		seen[k] = true
-		if t.drops[k] {
+		if t.deletes[k] {
 			w.Ops = append(w.Ops, store.Op{Drop: k})
 		} else if v := t.writes[k]; v != nil {
 			op := store.Op{Write: k, Value: v}
-			if p, ok := t.permit[k]; ok {
+			if p, ok := t.leases[k]; ok {
 				op.Lease = &p
 			}
 			w.Ops = append(w.Ops, op)
@@ -87,12 +87,12 @@
 	return w
 }
 
-// applied takes a committed transaction into the replica.
-func (m *replica) applied(t *txn, epoch uint64) {
+// applyCommitted takes a committed transaction into the replica.
+func (m *replica) applyCommitted(t *transaction, revision uint64) {
 	for k, v := range t.writes {
-		m.applyRecord(k, v, epoch, t.records[k])
+		m.applyRecord(k, v, revision, t.capacities[k])
 	}
-	for k := range t.drops {
-		m.apply(k, nil, epoch)
+	for k := range t.deletes {
+		m.apply(k, nil, revision)
 	}
 }
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -72,7 +72,7 @@
 		}
 		id := fmt.Sprintf("run-%06d", len(s.uids))
 		run, d := randomRun(t, id, shape)
-		s.w.Jobs[id] = &simulator.Job{Run: *run, RunTime: d, Done: map[int]bool{}}
+		s.w.Jobs[id] = &simulator.Job{Spec: *run, RunTime: d, Done: map[int]bool{}}
 		s.uids = append(s.uids, id)
 		s.submit(node(t), id)
 	}
@@ -85,8 +85,8 @@
 	}
 	return map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			if len(s.w.Broken) > 0 {
-				t.Fatalf("%v", s.w.Broken)
+			if len(s.w.Violations) > 0 {
+				t.Fatalf("%v", s.w.Violations)
 			}
 			s.checkKept(t)
 		},
@@ -138,7 +138,7 @@
 			}
 		},
 		"fall": func(t *rapid.T) { // the limits come down when all are new
-			if s.fell || slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.old || !n.up }) || !s.nodes[0].c.upgraded() {
+			if s.fell || slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.old || !n.up }) || !s.nodes[0].c.schemaUpgraded() {
 				t.Skip("not yet")
 			}
 			s.fell = true
@@ -163,19 +163,19 @@
 		"recall": func(t *rapid.T) {
 			x, left := host(t), 4.0
 			if x.Spot {
-				x.RecallS = &left
+				x.SpotNoticeS = &left
 			}
 		},
-		"cut":  func(t *rapid.T) { x := host(t); x.Cut = !x.Cut },
-		"deaf": func(t *rapid.T) { x := host(t); x.Deaf = !x.Deaf },
-		"mute": func(t *rapid.T) { x := host(t); x.Mute = !x.Mute },
+		"cut":  func(t *rapid.T) { x := host(t); x.Partitioned = !x.Partitioned },
+		"deaf": func(t *rapid.T) { x := host(t); x.InboundLost = !x.InboundLost },
+		"mute": func(t *rapid.T) { x := host(t); x.OutboundLost = !x.OutboundLost },
 		"boot": func(t *rapid.T) { // machines are up within a second, or later
-			s.w.Flavor.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
+			s.w.MachineType.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 		},
 		"alone": func(t *rapid.T) { // a controller loses the state service and its peers, not its workers and users
 			i := node(t)
 			s.alone[i] = !s.alone[i]
-			s.w.Store.Cut[s.nodes[i].name] = s.alone[i]
+			s.w.Store.Unreachable[s.nodes[i].name] = s.alone[i]
 		},
 		"gap": func(t *rapid.T) { // the state service refuses one alone, another confirms, then all are refused
 			i, id := node(t), uid(t)
@@ -189,15 +189,15 @@
 		},
 		"end": func(t *rapid.T) { // called off at the very end of a task, asked about everywhere
 			id := uid(t)
-			s.w.AtEnd = func(ended string) {
+			s.w.OnTaskDone = func(ended string) {
 				if ended == id {
-					s.w.AtEnd = nil
+					s.w.OnTaskDone = nil
 					s.cancel(rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node"), id)
 					s.lookEverywhere(id)
 				}
 			}
 			rounds(t)
-			s.w.AtEnd = nil
+			s.w.OnTaskDone = nil
 		},
 		"looks": func(t *rapid.T) { s.lookEverywhere(uid(t)) },
 		"odd":   func(t *rapid.T) { s.odd(t, node(t)) },
@@ -214,7 +214,7 @@
 		},
 		"cutStore": func(t *rapid.T) { // a controller keeps its workers, but loses the state service
 			n := s.nodes[node(t)].name
-			s.w.Store.Cut[n] = !s.w.Store.Cut[n]
+			s.w.Store.Unreachable[n] = !s.w.Store.Unreachable[n]
 		},
 		"cutWorkers": func(t *rapid.T) { // a controller loses its workers only
 			d := s.nodes[node(t)].direct
@@ -245,7 +245,7 @@
 			if !ok {
 				client = n.c.store.(*productionStore).stateService.(*simulator.Client)
 			}
-			client.Stall = func() {
+			client.BeforeCommit = func() {
 				c := n.c
 				n.still = true
 				for range rounds {
@@ -281,8 +281,8 @@
 				f()
 			}
 			for _, n := range s.nodes {
-				held := n.direct.Held
-				n.direct.Held = nil
+				held := n.direct.Delayed
+				n.direct.Delayed = nil
 				for _, f := range held {
 					f()
 				}
@@ -325,42 +325,42 @@
 			s.round()
 			s.waits(since)
 			for _, id := range s.uids { // services would hold their team's limit for ever
-				if j := s.w.Jobs[id]; j.Run.Kind == api.Service && j.Phase == "" && k%10 == 0 {
+				if j := s.w.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" && k%10 == 0 {
 					s.cancel(0, id)
 				}
 			}
 		}
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 		for _, id := range s.uids {
 			for i, n := range s.nodes { // a job that nobody answers for is forgotten
 				r := n.c.query(context.Background(), id)
-				if s.told(id, r.Status, r.Body, false); s.w.Jobs[id].Told && r.Status != 200 {
+				if s.told(id, r.Status, r.Body, false); s.w.Jobs[id].Accepted && r.Status != 200 {
 					t.Fatalf("%s: node %d answers %d after all troubles", id, i, r.Status)
 				}
 			}
 			j := s.w.Jobs[id]
 			on := 0
 			for _, x := range s.w.Cloud.Hosts {
-				for _, p := range x.Report().Tasks {
+				for _, p := range x.Heartbeat().Tasks {
 					if uid, _, _ := api.SplitTaskName(p.Task); uid == id && p.Phase == api.Running {
 						on++
 					}
 				}
 			}
 			switch {
-			case j.Phase == api.Cancelled:
+			case j.FinalPhase == api.Cancelled:
 				if on > 0 {
 					t.Fatalf("%s is cancelled and has %d tasks", id, on)
 				}
-			case !j.Told:
-			case j.Run.Kind != api.Service && j.Phase != api.Done:
-				t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.Done), j.Run.Tasks, s.explain(id))
+			case !j.Accepted:
+			case j.Spec.Kind != api.Service && j.FinalPhase != api.Done:
+				t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.Done), j.Spec.Tasks, s.explain(id))
 			}
 		}
-		if len(s.w.Broken) > 0 {
-			t.Fatalf("%v", s.w.Broken)
+		if len(s.w.Violations) > 0 {
+			t.Fatalf("%v", s.w.Violations)
 		}
 	})
 }
--- a/internal/controller/unmet.go
+++ b/internal/controller/unmet.go
@@ -5,42 +5,42 @@
 	"violetturn/internal/sched"
 )
 
-// mostUnmet bounds the tasks of one job that room is sought for among what others have:
+// maxUnmet bounds the tasks of one job that room is sought for among what others have:
 // each is held against many machines. What is beyond is rented for all the same.
-const mostUnmet = 256
+const maxUnmet = 256
 
-// rentAhead is how many machines a round of rentals may ask for, and as many tasks beyond
+// maxRentAhead is how many machines a round of rentals may ask for, and as many tasks beyond
 // what is coming are looked at.
-const rentAhead = callsARound * cloud.MaxRental
+const maxRentAhead = callsPerRound * cloud.MaxRental
 
-// bound sets the tasks aside that are more than room is sought for.
-func (l *waitingJob) bound() {
-	if len(l.tasks) > mostUnmet {
-		l.tasks, l.beyond = l.tasks[:mostUnmet], l.tasks[mostUnmet:]
+// limitSearch sets the tasks aside that are more than room is sought for.
+func (l *waitingJob) limitSearch() {
+	if len(l.tasks) > maxUnmet {
+		l.tasks, l.deferred = l.tasks[:maxUnmet], l.tasks[maxUnmet:]
 	}
 }
 
 // rentable gives as many of the tasks set aside as the machines that are coming take, and
 // some more to be rented for: or a large job on an empty fleet would have its first tasks
 // meet the coming machines, and wait for them to boot before more are rented.
-func (p *planner) rentable(l *waitingJob) []task {
-	if len(l.beyond) <= rentAhead {
-		return l.beyond
+func (p *planner) rentable(l *waitingJob) []taskIndex {
+	if len(l.deferred) <= maxRentAhead {
+		return l.deferred
 	}
-	coming := sched.Slots(p.c.coming(p.now, false), &l.ask, len(l.beyond))
-	return l.beyond[:min(len(l.beyond), coming+rentAhead)]
+	coming := sched.CountFits(p.c.provisioningHosts(p.now, false), &l.request, len(l.deferred))
+	return l.deferred[:min(len(l.deferred), coming+maxRentAhead)]
 }
 
-// lackRoom notes tasks that lack room. Who rents for them asks for each in turn, with the
+// noteUnmet notes tasks that lack room. Who rents for them asks for each in turn, with the
 // zones that those before it leave.
-func (p *planner) lackRoom(l *waitingJob, left []task) {
-	unmet := sched.Unmet{Ask: l.ask, Count: len(left)}
-	p.out.all = append(p.out.all, unmet)
+func (p *planner) noteUnmet(l *waitingJob, left []taskIndex) {
+	unmet := sched.UnmetDemand{Request: l.request, Count: len(left)}
+	p.plan.allUnmet = append(p.plan.allUnmet, unmet)
 	next := 0
-	unmet.Ask.ZoneOK = func(site string) bool { return next >= len(left) || l.z.ok(left[next].chunk, site) }
-	unmet.Placed = func(site string) {
-		l.z.add(left[next].chunk, site)
+	unmet.Request.ZoneAllowed = func(zone string) bool { return next >= len(left) || l.zones.allows(left[next].rangeIndex, zone) }
+	unmet.Assigned = func(zone string) {
+		l.zones.add(left[next].rangeIndex, zone)
 		next++
 	}
-	p.out.unmet = append(p.out.unmet, unmet)
+	p.plan.unmet = append(p.plan.unmet, unmet)
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -17,18 +17,18 @@
 	path, _, _ := strings.Cut(req.Target, "?")
 	method := func(want string, f func(context.Context) transport.Response) (transport.Response, bool) {
 		if req.Method != want {
-			return reply(405, map[string]string{"error": "method not allowed"}), true
+			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
 		}
 		// Users wait their turn in a bounded line; beyond it they are told at
 		// once to come back.
 		select {
-		case c.users <- struct{}{}:
+		case c.userSlots <- struct{}{}:
 		default:
-			return errBusy, true
+			return responseBusy, true
 		}
 		go func() {
-			defer func() { <-c.users }()
-			ctx, cancel := context.WithTimeout(context.Background(), userPatience)
+			defer func() { <-c.userSlots }()
+			ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
 			defer cancel()
 			later(f(ctx))
 		}()
@@ -37,37 +37,37 @@
 	switch {
 	case path == "/checkin":
 		if req.Method != "POST" {
-			return reply(405, map[string]string{"error": "method not allowed"}), true
+			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
 		}
-		return c.checkin(req), true
+		return c.handleHeartbeat(req), true
 	case path == "/healthz":
 		if req.Method != "GET" {
-			return reply(405, map[string]string{"error": "method not allowed"}), true
+			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
 		}
 		return c.health(), true
 	case path == "/v2/runs":
 		return method("POST", func(ctx context.Context) transport.Response {
-			return c.serve(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
+			return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
 		})
 	}
 	if id, ok := strings.CutPrefix(path, "/v2/runs/"); ok {
 		if uid, ok := strings.CutSuffix(id, "/cancel"); ok {
 			return method("POST", func(ctx context.Context) transport.Response {
-				return c.serve(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+				return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 			})
 		}
 		if !strings.Contains(id, "/") {
 			return method("GET", func(ctx context.Context) transport.Response {
-				return c.serve(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
+				return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
 			})
 		}
 	}
-	return reply(404, map[string]string{"error": "no such path"}), true
+	return jsonResponse(404, map[string]string{"error": "no such path"}), true
 }
 
-// userPatience bounds the work on one request: users wait 2 s for a poll and
+// userRequestTimeout bounds the work on one request: users wait 2 s for a poll and
 // 5 s for a submission (PROTOCOL), and are answered before that.
-const userPatience = 1800 * time.Millisecond
+const userRequestTimeout = 1800 * time.Millisecond
 
 func (c *Controller) health() transport.Response {
 	c.mu.Lock()
@@ -76,38 +76,38 @@
 	// One that can't reach the state service stays in: a peer may serve for it,
 	// and in an outage of all, nodes taken out would stay out for long after it,
 	// since the balancer's pauses double.
-	if !c.loaded && c.reach.store {
-		return errBusy
+	if !c.loaded && c.reachability.storeReachable {
+		return responseBusy
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !c.reach.store && c.now().Sub(c.reach.since) > c.cfg.HoldTTL()/2 && c.reach.asked && len(c.reach.peers) == 0 {
-		return errBusy
+	if !c.reachability.storeReachable && c.now().Sub(c.reachability.since) > c.cfg.ControllerLeaseTTL()/2 && c.reachability.peersAsked && len(c.reachability.peers) == 0 {
+		return responseBusy
 	}
-	return reply(200, map[string]string{"node": c.cfg.HostName})
+	return jsonResponse(200, map[string]string{"node": c.cfg.HostName})
 }
 
-// known finds what is committed of a job: its state, or that it does not exist.
+// jobState finds what is committed of a job: its state, or that it does not exist.
 // The replica is brought up to now first, so no other node can have told the
 // user something newer before the question was asked.
-func (c *Controller) known(ctx context.Context, uid string) (api.State, bool, error) {
+func (c *Controller) jobState(ctx context.Context, uid string) (api.State, bool, error) {
 	c.mu.Lock()
-	p, over := c.past[uid]
+	p, over := c.finalStates[uid]
 	c.mu.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 	}
-	if err := c.fresh(ctx); err != nil {
+	if err := c.awaitReadBarrier(ctx); err != nil {
 		return api.State{}, false, err
 	}
 	c.mu.Lock()
 	if j := c.replica.jobs[uid]; j != nil {
-		s := j.stateOf(c.cfg.ConfirmsEmpty())
+		s := j.userState(c.cfg.ConfirmsCancelWhenEmpty())
 		c.mu.Unlock()
 		return s, true, nil
 	}
 	c.mu.Unlock()
-	it, found, err := c.store.Get(ctx, pastKey+uid, store.Submission)
+	it, found, err := c.store.Get(ctx, finalStatePrefix+uid, store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
 	}
@@ -115,71 +115,71 @@
 		return api.State{}, false, err
 	}
 	c.mu.Lock()
-	c.remember(uid, p)
+	c.rememberFinalState(uid, p)
 	c.mu.Unlock()
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
 
 func (c *Controller) query(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
-		return reply(404, map[string]string{"error": "no such run"})
+		return jsonResponse(404, map[string]string{"error": "no such run"})
 	}
-	s, found, err := c.known(ctx, uid)
+	s, found, err := c.jobState(ctx, uid)
 	switch {
 	case err != nil:
-		return errBusy
+		return responseBusy
 	case !found:
-		return reply(404, map[string]string{"error": "no such run"})
+		return jsonResponse(404, map[string]string{"error": "no such run"})
 	}
-	return reply(200, s)
+	return jsonResponse(200, s)
 }
 
 // cancel commits the withdrawal and then says so. Any node can do it: a start
 // is committed under a guard on the same record.
 func (c *Controller) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
-		return reply(404, map[string]string{"error": "no such run"})
+		return jsonResponse(404, map[string]string{"error": "no such run"})
 	}
 	for range 4 {
-		s, found, err := c.known(ctx, uid)
+		s, found, err := c.jobState(ctx, uid)
 		switch {
 		case err != nil:
-			return errBusy
+			return responseBusy
 		case !found:
-			return reply(404, map[string]string{"error": "no such run"})
+			return jsonResponse(404, map[string]string{"error": "no such run"})
 		case s.Phase == api.Done || s.Phase == api.Cancelled:
-			return reply(200, map[string]string{"uid": uid, "phase": s.Phase})
+			return jsonResponse(200, map[string]string{"uid": uid, "phase": s.Phase})
 		}
 		c.mu.Lock()
 		j := c.replica.jobs[uid]
-		if j == nil || j.main.Cancelled {
+		if j == nil || j.record.Cancelled {
 			c.mu.Unlock()
 			continue
 		}
-		t := newTxn()
-		t.guard(jobKey+uid, j.stamp)
-		m := j.main.Copy()
+		t := newTransaction()
+		t.require(jobPrefix+uid, j.version)
+		m := j.record.Copy()
 		m.Cancelled = true
-		t.write(jobKey+uid, m)
-		if len(t.writes[jobKey+uid]) > c.mostBytes() {
-			c.narrow[uid] = m.Gen + 1 // its tasks are divided first
+		t.put(jobPrefix+uid, m)
+		if len(t.writes[jobPrefix+uid]) > c.maxRecordBytes() {
+			c.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
 			c.mu.Unlock()
-			c.poke()
-			return errBusy
+			c.wakeDecider()
+			return responseBusy
 		}
 		c.mu.Unlock()
-		done, _, err := c.commit(ctx, "cancelled", t, store.Decision)
+		done, _, err := c.commit(ctx, "cancelled", t, store.PriorityDecision)
 		if err != nil {
-			return errBusy
+			return responseBusy
 		}
 		if done {
 			c.log.Info("job cancelled", "job", uid)
-			c.poke()
-			if c.cfg.ConfirmsEmpty() {
+			c.wakeDecider()
+			if c.cfg.ConfirmsCancelWhenEmpty() {
 				continue // what is committed is told as it stands
 			}
-			return reply(200, map[string]string{"uid": uid, "phase": api.Cancelled})
+			return jsonResponse(200, map[string]string{"uid": uid, "phase": api.Cancelled})
 		}
 	}
-	return errBusy
+	return responseBusy
 }
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -76,7 +76,7 @@
 	if r := c.health(); r.Status != 503 {
 		t.Errorf("before it has loaded: %d", r.Status)
 	}
-	c.storeAnswered(false)
+	c.noteStoreAnswer(false)
 	if r := c.health(); r.Status != 200 {
 		t.Errorf("started in an outage: %d", r.Status)
 	}
@@ -87,7 +87,7 @@
 		t.Errorf("a submission in an outage: %d, to come back after %d s", r.Status, r.RetryAfter)
 	}
 	s.step(0)
-	c.storeAnswered(true)
+	c.noteStoreAnswer(true)
 	if r := c.health(); r.Status != 200 {
 		t.Errorf("loaded: %d", r.Status)
 	}
@@ -99,14 +99,14 @@
 func TestIsolatedNodeLetsUsersGo(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[0].c
-	c.storeAnswered(false)
-	s.w.Advance(c.cfg.HoldTTL())
-	c.reach.asked = true
-	c.reach.peers["n1"] = false
+	c.noteStoreAnswer(false)
+	s.w.Advance(c.cfg.ControllerLeaseTTL())
+	c.reachability.peersAsked = true
+	c.reachability.peers["n1"] = false
 	if r := c.health(); r.Status != 200 {
 		t.Errorf("in an outage that a peer sees too: %d", r.Status)
 	}
-	delete(c.reach.peers, "n1")
+	delete(c.reachability.peers, "n1")
 	if r := c.health(); r.Status != 503 {
 		t.Errorf("alone: %d", r.Status)
 	}
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -10,66 +10,66 @@
 	"violetturn/internal/store"
 )
 
-// forms is the newest form of records that this version reads and writes. The version
+// schemaVersion is the newest form of records that this version reads and writes. The version
 // before it says nothing of forms and loses what it doesn't know when it rewrites a
 // record, so all forms that it doesn't know are decided here: nothing else asks who
 // may read what.
-const forms = 2
+const schemaVersion = 2
 
-// upgraded tells whether every configured controller, living or not, has shown that
+// schemaUpgraded tells whether every configured controller, living or not, has shown that
 // it reads this version's forms. Each leaves a mark that outlives it, so that one
 // alone after the end of all still knows; one that shows itself without (somebody
 // went back to the version before) counts as not upgraded whatever its mark says. Call
 // with the lock held.
-func (c *Controller) upgraded() bool {
-	for _, x := range c.parts {
-		m, n := c.replica.marks[x].v, c.replica.nodes[x].v
-		if m == nil || m.V < forms || n != nil && n.V < forms {
+func (c *Controller) schemaUpgraded() bool {
+	for _, x := range c.shards {
+		m, n := c.replica.capabilities[x].record, c.replica.nodes[x].record
+		if m == nil || m.SchemaVersion < schemaVersion || n != nil && n.SchemaVersion < schemaVersion {
 			return false
 		}
 	}
 	return c.loaded
 }
 
-// backward tells whether a node is of the version before although all had been
+// isDowngraded tells whether a node is of the version before although all had been
 // upgraded: it would lose what it doesn't know, so nothing is handed to it. Call with
 // the lock held.
-func (c *Controller) backward(node string) bool {
-	n := c.replica.nodes[node].v
-	if n == nil || n.V >= forms {
+func (c *Controller) isDowngraded(node string) bool {
+	n := c.replica.nodes[node].record
+	if n == nil || n.SchemaVersion >= schemaVersion {
 		return false
 	}
-	for _, x := range c.parts {
-		if m := c.replica.marks[x].v; m == nil || m.V < forms {
+	for _, x := range c.shards {
+		if m := c.replica.capabilities[x].record; m == nil || m.SchemaVersion < schemaVersion {
 			return false
 		}
 	}
 	return true
 }
 
-// limits are those within which records and transactions are made: those that hold
+// transactionLimits are those within which records and transactions are made: those that hold
 // whatever the state service's become. Records that the version before made larger
 // are kept at their size while it may still write them, and divided afterwards. Call
 // with the lock held.
-func (c *Controller) limits() config.StateLimits {
-	l := c.cfg.Lowest()
-	if c.leastOps > 0 {
-		l.TxnOps = min(l.TxnOps, c.leastOps)
+func (c *Controller) transactionLimits() config.StateLimits {
+	l := c.cfg.LowestLimits()
+	if c.acceptedTxnOps > 0 {
+		l.TxnOps = min(l.TxnOps, c.acceptedTxnOps)
 	}
 	return l
 }
 
-// slackBytes is what a value keeps free, for what its service may count beyond the
+// valueSlackBytes is what a value keeps free, for what its service may count beyond the
 // JSON that is sent.
-const slackBytes = 32
+const valueSlackBytes = 32
 
-// mostBytes is how large the record of a job may be made. Call with the lock held.
-func (c *Controller) mostBytes() int {
-	l := c.cfg.Lowest()
-	if !c.upgraded() && !c.limitsLowered {
+// maxRecordBytes is how large the record of a job may be made. Call with the lock held.
+func (c *Controller) maxRecordBytes() int {
+	l := c.cfg.LowestLimits()
+	if !c.schemaUpgraded() && !c.limitsLowered {
 		l = c.cfg.Facts.State.StateLimits
 	}
-	return int(l.ValueKB*1024) - slackBytes
+	return int(l.ValueKB*1024) - valueSlackBytes
 }
 
 // pageFor names the page of a machine to be written. The version before works the
@@ -77,11 +77,11 @@
 func (c *Controller) pageFor(host string) string {
 	const bytes = 160 // of one machine at most
 	l := c.cfg.Facts.State.StateLimits
-	if c.upgraded() || c.limitsLowered {
-		l = c.cfg.Lowest()
+	if c.schemaUpgraded() || c.limitsLowered {
+		l = c.cfg.LowestLimits()
 	}
 	if l.ValueKB*1024 >= 100*bytes {
-		return pageID(host, coarse)
+		return pageID(host, coarsestPageCut)
 	}
 	return pageID(host, 1)
 }
@@ -89,20 +89,20 @@
 // openPage gives a copy of a machine's page to be changed and guards what it rests
 // on. A fine page that is new takes over what a coarser one has of its machines: from
 // then on it alone counts for them. Call with the lock held.
-func (c *Controller) openPage(t *txn, host string) (string, shard.Page) {
+func (c *Controller) openPage(t *transaction, host string) (string, shard.Page) {
 	id := c.pageFor(host)
-	t.guard(pageKey+id, c.replica.pages[id].stamp)
+	t.require(machinePagePrefix+id, c.replica.pages[id].version)
 	page := shard.Page{}
-	if old := c.replica.pages[id].v; old != nil {
+	if old := c.replica.pages[id].record; old != nil {
 		maps.Copy(page, *old)
 		return id, page
 	}
-	if id == pageID(host, coarse) {
+	if id == pageID(host, coarsestPageCut) {
 		return id, page
 	}
-	if above := c.replica.pages[pageID(host, coarse)]; above.v != nil {
-		t.guard(pageKey+pageID(host, coarse), above.stamp)
-		for h, m := range *above.v {
+	if above := c.replica.pages[pageID(host, coarsestPageCut)]; above.record != nil {
+		t.require(machinePagePrefix+pageID(host, coarsestPageCut), above.version)
+		for h, m := range *above.record {
 			if pageID(h, 1) == id {
 				page[h] = m
 			}
@@ -113,54 +113,54 @@
 
 // closePage writes a page, or drops an empty one, unless a coarser one would speak
 // for its machines again. Call with the lock held.
-func (c *Controller) closePage(t *txn, id string, page shard.Page) {
+func (c *Controller) closePage(t *transaction, id string, page shard.Page) {
 	if len(page) == 0 {
 		hides := false
 		if len(id) > 2 {
 			key := id[:len(id)-2] + "-"
-			if above := c.replica.pages[key]; above.v != nil && key != id {
-				t.guard(pageKey+key, above.stamp)
-				for h := range *above.v {
+			if above := c.replica.pages[key]; above.record != nil && key != id {
+				t.require(machinePagePrefix+key, above.version)
+				for h := range *above.record {
 					hides = hides || pageID(h, 1) == id
 				}
 			}
 		}
 		if !hides {
-			t.drop(pageKey + id)
+			t.delete(machinePagePrefix + id)
 			return
 		}
 	}
-	t.write(pageKey+id, page)
+	t.put(machinePagePrefix+id, page)
 }
 
-// outdated adds to a transaction the drop of a page that says nothing more: a coarse
+// deleteObsoletePage adds to a transaction the drop of a page that says nothing more: a coarse
 // one all of whose machines finer pages speak for, or an empty one that hid one. It
 // tells whether there was one. Call with the lock held.
-func (c *Controller) outdated(t *txn) bool {
+func (c *Controller) deleteObsoletePage(t *transaction) bool {
 	for id, p := range c.replica.pages {
 		over := true
-		for h := range *p.v {
-			over = over && id == pageID(h, coarse) && c.replica.pages[pageID(h, 1)].v != nil
+		for h := range *p.record {
+			over = over && id == pageID(h, coarsestPageCut) && c.replica.pages[pageID(h, 1)].record != nil
 		}
-		if len(*p.v) == 0 && len(id) > 2 {
+		if len(*p.record) == 0 && len(id) > 2 {
 			above := id[:len(id)-2] + "-"
-			t.guard(pageKey+above, 0)
-			over = c.replica.pages[above].v == nil
+			t.require(machinePagePrefix+above, 0)
+			over = c.replica.pages[above].record == nil
 		}
 		if over {
-			t.guard(pageKey+id, p.stamp)
-			t.drop(pageKey + id)
+			t.require(machinePagePrefix+id, p.version)
+			t.delete(machinePagePrefix + id)
 			return true
 		}
-		clear(t.guards)
+		clear(t.preconditions)
 	}
 	return false
 }
 
-// tooLarge notes that the state service refused a transaction for its size or count:
+// noteTooLarge notes that the state service refused a transaction for its size or count:
 // its limits have come down, further than was announced if it was made within those.
 // Nothing is made as large again. It tells whether a smaller form is left to try.
-func (c *Controller) tooLarge(err error, t *store.Txn) bool {
+func (c *Controller) noteTooLarge(err error, t *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
 	}
@@ -176,10 +176,10 @@
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
 	// longest step needs, and the jobs in it are divided.
-	c.leastOps = max(len(t.Ops)-1, 4)
+	c.acceptedTxnOps = max(len(t.Ops)-1, 4)
 	for _, op := range t.Ops {
-		if uid, ok := strings.CutPrefix(op.Write, jobKey); ok && c.replica.jobs[uid] != nil {
-			c.narrow[uid] = c.replica.jobs[uid].main.Gen + 1
+		if uid, ok := strings.CutPrefix(op.Write, jobPrefix); ok && c.replica.jobs[uid] != nil {
+			c.splitRequests[uid] = c.replica.jobs[uid].record.Generation + 1
 		}
 	}
 	c.log.Error("the state service takes less than was announced", "changes", len(t.Ops), "err", err)
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -52,7 +52,7 @@
 			&m,
 		) // made above
 		change(m)
-		r := n.c.serve(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(m)})
+		r := n.c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(m)})
 		if s.w.Jobs[uid] != nil {
 			s.told(uid, r.Status, r.Body, true)
 		}
@@ -81,36 +81,36 @@
 func (s *sim) waits(since map[string]time.Time) {
 	used := map[string]float64{}
 	for _, x := range s.w.Cloud.Hosts {
-		for _, uid := range x.Present() {
-			used[s.w.Jobs[uid].Run.Team] += s.w.Jobs[uid].Run.GPUs
+		for _, uid := range x.PresentJobs() {
+			used[s.w.Jobs[uid].Spec.Team] += s.w.Jobs[uid].Spec.GPUs
 		}
 	}
 	for _, uid := range s.uids {
 		j := s.w.Jobs[uid]
-		r := &j.Run
+		r := &j.Spec
 		here := 0
 		room := false
 		for _, x := range s.w.Cloud.Hosts {
-			for _, u := range x.Present() {
+			for _, u := range x.PresentJobs() {
 				if u == uid {
 					here++
 				}
 			}
-			if x.Up() && x.RecallS == nil && (r.Zone == "" || r.Zone == x.Site) && (r.Spot || !x.Spot) {
+			if x.Up() && x.SpotNoticeS == nil && (r.Zone == "" || r.Zone == x.Zone) && (r.Spot || !x.Spot) {
 				cpus, gpus := x.Room()
 				room = room || cpus >= r.CPUs && gpus >= r.GPUs
 			}
 		}
-		lim := s.w.Limits[r.Team]
+		lim := s.w.TeamGPULimits[r.Team]
 		simple := !r.Together && !r.Spread && r.Kind != api.Gang // what depends on the job's other tasks is left out
-		if !simple || !j.Told || j.Phase != "" || here+len(j.Done) >= r.Tasks || !room || lim > 0 && used[r.Team]+r.GPUs > lim {
+		if !simple || !j.Accepted || j.FinalPhase != "" || here+len(j.Done) >= r.Tasks || !room || lim > 0 && used[r.Team]+r.GPUs > lim {
 			delete(since, uid)
 			continue
 		}
 		if at, ok := since[uid]; !ok {
 			since[uid] = s.w.Now
 		} else if s.w.Now.Sub(at) > 90*time.Second {
-			s.w.Break("waiting", "%s for 90 s with room", uid)
+			s.w.Violate("waiting", "%s for 90 s with room", uid)
 		}
 	}
 }
@@ -119,19 +119,19 @@
 // read back when it wrote them itself, with what the state service has of that version.
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
 	store := simulator.Client{S: s.w.Store}
-	for id, held := range n.c.replica.parts {
-		it, found, err := store.Get(context.Background(), partKey+id, 0)
-		if err != nil || !found || it.Version != held.stamp {
+	for id, held := range n.c.replica.capacities {
+		it, found, err := store.Get(context.Background(), capacityPrefix+id, 0)
+		if err != nil || !found || it.Version != held.version {
 			continue // it has moved on, or can't be read now
 		}
-		var recorded shard.Record
+		var recorded shard.CapacityRecord
 		if err := json.Unmarshal(it.Value, &recorded); err != nil {
 			t.Fatal(err)
 		}
-		same := held.v.Term == recorded.Term && held.v.By == recorded.By
-		same = same && held.v.Released == recorded.Released && held.v.Doubt == recorded.Doubt
-		if !same || !maps.Equal(held.v.Free, recorded.Free) || !maps.Equal(held.v.Use, recorded.Use) {
-			t.Fatalf("%s holds %+v of part %s, recorded is %s", n.name, held.v, id, it.Value)
+		same := held.record.Term == recorded.Term && held.record.Leader == recorded.Leader
+		same = same && held.record.Released == recorded.Released && held.record.PredecessorInDoubt == recorded.PredecessorInDoubt
+		if !same || !maps.Equal(held.record.Free, recorded.Free) || !maps.Equal(held.record.QuotaUse, recorded.QuotaUse) {
+			t.Fatalf("%s holds %+v of part %s, recorded is %s", n.name, held.record, id, it.Value)
 		}
 	}
 }
@@ -145,21 +145,21 @@
 		s.checkPartRecords(t, n)
 		for h, kept := range c.replica.loads {
 			delete(c.replica.loads, h)
-			if now := c.loadOf(h); !now.used.Near(kept.used) || !now.leaving.Near(kept.leaving) || now.daemons != kept.daemons ||
-				now.sweeps != kept.sweeps ||
-				!slices.EqualFunc(now.staying[:], kept.staying[:], sched.Resources.Near) {
+			if now := c.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) || now.services != kept.services ||
+				now.arrays != kept.arrays ||
+				!slices.EqualFunc(now.runningByPriority[:], kept.runningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("%s keeps %+v of %s, there is %+v", n.name, kept, h, now)
 			}
 		}
 		for uid, j := range c.replica.jobs {
-			kept := j.open
-			if j.open = nil; kept != nil && !slices.Equal(kept, j.pending()) {
-				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.pending())
+			kept := j.pending
+			if j.pending = nil; kept != nil && !slices.Equal(kept, j.pendingTasks()) {
+				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.pendingTasks())
 			}
 		}
-		if kept := c.replica.names; kept != nil {
-			if c.replica.names = nil; !slices.Equal(kept, c.replica.hostNames()) {
-				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.replica.hostNames())
+		if kept := c.replica.sortedMachines; kept != nil {
+			if c.replica.sortedMachines = nil; !slices.Equal(kept, c.replica.machineNames()) {
+				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.replica.machineNames())
 			}
 		}
 	}
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -17,8 +17,8 @@
 	z.t.Helper()
 	for range rounds {
 		z.round()
-		if len(z.w.Broken) > 0 {
-			z.t.Fatal(z.w.Broken)
+		if len(z.w.Violations) > 0 {
+			z.t.Fatal(z.w.Violations)
 		}
 	}
 }
@@ -54,8 +54,8 @@
 	cutAll(others, true)
 	z.until(zonehealth.Down, 1, 60)
 	second := z.state(1)
-	if second.Number <= first.Number || second.Start != first.Start/2 {
-		t.Errorf("number %d after %d, start %g after %g", second.Number, first.Number, second.Start, first.Start)
+	if second.Transitions <= first.Transitions || second.SlowStartShare != first.SlowStartShare/2 {
+		t.Errorf("number %d after %d, start %g after %g", second.Transitions, first.Transitions, second.SlowStartShare, first.SlowStartShare)
 	}
 	for _, x := range withReaders {
 		z.w.Cloud.Kill(x.Host)
@@ -75,11 +75,11 @@
 func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	withReaders, _ := z.drop()
-	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.owned("n0") != nil })
+	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.leadershipOf("n0") != nil })
 	c := z.nodes[owner].c
 	waiting := func() (tasks int) {
-		sights, _ := c.zoneSights(c.now())
-		for _, d := range sights["x"]["n0"].Waiting {
+		observations, _ := c.observeZones(c.now())
+		for _, d := range observations["x"]["n0"].Waiting {
 			tasks += d.Tasks
 		}
 		return tasks
@@ -88,13 +88,13 @@
 		t.Fatalf("lost: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.sessions[x.Host].Gone = true
+		c.agents[x.Host].Terminated = true
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("gone: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.sessions[x.Host] = shard.NewSession(c.sessions[x.Host].Term, c.now(), c.now())
+		c.agents[x.Host] = shard.NewAgent(c.agents[x.Host].Term, c.now(), c.now())
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("not heard of yet: room for %d tasks", n)
@@ -154,29 +154,29 @@
 func TestZoneWriterWakesLate(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	_, others := z.drop()
-	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.owned("n0") != nil })
+	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.leadershipOf("n0") != nil })
 	late := z.nodes[writer].c
 	old := z.state(writer)
 	z.nodes[writer].still = true
 	cutAll(others, false)
 	reader := (writer + 1) % 3
-	z.rounds(t, 100, "another goes on", func() bool { return z.state(reader).Number > old.Number })
+	z.rounds(t, 100, "another goes on", func() bool { return z.state(reader).Transitions > old.Transitions })
 	now := z.state(reader)
 
 	// It wakes: its replica is old, its lease long over by now. Even if it could act, the
 	// record has moved on.
-	stale := newTxn()
-	stale.guard(zoneKey+"x", late.replica.zones["x"].stamp)
-	stale.guard(ownKey+"n0", late.mine["n0"].stamp)
-	stale.write(zoneKey+"x", zonehealth.Record{State: zonehealth.Down, Number: old.Number})
+	stale := newTransaction()
+	stale.require(zonePrefix+"x", late.replica.zones["x"].version)
+	stale.require(leaderPrefix+"n0", late.leaderships["n0"].version)
+	stale.put(zonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
 	done, failed, _ := late.commit(t.Context(), "zones", stale, 0)
-	if done || !slices.Contains(failed, zoneKey+"x") || !slices.Contains(failed, ownKey+"n0") {
+	if done || !slices.Contains(failed, zonePrefix+"x") || !slices.Contains(failed, leaderPrefix+"n0") {
 		t.Errorf("a late write is taken: %t, failed %v", done, failed)
 	}
 	z.nodes[writer].still = false
 	z.play(10)
-	if got := z.state(reader); got.Number < now.Number {
-		t.Errorf("the number fell from %d to %d", now.Number, got.Number)
+	if got := z.state(reader); got.Transitions < now.Transitions {
+		t.Errorf("the number fell from %d to %d", now.Transitions, got.Transitions)
 	}
 	z.recovers(2*arrayTasks - readerTasks)
 }
@@ -208,11 +208,11 @@
 	withReaders, others := z.in()
 	all := slices.Concat(withReaders, others)
 	for _, x := range all {
-		x.Deaf = true
+		x.InboundLost = true
 	}
 	z.until(zonehealth.Down, 1, 120)
 	for _, x := range all {
-		x.Deaf = false
+		x.InboundLost = false
 	}
 	z.recovers(2 * arrayTasks)
 }
@@ -222,14 +222,14 @@
 	z := newZoneWorld(t, switchOn)
 	var lost []*simulator.Worker
 	for _, x := range z.w.Cloud.Workers() {
-		if x.Site != "z" {
+		if x.Zone != "z" {
 			lost = append(lost, x)
 		}
 	}
 	cutAll(lost, true)
 	z.until(zonehealth.Down, 2, 60)
 	z.rounds(t, 60, "zone y is down", func() bool {
-		v := z.nodes[2].c.replica.zones["y"].v
+		v := z.nodes[2].c.replica.zones["y"].record
 		return v != nil && v.State == zonehealth.Down
 	})
 	cutAll(lost, false)
@@ -245,18 +245,18 @@
 	id := s.job(func(r *api.Job, d *time.Duration) { r.Priority, r.Tasks, *d = "idle", 8, time.Hour })
 	s.rounds(t, 100, "array runs", func() bool { return s.running(id) == 8 })
 	for _, x := range s.w.Cloud.Workers() {
-		x.Cut = true
+		x.Partitioned = true
 	}
 	for range 60 {
 		s.round()
 		for _, n := range s.nodes {
-			if v := n.c.replica.zones["x"].v; v != nil && v.Restricts() {
+			if v := n.c.replica.zones["x"].record; v != nil && v.Restricts() {
 				t.Fatalf("the only zone is %s", v.State)
 			}
 		}
 	}
 	for _, x := range s.w.Cloud.Workers() {
-		x.Cut = false
+		x.Partitioned = false
 	}
 	s.rounds(t, 200, "array runs again", func() bool { return s.running(id) == 8 })
 }
@@ -280,7 +280,7 @@
 	cutAll(others, true)
 	z.play(60)
 	for i, n := range z.nodes {
-		if n.c.switchedOn(features.ZoneRecoveryName) || len(n.c.replica.zones) > 0 {
+		if n.c.featureEnabled(features.ZoneRecoveryName) || len(n.c.replica.zones) > 0 {
 			t.Fatalf("controller %d acts on a feature that another lacks", i)
 		}
 	}
@@ -289,12 +289,12 @@
 	with["n2"] = true
 	z.start(2)
 	z.rounds(t, 40, "all have it", func() bool {
-		return !slices.ContainsFunc(z.nodes, func(n *simNode) bool { return !n.c.switchedOn(features.ZoneRecoveryName) })
+		return !slices.ContainsFunc(z.nodes, func(n *simNode) bool { return !n.c.featureEnabled(features.ZoneRecoveryName) })
 	})
 	z.drop()
 	with["n0"] = false
 	z.start(0)
-	z.rounds(t, 40, "it is off again", func() bool { return !z.nodes[1].c.switchedOn(features.ZoneRecoveryName) })
+	z.rounds(t, 40, "it is off again", func() bool { return !z.nodes[1].c.featureEnabled(features.ZoneRecoveryName) })
 	if z.nodes[1].c.admission(z.w.Now) != nil {
 		t.Error("work is held back though the feature is off")
 	}
@@ -306,7 +306,7 @@
 	z := newZoneWorld(t, func(n *simNode) { n.c.features.ZoneRecovery.Enabled = with[n.name] })
 	z.nodes[2].up = false
 	z.play(60)
-	if z.nodes[1].c.replica.nodes["n2"].v != nil || z.nodes[1].c.switchedOn(features.ZoneRecoveryName) {
+	if z.nodes[1].c.replica.nodes["n2"].record != nil || z.nodes[1].c.featureEnabled(features.ZoneRecoveryName) {
 		t.Error("a feature is on that a controller which may come back lacks")
 	}
 }
@@ -351,8 +351,8 @@
 	z.rounds(t, 300, "all replicas run", func() bool { return z.running(spread) == 6 && z.readersUp() == readerTasks })
 	z.play(40)
 	for host, n := range stays {
-		if x := z.w.Cloud.Hosts[host]; x != nil && x.Site != "x" && z.hostsOf(spread)[host] < n {
-			t.Errorf("a replica on %s in %s was moved", host, x.Site)
+		if x := z.w.Cloud.Hosts[host]; x != nil && x.Zone != "x" && z.hostsOf(spread)[host] < n {
+			t.Errorf("a replica on %s in %s was moved", host, x.Zone)
 		}
 	}
 }
@@ -363,8 +363,8 @@
 	writes := 0
 	last := uint64(0)
 	watch := func() {
-		if v := z.nodes[1].c.replica.zones["x"]; v.stamp != last {
-			last = v.stamp
+		if v := z.nodes[1].c.replica.zones["x"]; v.version != last {
+			last = v.version
 			writes++
 		}
 	}
@@ -381,10 +381,10 @@
 		watch()
 	}
 	took := z.w.Now.Sub(began)
-	if most := int(took / z.nodes[0].c.cfg.Report() / 4); writes > most || writes < 3 {
+	if most := int(took / z.nodes[0].c.cfg.HeartbeatInterval() / 4); writes > most || writes < 3 {
 		t.Errorf("%d writes in %v, at most %d", writes, took, most)
 	}
-	if v := z.nodes[1].c.replica.zones["x"].v; v.State != zonehealth.Healthy || len(v.Sights) > 0 {
+	if v := z.nodes[1].c.replica.zones["x"].record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
 		t.Errorf("the record is left as %+v", *v)
 	}
 }
--- a/internal/controller/zonegate.go
+++ b/internal/controller/zonegate.go
@@ -12,155 +12,157 @@
 	"violetturn/internal/zonehealth"
 )
 
-// zoneGate is what a job below production may take of zones that return. A nil one lets
+// jobAdmission is what a job below production may take of zones that return. A nil one lets
 // everything in.
-type zoneGate struct {
-	admission *recovery.Admission
-	share     float64 // of a machine that one of its tasks takes
+type jobAdmission struct {
+	admission    *recovery.Admission
+	machineShare float64 // of a machine that one of its tasks takes
 }
 
-func (g *zoneGate) admits(zone string) bool { return g == nil || g.admission.Admits(zone, g.share) }
+func (g *jobAdmission) admits(zone string) bool {
+	return g == nil || g.admission.Admits(zone, g.machineShare)
+}
 
-func (g *zoneGate) take(zone string) {
+func (g *jobAdmission) admit(zone string) {
 	if g != nil {
-		g.admission.Take(zone, g.share)
+		g.admission.Admit(zone, g.machineShare)
 	}
 }
 
 // trial gives an admission to try things on.
-func (g *zoneGate) trial() *recovery.Admission {
+func (g *jobAdmission) trial() *recovery.Admission {
 	if g == nil {
 		return nil
 	}
 	return g.admission.Copy()
 }
 
-// gateOf gives the gate of a job; nil if nothing restricts it. Call with the lock held.
-func (c *Controller) gateOf(j *liveJob, admission *recovery.Admission) *zoneGate {
-	return c.gateOfSpec(&j.main.Spec, admission)
+// admissionOf gives the gate of a job; nil if nothing restricts it. Call with the lock held.
+func (c *Controller) admissionOf(j *liveJob, admission *recovery.Admission) *jobAdmission {
+	return c.admissionOfSpec(&j.record.Spec, admission)
 }
 
-// gateOfSpec is the same for a job that is only described. Call with the lock held.
-func (c *Controller) gateOfSpec(spec *api.Job, admission *recovery.Admission) *zoneGate {
+// admissionOfSpec is the same for a job that is only described. Call with the lock held.
+func (c *Controller) admissionOfSpec(spec *api.Job, admission *recovery.Admission) *jobAdmission {
 	if admission == nil {
 		return nil
 	}
-	if priority, _ := api.PriorityOf(spec.Priority); priority == production {
+	if priority, _ := api.PriorityOf(spec.Priority); priority == productionPriority {
 		return nil
 	}
-	size := need(spec)
+	size := resourcesOf(spec)
 	allowed := func(i int) bool {
 		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, c.machineTypes[i].Name)
 	}
 	if !admission.Competes(size, allowed) {
 		return nil
 	}
-	return &zoneGate{admission, recovery.ShareOf(size, c.typeSizes())}
+	return &jobAdmission{admission, recovery.MachineShare(size, c.machineSizes())}
 }
 
 // admission tells what work below production may take of zones that are down or recovering;
 // nil if none is, or the feature is off. It follows from what all controllers replicate, so
 // that all of them, whoever owns the machines, act alike. Call with the lock held.
 func (c *Controller) admission(now time.Time) *recovery.Admission {
-	if len(c.replica.zones) == 0 || !c.switchedOn(features.ZoneRecoveryName) {
+	if len(c.replica.zones) == 0 || !c.featureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
 	limits := c.zoneLimits()
 	zones := map[string]*recovery.Zone{}
 	for id := range c.replica.zones {
-		r := c.returning(zoneName(id), now)
+		r := c.restrictedZone(zoneName(id), now)
 		if r == nil {
 			continue
 		}
 		lasted := now.Sub(time.UnixMilli(r.SinceMS))
-		z := &recovery.Zone{Window: r.Window(now, limits), Machines: float64(r.Before), Keep: 1}
-		if r.State == zonehealth.Recovering && lasted.Seconds() >= c.features.ZoneRecovery.ProgressAfter*c.cfg.Lease().Seconds() {
-			z.Keep = 1 - c.features.ZoneRecovery.ProgressShare
+		z := &recovery.Zone{SlowStartShare: r.AdmissionShare(now, limits), MachinesBefore: float64(r.MachinesBefore), ReservableShare: 1}
+		if r.State == zonehealth.Recovering && lasted.Seconds() >= c.features.ZoneRecovery.ProgressAfter*c.cfg.WorkerLease().Seconds() {
+			z.ReservableShare = 1 - c.features.ZoneRecovery.ProgressShare
 		}
-		z.Needs = c.zoneNeeds(zoneName(id), r)
+		z.Waiting = c.waitingProduction(zoneName(id), r)
 		zones[zoneName(id)] = z
 	}
 	if len(zones) == 0 {
 		return nil
 	}
-	c.countTaken(zones)
-	return recovery.New(zones, c.protectedSizes(zones), c.typeSizes())
+	c.countAdmitted(zones)
+	return recovery.NewAdmission(zones, c.protectedSizes(zones), c.machineSizes())
 }
 
-// zoneNeeds gives the production tasks that wait for lost machines of a zone: of own parts
+// waitingProduction gives the production tasks that wait for lost machines of a zone: of own parts
 // as last seen, of peers' as they told. Call with the lock held.
-func (c *Controller) zoneNeeds(zone string, r *zonehealth.Record) []zonehealth.Demand {
+func (c *Controller) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
 	var needs []zonehealth.Demand
-	own := c.zoneWatch.sights[zone]
-	for p, s := range r.Sights {
-		if _, mine := own[p]; !mine || c.owned(p) == nil {
+	own := c.zoneView.observations[zone]
+	for p, s := range r.Observations {
+		if _, led := own[p]; !led || c.leadershipOf(p) == nil {
 			needs = append(needs, s.Waiting...)
 		}
 	}
 	for p, s := range own {
-		if c.owned(p) != nil {
+		if c.leadershipOf(p) != nil {
 			needs = append(needs, s.Waiting...)
 		}
 	}
 	return needs
 }
 
-// countTaken counts what work below production has taken of zones since they came back.
+// countAdmitted counts what work below production has taken of zones since they came back.
 // What was placed before and went on is not counted. Call with the lock held.
-func (c *Controller) countTaken(zones map[string]*recovery.Zone) {
-	types := c.typeSizes()
-	for host, on := range c.replica.onHost {
-		m := c.replica.hosts[host]
+func (c *Controller) countAdmitted(zones map[string]*recovery.Zone) {
+	types := c.machineSizes()
+	for host, on := range c.replica.placements {
+		m := c.replica.machines[host]
 		if m == nil || zones[m.Zone] == nil {
 			continue
 		}
-		since := c.replica.zones[url.PathEscape(m.Zone)].v.SinceMS
+		since := c.replica.zones[url.PathEscape(m.Zone)].record.SinceMS
 		for _, pl := range on {
 			j := c.replica.jobs[pl.uid]
 			if j == nil {
 				continue
 			}
-			priority, _ := api.PriorityOf(j.main.Spec.Priority)
-			if priority != production && placedMS(j, pl) >= since {
-				zones[m.Zone].Taken += recovery.ShareOf(need(&j.main.Spec), types)
+			priority, _ := api.PriorityOf(j.record.Spec.Priority)
+			if priority != productionPriority && placedAtMS(j, pl) >= since {
+				zones[m.Zone].Taken += recovery.MachineShare(resourcesOf(&j.record.Spec), types)
 			}
 		}
 	}
 }
 
-// heldBack tells whether a task below production that its machine no longer has, and that
+// isHeldBack tells whether a task below production that its machine no longer has, and that
 // went when its zone went down, does not start again in place yet. All at once they would
 // fill the zone ahead of production work whose machines have not returned. A gang is one
 // whole: it ends and starts anew by its own rules. Call with the lock held.
-func (c *Controller) heldBack(host string, pl *placedTask, j *liveJob, now time.Time) bool {
-	m := c.replica.hosts[host]
+func (c *Controller) isHeldBack(host string, pl *placedTask, j *liveJob, now time.Time) bool {
+	m := c.replica.machines[host]
 	if len(c.replica.zones) == 0 || m == nil || isGang(j) {
 		return false
 	}
-	priority, _ := api.PriorityOf(j.main.Spec.Priority)
-	r := c.returning(m.Zone, now)
-	return r != nil && priority != production && placedMS(j, pl) < r.FailedMS && !c.zoneWatch.open[host]
+	priority, _ := api.PriorityOf(j.record.Spec.Priority)
+	r := c.restrictedZone(m.Zone, now)
+	return r != nil && priority != productionPriority && placedAtMS(j, pl) < r.FailedMS && !c.zoneView.admittedMachines[host]
 }
 
-// openHosts tells on which machines of returning zones tasks start again in place: as large
+// admittedMachines tells on which machines of returning zones tasks start again in place: as large
 // a share of those that are up as the slow start has come to, less what the production work
 // that waits there needs. They open in the order of their names, so that another owner has
 // the same. Call with the lock held.
-func (c *Controller) openHosts(up map[string][]string, now time.Time) map[string]bool {
+func (c *Controller) admittedMachines(up map[string][]string, now time.Time) map[string]bool {
 	open := map[string]bool{}
-	types := c.typeSizes()
+	types := c.machineSizes()
 	for zone, hosts := range up {
-		r := c.returning(zone, now)
+		r := c.restrictedZone(zone, now)
 		if r == nil {
 			continue
 		}
 		needed := 0.0 // machines
-		for _, d := range c.zoneNeeds(zone, r) {
+		for _, d := range c.waitingProduction(zone, r) {
 			size := sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]}
-			needed += float64(d.Tasks) * recovery.ShareOf(size, types)
+			needed += float64(d.Tasks) * recovery.MachineShare(size, types)
 		}
 		all := float64(max(r.Sum().Up, len(hosts)))
-		share := min(r.Window(now, c.zoneLimits()), max(all-needed, 0)/all, 1)
+		share := min(r.AdmissionShare(now, c.zoneLimits()), max(all-needed, 0)/all, 1)
 		slices.Sort(hosts)
 		for _, host := range hosts[:int(share*float64(len(hosts)))] {
 			open[host] = true
@@ -169,11 +171,11 @@
 	return open
 }
 
-// returning gives the record of a zone that is down or recovering; nil if it is not, or the
+// restrictedZone gives the record of a zone that is down or recovering; nil if it is not, or the
 // feature is off. It ends also if nobody can write that it does. Call with the lock held.
-func (c *Controller) returning(zone string, now time.Time) *zonehealth.Record {
-	r := c.replica.zones[url.PathEscape(zone)].v
-	if r == nil || !r.Restricts() || !c.switchedOn(features.ZoneRecoveryName) {
+func (c *Controller) restrictedZone(zone string, now time.Time) *zonehealth.Record {
+	r := c.replica.zones[url.PathEscape(zone)].record
+	if r == nil || !r.Restricts() || !c.featureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
 	if now.Sub(time.UnixMilli(r.SinceMS)) >= c.zoneLimits().Longest {
@@ -182,8 +184,10 @@
 	return r
 }
 
-// placedMS is when a task was placed, in milliseconds of the time of day.
-func placedMS(j *liveJob, pl *placedTask) int64 { return j.main.AtMS + pl.p.AtS*1000 }
+// placedAtMS is when a task was placed, in milliseconds of the time of day.
+func placedAtMS(j *liveJob, pl *placedTask) int64 {
+	return j.record.AcceptedMS + pl.placement.PlacedS*1000
+}
 
 // protectedSizes gives the sizes of production tasks. Call with the lock held.
 func (c *Controller) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
@@ -194,12 +198,12 @@
 		}
 	}
 	for _, j := range c.replica.jobs {
-		if priority, _ := api.PriorityOf(j.main.Spec.Priority); priority == production && !j.main.Cancelled {
-			note(need(&j.main.Spec))
+		if priority, _ := api.PriorityOf(j.record.Spec.Priority); priority == productionPriority && !j.record.Cancelled {
+			note(resourcesOf(&j.record.Spec))
 		}
 	}
 	for _, z := range zones {
-		for _, d := range z.Needs {
+		for _, d := range z.Waiting {
 			note(sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]})
 		}
 	}
--- a/internal/controller/zonemeasure_test.go
+++ b/internal/controller/zonemeasure_test.go
@@ -97,7 +97,7 @@
 	for range most {
 		z.round()
 		for _, x := range z.w.Cloud.Workers() {
-			if x.Site == "x" {
+			if x.Zone == "x" {
 				o.machines += 0.5
 			}
 		}
@@ -119,7 +119,7 @@
 	}
 	o.wasted = max(0, o.wasted-z.arraysUp())
 	o.changes = float64(z.w.Store.Writes-writes) / z.w.Now.Sub(returned).Seconds()
-	return o, o.readers > 0 && o.arrays > 0 && len(z.w.Broken) == 0
+	return o, o.readers > 0 && o.arrays > 0 && len(z.w.Violations) == 0
 }
 
 // BenchmarkZoneRecovery measures returns of a zone with and without the feature, each over
--- a/internal/controller/zoneplan_test.go
+++ b/internal/controller/zoneplan_test.go
@@ -12,10 +12,10 @@
 // withZone switches zone recovery on everywhere and sets the record of zone x.
 func (c *Controller) withZone(r zonehealth.Record) {
 	c.features.ZoneRecovery.Enabled = true
-	for _, node := range c.parts {
-		c.replica.marks[node] = value[shard.Mark]{v: &shard.Mark{V: forms, Features: c.features.Names()}}
+	for _, node := range c.shards {
+		c.replica.capabilities[node] = cached[shard.CapabilityRecord]{record: &shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: c.features.Names()}}
 	}
-	c.replica.zones["x"] = value[zonehealth.Record]{v: &r}
+	c.replica.zones["x"] = cached[zonehealth.Record]{record: &r}
 }
 
 // Arrays start again in place on a share of the machines that grows, and never on what the
@@ -38,12 +38,12 @@
 		{0, 0, zonehealth.Healthy, 0}, // nothing is held back there
 	} {
 		c := sized(machines, 0)
-		r := zonehealth.Record{State: x.state, SinceMS: c.now().UnixMilli(), FailedMS: 1, Start: x.start, Before: machines}
-		r = r.With("n0", zonehealth.Sight{Up: machines})
+		r := zonehealth.Record{State: x.state, SinceMS: c.now().UnixMilli(), FailedMS: 1, SlowStartShare: x.start, MachinesBefore: machines}
+		r = r.WithObservation("n0", zonehealth.Observation{Up: machines})
 		waiting := []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: x.waiting}}
-		c.withZone(r.With("n1", zonehealth.Sight{Lost: 1, Waiting: waiting}))
-		names := c.replica.hostNames()
-		open := c.openHosts(map[string][]string{"x": slices.Clone(names)}, c.now())
+		c.withZone(r.WithObservation("n1", zonehealth.Observation{Lost: 1, Waiting: waiting}))
+		names := c.replica.machineNames()
+		open := c.admittedMachines(map[string][]string{"x": slices.Clone(names)}, c.now())
 		if len(open) != x.open {
 			t.Errorf("%+v: %d machines are open", x, len(open))
 		}
@@ -60,13 +60,13 @@
 func TestReservationKeepsRoom(t *testing.T) {
 	placed := func(waiting int) int {
 		c := sized(256, 4) // with room for four tasks
-		r := zonehealth.Record{State: zonehealth.Recovering, SinceMS: c.now().Add(-time.Second).UnixMilli(), Start: 1, Before: 256}
-		r = r.With("n1", zonehealth.Sight{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}})
+		r := zonehealth.Record{State: zonehealth.Recovering, SinceMS: c.now().Add(-time.Second).UnixMilli(), SlowStartShare: 1, MachinesBefore: 256}
+		r = r.WithObservation("n1", zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}})
 		c.withZone(r)
 		for _, j := range c.replica.jobs { // none is production
-			j.main.Spec.Priority = "standard"
+			j.record.Spec.Priority = "standard"
 		}
-		return len(c.plan(c.now()).places)
+		return len(c.plan(c.now()).placements)
 	}
 	for _, x := range []struct{ waiting, places int }{{0, 4}, {3, 1}, {4, 0}, {9, 0}} {
 		if got := placed(x.waiting); got != x.places {
--- a/internal/controller/zonerecovery_test.go
+++ b/internal/controller/zonerecovery_test.go
@@ -46,7 +46,7 @@
 	z := &zoneWorld{sim: newSim(), t: t}
 	z.w.Lease, z.w.CancelS = lease, 4*lease
 	z.w.Zones = []string{"x", "y", "z"}
-	z.w.Limits = map[string]float64{}
+	z.w.TeamGPULimits = map[string]float64{}
 	z.sim.started = started
 	for i := range z.nodes {
 		z.start(i)
@@ -71,8 +71,8 @@
 	for range 3 { // they wait for the room of the others
 		z.arrays = append(z.arrays, z.array(arrayTasks, time.Hour))
 	}
-	z.w.AtStart = func(x *simulator.Worker, uid string) {
-		if x.Site == "x" {
+	z.w.OnTaskStarted = func(x *simulator.Worker, uid string) {
+		if x.Zone == "x" {
 			z.starts = append(z.starts, zoneStart{z.w.Now, uid, z.isReader(uid), x.Host})
 		}
 	}
@@ -95,7 +95,7 @@
 	})
 }
 
-func (z *zoneWorld) isReader(uid string) bool { return z.w.Jobs[uid].Run.Kind == api.Service }
+func (z *zoneWorld) isReader(uid string) bool { return z.w.Jobs[uid].Spec.Kind == api.Service }
 
 func (z *zoneWorld) readersUp() (n int) {
 	for _, uid := range z.readers {
@@ -108,8 +108,8 @@
 func (z *zoneWorld) in() (withReaders, others []*simulator.Worker) {
 	for _, x := range z.w.Cloud.Workers() {
 		switch {
-		case x.Site != "x":
-		case len(x.Present()) > 0 && z.isReader(x.Present()[0]):
+		case x.Zone != "x":
+		case len(x.PresentJobs()) > 0 && z.isReader(x.PresentJobs()[0]):
 			withReaders = append(withReaders, x)
 		default:
 			others = append(others, x)
@@ -121,13 +121,13 @@
 // cut cuts machines off, or has them return.
 func cutAll(machines []*simulator.Worker, cut bool) {
 	for _, x := range machines {
-		x.Cut = cut
+		x.Partitioned = cut
 	}
 }
 
 // state gives the zone's state as a controller has it.
 func (z *zoneWorld) state(node int) zonehealth.Record {
-	if v := z.nodes[node].c.replica.zones["x"].v; v != nil {
+	if v := z.nodes[node].c.replica.zones["x"].record; v != nil {
 		return *v
 	}
 	return zonehealth.Record{}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -2,28 +2,28 @@
 
 import "violetturn/internal/recovery"
 
-// zones follows where the tasks of a job are or will be, for jobs that are to
+// zoneConstraint follows where the tasks of a job are or will be, for jobs that are to
 // go together or be scattered. A job of several chunks is scattered chunk by
 // chunk: chunks are of even size, so that half of each is half of all.
-type zones struct {
-	j     *liveJob
-	zone  string // of a job that goes together
-	count map[int]map[string]int
-	gate  *zoneGate // of zones that return, for work below production; nil: all are open
+type zoneConstraint struct {
+	job         *liveJob
+	zone        string // of a job that goes together
+	tasksByZone map[int]map[string]int
+	admission   *jobAdmission // of zones that return, for work below production; nil: all are open
 }
 
-// zonesOf gives the zones of a job; admission tells what it may take of those that return.
+// zoneConstraintOf gives the zones of a job; admission tells what it may take of those that return.
 // Call with the lock held.
-func (c *Controller) zonesOf(j *liveJob, admission *recovery.Admission) *zones {
-	z := &zones{j: j, zone: j.main.Zone, count: map[int]map[string]int{}, gate: c.gateOf(j, admission)}
-	if isGang(j) && j.placed() == 0 {
+func (c *Controller) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
+	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: c.admissionOf(j, admission)}
+	if isGang(j) && j.countPlaced() == 0 {
 		z.zone = "" // nothing binds its next attempt
 	}
-	if j.main.Spec.Spread {
-		for n, ch := range j.chunks {
-			for _, p := range ch.v.Places {
-				if h := c.replica.hosts[p.Host]; h != nil {
-					z.note(n, h.Zone)
+	if j.record.Spec.Spread {
+		for n, ch := range j.ranges {
+			for _, p := range ch.record.Placements {
+				if h := c.replica.machines[p.Host]; h != nil {
+					z.count(n, h.Zone)
 				}
 			}
 		}
@@ -32,32 +32,32 @@
 }
 
 // add notes that a task of a chunk goes to a zone.
-func (z *zones) add(chunk int, site string) {
-	z.note(chunk, site)
-	z.gate.take(site)
+func (z *zoneConstraint) add(chunk int, zone string) {
+	z.count(chunk, zone)
+	z.admission.admit(zone)
 }
 
-// note notes that a task of a chunk is in a zone.
-func (z *zones) note(chunk int, site string) {
-	if z.j.main.Spec.Together && z.zone == "" {
-		z.zone = site
+// count notes that a task of a chunk is in a zone.
+func (z *zoneConstraint) count(chunk int, zone string) {
+	if z.job.record.Spec.Together && z.zone == "" {
+		z.zone = zone
 	}
-	g, _ := z.j.main.Group(chunk)
-	if z.count[g] == nil {
-		z.count[g] = map[string]int{}
+	g, _ := z.job.record.SpreadGroup(chunk)
+	if z.tasksByZone[g] == nil {
+		z.tasksByZone[g] = map[string]int{}
 	}
-	z.count[g][site]++
+	z.tasksByZone[g][zone]++
 }
 
-// ok tells whether a task of a chunk may go to a zone.
-func (z *zones) ok(chunk int, site string) bool {
-	r := &z.j.main.Spec
-	if !z.gate.admits(site) {
+// allows tells whether a task of a chunk may go to a zone.
+func (z *zoneConstraint) allows(chunk int, zone string) bool {
+	r := &z.job.record.Spec
+	if !z.admission.admits(zone) {
 		return false
 	}
-	if r.Together && z.zone != "" && z.zone != site {
+	if r.Together && z.zone != "" && z.zone != zone {
 		return false
 	}
-	g, n := z.j.main.Group(chunk)
-	return !r.Spread || z.count[g][site] < (n+1)/2
+	g, n := z.job.record.SpreadGroup(chunk)
+	return !r.Spread || z.tasksByZone[g][zone] < (n+1)/2
 }
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -15,36 +15,36 @@
 	"violetturn/internal/zonehealth"
 )
 
-// production is the priority of production work.
-const production = 0
+// productionPriority is the priority of production work.
+const productionPriority = 0
 
-// zoneWatch is what this node sees of zones.
-type zoneWatch struct {
-	at     time.Time                              // when it last looked
-	sights map[string]map[string]zonehealth.Sight // by zone and own part
-	open   map[string]bool                        // machines of returning zones where tasks start again in place
+// zoneView is what this node sees of zones.
+type zoneView struct {
+	observedAt       time.Time                                    // when it last looked
+	observations     map[string]map[string]zonehealth.Observation // by zone and own part
+	admittedMachines map[string]bool                              // machines of returning zones where tasks start again in place
 }
 
-// switchedOn tells whether a feature is on: here, and at every configured controller, living
+// featureEnabled tells whether a feature is on: here, and at every configured controller, living
 // or not, as its mark says. One that shows itself without it, because it was started without
 // or is of a version that doesn't know it, has it off everywhere. Call with the lock held.
-func (c *Controller) switchedOn(name string) bool {
+func (c *Controller) featureEnabled(name string) bool {
 	if !slices.Contains(c.features.Names(), name) {
 		return false
 	}
-	for _, x := range c.parts {
-		mark, node := c.replica.marks[x].v, c.replica.nodes[x].v
+	for _, x := range c.shards {
+		mark, node := c.replica.capabilities[x].record, c.replica.nodes[x].record
 		if mark == nil || !slices.Contains(mark.Features, name) || node != nil && !slices.Contains(node.Features, name) {
 			return false
 		}
 	}
-	return c.upgraded()
+	return c.schemaUpgraded()
 }
 
 // zoneLimits gives the bounds between the states of zones.
 func (c *Controller) zoneLimits() *zonehealth.Limits {
 	z := &c.features.ZoneRecovery
-	leases := func(n float64) time.Duration { return time.Duration(n * float64(c.cfg.Lease())) }
+	leases := func(n float64) time.Duration { return time.Duration(n * float64(c.cfg.WorkerLease())) }
 	return &zonehealth.Limits{
 		SuspectShare: z.SuspectShare,
 		DownShare:    z.DownShare,
@@ -56,50 +56,50 @@
 	}
 }
 
-// zoneRound looks at the zones once in a report round and commits what has changed. It
+// updateZones looks at the zones once in a report round and commits what has changed. It
 // changes nothing but zones' records, each on the version that it judged by and on this
 // node's ownership of a part: one that wakes late, or was replaced, is refused.
-func (c *Controller) zoneRound(ctx context.Context) bool {
+func (c *Controller) updateZones(ctx context.Context) bool {
 	now := c.now()
 	c.mu.Lock()
-	if now.Sub(c.zoneWatch.at) < c.cfg.Report() || !c.switchedOn(features.ZoneRecoveryName) {
+	if now.Sub(c.zoneView.observedAt) < c.cfg.HeartbeatInterval() || !c.featureEnabled(features.ZoneRecoveryName) {
 		c.mu.Unlock()
 		return false
 	}
-	sights, up := c.zoneSights(now)
-	c.zoneWatch = zoneWatch{at: now, sights: sights}
-	c.zoneWatch.open = c.openHosts(up, now)
-	t := newTxn()
+	observations, up := c.observeZones(now)
+	c.zoneView = zoneView{observedAt: now, observations: observations}
+	c.zoneView.admittedMachines = c.admittedMachines(up, now)
+	t := newTransaction()
 	changed := map[string]zonehealth.Record{}
-	for _, zone := range slices.Sorted(maps.Keys(c.zoneWatch.sights)) {
-		if next, ok := c.judgeZone(zone, now); ok && t.ops() < c.limits().TxnOps {
+	for _, zone := range slices.Sorted(maps.Keys(c.zoneView.observations)) {
+		if next, ok := c.judgeZone(zone, now); ok && t.changes() < c.transactionLimits().TxnOps {
 			id := url.PathEscape(zone)
-			t.guard(zoneKey+id, c.replica.zones[id].stamp)
-			t.write(zoneKey+id, next)
+			t.require(zonePrefix+id, c.replica.zones[id].version)
+			t.put(zonePrefix+id, next)
 			changed[zone] = next
 		}
 	}
-	for p := range c.mine {
-		c.guardOwn(t, p)
+	for p := range c.leaderships {
+		c.requireLeadership(t, p)
 	}
 	c.mu.Unlock()
 	if len(changed) == 0 {
 		return false
 	}
-	if done, _, _ := c.commit(ctx, "zones", t, store.Decision); done {
-		c.logZones(changed)
-		c.poke()
+	if done, _, _ := c.commit(ctx, "zones", t, store.PriorityDecision); done {
+		c.logZoneChanges(changed)
+		c.wakeDecider()
 	}
 	return false
 }
 
-func (c *Controller) logZones(changed map[string]zonehealth.Record) {
+func (c *Controller) logZoneChanges(changed map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[zone]
 		sum := r.Sum()
 		c.log.Info(
-			"zone", "zone", zone, "state", r.State, "number", r.Number, "up", sum.Up, "lost", sum.Lost,
-			"unclear", sum.Unclear, "waiting", r.Waiting(), "start", r.Start,
+			"zone", "zone", zone, "state", r.State, "number", r.Transitions, "up", sum.Up, "lost", sum.Lost,
+			"unclear", sum.Unclear, "waiting", r.Waiting(), "start", r.SlowStartShare,
 		)
 	}
 }
@@ -109,80 +109,80 @@
 func (c *Controller) judgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := c.zoneLimits()
 	var was zonehealth.Record
-	if v := c.replica.zones[url.PathEscape(zone)].v; v != nil {
+	if v := c.replica.zones[url.PathEscape(zone)].record; v != nil {
 		was = *v
 	}
 	owns, seen := false, was
-	for p, sight := range c.zoneWatch.sights[zone] {
+	for p, observation := range c.zoneView.observations[zone] {
 		owns = true
-		old, told := was.Sights[p]
-		if !was.Restricts() && was.State != zonehealth.Suspect && sight.LostShare() < limits.SuspectShare/2 {
-			sight = zonehealth.Sight{} // all is well: that needs no record
+		old, told := was.Observations[p]
+		if !was.Restricts() && was.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
+			observation = zonehealth.Observation{} // all is well: that needs no record
 		}
-		if told != !sight.Empty() || !sight.Equal(old) {
-			seen, changed = seen.With(p, sight), true
+		if told != !observation.Empty() || !observation.Equal(old) {
+			seen, changed = seen.WithObservation(p, observation), true
 		}
 	}
 	if !owns {
 		return was, false
 	}
-	next = seen.Judge(now, c.witness(zone, now), limits)
+	next = seen.Judge(now, c.hasOutsideObserver(zone, now), limits)
 	return next, changed || next.State != was.State
 }
 
-// witness tells whether this node can say that a zone is down, not itself cut off: it hears
+// hasOutsideObserver tells whether this node can say that a zone is down, not itself cut off: it hears
 // workers now, and it or a peer at home in another zone hears some of another zone. Call with
 // the lock held.
-func (c *Controller) witness(zone string, now time.Time) bool {
-	if c.contact.mute || now.Sub(c.contact.at) > 2*c.cfg.Report() {
+func (c *Controller) hasOutsideObserver(zone string, now time.Time) bool {
+	if c.contact.unreachable || now.Sub(c.contact.lastHeard) > 2*c.cfg.HeartbeatInterval() {
 		return false
 	}
-	for other, sights := range c.zoneWatch.sights {
+	for other, observations := range c.zoneView.observations {
 		up, lost := 0, 0
-		for _, s := range sights {
+		for _, s := range observations {
 			up, lost = up+s.Up, lost+s.Lost
 		}
-		all := zonehealth.Sight{Up: up, Lost: lost}
+		all := zonehealth.Observation{Up: up, Lost: lost}
 		if other != zone && up > 0 && all.LostShare() < c.features.ZoneRecovery.SuspectShare {
 			return true
 		}
 	}
 	for _, m := range c.cfg.Members {
-		if n := c.replica.nodes[m.HostName].v; m.Site != zone && n != nil && n.Hear {
+		if n := c.replica.nodes[m.HostName].record; m.Zone != zone && n != nil && n.HearsWorkers {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneSights looks at the machines of own parts, by zone, and lists those that are up. Call
+// observeZones looks at the machines of own parts, by zone, and lists those that are up. Call
 // with the lock held.
-func (c *Controller) zoneSights(now time.Time) (out map[string]map[string]zonehealth.Sight, up map[string][]string) {
-	out, up = map[string]map[string]zonehealth.Sight{}, map[string][]string{}
+func (c *Controller) observeZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
+	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
 	for _, zone := range c.cfg.Facts.Zones {
-		out[zone] = map[string]zonehealth.Sight{}
-		for p := range c.mine {
-			if c.owned(p) != nil {
-				out[zone][p] = zonehealth.Sight{Refused: c.refusedIn(zone, now)}
+		out[zone] = map[string]zonehealth.Observation{}
+		for p := range c.leaderships {
+			if c.leadershipOf(p) != nil {
+				out[zone][p] = zonehealth.Observation{Refused: c.cloudRefuses(zone, now)}
 			}
 		}
 	}
 	waiting := map[string]map[string]map[zonehealth.Demand]int{}
-	for host, m := range c.replica.hosts {
-		s, seen := c.sessions[host], out[m.Zone]
-		if seen == nil || s == nil || c.owned(m.Part) == nil {
+	for host, m := range c.replica.machines {
+		s, seen := c.agents[host], out[m.Zone]
+		if seen == nil || s == nil || c.leadershipOf(m.Shard) == nil {
 			continue
 		}
-		sight := seen[m.Part]
-		what := c.seenOf(host, m, s, now)
+		observation := seen[m.Shard]
+		what := c.observedState(host, m, s, now)
 		switch what {
 		case machineUnclear:
-			sight.Unclear++
+			observation.Unclear++
 		case machineUp:
-			sight.Up++
+			observation.Up++
 			up[m.Zone] = append(up[m.Zone], host)
 		case machineLost:
-			sight.Lost++
+			observation.Lost++
 		}
 		// Until its end is committed a task is placed, and waits in no queue: room for it is
 		// kept also while a new owner has not heard of its machine yet, and when the machine
@@ -190,49 +190,49 @@
 		if what != machineUp {
 			c.addWaiting(waiting, host, m)
 		}
-		seen[m.Part] = sight
+		seen[m.Shard] = observation
 	}
-	for zone, parts := range waiting {
-		for p, tasks := range parts {
-			sight := out[zone][p]
-			sight.Waiting = demands(tasks)
-			out[zone][p] = sight
+	for zone, shards := range waiting {
+		for p, tasks := range shards {
+			observation := out[zone][p]
+			observation.Waiting = sortedDemand(tasks)
+			out[zone][p] = observation
 		}
 	}
 	return out, up
 }
 
-// machineSight is what an owner sees of a machine.
-type machineSight int
+// machineState is what an owner sees of a machine.
+type machineState int
 
 const (
-	machineIgnored machineSight = iota // it boots, or is going back
+	machineIgnored machineState = iota // it boots, or is going back
 	machineUnclear                     // not heard of yet under this owner
 	machineUp
 	machineLost
 )
 
-// seenOf tells what an owner sees of a machine. Call with the lock held.
-func (c *Controller) seenOf(host string, m *shard.Machine, s *shard.Session, now time.Time) machineSight {
-	patience := 2 * c.cfg.Report() // who reports at all has done so
+// observedState tells what an owner sees of a machine. Call with the lock held.
+func (c *Controller) observedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) machineState {
+	patience := 2 * c.cfg.HeartbeatInterval() // who reports at all has done so
 	switch {
-	case s.Gone, s.Drain && now.Sub(s.Seen) > patience:
+	case s.Terminated, s.Cordoned && now.Sub(s.LastSeen) > patience:
 		return machineIgnored
-	case s.Fenced && s.Deaf:
+	case s.Fenced && s.Unresponsive:
 		return machineLost
-	case s.Fenced && now.Sub(s.Seen) <= patience:
+	case s.Fenced && now.Sub(s.LastSeen) <= patience:
 		return machineUp
 	case s.Fenced:
 		return machineLost
 	}
 	// Never heard under this term. One that has tasks was up before.
-	_, machineType := c.capOf(m.MachineType)
-	age := float64(now.UnixMilli()-m.AtMS) / 1000
-	boots := len(c.replica.onHost[host]) == 0 && (machineType == nil || age <= 2*machineType.BootS || c.booting[host])
+	_, machineType := c.machineCapacity(m.MachineType)
+	age := float64(now.UnixMilli()-m.RegisteredMS) / 1000
+	boots := len(c.replica.placements[host]) == 0 && (machineType == nil || age <= 2*machineType.BootS || c.provisioning[host])
 	switch {
 	case boots:
 		return machineIgnored
-	case now.Sub(s.Since) <= patience:
+	case now.Sub(s.CreatedAt) <= patience:
 		return machineUnclear
 	}
 	return machineLost
@@ -240,40 +240,40 @@
 
 // addWaiting counts the production tasks of a machine that is not heard. Call with the lock held.
 func (c *Controller) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
-	for _, pl := range c.replica.onHost[host] {
+	for _, pl := range c.replica.placements[host] {
 		j := c.replica.jobs[pl.uid]
-		if j == nil || j.leaves(pl.p) {
+		if j == nil || j.mustStop(pl.placement) {
 			continue
 		}
-		if priority, _ := api.PriorityOf(j.main.Spec.Priority); priority != production {
+		if priority, _ := api.PriorityOf(j.record.Spec.Priority); priority != productionPriority {
 			continue
 		}
 		if waiting[m.Zone] == nil {
 			waiting[m.Zone] = map[string]map[zonehealth.Demand]int{}
 		}
-		if waiting[m.Zone][m.Part] == nil {
-			waiting[m.Zone][m.Part] = map[zonehealth.Demand]int{}
+		if waiting[m.Zone][m.Shard] == nil {
+			waiting[m.Zone][m.Shard] = map[zonehealth.Demand]int{}
 		}
-		kind := demandKind(&j.main.Spec)
-		waiting[m.Zone][m.Part][kind]++
+		kind := demandOf(&j.record.Spec)
+		waiting[m.Zone][m.Shard][kind]++
 	}
 }
 
-// refusedIn tells whether the cloud refuses all that it could rent in a zone. Call with the
+// cloudRefuses tells whether the cloud refuses all that it could rent in a zone. Call with the
 // lock held.
-func (c *Controller) refusedIn(zone string, now time.Time) bool {
+func (c *Controller) cloudRefuses(zone string, now time.Time) bool {
 	offered := false
-	for _, o := range c.offers(now) {
+	for _, o := range c.availableOffers(now) {
 		offered = offered || o.Zone == zone
 	}
 	return len(c.machineTypes) > 0 && !offered
 }
 
-// mostDemandSizes bounds the sizes of tasks in a zone's record: there are few.
-const mostDemandSizes = 8
+// maxDemandSizes bounds the sizes of tasks in a zone's record: there are few.
+const maxDemandSizes = 8
 
-// demands lists tasks by size, those of most first.
-func demands(tasks map[zonehealth.Demand]int) []zonehealth.Demand {
+// sortedDemand lists tasks by size, those of most first.
+func sortedDemand(tasks map[zonehealth.Demand]int) []zonehealth.Demand {
 	out := make([]zonehealth.Demand, 0, len(tasks))
 	for kind, n := range tasks {
 		kind.Tasks = n
@@ -285,11 +285,11 @@
 		}
 		return slices.Compare(a.Need[:], b.Need[:])
 	})
-	return out[:min(len(out), mostDemandSizes)]
+	return out[:min(len(out), maxDemandSizes)]
 }
 
-func demandKind(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: shard.Vec(need(spec)), Spot: spec.Spot}
+func demandOf(spec *api.Job) zonehealth.Demand {
+	return zonehealth.Demand{Need: shard.Vec(resourcesOf(spec)), Spot: spec.Spot}
 }
 
 // zoneName gives the zone of a record's key.
@@ -301,8 +301,8 @@
 	return name
 }
 
-// typeSizes gives the sizes of all machine types. Call with the lock held.
-func (c *Controller) typeSizes() []sched.Resources {
+// machineSizes gives the sizes of all machine types. Call with the lock held.
+func (c *Controller) machineSizes() []sched.Resources {
 	out := make([]sched.Resources, 0, len(c.machineTypes))
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -10,9 +10,9 @@
 )
 
 // parse feeds a stream in the given pieces and gives all messages.
-func parse(p *Parser, pieces []string) ([]*Message, error) {
+func parse(p *Parser, tasks []string) ([]*Message, error) {
 	var out []*Message
-	for _, s := range pieces {
+	for _, s := range tasks {
 		p.Feed([]byte(s))
 		for {
 			m, err := p.Next()
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -16,15 +16,15 @@
 //	over      the last of its tasks has surely exited; the next one may hold
 //	done      one task is done, and so all are (Done)
 type Gang struct {
-	Try  uint64 `json:"t,omitempty"` // the attempt's number; they only rise
-	Go   bool   `json:"g,omitempty"`
-	Halt bool   `json:"h,omitempty"`
-	Over bool   `json:"v,omitempty"`
-	Done bool   `json:"d,omitempty"`
-	AtS  int64  `json:"a,omitempty"` // when it was launched, seconds after the job's acceptance
+	Attempt   uint64 `json:"t,omitempty"` // the attempt's number; they only rise
+	Launched  bool   `json:"g,omitempty"`
+	Stopping  bool   `json:"h,omitempty"`
+	Ended     bool   `json:"v,omitempty"`
+	Done      bool   `json:"d,omitempty"`
+	LaunchedS int64  `json:"a,omitempty"` // when it was launched, seconds after the job's acceptance
 
-	Errors int `json:"r,omitempty"` // attempts in a row that failed by an error of a task
-	Fails  int `json:"f,omitempty"` // attempts in a row that ended without being done or told to stop
+	ErrorStreak   int `json:"r,omitempty"` // attempts in a row that failed by an error of a task
+	FailureStreak int `json:"f,omitempty"` // attempts in a row that ended without being done or told to stop
 }
 
 // GangPhase names a state of an attempt.
@@ -32,12 +32,12 @@
 
 // The states of an attempt.
 const (
-	GangIdle     GangPhase = "over" // none, or the last one has ended
-	GangHolding  GangPhase = "holding"
-	GangLaunched GangPhase = "launched"
-	GangStopping GangPhase = "stopping"
-	GangEnding   GangPhase = "ending"
-	GangDone     GangPhase = "done"
+	GangIdle      GangPhase = "over" // none, or the last one has ended
+	GangReserving GangPhase = "holding"
+	GangLaunched  GangPhase = "launched"
+	GangStopping  GangPhase = "stopping"
+	GangEnding    GangPhase = "ending"
+	GangDone      GangPhase = "done"
 )
 
 // Phase tells the state, when so many tasks are placed.
@@ -47,92 +47,92 @@
 		return GangIdle
 	case g.Done:
 		return GangDone
-	case g.Over && placed > 0:
+	case g.Ended && placed > 0:
 		return GangEnding
-	case g.Over || placed == 0:
+	case g.Ended || placed == 0:
 		return GangIdle
-	case g.Halt:
+	case g.Stopping:
 		return GangStopping
-	case g.Go:
+	case g.Launched:
 		return GangLaunched
 	}
-	return GangHolding
+	return GangReserving
 }
 
-// Starts tells whether a place with that number may be launched.
-func (g *Gang) Starts(try uint64) bool {
-	return g != nil && g.Go && !g.Halt && !g.Over && !g.Done && try == g.Try
+// MayLaunch tells whether a place with that number may be launched.
+func (g *Gang) MayLaunch(try uint64) bool {
+	return g != nil && g.Launched && !g.Stopping && !g.Ended && !g.Done && try == g.Attempt
 }
 
-// Leaves tells whether a task with that number has to leave its machine.
-func (g *Gang) Leaves(try uint64) bool {
-	return g != nil && (g.Halt || g.Over || g.Done || try != g.Try)
+// MustStop tells whether a task with that number has to leave its machine.
+func (g *Gang) MustStop(try uint64) bool {
+	return g != nil && (g.Stopping || g.Ended || g.Done || try != g.Attempt)
 }
 
-// Holds tells whether places may be added to the attempt.
-func (g *Gang) Holds() bool {
-	return g == nil || !g.Halt && !g.Over && !g.Done
+// AcceptsPlacements tells whether places may be added to the attempt.
+func (g *Gang) AcceptsPlacements() bool {
+	return g == nil || !g.Stopping && !g.Ended && !g.Done
 }
 
-// Begin gives the number for new places. Where nothing of the attempt before is left
+// BeginAttempt gives the number for new places. Where nothing of the attempt before is left
 // a new one begins, above every earlier number.
-func (g *Gang) Begin(placed int) uint64 {
-	if g.Over || placed == 0 {
-		*g = Gang{Try: g.Try + 1, Errors: g.Errors, Fails: g.Fails}
+func (g *Gang) BeginAttempt(placed int) uint64 {
+	if g.Ended || placed == 0 {
+		*g = Gang{Attempt: g.Attempt + 1, ErrorStreak: g.ErrorStreak, FailureStreak: g.FailureStreak}
 	}
-	return g.Try
+	return g.Attempt
 }
 
 // Launch lets the workers start the attempt: all its places are held.
 func (g *Gang) Launch(atS int64) {
-	if !g.Go {
-		g.Go, g.AtS = true, atS
+	if !g.Launched {
+		g.Launched, g.LaunchedS = true, atS
 	}
 }
 
-// Exit is how a task of an attempt ended.
-type Exit int
+// ExitReason is how a task of an attempt ended.
+type ExitReason int
 
 // How a task can end.
 const (
-	ExitLost    Exit = iota // with its machine, or it was told to stop
-	ExitRefused             // it never started there
-	ExitError               // by a fault of its machine or of the job
-	ExitMates               // since another one had gone, or did not come in time
+	ExitLost     ExitReason = iota // with its machine, or it was told to stop
+	ExitRefused                    // it never started there
+	ExitError                      // by a fault of its machine or of the job
+	ExitPeerLost                   // since another one had gone, or did not come in time
 	ExitDone
 )
 
-// Ended takes in the end of a task of attempt try whose place is given up. gathering
+// TaskEnded takes in the end of a task of attempt try whose place is given up. gathering
 // tells that the attempt is surely still waiting for its tasks, with time to replace
 // one. What it leaves behind decides about all tasks.
-func (g *Gang) Ended(try uint64, how Exit, gathering bool) {
+func (g *Gang) TaskEnded(try uint64, how ExitReason, gathering bool) {
 	switch {
-	case g.Done || try != g.Try:
+	case g.Done || try != g.Attempt:
 	case how == ExitDone:
 		// They complete together. What was decided of the attempt meanwhile rested
 		// on not knowing that.
-		g.Done, g.Errors, g.Fails = true, 0, 0
-	case g.Over || !g.Go: // known already, or a held place that was never started
-	case gathering && (how == ExitRefused || how == ExitLost) && !g.Halt:
+		g.Done, g.ErrorStreak, g.FailureStreak = true, 0, 0
+	case g.Ended || !g.Launched: // known already, or a held place that was never started
+	case gathering && (how == ExitRefused || how == ExitLost) && !g.Stopping:
 		// The others wait for a replacement under the same number.
 	default:
-		g.Over = true
-		if !g.Halt {
-			g.Fails++
+		g.Ended = true
+		if !g.Stopping {
+			g.FailureStreak++
 			if how == ExitError {
-				g.Errors++ // errors of several tasks count once
+				g.ErrorStreak++ // errors of several tasks count once
 			} else {
-				g.Errors = 0
+				g.ErrorStreak = 0
 			}
 		}
 	}
 }
 
-// GiveUp ends an attempt that can't be complete in time; one that only holds goes at
+// Abandon ends an attempt that can't be complete in time; one that only holds goes at
 // once, for nothing of it was ever started.
-func (g *Gang) GiveUp() {
-	if g.Go && !g.Over && !g.Done {
-		g.Over = true
-		g.Fails++
+func (g *Gang) Abandon() {
+	if g.Launched && !g.Ended && !g.Done {
+		g.Ended = true
+		g.FailureStreak++
 	}
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -12,107 +12,107 @@
 	"violetturn/internal/api"
 )
 
-// Main is a living job's main record.
-type Main struct {
-	Spec      api.Job `json:"r"`
-	Part      string  `json:"p"`           // the part whose owner places it
-	AtMS      int64   `json:"at"`          // time of day of its acceptance
-	Chunk     int     `json:"k"`           // tasks in a chunk
-	Cancelled bool    `json:"w,omitempty"` // withdrawn, some tasks may still be on machines
-	Fin       []int   `json:"f,omitempty"` // chunks that are done, as ranges [from, to, from, to, ...)
-	Zone      string  `json:"z,omitempty"` // the zone of a job whose tasks go together, once chosen
-	Inner     bool    `json:"i,omitempty"` // its one chunk is kept here, not in a record of its own
-	Only      *Chunk  `json:"o,omitempty"` // that chunk, once touched
+// Record is a living job's main record.
+type Record struct {
+	Spec           api.Job    `json:"r"`
+	Shard          string     `json:"p"`           // the part whose owner places it
+	AcceptedMS     int64      `json:"at"`          // time of day of its acceptance
+	RangeSize      int        `json:"k"`           // tasks in a chunk
+	Cancelled      bool       `json:"w,omitempty"` // withdrawn, some tasks may still be on machines
+	FinishedRanges []int      `json:"f,omitempty"` // chunks that are done, as ranges [from, to, from, to, ...)
+	Zone           string     `json:"z,omitempty"` // the zone of a job whose tasks go together, once chosen
+	Inline         bool       `json:"i,omitempty"` // its one chunk is kept here, not in a record of its own
+	InlineRange    *TaskRange `json:"o,omitempty"` // that chunk, once touched
 
 	// The version in production knows none of these and would lose them: they are
 	// written only once every configured controller has shown that it reads them.
-	Gen    int   `json:"n,omitempty"` // how often its tasks were divided into smaller chunks
-	Half   int   `json:"h,omitempty"` // of a scattered job that was divided: the chunk size by which its zones are counted
-	Frozen bool  `json:"x,omitempty"` // its tasks are being divided: nothing else changes them
-	Gang   *Gang `json:"e,omitempty"` // of an ensemble: how its attempt stands
+	Generation      int   `json:"n,omitempty"` // how often its tasks were divided into smaller chunks
+	SpreadRangeSize int   `json:"h,omitempty"` // of a scattered job that was divided: the chunk size by which its zones are counted
+	Frozen          bool  `json:"x,omitempty"` // its tasks are being divided: nothing else changes them
+	Gang            *Gang `json:"e,omitempty"` // of an ensemble: how its attempt stands
 }
 
-// Fit decides how the job's tasks are recorded. A job whose tasks all fit into
+// ChooseLayout decides how the job's tasks are recorded. A job whose tasks all fit into
 // its main record needs no other one: half as many changes for it. dense counts with
 // names of machines as they usually are; a record that outgrows a value all the same is
 // divided, which the version in production can't do.
-func (m *Main) Fit(valueKB float64, size int, dense bool) {
-	e := entry
+func (m *Record) ChooseLayout(valueKB float64, size int, dense bool) {
+	e := placementBytes
 	if dense {
-		e = denseEntry
+		e = densePlacementBytes
 	}
-	m.Chunk = chunkOf(valueKB, e)
+	m.RangeSize = rangeSizeFor(valueKB, e)
 	if m.Spec.Kind == api.Gang {
-		size += gangExtra
+		size += gangExtraBytes
 	}
-	if m.Spec.Tasks <= m.Chunk && size+m.Spec.Tasks*e+mainExtra <= int(valueKB*1024) {
-		m.Inner = true
+	if m.Spec.Tasks <= m.RangeSize && size+m.Spec.Tasks*e+recordExtraBytes <= int(valueKB*1024) {
+		m.Inline = true
 	}
 }
 
 // bytes of one place at most, host names of 20 bytes included, and of what a
 // main record gets besides.
 const (
-	entry      = 80
-	denseEntry = 48 // with names of ten bytes
-	mainExtra  = 256
-	gangExtra  = 128
+	placementBytes      = 80
+	densePlacementBytes = 48 // with names of ten bytes
+	recordExtraBytes    = 256
+	gangExtraBytes      = 128
 )
 
-// Past is what stays of a job that is over.
-type Past struct {
+// FinalState is what stays of a job that is over.
+type FinalState struct {
 	Phase string `json:"phase"`
 	Done  int    `json:"done"`
 }
 
 // Placement is where an unfinished task was put.
 type Placement struct {
-	Attempt uint64 `json:"t"`
-	Host    string `json:"m"`
-	Stop    bool   `json:"s,omitempty"` // it is to leave the machine
-	AtS     int64  `json:"a,omitempty"` // when it was put there, seconds after the job's acceptance
+	Attempt  uint64 `json:"t"`
+	Host     string `json:"m"`
+	Stopping bool   `json:"s,omitempty"` // it is to leave the machine
+	PlacedS  int64  `json:"a,omitempty"` // when it was put there, seconds after the job's acceptance
 }
 
-// Chunk is the record of a run of tasks of one job.
-type Chunk struct {
-	Tries  uint64             `json:"c,omitempty"` // the last attempt number given out in this chunk
-	Errors int                `json:"e,omitempty"` // failures in a row
-	Bits   string             `json:"d,omitempty"` // done tasks, a bit each, base64
-	Places map[int]*Placement `json:"p,omitempty"` // unfinished tasks that are on a machine, or may be
+// TaskRange is the record of a run of tasks of one job.
+type TaskRange struct {
+	LastAttempt uint64             `json:"c,omitempty"` // the last attempt number given out in this chunk
+	Errors      int                `json:"e,omitempty"` // failures in a row
+	DoneBits    string             `json:"d,omitempty"` // done tasks, a bit each, base64
+	Placements  map[int]*Placement `json:"p,omitempty"` // unfinished tasks that are on a machine, or may be
 }
 
-// ChunkSize is the number of tasks in a chunk, such that its record fits a
+// TaskRangeSize is the number of tasks in a chunk, such that its record fits a
 // value of the state service even with every task placed.
-func ChunkSize(valueKB float64) int { return chunkOf(valueKB, entry) }
+func TaskRangeSize(valueKB float64) int { return rangeSizeFor(valueKB, placementBytes) }
 
-func chunkOf(valueKB float64, e int) int {
+func rangeSizeFor(valueKB float64, e int) int {
 	return min(max(int(valueKB*1024)/e/2*2, 2), 512)
 }
 
-// Chunks is the number of chunks of the job.
-func (m *Main) Chunks() int { return (m.Spec.Tasks + m.Chunk - 1) / m.Chunk }
+// RangeCount is the number of chunks of the job.
+func (m *Record) RangeCount() int { return (m.Spec.Tasks + m.RangeSize - 1) / m.RangeSize }
 
-// ChunkLen is the number of tasks in chunk n.
-func (m *Main) ChunkLen(n int) int { return min(m.Chunk, m.Spec.Tasks-n*m.Chunk) }
+// RangeLen is the number of tasks in chunk n.
+func (m *Record) RangeLen(n int) int { return min(m.RangeSize, m.Spec.Tasks-n*m.RangeSize) }
 
-// Finished tells whether chunk n is done.
-func (m *Main) Finished(n int) bool {
-	for i := 0; i+1 < len(m.Fin); i += 2 {
-		if n >= m.Fin[i] && n < m.Fin[i+1] {
+// RangeFinished tells whether chunk n is done.
+func (m *Record) RangeFinished(n int) bool {
+	for i := 0; i+1 < len(m.FinishedRanges); i += 2 {
+		if n >= m.FinishedRanges[i] && n < m.FinishedRanges[i+1] {
 			return true
 		}
 	}
 	return false
 }
 
-// Finish marks chunk n as done.
-func (m *Main) Finish(n int) {
-	if m.Finished(n) {
+// FinishRange marks chunk n as done.
+func (m *Record) FinishRange(n int) {
+	if m.RangeFinished(n) {
 		return
 	}
 	var all []int
-	for i := range m.Chunks() {
-		if i != n && !m.Finished(i) {
+	for i := range m.RangeCount() {
+		if i != n && !m.RangeFinished(i) {
 			continue
 		}
 		if k := len(all); k > 0 && all[k-1] == i {
@@ -121,27 +121,27 @@
 			all = append(all, i, i+1)
 		}
 	}
-	m.Fin = all
+	m.FinishedRanges = all
 }
 
 // Complete tells whether every chunk is done.
-func (m *Main) Complete() bool {
-	return len(m.Fin) == 2 && m.Fin[0] == 0 && m.Fin[1] == m.Chunks()
+func (m *Record) Complete() bool {
+	return len(m.FinishedRanges) == 2 && m.FinishedRanges[0] == 0 && m.FinishedRanges[1] == m.RangeCount()
 }
 
 // FinishedTasks counts the tasks of finished chunks.
-func (m *Main) FinishedTasks() int {
+func (m *Record) FinishedTasks() int {
 	n := 0
-	for i := 0; i+1 < len(m.Fin); i += 2 {
-		n += min(m.Fin[i+1]*m.Chunk, m.Spec.Tasks) - m.Fin[i]*m.Chunk
+	for i := 0; i+1 < len(m.FinishedRanges); i += 2 {
+		n += min(m.FinishedRanges[i+1]*m.RangeSize, m.Spec.Tasks) - m.FinishedRanges[i]*m.RangeSize
 	}
 	return n
 }
 
 // Copy copies the record so that it can be changed.
-func (m *Main) Copy() *Main {
+func (m *Record) Copy() *Record {
 	c := *m
-	c.Fin = slices.Clone(m.Fin)
+	c.FinishedRanges = slices.Clone(m.FinishedRanges)
 	if m.Gang != nil {
 		g := *m.Gang
 		c.Gang = &g
@@ -149,87 +149,87 @@
 	return &c
 }
 
-// Finer gives the size of chunks into which those of the job can be divided so that
+// SplitSize gives the size of chunks into which those of the job can be divided so that
 // their records fit a value: an even part of the present size, so that what is done
 // and what is scattered by halves stays so.
-func (m *Main) Finer(valueKB float64) int {
-	most := ChunkSize(valueKB)
-	for k := min(most, m.Chunk); k > 2; k-- {
-		if m.Chunk%k == 0 && k%2 == 0 {
+func (m *Record) SplitSize(valueKB float64) int {
+	most := TaskRangeSize(valueKB)
+	for k := min(most, m.RangeSize); k > 2; k-- {
+		if m.RangeSize%k == 0 && k%2 == 0 {
 			return k
 		}
 	}
 	return 2
 }
 
-// Divide turns the record into that of the job with chunks of size k, an even part
+// Split turns the record into that of the job with chunks of size k, an even part
 // of the present size, each with a record of its own.
-func (m *Main) Divide(k int) {
-	each := m.Chunk / k
-	if m.Spec.Spread && m.Half == 0 {
-		m.Half = m.Chunk // half of one zone's tasks may be in any of the smaller chunks
+func (m *Record) Split(k int) {
+	each := m.RangeSize / k
+	if m.Spec.Spread && m.SpreadRangeSize == 0 {
+		m.SpreadRangeSize = m.RangeSize // half of one zone's tasks may be in any of the smaller chunks
 	}
-	for i := range m.Fin {
-		m.Fin[i] *= each
+	for i := range m.FinishedRanges {
+		m.FinishedRanges[i] *= each
 	}
-	m.Chunk, m.Inner, m.Only, m.Frozen = k, false, nil, false
-	m.Gen++
-	if n := len(m.Fin); n > 0 { // the last chunk may have been a short one
-		m.Fin[n-1] = min(m.Fin[n-1], m.Chunks())
+	m.RangeSize, m.Inline, m.InlineRange, m.Frozen = k, false, nil, false
+	m.Generation++
+	if n := len(m.FinishedRanges); n > 0 { // the last chunk may have been a short one
+		m.FinishedRanges[n-1] = min(m.FinishedRanges[n-1], m.RangeCount())
 	}
 }
 
-// Group tells by which group of tasks chunk n counts when a job is scattered, and how
+// SpreadGroup tells by which group of tasks chunk n counts when a job is scattered, and how
 // many tasks the group has: of each half may be in one zone, and so half of all.
-func (m *Main) Group(n int) (group, tasks int) {
-	size := m.Chunk
-	if m.Half > 0 {
-		size = m.Half
+func (m *Record) SpreadGroup(n int) (group, tasks int) {
+	size := m.RangeSize
+	if m.SpreadRangeSize > 0 {
+		size = m.SpreadRangeSize
 	}
-	g := n * m.Chunk / size
+	g := n * m.RangeSize / size
 	return g, min(size, m.Spec.Tasks-g*size)
 }
 
-// Part gives the tasks from on, n of them, as a chunk of their own, nil if nothing is
+// Slice gives the tasks from on, n of them, as a chunk of their own, nil if nothing is
 // known of them.
-func (c *Chunk) Part(from, n int) *Chunk {
+func (c *TaskRange) Slice(from, n int) *TaskRange {
 	if c == nil {
 		return nil
 	}
-	d := &Chunk{Tries: c.Tries, Errors: c.Errors, Places: map[int]*Placement{}}
+	d := &TaskRange{LastAttempt: c.LastAttempt, Errors: c.Errors, Placements: map[int]*Placement{}}
 	for i := range n {
 		if c.Done(from + i) {
 			d.setDone(i)
 		}
-		if p := c.Places[from+i]; p != nil {
+		if p := c.Placements[from+i]; p != nil {
 			q := *p
-			d.Places[i] = &q
+			d.Placements[i] = &q
 		}
 	}
 	return d
 }
 
 // Copy copies the record so that it can be changed; a nil chunk is one never touched.
-func (c *Chunk) Copy() *Chunk {
+func (c *TaskRange) Copy() *TaskRange {
 	if c == nil {
-		return &Chunk{Places: map[int]*Placement{}}
+		return &TaskRange{Placements: map[int]*Placement{}}
 	}
 	d := *c
-	d.Places = make(map[int]*Placement, len(c.Places))
-	for i, p := range c.Places {
+	d.Placements = make(map[int]*Placement, len(c.Placements))
+	for i, p := range c.Placements {
 		q := *p
-		d.Places[i] = &q
+		d.Placements[i] = &q
 	}
 	return &d
 }
 
-func (c *Chunk) bits() []byte {
-	b, _ := base64.RawStdEncoding.DecodeString(c.Bits) // checked when the record was read
+func (c *TaskRange) bits() []byte {
+	b, _ := base64.RawStdEncoding.DecodeString(c.DoneBits) // checked when the record was read
 	return b
 }
 
 // Done tells whether task i (within the chunk) is done.
-func (c *Chunk) Done(i int) bool {
+func (c *TaskRange) Done(i int) bool {
 	if c == nil {
 		return false
 	}
@@ -238,7 +238,7 @@
 }
 
 // DoneFlags tells of the first n tasks which are done.
-func (c *Chunk) DoneFlags(n int) []bool {
+func (c *TaskRange) DoneFlags(n int) []bool {
 	out := make([]bool, n)
 	if c == nil {
 		return out
@@ -251,7 +251,7 @@
 }
 
 // DoneCount counts the done tasks.
-func (c *Chunk) DoneCount() int {
+func (c *TaskRange) DoneCount() int {
 	if c == nil {
 		return 0
 	}
@@ -264,45 +264,45 @@
 	return n
 }
 
-// PlaceOf gives where task i is placed, nil if nowhere.
-func (c *Chunk) PlaceOf(i int) *Placement {
+// PlacementOf gives where task i is placed, nil if nowhere.
+func (c *TaskRange) PlacementOf(i int) *Placement {
 	if c == nil {
 		return nil
 	}
-	return c.Places[i]
+	return c.Placements[i]
 }
 
-// Put places task i on a machine and gives the new attempt's number. Numbers
+// Place places task i on a machine and gives the new attempt's number. Numbers
 // only rise, so that no attempt of a task is ever confused with another.
-func (c *Chunk) Put(i int, host string, atS int64) uint64 {
-	c.Tries++
-	c.Places[i] = &Placement{Attempt: c.Tries, Host: host, AtS: atS}
-	return c.Tries
+func (c *TaskRange) Place(i int, host string, atS int64) uint64 {
+	c.LastAttempt++
+	c.Placements[i] = &Placement{Attempt: c.LastAttempt, Host: host, PlacedS: atS}
+	return c.LastAttempt
 }
 
-// PutAs places task i as attempt try, whose number is one for all tasks of a gang.
-func (c *Chunk) PutAs(i int, host string, try uint64, atS int64) {
-	c.Tries = max(c.Tries, try)
-	c.Places[i] = &Placement{Attempt: try, Host: host, AtS: atS}
+// PlaceAttempt places task i as attempt try, whose number is one for all tasks of a gang.
+func (c *TaskRange) PlaceAttempt(i int, host string, try uint64, atS int64) {
+	c.LastAttempt = max(c.LastAttempt, try)
+	c.Placements[i] = &Placement{Attempt: try, Host: host, PlacedS: atS}
 }
 
-func (c *Chunk) setDone(i int) {
+func (c *TaskRange) setDone(i int) {
 	b := c.bits()
 	for len(b) <= i/8 {
 		b = append(b, 0)
 	}
 	b[i/8] |= 1 << (i % 8)
-	c.Bits = base64.RawStdEncoding.EncodeToString(b)
+	c.DoneBits = base64.RawStdEncoding.EncodeToString(b)
 }
 
-// End takes attempt try of task i off its machine. It tells whether that was
+// EndAttempt takes attempt try of task i off its machine. It tells whether that was
 // the task's present attempt; if not, nothing changes.
-func (c *Chunk) End(i int, try uint64, done, failed bool) bool {
-	p := c.Places[i]
+func (c *TaskRange) EndAttempt(i int, try uint64, done, failed bool) bool {
+	p := c.Placements[i]
 	if p == nil || p.Attempt != try {
 		return false
 	}
-	delete(c.Places, i)
+	delete(c.Placements, i)
 	switch {
 	case done:
 		c.setDone(i)
@@ -313,38 +313,38 @@
 	return true
 }
 
-// ParseMain reads a main record.
-func ParseMain(raw []byte) (*Main, error) {
-	var m Main
+// ParseRecord reads a main record.
+func ParseRecord(raw []byte) (*Record, error) {
+	var m Record
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, err
 	}
-	if m.Chunk < 1 || m.Spec.Tasks < 1 {
+	if m.RangeSize < 1 || m.Spec.Tasks < 1 {
 		return nil, fmt.Errorf("job record of %q: no tasks", m.Spec.UID)
 	}
-	if m.Only != nil {
-		if err := m.Only.check(); err != nil {
+	if m.InlineRange != nil {
+		if err := m.InlineRange.check(); err != nil {
 			return nil, err
 		}
 	}
 	return &m, nil
 }
 
-// ParseChunk reads a chunk's record.
-func ParseChunk(raw []byte) (*Chunk, error) {
-	var c Chunk
+// ParseTaskRange reads a chunk's record.
+func ParseTaskRange(raw []byte) (*TaskRange, error) {
+	var c TaskRange
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return nil, err
 	}
 	return &c, c.check()
 }
 
-func (c *Chunk) check() error {
-	if _, err := base64.RawStdEncoding.DecodeString(c.Bits); err != nil {
+func (c *TaskRange) check() error {
+	if _, err := base64.RawStdEncoding.DecodeString(c.DoneBits); err != nil {
 		return err
 	}
-	if c.Places == nil {
-		c.Places = map[int]*Placement{}
+	if c.Placements == nil {
+		c.Placements = map[int]*Placement{}
 	}
 	return nil
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -13,23 +13,23 @@
 
 // A chunk's record stays within a value of the state service even with every
 // task placed and the numbers large, and reads back the same.
-func TestChunkRecordFits(t *testing.T) {
+func TestTaskRangeRecordFits(t *testing.T) {
 	for _, kb := range []float64{1, 4, 16, 64} {
-		c := (*Chunk)(nil).Copy()
-		c.Tries = 1 << 30
-		n := ChunkSize(kb)
+		c := (*TaskRange)(nil).Copy()
+		c.LastAttempt = 1 << 30
+		n := TaskRangeSize(kb)
 		if n%2 != 0 {
 			t.Errorf("%g KiB: odd chunks of %d can't be scattered by halves", kb, n)
 		}
 		for i := range n {
-			c.Put(i, fmt.Sprintf("i-%012d", i), 1<<20)
-			c.Places[i].Stop = true
+			c.Place(i, fmt.Sprintf("i-%012d", i), 1<<20)
+			c.Placements[i].Stopping = true
 		}
 		raw := api.JSON(c)
 		if len(raw) > int(kb*1024) {
 			t.Errorf("%g KiB: record of %d tasks has %d bytes", kb, n, len(raw))
 		}
-		d, err := ParseChunk(raw)
+		d, err := ParseTaskRange(raw)
 		if err != nil || cmp.Diff(c, d) != "" {
 			t.Errorf("reads back as %v, %v", d, err)
 		}
@@ -38,27 +38,27 @@
 
 // A job whose tasks are kept in its main record never outgrows a value, however
 // its tasks are placed.
-func TestInnerRecordFits(t *testing.T) {
+func TestInlineRecordFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := float64(rapid.IntRange(1, 16).Draw(t, "kb"))
-		m := &Main{
+		m := &Record{
 			Spec: api.Job{
 				UID:   "run-000001",
 				Tasks: rapid.IntRange(1, 300).Draw(t, "pieces"),
 				Image: string(make([]byte, rapid.IntRange(0, 500).Draw(t, "bundle"))),
 			},
-			Part: "node-0",
-			AtMS: 1 << 41,
+			Shard:      "node-0",
+			AcceptedMS: 1 << 41,
 		}
-		m.Fit(kb, len(api.JSON(m)), false)
-		if !m.Inner {
+		m.ChooseLayout(kb, len(api.JSON(m)), false)
+		if !m.Inline {
 			return
 		}
-		m.Only, m.Zone, m.Cancelled, m.Fin = (*Chunk)(nil).Copy(), "zone-of-some-length", true, []int{0, 1}
-		m.Only.Tries, m.Only.Errors = 1<<40, 1<<20
+		m.InlineRange, m.Zone, m.Cancelled, m.FinishedRanges = (*TaskRange)(nil).Copy(), "zone-of-some-length", true, []int{0, 1}
+		m.InlineRange.LastAttempt, m.InlineRange.Errors = 1<<40, 1<<20
 		for i := range m.Spec.Tasks {
-			m.Only.Put(i, fmt.Sprintf("i-%012d", i), 1<<20)
-			m.Only.Places[i].Stop = true
+			m.InlineRange.Place(i, fmt.Sprintf("i-%012d", i), 1<<20)
+			m.InlineRange.Placements[i].Stopping = true
 		}
 		if raw := api.JSON(m); len(raw) > int(kb*1024) {
 			t.Fatalf("%d bytes of %g KiB with %d tasks", len(raw), kb, m.Spec.Tasks)
@@ -67,9 +67,9 @@
 }
 
 // The chunk against a plain model of its tasks.
-func TestChunkModel(t *testing.T) {
+func TestTaskRangeModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := (*Chunk)(nil).Copy()
+		c := (*TaskRange)(nil).Copy()
 		done := map[int]bool{}
 		on := map[int]uint64{}
 		last := uint64(0)
@@ -79,7 +79,7 @@
 				if done[i] || on[i] != 0 {
 					t.Skip()
 				}
-				on[i] = c.Put(i, "h", 0)
+				on[i] = c.Place(i, "h", 0)
 				if on[i] <= last {
 					t.Fatal("attempt numbers must rise")
 				}
@@ -90,7 +90,7 @@
 				try := rapid.Uint64Range(1, 50).Draw(t, "try")
 				ok := rapid.Bool().Draw(t, "done")
 				was := on[i] != 0 && on[i] == try
-				if c.End(i, try, ok, !ok) != was {
+				if c.EndAttempt(i, try, ok, !ok) != was {
 					t.Fatal("an end of another attempt counts, or this one's does not")
 				}
 				if was {
@@ -99,7 +99,7 @@
 				}
 			},
 			"reread": func(t *rapid.T) {
-				d, err := ParseChunk(api.JSON(c))
+				d, err := ParseTaskRange(api.JSON(c))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -115,7 +115,7 @@
 						n++
 					}
 				}
-				if n != c.DoneCount() || len(on) != len(c.Places) {
+				if n != c.DoneCount() || len(on) != len(c.Placements) {
 					t.Fatal("counts")
 				}
 			},
@@ -125,22 +125,22 @@
 
 // Finished chunks are counted right in whatever order they finish, and the
 // record of a job of 100,000 tasks stays small.
-func TestMainFinish(t *testing.T) {
+func TestFinishRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &Main{Spec: api.Job{Tasks: rapid.IntRange(1, 300).Draw(t, "pieces")}, Chunk: rapid.IntRange(1, 40).Draw(t, "chunk")}
-		order := rapid.Permutation(seq(m.Chunks())).Draw(t, "order")
+		m := &Record{Spec: api.Job{Tasks: rapid.IntRange(1, 300).Draw(t, "pieces")}, RangeSize: rapid.IntRange(1, 40).Draw(t, "chunk")}
+		order := rapid.Permutation(seq(m.RangeCount())).Draw(t, "order")
 		tasks := 0
 		for k, n := range order {
-			if m.Complete() || m.Finished(n) {
+			if m.Complete() || m.RangeFinished(n) {
 				t.Fatal("too early")
 			}
-			m.Finish(n)
-			tasks += m.ChunkLen(n)
-			if !m.Finished(n) || m.FinishedTasks() != tasks || m.Complete() != (k == len(order)-1) {
-				t.Fatalf("%v after %v", m.Fin, order[:k+1])
+			m.FinishRange(n)
+			tasks += m.RangeLen(n)
+			if !m.RangeFinished(n) || m.FinishedTasks() != tasks || m.Complete() != (k == len(order)-1) {
+				t.Fatalf("%v after %v", m.FinishedRanges, order[:k+1])
 			}
 			raw, _ := json.Marshal(m)
-			if m, _ = ParseMain(raw); m == nil {
+			if m, _ = ParseRecord(raw); m == nil {
 				t.Fatal("does not read back")
 			}
 		}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -14,11 +14,11 @@
 
 // Zone is a zone that is down or recovering.
 type Zone struct {
-	Window   float64             // share of its machines that work below production may have taken since it returned
-	Machines float64             // that it had before
-	Taken    float64             // by work below production since it returned, in machines
-	Needs    []zonehealth.Demand // production tasks that wait for lost machines there
-	Keep     float64             // share of the free machines that may be kept for those
+	SlowStartShare  float64             // share of its machines that work below production may have taken since it returned
+	MachinesBefore  float64             // that it had before
+	Taken           float64             // by work below production since it returned, in machines
+	Waiting         []zonehealth.Demand // production tasks that wait for lost machines there
+	ReservableShare float64             // share of the free machines that may be kept for those
 }
 
 // Admission tells what work below production may still take of zones. A nil one lets
@@ -29,9 +29,9 @@
 	types     []sched.Resources // sizes of machines that there are
 }
 
-// New makes an admission; nil if no zone is restricted or there is no production work to
+// NewAdmission makes an admission; nil if no zone is restricted or there is no production work to
 // protect. protected are the sizes of its tasks, types those of machines.
-func New(zones map[string]*Zone, protected, types []sched.Resources) *Admission {
+func NewAdmission(zones map[string]*Zone, protected, types []sched.Resources) *Admission {
 	if len(zones) == 0 || len(protected) == 0 {
 		return nil
 	}
@@ -74,14 +74,14 @@
 // Admits tells whether work below production may take so much of a machine in a zone.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
-	return z == nil || z.Window >= 1 || z.Taken+machines <= z.Window*z.Machines+epsilon
+	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
 // epsilon absorbs what sums of fractions are off by.
 const epsilon = 1e-9
 
-// Take counts what such work takes.
-func (a *Admission) Take(zone string, machines float64) {
+// Admit counts what such work takes.
+func (a *Admission) Admit(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
 		z.Taken += machines
 	}
@@ -95,18 +95,18 @@
 	return a.zones[name]
 }
 
-// ShareOf tells how much of the smallest machine that fits it a task takes, in machines.
-func ShareOf(need sched.Resources, types []sched.Resources) float64 {
+// MachineShare tells how much of the smallest machine that fits it a task takes, in machines.
+func MachineShare(need sched.Resources, types []sched.Resources) float64 {
 	share := 1.0
 	for _, machine := range types {
 		if machine.Fits(need) {
-			share = min(share, shareOf(need, machine))
+			share = min(share, dominantShare(need, machine))
 		}
 	}
 	return share
 }
 
-func shareOf(need, machine sched.Resources) float64 {
+func dominantShare(need, machine sched.Resources) float64 {
 	share := 0.0
 	for _, x := range [][2]float64{{need.CPUs, machine.CPUs}, {need.GPUs, machine.GPUs}, {need.MemGB, machine.MemGB}} {
 		if x[1] > 0 {
@@ -130,7 +130,7 @@
 }
 
 func (z *Zone) reserve(name string, hosts []*sched.Host) (kept int) {
-	if len(z.Needs) == 0 {
+	if len(z.Waiting) == 0 {
 		return 0
 	}
 	var free []*sched.Host
@@ -139,8 +139,8 @@
 			free = append(free, h)
 		}
 	}
-	free = free[:int(float64(len(free))*z.Keep+0.5)]
-	for _, d := range z.Needs {
+	free = free[:int(float64(len(free))*z.ReservableShare+0.5)]
+	for _, d := range z.Waiting {
 		ask := sched.TaskRequest{
 			Need:    sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]},
 			Spot:    d.Spot,
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -14,31 +14,31 @@
 
 // Whatever work below production asks for, it never takes more than the window of a zone,
 // and a trial on a copy takes nothing.
-func TestWindowBinds(t *testing.T) {
+func TestSlowStartShareBinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := &Zone{
-			Window:   rapid.Float64Range(0, 1.2).Draw(t, "window"),
-			Machines: float64(rapid.IntRange(0, 40).Draw(t, "machines")),
+			SlowStartShare: rapid.Float64Range(0, 1.2).Draw(t, "window"),
+			MachinesBefore: float64(rapid.IntRange(0, 40).Draw(t, "machines")),
 		}
-		a := New(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
+		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		for range rapid.IntRange(0, 60).Draw(t, "tasks") {
 			need := sched.Resources{
 				CPUs: float64(rapid.IntRange(1, 12).Draw(t, "cpus")),
 				GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
 			}
-			share := ShareOf(need, []sched.Resources{machine})
+			share := MachineShare(need, []sched.Resources{machine})
 			if trial := a.Copy(); trial.Admits("x", share) {
-				trial.Take("x", share)
+				trial.Admit("x", share)
 			}
 			if !a.Admits("y", share) {
 				t.Fatal("another zone is restricted")
 			}
 			if a.Admits("x", share) {
-				a.Take("x", share)
+				a.Admit("x", share)
 			}
 		}
-		if z.Window < 1 && z.Taken > z.Window*z.Machines+1e-6 {
-			t.Fatalf("%g of %g machines taken in a window of %g", z.Taken, z.Machines, z.Window)
+		if z.SlowStartShare < 1 && z.Taken > z.SlowStartShare*z.MachinesBefore+1e-6 {
+			t.Fatalf("%g of %g machines taken in a window of %g", z.Taken, z.MachinesBefore, z.SlowStartShare)
 		}
 	})
 }
@@ -61,8 +61,8 @@
 		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
 		keep := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "keep")
-		z := &Zone{Machines: float64(n), Keep: keep, Needs: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}}}
-		a := New(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
+		z := &Zone{MachinesBefore: float64(n), ReservableShare: keep, Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}}}
+		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		kept := a.Reserve(append(hosts, other))
 		if keep == 1 && kept != min(tasks, slots) {
 			t.Fatalf("room kept for %d tasks of %d, there is some for %d", kept, tasks, slots)
@@ -84,7 +84,7 @@
 func TestCompetes(t *testing.T) {
 	small := sched.Resources{CPUs: 8, MemGB: 32}
 	types := []sched.Resources{machine, small}
-	a := New(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
+	a := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
 	if !a.Competes(need, func(int) bool { return true }) {
 		t.Error("work on machines with accelerators competes for nothing")
@@ -92,7 +92,7 @@
 	if a.Competes(need, func(i int) bool { return i == 1 }) {
 		t.Error("work on machines without accelerators competes")
 	}
-	if New(map[string]*Zone{"x": {}}, nil, types) != nil || New(nil, []sched.Resources{need}, types) != nil {
+	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
 		t.Error("there is an admission with nothing to protect, or no zone restricted")
 	}
 	var none *Admission
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// Gang follows how a job whose tasks can only start all together looks for room, as
+// GangRetry follows how a job whose tasks can only start all together looks for room, as
 // the paper's Algorithm 2 has it: it claims what parts have, up to what is missing,
 // sleeps after it found them empty, and after too many empty looks in a row releases
 // all its claims and begins again, before newer ones. It starts nothing until all is
 // held.
-type Gang struct {
-	Retry    int           // misses in a row that are borne
-	Sleep    time.Duration // after each miss
-	Released bool          // it has begun again: it goes before newer ones
+type GangRetry struct {
+	MaxMisses int           // misses in a row that are borne
+	Sleep     time.Duration // after each miss
+	Released  bool          // it has begun again: it goes before newer ones
 
-	misses int
-	until  time.Time
+	consecutiveMisses int
+	sleepUntil        time.Time
 }
 
 // The values that DESIGN starts with.
 const (
-	StartSleep = time.Second
-	StartRetry = 3
+	InitialSleep     = time.Second
+	InitialMaxMisses = 3
 )
 
-// NewGang makes a gang.
-func NewGang() *Gang { return &Gang{Retry: StartRetry, Sleep: StartSleep} }
+// NewGangRetry makes a gang.
+func NewGangRetry() *GangRetry { return &GangRetry{MaxMisses: InitialMaxMisses, Sleep: InitialSleep} }
 
 // Claimed notes that room was claimed.
-func (g *Gang) Claimed() { g.misses, g.until = 0, time.Time{} }
+func (g *GangRetry) Claimed() { g.consecutiveMisses, g.sleepUntil = 0, time.Time{} }
 
 // Missed notes that it looked and found too little while it holds some. It tells
 // whether all its claims are to be released. What is seen while it sleeps is no miss.
-func (g *Gang) Missed(now time.Time) (release bool) {
-	if now.Before(g.until) {
+func (g *GangRetry) Missed(now time.Time) (release bool) {
+	if now.Before(g.sleepUntil) {
 		return false
 	}
-	g.misses++
-	g.until = now.Add(g.Sleep)
-	if g.misses <= g.Retry {
+	g.consecutiveMisses++
+	g.sleepUntil = now.Add(g.Sleep)
+	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
-	g.misses, g.Released = 0, true
+	g.consecutiveMisses, g.Released = 0, true
 	return true
 }
 
-// Seat is a task of a gang that needs a machine.
-type Seat struct {
-	Zone func(site string) bool // what the job's other tasks leave it; nil: any
-	Took func(site string)      // is told where it went
+// GangTask is a task of a gang that needs a machine.
+type GangTask struct {
+	ZoneAllowed func(zone string) bool // what the job's other tasks leave it; nil: any
+	Assigned    func(zone string)      // is told where it went
 }
 
-// Slots counts how many tasks fit into the room of machines that the job may use, at
+// CountFits counts how many tasks fit into the room of machines that the job may use, at
 // most so many.
-func Slots(hosts []*Host, a *TaskRequest, most int) int {
+func CountFits(hosts []*Host, a *TaskRequest, most int) int {
 	n := 0
 	for _, h := range hosts {
 		if !a.Allows(h.MachineType, h.Zone, h.Spot) {
@@ -68,27 +68,27 @@
 	return n
 }
 
-// Seats finds machines for tasks that start together: on the own part first, then on
+// AssignGang finds machines for tasks that start together: on the own part first, then on
 // peers' parts, so that few records change. Machines that can start a task soon come
 // first (the last one decides when all run), then those that already take one (fewer
 // machines that the gang can be lost with, and one fetch for all), then the fullest fit,
 // which leaves room beside accelerators to those who need them. It takes the room that
 // it finds; what it does not find is nil.
-func Seats(parts [][]*Host, a *TaskRequest, seats []Seat) []*Host {
+func AssignGang(shards [][]*Host, a *TaskRequest, seats []GangTask) []*Host {
 	out := make([]*Host, len(seats))
 	taken := map[*Host]bool{}
 	for i, s := range seats {
 		b := *a
-		if s.Zone != nil {
-			b.ZoneOK = s.Zone
+		if s.ZoneAllowed != nil {
+			b.ZoneAllowed = s.ZoneAllowed
 		}
-		for _, hosts := range parts {
+		for _, hosts := range shards {
 			if h := soonest(hosts, &b, taken); h != nil {
 				out[i] = h
 				taken[h] = true
 				h.Free = h.Free.Sub(a.Need)
-				if s.Took != nil {
-					s.Took(h.Zone)
+				if s.Assigned != nil {
+					s.Assigned(h.Zone)
 				}
 				break
 			}
@@ -97,9 +97,9 @@
 	return out
 }
 
-// Unseat gives the room of seats back.
-func Unseat(seats []*Host, a *TaskRequest) {
-	for _, h := range seats {
+// Unassign gives the room of seats back.
+func Unassign(hosts []*Host, a *TaskRequest) {
+	for _, h := range hosts {
 		if h != nil {
 			h.Free = h.Free.Add(a.Need)
 		}
@@ -109,7 +109,7 @@
 // soonest gives the machine of one part for the next task of a gang.
 func soonest(hosts []*Host, a *TaskRequest, taken map[*Host]bool) *Host {
 	delay := func(h *Host) float64 {
-		d := h.WaitS
+		d := h.StartDelayS
 		if !h.Images[a.Image] && !taken[h] {
 			d += a.FetchS
 		}
@@ -127,7 +127,7 @@
 		x, y := delay(h), delay(best)
 		if c := cmp.Or(
 			cmp.Compare(x, y), -CompareBool(taken[h], taken[best]),
-			cmp.Compare(left(h, a.Need), left(best, a.Need)), cmp.Compare(h.Name, best.Name),
+			cmp.Compare(emptyShare(h, a.Need), emptyShare(best, a.Need)), cmp.Compare(h.Name, best.Name),
 		); c < 0 {
 			best = h
 		}
@@ -146,14 +146,14 @@
 	return -1
 }
 
-// Delay is how long the last of some seats takes to start, by what is known.
-func Delay(seats []*Host, a *TaskRequest) float64 {
+// StartDelay is how long the last of some seats takes to start, by what is known.
+func StartDelay(hosts []*Host, a *TaskRequest) float64 {
 	d := 0.0
-	for _, h := range seats {
+	for _, h := range hosts {
 		if h == nil {
 			continue
 		}
-		w := h.WaitS
+		w := h.StartDelayS
 		if !h.Images[a.Image] {
 			w += a.FetchS
 		}
@@ -162,10 +162,10 @@
 	return d
 }
 
-// Missing counts the seats that were not found.
-func Missing(seats []*Host) int {
+// CountUnassigned counts the seats that were not found.
+func CountUnassigned(hosts []*Host) int {
 	n := 0
-	for _, h := range seats {
+	for _, h := range hosts {
 		if h == nil {
 			n++
 		}
@@ -173,13 +173,13 @@
 	return n
 }
 
-// PartsOf counts the parts that seats touch.
-func PartsOf(seats []*Host) int {
-	var parts []string
-	for _, h := range seats {
-		if h != nil && !slices.Contains(parts, h.Part) {
-			parts = append(parts, h.Part)
+// CountShards counts the parts that seats touch.
+func CountShards(hosts []*Host) int {
+	var shards []string
+	for _, h := range hosts {
+		if h != nil && !slices.Contains(shards, h.Shard) {
+			shards = append(shards, h.Shard)
 		}
 	}
-	return len(parts)
+	return len(shards)
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -25,21 +25,21 @@
 	return Resources{r.CPUs + n.CPUs, r.GPUs + n.GPUs, r.MemGB + n.MemGB}
 }
 
-// Times multiplies r.
-func (r Resources) Times(k float64) Resources { return Resources{r.CPUs * k, r.GPUs * k, r.MemGB * k} }
+// Scale multiplies r.
+func (r Resources) Scale(k float64) Resources { return Resources{r.CPUs * k, r.GPUs * k, r.MemGB * k} }
 
-// Near tells whether two amounts are the same but for rounding.
-func (r Resources) Near(o Resources) bool { return r.Fits(o) && o.Fits(r) }
+// ApproxEqual tells whether two amounts are the same but for rounding.
+func (r Resources) ApproxEqual(o Resources) bool { return r.Fits(o) && o.Fits(r) }
 
 // Host is a machine as a decision sees it.
 type Host struct {
-	Name, Part, MachineType, Zone string
-	Spot                          bool
-	Cap, Free                     Resources
-	Leaving                       Resources       // of tasks on their way out
-	Images                        map[string]bool // images that it likely has
-	Services, Arrays              int             // tasks on it, by their jobs' shape
-	WaitS                         float64         // seconds until it can take a start, as far as is known
+	Name, Shard, MachineType, Zone string
+	Spot                           bool
+	Cap, Free                      Resources
+	Stopping                       Resources       // of tasks on their way out
+	Images                         map[string]bool // images that it likely has
+	Services, Arrays               int             // tasks on it, by their jobs' shape
+	StartDelayS                    float64         // seconds until it can take a start, as far as is known
 }
 
 // TaskRequest is what one task of a job asks of a machine.
@@ -52,23 +52,23 @@
 	Service      bool                   // a service's replica
 	FetchS       float64                // seconds that fetching its image takes
 	PreferImage  bool                   // fetching its image would miss its aim
-	NeedImage    bool                   // only a machine that has its image will do
-	ZoneOK       func(site string) bool // what the job's other tasks leave; nil: any
+	RequireImage bool                   // only a machine that has its image will do
+	ZoneAllowed  func(zone string) bool // what the job's other tasks leave; nil: any
 }
 
 // Allows tells whether the machine is one the task may run on, room aside.
-func (a *TaskRequest) Allows(build, site string, loaners bool) bool {
-	return a.allowsKind(build, site, loaners) && (a.ZoneOK == nil || a.ZoneOK(site))
+func (a *TaskRequest) Allows(machineType, zone string, spot bool) bool {
+	return a.allowsKind(machineType, zone, spot) && (a.ZoneAllowed == nil || a.ZoneAllowed(zone))
 }
 
 // allowsKind is the same but for what the job's other tasks leave.
-func (a *TaskRequest) allowsKind(build, site string, spot bool) bool {
-	return (a.MachineTypes == nil || slices.Contains(a.MachineTypes, build)) && (a.Zone == "" || a.Zone == site) && (a.Spot || !spot)
+func (a *TaskRequest) allowsKind(machineType, zone string, spot bool) bool {
+	return (a.MachineTypes == nil || slices.Contains(a.MachineTypes, machineType)) && (a.Zone == "" || a.Zone == zone) && (a.Spot || !spot)
 }
 
-// left measures how empty a machine would be after taking the task: the larger
+// emptyShare measures how empty a machine would be after taking the task: the larger
 // of the shares of its processors and its accelerators that stay free.
-func left(h *Host, n Resources) float64 {
+func emptyShare(h *Host, n Resources) float64 {
 	f := h.Free.Sub(n)
 	share := 0.0
 	if h.Cap.CPUs > 0 {
@@ -80,9 +80,9 @@
 	return share
 }
 
-// strangers counts the tasks of the other shape on a machine. Replicas stay,
+// otherKindTasks counts the tasks of the other shape on a machine. Replicas stay,
 // arrays' tasks end: kept apart, machines empty out and can be returned.
-func strangers(h *Host, a *TaskRequest) int {
+func otherKindTasks(h *Host, a *TaskRequest) int {
 	if a.Service {
 		return h.Arrays
 	}
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -36,17 +36,17 @@
 
 // emptiness is the part of a fitKey that tells how empty the machine would be left.
 func emptiness(h *Host, a *TaskRequest) fitKey {
-	return fitKey(math.Round(max(left(h, a.Need), 0)/eps)) << leftShift
+	return fitKey(math.Round(max(emptyShare(h, a.Need), 0)/eps)) << leftShift
 }
 
 // tieBreak completes the key of a machine with room from its emptiness. ok is false if it
 // lacks an image that it must have.
 func tieBreak(key fitKey, h *Host, a *TaskRequest) (complete fitKey, ok bool) {
 	warm := len(h.Images) > 0 && h.Images[a.Image]
-	if a.NeedImage && !warm {
+	if a.RequireImage && !warm {
 		return 0, false
 	}
-	if strangers(h, a) > 0 {
+	if otherKindTasks(h, a) > 0 {
 		key |= mixedBit
 	}
 	if !warm {
@@ -75,7 +75,7 @@
 			continue
 		}
 		key, ok := tieBreak(key, h, a)
-		if !ok || a.ZoneOK != nil && !a.ZoneOK(h.Zone) {
+		if !ok || a.ZoneAllowed != nil && !a.ZoneAllowed(h.Zone) {
 			continue
 		}
 		if x := (candidate{key, h}); best.host == nil || x.before(best) {
@@ -119,13 +119,13 @@
 //
 // The room of the machines may change only by what the ranking's own tasks take.
 type Ranking struct {
-	ask   *TaskRequest
-	sites []siteCandidates // by zone, for ZoneOK differs from task to task
+	request *TaskRequest
+	zones   []zoneCandidates // by zone, for ZoneOK differs from task to task
 }
 
-// siteCandidates are the machines of one zone.
-type siteCandidates struct {
-	site string
+// zoneCandidates are the machines of one zone.
+type zoneCandidates struct {
+	zone string
 	candidates
 }
 
@@ -135,49 +135,49 @@
 	if r == nil {
 		r = &Ranking{}
 	}
-	r.ask = a
-	for i := range r.sites {
-		r.sites[i].candidates = r.sites[i].candidates[:0]
+	r.request = a
+	for i := range r.zones {
+		r.zones[i].candidates = r.zones[i].candidates[:0]
 	}
 	for _, h := range hosts {
 		if key, ok := fitKeyOf(h, a); ok {
-			at := r.at(h.Zone)
+			at := r.zoneCandidatesOf(h.Zone)
 			at.candidates = append(at.candidates, candidate{key, h})
 		}
 	}
-	for i := range r.sites {
-		heap.Init(&r.sites[i].candidates)
+	for i := range r.zones {
+		heap.Init(&r.zones[i].candidates)
 	}
 	return r
 }
 
-func (r *Ranking) at(site string) *siteCandidates {
-	for i := range r.sites {
-		if r.sites[i].site == site {
-			return &r.sites[i]
+func (r *Ranking) zoneCandidatesOf(zone string) *zoneCandidates {
+	for i := range r.zones {
+		if r.zones[i].zone == zone {
+			return &r.zones[i]
 		}
 	}
-	r.sites = append(r.sites, siteCandidates{site: site})
-	return &r.sites[len(r.sites)-1]
+	r.zones = append(r.zones, zoneCandidates{zone: zone})
+	return &r.zones[len(r.zones)-1]
 }
 
 // Add adds a machine.
 func (r *Ranking) Add(h *Host) {
-	if key, ok := fitKeyOf(h, r.ask); ok {
-		heap.Push(&r.at(h.Zone).candidates, candidate{key, h})
+	if key, ok := fitKeyOf(h, r.request); ok {
+		heap.Push(&r.zoneCandidatesOf(h.Zone).candidates, candidate{key, h})
 	}
 }
 
 // Best gives the machine for the next task, nil if none fits. Who takes it takes the
 // task's room from it before asking again.
-func (r *Ranking) Best(zoneOK func(site string) bool) *Host {
+func (r *Ranking) Best(zoneOK func(zone string) bool) *Host {
 	var best candidate
-	for i := range r.sites {
-		s := &r.sites[i]
-		for len(s.candidates) > 0 && !s.candidates[0].host.Free.Fits(r.ask.Need) {
+	for i := range r.zones {
+		s := &r.zones[i]
+		for len(s.candidates) > 0 && !s.candidates[0].host.Free.Fits(r.request.Need) {
 			heap.Pop(&s.candidates)
 		}
-		if len(s.candidates) == 0 || zoneOK != nil && !zoneOK(s.site) {
+		if len(s.candidates) == 0 || zoneOK != nil && !zoneOK(s.zone) {
 			continue
 		}
 		if x := s.candidates[0]; best.host == nil || x.before(best) {
@@ -191,19 +191,19 @@
 // job's own part first and then in the peers' parts in random order, as the design has
 // it. It gives the fullest fit of the first part that has room.
 type Chooser struct {
-	parts map[string][]*Host
-	rnd   *rand.Rand
-	names []string
-	ask   *TaskRequest
-	order []string   // the parts, as this job asks them
-	ranks []*Ranking // of the first of them, made when they are asked
-	spare []*Ranking // of earlier jobs
+	shards   map[string][]*Host
+	rnd      *rand.Rand
+	names    []string
+	request  *TaskRequest
+	order    []string   // the parts, as this job asks them
+	rankings []*Ranking // of the first of them, made when they are asked
+	reusable []*Ranking // of earlier jobs
 }
 
 // NewChooser makes a chooser among machines by part.
-func NewChooser(parts map[string][]*Host, rnd *rand.Rand) *Chooser {
-	c := &Chooser{parts: parts, rnd: rnd}
-	for name := range parts {
+func NewChooser(shards map[string][]*Host, rnd *rand.Rand) *Chooser {
+	c := &Chooser{shards: shards, rnd: rnd}
+	for name := range shards {
 		c.names = append(c.names, name)
 	}
 	slices.Sort(c.names)
@@ -212,9 +212,9 @@
 
 // Begin turns to the tasks of another job of the given part.
 func (c *Chooser) Begin(own string, a *TaskRequest) {
-	c.ask = a
-	c.spare = append(c.spare, c.ranks...)
-	c.ranks = c.ranks[:0]
+	c.request = a
+	c.reusable = append(c.reusable, c.rankings...)
+	c.rankings = c.rankings[:0]
 	c.order = append(c.order[:0], own)
 	for _, name := range c.names {
 		if name != own {
@@ -226,16 +226,16 @@
 }
 
 // Next gives the machine for the job's next task, nil if there is none.
-func (c *Chooser) Next(zoneOK func(site string) bool) *Host {
+func (c *Chooser) Next(zoneOK func(zone string) bool) *Host {
 	for i, name := range c.order {
-		if i == len(c.ranks) {
+		if i == len(c.rankings) {
 			var old *Ranking
-			if last := len(c.spare) - 1; last >= 0 {
-				old, c.spare = c.spare[last], c.spare[:last]
+			if last := len(c.reusable) - 1; last >= 0 {
+				old, c.reusable = c.reusable[last], c.reusable[:last]
 			}
-			c.ranks = append(c.ranks, Rank(old, c.parts[name], c.ask))
+			c.rankings = append(c.rankings, Rank(old, c.shards[name], c.request))
 		}
-		if h := c.ranks[i].Best(zoneOK); h != nil {
+		if h := c.rankings[i].Best(zoneOK); h != nil {
 			return h
 		}
 	}
