--- a/internal/sched/rent.go
+++ b/internal/sched/rent.go
@@ -10,24 +10,24 @@
 	Price             float64
 }
 
-// Unmet is a job's tasks that found no room.
-type Unmet struct {
-	Ask    TaskRequest
-	Count  int
-	Placed func(site string) // hears of each task's zone, for ZoneOK; may be nil
+// UnmetDemand is a job's tasks that found no room.
+type UnmetDemand struct {
+	Request  TaskRequest
+	Count    int
+	Assigned func(zone string) // hears of each task's zone, for ZoneOK; may be nil
 }
 
-// Order is a number of machines to rent.
-type Order struct {
+// RentalOrder is a number of machines to rent.
+type RentalOrder struct {
 	Offer Offer
 	Count int
 }
 
-// Plan tells what to rent for the unmet tasks, after filling the machines that
+// PlanRentals tells what to rent for the unmet tasks, after filling the machines that
 // are coming already. Of the offers that fit, the one that is cheapest for the
 // task is taken; home breaks a tie between zones.
-func Plan(unmet []Unmet, coming []*Host, offers []Offer, home string) []Order {
-	p := &rentPlan{hosts: open(coming, unmet), offers: offers, home: home}
+func PlanRentals(unmet []UnmetDemand, coming []*Host, offers []Offer, home string) []RentalOrder {
+	p := &rentPlan{hosts: hostsWithRoom(coming, unmet), offers: offers, home: home}
 	for i := range unmet {
 		p.fill(&unmet[i])
 	}
@@ -40,33 +40,33 @@
 	full   []*Host // without accelerators left: most tasks need not look at them
 	offers []Offer
 	home   string
-	orders []Order
+	orders []RentalOrder
 
 	ranking, rankingFull *Ranking
 }
 
 // fill finds room for one job's tasks.
-func (p *rentPlan) fill(u *Unmet) {
-	p.ranking = Rank(p.ranking, p.hosts, &u.Ask)
-	if u.Ask.Need.GPUs == 0 {
-		p.rankingFull = Rank(p.rankingFull, p.full, &u.Ask)
+func (p *rentPlan) fill(u *UnmetDemand) {
+	p.ranking = Rank(p.ranking, p.hosts, &u.Request)
+	if u.Request.Need.GPUs == 0 {
+		p.rankingFull = Rank(p.rankingFull, p.full, &u.Request)
 	}
 	for range u.Count {
-		h := p.ranking.Best(u.Ask.ZoneOK)
-		if h == nil && u.Ask.Need.GPUs == 0 {
-			h = p.rankingFull.Best(u.Ask.ZoneOK)
+		h := p.ranking.Best(u.Request.ZoneAllowed)
+		if h == nil && u.Request.Need.GPUs == 0 {
+			h = p.rankingFull.Best(u.Request.ZoneAllowed)
 		}
 		if h == nil {
-			o := cheapest(p.offers, &u.Ask, p.home)
+			o := cheapestOffer(p.offers, &u.Request, p.home)
 			if o == nil {
 				break
 			}
 			h = p.rent(o)
 			p.ranking.Add(h)
 		}
-		h.Free = h.Free.Sub(u.Ask.Need)
-		if u.Placed != nil {
-			u.Placed(h.Zone)
+		h.Free = h.Free.Sub(u.Request.Need)
+		if u.Assigned != nil {
+			u.Assigned(h.Zone)
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
@@ -82,24 +82,24 @@
 func (p *rentPlan) rent(o *Offer) *Host {
 	h := &Host{Name: "new", MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot, Cap: o.Cap, Free: o.Cap}
 	p.hosts = append(p.hosts, h)
-	at := slices.IndexFunc(p.orders, func(x Order) bool { return x.Offer == *o })
+	at := slices.IndexFunc(p.orders, func(x RentalOrder) bool { return x.Offer == *o })
 	if at < 0 {
-		p.orders = append(p.orders, Order{Offer: *o})
+		p.orders = append(p.orders, RentalOrder{Offer: *o})
 		at = len(p.orders) - 1
 	}
 	p.orders[at].Count++
 	return h
 }
 
-// open gives the machines that may have room for some of the tasks: most have
+// hostsWithRoom gives the machines that may have room for some of the tasks: most have
 // none, and each task is held against all that are left.
-func open(hosts []*Host, unmet []Unmet) []*Host {
+func hostsWithRoom(hosts []*Host, unmet []UnmetDemand) []*Host {
 	if len(unmet) == 0 {
 		return nil
 	}
-	least := unmet[0].Ask.Need
+	least := unmet[0].Request.Need
 	for _, u := range unmet[1:] {
-		n := u.Ask.Need
+		n := u.Request.Need
 		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemGB, n.MemGB)}
 	}
 	var out []*Host
@@ -111,8 +111,8 @@
 	return out
 }
 
-// fitCount tells how many such tasks fit into an empty machine.
-func fitCount(c, n Resources) float64 {
+// tasksPerMachine tells how many such tasks fit into an empty machine.
+func tasksPerMachine(c, n Resources) float64 {
 	k := 1000.0
 	for _, x := range [][2]float64{{c.CPUs, n.CPUs}, {c.GPUs, n.GPUs}, {c.MemGB, n.MemGB}} {
 		if x[1] > 0 {
@@ -122,7 +122,7 @@
 	return k
 }
 
-func cheapest(offers []Offer, a *TaskRequest, home string) *Offer {
+func cheapestOffer(offers []Offer, a *TaskRequest, home string) *Offer {
 	var best *Offer
 	var bestCost float64
 	for i := range offers {
@@ -130,7 +130,7 @@
 		if !o.Cap.Fits(a.Need) || !a.Allows(o.MachineType, o.Zone, o.Spot) {
 			continue
 		}
-		cost := o.Price / fitCount(o.Cap, a.Need)
+		cost := o.Price / tasksPerMachine(o.Cap, a.Need)
 		if best == nil || cost < bestCost-eps || cost < bestCost+eps && o.Zone == home && best.Zone != home {
 			best, bestCost = o, cost
 		}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-func room(t *rapid.T, name string, most int) Resources {
+func drawResources(t *rapid.T, name string, most int) Resources {
 	n := func(s string) float64 { return float64(rapid.IntRange(0, most).Draw(t, name+s)) / 2 }
 	return Resources{n("cpus"), n("gpus"), n("mem")}
 }
 
-func someHosts(t *rapid.T) []*Host {
+func drawHosts(t *rapid.T) []*Host {
 	var out []*Host
 	for i := range rapid.IntRange(0, 6).Draw(t, "hosts") {
 		c := Resources{8, 4, 8}
 		out = append(out, &Host{Name: fmt.Sprint("h", i), MachineType: "m", Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "site"),
-			Spot: rapid.Bool().Draw(t, "spot"), Cap: c, Free: c.Sub(room(t, "used", 8)), Services: rapid.IntRange(0, 1).Draw(t, "daemons")})
+			Spot: rapid.Bool().Draw(t, "spot"), Cap: c, Free: c.Sub(drawResources(t, "used", 8)), Services: rapid.IntRange(0, 1).Draw(t, "daemons")})
 	}
 	return out
 }
@@ -29,9 +29,9 @@
 // machine is left fuller.
 func TestFullestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts := someHosts(t)
+		hosts := drawHosts(t)
 		a := &TaskRequest{
-			Need: room(t, "need", 6),
+			Need: drawResources(t, "need", 6),
 			Spot: rapid.Bool().Draw(t, "loaners"),
 			Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
 		}
@@ -41,7 +41,7 @@
 			if got == h && !fits {
 				t.Fatalf("%+v does not fit", *h)
 			}
-			if fits && (got == nil || left(h, a.Need) < left(got, a.Need)-eps) {
+			if fits && (got == nil || emptyShare(h, a.Need) < emptyShare(got, a.Need)-eps) {
 				t.Fatalf("%+v is fuller", *h)
 			}
 		}
@@ -52,7 +52,7 @@
 // zones that its other tasks leave change from task to task.
 func TestRankingIsRepeatedFullestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts := someHosts(t)
+		hosts := drawHosts(t)
 		for _, h := range hosts {
 			h.Arrays = rapid.IntRange(0, 1).Draw(t, "sweeps")
 			if rapid.Bool().Draw(t, "warm") {
@@ -64,8 +64,8 @@
 			same := *h
 			plain[i] = &same
 		}
-		a := &TaskRequest{Need: room(t, "need", 6), Spot: rapid.Bool().Draw(t, "loaners"), Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
-			Image: "i", PreferImage: rapid.Bool().Draw(t, "wants its image"), NeedImage: rapid.Bool().Draw(t, "needs its image"), Service: rapid.Bool().Draw(t, "daemon")}
+		a := &TaskRequest{Need: drawResources(t, "need", 6), Spot: rapid.Bool().Draw(t, "loaners"), Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Image: "i", PreferImage: rapid.Bool().Draw(t, "wants its image"), RequireImage: rapid.Bool().Draw(t, "needs its image"), Service: rapid.Bool().Draw(t, "daemon")}
 		r := Rank(nil, nil, &TaskRequest{})
 		r = Rank(r, hosts[:len(hosts)/2], a)
 		for _, h := range hosts[len(hosts)/2:] {
@@ -74,8 +74,8 @@
 		for range rapid.IntRange(1, 12).Draw(t, "tasks") {
 			barred := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "barred")
 			one := *a
-			one.ZoneOK = func(site string) bool { return site != barred }
-			got, want := r.Best(one.ZoneOK), FullestFit(plain, &one)
+			one.ZoneAllowed = func(zone string) bool { return zone != barred }
+			got, want := r.Best(one.ZoneAllowed), FullestFit(plain, &one)
 			if (got == nil) != (want == nil) || got != nil && got.Name != want.Name {
 				t.Fatalf("%v, one look gives %v", got, want)
 			}
@@ -94,21 +94,21 @@
 }
 
 // Own part first; room anywhere is found, also for a second job by the same chooser.
-func TestChooseOwnPartFirst(t *testing.T) {
+func TestChooserPrefersOwnShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts := map[string][]*Host{"own": someHosts(t), "p": someHosts(t), "q": someHosts(t)}
+		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
-		c := NewChooser(parts, rand.New(rand.NewPCG(seed, 1)))
+		c := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
 		for range 2 {
-			a := &TaskRequest{Need: room(t, "need", 6), Spot: true}
+			a := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
 			c.Begin("own", a)
 			for range 4 {
 				got := c.Next(nil)
-				own := FullestFit(parts["own"], a)
+				own := FullestFit(shards["own"], a)
 				if own != nil && got != own {
 					t.Fatal("not the own part's")
 				}
-				if got == nil && (FullestFit(parts["p"], a) != nil || FullestFit(parts["q"], a) != nil) {
+				if got == nil && (FullestFit(shards["p"], a) != nil || FullestFit(shards["q"], a) != nil) {
 					t.Fatal("room of a peer not found")
 				}
 				if got == nil {
@@ -123,11 +123,11 @@
 // Nobody is stopped for room that is not enough, and nobody needlessly.
 func TestPreempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		free, need := room(t, "free", 4), room(t, "need", 8)
+		free, need := drawResources(t, "free", 4), drawResources(t, "need", 8)
 		var v []Victim
 		all := free
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
-			v = append(v, Victim{Task: fmt.Sprint(i), Room: room(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))})
+			v = append(v, Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))})
 			all = all.Add(v[i].Room)
 		}
 		take, _ := Preempt(free, need, slices.Clone(v))
@@ -154,13 +154,13 @@
 
 // What is rented, with what is coming, holds all unmet tasks that an offer fits,
 // and no machine is rented that stays empty.
-func TestPlan(t *testing.T) {
+func TestPlanRentals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Resources{4, 2, 8}
 		offers := []Offer{{"m", "x", false, c, 3}, {"m", "x", true, c, 1}, {"m", "y", false, c, 3}}
-		u := []Unmet{{
-			Ask:   TaskRequest{Need: Resources{1, 1, 1}, Spot: rapid.Bool().Draw(t, "loaners")},
-			Count: rapid.IntRange(0, 9).Draw(t, "count"),
+		u := []UnmetDemand{{
+			Request: TaskRequest{Need: Resources{1, 1, 1}, Spot: rapid.Bool().Draw(t, "loaners")},
+			Count:   rapid.IntRange(0, 9).Draw(t, "count"),
 		}}
 		coming := []*Host{}
 		for range rapid.IntRange(0, 2).Draw(t, "coming") {
@@ -168,9 +168,9 @@
 		}
 		slots := 2 * len(coming)
 		n := 0
-		for _, o := range Plan(u, coming, offers, "y") {
+		for _, o := range PlanRentals(u, coming, offers, "y") {
 			n += o.Count
-			if o.Offer.Spot != u[0].Ask.Spot || !o.Offer.Spot && o.Offer.Zone != "y" {
+			if o.Offer.Spot != u[0].Request.Spot || !o.Offer.Spot && o.Offer.Zone != "y" {
 				t.Fatalf("not the cheapest, or not at home: %+v", o)
 			}
 		}
@@ -178,7 +178,7 @@
 		if n != (want+1)/2 {
 			t.Fatalf("%d machines for %d tasks", n, want)
 		}
-		if got := Plan(u, nil, nil, "y"); got != nil {
+		if got := PlanRentals(u, nil, nil, "y"); got != nil {
 			t.Fatalf("rented without offers: %v", got)
 		}
 	})
@@ -187,7 +187,7 @@
 // Shares of a limit, taken and given back by parts in any order, never sum up to
 // more than the limit, cover what is used, and keep little from the others when
 // the limit is near.
-func TestShares(t *testing.T) {
+func TestQuotaShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Resources{GPUs: float64(rapid.IntRange(1, 200).Draw(t, "limit"))}
 		held, use := [3]Resources{}, [3]Resources{}
@@ -195,26 +195,26 @@
 			p := rapid.IntRange(0, 2).Draw(t, "part")
 			others := held[(p+1)%3].Add(held[(p+2)%3])
 			want := max(0, use[p].GPUs+float64(rapid.IntRange(-9, 9).Draw(t, "change")))
-			if n := (Resources{GPUs: want}); Within(limit, held[p], n) {
+			if n := (Resources{GPUs: want}); WithinQuota(limit, held[p], n) {
 				use[p] = n
-			} else if h, ok := Share(limit, others, n); ok {
+			} else if h, ok := QuotaShare(limit, others, n); ok {
 				held[p], use[p] = h, n
 			} else if others.GPUs+want <= limit.GPUs {
 				t.Fatalf("%v refused of %v with %v held elsewhere", want, limit.GPUs, others.GPUs)
 			}
-			if Excess(limit, others, held[p], use[p]) {
-				h, ok := Share(limit, others, use[p])
+			if HoldsExcessQuota(limit, others, held[p], use[p]) {
+				h, ok := QuotaShare(limit, others, use[p])
 				if !ok {
 					t.Fatal("can't give back")
 				}
-				if held[p] = h; Excess(limit, others, h, use[p]) {
+				if held[p] = h; HoldsExcessQuota(limit, others, h, use[p]) {
 					t.Fatal("gives back too little")
 				}
 			}
 			sum := 0.0
 			for q := range 3 {
 				sum += held[q].GPUs
-				if !Within(limit, held[q], use[q]) {
+				if !WithinQuota(limit, held[q], use[q]) {
 					t.Fatalf("uses %v of %v", use[q], held[q])
 				}
 			}
@@ -228,10 +228,10 @@
 // The gang of the paper's Algorithm 2: it sleeps after a miss, what it sees while it
 // sleeps is none, and it releases all claims after more misses in a row than the retry
 // count.
-func TestGang(t *testing.T) {
+func TestGangRetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		g := NewGang()
+		g := NewGangRetry()
 		misses := 0
 		var until time.Time
 		t.Repeat(map[string]func(*rapid.T){
@@ -243,10 +243,10 @@
 				asleep := now.Before(until)
 				if !asleep {
 					misses++
-					until = now.Add(StartSleep)
+					until = now.Add(InitialSleep)
 				}
 				rel := g.Missed(now)
-				if rel != (!asleep && misses > StartRetry) {
+				if rel != (!asleep && misses > InitialMaxMisses) {
 					t.Fatalf("releases %t after %d misses, asleep %t", rel, misses, asleep)
 				}
 				if rel {
@@ -265,25 +265,25 @@
 
 // Seats for a gang take no more room than there is, leave none empty that had some, and
 // giving them back restores all.
-func TestSeats(t *testing.T) {
+func TestAssignGang(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", FetchS: 3}
-		parts := [][]*Host{nil, nil}
+		shards := [][]*Host{nil, nil}
 		var all []*Host
 		before := map[*Host]Resources{}
 		for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
-			h := &Host{Name: string(rune('a' + i)), Part: string(rune('p' + i%2)), Zone: string(rune('x' + i%2)), Cap: Resources{CPUs: 8, GPUs: 2, MemGB: 64},
+			h := &Host{Name: string(rune('a' + i)), Shard: string(rune('p' + i%2)), Zone: string(rune('x' + i%2)), Cap: Resources{CPUs: 8, GPUs: 2, MemGB: 64},
 				Free: Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")), MemGB: 64}}
 			if rapid.Bool().Draw(t, "warm") {
 				h.Images = map[string]bool{"i": true}
 			}
-			parts[i%2] = append(parts[i%2], h)
+			shards[i%2] = append(shards[i%2], h)
 			all, before[h] = append(all, h), h.Free
 		}
 		n := rapid.IntRange(1, 12).Draw(t, "tasks")
-		most := Slots(all, a, 100)
-		found := Seats(parts, a, make([]Seat, n))
-		if got := n - Missing(found); got != min(n, most) {
+		most := CountFits(all, a, 100)
+		found := AssignGang(shards, a, make([]GangTask, n))
+		if got := n - CountUnassigned(found); got != min(n, most) {
 			t.Fatalf("%d seats of %d where %d fit", got, n, most)
 		}
 		for h := range before {
@@ -291,9 +291,9 @@
 				t.Fatalf("%s is overfull", h.Name)
 			}
 		}
-		Unseat(found, a)
+		Unassign(found, a)
 		for h, f := range before {
-			if !h.Free.Near(f) {
+			if !h.Free.ApproxEqual(f) {
 				t.Fatalf("%s has %v, had %v", h.Name, h.Free, f)
 			}
 		}
--- a/internal/sched/share.go
+++ b/internal/sched/share.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// shareSteps is into how many steps a limit is divided: a part reserves a team's
+// quotaSteps is into how many steps a limit is divided: a part reserves a team's
 // limit in such steps, so that most placements there change no record but the
 // part's own.
-const shareSteps = 32
+const quotaSteps = 32
 
-// Share gives the share of a team's limit that a part should hold for what the
+// QuotaShare gives the share of a team's limit that a part should hold for what the
 // team's tasks use there, when the other parts hold others: a step more than is
 // used while the limit is far away, exactly what is used when it is near, so
 // that no part keeps from others what it does not use. It fails when the limit
 // does not leave as much. Amounts without a limit are 0 in limit.
-func Share(limit, others, use Resources) (Resources, bool) {
+func QuotaShare(limit, others, use Resources) (Resources, bool) {
 	ok := true
 	one := func(limit, others, use float64) float64 {
 		if limit <= 0 {
@@ -23,7 +23,7 @@
 			ok = false
 			return use
 		}
-		step := limit / shareSteps
+		step := limit / quotaSteps
 		want := math.Ceil(use/step+1) * step
 		if others+want > limit*3/4 {
 			return use
@@ -33,19 +33,19 @@
 	return Resources{one(limit.CPUs, others.CPUs, use.CPUs), one(limit.GPUs, others.GPUs, use.GPUs), 0}, ok
 }
 
-// Excess tells whether a part holds so much more of a limit than is used there
+// HoldsExcessQuota tells whether a part holds so much more of a limit than is used there
 // that it should give some back.
-func Excess(limit, others, held, use Resources) bool {
+func HoldsExcessQuota(limit, others, held, use Resources) bool {
 	one := func(limit, others, held, use float64) bool {
 		if limit <= 0 || held <= use+eps {
 			return false
 		}
-		return others+held > limit*3/4 || held-use > limit*3/shareSteps
+		return others+held > limit*3/4 || held-use > limit*3/quotaSteps
 	}
 	return one(limit.CPUs, others.CPUs, held.CPUs, use.CPUs) || one(limit.GPUs, others.GPUs, held.GPUs, use.GPUs)
 }
 
-// Within tells whether use is within a held share, where there is a limit.
-func Within(limit, held, use Resources) bool {
+// WithinQuota tells whether use is within a held share, where there is a limit.
+func WithinQuota(limit, held, use Resources) bool {
 	return (limit.CPUs <= 0 || use.CPUs <= held.CPUs+eps) && (limit.GPUs <= 0 || use.GPUs <= held.GPUs+eps)
 }
--- a/internal/shard/offer.go
+++ b/internal/shard/offer.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/sched"
 )
 
-// Demand is how many tasks of one size other controllers are likely to look for.
-type Demand struct {
+// PeerDemand is how many tasks of one size other controllers are likely to look for.
+type PeerDemand struct {
 	Need  sched.Resources
 	Tasks float64
 }
@@ -24,8 +24,8 @@
 // mostDemands is how many sizes of tasks a selection looks at, the most wanted ones.
 const mostDemands = 8
 
-// Fits tells whether the recorded form surely takes at most size bytes.
-func (f Free) Fits(size int) bool {
+// FitsIn tells whether the recorded form surely takes at most size bytes.
+func (f FreeCapacity) FitsIn(size int) bool {
 	bytes := emptyBytes
 	for name := range f {
 		bytes += len(name) + nameBytes
@@ -40,24 +40,24 @@
 	return bytes+len(amounts)*amountBytes <= size
 }
 
-// Trim leaves out machines until the recorded form surely takes at most size bytes, and
+// TrimTo leaves out machines until the recorded form surely takes at most size bytes, and
 // tells how many. What stays is what peers most likely take: as much room for the demand
 // as the bytes can name, and then the machines with most accelerators and processors.
 //
 // Without a demand, or where that order alone has room for more of it, only the order
 // counts.
-func (f Free) Trim(size int, demand []Demand) (left int) {
-	if f.Fits(size) {
+func (f FreeCapacity) TrimTo(size int, demand []PeerDemand) (left int) {
+	if f.FitsIn(size) {
 		return 0
 	}
-	order := inOrder(f)
-	plain := selection{room: f, size: size}
+	order := byCapacity(f)
+	plain := machineSelection{capacity: f, size: size}
 	plain.clear()
 	plain.fill(order)
 	best := &plain
 	if len(demand) > 0 {
 		wanted := newSelection(f, order, size, demand)
-		if wanted.served() > plain.servedOf(wanted.demand) {
+		if wanted.servedTasks() > plain.tasksServed(wanted.demand) {
 			best = wanted
 		}
 	}
@@ -66,24 +66,24 @@
 	return left
 }
 
-// selection is a choice of machines whose recorded form takes at most size bytes.
-type selection struct {
-	room    Free
-	size    int
-	demand  []Demand
-	kept    map[string]bool
-	amounts map[[3]float64]bool
-	bytes   int
+// machineSelection is a choice of machines whose recorded form takes at most size bytes.
+type machineSelection struct {
+	capacity FreeCapacity
+	size     int
+	demand   []PeerDemand
+	kept     map[string]bool
+	amounts  map[[3]float64]bool
+	bytes    int
 }
 
 // newSelection chooses machines for the demand, each size of task in proportion to how
 // much of it is wanted, and fills up with the others in their order.
-func newSelection(room Free, order []machineRoom, size int, demand []Demand) *selection {
-	s := &selection{room: room, size: size, demand: heaviest(demand)}
+func newSelection(room FreeCapacity, order []machineCapacity, size int, demand []PeerDemand) *machineSelection {
+	s := &machineSelection{capacity: room, size: size, demand: mostWanted(demand)}
 	s.clear()
 	queues := make([][]candidate, len(s.demand))
 	for i, d := range s.demand {
-		queues[i] = candidatesFor(room, d.Need)
+		queues[i] = candidatesByFit(room, d.Need)
 	}
 	covered := make([]float64, len(s.demand))
 	for {
@@ -106,10 +106,10 @@
 	return s
 }
 
-// heaviest gives the sizes of task that are wanted most.
-func heaviest(demand []Demand) []Demand {
-	wanted := slices.DeleteFunc(slices.Clone(demand), func(d Demand) bool { return d.Tasks <= 0 })
-	slices.SortStableFunc(wanted, func(a, b Demand) int { return cmp.Compare(b.Tasks, a.Tasks) })
+// mostWanted gives the sizes of task that are wanted most.
+func mostWanted(demand []PeerDemand) []PeerDemand {
+	wanted := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
+	slices.SortStableFunc(wanted, func(a, b PeerDemand) int { return cmp.Compare(b.Tasks, a.Tasks) })
 	return wanted[:min(len(wanted), mostDemands)]
 }
 
@@ -119,11 +119,11 @@
 	slots float64
 }
 
-// candidatesFor lists the machines that take a task, those that take most first.
-func candidatesFor(room Free, need sched.Resources) []candidate {
+// candidatesByFit lists the machines that take a task, those that take most first.
+func candidatesByFit(room FreeCapacity, need sched.Resources) []candidate {
 	var out []candidate
 	for name, v := range room {
-		if n := slots(Unvec(v), need); n > 0 {
+		if n := countFits(Unvec(v), need); n > 0 {
 			out = append(out, candidate{name, n})
 		}
 	}
@@ -133,8 +133,8 @@
 	return out
 }
 
-// slots tells how many tasks fit into room.
-func slots(room, need sched.Resources) float64 {
+// countFits tells how many tasks fit into room.
+func countFits(room, need sched.Resources) float64 {
 	n := 0.0
 	for room.Fits(need) && n < 1000 {
 		room = room.Sub(need)
@@ -143,14 +143,14 @@
 	return n
 }
 
-func (s *selection) clear() {
-	most := min(len(s.room), s.size/nameBytes)
+func (s *machineSelection) clear() {
+	most := min(len(s.capacity), s.size/nameBytes)
 	s.kept, s.amounts, s.bytes = make(map[string]bool, most), map[[3]float64]bool{}, emptyBytes
 }
 
 // add keeps a machine if it still fits.
-func (s *selection) add(name string) bool {
-	amount := s.room[name]
+func (s *machineSelection) add(name string) bool {
+	amount := s.capacity[name]
 	cost := 0
 	if !s.kept[name] {
 		cost = len(name) + nameBytes
@@ -166,20 +166,20 @@
 	return true
 }
 
-// machineRoom is a machine with its room.
-type machineRoom struct {
-	name   string
-	amount [3]float64
+// machineCapacity is a machine with its room.
+type machineCapacity struct {
+	name string
+	free [3]float64
 }
 
-// inOrder lists the machines, those with most accelerators and processors first.
-func inOrder(room Free) []machineRoom {
-	out := make([]machineRoom, 0, len(room))
+// byCapacity lists the machines, those with most accelerators and processors first.
+func byCapacity(room FreeCapacity) []machineCapacity {
+	out := make([]machineCapacity, 0, len(room))
 	for name, amount := range room {
-		out = append(out, machineRoom{name, amount})
+		out = append(out, machineCapacity{name, amount})
 	}
-	slices.SortFunc(out, func(a, b machineRoom) int {
-		x, y := a.amount, b.amount
+	slices.SortFunc(out, func(a, b machineCapacity) int {
+		x, y := a.free, b.free
 		return cmp.Or(cmp.Compare(y[1], x[1]), cmp.Compare(y[0], x[0]), cmp.Compare(b.name, a.name))
 	})
 	return out
@@ -187,7 +187,7 @@
 
 // fill keeps as many of the others as fit, in their order. It stops at the first that does
 // not fit, so that none with less room stays in the place of one with more.
-func (s *selection) fill(order []machineRoom) {
+func (s *machineSelection) fill(order []machineCapacity) {
 	for _, m := range order {
 		if !s.kept[m.name] && !s.add(m.name) {
 			return
@@ -195,13 +195,13 @@
 	}
 }
 
-func (s *selection) served() float64 { return s.servedOf(s.demand) }
+func (s *machineSelection) servedTasks() float64 { return s.tasksServed(s.demand) }
 
-// servedOf tells how many tasks of a demand the kept machines take.
-func (s *selection) servedOf(demand []Demand) float64 {
+// tasksServed tells how many tasks of a demand the kept machines take.
+func (s *machineSelection) tasksServed(demand []PeerDemand) float64 {
 	free := make([]sched.Resources, 0, len(s.kept))
 	for _, name := range slices.Sorted(maps.Keys(s.kept)) {
-		free = append(free, Unvec(s.room[name]))
+		free = append(free, Unvec(s.capacity[name]))
 	}
 	served := 0.0
 	for _, d := range demand {
--- a/internal/shard/offer_test.go
+++ b/internal/shard/offer_test.go
@@ -11,11 +11,11 @@
 	"violetturn/internal/sched"
 )
 
-// served counts, by a plain model, how many tasks of a demand machines take one by one.
-func served(room Free, demand []Demand) int {
+// tasksServedBy counts, by a plain model, how many tasks of a demand machines take one by one.
+func tasksServedBy(room FreeCapacity, demand []PeerDemand) int {
 	free := maps.Clone(room)
 	n := 0
-	for _, d := range heaviest(demand) {
+	for _, d := range mostWanted(demand) {
 		for left := int(d.Tasks); left > 0; left-- {
 			host := ""
 			for name, v := range free {
@@ -33,10 +33,10 @@
 	return n
 }
 
-func drawDemand(t *rapid.T) []Demand {
-	var demand []Demand
+func drawDemand(t *rapid.T) []PeerDemand {
+	var demand []PeerDemand
 	for range rapid.IntRange(1, 3).Draw(t, "sizes") {
-		demand = append(demand, Demand{
+		demand = append(demand, PeerDemand{
 			Need: sched.Resources{
 				CPUs:  float64(rapid.IntRange(1, 6).Draw(t, "cpus")),
 				GPUs:  float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
@@ -52,7 +52,7 @@
 // room for at least as much of the demand as one in the order of room alone.
 func TestTrimForDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := Free{}
+		room := FreeCapacity{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "machines") {
 			gpus := float64(rapid.IntRange(0, 2).Draw(t, "free gpus"))
 			room[fmt.Sprintf("i-%06d", i)] = [3]float64{float64(rapid.IntRange(1, 16).Draw(t, "free cpus")), gpus, 8 + 16*gpus}
@@ -60,8 +60,8 @@
 		demand := drawDemand(t)
 		size := rapid.IntRange(100, 4<<10).Draw(t, "size")
 		plain, wanted := maps.Clone(room), maps.Clone(room)
-		plain.Trim(size, nil)
-		left := wanted.Trim(size, demand)
+		plain.TrimTo(size, nil)
+		left := wanted.TrimTo(size, demand)
 		raw, err := json.Marshal(wanted)
 		if err != nil || len(raw) > size {
 			t.Fatalf("%d bytes of %d, %v", len(raw), size, err)
@@ -74,7 +74,7 @@
 				t.Fatalf("%s is offered with %v, has %v", name, v, room[name])
 			}
 		}
-		if a, b := served(wanted, demand), served(plain, demand); a < b {
+		if a, b := tasksServedBy(wanted, demand), tasksServedBy(plain, demand); a < b {
 			t.Fatalf("takes %d tasks, in the order of room alone %d", a, b)
 		}
 	})
@@ -83,24 +83,24 @@
 // Where most machines with accelerators are free and a gang of processors is wanted,
 // which no machine with accelerators left would keep from it, some of both stay.
 func TestTrimKeepsSomeOfEachSize(t *testing.T) {
-	room := Free{}
+	room := FreeCapacity{}
 	for i := range 1300 {
 		room[fmt.Sprintf("i-%06d", i)] = [3]float64{1, 2, 64} // accelerators, but hardly a processor
 	}
 	for i := range 100 {
 		room[fmt.Sprintf("i-1%05d", i)] = [3]float64{12, 0, 96}
 	}
-	demand := []Demand{
+	demand := []PeerDemand{
 		{Need: sched.Resources{CPUs: 1, GPUs: 1, MemGB: 32}, Tasks: 20},
 		{Need: sched.Resources{CPUs: 2, MemGB: 12}, Tasks: 20},
 	}
 	plain := maps.Clone(room)
-	plain.Trim(2<<10, nil)
-	if n := served(plain, demand); n != 20 {
+	plain.TrimTo(2<<10, nil)
+	if n := tasksServedBy(plain, demand); n != 20 {
 		t.Fatalf("in the order of room alone %d tasks find room", n)
 	}
-	room.Trim(2<<10, demand)
-	if n := served(room, demand); n != 40 {
+	room.TrimTo(2<<10, demand)
+	if n := tasksServedBy(room, demand); n != 40 {
 		t.Fatalf("%d of 40 tasks find room", n)
 	}
 }
--- a/internal/shard/part.go
+++ b/internal/shard/part.go
@@ -15,60 +15,60 @@
 	"violetturn/internal/sched"
 )
 
-// Ownership is the record of a part's owner. It is attached to the owner's hold and
+// LeaderRecord is the record of a part's owner. It is attached to the owner's hold and
 // goes when the hold ends.
-type Ownership struct {
-	Node        string `json:"node"`
-	Incarnation uint64 `json:"inc"` // one life of the node's process
-	Term        uint64 `json:"term"`
-	Mute        bool   `json:"m,omitempty"` // of a node: its workers don't reach it
-	Hear        bool   `json:"h,omitempty"` // of a node: some worker does
-	V           int    `json:"v,omitempty"` // of a node: the newest forms of records that it reads
+type LeaderRecord struct {
+	Node               string `json:"node"`
+	Incarnation        uint64 `json:"inc"` // one life of the node's process
+	Term               uint64 `json:"term"`
+	WorkersUnreachable bool   `json:"m,omitempty"` // of a node: its workers don't reach it
+	HearsWorkers       bool   `json:"h,omitempty"` // of a node: some worker does
+	SchemaVersion      int    `json:"v,omitempty"` // of a node: the newest forms of records that it reads
 
 	Features []string `json:"f,omitempty"` // of a node: what is switched on there
 }
 
-// Mark is what a node leaves behind of the forms that it reads and the features that it has
+// CapabilityRecord is what a node leaves behind of the forms that it reads and the features that it has
 // switched on: it stays when the
 // node's own record goes with its hold.
-type Mark struct {
-	V        int      `json:"v"`
-	Features []string `json:"f,omitempty"` // what was switched on there last
+type CapabilityRecord struct {
+	SchemaVersion int      `json:"v"`
+	Features      []string `json:"f,omitempty"` // what was switched on there last
 }
 
-// Record is a part's free-room record. Whoever places a task on a machine of
+// CapacityRecord is a part's free-room record. Whoever places a task on a machine of
 // the part, its owner or a thief, changes it in the same transaction, so its
 // version is what they contend for.
-type Record struct {
-	Term     uint64                `json:"term"`
-	By       string                `json:"by"`            // the owner of that term
-	Released bool                  `json:"rel,omitempty"` // that owner has stopped answering and said so
-	Doubt    bool                  `json:"d,omitempty"`   // an owner before that one may still be answering, within its grace
-	Free     Free                  `json:"free"`          // room of the machines that can take tasks
-	Use      map[string][3]float64 `json:"u,omitempty"`   // by limited team, what its tasks hold in this part
+type CapacityRecord struct {
+	Term               uint64                `json:"term"`
+	Leader             string                `json:"by"`            // the owner of that term
+	Released           bool                  `json:"rel,omitempty"` // that owner has stopped answering and said so
+	PredecessorInDoubt bool                  `json:"d,omitempty"`   // an owner before that one may still be answering, within its grace
+	Free               FreeCapacity          `json:"free"`          // room of the machines that can take tasks
+	QuotaUse           map[string][3]float64 `json:"u,omitempty"`   // by limited team, what its tasks hold in this part
 }
 
-// Free is the room of machines by name. Its recorded form names each amount
+// FreeCapacity is the room of machines by name. Its recorded form names each amount
 // once with all the machines that have it: a part of hundreds of machines has
 // to fit one value of the state service.
-type Free map[string][3]float64
+type FreeCapacity map[string][3]float64
 
-type freeGroup struct {
+type capacityGroup struct {
 	Room  [3]float64 `json:"r"`
 	Hosts []string   `json:"h"`
 }
 
 // MarshalJSON implements json.Marshaler.
-func (f Free) MarshalJSON() ([]byte, error) {
+func (f FreeCapacity) MarshalJSON() ([]byte, error) {
 	at := map[[3]float64]int{}
-	groups := []freeGroup{}
+	groups := []capacityGroup{}
 	for _, h := range slices.Sorted(maps.Keys(f)) {
 		v := f[h]
 		i, ok := at[v]
 		if !ok {
 			i = len(groups)
 			at[v] = i
-			groups = append(groups, freeGroup{Room: v})
+			groups = append(groups, capacityGroup{Room: v})
 		}
 		groups[i].Hosts = append(groups[i].Hosts, h)
 	}
@@ -76,12 +76,12 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (f *Free) UnmarshalJSON(b []byte) error {
-	var groups []freeGroup
+func (f *FreeCapacity) UnmarshalJSON(b []byte) error {
+	var groups []capacityGroup
 	if err := json.Unmarshal(b, &groups); err != nil {
 		return err
 	}
-	*f = Free{}
+	*f = FreeCapacity{}
 	for _, g := range groups {
 		for _, h := range g.Hosts {
 			(*f)[h] = g.Room
@@ -92,13 +92,13 @@
 
 // Machine is a machine's record: which part it belongs to, and what it is.
 type Machine struct {
-	Part        string `json:"p"`
-	MachineType string `json:"b"`
-	Zone        string `json:"s"`
-	Spot        bool   `json:"l,omitempty"`
-	Addr        string `json:"a,omitempty"`
-	RentedFor   string `json:"f,omitempty"` // the part that rented it for its jobs
-	AtMS        int64  `json:"at"`          // time of day when it was recorded
+	Shard        string `json:"p"`
+	MachineType  string `json:"b"`
+	Zone         string `json:"s"`
+	Spot         bool   `json:"l,omitempty"`
+	Addr         string `json:"a,omitempty"`
+	RentedFor    string `json:"f,omitempty"` // the part that rented it for its jobs
+	RegisteredMS int64  `json:"at"`          // time of day when it was recorded
 }
 
 // Page is the record of the machines whose names differ only in their last
@@ -106,23 +106,25 @@
 // recorded with few changes.
 type Page map[string]*Machine
 
-// Usage is a team's record: the share of its limit that each part may use. What
+// QuotaRecord is a team's record: the share of its limit that each part may use. What
 // the team's tasks hold in a part stands in the part's record, which changes
 // with every placement there; a share changes only together with that record.
-type Usage struct {
+type QuotaRecord struct {
 	Held map[string][3]float64 `json:"u"`
 }
 
-// TokenOf gives the token of a term after so many raises. Terms rise globally,
+// FencingToken gives the token of a term after so many raises. Terms rise globally,
 // so every token of a later term is above all of an earlier one; within its
 // term an owner raises a worker's token to have it report, or to see that it
 // hears.
-func TokenOf(term, raises uint64) uint64 { return term<<raiseBits | min(raises, 1<<raiseBits-1) }
+func FencingToken(term, raises uint64) uint64 {
+	return term<<sequenceBits | min(raises, 1<<sequenceBits-1)
+}
 
-// TermOf gives the term of a token.
-func TermOf(baton uint64) uint64 { return baton >> raiseBits }
+// TokenTerm gives the term of a token.
+func TokenTerm(token uint64) uint64 { return token >> sequenceBits }
 
-const raiseBits = 20
+const sequenceBits = 20
 
 // Vec and Unvec turn room into its recorded form and back.
 func Vec(r sched.Resources) [3]float64 {
@@ -135,127 +137,127 @@
 // round keeps sums of decimal fractions from growing tails in the records.
 func round(x float64) float64 { return float64(int64(x*1e6+0.5)) / 1e6 }
 
-// Release is the decision that an attempt is over. Once taken it is never taken
+// EndedAttempt is the decision that an attempt is over. Once taken it is never taken
 // back: that attempt is not launched again, whatever becomes of the transaction
 // that records it, for that transaction may still be applied late.
-type Release struct {
-	Try          uint64
+type EndedAttempt struct {
+	Attempt      uint64
 	Done, Failed bool
-	Exit         job.Exit  // the same for a gang's task
-	At           time.Time // when it was taken
+	Reason       job.ExitReason // the same for a gang's task
+	EndedAt      time.Time      // when it was taken
 }
 
-// Start is when an attempt was first seen running.
-type Start struct {
-	Try uint64
-	At  time.Time
+// FirstRun is when an attempt was first seen running.
+type FirstRun struct {
+	Attempt uint64
+	At      time.Time
 }
 
-// Session is what the owner knows of one worker under its present term.
-type Session struct {
-	Term      uint64
-	Since     time.Time   // when the session began
-	Fenced    bool        // the worker has said that it has seen this term
-	Report    *api.Report // newest report made under this term
-	Seen      time.Time   // last sign of life
-	Answered  time.Time   // latest time at which an answer of ours, or of an owner before us, can have renewed its lease
-	Gone      bool        // the cloud has confirmed its end
-	Dark      bool        // its lease is surely over
-	Releases  map[string]Release
-	Started   map[string]Start // attempts that were seen running
-	Errors    map[string]bool  // jobs whose tasks failed there since one last succeeded
-	Idle      time.Time        // since when it has no task; zero: it has some
-	Loose     time.Time        // since when its few replicas would fit elsewhere; zero: they don't
-	Drain     bool             // it takes no more tasks: it is to be returned
-	Asked     time.Time        // when a fence or a nudge was last sent
-	Raises    uint64           // how often its token was raised under this term
-	RaisedAt  time.Time        // when last
-	Deaf      bool             // its session ended although it was answered: it takes no task until it is heard to obey
-	Unheard   int              // answers to reports that showed an older term still, in as many rounds
-	UnheardAt time.Time        // when that was last counted
-	FencedAt  time.Time        // since when
-	Last      [2]uint64        // session and number of its newest report, believed or not; answers to direct commands apart
-	Sent      map[string]Sent  // launches that were answered and not yet seen
-	Listed    bool             // the cloud has listed it
-	Missing   int              // lists in a row that lacked it
-	Avoid     time.Time        // it refused a task for want of room: none is put there until then
+// Agent is what the owner knows of one worker under its present term.
+type Agent struct {
+	Term             uint64
+	CreatedAt        time.Time      // when the session began
+	Fenced           bool           // the worker has said that it has seen this term
+	Heartbeat        *api.Heartbeat // newest report made under this term
+	LastSeen         time.Time      // last sign of life
+	LastAnswered     time.Time      // latest time at which an answer of ours, or of an owner before us, can have renewed its lease
+	Terminated       bool           // the cloud has confirmed its end
+	LeaseExpired     bool           // its lease is surely over
+	EndedAttempts    map[string]EndedAttempt
+	FirstRuns        map[string]FirstRun      // attempts that were seen running
+	FailedJobs       map[string]bool          // jobs whose tasks failed there since one last succeeded
+	IdleSince        time.Time                // since when it has no task; zero: it has some
+	UnderusedSince   time.Time                // since when its few replicas would fit elsewhere; zero: they don't
+	Cordoned         bool                     // it takes no more tasks: it is to be returned
+	LastCommandAt    time.Time                // when a fence or a nudge was last sent
+	TokenSequence    uint64                   // how often its token was raised under this term
+	TokenRaisedAt    time.Time                // when last
+	Unresponsive     bool                     // its session ended although it was answered: it takes no task until it is heard to obey
+	UnheardAnswers   int                      // answers to reports that showed an older term still, in as many rounds
+	UnheardAt        time.Time                // when that was last counted
+	FencedAt         time.Time                // since when
+	LastHeartbeat    [2]uint64                // session and number of its newest report, believed or not; answers to direct commands apart
+	PendingLaunches  map[string]PendingLaunch // launches that were answered and not yet seen
+	Listed           bool                     // the cloud has listed it
+	MissingFromLists int                      // lists in a row that lacked it
+	AvoidUntil       time.Time                // it refused a task for want of room: none is put there until then
 }
 
-// Sent counts the answers that carried the launch of an attempt.
-type Sent struct {
-	Try     uint64
-	N       int
+// PendingLaunch counts the answers that carried the launch of an attempt.
+type PendingLaunch struct {
+	Attempt uint64
+	Answers int
 	Blocked int // reports in a row that left no room for it, nor any that is being left
 }
 
-// NewSession starts a worker's session under a term. answered is the latest
+// NewAgent starts a worker's session under a term. answered is the latest
 // time at which an earlier owner can have answered it.
-func NewSession(term uint64, now, answered time.Time) *Session {
-	return &Session{
-		Term:     term,
-		Since:    now,
-		Answered: answered,
-		Releases: map[string]Release{},
-		Errors:   map[string]bool{},
-		Started:  map[string]Start{},
-		Sent:     map[string]Sent{},
+func NewAgent(term uint64, now, answered time.Time) *Agent {
+	return &Agent{
+		Term:            term,
+		CreatedAt:       now,
+		LastAnswered:    answered,
+		EndedAttempts:   map[string]EndedAttempt{},
+		FailedJobs:      map[string]bool{},
+		FirstRuns:       map[string]FirstRun{},
+		PendingLaunches: map[string]PendingLaunch{},
 	}
 }
 
 // Token is the token for answers to this worker: the highest that it can have
 // seen from us, or it would drop the answer.
-func (s *Session) Token() uint64 { return TokenOf(s.Term, s.Raises) }
+func (s *Agent) Token() uint64 { return FencingToken(s.Term, s.TokenSequence) }
 
-// Raise raises the worker's token, which its next answer or command brings.
-func (s *Session) Raise(now time.Time) { s.Raises++; s.RaisedAt = now }
+// RaiseToken raises the worker's token, which its next answer or command brings.
+func (s *Agent) RaiseToken(now time.Time) { s.TokenSequence++; s.TokenRaisedAt = now }
 
-// Announced is when its worker last saw a higher token from us, as far as is known: by a
+// LastTokenChange is when its worker last saw a higher token from us, as far as is known: by a
 // raise, or with the term itself. Another one soon after makes it report no sooner.
-func (s *Session) Announced() time.Time {
-	if s.FencedAt.After(s.RaisedAt) {
+func (s *Agent) LastTokenChange() time.Time {
+	if s.FencedAt.After(s.TokenRaisedAt) {
 		return s.FencedAt
 	}
-	return s.RaisedAt
+	return s.TokenRaisedAt
 }
 
-// Stale tells whether a report is no newer than one that came before: a copy
+// IsStale tells whether a report is no newer than one that came before: a copy
 // that comes late. Its sender no longer waits for an answer, and it shows
 // nothing about now, not even that the machine lives. So is one of an earlier
 // term long after the worker has said that it has seen ours; shortly after, one
 // may still be on its way.
-func (s *Session) Stale(c *api.Report, now time.Time, flight time.Duration) bool {
-	return s.Last != [2]uint64{} && !c.Newer(s.Last[0], s.Last[1]) ||
-		s.Fenced && TermOf(c.Token) < s.Term && now.Sub(s.FencedAt) > flight
+func (s *Agent) IsStale(c *api.Heartbeat, now time.Time, flight time.Duration) bool {
+	return s.LastHeartbeat != [2]uint64{} && !c.Newer(s.LastHeartbeat[0], s.LastHeartbeat[1]) ||
+		s.Fenced && TokenTerm(c.Token) < s.Term && now.Sub(s.FencedAt) > flight
 }
 
 // Accept takes what a worker reports if it can be believed: made after the
 // worker saw this term. A report under an older term may have been held back by
 // a cut since before our predecessor's last commands, so it shows nothing about
 // now. The newest is kept, be it a report or the answer to a direct command.
-func (s *Session) Accept(c *api.Report, now time.Time) bool {
-	if TermOf(c.Token) != s.Term {
+func (s *Agent) Accept(c *api.Heartbeat, now time.Time) bool {
+	if TokenTerm(c.Token) != s.Term {
 		return false
 	}
-	if s.Report != nil && c.Session > s.Report.Session && !s.Deaf {
+	if s.Heartbeat != nil && c.AgentEpoch > s.Heartbeat.AgentEpoch && !s.Unresponsive {
 		// Its lease ran out although we answered, or could have: perhaps it
 		// hears nothing. Only a token raised from now on shows that it does.
-		s.Deaf = true
-		s.Raise(now)
-	} else if s.Deaf && c.Token >= s.Token() {
-		s.Deaf = false
+		s.Unresponsive = true
+		s.RaiseToken(now)
+	} else if s.Unresponsive && c.Token >= s.Token() {
+		s.Unresponsive = false
 	}
-	s.Unheard = 0
+	s.UnheardAnswers = 0
 	if !s.Fenced {
 		s.Fenced, s.FencedAt = true, now
 	}
-	if s.Report == nil || c.Newer(s.Report.Session, s.Report.Sequence) {
-		s.Report = c
+	if s.Heartbeat == nil || c.Newer(s.Heartbeat.AgentEpoch, s.Heartbeat.Sequence) {
+		s.Heartbeat = c
 	}
 	return true
 }
 
-// Dead tells whether the worker's tasks are surely dead: its lease, counted
+// IsLeaseExpired tells whether the worker's tasks are surely dead: its lease, counted
 // from the last answer it can have accepted, is over.
-func (s *Session) Dead(now time.Time, bound time.Duration) bool {
-	return s.Gone || now.Sub(s.Answered) > bound
+func (s *Agent) IsLeaseExpired(now time.Time, bound time.Duration) bool {
+	return s.Terminated || now.Sub(s.LastAnswered) > bound
 }
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -11,13 +11,13 @@
 
 // Deployment is the size and the load of a simulated deployment.
 type Deployment struct {
-	Name                     string
-	ReportS, LeaseS, CancelS float64
-	Boot, Pull               time.Duration
-	Flavor                   Flavor
-	State                    config.StateLimits
-	TeamGPUs                 float64 // of each team at most; 0: no limit
-	Services, Arrays         Class
+	Name                        string
+	HeartbeatS, LeaseS, CancelS float64
+	Boot, Fetch                 time.Duration
+	MachineType                 MachineType
+	State                       config.StateLimits
+	TeamGPUs                    float64 // of each team at most; 0: no limit
+	Services, Arrays            Class
 }
 
 // Class is a class of jobs that users submit.
@@ -29,7 +29,7 @@
 	Tasks     int     // on the mean
 	CPUs      float64
 	MemGB     float64
-	Run       time.Duration // of a task, or until a service is cancelled
+	RunTime   time.Duration // of a task, or until a service is cancelled
 	Images    int
 }
 
@@ -37,10 +37,10 @@
 // controllers.
 func Large() *Deployment {
 	return &Deployment{
-		Name: "2000-machines", ReportS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Pull: 8 * time.Second,
-		Flavor:   Flavor{Label: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:    config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
-		TeamGPUs: 4000,
+		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
+		MachineType: MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
+		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		TeamGPUs:    4000,
 		Services: Class{
 			Name:      "service",
 			Service:   true,
@@ -49,10 +49,10 @@
 			Tasks:     6,
 			CPUs:      5,
 			MemGB:     38,
-			Run:       500 * time.Second,
+			RunTime:   500 * time.Second,
 			Images:    6,
 		},
-		Arrays: Class{Name: "array", Initial: 75, PerSecond: 1, Tasks: 15, CPUs: 6, MemGB: 48, Run: 80 * time.Second, Images: 18},
+		Arrays: Class{Name: "array", Initial: 75, PerSecond: 1, Tasks: 15, CPUs: 6, MemGB: 48, RunTime: 80 * time.Second, Images: 18},
 	}
 }
 
@@ -60,10 +60,10 @@
 // grown deployments' rates, with long tasks.
 func Huge() *Deployment {
 	return &Deployment{
-		Name: "4000-machines", ReportS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Pull: 8 * time.Second,
-		Flavor:   Flavor{Label: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:    config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
-		TeamGPUs: 8000,
+		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
+		MachineType: MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
+		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		TeamGPUs:    8000,
 		Services: Class{
 			Name:      "service",
 			Service:   true,
@@ -72,7 +72,7 @@
 			Tasks:     8,
 			CPUs:      5,
 			MemGB:     38,
-			Run:       2000 * time.Second,
+			RunTime:   2000 * time.Second,
 			Images:    6,
 		},
 		Arrays: Class{
@@ -82,7 +82,7 @@
 			Tasks:     60,
 			CPUs:      6,
 			MemGB:     48,
-			Run:       400 * time.Second,
+			RunTime:   400 * time.Second,
 			Images:    18,
 		},
 	}
@@ -92,9 +92,9 @@
 // workers report often.
 func Small() *Deployment {
 	return &Deployment{
-		Name: "300-machines", ReportS: 1.5, LeaseS: 10, CancelS: 40, Boot: 40 * time.Second, Pull: 8 * time.Second,
-		Flavor: Flavor{Label: "m", CPUs: 12, GPUs: 2, MemGB: 96},
-		State:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
+		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, Boot: 40 * time.Second, Fetch: 8 * time.Second,
+		MachineType: MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
+		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
 		Services: Class{
 			Name:      "service",
 			Service:   true,
@@ -103,21 +103,21 @@
 			Tasks:     8,
 			CPUs:      4,
 			MemGB:     29,
-			Run:       500 * time.Second,
+			RunTime:   500 * time.Second,
 			Images:    4,
 		},
-		Arrays: Class{Name: "array", Initial: 11, PerSecond: 0.2, Tasks: 15, CPUs: 5, MemGB: 36, Run: 60 * time.Second, Images: 8},
+		Arrays: Class{Name: "array", Initial: 11, PerSecond: 0.2, Tasks: 15, CPUs: 5, MemGB: 36, RunTime: 60 * time.Second, Images: 8},
 	}
 }
 
 // World makes the world of the deployment.
 func (d *Deployment) World(start time.Time) *World {
 	w := New(start)
-	w.Flavor = d.Flavor
-	w.Flavor.Boot, w.Flavor.Pull = d.Boot, d.Pull
+	w.MachineType = d.MachineType
+	w.MachineType.Boot, w.MachineType.Fetch = d.Boot, d.Fetch
 	w.Zones = []string{"x", "y", "z"}
 	w.Lease, w.CancelS = time.Duration(d.LeaseS*float64(time.Second)), time.Duration(d.CancelS*float64(time.Second))
-	w.Lag = 5 * time.Second
+	w.ListLag = 5 * time.Second
 	return w
 }
 
@@ -125,12 +125,12 @@
 func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
 	run := api.Job{UID: fmt.Sprintf("run-%06d", n), Class: c.Name, Team: []string{"a", "b"}[n%2], Kind: api.Array, Priority: "standard",
 		Tasks: 1 + rnd.IntN(2*c.Tasks), CPUs: c.CPUs, GPUs: 1, MemGB: c.MemGB, Image: fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images)), ImageGB: 4,
-		Spot: true, EstimateS: c.Run.Seconds(), CheckpointS: 30, SaveS: 2}
+		Spot: true, EstimateS: c.RunTime.Seconds(), CheckpointS: 30, SaveS: 2}
 	if c.Service {
 		run.Kind, run.Priority, run.Spot, run.Spread = api.Service, "production", false, true
 		run.EstimateS, run.CheckpointS, run.SaveS = 0, 0, 0
 	}
-	return run, time.Duration(float64(c.Run) * (0.5 + rnd.Float64()))
+	return run, time.Duration(float64(c.RunTime) * (0.5 + rnd.Float64()))
 }
 
 // Submission is the body with which a user submits a job.
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -15,21 +15,21 @@
 
 // Cloud rents machines.
 type Cloud struct {
-	w     *World
-	Down  bool
-	Full  bool             // no capacity
-	Next  map[string]Fault // what happens to a node's next rental or return
-	Cut   map[string]bool  // nodes whose requests don't arrive
-	Hosts map[string]*Worker
-	Pages int       // of the list that were read so far
-	order []*Worker // Hosts in the order of their names; nil: to be made anew
-	gone  []*Worker // that the list still shows
+	w           *World
+	Down        bool
+	Full        bool             // no capacity
+	Next        map[string]Fault // what happens to a node's next rental or return
+	Unreachable map[string]bool  // nodes whose requests don't arrive
+	Hosts       map[string]*Worker
+	Pages       int       // of the list that were read so far
+	order       []*Worker // Hosts in the order of their names; nil: to be made anew
+	terminated  []*Worker // that the list still shows
 
 	listed   []cloud.Host // the list as of listedAt, of which pages are read
 	listedAt time.Time
 
-	hires map[string][]string
-	n     int
+	rentals     map[string][]string
+	nextMachine int
 }
 
 // Workers lists the machines there are, in the order of their names.
@@ -52,8 +52,8 @@
 // Kill ends a machine without a word, as the cloud does with a spot one.
 func (c *Cloud) Kill(host string) {
 	if x := c.Hosts[host]; x != nil {
-		x.goneAt = c.w.Now
-		c.gone = append(c.gone, x)
+		x.terminatedAt = c.w.Now
+		c.terminated = append(c.terminated, x)
 		delete(c.Hosts, host)
 		c.order, c.listed = nil, nil
 	}
@@ -67,12 +67,12 @@
 
 // MachineTypes tells the machine types.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
-	if c.C.Down || c.C.Cut[c.Node] {
-		return nil, cloud.ErrTrouble
+	if c.C.Down || c.C.Unreachable[c.Node] {
+		return nil, cloud.ErrUnavailable
 	}
-	f := c.C.w.Flavor
+	f := c.C.w.MachineType
 	return []cloud.MachineType{{
-		Name:        f.Label,
+		Name:        f.Name,
 		CPUs:        f.CPUs,
 		GPUs:        f.GPUs,
 		MemGB:       f.MemGB,
@@ -85,13 +85,13 @@
 }
 
 // Rent rents machines.
-func (c *CloudClient) Rent(_ context.Context, r cloud.Rental) ([]string, error) {
+func (c *CloudClient) Rent(_ context.Context, r cloud.RentalRequest) ([]string, error) {
 	f := c.C.Next[c.Node]
 	delete(c.C.Next, c.Node)
-	if c.C.Down || c.C.Cut[c.Node] || f == LoseBefore {
-		return nil, cloud.ErrTrouble
+	if c.C.Down || c.C.Unreachable[c.Node] || f == LoseBefore {
+		return nil, cloud.ErrUnavailable
 	}
-	if h, ok := c.C.hires[r.Name]; ok {
+	if h, ok := c.C.rentals[r.Name]; ok {
 		return h, nil
 	}
 	if c.C.Full {
@@ -99,16 +99,16 @@
 	}
 	var out []string
 	for range r.Count {
-		name := fmt.Sprintf("i-%06d", c.C.n)
-		c.C.n++
-		c.C.Hosts[name] = &Worker{w: c.C.w, Host: name, Addr: "10.1.0.1:" + name, Build: r.MachineType, Site: r.Zone, Spot: r.Spot,
-			Session: 1, upAt: c.C.w.Now.Add(c.C.w.Flavor.Boot), rented: c.C.w.Now}
+		name := fmt.Sprintf("i-%06d", c.C.nextMachine)
+		c.C.nextMachine++
+		c.C.Hosts[name] = &Worker{w: c.C.w, Host: name, Addr: "10.1.0.1:" + name, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot,
+			AgentEpoch: 1, upAt: c.C.w.Now.Add(c.C.w.MachineType.Boot), rentedAt: c.C.w.Now}
 		out = append(out, name)
 	}
-	c.C.hires[r.Name] = out
+	c.C.rentals[r.Name] = out
 	c.C.order, c.C.listed = nil, nil
 	if f != None {
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrUnavailable
 	}
 	return out, nil
 }
@@ -117,22 +117,22 @@
 func (c *CloudClient) Return(_ context.Context, hosts []string) error {
 	f := c.C.Next[c.Node]
 	delete(c.C.Next, c.Node)
-	if c.C.Down || c.C.Cut[c.Node] || f == LoseBefore {
-		return cloud.ErrTrouble
+	if c.C.Down || c.C.Unreachable[c.Node] || f == LoseBefore {
+		return cloud.ErrUnavailable
 	}
 	for _, h := range hosts {
 		c.C.Kill(h)
 	}
 	if f != None {
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	return nil
 }
 
 // Page tells what there was some time ago, a page of it.
 func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
-	if c.C.Down || c.C.Cut[c.Node] {
-		return nil, false, cloud.ErrTrouble
+	if c.C.Down || c.C.Unreachable[c.Node] {
+		return nil, false, cloud.ErrUnavailable
 	}
 	c.C.Pages++
 	hosts, truncated = c.C.page(since, cloud.MaxPage)
@@ -155,10 +155,10 @@
 	if c.listed != nil && c.listedAt.Equal(c.w.Now) {
 		return c.listed
 	}
-	then := c.w.Now.Add(-c.w.Lag)
+	then := c.w.Now.Add(-c.w.ListLag)
 	var out []cloud.Host
 	show := func(x *Worker) {
-		if x.rented.After(then) || !x.goneAt.IsZero() && !x.goneAt.After(then) {
+		if x.rentedAt.After(then) || !x.terminatedAt.IsZero() && !x.terminatedAt.After(then) {
 			return
 		}
 		phase := "running"
@@ -170,18 +170,18 @@
 			cloud.Host{
 				UID:         x.Host,
 				Addr:        x.Addr,
-				MachineType: x.Build,
-				Zone:        x.Site,
+				MachineType: x.MachineType,
+				Zone:        x.Zone,
 				Spot:        x.Spot,
 				Phase:       phase,
-				AgeS:        then.Sub(x.rented).Seconds(),
+				AgeS:        then.Sub(x.rentedAt).Seconds(),
 			},
 		)
 	}
 	for _, x := range c.Hosts {
 		show(x)
 	}
-	for _, x := range c.gone {
+	for _, x := range c.terminated {
 		show(x)
 	}
 	slices.SortFunc(out, func(a, b cloud.Host) int { return strings.Compare(a.UID, b.UID) })
@@ -189,46 +189,46 @@
 	return out
 }
 
-// Direct reaches workers through /commands.
-type Direct struct {
-	W    *World
-	Node string
-	Held []func() // commands held back by cuts, to be carried out late
-	Cut  bool     // the node and all workers can't reach each other
+// CommandClient reaches workers through /commands.
+type CommandClient struct {
+	W       *World
+	Node    string
+	Delayed []func() // commands held back by cuts, to be carried out late
+	Cut     bool     // the node and all workers can't reach each other
 
-	Apart func(x *Worker) bool // whether the node and a worker can't; nil: they can
+	PartitionedFrom func(x *Worker) bool // whether the node and a worker can't; nil: they can
 }
 
-// Show asks a worker for its report.
-func (d *Direct) Show(_ context.Context, addr string) (*api.Report, error) {
+// Status asks a worker for its report.
+func (d *CommandClient) Status(_ context.Context, addr string) (*api.Heartbeat, error) {
 	for _, x := range d.W.Cloud.Hosts {
-		if x.Addr == addr && x.Up() && !x.Cut && !x.Deaf && !x.Hung && !d.Cut && (d.Apart == nil || !d.Apart(x)) {
-			return x.Report(), nil
+		if x.Addr == addr && x.Up() && !x.Partitioned && !x.InboundLost && !x.Hung && !d.Cut && (d.PartitionedFrom == nil || !d.PartitionedFrom(x)) {
+			return x.Heartbeat(), nil
 		}
 	}
 	return nil, errors.New("no answer")
 }
 
-// Command sends direct orders. A worker that is cut off gets them when Held is
+// SendCommands sends direct orders. A worker that is cut off gets them when Held is
 // run; a machine that is not there never does.
-func (d *Direct) Command(_ context.Context, addr string, o api.Response) (*api.Report, bool, error) {
+func (d *CommandClient) SendCommands(_ context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, x := range d.W.Cloud.Workers() {
 		if x.Addr != addr || !x.Up() {
 			continue
 		}
-		run := func() (*api.Report, bool) {
-			ok := o.Token >= x.Token && o.Session == x.Session
+		run := func() (*api.Heartbeat, bool) {
+			ok := o.Token >= x.Token && o.AgentEpoch == x.AgentEpoch
 			if ok {
 				x.Token = o.Token
 				x.execute(o.Commands)
 			}
-			return x.Report(), ok
+			return x.Heartbeat(), ok
 		}
-		if x.Deaf {
+		if x.InboundLost {
 			break
 		}
-		if x.Cut || x.Hung || d.Cut || d.Apart != nil && d.Apart(x) {
-			d.Held = append(d.Held, func() { run() })
+		if x.Partitioned || x.Hung || d.Cut || d.PartitionedFrom != nil && d.PartitionedFrom(x) {
+			d.Delayed = append(d.Delayed, func() { run() })
 			break
 		}
 		r, ok := run()
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -43,8 +43,8 @@
 
 // announce wakes those who wait for changes if there are some. Call with the lock held.
 func (s *Server) announce() {
-	if s.w.Store.epoch != s.began {
-		s.began = s.w.Store.epoch
+	if s.w.Store.revision != s.began {
+		s.began = s.w.Store.revision
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
@@ -83,10 +83,10 @@
 	mux.HandleFunc("GET /keys/{key...}", s.getKey)
 	mux.HandleFunc("GET /keys", s.listKeys)
 	mux.HandleFunc("GET /changes", s.changes)
-	mux.HandleFunc("POST /multi", s.multi)
-	mux.HandleFunc("POST /holds", s.hold)
-	mux.HandleFunc("POST /holds/{id}/touch", s.touch)
-	mux.HandleFunc("DELETE /holds/{id}", s.release)
+	mux.HandleFunc("POST /multi", s.commit)
+	mux.HandleFunc("POST /holds", s.grantLease)
+	mux.HandleFunc("POST /holds/{id}/touch", s.renewLease)
+	mux.HandleFunc("DELETE /holds/{id}", s.revokeLease)
 	return mux
 }
 
@@ -94,20 +94,20 @@
 	key := in.PathValue("key")
 	s.mu.Lock()
 	it, found := s.w.Store.keys[key]
-	epoch := s.w.Store.epoch
+	revision := s.w.Store.revision
 	s.mu.Unlock()
 	if !found {
-		answerJSON(out, 404, map[string]uint64{"epoch": epoch})
+		answerJSON(out, 404, map[string]uint64{"epoch": revision})
 		return
 	}
-	answerJSON(out, 200, store.Item{Key: key, Value: it.v, Version: it.stamp})
+	answerJSON(out, 200, store.Item{Key: key, Value: it.v, Version: it.version})
 }
 
 // keyPage is a page of a list of keys.
 type keyPage struct {
 	Rows      []store.Item `json:"rows"`
 	Truncated bool         `json:"truncated"`
-	Epoch     uint64       `json:"epoch"`
+	Revision  uint64       `json:"epoch"`
 }
 
 func (s *Server) listKeys(out http.ResponseWriter, in *http.Request) {
@@ -115,10 +115,10 @@
 	prefix, since := in.FormValue("prefix"), in.FormValue("since")
 	limit, _ := strconv.Atoi(in.FormValue("limit"))
 	s.mu.Lock()
-	page := keyPage{Rows: []store.Item{}, Epoch: s.w.Store.epoch}
+	page := keyPage{Rows: []store.Item{}, Revision: s.w.Store.revision}
 	for key, it := range s.w.Store.keys {
 		if key > since && strings.HasPrefix(key, prefix) {
-			page.Rows = append(page.Rows, store.Item{Key: key, Value: it.v, Version: it.stamp})
+			page.Rows = append(page.Rows, store.Item{Key: key, Value: it.v, Version: it.version})
 		}
 	}
 	s.mu.Unlock()
@@ -135,21 +135,21 @@
 
 // changeLog is the answer to a watch.
 type changeLog struct {
-	Epoch uint64 `json:"epoch"`
-	Log   []any  `json:"log"`
+	Revision uint64 `json:"epoch"`
+	Log      []any  `json:"log"`
 }
 
 // dropEntry is a dropped key in a log of changes.
 type dropEntry struct {
-	Drop  string `json:"drop"`
-	Stamp uint64 `json:"stamp"`
+	Drop    string `json:"drop"`
+	Version uint64 `json:"stamp"`
 }
 
 // writeEntry is a written key in a log of changes.
 type writeEntry struct {
-	Write string          `json:"write"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
+	Write   string          `json:"write"`
+	Value   json.RawMessage `json:"v"`
+	Version uint64          `json:"stamp"`
 }
 
 func (s *Server) changes(out http.ResponseWriter, in *http.Request) {
@@ -160,7 +160,7 @@
 	client := Client{S: s.w.Store}
 	for waiting := block > 0; ; {
 		s.mu.Lock()
-		log, epoch, err := client.Changes(in.Context(), in.FormValue("prefix"), since, 0)
+		log, revision, err := client.Changes(in.Context(), in.FormValue("prefix"), since, 0)
 		changed := s.changed
 		s.mu.Unlock()
 		if errors.Is(err, store.ErrTooOld) { // nothing else is refused here
@@ -168,7 +168,7 @@
 			return
 		}
 		if len(log) > 0 || !waiting {
-			answer := changeLog{Epoch: epoch, Log: []any{}}
+			answer := changeLog{Revision: revision, Log: []any{}}
 			for _, e := range log {
 				if e.Drop != "" {
 					answer.Log = append(answer.Log, dropEntry{e.Drop, e.Version})
@@ -189,14 +189,14 @@
 	}
 }
 
-func (s *Server) multi(out http.ResponseWriter, in *http.Request) {
+func (s *Server) commit(out http.ResponseWriter, in *http.Request) {
 	var t store.Txn
 	if !readJSON(in, &t) {
 		answerJSON(out, 400, malformed)
 		return
 	}
 	s.mu.Lock()
-	epoch, ok, failed, err := s.w.Store.apply(&t)
+	revision, ok, failed, err := s.w.Store.apply(&t)
 	s.announce()
 	s.mu.Unlock()
 	switch {
@@ -205,13 +205,13 @@
 	case err != nil:
 		answerJSON(out, 400, errorAnswer{err.Error()})
 	case !ok:
-		answerJSON(out, 409, map[string]any{"failed": failed, "epoch": epoch})
+		answerJSON(out, 409, map[string]any{"failed": failed, "epoch": revision})
 	default:
-		answerJSON(out, 200, map[string]uint64{"epoch": epoch})
+		answerJSON(out, 200, map[string]uint64{"epoch": revision})
 	}
 }
 
-func (s *Server) hold(out http.ResponseWriter, in *http.Request) {
+func (s *Server) grantLease(out http.ResponseWriter, in *http.Request) {
 	var ask struct {
 		TTL int64 `json:"ttlMs"`
 	}
@@ -221,12 +221,12 @@
 	}
 	s.mu.Lock()
 	client := Client{S: s.w.Store}
-	permit, _ := client.GrantLease(in.Context(), time.Duration(ask.TTL)*time.Millisecond) // nothing is refused here
+	leaseID, _ := client.GrantLease(in.Context(), time.Duration(ask.TTL)*time.Millisecond) // nothing is refused here
 	s.mu.Unlock()
-	answerJSON(out, 200, map[string]uint64{"permit": permit})
+	answerJSON(out, 200, map[string]uint64{"permit": leaseID})
 }
 
-func (s *Server) touch(out http.ResponseWriter, in *http.Request) {
+func (s *Server) renewLease(out http.ResponseWriter, in *http.Request) {
 	id, _ := strconv.ParseUint(in.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	client := Client{S: s.w.Store}
@@ -239,10 +239,10 @@
 	answerJSON(out, 200, struct{}{})
 }
 
-func (s *Server) release(out http.ResponseWriter, in *http.Request) {
+func (s *Server) revokeLease(out http.ResponseWriter, in *http.Request) {
 	id, _ := strconv.ParseUint(in.PathValue("id"), 10, 64)
 	s.mu.Lock()
-	s.w.Store.end(id)
+	s.w.Store.endLease(id)
 	s.announce()
 	s.mu.Unlock()
 	answerJSON(out, 200, struct{}{})
@@ -260,7 +260,7 @@
 		answerJSON(out, 200, map[string]any{"builds": flavors})
 	})
 	mux.HandleFunc("POST /rentals", func(out http.ResponseWriter, in *http.Request) {
-		var r cloud.Rental
+		var r cloud.RentalRequest
 		if !readJSON(in, &r) {
 			answerJSON(out, 400, malformed)
 			return
@@ -311,19 +311,19 @@
 // connected to.
 func (s *Server) Workers() http.Handler {
 	mux := http.NewServeMux()
-	direct := &Direct{W: s.w}
+	direct := &CommandClient{W: s.w}
 	addr := func(in *http.Request) string {
 		local, _ := in.Context().Value(http.LocalAddrContextKey).(net.Addr)
 		return local.String()
 	}
 	mux.HandleFunc("POST /commands", func(out http.ResponseWriter, in *http.Request) {
-		var o api.Response
+		var o api.CommandBatch
 		if !readJSON(in, &o) {
 			answerJSON(out, 400, malformed)
 			return
 		}
 		s.mu.Lock()
-		report, ok, err := direct.Command(in.Context(), addr(in), o)
+		report, ok, err := direct.SendCommands(in.Context(), addr(in), o)
 		s.mu.Unlock()
 		switch {
 		case err != nil:
@@ -336,7 +336,7 @@
 	})
 	mux.HandleFunc("GET /show", func(out http.ResponseWriter, in *http.Request) {
 		s.mu.Lock()
-		report, err := direct.Show(in.Context(), addr(in))
+		report, err := direct.Status(in.Context(), addr(in))
 		s.mu.Unlock()
 		if err != nil {
 			panic(http.ErrAbortHandler) // no answer
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -24,21 +24,21 @@
 
 // Store is the state service.
 type Store struct {
-	w      *World
-	Down   bool
-	Refuse map[string]bool  // nodes that get 503
-	Cut    map[string]bool  // nodes whose requests don't arrive
-	Writes int              // changes in transactions so far, those of refused ones too
-	Next   map[string]Fault // what happens to a node's next transaction
-	Ops    int              // changes in a transaction, since its limits came down; 0: not yet
-	ValueB int              // bytes of a value, likewise
-	Large  int              // transactions that were refused for their size
-	epoch  uint64
-	keys   map[string]item
-	log    []store.Change
-	holds  map[uint64]*hold
-	permit uint64
-	late   []*store.Txn
+	w             *World
+	Down          bool
+	Refuse        map[string]bool  // nodes that get 503
+	Unreachable   map[string]bool  // nodes whose requests don't arrive
+	Writes        int              // changes in transactions so far, those of refused ones too
+	Next          map[string]Fault // what happens to a node's next transaction
+	MaxOps        int              // changes in a transaction, since its limits came down; 0: not yet
+	MaxValueBytes int              // bytes of a value, likewise
+	TooLarge      int              // transactions that were refused for their size
+	revision      uint64
+	keys          map[string]storedValue
+	log           []store.Change
+	leases        map[uint64]*lease
+	lastLeaseID   uint64
+	late          []*store.Txn
 }
 
 // History is how many changes the state service keeps for those who watch (PROTOCOL).
@@ -52,17 +52,17 @@
 	}
 }
 
-// kept tells whether all changes after a revision are still in the log.
-func (s *Store) kept(since uint64) bool {
+// inHistory tells whether all changes after a revision are still in the log.
+func (s *Store) inHistory(since uint64) bool {
 	n := len(s.log)
 	return n <= History || since >= s.log[n-History-1].Version
 }
 
-// Age has so many changes pass that none of those before is kept.
-func (s *Store) Age() {
+// ExpireHistory has so many changes pass that none of those before is kept.
+func (s *Store) ExpireHistory() {
 	for range History + 1 {
-		s.epoch++
-		s.note(store.Change{Drop: "aged", Version: s.epoch})
+		s.revision++
+		s.note(store.Change{Drop: "aged", Version: s.revision})
 	}
 }
 
@@ -84,32 +84,32 @@
 	return out
 }
 
-type item struct {
-	v      json.RawMessage
-	stamp  uint64
-	permit uint64
+type storedValue struct {
+	v       json.RawMessage
+	version uint64
+	leaseID uint64
 }
 
-type hold struct {
+type lease struct {
 	ttl time.Duration
 	end time.Time
 }
 
 func (s *Store) tick() {
-	for id, h := range s.holds {
+	for id, h := range s.leases {
 		if s.Down {
 			h.end = s.w.Now.Add(h.ttl) // holds get their full time back
 		} else if !s.w.Now.Before(h.end) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id uint64) {
-	delete(s.holds, id)
+func (s *Store) endLease(id uint64) {
+	delete(s.leases, id)
 	var drop []string
 	for k, it := range s.keys {
-		if it.permit == id {
+		if it.leaseID == id {
 			drop = append(drop, k)
 		}
 	}
@@ -117,10 +117,10 @@
 		return
 	}
 	slices.Sort(drop)
-	s.epoch++
+	s.revision++
 	for _, k := range drop {
 		delete(s.keys, k)
-		s.note(store.Change{Drop: k, Version: s.epoch})
+		s.note(store.Change{Drop: k, Version: s.revision})
 	}
 }
 
@@ -134,132 +134,132 @@
 }
 
 func (s *Store) apply(t *store.Txn) (uint64, bool, []string, error) {
-	if s.Ops > 0 {
-		large := len(t.Ops) > s.Ops || len(t.Guards) > 4*s.Ops
+	if s.MaxOps > 0 {
+		large := len(t.Ops) > s.MaxOps || len(t.Preconditions) > 4*s.MaxOps
 		for _, op := range t.Ops {
-			large = large || len(op.Value) > s.ValueB
+			large = large || len(op.Value) > s.MaxValueBytes
 		}
 		if large {
-			s.Large++
+			s.TooLarge++
 			return 0, false, nil, store.ErrTooLarge
 		}
 	}
 	for _, op := range t.Ops {
-		if op.Lease != nil && s.holds[*op.Lease] == nil {
+		if op.Lease != nil && s.leases[*op.Lease] == nil {
 			return 0, false, nil, store.ErrNoLease
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		if s.keys[g.Key].stamp != g.Version {
+	for _, g := range t.Preconditions {
+		if s.keys[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		return s.epoch, false, failed, nil
+		return s.revision, false, failed, nil
 	}
-	s.epoch++
+	s.revision++
 	for _, op := range t.Ops {
 		if op.Drop != "" {
 			if _, ok := s.keys[op.Drop]; ok {
 				delete(s.keys, op.Drop)
-				s.note(store.Change{Drop: op.Drop, Version: s.epoch})
+				s.note(store.Change{Drop: op.Drop, Version: s.revision})
 			}
 			continue
 		}
-		it := item{v: op.Value, stamp: s.epoch}
+		it := storedValue{v: op.Value, version: s.revision}
 		if op.Lease != nil {
-			it.permit = *op.Lease
+			it.leaseID = *op.Lease
 		}
 		s.keys[op.Write] = it
-		s.note(store.Change{Write: op.Write, Value: op.Value, Version: s.epoch})
+		s.note(store.Change{Write: op.Write, Value: op.Value, Version: s.revision})
 	}
-	return s.epoch, true, nil, nil
+	return s.revision, true, nil, nil
 }
 
 // Client is the state service as one node reaches it.
 type Client struct {
-	S      *Store
-	Node   string
-	TxnOps int
-	ValueB int
-	Heard  func(ok bool) // hears of each request whether it was served
-	Stall  func()        // what happens before the next transaction is sent, once: its node stands still
+	S             *Store
+	Node          string
+	TxnOps        int
+	MaxValueBytes int
+	OnServed      func(ok bool) // hears of each request whether it was served
+	BeforeCommit  func()        // what happens before the next transaction is sent, once: its node stands still
 }
 
-// lost tells whether a request is not served: 503, or no answer at all.
-func (c *Client) lost() error {
+// unavailable tells whether a request is not served: 503, or no answer at all.
+func (c *Client) unavailable() error {
 	var err error
 	switch {
-	case c.S.Cut[c.Node]:
+	case c.S.Unreachable[c.Node]:
 		err = store.ErrUnknown
 	case c.S.Down || c.S.Refuse[c.Node]:
 		err = store.ErrRefused
 	}
-	if c.Heard != nil {
-		c.Heard(err == nil)
+	if c.OnServed != nil {
+		c.OnServed(err == nil)
 	}
 	return err
 }
 
 // Get reads a key.
 func (c *Client) Get(_ context.Context, key string, _ store.Priority) (store.Item, bool, error) {
-	if err := c.lost(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return store.Item{}, false, err
 	}
 	it, ok := c.S.keys[key]
-	return store.Item{Key: key, Value: it.v, Version: it.stamp}, ok, nil
+	return store.Item{Key: key, Value: it.v, Version: it.version}, ok, nil
 }
 
 // List reads the keys with a prefix.
 func (c *Client) List(_ context.Context, prefix string) ([]store.Item, uint64, error) {
-	if err := c.lost(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return nil, 0, err
 	}
 	var out []store.Item
 	for k, it := range c.S.keys {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, store.Item{Key: k, Value: it.v, Version: it.stamp})
+			out = append(out, store.Item{Key: k, Value: it.v, Version: it.version})
 		}
 	}
 	slices.SortFunc(out, func(a, b store.Item) int { return strings.Compare(a.Key, b.Key) })
-	return out, c.S.epoch, nil
+	return out, c.S.revision, nil
 }
 
 // Changes reads the changes since a revision; it never waits.
 func (c *Client) Changes(_ context.Context, prefix string, since uint64, _ time.Duration) ([]store.Change, uint64, error) {
-	if err := c.lost(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return nil, 0, err
 	}
-	if !c.S.kept(since) {
+	if !c.S.inHistory(since) {
 		return nil, 0, store.ErrTooOld
 	}
 	var out []store.Change
-	from, _ := slices.BinarySearchFunc(c.S.log, since+1, func(e store.Change, stamp uint64) int { return cmp.Compare(e.Version, stamp) })
+	from, _ := slices.BinarySearchFunc(c.S.log, since+1, func(e store.Change, version uint64) int { return cmp.Compare(e.Version, version) })
 	for _, e := range c.S.log[from:] {
 		if strings.HasPrefix(e.Write+e.Drop, prefix) {
 			out = append(out, e)
 		}
 	}
-	return out, c.S.epoch, nil
+	return out, c.S.revision, nil
 }
 
 // Multi commits a transaction, or meets the fault set for it.
 func (c *Client) Multi(_ context.Context, t *store.Txn, _ store.Priority) (uint64, bool, []string, error) {
-	if stall := c.Stall; stall != nil {
-		c.Stall = nil
+	if stall := c.BeforeCommit; stall != nil {
+		c.BeforeCommit = nil
 		stall()
 	}
-	if err := c.lost(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return 0, false, nil, err
 	}
 	c.S.Writes += len(t.Ops)
-	if len(t.Ops) > c.TxnOps || len(t.Guards) > 4*c.TxnOps {
-		c.S.w.Break("limits", "transaction of %d changes, %d guards", len(t.Ops), len(t.Guards))
+	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > 4*c.TxnOps {
+		c.S.w.Violate("limits", "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
-		if len(op.Value) > c.ValueB {
-			c.S.w.Break("limits", "%s has %d bytes", op.Write, len(op.Value))
+		if len(op.Value) > c.MaxValueBytes {
+			c.S.w.Violate("limits", "%s has %d bytes", op.Write, len(op.Value))
 		}
 	}
 	f := c.S.Next[c.Node]
@@ -277,28 +277,28 @@
 	return c.S.apply(t)
 }
 
-// Ready tells that any number of changes can be sent.
-func (c *Client) Ready(_ context.Context, n int, _ store.Priority) int { return n }
+// AwaitWrites tells that any number of changes can be sent.
+func (c *Client) AwaitWrites(_ context.Context, n int, _ store.Priority) int { return n }
 
-// Among changes nothing: any number of changes can be sent.
-func (c *Client) Among(int) {}
+// SetControllers changes nothing: any number of changes can be sent.
+func (c *Client) SetControllers(int) {}
 
 // GrantLease makes a lease.
 func (c *Client) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	if err := c.lost(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return 0, err
 	}
-	c.S.permit++
-	c.S.holds[c.S.permit] = &hold{ttl, c.S.w.Now.Add(ttl)}
-	return c.S.permit, nil
+	c.S.lastLeaseID++
+	c.S.leases[c.S.lastLeaseID] = &lease{ttl, c.S.w.Now.Add(ttl)}
+	return c.S.lastLeaseID, nil
 }
 
 // RenewLease renews a hold.
-func (c *Client) RenewLease(_ context.Context, permit uint64) error {
-	if err := c.lost(); err != nil {
+func (c *Client) RenewLease(_ context.Context, leaseID uint64) error {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
-	h := c.S.holds[permit]
+	h := c.S.leases[leaseID]
 	if h == nil {
 		return store.ErrNoLease
 	}
@@ -307,10 +307,10 @@
 }
 
 // RevokeLease ends a lease.
-func (c *Client) RevokeLease(_ context.Context, permit uint64) error {
-	if err := c.lost(); err != nil {
+func (c *Client) RevokeLease(_ context.Context, leaseID uint64) error {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
-	c.S.end(permit)
+	c.S.endLease(leaseID)
 	return nil
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -12,21 +12,21 @@
 
 // Worker is a machine's worker.
 type Worker struct {
-	w                       *World
-	Host, Addr, Build, Site string
-	Spot                    bool
-	Session, Tick, Token    uint64
-	Tasks                   []*Task
-	Node                    int  // the controller it reports to
-	Cut                     bool // no message passes, either way
-	Deaf                    bool // its reports arrive, answers and commands don't reach it
-	Mute                    bool // its reports reach nobody, while direct commands reach it
-	Hung                    bool // it executes nothing and says nothing, but may go on
-	RecallS                 *float64
-
-	rented, upAt, goneAt time.Time
-	renewed              time.Time // when its last answered report was sent
-	session              time.Time // when the session began
+	w                             *World
+	Host, Addr, MachineType, Zone string
+	Spot                          bool
+	AgentEpoch, Sequence, Token   uint64
+	Tasks                         []*Task
+	Node                          int  // the controller it reports to
+	Partitioned                   bool // no message passes, either way
+	InboundLost                   bool // its reports arrive, answers and commands don't reach it
+	OutboundLost                  bool // its reports reach nobody, while direct commands reach it
+	Hung                          bool // it executes nothing and says nothing, but may go on
+	SpotNoticeS                   *float64
+
+	rentedAt, upAt, terminatedAt time.Time
+	renewedAt                    time.Time // when its last answered report was sent
+	epochStartedAt               time.Time // when the session began
 }
 
 // Task is an attempt on a machine.
@@ -34,7 +34,7 @@
 	uid       string
 	job       *Job
 	index     int
-	try       uint64
+	attempt   uint64
 	phase     string
 	cause     string
 	since     time.Time
@@ -42,8 +42,8 @@
 	saved     bool
 }
 
-// on tells whether the task is on its machine in the sense of the rules.
-func (t *Task) on() bool {
+// isOnMachine tells whether the task is on its machine in the sense of the rules.
+func (t *Task) isOnMachine() bool {
 	return t.phase == api.Running || t.phase == api.Saving || t.phase == api.Gathering
 }
 
@@ -54,17 +54,17 @@
 	if !x.Up() {
 		return
 	}
-	if x.session.IsZero() {
-		x.session = x.w.Now
+	if x.epochStartedAt.IsZero() {
+		x.epochStartedAt = x.w.Now
 	}
-	last := x.session
-	if x.renewed.After(last) {
-		last = x.renewed
+	last := x.epochStartedAt
+	if x.renewedAt.After(last) {
+		last = x.renewedAt
 	}
 	if x.w.Now.Sub(last) > x.w.Lease {
 		x.Tasks = nil
-		x.Session++
-		x.session, x.renewed = x.w.Now, time.Time{}
+		x.AgentEpoch++
+		x.epochStartedAt, x.renewedAt = x.w.Now, time.Time{}
 		return
 	}
 	if x.Hung {
@@ -73,17 +73,17 @@
 	for _, t := range x.Tasks {
 		j := t.job
 		switch {
-		case t.phase == api.Fetching && x.w.Now.Sub(t.since) >= x.w.Flavor.Pull:
+		case t.phase == api.Fetching && x.w.Now.Sub(t.since) >= x.w.MachineType.Fetch:
 			t.phase, t.since = api.Running, x.w.Now
-			if j.Run.Kind == api.Gang {
+			if j.Spec.Kind == api.Gang {
 				t.phase = api.Gathering
 			}
-			x.w.started(x, t)
-		case t.phase == api.Running && j.Run.Kind == api.Array && x.w.Now.Sub(t.since) >= j.RunTime+time.Duration(t.index)*j.Step:
+			x.w.taskStarted(x, t)
+		case t.phase == api.Running && j.Spec.Kind == api.Array && x.w.Now.Sub(t.since) >= j.RunTime+time.Duration(t.index)*j.Step:
 			t.phase, t.cause = api.Ended, api.CauseDone
 			j.Done[t.index] = true
-			if x.w.AtEnd != nil {
-				x.w.AtEnd(t.uid)
+			if x.w.OnTaskDone != nil {
+				x.w.OnTaskDone(t.uid)
 			}
 		case t.phase == api.Saving && !x.w.Now.Before(t.saveUntil):
 			t.phase, t.cause = api.Ended, api.CauseStopped
@@ -91,8 +91,8 @@
 	}
 }
 
-// Present names the job of each task that takes room on the machine.
-func (x *Worker) Present() []string {
+// PresentJobs names the job of each task that takes room on the machine.
+func (x *Worker) PresentJobs() []string {
 	var out []string
 	for _, t := range x.Tasks {
 		if t.phase != api.Ended {
@@ -104,35 +104,35 @@
 
 // Room is what the machine's tasks leave.
 func (x *Worker) Room() (cpus, gpus float64) {
-	cpus, gpus = x.w.Flavor.CPUs, x.w.Flavor.GPUs
+	cpus, gpus = x.w.MachineType.CPUs, x.w.MachineType.GPUs
 	for _, t := range x.Tasks {
 		if t.phase != api.Ended {
-			cpus -= t.job.Run.CPUs
-			gpus -= t.job.Run.GPUs
+			cpus -= t.job.Spec.CPUs
+			gpus -= t.job.Spec.GPUs
 		}
 	}
 	return cpus, gpus
 }
 
-// Report makes a report.
-func (x *Worker) Report() *api.Report {
-	x.Tick++
-	c := &api.Report{
+// Heartbeat makes a report.
+func (x *Worker) Heartbeat() *api.Heartbeat {
+	x.Sequence++
+	c := &api.Heartbeat{
 		Host:        x.Host,
 		Addr:        x.Addr,
-		MachineType: x.Build,
-		Zone:        x.Site,
+		MachineType: x.MachineType,
+		Zone:        x.Zone,
 		Spot:        x.Spot,
-		Session:     x.Session,
-		Sequence:    x.Tick,
+		AgentEpoch:  x.AgentEpoch,
+		Sequence:    x.Sequence,
 		Token:       x.Token,
-		NoticeS:     x.RecallS,
+		SpotNoticeS: x.SpotNoticeS,
 		Tasks:       []api.TaskState{},
 	}
 	for _, t := range x.Tasks {
 		c.Tasks = append(
 			c.Tasks,
-			api.TaskState{Task: api.TaskName(t.uid, t.index), Attempt: t.try, Phase: t.phase, Cause: t.cause, Saved: t.saved},
+			api.TaskState{Task: api.TaskName(t.uid, t.index), Attempt: t.attempt, Phase: t.phase, Cause: t.cause, Saved: t.saved},
 		)
 	}
 	return c
@@ -141,32 +141,32 @@
 // Summary stands for all in a report whose change has the worker report at once.
 func (x *Worker) Summary() string {
 	var b strings.Builder
-	fmt.Fprint(&b, x.Session, x.Token, x.RecallS != nil)
+	fmt.Fprint(&b, x.AgentEpoch, x.Token, x.SpotNoticeS != nil)
 	for _, t := range x.Tasks {
-		fmt.Fprint(&b, " ", t.uid, t.index, t.try, t.phase)
+		fmt.Fprint(&b, " ", t.uid, t.index, t.attempt, t.phase)
 	}
 	return b.String()
 }
 
-// ParseAnswer reads the answer to a report: orders, or which controller to report to.
-func ParseAnswer(body []byte) (o api.Response, steward string, err error) {
+// ParseHeartbeatResponse reads the answer to a report: orders, or which controller to report to.
+func ParseHeartbeatResponse(body []byte) (o api.CommandBatch, leader string, err error) {
 	var a struct {
-		api.Response
+		api.CommandBatch
 		Steward string `json:"steward"`
 	}
 	err = json.Unmarshal(body, &a)
-	return a.Response, a.Steward, err
+	return a.CommandBatch, a.Steward, err
 }
 
-// Answer takes in the answer to a report sent at the given time in the given
+// HandleResponse takes in the answer to a report sent at the given time in the given
 // session.
-func (x *Worker) Answer(o api.Response, sent time.Time, tenure uint64) {
-	if tenure != x.Session || o.Token < x.Token || o.Token == 0 {
+func (x *Worker) HandleResponse(o api.CommandBatch, sent time.Time, agentEpoch uint64) {
+	if agentEpoch != x.AgentEpoch || o.Token < x.Token || o.Token == 0 {
 		return
 	}
 	x.Token = o.Token
-	if sent.After(x.renewed) {
-		x.renewed = sent
+	if sent.After(x.renewedAt) {
+		x.renewedAt = sent
 	}
 	x.execute(o.Commands)
 }
@@ -175,10 +175,10 @@
 	for _, o := range orders {
 		uid, i, ok := api.SplitTaskName(o.Task)
 		if !ok {
-			x.w.Break("orders", "piece %q", o.Task)
+			x.w.Violate("orders", "piece %q", o.Task)
 			continue
 		}
-		at := slices.IndexFunc(x.Tasks, func(t *Task) bool { return t.uid == uid && t.index == i && t.try == o.Attempt })
+		at := slices.IndexFunc(x.Tasks, func(t *Task) bool { return t.uid == uid && t.index == i && t.attempt == o.Attempt })
 		switch o.Action {
 		case api.Launch:
 			if at < 0 {
@@ -189,13 +189,13 @@
 				continue
 			}
 			t, j := x.Tasks[at], x.Tasks[at].job
-			if j.Run.Kind == api.Gang {
-				x.haltMate(t, o.GraceS)
+			if j.Spec.Kind == api.Gang {
+				x.stopGangTask(t, o.GraceS)
 				continue
 			}
-			stow := j.Run.SaveS
-			if t.phase == api.Running && j.Run.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= stow {
-				t.phase, t.saveUntil = api.Saving, x.w.Now.Add(time.Duration(stow*float64(time.Second)))
+			saveTime := j.Spec.SaveS
+			if t.phase == api.Running && j.Spec.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= saveTime {
+				t.phase, t.saveUntil = api.Saving, x.w.Now.Add(time.Duration(saveTime*float64(time.Second)))
 			} else if t.phase != api.Saving || o.GraceS == nil || *o.GraceS == 0 {
 				t.phase, t.cause = api.Ended, api.CauseStopped
 			}
@@ -209,30 +209,30 @@
 
 func (x *Worker) launch(uid string, i int, try uint64) {
 	j := x.w.Jobs[uid]
-	t := &Task{uid: uid, job: j, index: i, try: try, phase: api.Fetching, since: x.w.Now}
+	t := &Task{uid: uid, job: j, index: i, attempt: try, phase: api.Fetching, since: x.w.Now}
 	refuse := func(cause string) { t.phase, t.cause = api.Ended, cause }
-	if j == nil || i >= j.Run.Tasks {
-		x.w.Break("orders", "launch of unknown %s", uid)
+	if j == nil || i >= j.Spec.Tasks {
+		x.w.Violate("orders", "launch of unknown %s", uid)
 		return
 	}
-	if !j.StopTold.IsZero() {
+	if !j.CancelConfirmed.IsZero() {
 		x.w.LateStarts++
 	}
-	if j.Run.Kind == api.Gang {
-		x.w.launchMate(j, i, try)
+	if j.Spec.Kind == api.Gang {
+		x.w.launchGangTask(j, i, try)
 	}
-	free, cpus := x.w.Flavor.GPUs, x.w.Flavor.CPUs
+	free, cpus := x.w.MachineType.GPUs, x.w.MachineType.CPUs
 	for _, o := range x.Tasks {
 		if o.phase == api.Ended {
 			continue
 		}
-		free -= o.job.Run.GPUs
-		cpus -= o.job.Run.CPUs
+		free -= o.job.Spec.GPUs
+		cpus -= o.job.Spec.CPUs
 		if o.uid == uid && o.index == i {
 			refuse(api.CauseBusy)
 		}
 	}
-	if t.phase != api.Ended && (j.Run.GPUs > free+1e-6 || j.Run.CPUs > cpus+1e-6) {
+	if t.phase != api.Ended && (j.Spec.GPUs > free+1e-6 || j.Spec.CPUs > cpus+1e-6) {
 		refuse(api.CauseNoRoom)
 	}
 	x.Tasks = append(x.Tasks, t)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -14,67 +14,67 @@
 	"violetturn/internal/api"
 )
 
-// Flavor is the one machine type of the world.
-type Flavor struct {
-	Label             string
+// MachineType is the one machine type of the world.
+type MachineType struct {
+	Name              string
 	CPUs, GPUs, MemGB float64
 	Boot              time.Duration
-	Pull              time.Duration // of any image
+	Fetch             time.Duration // of any image
 }
 
 // World is everything outside the controllers.
 type World struct {
-	Now     time.Time
-	Flavor  Flavor
-	Zones   []string
-	Lease   time.Duration
-	CancelS time.Duration
+	Now         time.Time
+	MachineType MachineType
+	Zones       []string
+	Lease       time.Duration
+	CancelS     time.Duration
 
 	GangWait, GangPeer time.Duration
-	Limits             map[string]float64 // accelerators of a team's tasks at most
-	Lag                time.Duration      // of the cloud's list
+	TeamGPULimits      map[string]float64 // accelerators of a team's tasks at most
+	ListLag            time.Duration      // of the cloud's list
 
-	Store  *Store
-	Cloud  *Cloud
-	Jobs   map[string]*Job
-	Broken []string // rules broken
+	Store      *Store
+	Cloud      *Cloud
+	Jobs       map[string]*Job
+	Violations []string // rules broken
 
-	LateStarts int                         // tasks that began to fetch after their user was told that the job is cancelled
-	AtEnd      func(uid string)            // hears of each task of a job that completes, at that moment
-	AtStart    func(x *Worker, uid string) // hears of each task that starts, at that moment
+	LateStarts    int                         // tasks that began to fetch after their user was told that the job is cancelled
+	OnTaskDone    func(uid string)            // hears of each task of a job that completes, at that moment
+	OnTaskStarted func(x *Worker, uid string) // hears of each task that starts, at that moment
 }
 
 // Job is a job as its user sees it.
 type Job struct {
-	Run       api.Job
-	RunTime   time.Duration // of a task
-	Step      time.Duration // by how much longer each next task runs
-	Told      bool          // a user was told that it is accepted
-	Phase     string        // last phase told, if it was done or withdrawn
-	AskedStop bool          // a user asked for its cancellation
-	StopTold  time.Time     // when its user was told that it is cancelled
-	Done      map[int]bool
-	gang      gang
+	Spec            api.Job
+	RunTime         time.Duration // of a task
+	Step            time.Duration // by how much longer each next task runs
+	Accepted        bool          // a user was told that it is accepted
+	FinalPhase      string        // last phase told, if it was done or withdrawn
+	CancelRequested bool          // a user asked for its cancellation
+	CancelConfirmed time.Time     // when its user was told that it is cancelled
+	Done            map[int]bool
+	gang            gangProgress
 }
 
 // New makes a world.
 func New(start time.Time) *World {
-	w := &World{Now: start, Jobs: map[string]*Job{}, Limits: map[string]float64{}}
+	w := &World{Now: start, Jobs: map[string]*Job{}, TeamGPULimits: map[string]float64{}}
 	w.Store = &Store{
-		w:      w,
-		keys:   map[string]item{},
-		holds:  map[uint64]*hold{},
-		Refuse: map[string]bool{},
-		Cut:    map[string]bool{},
-		Next:   map[string]Fault{},
+		w:           w,
+		keys:        map[string]storedValue{},
+		leases:      map[uint64]*lease{},
+		Refuse:      map[string]bool{},
+		Unreachable: map[string]bool{},
+		Next:        map[string]Fault{},
 	}
-	w.Cloud = &Cloud{w: w, Hosts: map[string]*Worker{}, hires: map[string][]string{}, Next: map[string]Fault{}, Cut: map[string]bool{}}
+	w.Cloud = &Cloud{w: w, Hosts: map[string]*Worker{}, rentals: map[string][]string{}, Next: map[string]Fault{}, Unreachable: map[string]bool{}}
 	return w
 }
 
-// Break notes a broken rule.
-func (w *World) Break(rule, format string, args ...any) {
-	w.Broken = append(w.Broken, fmt.Sprintf("%s at %s: ", rule, w.Now.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
+// Violate notes a broken rule.
+func (w *World) Violate(rule, format string, args ...any) {
+	w.Violations = append(w.Violations, fmt.Sprintf("%s at %s: ", rule, w.Now.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 }
 
 // Advance moves the clock, in steps small enough for every timer.
@@ -95,87 +95,87 @@
 func (w *World) checkCancelled() {
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
-			if told := t.job.StopTold; !told.IsZero() && w.Now.Sub(told) > w.CancelS && t.on() {
-				w.Break("ran_cancelled", "%s is on %s", api.TaskName(t.uid, t.index), x.Host)
+			if told := t.job.CancelConfirmed; !told.IsZero() && w.Now.Sub(told) > w.CancelS && t.isOnMachine() {
+				w.Violate("ran_cancelled", "%s is on %s", api.TaskName(t.uid, t.index), x.Host)
 			}
 		}
 	}
 }
 
-// started checks the rules at the moment when a task has its image.
-func (w *World) started(x *Worker, t *Task) {
+// taskStarted checks the rules at the moment when a task has its image.
+func (w *World) taskStarted(x *Worker, t *Task) {
 	j := t.job
 	name := api.TaskName(t.uid, t.index)
-	r := &j.Run
-	if w.AtStart != nil {
-		w.AtStart(x, t.uid)
+	r := &j.Spec
+	if w.OnTaskStarted != nil {
+		w.OnTaskStarted(x, t.uid)
 	}
 	used := 0.0
 	zones := map[string]int{}
 	for _, h := range w.Cloud.Workers() {
 		for _, o := range h.Tasks {
-			if !o.on() {
+			if !o.isOnMachine() {
 				continue
 			}
-			if o.job.Run.Team == r.Team {
-				used += o.job.Run.GPUs
+			if o.job.Spec.Team == r.Team {
+				used += o.job.Spec.GPUs
 			}
 			if o.uid == t.uid && o != t {
-				zones[h.Site]++
+				zones[h.Zone]++
 			}
 			if o.uid == t.uid && o.index == t.index && h != x {
-				w.Break("ran_twice", "%s starts on %s while on %s", name, x.Host, h.Host)
+				w.Violate("ran_twice", "%s starts on %s while on %s", name, x.Host, h.Host)
 			}
 		}
 	}
-	if lim := w.Limits[r.Team]; lim > 0 && used > lim+1e-6 {
-		w.Break("quota", "%s uses %g of %g", r.Team, used, lim)
+	if lim := w.TeamGPULimits[r.Team]; lim > 0 && used > lim+1e-6 {
+		w.Violate("quota", "%s uses %g of %g", r.Team, used, lim)
 	}
-	if r.Zone != "" && r.Zone != x.Site || x.Spot && !r.Spot || r.MachineTypes != nil && !slices.Contains(r.MachineTypes, x.Build) {
-		w.Break("wrong_place", "%s on %s", name, x.Host)
+	if r.Zone != "" && r.Zone != x.Zone || x.Spot && !r.Spot || r.MachineTypes != nil && !slices.Contains(r.MachineTypes, x.MachineType) {
+		w.Violate("wrong_place", "%s on %s", name, x.Host)
 	}
-	if r.Spread && zones[x.Site]+1 > int(math.Ceil(float64(r.Tasks)/2)) {
-		w.Break("wrong_place", "%s is the %d. in %s of %d", name, zones[x.Site]+1, x.Site, r.Tasks)
+	if r.Spread && zones[x.Zone]+1 > int(math.Ceil(float64(r.Tasks)/2)) {
+		w.Violate("wrong_place", "%s is the %d. in %s of %d", name, zones[x.Zone]+1, x.Zone, r.Tasks)
 	}
 	if r.Together {
 		for z := range zones {
-			if z != x.Site {
-				w.Break("wrong_place", "%s in %s, others in %s", name, x.Site, z)
+			if z != x.Zone {
+				w.Violate("wrong_place", "%s in %s, others in %s", name, x.Zone, z)
 			}
 		}
 	}
 }
 
-// Told checks what a user was told of a job; status is that of the answer.
-func (w *World) Told(uid string, status int, phase string, submission bool) {
+// CheckAnswer checks what a user was told of a job; status is that of the answer.
+func (w *World) CheckAnswer(uid string, status int, phase string, submission bool) {
 	j := w.Jobs[uid]
 	if status == 200 || status == 201 {
 		if j == nil {
-			w.Break("invented", "%s is %s", uid, phase)
+			w.Violate("invented", "%s is %s", uid, phase)
 			return
 		}
-		if j.Phase != "" && phase != j.Phase {
-			w.Break("went_back", "%s was %s and is %s", uid, j.Phase, phase)
+		if j.FinalPhase != "" && phase != j.FinalPhase {
+			w.Violate("went_back", "%s was %s and is %s", uid, j.FinalPhase, phase)
 		}
 		switch phase {
 		case api.Done:
-			if len(j.Done) < j.Run.Tasks {
-				w.Break("not_done", "%s with %d of %d tasks done", uid, len(j.Done), j.Run.Tasks)
+			if len(j.Done) < j.Spec.Tasks {
+				w.Violate("not_done", "%s with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
 			}
-			j.Phase = phase
+			j.FinalPhase = phase
 		case api.Cancelled:
-			if !j.AskedStop {
-				w.Break("went_back", "%s is cancelled without its user", uid)
+			if !j.CancelRequested {
+				w.Violate("went_back", "%s is cancelled without its user", uid)
 			}
-			if j.StopTold.IsZero() {
-				j.StopTold = w.Now
+			if j.CancelConfirmed.IsZero() {
+				j.CancelConfirmed = w.Now
 			}
-			j.Phase = phase
+			j.FinalPhase = phase
 		}
-		j.Told = true
+		j.Accepted = true
 		return
 	}
-	if j != nil && j.Told && (status == 404 || submission && (status == 400 || status == 422)) {
-		w.Break("forgotten", "%s answered %d", uid, status)
+	if j != nil && j.Accepted && (status == 404 || submission && (status == 400 || status == 422)) {
+		w.Violate("forgotten", "%s answered %d", uid, status)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,8 +45,8 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Guard is a condition of a transaction.
-type Guard struct {
+// Precondition is a condition of a transaction.
+type Precondition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
@@ -61,8 +61,8 @@
 
 // Txn is a transaction.
 type Txn struct {
-	Guards []Guard `json:"guards"`
-	Ops    []Op    `json:"then"`
+	Preconditions []Precondition `json:"guards"`
+	Ops           []Op           `json:"then"`
 }
 
 // Priority says how a request stands under load: the lower, the sooner.
@@ -71,62 +71,62 @@
 // Ranks of requests: holds, then gangs, all tasks of which wait for one change, then what
 // else reports and decisions need, then submissions.
 const (
-	Hold Priority = iota
-	Gang
-	Decision
-	Submission
+	PriorityLease Priority = iota
+	PriorityGang
+	PriorityDecision
+	PrioritySubmission
 )
 
-// reserve is the share of the budget that a rank leaves to those above it.
-var reserve = [...]float64{0, 0.05, 0.1, 0.15}
+// reservedShares is the share of the budget that a rank leaves to those above it.
+var reservedShares = [...]float64{0, 0.05, 0.1, 0.15}
 
-// Keep has the ranks below gangs leave as many changes besides.
-func (c *Client) Keep(changes float64) {
+// ReserveForGangs has the ranks below gangs leave as many changes besides.
+func (c *Client) ReserveForGangs(changes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept = changes
+	c.gangReserve = changes
 }
 
-// leave is the share of the changes that a rank leaves.
-func (c *Client) leave(r Priority) float64 {
-	if r <= Gang {
-		return reserve[r]
+// reservedShare is the share of the changes that a rank leaves.
+func (c *Client) reservedShare(r Priority) float64 {
+	if r <= PriorityGang {
+		return reservedShares[r]
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(reserve[r]+c.kept/c.writes.Burst(), 0.5)
+	return min(reservedShares[r]+c.gangReserve/c.writes.Burst(), 0.5)
 }
 
 // Client talks to the state service within the controller's share of its rates.
 type Client struct {
-	http     *transport.Client
-	addr     string
-	deadline time.Duration
-	mu       sync.Mutex // of those down to refusals
-	limits   Limits     // as far as is known
-	next     Limits     // what they become at some moment, or are
-	among    int
-	kept     float64     // changes that lower ranks leave to gangs
-	refusals []time.Time // of changes, the last ones
-	reqs     *transport.Budget
-	writes   *transport.Budget
-	onAnswer func(ok bool)
+	http          *transport.Client
+	addr          string
+	deadline      time.Duration
+	mu            sync.Mutex // of those down to refusals
+	limits        Limits     // as far as is known
+	next          Limits     // what they become at some moment, or are
+	controllers   int
+	gangReserve   float64     // changes that lower ranks leave to gangs
+	writeRefusals []time.Time // of changes, the last ones
+	requests      *transport.TokenBucket
+	writes        *transport.TokenBucket
+	onAnswer      func(ok bool)
 }
 
 // New makes a client of one of so many controllers. deadline bounds an ordinary
 // request. The limits become next at some moment, which shows in refusals. onAnswer
 // hears of each request whether the service served it.
 func New(h *transport.Client, addr string, deadline time.Duration, limits, next Limits, controllers int, onAnswer func(ok bool)) *Client {
-	c := &Client{http: h, addr: addr, deadline: deadline, limits: limits, next: next, among: controllers, onAnswer: onAnswer}
-	r, w, burst := c.share(controllers)
-	c.reqs, c.writes = transport.NewBudget(r, r), transport.NewBudget(w, burst)
+	c := &Client{http: h, addr: addr, deadline: deadline, limits: limits, next: next, controllers: controllers, onAnswer: onAnswer}
+	r, w, burst := c.rateShare(controllers)
+	c.requests, c.writes = transport.NewTokenBucket(r, r), transport.NewTokenBucket(w, burst)
 	return c
 }
 
 // Used tells how many requests and writes were sent in all.
-func (c *Client) Used() (reqs, writes float64) { return c.reqs.Used(), c.writes.Used() }
+func (c *Client) Used() (reqs, writes float64) { return c.requests.Used(), c.writes.Used() }
 
-func wait(ctx context.Context, b *transport.Budget, n, leave float64, until time.Time) error {
+func waitForTokens(ctx context.Context, b *transport.TokenBucket, n, leave float64, until time.Time) error {
 	for {
 		d, ok := b.Take(time.Now(), n, leave)
 		if ok {
@@ -143,21 +143,21 @@
 	}
 }
 
-// Ready waits until some changes can be sent, n at best, and tells how many. What
+// AwaitWrites waits until some changes can be sent, n at best, and tells how many. What
 // is put together only then rests on what is newest when it is sent: a
 // transaction that first waits for its budget is overtaken by others meanwhile.
-func (c *Client) Ready(ctx context.Context, n int, r Priority) int {
+func (c *Client) AwaitWrites(ctx context.Context, n int, r Priority) int {
 	until := time.Now().Add(c.deadline)
-	leave := c.leave(r)
+	leave := c.reservedShare(r)
 	n = min(n, int(c.writes.Burst()*(1-leave)))
 	for {
 		now := time.Now()
-		have := int(c.writes.Has(now, leave))
+		have := int(c.writes.Available(now, leave))
 		if have >= n || now.After(until) {
 			return have
 		}
 		select {
-		case <-time.After(c.writes.In(float64(n - have))):
+		case <-time.After(c.writes.TimeToRefill(float64(n - have))):
 		case <-ctx.Done():
 			return 0
 		}
@@ -169,11 +169,11 @@
 ) (*httpwire.Message, error) {
 	until := time.Now().Add(c.deadline)
 	if writes > 0 {
-		if err := wait(ctx, c.writes, float64(writes), c.leave(r), until); err != nil {
+		if err := waitForTokens(ctx, c.writes, float64(writes), c.reservedShare(r), until); err != nil {
 			return nil, err
 		}
 	}
-	if err := wait(ctx, c.reqs, 1, reserve[r], until); err != nil {
+	if err := waitForTokens(ctx, c.requests, 1, reservedShares[r], until); err != nil {
 		return nil, err
 	}
 	var b []byte
@@ -198,7 +198,7 @@
 	c.onAnswer(m.Status != 503)
 	if m.Status == 429 && writes > 0 {
 		c.writes.Drain() // several controllers spent what they had saved at once
-		c.refused(time.Now())
+		c.noteRefusal(time.Now())
 	}
 	if m.Status == 503 || m.Status == 429 {
 		return nil, ErrRefused
@@ -230,14 +230,14 @@
 
 // List reads all keys with a prefix. The pages are of different revisions;
 // epoch is that of the first, from which a watch misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) (items []Item, epoch uint64, err error) {
+func (c *Client) List(ctx context.Context, prefix string) (items []Item, revision uint64, err error) {
 	since := ""
 	for first := true; ; first = false {
 		q := "/keys?prefix=" + url.QueryEscape(prefix) + "&limit=1000"
 		if since != "" {
 			q += "&since=" + url.QueryEscape(since)
 		}
-		m, err := c.do(ctx, "GET", q, nil, 0, Decision, 0)
+		m, err := c.do(ctx, "GET", q, nil, 0, PriorityDecision, 0)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -250,11 +250,11 @@
 			return nil, 0, err
 		}
 		if first {
-			epoch = page.Epoch
+			revision = page.Epoch
 		}
 		items = append(items, page.Rows...)
 		if !page.Truncated || len(page.Rows) == 0 {
-			return items, epoch, nil
+			return items, revision, nil
 		}
 		since = page.Rows[len(page.Rows)-1].Key
 	}
@@ -263,7 +263,7 @@
 // Changes waits up to block for changes after a revision.
 func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]Change, uint64, error) {
 	q := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, block.Milliseconds())
-	m, err := c.do(ctx, "GET", q, nil, 0, Decision, block)
+	m, err := c.do(ctx, "GET", q, nil, 0, PriorityDecision, block)
 	if errors.Is(err, httpwire.ErrTooLarge) {
 		// After a minute without the service a large fleet's changes can be more than a
 		// controller may hold. Asked for again they would only have grown; all records
@@ -285,7 +285,7 @@
 
 // Multi commits a transaction. ok is false, with the keys that differed, when
 // its guards did not hold.
-func (c *Client) Multi(ctx context.Context, t *Txn, r Priority) (epoch uint64, ok bool, failed []string, err error) {
+func (c *Client) Multi(ctx context.Context, t *Txn, r Priority) (revision uint64, ok bool, failed []string, err error) {
 	m, err := c.do(ctx, "POST", "/multi", t, len(t.Ops), r, 0)
 	if err != nil {
 		return 0, false, nil, err
@@ -314,7 +314,7 @@
 
 // GrantLease makes a lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	m, err := c.do(ctx, "POST", "/holds", map[string]int64{"ttlMs": ttl.Milliseconds()}, 0, Hold, 0)
+	m, err := c.do(ctx, "POST", "/holds", map[string]int64{"ttlMs": ttl.Milliseconds()}, 0, PriorityLease, 0)
 	if err != nil {
 		return 0, err
 	}
@@ -325,8 +325,8 @@
 }
 
 // RenewLease renews a hold.
-func (c *Client) RenewLease(ctx context.Context, permit uint64) error {
-	m, err := c.do(ctx, "POST", "/holds/"+strconv.FormatUint(permit, 10)+"/touch", struct{}{}, 0, Hold, 0)
+func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
+	m, err := c.do(ctx, "POST", "/holds/"+strconv.FormatUint(leaseID, 10)+"/touch", struct{}{}, 0, PriorityLease, 0)
 	if err != nil {
 		return err
 	}
@@ -340,7 +340,7 @@
 }
 
 // RevokeLease ends a lease at once.
-func (c *Client) RevokeLease(ctx context.Context, permit uint64) error {
-	_, err := c.do(ctx, "DELETE", "/holds/"+strconv.FormatUint(permit, 10), nil, 0, Hold, 0)
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
+	_, err := c.do(ctx, "DELETE", "/holds/"+strconv.FormatUint(leaseID, 10), nil, 0, PriorityLease, 0)
 	return err
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -32,7 +32,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(addr) }()
 	select {
-	case <-s.Booted():
+	case <-s.Listening():
 	case err := <-ended:
 		t.Fatal(err)
 	}
@@ -48,20 +48,20 @@
 	}
 
 	set("/keys/a/b", 200, `{"k":"a/b","v":{"x":1},"stamp":412,"permit":7}`)
-	if it, ok, err := c.Get(ctx, "a/b", Decision); err != nil || !ok || it.Version != 412 || string(it.Value) != `{"x":1}` {
+	if it, ok, err := c.Get(ctx, "a/b", PriorityDecision); err != nil || !ok || it.Version != 412 || string(it.Value) != `{"x":1}` {
 		t.Error(it, ok, err)
 	}
 	set("/keys/a/c", 404, `{"epoch":431}`)
-	if _, ok, err := c.Get(ctx, "a/c", Decision); ok || err != nil {
+	if _, ok, err := c.Get(ctx, "a/c", PriorityDecision); ok || err != nil {
 		t.Error(ok, err)
 	}
 	set("/keys", 200, `{"rows":[{"k":"c/1","v":1,"stamp":2}],"truncated":false,"epoch":431}`)
-	if l, epoch, err := c.List(ctx, "c/"); err != nil || epoch != 431 || len(l) != 1 {
-		t.Error(l, epoch, err)
+	if l, revision, err := c.List(ctx, "c/"); err != nil || revision != 431 || len(l) != 1 {
+		t.Error(l, revision, err)
 	}
 	set("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
-	if l, epoch, err := c.Changes(ctx, "c/", 431, 2*time.Second); err != nil || epoch != 433 || len(l) != 2 || l[1].Drop != "c/d" {
-		t.Error(l, epoch, err)
+	if l, revision, err := c.Changes(ctx, "c/", 431, 2*time.Second); err != nil || revision != 433 || len(l) != 2 || l[1].Drop != "c/d" {
+		t.Error(l, revision, err)
 	}
 	set("/changes", 410, `{}`)
 	if _, _, err := c.Changes(ctx, "c/", 1, 0); !errors.Is(err, ErrTooOld) {
@@ -80,22 +80,22 @@
 	if err := c.RenewLease(ctx, 7); !errors.Is(err, ErrNoLease) {
 		t.Error(err)
 	}
-	permit := uint64(7)
-	txn := &Txn{Guards: []Guard{{"a/b", 0}}, Ops: []Op{{Write: "a/b", Value: []byte(`{}`), Lease: &permit}, {Drop: "c/d"}}}
+	leaseID := uint64(7)
+	txn := &Txn{Preconditions: []Precondition{{"a/b", 0}}, Ops: []Op{{Write: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {Drop: "c/d"}}}
 	set("/multi", 200, `{"epoch":432}`)
-	if epoch, ok, _, err := c.Multi(ctx, txn, Decision); err != nil || !ok || epoch != 432 {
-		t.Error(epoch, ok, err)
+	if revision, ok, _, err := c.Multi(ctx, txn, PriorityDecision); err != nil || !ok || revision != 432 {
+		t.Error(revision, ok, err)
 	}
 	set("/multi", 409, `{"failed":["a/b"],"epoch":431}`)
-	if _, ok, failed, err := c.Multi(ctx, txn, Decision); err != nil || ok || cmp.Diff(failed, []string{"a/b"}) != "" {
+	if _, ok, failed, err := c.Multi(ctx, txn, PriorityDecision); err != nil || ok || cmp.Diff(failed, []string{"a/b"}) != "" {
 		t.Error(ok, failed, err)
 	}
 	set("/multi", 400, `{"error":"no such lease"}`)
-	if _, _, _, err := c.Multi(ctx, txn, Decision); !errors.Is(err, ErrNoLease) || !served {
+	if _, _, _, err := c.Multi(ctx, txn, PriorityDecision); !errors.Is(err, ErrNoLease) || !served {
 		t.Error(err)
 	}
 	set("/multi", 400, `{"error":"too many changes"}`)
-	if _, _, _, err := c.Multi(ctx, txn, Decision); !errors.Is(err, ErrTooLarge) {
+	if _, _, _, err := c.Multi(ctx, txn, PriorityDecision); !errors.Is(err, ErrTooLarge) {
 		t.Error(err)
 	}
 	for _, status := range []int{503, 429, 429, 429} {
@@ -103,7 +103,7 @@
 			t.Error("slows down before it is refused several times")
 		}
 		set("/multi", status, `{}`)
-		if _, _, _, err := c.Multi(ctx, txn, Decision); !errors.Is(err, ErrRefused) || served != (status == 429) {
+		if _, _, _, err := c.Multi(ctx, txn, PriorityDecision); !errors.Is(err, ErrRefused) || served != (status == 429) {
 			t.Error(status, err, served)
 		}
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -117,7 +117,7 @@
 	return true
 }
 
-func (c *Client) get(ctx context.Context, addr string) (*clientConn, error) {
+func (c *Client) connection(ctx context.Context, addr string) (*clientConn, error) {
 	c.mu.Lock()
 	for l := c.idle[addr]; len(l) > 0; l = c.idle[addr] {
 		cc := l[len(l)-1]
@@ -152,9 +152,9 @@
 	return c.do(ctx, addr, method, target, body, deadline, true)
 }
 
-// Once does the same over a connection that is closed afterwards: for addresses
+// DoOnce does the same over a connection that is closed afterwards: for addresses
 // of which there are more than sockets to keep.
-func (c *Client) Once(ctx context.Context, addr, method, target string, body []byte, deadline time.Duration) (*httpwire.Message, error) {
+func (c *Client) DoOnce(ctx context.Context, addr, method, target string, body []byte, deadline time.Duration) (*httpwire.Message, error) {
 	return c.do(ctx, addr, method, target, body, deadline, false)
 }
 
@@ -163,7 +163,7 @@
 ) (*httpwire.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
-	cc, err := c.get(ctx, addr)
+	cc, err := c.connection(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -36,9 +36,9 @@
 	maxConns int
 	idle     time.Duration
 
-	mu     sync.Mutex
-	engine gnet.Engine
-	booted chan struct{}
+	mu        sync.Mutex
+	engine    gnet.Engine
+	listening chan struct{}
 
 	conns list.List // of *serverConn, those that were idle longest first; only the event loop touches it
 }
@@ -54,7 +54,7 @@
 // connections that say nothing cost; those to machines that were cut off never
 // end by themselves.
 func NewServer(h Handler, lim httpwire.Limits, maxConns int, idle time.Duration) *Server {
-	return &Server{handler: h, limits: lim, maxConns: maxConns, idle: idle, booted: make(chan struct{})}
+	return &Server{handler: h, limits: lim, maxConns: maxConns, idle: idle, listening: make(chan struct{})}
 }
 
 type serverConn struct {
@@ -71,13 +71,13 @@
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(16<<10), gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.ErrorLevel))
 }
 
-// Booted is closed once the server listens.
-func (s *Server) Booted() <-chan struct{} { return s.booted }
+// Listening is closed once the server listens.
+func (s *Server) Listening() <-chan struct{} { return s.listening }
 
 // Stop ends the server if it has started.
 func (s *Server) Stop(ctx context.Context) error {
 	select {
-	case <-s.booted:
+	case <-s.listening:
 	default:
 		return nil
 	}
@@ -92,14 +92,14 @@
 	s.mu.Lock()
 	s.engine = e
 	s.mu.Unlock()
-	close(s.booted)
+	close(s.listening)
 	return gnet.None
 }
 
 // OnOpen implements gnet.EventHandler.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	now := time.Now()
-	s.sweep(now)
+	s.closeIdle(now)
 	if s.conns.Len() >= s.maxConns && !s.evict() {
 		return nil, gnet.Close
 	}
@@ -109,8 +109,8 @@
 	return nil, gnet.None
 }
 
-// sweep closes the connections that were idle for too long.
-func (s *Server) sweep(now time.Time) {
+// closeIdle closes the connections that were idle for too long.
+func (s *Server) closeIdle(now time.Time) {
 	for e := s.conns.Front(); e != nil && now.Sub(e.Value.(*serverConn).last) > s.idle; e = s.conns.Front() {
 		s.drop(e.Value.(*serverConn))
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -10,7 +10,7 @@
 	"violetturn/internal/httpwire"
 )
 
-func start(t *testing.T, h Handler, idle time.Duration) string {
+func startServer(t *testing.T, h Handler, idle time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(addr) }()
 	select {
-	case <-s.booted:
+	case <-s.listening:
 	case err := <-ended:
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 
 // Requests that are answered at once and later, kept connections, refused ones.
 func TestServerAndClient(t *testing.T) {
-	addr := start(t, func(req *httpwire.Message, later func(Response)) (Response, bool) {
+	addr := startServer(t, func(req *httpwire.Message, later func(Response)) (Response, bool) {
 		r := Response{Status: 200, Body: append([]byte(req.Method+" "+req.Target+" "), req.Body...)}
 		if req.Target == "/later" {
 			go later(r)
@@ -110,9 +110,9 @@
 	}
 }
 
-func TestBudgetKeepsReserve(t *testing.T) {
+func TestTokenBucketKeepsReserve(t *testing.T) {
 	now := time.Unix(0, 0)
-	b := NewBudget(10, 10)
+	b := NewTokenBucket(10, 10)
 	for range 7 {
 		if _, ok := b.Take(now, 1, 0.3); !ok {
 			t.Fatal("refused within the budget")
@@ -134,8 +134,8 @@
 	}
 }
 
-// hold opens a connection that says nothing, or only half a request.
-func hold(t *testing.T, addr, half string) net.Conn {
+// openSilentConnection opens a connection that says nothing, or only half a request.
+func openSilentConnection(t *testing.T, addr, half string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -148,11 +148,11 @@
 	return c
 }
 
-// ask sends one request and tells whether it was answered and whether the
+// sendRequest sends one request and tells whether it was answered and whether the
 // connection is closed with it.
-func ask(t *testing.T, addr string) (answered, closed bool) {
+func sendRequest(t *testing.T, addr string) (answered, closed bool) {
 	t.Helper()
-	c := hold(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
+	c := openSilentConnection(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
 	p := httpwire.NewParser(true, httpwire.ResponseLimits)
 	b := make([]byte, 4096)
 	for {
@@ -171,16 +171,16 @@
 
 // The last controller left gets the workers of all: whoever asks is answered,
 // however many hold connections that they don't use or never finish a request.
-func TestIdleConnectionsStarveNobody(t *testing.T) {
-	addr := start(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, time.Hour)
-	if ok, closed := ask(t, addr); !ok || closed {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, time.Hour)
+	if ok, closed := sendRequest(t, addr); !ok || closed {
 		t.Fatalf("with room: answered %t, closed %t", ok, closed)
 	}
 	for i := range 40 { // the server holds 10
-		hold(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
+		openSilentConnection(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
 	}
 	for range 20 {
-		if ok, closed := ask(t, addr); !ok || !closed {
+		if ok, closed := sendRequest(t, addr); !ok || !closed {
 			t.Fatalf("crowded: answered %t, closed %t", ok, closed)
 		}
 	}
@@ -188,32 +188,32 @@
 
 // What is idle for long goes: a connection to a machine that was cut off never
 // ends by itself.
-func TestIdleConnectionsEnd(t *testing.T) {
-	addr := start(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, 0)
-	c := hold(t, addr, "")
-	ask(t, addr)
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, 0)
+	c := openSilentConnection(t, addr, "")
+	sendRequest(t, addr)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Fatal("kept")
 	}
 }
 
 // A budget that is set anew keeps what was saved up, within the new burst.
-func TestBudgetSet(t *testing.T) {
+func TestTokenBucketSetRate(t *testing.T) {
 	now := time.Unix(0, 0)
-	b := NewBudget(10, 10)
+	b := NewTokenBucket(10, 10)
 	if _, ok := b.Take(now, 8, 0); !ok {
 		t.Fatal("refused within the budget")
 	}
-	b.Set(now, 30, 30)
-	if n := b.Has(now, 0); n != 2 {
+	b.SetRate(now, 30, 30)
+	if n := b.Available(now, 0); n != 2 {
 		t.Fatalf("%v of 2 are left", n)
 	}
 	now = now.Add(time.Second / 2)
-	if n := b.Has(now, 0); n != 17 {
+	if n := b.Available(now, 0); n != 17 {
 		t.Fatalf("%v after half a second at 30 a second", n)
 	}
-	b.Set(now, 10, 10)
-	if n := b.Has(now, 0); n != 10 {
+	b.SetRate(now, 10, 10)
+	if n := b.Available(now, 0); n != 10 {
 		t.Fatalf("%v in a burst of 10", n)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -24,21 +24,21 @@
 	return &Client{http: h, deadline: deadline}
 }
 
-// Show asks a worker for its report.
-func (c *Client) Show(ctx context.Context, addr string) (*api.Report, error) {
-	m, err := c.http.Once(ctx, addr, "GET", "/show", nil, c.deadline)
+// Status asks a worker for its report.
+func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
+	m, err := c.http.DoOnce(ctx, addr, "GET", "/show", nil, c.deadline)
 	if err != nil {
 		return nil, err
 	}
 	if m.Status != 200 {
 		return nil, fmt.Errorf("worker: status %d", m.Status)
 	}
-	return api.ParseReport(m.Body)
+	return api.ParseHeartbeat(m.Body)
 }
 
-// Command sends orders under a baton and session. It gives the worker's report
+// SendCommands sends orders under a baton and session. It gives the worker's report
 // and whether the orders were executed.
-func (c *Client) Command(ctx context.Context, addr string, o api.Response) (*api.Report, bool, error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, x := range o.Commands {
 		if x.Action == api.Launch {
 			return nil, false, fmt.Errorf("launch %s: never sent directly", x.Task)
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("worker command: %w", err)
 	}
-	m, err := c.http.Once(ctx, addr, "POST", "/commands", b, c.deadline)
+	m, err := c.http.DoOnce(ctx, addr, "POST", "/commands", b, c.deadline)
 	if err != nil {
 		return nil, false, err
 	}
 	if m.Status != 200 && m.Status != 409 {
 		return nil, false, fmt.Errorf("worker: status %d", m.Status)
 	}
-	r, err := api.ParseReport(m.Body)
+	r, err := api.ParseHeartbeat(m.Body)
 	return r, m.Status == 200, err
 }
--- a/internal/zonehealth/zonehealth.go
+++ b/internal/zonehealth/zonehealth.go
@@ -35,8 +35,8 @@
 	Tasks int        `json:"n"`
 }
 
-// Sight is what the owner of a part sees of its machines in the zone.
-type Sight struct {
+// Observation is what the owner of a part sees of its machines in the zone.
+type Observation struct {
 	Up      int      `json:"u"`
 	Lost    int      `json:"x"`
 	Unclear int      `json:"c,omitempty"` // not heard of yet by a new owner
@@ -45,12 +45,12 @@
 }
 
 // Equal tells whether two sights say the same.
-func (s Sight) Equal(o Sight) bool {
+func (s Observation) Equal(o Observation) bool {
 	return s.Up == o.Up && s.Lost == o.Lost && s.Unclear == o.Unclear && s.Refused == o.Refused && slices.Equal(s.Waiting, o.Waiting)
 }
 
 // LostShare is the share of the machines that are lost.
-func (s Sight) LostShare() float64 {
+func (s Observation) LostShare() float64 {
 	if s.Lost == 0 {
 		return 0
 	}
@@ -58,19 +58,19 @@
 }
 
 // Empty tells whether the part has no machines in the zone that say anything.
-func (s Sight) Empty() bool { return s.Up+s.Lost+s.Unclear == 0 && len(s.Waiting) == 0 }
+func (s Observation) Empty() bool { return s.Up+s.Lost+s.Unclear == 0 && len(s.Waiting) == 0 }
 
 // Record is a zone's record. The zero record is that of a healthy zone that nobody has
 // seen anything of.
 type Record struct {
-	State    State            `json:"s"`
-	Number   uint64           `json:"n"`           // rises whenever the zone goes down or comes back
-	SinceMS  int64            `json:"at"`          // time of day when the state began
-	FailedMS int64            `json:"f,omitempty"` // when it went down last
-	Start    float64          `json:"w,omitempty"` // share of the zone that lower work may take at first
-	Before   int              `json:"b,omitempty"` // machines there were when it went down
-	Mark     int              `json:"m,omitempty"` // while down the fewest, while recovering the most that were up
-	Sights   map[string]Sight `json:"p,omitempty"` // by part
+	State          State                  `json:"s"`
+	Transitions    uint64                 `json:"n"`           // rises whenever the zone goes down or comes back
+	SinceMS        int64                  `json:"at"`          // time of day when the state began
+	FailedMS       int64                  `json:"f,omitempty"` // when it went down last
+	SlowStartShare float64                `json:"w,omitempty"` // share of the zone that lower work may take at first
+	MachinesBefore int                    `json:"b,omitempty"` // machines there were when it went down
+	Watermark      int                    `json:"m,omitempty"` // while down the fewest, while recovering the most that were up
+	Observations   map[string]Observation `json:"p,omitempty"` // by part
 }
 
 // Limits are the bounds between the states.
@@ -82,22 +82,22 @@
 	Longest                 time.Duration // that Down and Recovering last
 }
 
-// fewMachines is how many machines a zone must have to be judged: one or two are as likely
+// minMachines is how many machines a zone must have to be judged: one or two are as likely
 // lost by themselves.
-const fewMachines = 3
+const minMachines = 3
 
-// hurry is by how much sooner the share of a slow start doubles while nearly all machines are
+// fastStartFactor is by how much sooner the share of a slow start doubles while nearly all machines are
 // back and no production work waits for the others.
-const hurry = 4
+const fastStartFactor = 4
 
 // returnShare is the share of the machines there were before that have to be back for a
 // zone to be recovering.
 const returnShare = 1. / 16
 
 // Sum gives the machines that are up, lost and unclear, over all parts.
-func (r *Record) Sum() Sight {
-	var sum Sight
-	for _, s := range r.Sights {
+func (r *Record) Sum() Observation {
+	var sum Observation
+	for _, s := range r.Observations {
 		sum.Up += s.Up
 		sum.Lost += s.Lost
 		sum.Unclear += s.Unclear
@@ -107,7 +107,7 @@
 
 // Refused tells whether the cloud refuses machines there to any owner of a part.
 func (r *Record) Refused() bool {
-	for _, s := range r.Sights {
+	for _, s := range r.Observations {
 		if s.Refused {
 			return true
 		}
@@ -117,7 +117,7 @@
 
 // Waiting tells whether production work waits for lost machines.
 func (r *Record) Waiting() bool {
-	for _, s := range r.Sights {
+	for _, s := range r.Observations {
 		if len(s.Waiting) > 0 {
 			return true
 		}
@@ -128,37 +128,37 @@
 // Restricts tells whether the state restricts what may be placed in the zone.
 func (r *Record) Restricts() bool { return r.State == Down || r.State == Recovering }
 
-// With gives the record with what the owner of a part sees now. The record stays as it is.
-func (r *Record) With(part string, sight Sight) Record {
+// WithObservation gives the record with what the owner of a part sees now. The record stays as it is.
+func (r *Record) WithObservation(shard string, observation Observation) Record {
 	next := *r
-	next.Sights = make(map[string]Sight, len(r.Sights)+1)
-	for p, s := range r.Sights {
-		next.Sights[p] = s
+	next.Observations = make(map[string]Observation, len(r.Observations)+1)
+	for p, s := range r.Observations {
+		next.Observations[p] = s
 	}
-	if sight.Empty() {
-		delete(next.Sights, part)
+	if observation.Empty() {
+		delete(next.Observations, shard)
 	} else {
-		next.Sights[part] = sight
+		next.Observations[shard] = observation
 	}
 	return next
 }
 
 // Judge gives the record as it is to be now, by what its sights say. witness tells whether
 // whoever judges hears machines of another zone.
-func (r *Record) Judge(now time.Time, witness bool, limits *Limits) Record {
+func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
 	sum := r.Sum()
 	lasted := now.Sub(time.UnixMilli(r.SinceMS))
-	j := judgement{next: &next, sum: sum, lasted: lasted, now: now, witness: witness, limits: limits}
-	if sum.Unclear > 0 && 2*sum.Unclear >= sum.Up+sum.Lost+sum.Unclear && lasted < limits.Longest && !j.returned() {
+	j := transition{next: &next, sum: sum, lasted: lasted, now: now, hasObserver: hasObserver, limits: limits}
+	if sum.Unclear > 0 && 2*sum.Unclear >= sum.Up+sum.Lost+sum.Unclear && lasted < limits.Longest && !j.machinesReturned() {
 		// A part has just changed hands: what its new owner has not heard of yet is
 		// neither lost nor back. What it has heard of is.
 		return next
 	}
 	switch r.State {
 	default:
-		if sum.Up+sum.Lost >= fewMachines && sum.LostShare() >= limits.SuspectShare {
-			next.become(Suspect, now)
+		if sum.Up+sum.Lost >= minMachines && sum.LostShare() >= limits.SuspectShare {
+			next.enter(Suspect, now)
 		}
 	case Suspect:
 		j.suspect()
@@ -170,17 +170,17 @@
 	return next
 }
 
-// judgement is what a change of state rests on.
-type judgement struct {
-	next    *Record
-	sum     Sight
-	lasted  time.Duration
-	now     time.Time
-	witness bool
-	limits  *Limits
+// transition is what a change of state rests on.
+type transition struct {
+	next        *Record
+	sum         Observation
+	lasted      time.Duration
+	now         time.Time
+	hasObserver bool
+	limits      *Limits
 }
 
-func (j *judgement) suspect() {
+func (j *transition) suspect() {
 	confirm := j.limits.Confirm
 	if j.next.Refused() {
 		confirm /= 2 // the cloud says the same
@@ -189,85 +189,85 @@
 	over := share < j.limits.SuspectShare/2 || share < j.limits.DownShare && j.lasted >= j.limits.Longest
 	switch {
 	case over:
-		j.next.become(Healthy, j.now)
-	case share >= j.limits.DownShare && j.lasted >= confirm && j.witness:
-		j.next.fail(j.sum, j.now, j.limits)
+		j.next.enter(Healthy, j.now)
+	case share >= j.limits.DownShare && j.lasted >= confirm && j.hasObserver:
+		j.next.goDown(j.sum, j.now, j.limits)
 	}
 }
 
-// returned tells whether machines of a zone that is down are back.
-func (j *judgement) returned() bool {
-	back := j.sum.Up - min(j.next.Mark, j.sum.Up)
-	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.Before)))
+// machinesReturned tells whether machines of a zone that is down are back.
+func (j *transition) machinesReturned() bool {
+	back := j.sum.Up - min(j.next.Watermark, j.sum.Up)
+	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.MachinesBefore)))
 }
 
-func (j *judgement) down() {
-	j.next.Mark = min(j.next.Mark, j.sum.Up)
-	if j.returned() || j.sum.Lost == 0 || j.lasted >= j.limits.Longest {
-		j.next.become(Recovering, j.now)
-		j.next.Number++
-		j.next.Mark = j.sum.Up
+func (j *transition) down() {
+	j.next.Watermark = min(j.next.Watermark, j.sum.Up)
+	if j.machinesReturned() || j.sum.Lost == 0 || j.lasted >= j.limits.Longest {
+		j.next.enter(Recovering, j.now)
+		j.next.Transitions++
+		j.next.Watermark = j.sum.Up
 	}
 }
 
-func (j *judgement) recovering() {
-	j.next.Mark = max(j.next.Mark, j.sum.Up)
-	fell := float64(j.sum.Up) <= float64(j.next.Mark)*(1-j.limits.DownShare)
-	if fell && j.next.Mark > 0 && j.sum.Lost > 0 && j.witness {
-		j.next.fail(j.sum, j.now, j.limits) // again, in the middle of the recovery
+func (j *transition) recovering() {
+	j.next.Watermark = max(j.next.Watermark, j.sum.Up)
+	fell := float64(j.sum.Up) <= float64(j.next.Watermark)*(1-j.limits.DownShare)
+	if fell && j.next.Watermark > 0 && j.sum.Lost > 0 && j.hasObserver {
+		j.next.goDown(j.sum, j.now, j.limits) // again, in the middle of the recovery
 		return
 	}
-	if j.lasted >= j.limits.Longest || j.next.served(j.limits) && j.next.Window(j.now, j.limits) >= 1 {
-		j.next.become(Healthy, j.now)
+	if j.lasted >= j.limits.Longest || j.next.productionServed(j.limits) && j.next.AdmissionShare(j.now, j.limits) >= 1 {
+		j.next.enter(Healthy, j.now)
 	}
 }
 
-// become has the state change. Of a healthy zone nothing is kept but how it last failed.
-func (r *Record) become(state State, now time.Time) {
+// enter has the state change. Of a healthy zone nothing is kept but how it last failed.
+func (r *Record) enter(state State, now time.Time) {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	if state == Healthy {
-		r.Sights, r.Before, r.Mark = nil, 0, 0
+		r.Observations, r.MachinesBefore, r.Watermark = nil, 0, 0
 	}
 }
 
-// fail has the zone go down. A failure soon after another halves the slow start.
-func (r *Record) fail(sum Sight, now time.Time, limits *Limits) {
+// goDown has the zone go down. A failure soon after another halves the slow start.
+func (r *Record) goDown(sum Observation, now time.Time, limits *Limits) {
 	again := r.FailedMS > 0 && now.Sub(time.UnixMilli(r.FailedMS)) < 2*limits.Longest
-	if again && r.Start > 0 {
-		r.Start = max(limits.LeastShare, r.Start/2)
+	if again && r.SlowStartShare > 0 {
+		r.SlowStartShare = max(limits.LeastShare, r.SlowStartShare/2)
 	} else {
-		r.Start = limits.FirstShare
+		r.SlowStartShare = limits.FirstShare
 	}
-	r.Before = max(sum.Up+sum.Lost, 1)
-	r.Mark = sum.Up
+	r.MachinesBefore = max(sum.Up+sum.Lost, 1)
+	r.Watermark = sum.Up
 	r.FailedMS = now.UnixMilli()
-	r.Number++
-	r.become(Down, now)
+	r.Transitions++
+	r.enter(Down, now)
 }
 
-// served tells whether nearly all machines are back and no production work waits for others.
-func (r *Record) served(limits *Limits) bool {
+// productionServed tells whether nearly all machines are back and no production work waits for others.
+func (r *Record) productionServed(limits *Limits) bool {
 	sum := r.Sum()
 	away := float64(sum.Lost + sum.Unclear)
 	return !r.Waiting() && away <= limits.SuspectShare*float64(sum.Up+sum.Lost+sum.Unclear)
 }
 
-// Window is the share of the zone's machines that work below production may have taken
+// AdmissionShare is the share of the zone's machines that work below production may have taken
 // since the zone came back: none while it is down, then a share that doubles, 1 and more
 // without limit. It follows from the record and the time of day, so that all controllers
 // have the same without a write.
-func (r *Record) Window(now time.Time, limits *Limits) float64 {
+func (r *Record) AdmissionShare(now time.Time, limits *Limits) float64 {
 	switch r.State {
 	case Down:
 		return 0
 	case Recovering:
-		share := r.Start
+		share := r.SlowStartShare
 		if share <= 0 {
 			share = limits.FirstShare
 		}
 		every := limits.DoubleEvery
-		if r.served(limits) {
-			every /= hurry // nothing to be ahead of: only fetches and starts are spaced
+		if r.productionServed(limits) {
+			every /= fastStartFactor // nothing to be ahead of: only fetches and starts are spaced
 		}
 		passed := max(now.Sub(time.UnixMilli(r.SinceMS)), 0)
 		for ; passed >= every && share < 1; passed -= every {
--- a/internal/zonehealth/zonehealth_test.go
+++ b/internal/zonehealth/zonehealth_test.go
@@ -17,28 +17,28 @@
 	}
 }
 
-// store is a record under conditional write.
-type store struct {
+// recordStore is a record under conditional write.
+type recordStore struct {
 	record  Record
 	version int
 }
 
-// controller sees some machines of the zone, keeps a copy of the record and writes what it
+// testController sees some machines of the zone, keeps a copy of the record and writes what it
 // makes of it, on the version that it read.
-type controller struct {
-	part    string
-	sight   Sight
-	witness bool
-	read    Record
-	version int
+type testController struct {
+	shard       string
+	observation Observation
+	hasObserver bool
+	read        Record
+	version     int
 }
 
-func (c *controller) catchUp(s *store) { c.read, c.version = s.record, s.version }
+func (c *testController) catchUp(s *recordStore) { c.read, c.version = s.record, s.version }
 
 // write judges by the copy, and tells whether the store took it.
-func (c *controller) write(s *store, now time.Time) bool {
-	with := c.read.With(c.part, c.sight)
-	next := with.Judge(now, c.witness, testLimits())
+func (c *testController) write(s *recordStore, now time.Time) bool {
+	with := c.read.WithObservation(c.shard, c.observation)
+	next := with.Judge(now, c.hasObserver, testLimits())
 	if c.version != s.version {
 		return false
 	}
@@ -49,19 +49,19 @@
 }
 
 // checkStep checks what may change from one record to the next.
-func checkStep(t *rapid.T, before, after *Record, witness bool) {
-	if after.Number < before.Number {
-		t.Fatalf("the number falls from %d to %d", before.Number, after.Number)
+func checkStep(t *rapid.T, before, after *Record, hasObserver bool) {
+	if after.Transitions < before.Transitions {
+		t.Fatalf("the number falls from %d to %d", before.Transitions, after.Transitions)
 	}
-	if after.State == Down && before.State != Down && !witness {
+	if after.State == Down && before.State != Down && !hasObserver {
 		t.Fatal("down without a witness")
 	}
 	turned := after.State != before.State && (after.Restricts() || before.State == Down)
-	if turned && after.Number == before.Number {
+	if turned && after.Transitions == before.Transitions {
 		t.Fatalf("%s to %s under the same number", before.State, after.State)
 	}
-	if after.Restricts() && after.Start > testLimits().FirstShare {
-		t.Fatalf("a slow start begins with %g", after.Start)
+	if after.Restricts() && after.SlowStartShare > testLimits().FirstShare {
+		t.Fatalf("a slow start begins with %g", after.SlowStartShare)
 	}
 }
 
@@ -71,11 +71,11 @@
 // happens the zone is open to all work within three times the longest a state lasts.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &store{}
+		s := &recordStore{}
 		now := time.Unix(1_800_000_000, 0)
-		var nodes []*controller
+		var nodes []*testController
 		for i := range 3 {
-			nodes = append(nodes, &controller{part: fmt.Sprintf("n%d", i)})
+			nodes = append(nodes, &testController{shard: fmt.Sprintf("n%d", i)})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds")) * time.Second)
@@ -84,12 +84,12 @@
 			case 0:
 				all := rapid.IntRange(0, 40).Draw(t, "machines")
 				up := rapid.IntRange(0, all).Draw(t, "up")
-				c.sight = Sight{Up: up, Lost: all - up, Refused: rapid.Bool().Draw(t, "refused")}
+				c.observation = Observation{Up: up, Lost: all - up, Refused: rapid.Bool().Draw(t, "refused")}
 				if up < all && rapid.Bool().Draw(t, "waiting") {
-					c.sight.Waiting = []Demand{{Need: [3]float64{4, 1, 29}, Tasks: all - up}}
+					c.observation.Waiting = []Demand{{Need: [3]float64{4, 1, 29}, Tasks: all - up}}
 				}
 			case 1:
-				c.witness = rapid.Bool().Draw(t, "witness")
+				c.hasObserver = rapid.Bool().Draw(t, "witness")
 			case 2:
 				c.catchUp(s)
 			case 3:
@@ -98,7 +98,7 @@
 				if c.write(s, now) == stale {
 					t.Fatal("a write on an old version was taken, or one on the newest refused")
 				}
-				checkStep(t, &before, &s.record, c.witness)
+				checkStep(t, &before, &s.record, c.hasObserver)
 			}
 		}
 		open := false
@@ -108,9 +108,9 @@
 				c.catchUp(s)
 				before := s.record
 				c.write(s, now)
-				checkStep(t, &before, &s.record, c.witness)
+				checkStep(t, &before, &s.record, c.hasObserver)
 			}
-			open = open || s.record.Window(now, testLimits()) >= 1
+			open = open || s.record.AdmissionShare(now, testLimits()) >= 1
 		}
 		if !open {
 			t.Fatalf("work below production is kept out for ever: %+v", s.record)
@@ -119,11 +119,11 @@
 }
 
 // sequence plays what one owner sees and lists the states that follow.
-func sequence(witness bool, sights ...Sight) (r Record, states []State) {
+func sequence(hasObserver bool, observations ...Observation) (r Record, states []State) {
 	now := time.Unix(1_800_000_000, 0)
-	for _, s := range sights {
-		r = r.With("p", s)
-		r = r.Judge(now, witness, testLimits())
+	for _, s := range observations {
+		r = r.WithObservation("p", s)
+		r = r.Judge(now, hasObserver, testLimits())
 		states = append(states, r.State)
 		now = now.Add(6 * time.Second)
 	}
@@ -133,35 +133,35 @@
 // The zone's ways: down and back; back by half; back and down again, the second time in
 // the middle of the recovery.
 func TestSequences(t *testing.T) {
-	well, lost, half := Sight{Up: 20}, Sight{Lost: 20}, Sight{Up: 10, Lost: 10}
-	few := Sight{Up: 4, Lost: 16}
+	well, lost, half := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
+	few := Observation{Up: 4, Lost: 16}
 	for _, x := range []struct {
 		name    string
 		witness bool
-		sights  []Sight
+		sights  []Observation
 		states  []State
 		number  uint64
 		start   float64
 	}{
-		{"down and back", true, []Sight{well, lost, lost, well}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
-		{"half returns", true, []Sight{well, lost, lost, half, half}, []State{"", Suspect, Down, Recovering, Recovering}, 2, 1. / 16},
+		{"down and back", true, []Observation{well, lost, lost, well}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
+		{"half returns", true, []Observation{well, lost, lost, half, half}, []State{"", Suspect, Down, Recovering, Recovering}, 2, 1. / 16},
 		{
-			"down again in the recovery", true, []Sight{lost, lost, few, half, lost},
+			"down again in the recovery", true, []Observation{lost, lost, few, half, lost},
 			[]State{Suspect, Down, Recovering, Recovering, Down}, 3, 1. / 32,
 		},
-		{"a short loss", true, []Sight{well, lost, well}, []State{"", Suspect, Healthy}, 0, 0},
+		{"a short loss", true, []Observation{well, lost, well}, []State{"", Suspect, Healthy}, 0, 0},
 		{
-			"one zone only, or cut off itself", false, []Sight{lost, lost, lost, lost},
+			"one zone only, or cut off itself", false, []Observation{lost, lost, lost, lost},
 			[]State{Suspect, Suspect, Suspect, Suspect}, 0, 0,
 		},
-		{"two machines", true, []Sight{{Lost: 2}, {Lost: 2}}, []State{"", ""}, 0, 0},
-		{"all given up", true, []Sight{lost, lost, {}}, []State{Suspect, Down, Recovering}, 2, 1. / 16},
+		{"two machines", true, []Observation{{Lost: 2}, {Lost: 2}}, []State{"", ""}, 0, 0},
+		{"all given up", true, []Observation{lost, lost, {}}, []State{Suspect, Down, Recovering}, 2, 1. / 16},
 		{
-			"a new owner has heard of nobody yet", true, []Sight{lost, lost, {Unclear: 20}, {Unclear: 15, Lost: 5}, lost},
+			"a new owner has heard of nobody yet", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Lost: 5}, lost},
 			[]State{Suspect, Down, Down, Down, Down}, 1, 1. / 16,
 		},
 		{
-			"a new owner hears of some", true, []Sight{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
+			"a new owner hears of some", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
 			[]State{Suspect, Down, Down, Recovering}, 2, 1. / 16,
 		},
 	} {
@@ -169,8 +169,8 @@
 		if d := cmp.Diff(x.states, states); d != "" {
 			t.Errorf("%s: %s", x.name, d)
 		}
-		if r.Number != x.number || r.Start != x.start {
-			t.Errorf("%s: number %d, start %g", x.name, r.Number, r.Start)
+		if r.Transitions != x.number || r.SlowStartShare != x.start {
+			t.Errorf("%s: number %d, start %g", x.name, r.Transitions, r.SlowStartShare)
 		}
 	}
 }
@@ -178,12 +178,12 @@
 // A slow start opens the zone step by step, the same for all who read the record.
 func TestWindow(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
-	r := Record{State: Recovering, SinceMS: at.UnixMilli(), Start: 1. / 16}
-	back := r.With("n0", Sight{Up: 9, Lost: 1})
-	if got := back.Window(at.Add(4*time.Second), testLimits()); got != 1./2 {
+	r := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
+	back := r.WithObservation("n0", Observation{Up: 9, Lost: 1})
+	if got := back.AdmissionShare(at.Add(4*time.Second), testLimits()); got != 1./2 {
 		t.Errorf("with all back and nothing waiting: %g after 4 s, not a half", got)
 	}
-	r = r.With("n0", Sight{Lost: 1, Waiting: []Demand{{Need: [3]float64{4, 1, 29}, Tasks: 1}}})
+	r = r.WithObservation("n0", Observation{Lost: 1, Waiting: []Demand{{Need: [3]float64{4, 1, 29}, Tasks: 1}}})
 	for _, x := range []struct {
 		after time.Duration
 		share float64
@@ -191,12 +191,12 @@
 		{-time.Second, 1. / 16}, {0, 1. / 16}, {5 * time.Second, 1. / 8}, {11 * time.Second, 1. / 4}, {20 * time.Second, 1},
 		{time.Hour, 1},
 	} {
-		if got := r.Window(at.Add(x.after), testLimits()); got != x.share {
+		if got := r.AdmissionShare(at.Add(x.after), testLimits()); got != x.share {
 			t.Errorf("after %v: %g, not %g", x.after, got, x.share)
 		}
 	}
 	down, healthy := Record{State: Down}, Record{}
-	if down.Window(at, testLimits()) != 0 || healthy.Window(at, testLimits()) != 1 {
+	if down.AdmissionShare(at, testLimits()) != 0 || healthy.AdmissionShare(at, testLimits()) != 1 {
 		t.Error("down lets work in, or healthy keeps it out")
 	}
 }
@@ -205,8 +205,8 @@
 func TestRecordForm(t *testing.T) {
 	waiting := []Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}}
 	r := Record{
-		State: Down, Number: 7, SinceMS: 3, FailedMS: 2, Start: 0.25, Before: 9, Mark: 1,
-		Sights: map[string]Sight{"n0": {Up: 1, Lost: 8, Refused: true, Waiting: waiting}},
+		State: Down, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
+		Observations: map[string]Observation{"n0": {Up: 1, Lost: 8, Refused: true, Waiting: waiting}},
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
