--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -57,7 +57,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	for _, x := range in.policy.DeprecatedNames() {
-		log.Warn("policy names a variable as it was called earlier", "old", x.Old, "new", x.New)
+		log.Warn("policy uses a deprecated variable", "old", x.Old, "new", x.New)
 	}
 	if ctx.Command() == "check" {
 		fmt.Printf("%s: in order\n", args.Config)
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -137,7 +137,7 @@
 		}
 		for _, line := range strings.Split(string(raw), "\n") {
 			told := func(what string) bool { return strings.Contains(line, what) }
-			if slices.ContainsFunc([]string{"msg=zone ", "part ", "task placed", "drained"}, told) {
+			if slices.ContainsFunc([]string{"msg=zone ", "shard ", "task placed", "cordoned"}, told) {
 				z.t.Log(fmt.Sprintf("n%d ", i) + line)
 			}
 		}
--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -90,7 +90,7 @@
 	}
 	for _, t := range v.GetTenancies() {
 		if o := c.leaderships[t.GetPart()]; o != nil && t.GetTerm() > o.term && o.successor == "" {
-			c.log.Info("part taken by another", "part", t.GetPart(), "owner", t.GetOwner(), "term", t.GetTerm())
+			c.log.Info("shard acquired by a peer", "shard", t.GetPart(), "leader", t.GetOwner(), "term", t.GetTerm())
 			o.successor = t.GetOwner()
 		}
 	}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -43,7 +43,7 @@
 	} else if h.silentSteps++; h.silentSteps >= minSilent {
 		if h.hearsWorkers = false; c.countExpectedAgents(now) >= minSilent {
 			h.unreachable = true
-			c.log.Info("no worker reaches this node", "last", h.lastHeard)
+			c.log.Info("no heartbeat reaches this controller", "last_heard", h.lastHeard)
 		}
 	}
 	if !h.unreachable {
@@ -104,7 +104,7 @@
 // noteWorkerHeard notes that workers reach this node. Call with the lock held.
 func (c *Controller) noteWorkerHeard(now time.Time) {
 	if c.contact.unreachable {
-		c.log.Info("workers reach this node again")
+		c.log.Info("heartbeats reach this controller again")
 	}
 	c.contact = workerContact{lastHeard: now, hearsWorkers: true}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -290,7 +290,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := c.store.RevokeLease(ctx, leaseID); err != nil {
-			c.log.Info("hold not released", "err", err)
+			c.log.Info("lease not revoked", "err", err)
 		}
 	}
 }
@@ -317,13 +317,13 @@
 		c.log.Info(
 			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
 			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(c.replica.jobs), "hosts", len(c.replica.machines), "parts", len(c.leaderships), "heap_kb", mem.HeapAlloc>>10,
+			"jobs", len(c.replica.jobs), "hosts", len(c.replica.machines), "shards", len(c.leaderships), "heap_kb", mem.HeapAlloc>>10,
 		)
 		for _, what := range slices.Sorted(maps.Keys(c.commits)) {
 			n := c.commits[what]
 			c.log.Info(
-				"commits", "for", what, "transactions", n.transactions, "changes", n.writes, "overtaken", n.conflicts,
-				"changes_lost", n.conflictedWrites, "failed", n.failed,
+				"commits", "for", what, "transactions", n.transactions, "changes", n.writes, "conflicts", n.conflicts,
+				"conflicted_changes", n.conflictedWrites, "failed", n.failed,
 			)
 		}
 		clear(c.commits)
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -99,8 +99,8 @@
 	}
 	if n := c.trimCapacity(r.Free, use, c.now()); n > 0 {
 		c.log.Info(
-			"machines not offered to peers", "part", p, "machines", n, "why",
-			"they don't fit the part's record; those are left out that peers are least likely to take",
+			"machines not offered to peers", "shard", p, "machines", n, "why",
+			"the capacity record is full; left out are those that peers are least likely to use",
 		)
 	}
 	t.putCapacity(capacityPrefix+p, &r)
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -103,7 +103,7 @@
 	case !m.Inline && k >= m.RangeSize:
 		// It can't be: a record of the smallest chunk still is too large. It is told
 		// and left alone until it is over.
-		c.log.Error("record can't be made smaller", "job", uid)
+		c.log.Error("record can't be split further", "job", uid)
 		delete(c.splitRequests, uid)
 		c.mu.Unlock()
 		return false
@@ -127,7 +127,7 @@
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
-		c.log.Info("job's tasks divided into smaller records", "job", uid, "chunk", k)
+		c.log.Info("job records split", "job", uid, "range_size", k)
 		c.wakeDecider()
 	}
 	return done || err == nil
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -110,7 +110,7 @@
 		if dead && !s.LeaseExpired {
 			s.LeaseExpired = true
 			if len(on) > 0 {
-				c.log.Info("worker's lease is over", "host", host, "tasks", len(on), "gone", s.Terminated)
+				c.log.Info("worker lease expired", "host", host, "tasks", len(on), "terminated", s.Terminated)
 			}
 		} else if !dead {
 			s.LeaseExpired = false
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -252,7 +252,7 @@
 		ch.PlaceAttempt(x.index, x.host.Name, try, max(0, (now.UnixMilli()-j.record.AcceptedMS)/1000))
 		z.add(x.rangeIndex, x.host.Zone)
 		n++
-		said = append(said, []any{"task", api.TaskName(g.uid, x.rangeIndex*j.record.RangeSize+x.index), "try", try, "host", x.host.Name, "part", x.host.Shard,
+		said = append(said, []any{"task", api.TaskName(g.uid, x.rangeIndex*j.record.RangeSize+x.index), "attempt", try, "host", x.host.Name, "shard", x.host.Shard,
 			"own", x.host.Shard == j.record.Shard, "image", j.record.Spec.Image, "warm", x.host.Images[j.record.Spec.Image]})
 	}
 	if n == 0 {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -95,9 +95,9 @@
 		before := *j.record.Gang
 		if c.updateGang(e, j, byJob[uid], now) {
 			after := e.records[uid]
-			line := []any{"job", uid, "try", before.Attempt, "was", before.Phase(j.countPlaced())}
+			line := []any{"job", uid, "attempt", before.Attempt, "phase_before", before.Phase(j.countPlaced())}
 			if after != nil {
-				line = append(line, "over", after.Gang.Ended, "halt", after.Gang.Stopping)
+				line = append(line, "ended", after.Gang.Ended, "stopping", after.Gang.Stopping)
 			} else {
 				line = append(line, "done", true)
 			}
@@ -175,7 +175,7 @@
 			}
 			clear(e.taskRange(j, n).Placements)
 		}
-		c.log.Info("gang's claims released", "job", uid, "try", g.Attempt)
+		c.log.Info("gang claims released", "job", uid, "attempt", g.Attempt)
 	}
 	for _, x := range ends {
 		if e.rangeCost(j, x.task.rangeIndex) > 0 && e.isFull(e.rangeCost(j, x.task.rangeIndex), 0) {
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -161,7 +161,7 @@
 	startup := time.Duration(f.BootS * float64(time.Second))
 	drain := func(why string) {
 		s.Cordoned = true
-		c.log.Info("machine drained", "host", host, "why", why)
+		c.log.Info("machine cordoned", "host", host, "why", why)
 		c.wakeDecider()
 	}
 	if !s.Fenced {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -45,7 +45,7 @@
 		page[host] = &m
 		bytes := len(api.JSON(page))
 		if bytes > c.maxPageBytes() {
-			c.log.Error("machine can't be recorded", "host", host, "why", "its page is full", "bytes", bytes)
+			c.log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
 			delete(page, host)
 			delete(c.unregistered, host)
 			continue
@@ -68,7 +68,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if done {
-		c.log.Info("machines recorded", "hosts", names)
+		c.log.Info("machines registered", "hosts", names)
 		for _, h := range names {
 			delete(c.unregistered, h)
 		}
@@ -151,7 +151,7 @@
 			c.dropAgent(h)
 		}
 		c.mu.Unlock()
-		c.log.Info("machines forgotten", "hosts", names)
+		c.log.Info("machines deregistered", "hosts", names)
 	}
 	return false
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -36,13 +36,13 @@
 	var err error
 	if leaseID == 0 {
 		if leaseID, err = c.store.GrantLease(ctx, ttl); err == nil {
-			c.log.Info("hold made", "permit", leaseID)
+			c.log.Info("lease granted", "lease", leaseID)
 			c.mu.Lock()
 			c.leaseID = leaseID
 			c.mu.Unlock()
 		}
 	} else if err = c.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
-		c.log.Info("hold lost", "permit", leaseID)
+		c.log.Info("lease lost", "lease", leaseID)
 		c.mu.Lock()
 		c.leaseID, c.leaseValidUntil = 0, time.Time{}
 		clear(c.leaderships)
@@ -96,7 +96,7 @@
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
 	if !done {
-		c.log.Debug("part not taken", "part", p, "err", err)
+		c.log.Debug("shard not acquired", "shard", p, "err", err)
 		if err == nil {
 			// Overtaken, by another's take that raised the term as a rule: after
 			// the end of all they come at once, and leases run meanwhile.
@@ -117,7 +117,7 @@
 		o.predecessorAnswersUntil = now.Add(c.cfg.LeadershipGrace())
 	}
 	c.leaderships[p] = o
-	c.log.Info("part taken", "part", p, "term", term, "had_owner", had, "clean", clean)
+	c.log.Info("shard acquired", "shard", p, "term", term, "had_leader", had, "clean", clean)
 	for host, m := range c.replica.machines {
 		if m.Shard == p {
 			c.agentOf(host, o)
@@ -176,7 +176,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if done {
-		c.log.Info("part handed back", "part", p, "term", o.term)
+		c.log.Info("shard released", "shard", p, "term", o.term)
 		c.dropLeadership(p)
 		return
 	}
@@ -215,7 +215,7 @@
 		for range 2 {
 			r, done, err := c.workers.SendCommands(ctx, addr, o)
 			if err != nil {
-				c.log.Debug("command", "host", host, "err", err)
+				c.log.Debug("direct commands not answered", "host", host, "err", err)
 				return
 			}
 			c.mu.Lock()
@@ -330,7 +330,7 @@
 	c.noteWorkerHeard(c.now())
 	s.LastSeen = c.now()
 	if s.Unresponsive && !deaf {
-		c.log.Info("worker's lease ran out", "host", host, "why", "it does not hear its answers, or was cut off: no tasks until it obeys")
+		c.log.Info("worker unresponsive", "host", host, "why", "its lease expired although it was answered: no tasks until it obeys a command")
 	}
 	if old == nil || deaf != s.Unresponsive || old.AgentEpoch != r.AgentEpoch || (old.SpotNoticeS == nil) != (r.SpotNoticeS == nil) ||
 		!slices.Equal(old.Tasks, r.Tasks) {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -26,7 +26,7 @@
 	c.mu.Lock()
 	if c.reachability.storeReachable != ok {
 		c.reachability.storeReachable, c.reachability.since, c.reachability.peersAsked = ok, c.now(), false
-		c.log.Info("state service", "reached", ok)
+		c.log.Info("state service reachability", "reachable", ok)
 	}
 	c.mu.Unlock()
 }
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -131,7 +131,7 @@
 				break
 			}
 			e.stopTask(k, v)
-			line = append(line, "leaves", v.taskName(k))
+			line = append(line, "preempts", v.taskName(k))
 		}
 		n := e.changes
 		t := e.transaction()
@@ -142,7 +142,7 @@
 		if done, _, _ := c.commit(ctx, "marks", t, store.PriorityDecision); !done {
 			return // planned anew
 		}
-		c.log.Info("tasks have to leave", line...)
+		c.log.Info("tasks stopped for others", line...)
 		marks = rest
 	}
 }
@@ -211,7 +211,7 @@
 	}
 	try := ch.Place(x.index, x.host.Name, max(0, (now.UnixMilli()-j.record.AcceptedMS)/1000))
 	return []any{
-		"task", api.TaskName(r.UID, x.rangeIndex*j.record.RangeSize+x.index), "try", try, "host", x.host.Name, "part",
+		"task", api.TaskName(r.UID, x.rangeIndex*j.record.RangeSize+x.index), "attempt", try, "host", x.host.Name, "shard",
 		x.host.Shard, "own", x.host.Shard == j.record.Shard, "image", r.Image, "warm", x.host.Images[r.Image],
 	}
 }
@@ -274,7 +274,7 @@
 		for _, v := range x.victims {
 			k := c.replica.jobs[v.uid]
 			e.stopTask(k, v)
-			line = append(line, "leaves", v.taskName(k))
+			line = append(line, "preempts", v.taskName(k))
 		}
 		said = append(said, line)
 		zs[x.uid].add(x.rangeIndex, x.host.Zone)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -80,7 +80,7 @@
 	for i := range x.heartbeat.Tasks {
 		t := &x.heartbeat.Tasks[i]
 		if !api.KnownPhase(t.Phase) {
-			x.c.log.Error("a worker gives a phase that is not known", "host", x.heartbeat.Host, "phase", t.Phase)
+			x.c.log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
 		x.reported[attemptID{t.Task, t.Attempt}] = t
 	}
@@ -108,7 +108,7 @@
 	_, released := s.EndedAttempts[id]
 	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.attempt {
 		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
-		x.c.log.Info("task running", "task", a.task, "try", a.attempt, "host", x.heartbeat.Host)
+		x.c.log.Info("task running", "task", a.task, "attempt", a.attempt, "host", x.heartbeat.Host)
 		if isGang(j) {
 			x.c.gangStateOf(pl.uid).runningAttempt = a.attempt
 		}
@@ -163,7 +163,7 @@
 		if !s.Unresponsive {
 			s.Unresponsive = true
 			s.RaiseToken(x.now)
-			x.c.log.Info("worker does not obey", "host", x.heartbeat.Host, "task", pl.taskName(j), "launches", s.PendingLaunches[id].Answers)
+			x.c.log.Info("worker ignores launches", "host", x.heartbeat.Host, "task", pl.taskName(j), "launches", s.PendingLaunches[id].Answers)
 		}
 		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
 	case x.c.isHeldBack(x.heartbeat.Host, pl, j, x.now):
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -266,18 +266,18 @@
 	case err == nil:
 		delete(c.capacityBackoffs, key)
 		c.log.Info(
-			"machines rented", "hire", r.Name, "build", r.MachineType, "site", r.Zone, "loaners", r.Spot,
-			"asked", r.Count, "hosts", hosts,
+			"machines rented", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot,
+			"requested", r.Count, "hosts", hosts,
 		)
 		for _, h := range hosts {
 			c.unregistered[h] = shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: home}
 		}
 		refused = len(hosts) < r.Count
 	case errors.Is(err, cloud.ErrNoCapacity):
-		c.log.Info("rental refused", "hire", r.Name, "build", r.MachineType, "site", r.Zone, "loaners", r.Spot)
+		c.log.Info("rental refused", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
 		refused = true
 	default:
-		c.log.Info("rental in doubt", "hire", r.Name, "err", err)
+		c.log.Info("rental outcome unknown", "request", r.Name, "err", err)
 	}
 	if refused {
 		c.backOff(key, r.MachineType, now)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -139,16 +139,16 @@
 func (c *Controller) noteTaskEnd(host string, s *shard.Agent, j *liveJob, _ *placedTask, l *api.TaskState) {
 	uid := j.record.Spec.UID
 	if !api.KnownCause(l.Cause) {
-		c.log.Error("a worker gives a cause that is not known", "host", host, "cause", l.Cause)
+		c.log.Error("unknown exit cause reported", "host", host, "cause", l.Cause)
 	}
-	c.log.Info("task ended", "task", l.Task, "try", l.Attempt, "host", host, "cause", l.Cause, "saved", l.Saved)
+	c.log.Info("task ended", "task", l.Task, "attempt", l.Attempt, "host", host, "cause", l.Cause, "saved", l.Saved)
 	switch l.Cause {
 	case api.CauseDone:
 		clear(s.FailedJobs)
 	case api.CauseError:
 		s.FailedJobs[uid] = true
 		if len(s.FailedJobs) >= 2 && !s.Cordoned {
-			c.log.Info("machine drained", "host", host, "why", "tasks of several jobs failed there")
+			c.log.Info("machine cordoned", "host", host, "why", "tasks of several jobs failed there")
 			s.Cordoned = true
 		}
 	case api.CauseNoRoom:
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -218,7 +218,7 @@
 			for _, a := range batch {
 				uid := a.record.Spec.UID
 				c.log.Info(
-					"job accepted", "job", uid, "lane", a.record.Spec.Class, "owner", a.record.Spec.Team, "rank",
+					"job accepted", "job", uid, "class", a.record.Spec.Class, "team", a.record.Spec.Team, "priority",
 					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
 				)
 				a.response <- jsonResponse(201, map[string]string{"uid": uid, "phase": api.Pending})
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -46,7 +46,7 @@
 		v, ok := c.replica.leaders[p]
 		ours := ok && v.record.Incarnation == c.incarnation && v.record.Node == c.cfg.HostName
 		if !ours && (!ok || v.version > o.version) {
-			c.log.Info("part lost", "part", p, "term", o.term)
+			c.log.Info("shard lost", "shard", p, "term", o.term)
 			c.dropLeadership(p)
 		}
 	}
@@ -162,7 +162,7 @@
 		}
 	}
 	if n != c.rateSharers {
-		c.log.Info("rates shared", "controllers", n, "before", c.rateSharers)
+		c.log.Info("rate share changed", "controllers", n, "before", c.rateSharers)
 		c.rateSharers = n
 		c.store.SetControllers(n)
 	}
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -171,7 +171,7 @@
 		if s, ok := c.store.(interface{ Fallen() }); ok {
 			s.Fallen()
 		}
-		c.log.Info("the state service's limits have come down")
+		c.log.Info("state service limits lowered")
 		return true
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
@@ -182,6 +182,6 @@
 			c.splitRequests[uid] = c.replica.jobs[uid].record.Generation + 1
 		}
 	}
-	c.log.Error("the state service takes less than was announced", "changes", len(t.Ops), "err", err)
+	c.log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
 	return true
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -44,7 +44,7 @@
 	c.replica.reload(items, revision)
 	c.loaded = true
 	c.mu.Unlock()
-	c.log.Info("replica loaded", "keys", len(items), "epoch", revision)
+	c.log.Info("replica loaded", "keys", len(items), "revision", revision)
 	c.wakeDecider()
 	c.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
 	return nil
@@ -191,7 +191,7 @@
 	} else if !ok {
 		n.conflicts++
 		n.conflictedWrites += len(w.Ops)
-		c.log.Debug("overtaken", "what", what, "by", failed)
+		c.log.Debug("transaction conflict", "for", what, "keys", failed)
 	}
 	c.commits[what] = n
 	c.mu.Unlock()
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -98,8 +98,8 @@
 		r := changed[zone]
 		sum := r.Sum()
 		c.log.Info(
-			"zone", "zone", zone, "state", r.State, "number", r.Transitions, "up", sum.Up, "lost", sum.Lost,
-			"unclear", sum.Unclear, "waiting", r.Waiting(), "start", r.SlowStartShare,
+			"zone", "zone", zone, "state", r.State, "transitions", r.Transitions, "up", sum.Up, "lost", sum.Lost,
+			"unknown", sum.Unclear, "waiting", r.Waiting(), "slow_start_share", r.SlowStartShare,
 		)
 	}
 }
