--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -38,8 +38,15 @@
 
 func run() int {
 	var args cli
-	parser := kong.Must(&args, kong.Name("violetturn"), kong.Description("A cluster scheduler run as several controllers that share a state service. Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug."),
-		kong.Vars{"version": version}, kong.UsageOnError())
+	parser := kong.Must(
+		&args,
+		kong.Name("violetturn"),
+		kong.Description(
+			"A cluster scheduler run as several controllers that share a state service. Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug.",
+		),
+		kong.Vars{"version": version},
+		kong.UsageOnError(),
+	)
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "violetturn: %v\n", err)
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -27,7 +27,7 @@
 )
 
 // cluster is some controllers that run as processes on the loopback network, with the
-// stand-ins that they need.
+// simulated services that they need.
 type cluster struct {
 	b       testing.TB
 	d       *simulator.Deployment
@@ -52,7 +52,7 @@
 	return l.Addr().String()
 }
 
-// freeAddr gives an address that nobody listens on.
+// freeAddr returns an address that nobody listens on.
 func freeAddr(b testing.TB) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,10 @@
 
 func newCluster(b testing.TB, d *simulator.Deployment) *cluster {
 	c := &cluster{b: b, d: d, server: simulator.NewServer(d.World(time.Now())), rnd: rand.New(rand.NewPCG(1, 1)), stop: make(chan struct{}),
-		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 3000, MaxIdleConns: 0, IdleConnTimeout: time.Minute}}}
+		client: &http.Client{
+			Timeout:   5 * time.Second,
+			Transport: &http.Transport{MaxIdleConnsPerHost: 3000, MaxIdleConns: 0, IdleConnTimeout: time.Minute},
+		}}
 	return c
 }
 
@@ -291,7 +294,7 @@
 	})
 }
 
-// report sends a worker's report and has it take in the answer.
+// report sends a worker's heartbeat and has it take in the answer.
 func (c *cluster) report(host string, node int, report []byte, sent time.Time, session uint64) {
 	status, body := c.send(node, "POST", "/checkin", report)
 	c.server.With(func(w *simulator.World) {
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -41,7 +41,7 @@
 	arrays int // tasks of arrays that were in the zone at that moment
 }
 
-// zoneCluster is three controllers as processes, with stand-in workers in three zones.
+// zoneCluster is three controllers as processes, with simulated service workers in three zones.
 type zoneCluster struct {
 	*cluster
 	t         *testing.T
@@ -237,7 +237,7 @@
 	})
 }
 
-// zoneIs tells whether the zone's record has a state.
+// zoneIs reports whether the zone's record has a state.
 func (z *zoneCluster) zoneIs(state string) func() bool {
 	return func() (is bool) {
 		z.server.With(func(w *simulator.World) {
@@ -281,7 +281,7 @@
 	return now
 }
 
-// Three controllers as processes, stand-in workers in three zones: zone x with its
+// Three controllers as processes, simulated service workers in three zones: zone x with its
 // controller is killed, a part of it returns, it flaps, and then it stays. The readers come
 // before the arrays each time, all arrays end, and no rule is broken.
 //
@@ -306,7 +306,7 @@
 	})
 }
 
-// fill has readers and arrays run in zone x, and readers elsewhere. It gives the arrays.
+// fill has readers and arrays run in zone x, and readers elsewhere. It returns the arrays.
 func (z *zoneCluster) fill() (arrays []string) {
 	service := func(zone string, tasks int) func(*api.Job) {
 		return func(r *api.Job) {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -70,7 +70,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := valid()
 		for range rapid.IntRange(1, 5).Draw(t, "n") {
-			m["zz"+rapid.String().Draw(t, "name")] = rapid.SampledFrom([]any{nil, 1, "x", []any{}, map[string]any{"uid": 3}}).Draw(t, "value")
+			m["zz"+rapid.String().Draw(t, "name")] = rapid.SampledFrom([]any{nil, 1, "x", []any{}, map[string]any{"uid": 3}}).
+				Draw(t, "value")
 		}
 		m["UID"] = 7 // another name: case matters
 		r, err := ParseJob(JSON(m))
--- a/internal/api/checkin.go
+++ b/internal/api/checkin.go
@@ -27,7 +27,7 @@
 	CauseGangIncomplete = "alone"      // of a gang: it was not complete in time
 )
 
-// KnownPhase and KnownCause tell whether PROTOCOL, as this version knows it, has such
+// KnownPhase and KnownCause report whether PROTOCOL, as this version knows it, has such
 // a word. What it does not have is read as a task that runs, and as an end without
 // success that is nobody's fault.
 func KnownPhase(s string) bool {
@@ -47,7 +47,7 @@
 	return false
 }
 
-// TaskState is one task in a report.
+// TaskState is one task in a heartbeat.
 type TaskState struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -56,7 +56,7 @@
 	Saved   bool   `json:"saved"`
 }
 
-// Heartbeat is a worker's report.
+// Heartbeat is a worker's heartbeat.
 type Heartbeat struct {
 	Host        string      `json:"host"`
 	Addr        string      `json:"addr"`
@@ -70,12 +70,12 @@
 	Tasks       []TaskState `json:"pieces"`
 }
 
-// Newer tells whether c was made after the report (tenure, tick).
+// Newer reports whether c was made after the heartbeat (agent revision, tick).
 func (c *Heartbeat) Newer(agentEpoch, tick uint64) bool {
 	return c.AgentEpoch > agentEpoch || c.AgentEpoch == agentEpoch && c.Sequence > tick
 }
 
-// ParseHeartbeat reads a report.
+// ParseHeartbeat reads a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var c Heartbeat
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -102,7 +102,7 @@
 	Clear  = "clear"
 )
 
-// CommandBatch answers a report, or goes to /commands (then with a tenure).
+// CommandBatch answers a heartbeat, or goes to /commands (then with a agent revision).
 type CommandBatch struct {
 	Token      uint64    `json:"baton"`
 	AgentEpoch uint64    `json:"tenure,omitempty"`
--- a/internal/api/run.go
+++ b/internal/api/run.go
@@ -32,7 +32,7 @@
 // priorities from the most to the least important.
 var priorities = map[string]int{"production": 0, "urgent": 1, "standard": 2, "idle": 3}
 
-// PriorityOf gives the place of a rank: 0 is the most important.
+// PriorityOf returns the place of a rank: 0 is the most important.
 func PriorityOf(priority string) (int, bool) {
 	n, ok := priorities[priority]
 	return n, ok
@@ -62,7 +62,7 @@
 	DeadlineS    *float64 `json:"dueS,omitempty"`
 }
 
-// ValidUID tells whether a job id has the form of PROTOCOL.
+// ValidUID reports whether a job id has the form of PROTOCOL.
 func ValidUID(s string) bool {
 	d, ok := strings.CutPrefix(s, "run-")
 	if !ok || len(d) == 0 || len(d) > 20 {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -137,7 +137,7 @@
 	return a.Hosts, err
 }
 
-// Return gives machines back. When it succeeds they are gone.
+// Return returns machines back. When it succeeds they are gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	return c.do(ctx, "POST", "/rentals/return", map[string][]string{"hosts": hosts}, nil)
 }
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -29,7 +29,7 @@
 	active bool
 }
 
-// Active tells whether some pages have been read and some not.
+// Active reports whether some pages have been read and some not.
 func (l *Listing) Active() bool { return l.active }
 
 // Read reads up to so many pages. complete is true once the last one is in, and hosts is
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// positive tells whether a number is above zero and finite.
+// positive reports whether a number is above zero and finite.
 func positive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
-// nonNegative tells whether a number is at least zero and finite.
+// nonNegative reports whether a number is at least zero and finite.
 func nonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
 // checkLimits checks the limits of the state service and of this machine.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Limited tells whether the team has a limit.
+// Limited reports whether the team has a limit.
 func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
 // Objective restates one aim on starting and finishing.
@@ -116,7 +116,7 @@
 }
 
 // The least that the service can work under: the longest step that can't be divided
-// (a placement with its part's record and its team's) takes 4 changes, and a
+// (a placement with its shard's capacity record and its team's) takes 4 changes, and a
 // submission of ordinary length has to fit a value.
 const (
 	minTxnOps  = 4
@@ -143,7 +143,7 @@
 	return int64(min(s.Facts.Limits.MemoryMB, most/(1<<20)) * 0.7 * (1 << 20))
 }
 
-// hasSetting tells whether a table of settings has a value at a path.
+// hasSetting reports whether a table of settings has a value at a path.
 func hasSetting(table map[string]any, path ...string) bool {
 	for i, p := range path {
 		v, ok := table[p]
@@ -155,7 +155,7 @@
 	return false
 }
 
-// LowestLimits gives the limits that hold whatever the state service's become: the smaller
+// LowestLimits returns the limits that hold whatever the state service's become: the smaller
 // of today's and the coming ones. Nothing new is made larger than they allow.
 func (s *Settings) LowestLimits() StateLimits {
 	l := s.Facts.State.StateLimits
@@ -193,7 +193,7 @@
 
 // DecisionInterval is how long a controller lets things come together before it commits
 // again: about three changes' time at its share of the write rate, and short
-// against a report round.
+// against a heartbeat interval.
 func (s *Settings) DecisionInterval() time.Duration {
 	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
 }
@@ -204,20 +204,20 @@
 	return seconds(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
 }
 
-// ControllerLeaseTTL is the life of a controller's hold: two report rounds, so that
+// ControllerLeaseTTL is the life of a controller's hold: two heartbeat interval, so that
 // others take over before the workers' leases run out.
 func (s *Settings) ControllerLeaseTTL() time.Duration {
 	return max(min(2*s.HeartbeatInterval(), s.WorkerLease()/3), 500*time.Millisecond)
 }
 
-// LeadershipGrace is how long after its hold may have ended an owner still answers
+// LeadershipGrace is how long after its lease may have ended a leader still answers
 // reports when it can't reach the store. A cancellation it can't see must end
 // within cancel_s even so: hold, grace and lease together stay below that.
 func (s *Settings) LeadershipGrace() time.Duration {
 	return max(0, min(2*s.WorkerLease(), s.cancelMargin()-s.ControllerLeaseTTL()))
 }
 
-// MaxStaleness is how long after it last read the changes an owner may answer reports: a
+// MaxStaleness is how long after it last read the changes a leader may answer heartbeats: a
 // cancellation committed since then is not known to it, and its tasks must be gone
 // within cancel_s.
 func (s *Settings) MaxStaleness() time.Duration {
@@ -229,12 +229,12 @@
 	return seconds(s.Facts.Workers.CancelS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
 }
 
-// ConfirmsCancelWhenEmpty tells whether a cancellation is confirmed only when the last task of
-// the job is off its machine. It has to be where cancel_s leaves an owner less time
-// besides a lease than it needs to renew its hold: no answer of it would be safe then.
+// ConfirmsCancelWhenEmpty reports whether a cancellation is confirmed only when the last task of
+// the job is off its machine. It has to be where cancel_s leaves a leader less time
+// besides a lease than it needs to renew its lease: no answer of it would be safe then.
 func (s *Settings) ConfirmsCancelWhenEmpty() bool { return s.cancelMargin() < s.ControllerLeaseTTL() }
 
-// HasTeamLimits tells whether any team has a limit.
+// HasTeamLimits reports whether any team has a limit.
 func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
 
 // Team finds a team by name.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// What an owner may do without the state service ends in time for a
+// What a leader may do without the state service ends in time for a
 // cancellation that it can't see, whatever the settings.
 func TestLeadershipGraceLeavesTimeToCancel(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
@@ -215,7 +215,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 || p.Idle(40, 3, true) != 5 {
+	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 ||
+		p.Idle(40, 3, true) != 5 {
 		t.Error("expressions give other values")
 	}
 	if !p.Preempt(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -26,7 +26,7 @@
 // DeprecatedName is a variable that a policy names as it was called earlier.
 type DeprecatedName struct{ Old, New string }
 
-// DeprecatedNames gives the variables that the policy names as they were called earlier, each
+// DeprecatedNames returns the variables that the policy names as they were called earlier, each
 // once. They go on working.
 func (p *Policy) DeprecatedNames() []DeprecatedName { return p.deprecated }
 
@@ -146,7 +146,7 @@
 	return p, nil
 }
 
-// renamedVariables gives what variables are called now, by what they were called earlier.
+// renamedVariables returns what variables are called now, by what they were called earlier.
 var renamedVariables = map[string]string{
 	"lane": "class", "owner": "team", "shape": "kind", "rank": "priority", "pieces": "tasks", "loaners": "spot",
 }
@@ -214,16 +214,16 @@
 // Weight orders jobs: the heaviest is served first.
 func (p *Policy) Weight(w JobVariables) float64 { return run(p.weight, weightEnv{w}, 0.0) }
 
-// RestrictsPreemption tells whether Preempt forbids anything at all. It is asked of every
+// RestrictsPreemption reports whether Preempt forbids anything at all. It is asked of every
 // task that could be stopped, so the built-in one is not evaluated.
 func (p *Policy) RestrictsPreemption() bool { return p.restrictsPreemption }
 
-// Preempt tells whether the job may stop the victim, where PROTOCOL allows it.
+// Preempt reports whether the job may stop the victim, where PROTOCOL allows it.
 func (p *Policy) Preempt(job, victim JobVariables, lost float64) bool {
 	return run(p.preempt, preemptEnv{job, victim, lost}, false)
 }
 
-// Headroom is the number of tasks of a lane to keep room for.
+// Headroom is the number of tasks of a class to keep room for.
 func (p *Policy) Headroom(w JobVariables, deviation, startup, slack float64) float64 {
 	return min(max(run(p.headroom, headroomEnv{w, deviation, startup, slack}, 0.0), 0), 1000)
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -17,7 +17,7 @@
 	"violetturn/internal/store"
 )
 
-// sized gives a controller that replicates and owns a part of so many machines, all
+// sized returns a controller that replicates and owns a shard of so many machines, all
 // but some full, and so many waiting arrays.
 func sized(machines, waiting int) *Controller {
 	zones := []string{"x", "y"}
@@ -55,8 +55,14 @@
 		}
 	}
 	run := func(id int, priority string) *job.Record {
-		m := &job.Record{Spec: api.Job{UID: fmt.Sprintf("run-%06d", id), Class: "l", Team: "b", Kind: api.Array, Priority: priority, Tasks: 16,
-			CPUs: 5 + float64(id%10)/10, GPUs: 1, MemGB: 40, Image: fmt.Sprintf("img-%d", id%18), ImageGB: 7, EstimateS: 70}, Shard: "n0", AcceptedMS: now.UnixMilli()}
+		m := &job.Record{
+			Spec: api.Job{UID: fmt.Sprintf("run-%06d", id), Class: "l", Team: "b", Kind: api.Array, Priority: priority, Tasks: 16,
+				CPUs: 5 + float64(
+					id%10,
+				)/10, GPUs: 1, MemGB: 40, Image: fmt.Sprintf("img-%d", id%18), ImageGB: 7, EstimateS: 70},
+			Shard:      "n0",
+			AcceptedMS: now.UnixMilli(),
+		}
 		m.ChooseLayout(64, 500, false)
 		return m
 	}
@@ -81,7 +87,7 @@
 	return c
 }
 
-// BenchmarkPlan is one decision's plan on a part as the grown deployments have
+// BenchmarkPlan is one decision's plan on a shard as the grown deployments have
 // them; locks are held for as long.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
@@ -94,7 +100,7 @@
 	}
 }
 
-// BenchmarkCheckin is the answer to one report in such a part.
+// BenchmarkCheckin is the answer to one report in such a shard.
 func BenchmarkCheckin(b *testing.B) {
 	c := sized(800, 80)
 	s := c.agents["i-000009"]
@@ -110,7 +116,10 @@
 	c := sized(800, 80)
 	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.agents["i-000009"].Token()}
 	for _, pl := range c.replica.placements[x.Host] {
-		x.Tasks = append(x.Tasks, api.TaskState{Task: pl.taskName(c.replica.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running})
+		x.Tasks = append(
+			x.Tasks,
+			api.TaskState{Task: pl.taskName(c.replica.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running},
+		)
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -68,7 +68,7 @@
 			s.round()
 		}
 	}
-	// The same of gangs: one whose machine is cut off, one cancelled out of sight, and
+	// The same of gangs: one whose machine is cut off, one cancelled out of observation, and
 	// several that together would pass their team's limit.
 	cutGang := func(s *sim) {
 		s.w.GangPeer = 20 * time.Second // its tasks go on where they can't be seen
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -8,14 +8,14 @@
 	"violetturn/internal/shard"
 )
 
-// claim is what a transaction takes of a part's room.
+// claim is what a transaction takes of a shard's room.
 type claim struct {
 	free        shard.FreeCapacity
 	quotaUse    map[string][3]float64
 	quotaShares map[string]sched.Resources
 }
 
-// openClaim opens a part for placements: an own one with its room as it is, a
+// openClaim opens a shard for placements: an own one with its room as it is, a
 // peer's as its record says. Call with the lock held.
 func (c *Controller) openClaim(p string, now time.Time) *claim {
 	rec := c.replica.capacities[p]
@@ -36,7 +36,7 @@
 	return x
 }
 
-// claims are the parts that a transaction takes room of.
+// claims are the shards that a transaction takes room of.
 type claims struct {
 	c            *Controller
 	byShard      map[string]*claim
@@ -95,12 +95,12 @@
 		if fits {
 			cl.free[pl.host.Name] = shard.Vec(shard.Unvec(f).Sub(n))
 		} else {
-			delete(cl.free, pl.host.Name) // its owner tells what is free when the others have left
+			delete(cl.free, pl.host.Name) // its leader tells what is free when the others have left
 		}
 	}
 }
 
-// write writes the parts' records and shares.
+// write writes the shards' capacity records and shares.
 func (x *claims) write(t *transaction) {
 	shares := map[string]map[string]sched.Resources{}
 	for p, cl := range x.byShard {
@@ -110,8 +110,8 @@
 	x.c.putQuotaShares(t, shares)
 }
 
-// quotaShareFor tells whether a team may use so much in a part, by the share of its
-// limit that the part holds, or will hold after growing it; with other parts'
+// quotaShareFor reports whether a team may use so much in a shard, by the share of its
+// limit that the shard holds, or will hold after growing it; with other shards'
 // growth in the same transaction. Call with the lock held.
 func (c *Controller) quotaShareFor(
 	team, p string, use sched.Resources, grown map[string]sched.Resources, claims map[string]*claim,
--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -7,17 +7,17 @@
 	"violetturn/internal/peer"
 )
 
-// An owner that has lost the state service doesn't see which jobs are called off, nor
+// A leader that has lost the state service doesn't see which jobs are cancelled, nor
 // whether it was replaced. Left to itself it may answer its workers for a bounded time
-// only (Grace, Unseen). But only controllers confirm cancellations and take parts, and
+// only (Grace, Unseen). But only controllers confirm cancellations and take shards, and
 // each of them knows what it did itself: one that answers for that at some moment has,
-// until that moment, done nothing that the owner doesn't know. So the owner's time
+// until that moment, done nothing that the leader doesn't know. So the leader's time
 // counts from the oldest of the newest such answers of all configured controllers, each
 // from when it was asked. One that does not answer, does not know all it may have done
 // (it has only just started), or is of a version that doesn't know the question, counts
 // as silent: the time runs out as before. docs/design.md has the argument.
 
-// cancellation is a job that was called off, and the revision at which that was seen.
+// cancellation is a job that was cancelled, and the revision at which that was seen.
 type cancellation struct {
 	uid     string
 	version uint64
@@ -28,7 +28,7 @@
 // that this node can't say.
 const maxCancellations = 1024
 
-// noteCancellation notes a job that was called off.
+// noteCancellation notes a job that was cancelled.
 func (m *replica) noteCancellation(uid string, version uint64) {
 	m.cancellations = append(m.cancellations, cancellation{uid, version})
 	if n := len(m.cancellations) - maxCancellations; n > 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// noteCancelledByPeer takes it from a peer that a job was called off, before its record shows that.
+// noteCancelledByPeer takes it from a peer that a job was cancelled, before its record shows that.
 func (m *replica) noteCancelledByPeer(uid string) {
 	j := m.jobs[uid]
 	if j == nil || j.cancelledByPeer {
@@ -100,7 +100,7 @@
 }
 
 // acknowledgedByAllUntil is the moment up to which all controllers that could have called a job
-// off, or taken a part, have answered for themselves. Call with the lock held.
+// off, or taken a shard, have answered for themselves. Call with the lock held.
 func (c *Controller) acknowledgedByAllUntil() time.Time {
 	if len(c.cfg.Members)+1 < c.cfg.Facts.Size {
 		return time.Time{} // there are some that we can't ask
@@ -118,8 +118,8 @@
 	return until
 }
 
-// mayAnswerHeartbeats tells whether this node may still answer reports for what it owned when it
-// last could reach the state service: no longer after its hold than a new owner allows
+// mayAnswerHeartbeats reports whether this node may still answer heartbeats for what it owned when it
+// last could reach the state service: no longer after its lease than a new leader allows
 // for, and no longer after it last knew of all cancellations than leaves a lease of
 // cancel_s. Call with the lock held.
 func (c *Controller) mayAnswerHeartbeats(now time.Time) bool {
@@ -127,7 +127,8 @@
 		return false
 	}
 	v := c.acknowledgedByAllUntil()
-	return now.Before(latest(c.leaseValidUntil, v).Add(c.cfg.LeadershipGrace())) && now.Before(latest(c.changesReadAt, v).Add(c.cfg.MaxStaleness()))
+	return now.Before(latest(c.leaseValidUntil, v).Add(c.cfg.LeadershipGrace())) &&
+		now.Before(latest(c.changesReadAt, v).Add(c.cfg.MaxStaleness()))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -142,7 +143,12 @@
 	c.mu.Lock()
 	since, sent := c.replica.revision, c.now()
 	c.mu.Unlock()
-	r, err := c.peers.Ask(ctx, addr, &peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.cfg.HostName, Since: since}, c.cfg.ControllerLeaseTTL()/4)
+	r, err := c.peers.Ask(
+		ctx,
+		addr,
+		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.cfg.HostName, Since: since},
+		c.cfg.ControllerLeaseTTL()/4,
+	)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -8,31 +8,31 @@
 )
 
 // workerContact is what a node knows of whether its workers reach it. One that loses
-// nothing but its workers keeps its hold and with it its parts, while the leases of
-// all its workers run out: so it says that it is mute, hands its parts to peers in
+// nothing but its workers keeps its lease and with it its shards, while the leases of
+// all its workers run out: so it says that it is mute, hands its shards to peers in
 // the orderly way and takes none until a worker has answered it.
 type workerContact struct {
 	lastHeard    time.Time // when a worker was last heard
-	silentSteps  int       // steps of the hold in a row without hearing one
+	silentSteps  int       // steps of the lease in a row without hearing one
 	unreachable  bool
 	hearsWorkers bool // some worker is heard
 }
 
-// minSilent is after how many steps of its hold without a sign of any worker a node is
+// minSilent is after how many steps of its lease without a sign of any worker a node is
 // mute (one that stood still itself first hears again), and how many machines have
 // to be silent: one or two are as likely lost themselves, and each change of owner
 // starts the wait for the end of their leases anew.
 const minSilent = 3
 
-// workersReach tells whether a node lives and is reached by workers. Call with the lock
+// workersReach reports whether a node lives and is reached by workers. Call with the lock
 // held.
 func (c *Controller) workersReach(node string) bool {
 	n := c.replica.nodes[node].record
 	return n != nil && !n.WorkersUnreachable
 }
 
-// checkWorkerContact judges whether workers reach this node, and tells whether it should leave
-// its parts to others: only when another is heard, or it may as well be the workers,
+// checkWorkerContact judges whether workers reach this node, and reports whether it should leave
+// its shards to others: only when another is heard, or it may as well be the workers,
 // and their part would go round. Call with the lock held.
 func (c *Controller) checkWorkerContact(ctx context.Context, now time.Time) bool {
 	h := &c.contact
@@ -57,7 +57,7 @@
 	return false
 }
 
-// countExpectedAgents counts the machines of own parts that should be heard: those that were,
+// countExpectedAgents counts the machines of own shards that should be heard: those that were,
 // and those that had tasks long before. Call with the lock held.
 func (c *Controller) countExpectedAgents(now time.Time) int {
 	n := 0
@@ -66,14 +66,15 @@
 			continue
 		}
 		s := c.agentOf(host, c.leaderships[m.Shard])
-		if !s.Terminated && !s.LeaseExpired && (s.Fenced || len(c.replica.placements[host]) > 0 && now.Sub(s.CreatedAt) > c.cfg.HeartbeatInterval()) {
+		if !s.Terminated && !s.LeaseExpired &&
+			(s.Fenced || len(c.replica.placements[host]) > 0 && now.Sub(s.CreatedAt) > c.cfg.HeartbeatInterval()) {
 			n++
 		}
 	}
 	return n
 }
 
-// probeWorkers asks some machines of the home part, those with tasks first, whether they
+// probeWorkers asks some machines of the home shard, those with tasks first, whether they
 // hear this node. Call with the lock held.
 func (c *Controller) probeWorkers(ctx context.Context) {
 	const some = 4
@@ -111,6 +112,12 @@
 
 // nodeRecord is what this node says of itself. Call with the lock held.
 func (c *Controller) nodeRecord() shard.LeaderRecord {
-	return shard.LeaderRecord{Node: c.cfg.HostName, Incarnation: c.incarnation, WorkersUnreachable: c.contact.unreachable, HearsWorkers: c.contact.hearsWorkers, SchemaVersion: schemaVersion,
-		Features: c.features.Names()}
+	return shard.LeaderRecord{
+		Node:               c.cfg.HostName,
+		Incarnation:        c.incarnation,
+		WorkersUnreachable: c.contact.unreachable,
+		HearsWorkers:       c.contact.hearsWorkers,
+		SchemaVersion:      schemaVersion,
+		Features:           c.features.Names(),
+	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller joins the parts of the service. It owns the locks; no
+// Package controller joins the shards of the service. It owns the locks; no
 // lock is held across I/O.
 package controller
 
@@ -74,13 +74,13 @@
 	server       *transport.Server
 	incarnation  uint64 // this life of the process
 	random       *rand.Rand
-	shards       []string // all parts, by name of their home controller
+	shards       []string // all shards, by name of their home controller
 
 	wake                  chan struct{} // the decider has something to do
 	gangAccepted          chan struct{} // a gang has been accepted
-	leaderlessShard       chan struct{} // a part has no owner
+	leaderlessShard       chan struct{} // a shard has no owner
 	fenceSlots            chan struct{} // bounds fences under way
-	heartbeatRequestSlots chan struct{} // bounds nudges under way: fences of machines that are cut off must not hold them up
+	heartbeatRequestSlots chan struct{} // bounds request for a heartbeat under way: fences of machines that are cut off must not hold them up
 	userSlots             chan struct{} // bounds user requests under way
 
 	readBarrier struct {
@@ -104,11 +104,11 @@
 	reachability                reachability
 	acknowledgedUntil           map[string]time.Time // by peer: up to when it has answered for what it did
 	leaseID                     uint64
-	leaseValidUntil             time.Time // our hold surely lasts until then
+	leaseValidUntil             time.Time // our lease surely lasts until then
 	changesReadAt               time.Time // all changes until then are in the replica
 	leaderships                 map[string]*leadership
 	agents                      map[string]*shard.Agent
-	leaderlessSince             map[string]time.Time // parts without an owner, since when
+	leaderlessSince             map[string]time.Time // shards without a leader, since when
 	peerReachableSince          map[string]time.Time // nodes alive, since when seen so
 	contact                     workerContact
 	rateSharers                 int                  // controllers that share the state service's rates
@@ -118,7 +118,7 @@
 	rentalRequests              int
 	finalStates                 map[string]job.FinalState
 	finalStateOrder             []string
-	unregistered                map[string]shard.Machine // strangers to be recorded
+	unregistered                map[string]shard.Machine // unregistered machines to be recorded
 	retryAt                     map[string]time.Time     // jobs that failed, when they are tried again
 	errorsSeen                  map[string]int
 	listedByCloud               map[string]bool        // machines in the cloud's newest list
@@ -140,15 +140,15 @@
 	gangsToRelease              map[string]bool // gangs whose claims are to be released
 	splitAt, garbageCollectedAt time.Time
 	splitRequests               map[string]int       // jobs with a record that outgrew a value: their generation then, from 1 on
-	runtimeBias                 map[string]float64   // by lane, run times against estimates
-	arrivals                    map[string][]arrival // by lane, the recent ones
+	runtimeBias                 map[string]float64   // by class, run times against estimates
+	arrivals                    map[string][]arrival // by class, the recent ones
 }
 
-// leadership is a part that this node owns.
+// leadership is a shard that this node owns.
 type leadership struct {
 	term                    uint64
-	version                 uint64    // version of the owner's key
-	predecessorAnswersUntil time.Time // latest time at which an earlier owner can have answered
+	version                 uint64    // version of the leader's key
+	predecessorAnswersUntil time.Time // latest time at which an earlier leader can have answered
 	releasing               bool      // being handed over: nothing is answered
 	successor               string    // a peer says that this node has taken it since: nothing is answered
 	capacityRecordedAt      time.Time // when its record was last brought up to date by itself
@@ -280,7 +280,7 @@
 	return c.http.Close()
 }
 
-// revokeLease ends the hold in an orderly shutdown, so that others take over at once.
+// revokeLease ends the lease in an orderly shutdown, so that others take over at once.
 func (c *Controller) revokeLease() {
 	c.mu.Lock()
 	leaseID := c.leaseID
@@ -356,11 +356,11 @@
 	}
 }
 
-// mayAct tells whether this node may launch and commit as an owner. Call with
+// mayAct reports whether this node may launch and commit as a leader. Call with
 // the lock held.
 func (c *Controller) mayAct(now time.Time) bool { return c.loaded && now.Before(c.leaseValidUntil) }
 
-// leadershipOf gives the part if this node owns it. Call with the lock held.
+// leadershipOf returns the shard if this node owns it. Call with the lock held.
 func (c *Controller) leadershipOf(p string) *leadership {
 	o := c.leaderships[p]
 	if o == nil || o.releasing || o.successor != "" || c.replica.leaders[p].version != o.version {
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -15,7 +15,7 @@
 func unmarshal(raw json.RawMessage, v any) error { return json.Unmarshal(raw, v) }
 
 // decideLoop commits what reports and jobs call for, one transaction at a time.
-// It runs when something has changed and at least twice in a report round, and
+// It runs when something has changed and at least twice in a heartbeat interval, and
 // leaves some time between: what comes together is committed together, and a
 // slow processor has most of its time for reports.
 func (c *Controller) decideLoop(ctx context.Context) {
@@ -43,7 +43,8 @@
 func (c *Controller) decide(ctx context.Context) {
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
-	if !c.mayActNow() || c.store.AwaitWrites(ctx, min(c.cfg.LowestLimits().TxnOps, c.writesPerSecond()), store.PriorityDecision) < 2 || c.readNewest(ctx) != nil {
+	if !c.mayActNow() || c.store.AwaitWrites(ctx, min(c.cfg.LowestLimits().TxnOps, c.writesPerSecond()), store.PriorityDecision) < 2 ||
+		c.readNewest(ctx) != nil {
 		return
 	}
 	steps := []func(context.Context) bool{
@@ -78,7 +79,7 @@
 	return c.mayAct(c.now())
 }
 
-// requireLeadership guards a transaction on this node's ownership of a part: an owner
+// requireLeadership makes a transaction conditional on this node's leadership of a shard: a leader
 // that was superseded commits nothing more. Call with the lock held.
 func (c *Controller) requireLeadership(t *transaction, p string) bool {
 	o := c.leadershipOf(p)
@@ -89,11 +90,17 @@
 	return true
 }
 
-// putCapacityRecord writes a part's free-room record. Call with the lock held.
+// putCapacityRecord writes a shard's capacity record. Call with the lock held.
 func (c *Controller) putCapacityRecord(t *transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
 	rec := c.replica.capacities[p]
 	t.require(capacityPrefix+p, rec.version)
-	r := shard.CapacityRecord{Term: rec.record.Term, Leader: rec.record.Leader, PredecessorInDoubt: rec.record.PredecessorInDoubt, Free: free, QuotaUse: use}
+	r := shard.CapacityRecord{
+		Term:               rec.record.Term,
+		Leader:             rec.record.Leader,
+		PredecessorInDoubt: rec.record.PredecessorInDoubt,
+		Free:               free,
+		QuotaUse:           use,
+	}
 	if o := c.leadershipOf(p); o != nil && c.now().After(o.predecessorAnswersUntil) {
 		r.PredecessorInDoubt = false // the grace of whoever came before us is over
 	}
@@ -118,8 +125,8 @@
 	return int(c.cfg.Facts.State.ValueKB * 1024 * 7 / 8)
 }
 
-// quotaUseOf sums what limited teams' tasks hold in a part, ended ones that are not
-// yet committed as such included: another owner might start them anew. Call with
+// quotaUseOf sums what limited teams' tasks hold in a shard, ended ones that are not
+// yet committed as such included: another leader might start them anew. Call with
 // the lock held.
 func (c *Controller) quotaUseOf(p string) map[string][3]float64 {
 	sum := map[string]sched.Resources{}
@@ -149,7 +156,7 @@
 	return sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 }
 
-// quotaShares gives what a part holds of a team's limit, and what the others hold.
+// quotaShares returns what a shard holds of a team's limit, and what the others hold.
 // Call with the lock held.
 func (c *Controller) quotaShares(team, p string) (held, others sched.Resources) {
 	if u := c.replica.quotas[quotaID(team)].record; u != nil {
@@ -164,8 +171,8 @@
 	return held, others
 }
 
-// putQuotaShares writes what parts hold of teams' limits from now on. It goes only
-// with writes of those parts' records. Call with the lock held.
+// putQuotaShares writes what shards hold of teams' limits from now on. It goes only
+// with writes of those shards' capacity records. Call with the lock held.
 func (c *Controller) putQuotaShares(t *transaction, shares map[string]map[string]sched.Resources) {
 	teams := map[string]shard.QuotaRecord{}
 	for p, byTeam := range shares {
@@ -188,7 +195,7 @@
 	}
 }
 
-// stillOffered tells whether every machine that is offered has the room that it is offered
+// stillOffered reports whether every machine that is offered has the room that it is offered
 // with.
 func stillOffered(now, offered shard.FreeCapacity) bool {
 	for h, v := range offered {
@@ -199,14 +206,15 @@
 	return true
 }
 
-// refreshCapacityRecord writes an own part's record when its machines or their room have
+// refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
 // changed, at intervals: placements there write it anyway.
 func (c *Controller) refreshCapacityRecord(ctx context.Context) bool {
 	now := c.now()
 	c.mu.Lock()
 	for p, o := range c.leaderships {
 		rec := c.replica.capacities[p]
-		if c.leadershipOf(p) == nil || rec.record == nil || len(c.machineTypes) == 0 || now.Sub(o.capacityRecordedAt) < 6*c.cfg.DecisionInterval() {
+		if c.leadershipOf(p) == nil || rec.record == nil || len(c.machineTypes) == 0 ||
+			now.Sub(o.capacityRecordedAt) < 6*c.cfg.DecisionInterval() {
 			continue
 		}
 		free := shard.FreeCapacity{}
@@ -228,13 +236,15 @@
 			out = maps.Clone(free)
 			c.trimCapacity(out, use, now)
 		}
-		if maps.Equal(out, rec.record.Free) && maps.Equal(use, rec.record.QuotaUse) && len(shares) == 0 && (!rec.record.PredecessorInDoubt || !now.After(o.predecessorAnswersUntil)) {
+		if maps.Equal(out, rec.record.Free) && maps.Equal(use, rec.record.QuotaUse) && len(shares) == 0 &&
+			(!rec.record.PredecessorInDoubt || !now.After(o.predecessorAnswersUntil)) {
 			continue
 		}
 		// More room than the record says is news for peers only, and while own jobs wait
 		// for room they take it first: that is told less often, and so is another choice of
 		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.cfg.DecisionInterval() && c.hasPendingTasks() && stillOffered(free, rec.record.Free) {
+		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.cfg.DecisionInterval() && c.hasPendingTasks() &&
+			stillOffered(free, rec.record.Free) {
 			continue
 		}
 		for name := range shares { // the record and as many teams' as a transaction takes
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -17,8 +17,8 @@
 	sizes      []shard.PeerDemand
 }
 
-// expectedPeerDemand tells what room peers are likely to look for in the parts of this node:
-// what their jobs wait for now, and what came lately. It decides which machines a part's
+// expectedPeerDemand returns what room peers are likely to look for in the shards of this node:
+// what their jobs wait for now, and what came lately. It decides which machines a shard's
 // record names when it can't name all. Call with the lock held.
 func (c *Controller) expectedPeerDemand(now time.Time) []shard.PeerDemand {
 	if !c.demand.computedAt.IsZero() && now.Sub(c.demand.computedAt) < c.cfg.HeartbeatInterval() {
@@ -45,7 +45,7 @@
 	return sizes
 }
 
-// trimCapacity leaves out of a part's free room what does not fit its record beside what
+// trimCapacity leaves out of a shard's free room what does not fit its record beside what
 // teams use, and tells how many machines that are. Call with the lock held.
 func (c *Controller) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
 	size := c.maxValueBytes() - 128*len(use)
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -10,28 +10,28 @@
 )
 
 // Records that the version before made for larger values can't be rewritten once the
-// limits have come down. So a job's tasks are divided into smaller chunks, in steps
+// limits have come down. So a job's tasks are divided into smaller task ranges, in steps
 // each of which is safe alone:
 //
 //  1. A job whose tasks have records of their own is frozen by a write of its main
-//     record. Every placement and every end is committed under a guard on that
+//     record. Every placement and every end is committed under a precondition on that
 //     record, so those on their way fail and no new ones are made. (A job whose tasks
 //     are inside its main record needs no such step: its version covers them.)
-//  2. The small chunks are written under keys of the next generation, which nobody
-//     reads yet, each under a guard on the main record and on what it was copied
+//  2. The small task ranges are written under keys of the next generation, which nobody
+//     reads yet, each under a precondition on the main record and on what it was copied
 //     from. One whose version is above both was copied from what there is.
-//  3. One write of the main record makes them the job's chunks.
+//  3. One write of the main record makes them the job's task ranges.
 //
 // What was written by a late transaction after the first step changes only records
 // that no longer count. The old records are dropped when there is time.
 
-// isBlocked tells whether a job's tasks may not change now: it is being divided, or has
+// isBlocked reports whether a job's tasks may not change now: it is being divided, or has
 // to be before its records can grow. Call with the lock held.
 func (c *Controller) isBlocked(j *liveJob) bool {
 	return j.record.Frozen || c.splitRequests[j.record.Spec.UID] == j.record.Generation+1
 }
 
-// canSplit tells whether a job's records take more than the coming limits allow and can
+// canSplit reports whether a job's records take more than the coming limits allow and can
 // be made smaller. Call with the lock held.
 func (c *Controller) canSplit(j *liveJob, most int) bool {
 	m := j.record
@@ -82,7 +82,7 @@
 	return other
 }
 
-// splitRecords takes the next step in dividing a job. It tells whether there is more.
+// splitRecords takes the next step in dividing a job. It reports whether there is more.
 func (c *Controller) splitRecords(ctx context.Context) bool {
 	c.mu.Lock()
 	if !c.schemaUpgraded() {
@@ -101,7 +101,7 @@
 	over := false
 	switch {
 	case !m.Inline && k >= m.RangeSize:
-		// It can't be: a record of the smallest chunk still is too large. It is told
+		// It can't be: a record of the smallest task range still is too large. It is told
 		// and left alone until it is over.
 		c.log.Error("record can't be split further", "job", uid)
 		delete(c.splitRequests, uid)
@@ -133,7 +133,7 @@
 	return done || err == nil
 }
 
-// copyRange adds small chunks of the next generation that stand for a chunk, those that
+// copyRange adds small task ranges of the next generation that stand for a task range, those that
 // are not there yet. It is false when the transaction takes no more. Call with the lock
 // held.
 func (c *Controller) copyRange(t *transaction, j *liveJob, n int, ch cached[job.TaskRange], k int) bool {
@@ -156,7 +156,7 @@
 	return true
 }
 
-// collectGarbage drops records of chunks that no longer count: of an earlier division of
+// collectGarbage drops records of task ranges that no longer count: of an earlier division of
 // their job, or of a job that is over. Nothing waits for it.
 func (c *Controller) collectGarbage(ctx context.Context) bool {
 	now := c.now()
--- a/internal/controller/edit.go
+++ b/internal/controller/edit.go
@@ -46,7 +46,7 @@
 	return min(c.transactionLimits().TxnOps, max(step, c.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)))
 }
 
-// record gives a copy of the job's main record to be changed.
+// record returns a copy of the job's main record to be changed.
 func (e *recordEditor) record(j *liveJob) *job.Record {
 	uid := j.record.Spec.UID
 	m := e.records[uid]
@@ -59,7 +59,7 @@
 	return m
 }
 
-// taskRange gives a copy of a chunk to be changed.
+// taskRange returns a copy of a task range to be changed.
 func (e *recordEditor) taskRange(j *liveJob, n int) *job.TaskRange {
 	id := rangeID{j.record.Spec.UID, n}
 	ch := e.ranges[id]
@@ -80,15 +80,15 @@
 	return ch
 }
 
-// recordCoversTasks tells whether the main record is written with every change of the job's
-// tasks, so that its version is that of all of them: of a gang, and of a scattered job
-// that was divided, whose zones are counted over several chunks. A transaction that is
+// recordCoversTasks reports whether the main record is written with every change of the job's
+// tasks, so that its version is that of all of them: of a gang, and of a spread job
+// that was divided, whose zones are counted over several task ranges. A transaction that is
 // carried out late would otherwise place a task by an old count.
 func recordCoversTasks(j *liveJob) bool {
 	return isGang(j) || j.record.SpreadRangeSize > 0
 }
 
-// rangeCost is how many changes opening a chunk adds.
+// rangeCost is how many changes opening a task range adds.
 func (e *recordEditor) rangeCost(j *liveJob, n int) int {
 	uid := j.record.Spec.UID
 	if e.ranges[rangeID{uid, n}] != nil {
@@ -104,7 +104,7 @@
 	return k
 }
 
-// deleteRange drops a chunk's record of a job that is over.
+// deleteRange drops a task range's record of a job that is over.
 func (e *recordEditor) deleteRange(j *liveJob, n int) {
 	uid := j.record.Spec.UID
 	e.txn.require(jobPrefix+uid, j.version)
@@ -156,10 +156,10 @@
 	return e.txn
 }
 
-// isFull tells whether more changes, besides so many others, would pass the
+// isFull reports whether more changes, besides so many others, would pass the
 // limits of a transaction.
 func (e *recordEditor) isFull(more, others int) bool {
-	const guards, bytes = 4, 48 << 10 // of PROTOCOL's 4 guards for each change and 64 KiB
+	const guards, bytes = 4, 48 << 10 // of PROTOCOL's 4 preconditions for each change and 64 KiB
 	f := e.c.transactionLimits()
 	each := 512.0 // bytes of a change and its guard, records aside
 	size := 0.0
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -18,7 +18,7 @@
 	end  shard.EndedAttempt
 }
 
-// isCompleted tells whether a placed task has completed, though that need not be
+// isCompleted reports whether a placed task has completed, though that need not be
 // committed yet: its room is free, and its end is recorded with others to save
 // changes. Call with the lock held.
 func (c *Controller) isCompleted(host, id string, pl *placedTask) bool {
@@ -30,7 +30,7 @@
 	return ok && r.Done && r.Attempt == pl.placement.Attempt
 }
 
-// loadOf gives what is placed on a machine. A plan asks for that of all machines,
+// loadOf returns what is placed on a machine. A plan asks for that of all machines,
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (places, the jobs' records, Releases) drops it. Call with the lock
 // held.
@@ -81,8 +81,8 @@
 	return l.services + l.arrays
 }
 
-// endedTasks looks over the machines of own parts and collects the attempts that
-// are over, by chunk. Call with the lock held.
+// endedTasks looks over the machines of own shards and collects the attempts that
+// are over, by task range. Call with the lock held.
 func (c *Controller) endedTasks(now time.Time) map[rangeID][]endedTask {
 	chunks := map[rangeID][]endedTask{}
 	bound := c.cfg.WorkerLeaseBound()
@@ -131,19 +131,19 @@
 	return chunks
 }
 
-// endsAreDue tells whether the ends of tasks of a chunk are to be committed now. A task
-// that completed while others of its chunk run on can wait for them, unless its
+// endsAreDue reports whether the ends of tasks of a task range are to be committed now. A task
+// that completed while others of its task range run on can wait for them, unless its
 // machine is to go or its team is near its limit; one that has to run again can
-// not, nor can the last one of a chunk. Call with the lock held.
+// not, nor can the last one of a task range. Call with the lock held.
 func (c *Controller) endsAreDue(k rangeID, ends []endedTask, now time.Time) bool {
 	j := c.replica.jobs[k.uid]
 	ch := j.ranges[k.index].record
 	if ch == nil {
 		return false
 	}
-	// Owners see only the ends on their own machines: each commits those when all
+	// Leaders see only the ends on their own machines: each commits those when all
 	// of its own have ended and no task waits for room any more. The last to do so
-	// completes the chunk.
+	// completes the task range.
 	own := 0
 	for _, p := range ch.Placements {
 		if m := c.replica.machines[p.Host]; m != nil && c.leadershipOf(m.Shard) != nil {
@@ -171,7 +171,7 @@
 	return false
 }
 
-// commitEnds commits ended attempts. The room they free shows in the parts'
+// commitEnds commits ended attempts. The room they free shows in the shards'
 // records with the next write of those.
 func (c *Controller) commitEnds(ctx context.Context) bool {
 	now := c.now()
@@ -197,7 +197,7 @@
 		if j.record.Spec.Kind == api.Gang || c.isBlocked(j) || !c.endsAreDue(k, ends, now) {
 			continue
 		}
-		cost := 3 // chunk, main record and past record
+		cost := 3 // task range, main record and past record
 		if j.record.Inline {
 			cost = 2
 		}
@@ -231,7 +231,7 @@
 	return more && (done || err == nil)
 }
 
-// archiveJobs moves withdrawn jobs without tasks on machines to the past.
+// archiveJobs moves cancelled jobs without tasks on machines to the past.
 func (c *Controller) archiveJobs(ctx context.Context) bool {
 	c.mu.Lock()
 	e := c.newRecordEditor()
@@ -267,7 +267,7 @@
 				e.deleteRange(j, n)
 			}
 		}
-		// No start can come between: it would need the job not withdrawn.
+		// No start can come between: it would need the job not cancelled.
 		if all && !e.isFull(2, 0) {
 			e.archive(j, past)
 		}
--- a/internal/controller/estimate.go
+++ b/internal/controller/estimate.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/api"
 )
 
-// observeRuntime learns how long tasks of a lane run against their owners' estimates,
+// observeRuntime learns how long tasks of a class run against their owners' estimates,
 // which are often mostly too high or mostly too low. Call with the lock held.
 func (c *Controller) observeRuntime(class string, ratio float64) {
 	const lanes = 64
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -13,7 +13,7 @@
 )
 
 // gangClaimChanges is how many changes a gang's claim takes as a rule: its main record and
-// the parts' that it is on. As many are left to gangs while there are any.
+// the shards' that it is on. As many are left to gangs while there are any.
 const gangClaimChanges = 3
 
 // reserveWritesForGangs has other decisions leave changes for gangs if some came lately. Call
@@ -59,7 +59,7 @@
 	roomNowhere                  // not as things stand
 )
 
-// outlookOf tells how a gang that lacks room in a zone, even with what is coming, can get
+// outlookOf returns how a gang that lacks room in a zone, even with what is coming, can get
 // it. Call with the lock held.
 func (c *Controller) outlookOf(l *waitingJob, a *sched.TaskRequest, all []*sched.Host, n int, now time.Time) roomOutlook {
 	if sched.CountFits(c.withPreemptibleRoom(all, l.entry.priority), a, n) >= n {
@@ -89,7 +89,7 @@
 	return out
 }
 
-// hostsInOrder gives the machines with room by part: the gang's own first, then the peers'
+// hostsInOrder returns the machines with room by shard: the gang's own first, then the peers'
 // in random order.
 func (c *Controller) hostsInOrder(hosts map[string][]*sched.Host, own string) [][]*sched.Host {
 	var peers []string
@@ -162,13 +162,19 @@
 			}
 			continue
 		}
-		// Part after part, or all as one: a fetch takes longer than another part's record
+		// Part after part, or all as one: a fetch takes longer than another shard's capacity record
 		// to be changed, and the last task decides when all start.
 		for _, by := range [][][]*sched.Host{shards, {flat}} {
 			z := c.zoneConstraintOf(j, l.zones.admission.trial())
 			var seats []sched.GangTask
 			for _, t := range l.tasks {
-				seats = append(seats, sched.GangTask{ZoneAllowed: func(s string) bool { return z.allows(t.rangeIndex, s) }, Assigned: func(s string) { z.add(t.rangeIndex, s) }})
+				seats = append(
+					seats,
+					sched.GangTask{
+						ZoneAllowed: func(s string) bool { return z.allows(t.rangeIndex, s) },
+						Assigned:    func(s string) { z.add(t.rangeIndex, s) },
+					},
+				)
 			}
 			found := sched.AssignGang(by, &a, seats)
 			sched.Unassign(found, &a)
@@ -196,7 +202,7 @@
 	return x
 }
 
-// claim gives the placements of a search that found all.
+// claim returns the placements of a search that found all.
 func (x *gangSearch) claim() *gangClaim {
 	out := &gangClaim{uid: x.job.entry.uid}
 	for i, h := range x.hosts {
@@ -208,7 +214,7 @@
 
 // gangTransaction claims room for a gang: all that fits one transaction. If then all of its
 // tasks have a place the same write lets the workers start them, else what was claimed
-// is only held. It gives no transaction when the room is gone. Call with the lock held.
+// is only held. It returns no transaction when the room is gone. Call with the lock held.
 func (c *Controller) gangTransaction(g *gangClaim, now time.Time) (t *transaction, rest []placement, said [][]any) {
 	j := c.replica.jobs[g.uid]
 	if j == nil || !j.record.Gang.AcceptsPlacements() && j.countPlaced() > 0 {
@@ -252,8 +258,25 @@
 		ch.PlaceAttempt(x.index, x.host.Name, try, max(0, (now.UnixMilli()-j.record.AcceptedMS)/1000))
 		z.add(x.rangeIndex, x.host.Zone)
 		n++
-		said = append(said, []any{"task", api.TaskName(g.uid, x.rangeIndex*j.record.RangeSize+x.index), "attempt", try, "host", x.host.Name, "shard", x.host.Shard,
-			"own", x.host.Shard == j.record.Shard, "image", j.record.Spec.Image, "warm", x.host.Images[j.record.Spec.Image]})
+		said = append(
+			said,
+			[]any{
+				"task",
+				api.TaskName(g.uid, x.rangeIndex*j.record.RangeSize+x.index),
+				"attempt",
+				try,
+				"host",
+				x.host.Name,
+				"shard",
+				x.host.Shard,
+				"own",
+				x.host.Shard == j.record.Shard,
+				"image",
+				j.record.Spec.Image,
+				"warm",
+				x.host.Images[j.record.Spec.Image],
+			},
+		)
 	}
 	if n == 0 {
 		return nil, nil, nil
@@ -272,7 +295,8 @@
 // commitGangClaim commits a gang's claim, in as many steps as it takes.
 func (c *Controller) commitGangClaim(ctx context.Context, g *gangClaim) {
 	for tries := 0; len(g.placements) > 0 && tries < 3; {
-		if c.store.AwaitWrites(ctx, min(gangClaimChanges, c.cfg.LowestLimits().TxnOps), store.PriorityGang) < 2 || !c.mayActNow() || c.readNewest(ctx) != nil {
+		if c.store.AwaitWrites(ctx, min(gangClaimChanges, c.cfg.LowestLimits().TxnOps), store.PriorityGang) < 2 || !c.mayActNow() ||
+			c.readNewest(ctx) != nil {
 			return
 		}
 		c.mu.Lock()
@@ -349,7 +373,7 @@
 	}
 }
 
-// startDelay estimates how long a start on a machine waits for the worker's next report:
+// startDelay estimates how long a start on a machine waits for the worker's next heartbeat:
 // one whose token was raised a moment ago can't be made to report by another raise. On a
 // peer's machine that is so if a task was placed there. Call with the lock held.
 func (c *Controller) startDelay(host string, l *machineLoad, now time.Time) float64 {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -29,7 +29,7 @@
 	return g
 }
 
-// hasReleasedClaims tells whether a gang has begun its search for room again: it goes before
+// hasReleasedClaims reports whether a gang has begun its search for room again: it goes before
 // newer ones. Call with the lock held.
 func (c *Controller) hasReleasedClaims(uid string) bool {
 	g := c.gangStates[uid]
@@ -47,18 +47,18 @@
 	return n
 }
 
-// gangPhase tells how a gang's attempt stands.
+// gangPhase returns how a gang's attempt stands.
 func (j *liveJob) gangPhase() job.GangPhase { return j.record.Gang.Phase(j.countPlaced()) }
 
-// isCancelled tells whether the job was called off, as its record shows or a peer says.
+// isCancelled reports whether the job was cancelled, as its record shows or a peer says.
 func (j *liveJob) isCancelled() bool { return j.record.Cancelled || j.cancelledByPeer }
 
-// mustStop tells whether a placed task is to leave its machine.
+// mustStop reports whether a placed task is to leave its machine.
 func (j *liveJob) mustStop(p *job.Placement) bool {
 	return p.Stopping || j.isCancelled() || isGang(j) && j.record.Gang.MustStop(p.Attempt)
 }
 
-// mayLaunch tells whether a placed task may be launched: of a gang only once all its
+// mayLaunch reports whether a placed task may be launched: of a gang only once all its
 // room is held.
 func (j *liveJob) mayLaunch(p *job.Placement) bool {
 	return !j.mustStop(p) && (!isGang(j) || j.record.Gang.MayLaunch(p.Attempt))
@@ -120,7 +120,7 @@
 	return more && (done || err == nil)
 }
 
-// endedGangAttempts gives the ends of gangs' tasks on machines of own parts. Call with the lock
+// endedGangAttempts returns the ends of gangs' tasks on machines of own shards. Call with the lock
 // held.
 func (c *Controller) endedGangAttempts(now time.Time) map[rangeID][]endedTask {
 	all := c.endedTasks(now)
@@ -128,7 +128,7 @@
 	return all
 }
 
-// updateGang adds to a transaction what is to become of a gang. It tells whether it did
+// updateGang adds to a transaction what is to become of a gang. It reports whether it did
 // anything. Call with the lock held.
 func (c *Controller) updateGang(e *recordEditor, j *liveJob, ends []endedTask, now time.Time) bool {
 	uid, m := j.record.Spec.UID, j.record
@@ -138,7 +138,7 @@
 	for _, x := range ends {
 		how := x.end.Reason
 		if how == job.ExitDone && m.Cancelled {
-			how = job.ExitLost // its user was told that it is withdrawn
+			how = job.ExitLost // its user was told that it is cancelled
 		}
 		g.TaskEnded(x.end.Attempt, how, gathering)
 	}
@@ -187,7 +187,7 @@
 	return true
 }
 
-// countsAgainstQuota tells whether what a gang's tasks use counts against a limit: the place of one
+// countsAgainstQuota reports whether what a gang's tasks use counts against a limit: the place of one
 // on a machine that says nothing may still be taken, done or not, so its record is kept
 // until all have been heard of. Call with the lock held.
 func (c *Controller) countsAgainstQuota(j *liveJob) bool {
@@ -195,7 +195,7 @@
 	return team.Limited()
 }
 
-// gangInterruptionIsDue tells whether a machine with a task of a gang is taken away so soon that
+// gangInterruptionIsDue reports whether a machine with a task of a gang is taken away so soon that
 // all of them have to save now. Call with the lock held.
 func (c *Controller) gangInterruptionIsDue(j *liveJob) bool {
 	for _, ch := range j.ranges {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -27,7 +27,7 @@
 	return id
 }
 
-// holder gives a machine that has a task of the job.
+// holder returns a machine that has a task of the job.
 func (s *sim) holder(id string) *simulator.Worker {
 	for _, h := range s.w.Cloud.Names() {
 		for _, p := range s.w.Cloud.Hosts[h].Heartbeat().Tasks {
@@ -52,7 +52,7 @@
 	return n
 }
 
-// A gang of one, one that several parts hold together, and one whose tasks take several
+// A gang of one, one that several shards hold together, and one whose tasks take several
 // records each start all at once under one number, and end at once.
 func TestGangsRunTogether(t *testing.T) {
 	for _, n := range []int{1, 4, 60} {
@@ -211,7 +211,7 @@
 	lease(false)
 }
 
-// Once one task is done all are, whatever becomes of their machines and of the part's
+// Once one task is done all are, whatever becomes of their machines and of the shard's
 // owner: nothing is started again, and nobody calls the job anything else.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := warmSim()
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/peer"
 )
 
-// served gives the node that owns the machine of one of a job's tasks, and another.
+// served returns the node that owns the machine of one of a job's tasks, and another.
 func (s *sim) served(t interface{ Fatalf(string, ...any) }, uid string) (owner, other int) {
 	for h := range s.hostsOf(uid) {
 		m := s.nodes[0].c.replica.machines[h]
@@ -28,7 +28,7 @@
 
 // gapDay brings the gap about: the state service refuses a leader alone, jobs are called
 // off through another controller, and then it is out for all, for longer than cancel_s,
-// while the workers go on reporting to the old leader. It gives the job that was called
+// while the workers go on reporting to the old leader. It returns the job that was called
 // off and one that was not; meet happens right after the confirmation.
 func gapDay(t *testing.T, meet func(s *sim, leader, other int)) (s *sim, off, on string) {
 	s = warmSim()
@@ -55,7 +55,7 @@
 	return s, off, on
 }
 
-// Tasks cancelled out of the old leader's sight are gone in time, whatever it and the
+// Tasks cancelled out of the old leader's observation are gone in time, whatever it and the
 // one that confirmed go through; and as long as all controllers can answer for what
 // they did, nothing else is lost with them.
 func TestGap(t *testing.T) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A leader that stands still after it judged a report and then sends its answer; a
+// A leader that stands still after it judged a heartbeat and then sends its answer; a
 // worker that hears nothing but old answers; leases and cancel_s that leave much time,
 // little, or none at all. On both sides of each bound: no task is on its machine later
 // than cancel_s after any user was told, and with controllers that answer one another,
@@ -101,7 +101,8 @@
 			return time.Duration(rapid.IntRange(from*10, to*10).Draw(t, name)) * 100 * time.Millisecond
 		}
 		s.w.Lease = secs("lease", 4, 20)
-		s.w.CancelS = time.Duration(float64(s.w.Lease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")).Round(100 * time.Millisecond)
+		s.w.CancelS = time.Duration(float64(s.w.Lease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")).
+			Round(100 * time.Millisecond)
 		for i := range s.nodes {
 			s.start(i)
 		}
@@ -246,7 +247,7 @@
 		t.Error("it never vouches again")
 	}
 
-	// An owner's time counts from the oldest of all its peers' answers, and one that
+	// A leader's time counts from the oldest of all its peers' answers, and one that
 	// does not know the question, or can't say, is as good as silent.
 	o := s.nodes[0].c
 	now := o.now()
@@ -270,7 +271,7 @@
 	}
 }
 
-// An owner that hears from a peer that its part was taken stops answering at once and
+// A leader that hears from a peer that its shard was taken stops answering at once and
 // sends its workers there, long before its own time is over.
 func TestReplacedOwnerSendsWorkersOn(t *testing.T) {
 	s := warmSim()
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -23,11 +23,11 @@
 // arrivalWindows is over how many boots arrivals are looked at.
 const arrivalWindows = 4
 
-// noteArrival notes a job for the head-room. It is called with the lock held.
+// noteArrival notes a job for the headroom. It is called with the lock held.
 func (c *Controller) noteArrival(m *job.Record) {
 	const lanes = 64
 	if c.arrivals[m.Spec.Class] == nil && len(c.arrivals) >= lanes {
-		clear(c.arrivals) // users may name lanes at will
+		clear(c.arrivals) // users may name classes at will
 	}
 	l := append(c.arrivals[m.Spec.Class], arrival{time.UnixMilli(m.AcceptedMS), &m.Spec, float64(m.Spec.Tasks)})
 	if len(l) > c.maxArrivals() {
@@ -36,7 +36,7 @@
 	c.arrivals[m.Spec.Class] = l
 }
 
-// headroomRequest is room to be kept for a class of jobs, by zone if they are scattered, and the
+// headroomRequest is room to be kept for a class of jobs, by zone if they are spread, and the
 // rank of the work it is kept for.
 type headroomRequest struct {
 	class    string
@@ -53,7 +53,7 @@
 	return n
 }
 
-// withPreemptibleRoom gives copies of the machines with the room of tasks of a lower rank
+// withPreemptibleRoom returns copies of the machines with the room of tasks of a lower rank
 // added to what is free: that need not be kept, it can be taken when needed.
 // Call with the lock held.
 func (c *Controller) withPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
@@ -81,7 +81,7 @@
 	return time.Duration(startup * float64(time.Second))
 }
 
-// headroom tells which tasks to keep room for that have not come yet: of lanes
+// headroom returns which tasks to keep room for that have not come yet: of classes
 // whose jobs can't wait for a machine to boot, as many as arrivals fluctuate by
 // while one does. What ends in that time makes room for the average. Call with
 // the lock held.
@@ -124,7 +124,7 @@
 		n := int(math.Ceil(max(keep, c.growth(class, l, boot, arrivalWindows*boot, now))))
 		ask := taskRequestOf(last)
 		if gate := c.admissionOfSpec(last, admission); gate != nil {
-			ask.ZoneAllowed = gate.admits // no head-room below production in a zone that is closed to it
+			ask.ZoneAllowed = gate.admits // no headroom below production in a zone that is closed to it
 		}
 		if !last.Spread {
 			out = append(out, headroomRequest{class, priority, []sched.UnmetDemand{{Request: ask, Count: n}}})
@@ -132,7 +132,7 @@
 		}
 		zones := c.cfg.Facts.Zones
 		byZone := headroomRequest{class: class, priority: priority}
-		for _, zone := range zones { // each zone takes its share of a scattered job
+		for _, zone := range zones { // each zone takes its share of a spread job
 			if ask.Zone == "" || ask.Zone == zone {
 				a := ask
 				a.Zone = zone
@@ -144,7 +144,7 @@
 	return out
 }
 
-// growth is by how much a lane's arrays will outgrow the room that their running
+// growth is by how much a class's arrays will outgrow the room that their running
 // tasks leave while a machine boots: at the start of a day, or when more come
 // than before, whoever waits for them to find no room rents a boot too late. The
 // rate is that of the newer half of what was seen, so that what came at once in
@@ -181,7 +181,7 @@
 	return max(grow, 0)
 }
 
-// waitingSlack is how long a job of the lane can wait before it misses its aim, when
+// waitingSlack is how long a job of the class can wait before it misses its aim, when
 // fetching its image takes so many seconds.
 func (c *Controller) waitingSlack(class string, r *api.Job, fetch float64) float64 {
 	s := math.Inf(1)
@@ -205,7 +205,7 @@
 	return s
 }
 
-// headroomMachines gives the idle machines that belong to the head-room: what is to be
+// headroomMachines returns the idle machines that belong to the headroom: what is to be
 // kept room for takes them after it has filled the others. Call with the lock
 // held.
 func (c *Controller) headroomMachines(left []*sched.Host, now time.Time) map[string]bool {
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/config"
 )
 
-// Head-room is rented for as soon as more is wanted, and in each round until there is enough: one takes no
+// Headroom is rented for as soon as more is wanted, and in each round until there is enough: one takes no
 // more than the cloud gives at once, and looking only a sixteenth of a boot apart left
 // the first minutes with too few machines.
 func TestHeadroomBeyondOneRental(t *testing.T) {
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -10,7 +10,7 @@
 	"violetturn/internal/simulator"
 )
 
-// Four thousand stand-in machines: three controllers fill them, one ends and its machines
+// Four thousand simulated service machines: three controllers fill them, one ends and its machines
 // are taken over, then all end at once and start anew, and go on without a broken rule.
 //
 // It is simulated time in one goroutine, so nothing shows how real processes keep up; and
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -35,7 +35,7 @@
 	c.wakeDecider()
 }
 
-// machinesToReturn gives the machines of own parts that are to be returned. On the way it fences
+// machinesToReturn returns the machines of own shards that are to be returned. On the way it fences
 // those that have not heard of this owner, and judges which are to go.
 func (c *Controller) machinesToReturn(ctx context.Context) []string {
 	now := c.now()
@@ -63,7 +63,7 @@
 			continue
 		}
 		// One that boots hears nothing and hangs the connection; all are fenced
-		// once when the part is taken, for the list is late.
+		// once when the shard is taken, for the list is late.
 		if !s.Fenced && !c.provisioning[host] {
 			c.fence(ctx, host)
 		}
@@ -88,7 +88,7 @@
 	now          time.Time
 	hosts        []*sched.Host            // with the room that is left after what is to be placed
 	replicaHosts map[string][]*sched.Host // by zone, those of them with replicas
-	headroom     map[string]bool          // idle ones that the head-room needs
+	headroom     map[string]bool          // idle ones that the headroom needs
 	reserved     map[string]bool          // those that wait for the rest of a gang's room
 }
 
@@ -100,7 +100,7 @@
 	return v.hosts
 }
 
-// replicas gives the machines with replicas in a zone.
+// replicas returns the machines with replicas in a zone.
 func (v *scaleInView) replicas(zone string) []*sched.Host {
 	if v.replicaHosts == nil {
 		v.replicaHosts = map[string][]*sched.Host{}
@@ -113,7 +113,7 @@
 	return v.replicaHosts[zone]
 }
 
-// fitElsewhere tells whether the tasks would all fit on other machines with replicas in
+// fitElsewhere reports whether the tasks would all fit on other machines with replicas in
 // the zone that have their images. It leaves the view as it was.
 func (v *scaleInView) fitElsewhere(host, zone string, asks []sched.TaskRequest) bool {
 	others := v.replicas(zone)
@@ -143,7 +143,7 @@
 	return true
 }
 
-// inHeadroom tells whether a machine is part of the head-room.
+// inHeadroom reports whether a machine is part of the headroom.
 func (v *scaleInView) inHeadroom(host string) bool {
 	if v.headroom == nil {
 		v.headroom = v.c.headroomMachines(v.remaining(), v.now)
@@ -165,8 +165,8 @@
 		c.wakeDecider()
 	}
 	if !s.Fenced {
-		// It has had time to boot, and since this owner took the part time to
-		// answer a fence: what an earlier owner waited says nothing of a machine
+		// It has had time to boot, and since this owner took the shard time to
+		// answer a fence: what an earlier leader waited says nothing of a machine
 		// that came up under it, but one that was lost under it must not be given
 		// the time of a whole boot once more.
 		if now.Sub(time.UnixMilli(m.RegisteredMS)) > 4*startup+c.cfg.WorkerLease() && now.Sub(s.CreatedAt) > 2*c.cfg.WorkerLeaseBound() {
@@ -182,7 +182,8 @@
 		}
 		return
 	}
-	if c.unfinishedTasks(host) > 0 || s.Heartbeat != nil && slices.ContainsFunc(s.Heartbeat.Tasks, func(p api.TaskState) bool { return p.Phase != api.Ended }) {
+	if c.unfinishedTasks(host) > 0 ||
+		s.Heartbeat != nil && slices.ContainsFunc(s.Heartbeat.Tasks, func(p api.TaskState) bool { return p.Phase != api.Ended }) {
 		s.IdleSince = time.Time{}
 		if !c.canMigrate(host, startup, view) {
 			s.UnderusedSince = time.Time{}
@@ -205,7 +206,7 @@
 	}
 }
 
-// canMigrate tells whether a machine holds nothing but a few replicas that have run
+// canMigrate reports whether a machine holds nothing but a few replicas that have run
 // for a while and fit on machines in use elsewhere that have their images, so
 // that moving them costs seconds and saves a machine. Call with the lock held.
 func (c *Controller) canMigrate(host string, startup time.Duration, view *scaleInView) bool {
--- a/internal/controller/idle_test.go
+++ b/internal/controller/idle_test.go
@@ -16,8 +16,22 @@
 		var hosts []*sched.Host
 		for i := range rapid.IntRange(1, 8).Draw(t, "hosts") {
 			gpus := float64(rapid.IntRange(0, 4).Draw(t, "free"))
-			hosts = append(hosts, &sched.Host{Name: string(rune('a' + i)), MachineType: "m", Zone: rapid.SampledFrom(zones).Draw(t, "site"), Cap: sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
-				Free: sched.Resources{CPUs: 2 * gpus, GPUs: gpus, MemGB: 16 * gpus}, Services: rapid.IntRange(0, 1).Draw(t, "daemons"), Images: map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true}})
+			hosts = append(
+				hosts,
+				&sched.Host{
+					Name:        string(rune('a' + i)),
+					MachineType: "m",
+					Zone:        rapid.SampledFrom(zones).Draw(t, "site"),
+					Cap:         sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
+					Free: sched.Resources{
+						CPUs:  2 * gpus,
+						GPUs:  gpus,
+						MemGB: 16 * gpus,
+					},
+					Services: rapid.IntRange(0, 1).Draw(t, "daemons"),
+					Images:   map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true},
+				},
+			)
 		}
 		from := hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "from")]
 		var asks []sched.TaskRequest
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -145,7 +145,8 @@
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
-	if m.machines["i-000231"].Shard != "i-00023-" || m.machines["i-000232"] != nil || m.machines["i-000247"] == nil || !m.terminated["i-000232"] {
+	if m.machines["i-000231"].Shard != "i-00023-" || m.machines["i-000232"] != nil || m.machines["i-000247"] == nil ||
+		!m.terminated["i-000232"] {
 		t.Fatal(m.machines)
 	}
 	page("i-0002-", 3, "i-000232", "i-000239", "i-000247")
@@ -158,7 +159,7 @@
 	}
 }
 
-// A part whose room no longer fits its record is used as a whole by its owner: peers
+// A shard whose room no longer fits its record is used as a whole by its leader: peers
 // see the machines with most room only.
 func TestTrimmedPartServesAllItsMachines(t *testing.T) {
 	s := newSim()
@@ -184,8 +185,8 @@
 	})
 }
 
-// A scattered job that is divided keeps half of its tasks out of each zone: its smaller
-// chunks may each have all of their tasks in one, so they are counted together. Counted
+// A spread job that is divided keeps half of its tasks out of each zone: its smaller
+// task ranges may each have all of their tasks in one, so they are counted together. Counted
 // apart they once let too many into a zone.
 func TestDividedJobStaysScattered(t *testing.T) {
 	m := &job.Record{RangeSize: 8}
--- a/internal/controller/livejob.go
+++ b/internal/controller/livejob.go
@@ -9,14 +9,14 @@
 	"violetturn/internal/job"
 )
 
-// liveJob is a job with its chunks.
+// liveJob is a job with its task ranges.
 type liveJob struct {
 	record          *job.Record
 	version         uint64
 	size            int                           // bytes of its main record
 	ranges          map[int]cached[job.TaskRange] // those of its present division
 	pending         []taskIndex                   // what is neither done nor placed; nil: to be worked out
-	cancelledByPeer bool                          // a peer says that it was called off, though its record doesn't show it yet
+	cancelledByPeer bool                          // a peer says that it was cancelled, though its record doesn't show it yet
 }
 
 func (m *replica) applyJob(uid string, raw json.RawMessage, version uint64) error {
@@ -49,7 +49,8 @@
 	} else {
 		was = j.record
 	}
-	if was != nil && (v.Cancelled && !was.Cancelled || gangStateChanged(was.Gang, v.Gang)) { // its tasks are useless from now on, or may start
+	if was != nil &&
+		(v.Cancelled && !was.Cancelled || gangStateChanged(was.Gang, v.Gang)) { // its tasks are useless from now on, or may start
 		m.invalidateLoads(j.ranges)
 		for _, ch := range j.ranges {
 			for _, p := range ch.record.Placements {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// gangStateChanged tells whether what a gang's tasks are to do has changed.
+// gangStateChanged reports whether what a gang's tasks are to do has changed.
 func gangStateChanged(a, b *job.Gang) bool {
 	if a == nil || b == nil {
 		return a != b
@@ -85,7 +86,7 @@
 	return a.Attempt != b.Attempt || a.Launched != b.Launched || a.Stopping != b.Stopping || a.Ended != b.Ended || a.Done != b.Done
 }
 
-// taskRangeKey names the record of chunk n of a job that was divided gen times.
+// taskRangeKey names the record of task range n of a job that was divided gen times.
 func taskRangeKey(uid string, gen, n int) string {
 	if gen == 0 {
 		return taskRangePrefix + uid + "/" + strconv.Itoa(n)
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// setTaskRange replaces a chunk and with it what is placed on machines.
+// setTaskRange replaces a task range and with it what is placed on machines.
 func (m *replica) setTaskRange(uid string, chunks map[int]cached[job.TaskRange], n int, to cached[job.TaskRange]) {
 	c := to.record
 	if j := m.jobs[uid]; j != nil {
@@ -169,9 +170,9 @@
 	}
 }
 
-// finalState tells how a job ended whose record was just dropped, from the version
+// finalState returns how a job ended whose record was just dropped, from the version
 // before, which is the last there was: each change of a record was seen, in
-// order. A job is dropped when it is withdrawn and empty, or else done. So users
+// order. A job is dropped when it is cancelled and empty, or else done. So users
 // who ask how it ended need no further read.
 func (j *liveJob) finalState() job.FinalState {
 	if !j.record.Cancelled || j.record.Gang != nil && j.record.Gang.Done {
@@ -180,7 +181,7 @@
 	return job.FinalState{Phase: api.Cancelled, Done: j.userState(false).Done}
 }
 
-// rangeRecord gives the key and version of the record that holds chunk n.
+// rangeRecord returns the key and version of the record that holds task range n.
 func (j *liveJob) rangeRecord(n int) (string, uint64) {
 	if j.record.Inline {
 		return jobPrefix + j.record.Spec.UID, j.version
@@ -188,7 +189,7 @@
 	return taskRangeKey(j.record.Spec.UID, j.record.Generation, n), j.ranges[n].version
 }
 
-// userState tells users of a living job. One that was called off is told so at once, or
+// userState tells users of a living job. One that was cancelled is told so at once, or
 // else (config.ConfirmsEmpty) when it has no task left.
 func (j *liveJob) userState(confirmsEmpty bool) api.State {
 	s := api.State{UID: j.record.Spec.UID, Phase: api.Pending, Done: j.record.FinishedTasks()}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -53,7 +53,7 @@
 	d        *simulator.Deployment
 	rnd      *rand.Rand
 	phase    string
-	nextTime map[string]time.Time // by machine, of its next report
+	nextTime map[string]time.Time // by machine, of its next heartbeat
 	seen     map[string]string    // by machine, what its last report said
 	pollAt   map[string]time.Time // by unfinished job
 	endAt    map[string]time.Time // by service, when its user cancels it
@@ -73,8 +73,16 @@
 
 func newLoadSim(d *simulator.Deployment) *loadSim {
 	w := d.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	l := &loadSim{d: d, rnd: rand.New(rand.NewPCG(1, 1)), nextTime: map[string]time.Time{}, seen: map[string]string{}, pollAt: map[string]time.Time{},
-		endAt: map[string]time.Time{}, due: map[*simulator.Class]float64{}, costs: map[string]*phaseCost{}}
+	l := &loadSim{
+		d:        d,
+		rnd:      rand.New(rand.NewPCG(1, 1)),
+		nextTime: map[string]time.Time{},
+		seen:     map[string]string{},
+		pollAt:   map[string]time.Time{},
+		endAt:    map[string]time.Time{},
+		due:      map[*simulator.Class]float64{},
+		costs:    map[string]*phaseCost{},
+	}
 	l.sim = &sim{
 		w:       w,
 		state:   d.State,
@@ -326,7 +334,7 @@
 	l.play("last", 40*time.Second)
 }
 
-// print tells what each phase cost, per simulated second of all controllers together.
+// print returns what each phase cost, per simulated second of all controllers together.
 func (l *loadSim) print() {
 	for _, phase := range []string{"fill", "steady", "takeover", "start", "outage", "return", "last"} {
 		cost := l.costs[phase]
@@ -356,7 +364,7 @@
 	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.w.Cloud.Hosts), jobs, len(l.w.Violations))
 }
 
-// mostHeld gives the functions that held a lock longest in all.
+// mostHeld returns the functions that held a lock longest in all.
 func mostHeld(holds map[string]*LockUse, most int) []*LockUse {
 	uses := slices.SortedFunc(maps.Values(holds), func(a, b *LockUse) int { return cmp.Compare(b.Held, a.Held) })
 	return uses[:min(most, len(uses))]
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -39,7 +39,7 @@
 	l.mutex.Unlock()
 }
 
-// callerOf gives the return address so many frames above its caller.
+// callerOf returns the return address so many frames above its caller.
 func callerOf(frames int) uintptr {
 	var counters [1]uintptr
 	runtime.Callers(frames+1, counters[:])
@@ -80,7 +80,7 @@
 	use.Longest = max(use.Longest, d)
 }
 
-// take gives what was recorded, by function, the longest in all first, and begins
+// take returns what was recorded, by function, the longest in all first, and begins
 // anew. Call with the lock held.
 func (m *lockMeter) take() []LockUse {
 	byFunction := map[string]*LockUse{}
@@ -110,7 +110,7 @@
 // MeterLock records from now on how the state's lock is used. It is called before Run.
 func (c *Controller) MeterLock() { c.mu.meter = newLockMeter() }
 
-// LockUses gives what was recorded since MeterLock or the last call, by function, the
+// LockUses returns what was recorded since MeterLock or the last call, by function, the
 // longest in all first.
 func (c *Controller) LockUses() []LockUse {
 	c.mu.Lock()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,7 +11,7 @@
 )
 
 // registerMachines records machines that reported or were rented or listed
-// without a record, each in one part, by conditional writes of their pages.
+// without a record, each in one shard, by conditional writes of their pages.
 func (c *Controller) registerMachines(ctx context.Context) bool {
 	c.mu.Lock()
 	if len(c.unregistered) == 0 {
@@ -76,8 +76,8 @@
 	return (done || err == nil) && len(c.unregistered) > 0
 }
 
-// shardFor chooses the part for a machine: one whose home controller is in the
-// machine's zone, so that a zone cut off keeps its owner; of those the smallest.
+// shardFor chooses the shard for a machine: one whose home controller is in the
+// machine's zone, so that a zone cut off keeps its leader; of those the smallest.
 func (c *Controller) shardFor(site string, count map[string]int) string {
 	zone := map[string]string{c.cfg.HostName: c.cfg.Zone}
 	for _, m := range c.cfg.Members {
@@ -115,7 +115,7 @@
 			continue
 		}
 		if _, in := c.replica.capacities[m.Shard].record.Free[host]; in {
-			continue // upkeep comes first: no thief may still put a task there
+			continue // upkeep comes first: no stealing peer may still put a task there
 		}
 		id := c.pageFor(host)
 		page, open := pages[id]
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -33,7 +33,7 @@
 	s.rounds(t, 60, "array done", s.done(id))
 }
 
-// A machine that was returned is not recorded again when a report that a cut
+// A machine that was returned is not recorded again when a heartbeat that a cut
 // held back arrives, or because the list still shows it.
 func TestReturnedMachineStaysGone(t *testing.T) {
 	s := warmSim()
@@ -58,7 +58,7 @@
 	}
 }
 
-// A part that changes owners and comes back must not carry the first owner's
+// A shard that changes leaders and comes back must not carry the first owner's
 // patience with a machine that was still booting then: it came up meanwhile.
 func TestMachineOutlivesChangesOfOwner(t *testing.T) {
 	s := warmSim()
@@ -82,7 +82,7 @@
 	}
 }
 
-// A machine that was lost under an earlier owner is given up by the next one
+// A machine that was lost under an earlier leader is given up by the next one
 // soon, not after the time of a whole boot once more.
 func TestLostMachineIsGivenUpByTheNextOwner(t *testing.T) {
 	s := warmSim()
@@ -121,7 +121,7 @@
 // its lease run out again and again. It was answered, so it once counted as
 // alive for ever: its tasks waited there and were launched with each answer. Now
 // its sessions show that it doesn't hear, its tasks go elsewhere, and it takes no
-// more until it obeys; also when its part has changed hands meanwhile.
+// more until it obeys; also when its shard has changed hands meanwhile.
 func TestOneWayMachine(t *testing.T) {
 	for _, handover := range []bool{false, true} {
 		s := warmSim()
@@ -232,7 +232,7 @@
 
 // A worker takes raises of its token for news only now and then. Stops were once
 // announced by them, and a start on the same machine soon after waited for the
-// worker's next report: stops go directly, and the raise is kept for the start.
+// worker's next heartbeat: stops go directly, and the raise is kept for the start.
 func TestRaisesAreKeptForStarts(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/shard"
 )
 
-// machineCapacity gives a machine type's size. Call with the lock held.
+// machineCapacity returns a machine type's size. Call with the lock held.
 func (c *Controller) machineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
@@ -23,11 +23,12 @@
 	return sched.Resources{}, nil
 }
 
-// isSchedulable tells whether a machine of an own part can take tasks. Call with the
+// isSchedulable reports whether a machine of an own shard can take tasks. Call with the
 // lock held.
 func (c *Controller) isSchedulable(host string, now time.Time) bool {
 	s := c.agents[host]
-	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil && !now.Before(s.AvoidUntil) &&
+	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil &&
+		!now.Before(s.AvoidUntil) &&
 		now.Sub(s.LastSeen) < 3*c.cfg.HeartbeatInterval()
 }
 
@@ -43,7 +44,7 @@
 	return r.ImageGB / best
 }
 
-// freeInShard computes the free room of the usable machines of an own part from the
+// freeInShard computes the free room of the usable machines of an own shard from the
 // committed placements, less those that are over. A machine without any is left
 // out. Call with the lock held.
 func (c *Controller) freeInShard(p string, now time.Time) map[string]sched.Resources {
@@ -59,7 +60,7 @@
 	return free
 }
 
-// freeOnMachine gives the free room of a machine of an own part, and the size of the machine;
+// freeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
 // false if it has none or can't take tasks. Call with the lock held.
 func (c *Controller) freeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
 	if !c.isSchedulable(host, now) {
@@ -73,12 +74,12 @@
 	return free, size, free.CPUs > 1e-6 && free.MemGB > 1e-6
 }
 
-// schedulableHosts lists the machines with their free room: of own parts as computed, of
+// schedulableHosts lists the machines with their free room: of own shards as computed, of
 // peers' as their records say. Call with the lock held.
 func (c *Controller) schedulableHosts(now time.Time) []*sched.Host {
 	type view struct {
 		own  bool
-		free shard.FreeCapacity // of a peer's part
+		free shard.FreeCapacity // of a peer's shard
 	}
 	shards := map[string]view{}
 	for _, p := range c.shards {
@@ -127,7 +128,7 @@
 	return out
 }
 
-// teamUse is what a team's tasks hold in all, by the parts' records.
+// teamUse is what a team's tasks hold in all, by the shards' capacity records.
 func (c *Controller) teamUse(name string) sched.Resources {
 	var r sched.Resources
 	for _, p := range c.replica.capacities {
@@ -138,7 +139,7 @@
 
 func quotaID(name string) string { return url.PathEscape(name) }
 
-// smallestRequest gives the smallest amounts that any waiting task asks for: a machine
+// smallestRequest returns the smallest amounts that any waiting task asks for: a machine
 // with less has no room for anybody. Call with the lock held.
 func smallestRequest(queue []*queueEntry) sched.Resources {
 	inf := math.Inf(1)
@@ -152,7 +153,7 @@
 	return m
 }
 
-// hostsWithRoom gives the machines that have as much room, by part.
+// hostsWithRoom returns the machines that have as much room, by shard.
 func hostsWithRoom(hosts []*sched.Host, n sched.Resources) map[string][]*sched.Host {
 	out := map[string][]*sched.Host{}
 	for _, h := range hosts {
@@ -187,7 +188,7 @@
 	at   time.Time
 }
 
-// reusePlan gives a plan that was made since the last round of rentals, or else makes
+// reusePlan returns a plan that was made since the last round of rentals, or else makes
 // one: a plan is the dearest thing that a controller works out, and what a decision
 // found to lack room lacks it for rentals too. Each plan is given once, for who rents
 // fills its machines. Call with the lock held.
--- a/internal/controller/meet_leaders_test.go
+++ b/internal/controller/meet_leaders_test.go
@@ -104,7 +104,7 @@
 }
 
 // Jobs are cancelled in the seconds in which one controller's work changes hands: before
-// its end shows, while nobody owns the part, as it is taken, and as it is handed back.
+// its end shows, while nobody owns the shard, as it is taken, and as it is handed back.
 func TestMeetCancelInHandover(t *testing.T) {
 	for after := range 12 {
 		s := warmSim()
@@ -160,8 +160,8 @@
 	}
 }
 
-// A report that was held back since before a start reaches the new leader when the job
-// has been called off and the machine is cut off: it shows nothing about now, and the
+// A heartbeat that was held back since before a start reaches the new leader when the job
+// has been cancelled and the machine is cut off: it shows nothing about now, and the
 // team, which is at its limit, has no room before the lease is over.
 func TestMeetHeldReport(t *testing.T) {
 	s := warmSim()
--- a/internal/controller/meet_test.go
+++ b/internal/controller/meet_test.go
@@ -138,7 +138,7 @@
 
 // A transaction without an answer is carried out late, after newer ones of the same
 // controller: an acceptance after the job's whole life, a cancellation after its end, a
-// take of a part after it was taken again and handed back.
+// take of a shard after it was taken again and handed back.
 func TestMeetLateTransaction(t *testing.T) {
 	s := warmSim()
 	s.w.Store.Next["n0"] = simulator.Late
@@ -160,7 +160,7 @@
 	s.rounds(t, 80, "replicas run", func() bool { return s.running(id) == 3 })
 	leader, _ := s.served(t, id)
 	s.nodes[leader].up = false
-	for range 12 { // whoever takes the part hears nothing, and so for all else
+	for range 12 { // whoever takes the shard hears nothing, and so for all else
 		for _, n := range s.nodes {
 			s.w.Store.Next[n.name] = simulator.Late
 		}
@@ -236,7 +236,7 @@
 	}
 	s.pass(t, 10) // tokens may be raised again
 	lease(true)
-	off := s.array(1, time.Hour, nil) // the machine with room hears of it only with its next report
+	off := s.array(1, time.Hour, nil) // the machine with room hears of it only with its next heartbeat
 	s.rounds(t, 20, "it runs", func() bool { return s.running(off) == 1 })
 	var early []func() // what was sent for the start
 	for _, n := range s.nodes {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -11,7 +11,7 @@
 	"violetturn/internal/store"
 )
 
-// leaseLoop keeps this node's hold and with it the parts it owns.
+// leaseLoop keeps this node's lease and with it the shards it owns.
 func (c *Controller) leaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		t := time.NewTimer(c.maintainLease(ctx))
@@ -25,7 +25,7 @@
 	}
 }
 
-// maintainLease makes or renews the hold and tends the parts. It tells how long to
+// maintainLease makes or renews the lease and tends the shards. It tells how long to
 // wait before the next step.
 func (c *Controller) maintainLease(ctx context.Context) time.Duration {
 	ttl := c.cfg.ControllerLeaseTTL()
@@ -66,15 +66,15 @@
 	return ttl / 10
 }
 
-// acquireShard takes a part: its owner's key under our hold, and a term above all
-// that were ever given out, which is the part's baton.
+// acquireShard takes a shard: its leader's key under our lease, and a term above all
+// that were ever given out, which is the shard's fencing token.
 func (c *Controller) acquireShard(ctx context.Context, p string, seen uint64) {
 	me := c.cfg.HostName
 	c.mu.Lock()
 	old, had := c.replica.leaders[p]
 	if old.version != seen {
-		// Somebody took it since: with the newer version the guard would hold,
-		// and the part be taken from a living owner.
+		// Somebody took it since: with the newer version the precondition would hold,
+		// and the shard be taken from a living leader.
 		c.mu.Unlock()
 		return
 	}
@@ -87,12 +87,15 @@
 	t.put(termKey, term)
 	t.put(leaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: c.incarnation, Term: term})
 	t.leases[leaderPrefix+p] = c.leaseID
-	// An earlier life of this process has ended, and one that released the part
+	// An earlier life of this process has ended, and one that released the shard
 	// has stopped answering; any other may go on for its grace. So may one before
 	// those, if they did not live to see its grace out: the doubt stays with the
 	// record, or a quick restart of ours would forget it.
 	clean := rec.record == nil || (rec.record.Leader == me || rec.record.Released) && !rec.record.PredecessorInDoubt
-	t.put(capacityPrefix+p, shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: c.quotaUseOf(p)})
+	t.put(
+		capacityPrefix+p,
+		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: c.quotaUseOf(p)},
+	)
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
 	if !done {
@@ -127,7 +130,7 @@
 	c.wakeDecider()
 }
 
-// dropLeadership forgets a part that is no longer ours. Call with the lock held.
+// dropLeadership forgets a shard that is no longer ours. Call with the lock held.
 func (c *Controller) dropLeadership(p string) {
 	delete(c.leaderships, p)
 	for host := range c.agents {
@@ -143,7 +146,7 @@
 	delete(c.replica.loads, host)
 }
 
-// agentOf gives the session of a machine of an own part. Call with the lock held.
+// agentOf returns the session of a machine of an own shard. Call with the lock held.
 func (c *Controller) agentOf(host string, o *leadership) *shard.Agent {
 	s := c.agents[host]
 	if s == nil || s.Term != o.term {
@@ -154,7 +157,7 @@
 	return s
 }
 
-// releaseShard gives a part back to its home controller in an orderly way: answers
+// releaseShard returns a shard back to its home controller in an orderly way: answers
 // stop first, then the release is committed.
 func (c *Controller) releaseShard(ctx context.Context, p string) {
 	c.mu.Lock()
@@ -186,7 +189,7 @@
 	}
 }
 
-// fence tells a worker our baton directly, so that an earlier owner's answers
+// fence tells a worker our fencing token directly, so that an earlier leader's answers
 // are dropped from then on, and learns what runs there. Call with the lock held.
 func (c *Controller) fence(ctx context.Context, host string) {
 	if s := c.agents[host]; s != nil && !s.Fenced && c.now().Sub(s.LastCommandAt) >= c.cfg.HeartbeatInterval() {
@@ -195,7 +198,7 @@
 }
 
 // sendCommands sends orders that may be carried out at any later time to a worker
-// directly, and takes in the report that it answers with. It tells whether there
+// directly, and takes in the heartbeat that it answers with. It reports whether there
 // was room to send them. Call with the lock held.
 func (c *Controller) sendCommands(ctx context.Context, host string, slots chan struct{}, o api.CommandBatch) bool {
 	m, s := c.replica.machines[host], c.agents[host]
@@ -233,7 +236,7 @@
 }
 
 // requestHeartbeats has workers report at once for whom there is something new: a start
-// goes only in an answer to a report, and the next one may be a whole round
+// goes only in an answer to a heartbeat, and the next one may be a whole round
 // away. A direct command that stops tasks or raises the worker's token makes it
 // report; neither does harm whenever it is carried out. (One that only clears
 // ended tasks does not make it report.)
@@ -247,7 +250,8 @@
 	for host := range c.heartbeatRequests {
 		m := c.replica.machines[host]
 		s := c.agents[host]
-		if m == nil || c.leadershipOf(m.Shard) == nil || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated || s.Unresponsive {
+		if m == nil || c.leadershipOf(m.Shard) == nil || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
+			s.Unresponsive {
 			delete(c.heartbeatRequests, host)
 			continue
 		}
@@ -270,8 +274,8 @@
 	}
 }
 
-// immediateCommands gives the orders that need not wait for the worker's next report: they
-// may be carried out at any later time, and tells whether there are stops among
+// immediateCommands returns the orders that need not wait for the worker's next heartbeat: they
+// may be carried out at any later time, and reports whether there are stops among
 // them, and whether there are starts, which have to wait. Call with the lock held.
 func (c *Controller) immediateCommands(host string, s *shard.Agent) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
@@ -314,14 +318,14 @@
 	return api.Command{Action: api.Stop, Task: a.task, Attempt: a.attempt, GraceS: &leeway}
 }
 
-// savesOnStop tells whether tasks of the job that have to leave save their progress first:
+// savesOnStop reports whether tasks of the job that have to leave save their progress first:
 // of a gang only if all are told to, for the save fails without one of them.
 func savesOnStop(j *liveJob) bool {
 	g := j.record.Gang
 	return !j.isCancelled() && j.record.Spec.CheckpointS > 0 && (!isGang(j) || g != nil && g.Stopping)
 }
 
-// acceptHeartbeat takes in a report and looks at what it says. Call with the lock held.
+// acceptHeartbeat takes in a heartbeat and looks at what it says. Call with the lock held.
 func (c *Controller) acceptHeartbeat(host string, s *shard.Agent, r *api.Heartbeat) bool {
 	old, deaf := s.Heartbeat, s.Unresponsive
 	if !s.Accept(r, c.now()) {
@@ -330,7 +334,13 @@
 	c.noteWorkerHeard(c.now())
 	s.LastSeen = c.now()
 	if s.Unresponsive && !deaf {
-		c.log.Info("worker unresponsive", "host", host, "why", "its lease expired although it was answered: no tasks until it obeys a command")
+		c.log.Info(
+			"worker unresponsive",
+			"host",
+			host,
+			"why",
+			"its lease expired although it was answered: no tasks until it obeys a command",
+		)
 	}
 	if old == nil || deaf != s.Unresponsive || old.AgentEpoch != r.AgentEpoch || (old.SpotNoticeS == nil) != (r.SpotNoticeS == nil) ||
 		!slices.Equal(old.Tasks, r.Tasks) {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -10,11 +10,11 @@
 	"violetturn/internal/simulator"
 )
 
-// A part taken by a transaction whose answer was lost once was nobody's: the
-// key was ours and kept alive, but the part was not among those we own.
+// A shard taken by a transaction whose answer was lost once was nobody's: the
+// key was ours and kept alive, but the shard was not among those we own.
 func TestPartTakenWithoutAnswer(t *testing.T) {
 	s := newSim()
-	for i, n := range s.nodes { // the first transaction registers, the next takes the part
+	for i, n := range s.nodes { // the first transaction registers, the next takes the shard
 		s.step(i)
 		s.w.Store.Next[n.name] = simulator.LoseAfter
 	}
@@ -23,8 +23,8 @@
 	})
 }
 
-// An owner that restarts quickly must not forget that the owner before it may
-// still be answering workers: the doubt stays in the part's record.
+// A leader that restarts quickly must not forget that the leader before it may
+// still be answering workers: the doubt stays in the shard's capacity record.
 func TestDoubtOutlivesRestart(t *testing.T) {
 	s := newSim()
 	for range 20 {
@@ -71,7 +71,7 @@
 	check(60)
 }
 
-// A part that a peer took between the look and the take is left to it.
+// A shard that a peer took between the look and the take is left to it.
 func TestPartIsNotTakenFromALivingOwner(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[1].c
@@ -91,7 +91,7 @@
 	}
 }
 
-// Controllers that are back at once, in the middle of taking a part and with
+// Controllers that are back at once, in the middle of taking a shard and with
 // transactions of their earlier lives still to arrive, leave every part with one
 // owner and every replica running.
 func TestBackAtOnceInElection(t *testing.T) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// A take that was overtaken by another's, which raised the term, is tried again at
-// once, not with the next renewal of the hold: after the end of all controllers
+// A take that was beaten by a conflicting write by another's, which raised the term, is tried again at
+// once, not with the next renewal of the lease: after the end of all controllers
 // they come together, and the workers' leases run.
 func TestOvertakenTakeIsTriedAgain(t *testing.T) {
 	s := warmSim()
@@ -153,7 +153,7 @@
 	}
 }
 
-// A job whose tasks ran in several owners' parts is done when its last task is:
+// A job whose tasks ran in several leaders' shards is done when its last task is:
 // each owner once waited for ends that only the others could see, and committed
 // its own no sooner than what can wait.
 func TestDoneAcrossOwners(t *testing.T) {
@@ -168,8 +168,8 @@
 	s.rounds(t, 6, "known to be done", s.done(id))
 }
 
-// A controller that loses its workers alone keeps its hold, and once kept its part
-// too, while the leases of all its workers ran out. It hands the part to one that
+// A controller that loses its workers alone keeps its lease, and once kept its shard
+// too, while the leases of all its workers ran out. It hands the shard to one that
 // is heard, loses no replica, and has it back when it is heard again.
 func TestControllerWithoutItsWorkers(t *testing.T) {
 	s := warmSim()
@@ -193,7 +193,7 @@
 	s.rounds(t, 100, "other work done", s.done(more))
 	n.direct.Cut = false
 	s.rounds(t, 40, "part back at home", func() bool { return s.owner(home) == home })
-	// When nobody hears a worker, it may as well be the workers: parts stay owned.
+	// When nobody hears a worker, it may as well be the workers: shards stay owned.
 	for _, n := range s.nodes {
 		n.direct.Cut = true
 	}
@@ -211,7 +211,7 @@
 }
 
 // A controller that loses the state service, but not its workers, lets them go
-// in time, and its part is served by another without a task running twice.
+// in time, and its shard is served by another without a task running twice.
 func TestControllerWithWorkersButNoStore(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
@@ -219,23 +219,28 @@
 	home := s.nodes[0].c.replica.machines[s.w.Cloud.Names()[0]].Shard
 	s.w.Store.Unreachable[home] = true
 	cfg := s.nodes[0].c.cfg
-	s.rounds(t, int((cfg.ControllerLeaseTTL()+cfg.LeadershipGrace()+cfg.WorkerLeaseBound())/(500*time.Millisecond))+20, "part served by another", func() bool {
-		o := s.owner(home)
-		if o == "" || o == home {
-			return false
-		}
-		for h, m := range s.nodes[int(o[1]-'0')].c.replica.machines {
-			if x := s.w.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
+	s.rounds(
+		t,
+		int((cfg.ControllerLeaseTTL()+cfg.LeadershipGrace()+cfg.WorkerLeaseBound())/(500*time.Millisecond))+20,
+		"part served by another",
+		func() bool {
+			o := s.owner(home)
+			if o == "" || o == home {
 				return false
 			}
-		}
-		return true
-	})
+			for h, m := range s.nodes[int(o[1]-'0')].c.replica.machines {
+				if x := s.w.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
+					return false
+				}
+			}
+			return true
+		},
+	)
 	cut := int(home[1] - '0')
 	for range int((cfg.ControllerLeaseTTL() + cfg.LeadershipGrace()) / (500 * time.Millisecond)) {
 		s.round()
 	}
-	for _, x := range s.w.Cloud.Hosts { // a worker that the new owner's fence has not reached must not be held
+	for _, x := range s.w.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
 		r.Token = shard.FencingToken(s.nodes[cut].c.leaderships[home].term, 0)
 		if status, _, _ := s.deliver(cut, api.JSON(r)); status == 200 {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -31,7 +31,7 @@
 	c.mu.Unlock()
 }
 
-// storeReachable tells whether the state service served our last request.
+// storeReachable reports whether the state service served our last request.
 func (c *Controller) storeReachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,14 +140,14 @@
 	return transport.Response{}, false
 }
 
-// canServe tells whether this node can serve users of its own and of peers.
+// canServe reports whether this node can serve users of its own and of peers.
 func (c *Controller) canServe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && c.reachability.storeReachable
 }
 
-// servesForPeer tells whether a peer's request is to be carried out: it asks for more
+// servesForPeer reports whether a peer's request is to be carried out: it asks for more
 // than our sight of the state service, and we can.
 func (c *Controller) servesForPeer(r *peer.Request) bool {
 	k := r.GetKind()
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -14,9 +14,9 @@
 )
 
 // placeTasks commits what one plan places: own placements, and claims on peers'
-// room by conditional write on their parts' free-room records; and with them the
+// room by conditional write on their shards' capacity records; and with them the
 // marks of the tasks that have to leave for some. What comes together goes into
-// one transaction, so that a job whose tasks go to several parts is written once.
+// one transaction, so that a job whose tasks go to several shards is written once.
 func (c *Controller) placeTasks(ctx context.Context) bool {
 	c.mu.Lock()
 	var todo []placement
@@ -39,8 +39,8 @@
 			c.wakeDecider()
 			break
 		}
-		// Every placement in a part changes its record. Looking at the newest
-		// one first costs a request, being overtaken costs all changes.
+		// Every placement in a shard changes its record. Looking at the newest
+		// one first costs a request, being beaten by a conflicting write costs all changes.
 		room := c.store.AwaitWrites(ctx, min(countJobs(todo)+len(c.shards), c.cfg.LowestLimits().TxnOps), store.PriorityDecision)
 		if room < 3 || !c.mayActNow() || c.readNewest(ctx) != nil {
 			return false
@@ -60,7 +60,7 @@
 				c.log.Info("task placed", l...)
 			}
 			c.placeNewGangs(ctx)
-		case err == nil: // overtaken: what lost is tried again on what there is now
+		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
 			tries++
 		default:
 			return false
@@ -71,9 +71,9 @@
 	return false
 }
 
-// reclaimQuota takes back what parts hold of teams' limits and don't use, for teams
+// reclaimQuota takes back what shards hold of teams' limits and don't use, for teams
 // that had too little for a placement. A gang needs all of a limit at once, when the
-// parts hold too little yet to give their surplus back by themselves. Each part's
+// shards hold too little yet to give their surplus back by themselves. Each shard's
 // record is written with its share, so that no placement there rests on the old one.
 func (c *Controller) reclaimQuota(ctx context.Context) {
 	c.mu.Lock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// canStop tells whether a task is still where it was to be stopped. Call with the
+// canStop reports whether a task is still where it was to be stopped. Call with the
 // lock held.
 func (c *Controller) canStop(j *liveJob, v *placedTask) bool {
 	if j == nil || c.isBlocked(j) {
@@ -177,7 +177,7 @@
 	return 1
 }
 
-// hasPendingTasks tells whether a job of an own part has tasks to place. Call with the
+// hasPendingTasks reports whether a job of an own shard has tasks to place. Call with the
 // lock held.
 func (c *Controller) hasPendingTasks() bool {
 	for _, j := range c.replica.jobs {
@@ -216,7 +216,7 @@
 	}
 }
 
-// zoneAllows tells whether the job's other tasks leave a zone to one of its tasks;
+// zoneAllows reports whether the job's other tasks leave a zone to one of its tasks;
 // zs keeps what was worked out for each job.
 func (c *Controller) zoneAllows(zs map[string]*zoneConstraint, j *liveJob, x placement, admission *recovery.Admission) bool {
 	z := zs[x.uid]
@@ -229,13 +229,17 @@
 
 // placementTransaction commits as many placements as a transaction and the budget take. The
 // plan may be older than the replica, so each is looked at again. A placement that
-// takes the room of others goes together with their marks: the owner's next
+// takes the room of others goes together with their marks: the leader's next
 // answer stops the ones and starts the other, instead of a round of commits and
 // reports for each. Call with the lock held.
 //
 // What has to leave for a placement that alone is more than a transaction takes is
 // given in apart.
-func (c *Controller) placementTransaction(todo []placement, room int, now time.Time) (t *transaction, rest []placement, said [][]any, apart []*placedTask) {
+func (c *Controller) placementTransaction(
+	todo []placement,
+	room int,
+	now time.Time,
+) (t *transaction, rest []placement, said [][]any, apart []*placedTask) {
 	e := c.newRecordEditor()
 	e.maxChanges = min(e.maxChanges, room)
 	cl := &claims{c: c, byShard: map[string]*claim{}}
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -66,7 +66,7 @@
 	smallest sched.Resources // the smallest amounts that any waiting task asks for
 
 	jobs         []*waitingJob
-	hostsByShard map[string][]*sched.Host // by part, those with room for the least
+	hostsByShard map[string][]*sched.Host // by shard, those with room for the least
 	chooser      *sched.Chooser
 	teamUse      map[string]sched.Resources // by limited team, with what the plan adds
 
@@ -132,7 +132,10 @@
 		ask.FetchS = c.fetchSeconds(r)
 		// Fetches may be a third slower than told.
 		ask.PreferImage = c.waitingSlack(r.Class, r, 1.5*ask.FetchS) < c.cfg.HeartbeatInterval().Seconds()
-		p.jobs = append(p.jobs, &waitingJob{entry: q, request: ask, zones: c.zoneConstraintOf(q.job, p.admission), tasks: slices.Clone(q.job.pendingTasks())})
+		p.jobs = append(
+			p.jobs,
+			&waitingJob{entry: q, request: ask, zones: c.zoneConstraintOf(q.job, p.admission), tasks: slices.Clone(q.job.pendingTasks())},
+		)
 	}
 }
 
@@ -189,7 +192,7 @@
 	}
 }
 
-// exceedsQuota tells whether a team would use more than its limit.
+// exceedsQuota reports whether a team would use more than its limit.
 func exceedsQuota(team config.Team, use sched.Resources) bool {
 	const eps = 1e-6 // sums of decimal fractions are not exact
 	return team.CPUsMax > 0 && use.CPUs > team.CPUsMax+eps || team.GPUsMax > 0 && use.GPUs > team.GPUsMax+eps
@@ -203,7 +206,7 @@
 	ask := l.request
 	ask.RequireImage = warm
 	p.chooser.Begin(l.entry.job.record.Shard, &ask)
-	misses := map[int]bool{} // by chunk
+	misses := map[int]bool{} // by task range
 	missed := false
 	rest := l.tasks[:0]
 	for i, t := range l.tasks {
@@ -244,7 +247,7 @@
 		h.Arrays++
 	}
 	if !l.entry.led {
-		return // its owner places it; its room is kept for it
+		return // its leader places it; its room is kept for it
 	}
 	if l.request.PreferImage && !h.Images[l.request.Image] {
 		p.coldStarts = append(p.coldStarts, coldStart{l, len(p.plan.placements)})
@@ -294,7 +297,7 @@
 	p.preemption = p.c.newPreemption(p.queue, p.hosts, p.now)
 }
 
-// preemptOptions gives machines where a job could take others' room.
+// preemptOptions returns machines where a job could take others' room.
 func (p *planner) preemptOptions(l *waitingJob) []*preemptOption {
 	if !l.searched {
 		l.searched = true
@@ -328,7 +331,7 @@
 	}
 }
 
-// unassignedTasks gives the tasks of a job that room is sought for: of a gang those that have
+// unassignedTasks returns the tasks of a job that room is sought for: of a gang those that have
 // none yet, or all if what was found is not kept.
 func (p *planner) unassignedTasks(l *waitingJob) []taskIndex {
 	search := p.gangSearches[l]
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,7 +9,7 @@
 	"violetturn/internal/sched"
 )
 
-// mayPreempt tells whether the job takes room from the other one, which PROTOCOL lets both a
+// mayPreempt reports whether the job takes room from the other one, which PROTOCOL lets both a
 // higher rank and a guarantee do. Between teams the guarantee decides first: what is
 // within one yields to no rank of another team that is beyond its own, or the one would
 // take back by its guarantee what the other took by its rank, again and again.
@@ -66,7 +66,7 @@
 	seenCandidates int
 }
 
-// best gives what a task would take there.
+// best returns what a task would take there.
 func (o *preemptOption) best(need sched.Resources) ([]sched.Victim, float64) {
 	if o.seenCandidates != len(o.candidates) || o.seenFree != o.host.Free {
 		o.seenCandidates, o.seenFree = len(o.candidates), o.host.Free
@@ -136,7 +136,7 @@
 	return v
 }
 
-// withImage gives the machines that have an image.
+// withImage returns the machines that have an image.
 func (v *victimHosts) withImage(image string) []*victimHost {
 	warm, known := v.warm[image]
 	if !known {
@@ -150,7 +150,7 @@
 	return warm
 }
 
-// search gives machines where stopping tasks would make room for one of the job's, a
+// search returns machines where stopping tasks would make room for one of the job's, a
 // bounded number of them: first those that have its image, then any, from a random one on.
 func (p *preemption) search(q *queueEntry, a *sched.TaskRequest, most int) []*preemptOption {
 	hosts := p.hostsFor(q)
@@ -198,10 +198,10 @@
 	return v
 }
 
-// newestOverplaced gives the task that was last placed on a peer's machine where more is
+// newestOverplaced returns the task that was last placed on a peer's machine where more is
 // placed than there is room for: some have completed and others have taken their
-// room, but the ends are not committed yet and only the owner knows which. The
-// newest is the one that is surely there. It gives nil where all are.
+// room, but the ends are not committed yet and only the leader knows which. The
+// newest is the one that is surely there. It returns nil where all are.
 func (c *Controller) newestOverplaced(h *sched.Host) *placedTask {
 	if c.leadershipOf(h.Shard) != nil {
 		return nil
@@ -272,7 +272,10 @@
 		return lostSeconds(j, pl.placement, now)
 	}
 	name := pl.taskName(j)
-	there := slices.ContainsFunc(s.Heartbeat.Tasks, func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.placement.Attempt })
+	there := slices.ContainsFunc(
+		s.Heartbeat.Tasks,
+		func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.placement.Attempt },
+	)
 	if there {
 		return lostSeconds(j, pl.placement, now)
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -100,7 +100,7 @@
 	return raw
 }
 
-// asProduction gives a record as the version in production writes it back, nil for one
+// asProduction returns a record as the version in production writes it back, nil for one
 // that it doesn't know.
 func asProduction(key string, raw json.RawMessage) (json.RawMessage, error) {
 	var v any
@@ -179,7 +179,7 @@
 	return p.stateService.Multi(ctx, u, r)
 }
 
-// same tells whether two records say the same.
+// same reports whether two records say the same.
 func same(t *testing.T, a, b json.RawMessage) bool {
 	var x, y any
 	if err := json.Unmarshal(a, &x); err != nil {
@@ -272,7 +272,17 @@
 		s.start(i)
 	}
 	gang := func() int {
-		r := &api.Job{UID: "run-000900", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 2, CPUs: 1, MemGB: 1, Image: "i"}
+		r := &api.Job{
+			UID:      "run-000900",
+			Class:    "l",
+			Team:     "b",
+			Kind:     api.Gang,
+			Priority: "standard",
+			Tasks:    2,
+			CPUs:     1,
+			MemGB:    1,
+			Image:    "i",
+		}
 		s.w.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.up && !n.old {
@@ -312,7 +322,7 @@
 	}
 }
 
-// The stand-ins' checkers see what a controller of the version in production does to a
+// The simulated services' checkers see what a controller of the version in production does to a
 // gang that was accepted too early.
 func TestPlantedGangIsCaught(t *testing.T) {
 	s := newSim()
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -102,7 +102,7 @@
 	return q
 }
 
-// fitsGuarantee tells whether a team's jobs fit its guarantee together.
+// fitsGuarantee reports whether a team's jobs fit its guarantee together.
 func fitsGuarantee(team config.Team, cpus, gpus float64) bool {
 	const eps = 1e-6 // sums of decimal fractions are not exact
 	if team.CPUs == 0 && team.GPUs == 0 {
@@ -114,7 +114,7 @@
 // maxStartDelay is within what time even the largest job has to begin (PROTOCOL).
 const maxStartDelay = 4 * time.Minute
 
-// starving tells whether a job has not begun although its own aim, or half of
+// starving reports whether a job has not begun although its own aim, or half of
 // what PROTOCOL grants the largest jobs, has passed. Such a job goes first within
 // its weight: what is late otherwise goes last, and under a stream of small jobs
 // that can still be in time a large one would never begin. Call with the lock
@@ -143,7 +143,7 @@
 // some of these are placed.
 const maxPendingTasks = 1 << 15
 
-// pendingTasks gives the job's tasks that are neither done nor placed, at most mostPending.
+// pendingTasks returns the job's tasks that are neither done nor placed, at most mostPending.
 // Plans ask for those of all jobs, so they are kept until the job changes. Who
 // changes the list copies it. Call with the lock held.
 func (j *liveJob) pendingTasks() []taskIndex {
@@ -178,7 +178,7 @@
 	return j.pending
 }
 
-// isBackingOff tells whether a job whose tasks failed waits before the next try:
+// isBackingOff reports whether a job whose tasks failed waits before the next try:
 // ever longer, so that a job that fails everywhere hurts nobody.
 func (c *Controller) isBackingOff(q *queueEntry, now time.Time) bool {
 	e := 0
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -22,8 +22,8 @@
 // and collects the commands that make up the difference. Nothing is remembered between
 // reports, so a lost answer costs a round and no more.
 //
-// What it decides to be over rests on the report itself, never on the answer to
-// a direct command: a worker has one report in flight, so a report shows what
+// What it decides to be over rests on the heartbeat itself, never on the answer to
+// a direct command: a worker has one report in flight, so a heartbeat shows what
 // became of the answers to those before, which a command's answer does not.
 type reconciliation struct {
 	c         *Controller
@@ -40,13 +40,13 @@
 	commands      []api.Command
 }
 
-// commandsFor gives the commands for a worker that has just reported. Call with the lock
+// commandsFor returns the commands for a worker that has just reported. Call with the lock
 // held.
 func (c *Controller) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
 	if !c.mayAct(now) {
 		return c.stopCancelledTasks(r.Host)
 	}
-	// What runs on takes its room until a later report shows its end; what is
+	// What runs on takes its room until a later heartbeat shows its end; what is
 	// stopped without saving leaves before the starts in the same answer.
 	size, machineType := c.machineCapacity(r.MachineType)
 	x := &reconciliation{c: c, heartbeat: r, agent: s, now: now, reported: map[attemptID]*api.TaskState{}, desired: map[attemptID]bool{},
@@ -62,7 +62,7 @@
 	return x.commands
 }
 
-// stopCancelledTasks gives the commands that stop the tasks of cancelled jobs on a machine: what
+// stopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine: what
 // is committed may have changed where this node can't see it, but a cancelled job stays
 // cancelled, and its tasks have to go in time. Call with the lock held.
 func (c *Controller) stopCancelledTasks(host string) []api.Command {
@@ -136,7 +136,15 @@
 	spec := &j.record.Spec
 	done := state.Cause == api.CauseDone
 	failed := state.Cause == api.CauseError || state.Cause == api.CauseUnknown
-	x.endAttempt(id, shard.EndedAttempt{Attempt: pl.placement.Attempt, Done: done && spec.Kind != api.Service, Failed: failed, Reason: exitReasonOf(state.Cause)})
+	x.endAttempt(
+		id,
+		shard.EndedAttempt{
+			Attempt: pl.placement.Attempt,
+			Done:    done && spec.Kind != api.Service,
+			Failed:  failed,
+			Reason:  exitReasonOf(state.Cause),
+		},
+	)
 	if started := x.agent.FirstRuns[id]; done && started.Attempt == pl.placement.Attempt && spec.EstimateS > 0 {
 		x.c.observeRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
@@ -153,7 +161,7 @@
 		// Held for a gang that is not complete: nothing is started yet.
 	case released:
 	case stop:
-		// Never launched, or gone with an earlier session: this report was
+		// Never launched, or gone with an earlier session: this heartbeat was
 		// made after any answer of ours that launched it, and no later one will.
 		x.endAttempt(id, shard.EndedAttempt{Attempt: try})
 	case s.Unresponsive || unheard:
@@ -163,7 +171,15 @@
 		if !s.Unresponsive {
 			s.Unresponsive = true
 			s.RaiseToken(x.now)
-			x.c.log.Info("worker ignores launches", "host", x.heartbeat.Host, "task", pl.taskName(j), "launches", s.PendingLaunches[id].Answers)
+			x.c.log.Info(
+				"worker ignores launches",
+				"host",
+				x.heartbeat.Host,
+				"task",
+				pl.taskName(j),
+				"launches",
+				s.PendingLaunches[id].Answers,
+			)
 		}
 		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
 	case x.c.isHeldBack(x.heartbeat.Host, pl, j, x.now):
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -24,7 +24,7 @@
 const callsPerRound = 2
 
 // autoscaleInterval is the time between two rounds of rentals: a few calls of this
-// controller's share of the cloud's rate, and short against a report round.
+// controller's share of the cloud's rate, and short against a heartbeat interval.
 func (c *Controller) autoscaleInterval() time.Duration {
 	share := c.cfg.Facts.Cloud.RPS / float64(c.cfg.Facts.Size)
 	return min(c.cfg.HeartbeatInterval()/3, time.Duration(callsPerRound/share*float64(time.Second)))
@@ -113,7 +113,7 @@
 func offerKey(o sched.Offer) string { return fmt.Sprintf("%s/%s/%t", o.MachineType, o.Zone, o.Spot) }
 
 // provisioningHosts lists the machines that have not come up yet: those rented for this
-// node's parts, or all. Call with the lock held.
+// node's shards, or all. Call with the lock held.
 func (c *Controller) provisioningHosts(now time.Time, all bool) []*sched.Host {
 	var out []*sched.Host
 	for host, m := range c.replica.machines {
@@ -134,12 +134,15 @@
 		if float64(now.UnixMilli()-m.RegisteredMS)/1000 > 2*f.BootS {
 			continue // late: it may never come
 		}
-		out = append(out, &sched.Host{Name: host, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Cap: cp, Free: cp})
+		out = append(
+			out,
+			&sched.Host{Name: host, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Cap: cp, Free: cp},
+		)
 	}
 	return out
 }
 
-// dueHeadroom gives the room to be kept for what is still to come if this node is to look
+// dueHeadroom returns the room to be kept for what is still to come if this node is to look
 // now whether there is enough of it: one node does it for all. After there was enough, that
 // may wait a little, against a boot, unless more is wanted by now.
 func (c *Controller) dueHeadroom(now time.Time) []headroomRequest {
@@ -156,14 +159,14 @@
 	return wants
 }
 
-// sufficientHeadroom is when there was enough head-room last, and for how many tasks by class.
+// sufficientHeadroom is when there was enough headroom last, and for how many tasks by class.
 type sufficientHeadroom struct {
 	at    time.Time
 	tasks map[string]int
 }
 
-// rentalOrders tells what to rent for what lacks room after the machines that are coming,
-// and for the head-room that is wanted. Call with the lock held.
+// rentalOrders returns what to rent for what lacks room after the machines that are coming,
+// and for the headroom that is wanted. Call with the lock held.
 func (c *Controller) rentalOrders(now time.Time, headroom []headroomRequest) []sched.RentalOrder {
 	if len(headroom) == 0 && !c.hasPendingTasks() {
 		return nil
@@ -189,7 +192,7 @@
 	return orders
 }
 
-// scaleOut rents what rentOrders tells. It tells whether an offer was refused, so that
+// scaleOut rents what rentOrders tells. It reports whether an offer was refused, so that
 // another may do.
 func (c *Controller) scaleOut(ctx context.Context, inDoubt map[sched.Offer]cloud.RentalRequest, headroom []headroomRequest) (again bool) {
 	now := c.now()
@@ -219,7 +222,7 @@
 }
 
 // rentMachines rents the machines of one order, in as many requests as a round may take: one
-// request gives 50 machines at most. It tells whether the cloud gave less than was asked
+// request returns 50 machines at most. It reports whether the cloud gave less than was asked
 // for; an error is a request in doubt, which is repeated under its name.
 func (c *Controller) rentMachines(
 	ctx context.Context, o sched.RentalOrder, inDoubt map[sched.Offer]cloud.RentalRequest, by rentingShard,
@@ -247,7 +250,7 @@
 	return refused, nil
 }
 
-// rentingShard gives the part that machines are rented for, this node's home if it owns it,
+// rentingShard returns the shard that machines are rented for, this node's home if it owns it,
 // and its term; "" if it owns none. Call with the lock held.
 func (c *Controller) rentingShard() (name string, term uint64) {
 	for _, x := range c.shards {
@@ -258,7 +261,7 @@
 	return name, term
 }
 
-// noteRental takes in the cloud's answer to a rental, and tells whether it gave less than was
+// noteRental takes in the cloud's answer to a rental, and reports whether it gave less than was
 // asked for. Call with the lock held.
 func (c *Controller) noteRental(r cloud.RentalRequest, hosts []string, err error, home string, now time.Time) (refused bool) {
 	key := offerKey(sched.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot})
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -41,11 +41,11 @@
 	size    int // bytes of its record
 }
 
-// rangeGeneration names a chunk's record among those of its job.
+// rangeGeneration names a task range's record among those of its job.
 type rangeGeneration struct{ generation, index int }
 
 // replica is this controller's copy of what lives in the state service. It is a
-// cache: every decision that rests on it is committed under guards on the
+// cache: every decision that rests on it is committed under preconditions on the
 // versions it rests on.
 type replica struct {
 	log      *slog.Logger
@@ -55,7 +55,7 @@
 	dropped  map[string]uint64 // of keys dropped at revisions that the watch has yet to reach
 	jobs     map[string]*liveJob
 	gangs    map[string]bool // those of them whose tasks start together
-	// chunks' records as they are, those of other divisions and of no job included
+	// task ranges' records as they are, those of other divisions and of no job included
 	taskRanges                map[string]map[rangeGeneration]cached[job.TaskRange]
 	capacities                map[string]cached[shard.CapacityRecord]
 	leaders                   map[string]cached[shard.LeaderRecord]
@@ -82,7 +82,7 @@
 type placedTask struct {
 	uid        string
 	rangeIndex int
-	index      int // within the chunk
+	index      int // within the task range
 	placement  *job.Placement
 }
 
@@ -114,14 +114,14 @@
 // apply takes in one change; raw is nil for a drop. Changes reach the replica
 // from own commits, from the watch and from barriers, in no common order, so
 // each key moves only forward. What is not newer than the revision up to which all
-// is in comes from an answer that was overtaken on its way: a key that it writes may
+// is in comes from an answer that was beaten by a conflicting write on its way: a key that it writes may
 // have been dropped since, and would come back as a ghost that no later change ever
 // removes, failing every transaction that rests on it.
 func (m *replica) apply(key string, raw json.RawMessage, version uint64) {
 	m.applyRecord(key, raw, version, nil)
 }
 
-// applyRecord is the same for a change of this node's own, of which a part's record, the
+// applyRecord is the same for a change of this node's own, of which a shard's capacity record, the
 // largest there is, need not be read again.
 func (m *replica) applyRecord(key string, raw json.RawMessage, version uint64, own *shard.CapacityRecord) {
 	if version <= m.revision && !m.loading {
@@ -141,7 +141,7 @@
 	}
 	if key == termKey {
 		m.term = 0
-		_ = json.Unmarshal(raw, &m.term) // a term that can't be read fails the guard of its next use
+		_ = json.Unmarshal(raw, &m.term) // a term that can't be read fails the precondition of its next use
 		return
 	}
 	if len(key) < len(jobPrefix) {
@@ -224,7 +224,7 @@
 			continue
 		}
 		if was != nil && x.Addr == "" {
-			x.Addr = was.Addr // learned from a report or a list
+			x.Addr = was.Addr // learned from a heartbeat or a list
 		}
 		m.machines[host] = x
 	}
@@ -236,7 +236,7 @@
 const minTerminated = 8192
 
 // noteTerminated remembers that a machine is gone for good. Of more than several times the fleet
-// the older half is forgotten: a late copy of a report is of one that went not long ago.
+// the older half is forgotten: a late copy of a heartbeat is of one that went not long ago.
 func (m *replica) noteTerminated(host string) {
 	if most := max(minTerminated, 4*len(m.machines)); len(m.terminated) >= most {
 		names := slices.Sorted(maps.Keys(m.terminated)) // in the order of their creation
@@ -253,7 +253,7 @@
 // coarsestPageCut is how many characters of a machine's name the coarsest pages leave out.
 const coarsestPageCut = 2
 
-// machineRecord gives a machine's record: of the finest page that there is for it, be the
+// machineRecord returns a machine's record: of the finest page that there is for it, be the
 // machine in it or not.
 func (m *replica) machineRecord(host string) *shard.Machine {
 	for cut := 1; cut <= coarsestPageCut; cut++ {
@@ -265,7 +265,7 @@
 }
 
 // placementKey names a placement within this process; the task's own name needs the
-// chunk size, which an orphan chunk does not know.
+// task range size, which an orphan task range does not know.
 func placementKey(uid string, chunk, i int) string {
 	return uid + "/" + strconv.Itoa(chunk) + "/" + strconv.Itoa(i)
 }
@@ -297,7 +297,7 @@
 	}
 }
 
-// machineNames gives the names of all machines in order.
+// machineNames returns the names of all machines in order.
 func (m *replica) machineNames() []string {
 	if m.sortedMachines == nil {
 		m.sortedMachines = slices.Sorted(maps.Keys(m.machines))
@@ -318,7 +318,7 @@
 	}
 }
 
-// reload takes in a full list whose first page was of revision epoch.
+// reload takes in a full list whose first page was of revision.
 func (m *replica) reload(items []store.Item, revision uint64) {
 	m.loading = true // changes in between were missed: how a job ended is not known
 	defer func() { m.loading = false }()
@@ -332,7 +332,7 @@
 			m.apply(k, nil, max(revision, s+1))
 		}
 	}
-	m.cancellations, m.cancellationsCompleteFrom = nil, revision // others were called off and are over already
+	m.cancellations, m.cancellationsCompleteFrom = nil, revision // others were cancelled and are over already
 	m.advance(revision)
 }
 
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -9,7 +9,7 @@
 	"violetturn/internal/transport"
 )
 
-// handleHeartbeat answers a worker's report, in the event loop and from memory alone:
+// handleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
 // reports go before all other work.
 func (c *Controller) handleHeartbeat(req *httpwire.Message) transport.Response {
 	r, err := api.ParseHeartbeat(req.Body)
@@ -24,7 +24,7 @@
 	}
 	m := c.replica.machines[r.Host]
 	if m == nil {
-		// Only one that the cloud lists: a copy of a report may come long after
+		// Only one that the cloud lists: a copy of a heartbeat may come long after
 		// its machine is gone, and nobody else remembers that it was there.
 		if c.listedByCloud[r.Host] {
 			c.noteUnregistered(r.Host, shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
@@ -41,7 +41,7 @@
 	}
 	if shard.TokenTerm(r.Token) > o.term {
 		// It has seen a token above ours, so it drops what we say. When the term
-		// record knows it, somebody else has taken the part.
+		// record knows it, somebody else has taken the shard.
 		if shard.TokenTerm(r.Token) <= c.replica.term {
 			o.needsNewTerm = true
 		}
@@ -63,7 +63,7 @@
 	return jsonResponse(200, api.CommandBatch{Token: s.Token(), Commands: commands})
 }
 
-// redirect answers a worker whose part this node may not answer for. It does so at once: a
+// redirect answers a worker whose shard this node may not answer for. It does so at once: a
 // 200 that the worker has to drop would hold it here while its lease runs out. Call with
 // the lock held.
 func (c *Controller) redirect(shard string) transport.Response {
@@ -76,7 +76,7 @@
 	return jsonResponse(421, struct{}{})
 }
 
-// mayIntroduceTerm tells whether a worker that has not heard of this node's term yet is to be
+// mayIntroduceTerm reports whether a worker that has not heard of this node's term yet is to be
 // told of it. One that was answered and reports as before does not hear: our answers renew
 // no lease there, and to count them would keep its tasks waiting for ever. Call with the
 // lock held.
@@ -120,7 +120,7 @@
 	c.wakeDecider()
 }
 
-// interruptionIsDue tells whether the cloud takes the machine away so soon that the task
+// interruptionIsDue reports whether the cloud takes the machine away so soon that the task
 // has to leave now; until then it runs on, for it may complete. Call with the
 // lock held.
 func (c *Controller) interruptionIsDue(s *shard.Agent, j *liveJob) bool {
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -25,7 +25,7 @@
 	s.rounds(t, 200, "machines returned", func() bool { return len(s.w.Cloud.Hosts) == 0 })
 }
 
-// Two chunks of one job that ended in the same round once stopped all releases
+// Two task ranges of one job that ended in the same round once stopped all releases
 // of their part: the second did not fit the transaction and took the first along.
 func TestTwoChunksEndTogether(t *testing.T) {
 	s := warmSim()
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -19,7 +19,7 @@
 	"violetturn/internal/simulator"
 )
 
-// sim joins controllers with the stand-ins. It runs everything in one
+// sim joins controllers with the simulated services. It runs everything in one
 // goroutine, so that a seed gives the same day every time.
 type sim struct {
 	w       *simulator.World
@@ -41,7 +41,7 @@
 	started func(*simNode)                   // hears of each controller that was started; may be nil
 }
 
-// copied is a report that arrived, and where.
+// copied is a heartbeat that arrived, and where.
 type copied struct {
 	to   int
 	body []byte
@@ -49,7 +49,7 @@
 
 func (s *sim) zone(i int) string { return s.w.Zones[i%len(s.w.Zones)] }
 
-// parted tells whether a zone and another can't reach each other.
+// parted reports whether a zone and another can't reach each other.
 func (s *sim) parted(a, b string) bool {
 	return a != b && (s.apart || s.cutOff == a || s.cutOff == b)
 }
@@ -126,8 +126,14 @@
 	w.Lease, w.CancelS, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
 	w.GangWait, w.GangPeer = 12*time.Second, 3*time.Second
 	w.TeamGPULimits = map[string]float64{"a": 5}
-	s := &sim{w: w, state: config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}, next: config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4},
-		answers: map[string]*inFlight{}, alone: map[int]bool{}, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	s := &sim{
+		w:       w,
+		state:   config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
+		next:    config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4},
+		answers: map[string]*inFlight{},
+		alone:   map[int]bool{},
+		log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
 	if os.Getenv("SIM_LOG") != "" {
 		s.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
@@ -167,7 +173,11 @@
 			n.aside = append(n.aside, f)
 		}
 	}
-	n.direct = &simulator.CommandClient{W: s.w, Node: n.name, PartitionedFrom: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Zone) }}
+	n.direct = &simulator.CommandClient{
+		W:               s.w,
+		Node:            n.name,
+		PartitionedFrom: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Zone) },
+	}
 	c.peers = link{s, i}
 	c.store = &simulator.Client{
 		S:             s.w.Store,
@@ -289,7 +299,10 @@
 	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Spec.Kind == api.Gang {
 		return // nothing new is asked of the version before
 	}
-	r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Spec)})
+	r := s.nodes[i].c.serveOrForward(
+		context.Background(),
+		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Spec)},
+	)
 	s.told(uid, r.Status, r.Body, true)
 }
 
@@ -351,7 +364,7 @@
 	}
 }
 
-// settled tells whether every accepted array is done and known to be.
+// settled reports whether every accepted array is done and known to be.
 func (s *sim) settled() bool {
 	for _, id := range s.uids {
 		j := s.w.Jobs[id]
@@ -366,7 +379,7 @@
 	return true
 }
 
-// explain tells what the first controller knows of a job.
+// explain returns what the first controller knows of a job.
 func (s *sim) explain(uid string) string {
 	c := s.nodes[0].c
 	out := ""
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -86,15 +86,15 @@
 	}
 }
 
-// acceptsKind tells whether a job of that shape can be kept safely: a controller of the
-// version before would place an ensemble task by task.
+// acceptsKind reports whether a job of that shape can be kept safely: a controller of the
+// version before would place an gang task by task.
 func (c *Controller) acceptsKind(shape string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return shape != api.Gang || c.schemaUpgraded()
 }
 
-// rejectionReason tells why a job can never run, "" if it can.
+// rejectionReason returns why a job can never run, "" if it can.
 func (c *Controller) rejectionReason(r *api.Job) string {
 	team, ok := c.cfg.Team(r.Team)
 	if !ok {
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -10,7 +10,7 @@
 	"violetturn/internal/store"
 )
 
-// maintainLeaderships registers this node, takes parts without an owner and hands parts
+// maintainLeaderships registers this node, takes shards without a leader and hands shards
 // back to their home controllers.
 func (c *Controller) maintainLeaderships(ctx context.Context) {
 	now := c.now()
@@ -39,7 +39,7 @@
 	}
 }
 
-// dropLostLeaderships forgets the parts that the replica shows as somebody else's. Call with the
+// dropLostLeaderships forgets the shards that the replica shows as somebody else's. Call with the
 // lock held.
 func (c *Controller) dropLostLeaderships() {
 	for p, o := range c.leaderships {
@@ -52,14 +52,15 @@
 	}
 }
 
-// registration gives the transaction that has this node's record tell what is so now; nil
+// registration returns the transaction that has this node's record tell what is so now; nil
 // if it does. Call with the lock held.
 func (c *Controller) registration() *transaction {
 	me := c.cfg.HostName
 	n, self := c.replica.nodes[me].record, c.nodeRecord()
 	mark := c.replica.capabilities[me].record
 	marked := mark != nil && mark.SchemaVersion >= schemaVersion && slices.Equal(mark.Features, self.Features)
-	if marked && n != nil && n.Incarnation == c.incarnation && n.WorkersUnreachable == self.WorkersUnreachable && n.HearsWorkers == self.HearsWorkers {
+	if marked && n != nil && n.Incarnation == c.incarnation && n.WorkersUnreachable == self.WorkersUnreachable &&
+		n.HearsWorkers == self.HearsWorkers {
 		return nil
 	}
 	t := newTransaction()
@@ -83,13 +84,13 @@
 	}
 }
 
-// leadershipChanges is what is to be done with parts.
+// leadershipChanges is what is to be done with shards.
 type leadershipChanges struct {
 	acquire, release []string
-	leaderVersions   map[string]uint64 // versions of the owners' keys that this rests on
+	leaderVersions   map[string]uint64 // versions of the leaders' keys that this rests on
 }
 
-// planLeadershipChanges tells which parts this node takes now and which it hands to others. Call with
+// planLeadershipChanges returns which shards this node takes now and which it hands to others. Call with
 // the lock held.
 func (c *Controller) planLeadershipChanges(now time.Time, unreachable bool) leadershipChanges {
 	x := leadershipChanges{leaderVersions: map[string]uint64{}}
@@ -115,7 +116,7 @@
 	return x
 }
 
-// mustReacquire tells whether this node takes a part anew that has an owner. Call with the lock
+// mustReacquire reports whether this node takes a shard anew that has a leader. Call with the lock
 // held.
 func (c *Controller) mustReacquire(p string, owner *shard.LeaderRecord, unreachable bool) bool {
 	o := c.leaderships[p]
@@ -127,7 +128,7 @@
 	return o != nil && o.needsNewTerm
 }
 
-// mustRelease tells whether this node hands a part to others: all if no worker reaches it, one
+// mustRelease reports whether this node hands a shard to others: all if no worker reaches it, one
 // whose release is in doubt again until it shows, and a peer's own when that peer has been
 // up for a while. Call with the lock held.
 func (c *Controller) mustRelease(p string, now time.Time, unreachable bool) bool {
@@ -146,7 +147,7 @@
 
 // updateRateSharing divides the state service's rates among the controllers that live: one
 // that is left alone has all of them. One that is not there counts until it has been
-// away for a hold's time: at the start, and when all come back, none has registered
+// away for a lease's time: at the start, and when all come back, none has registered
 // yet, and to take all for oneself would have the others refused. Call with the lock
 // held.
 func (c *Controller) updateRateSharing(now time.Time) {
@@ -168,9 +169,9 @@
 	}
 }
 
-// takeoverDelay is how long this node waits before it takes a part without an owner: the
+// takeoverDelay is how long this node waits before it takes a shard without a leader: the
 // home controller goes first, then the others that live, in a ring order that
-// spreads several parts over several nodes. Call with the lock held.
+// spreads several shards over several nodes. Call with the lock held.
 func (c *Controller) takeoverDelay(p string) time.Duration {
 	if p == c.cfg.HostName {
 		return 0
--- a/internal/controller/transaction.go
+++ b/internal/controller/transaction.go
@@ -16,7 +16,7 @@
 	deletes       map[string]bool
 	order         []string
 
-	capacities map[string]*shard.CapacityRecord // of the writes, those of parts' free room
+	capacities map[string]*shard.CapacityRecord // of the writes, those of shards' free room
 }
 
 func newTransaction() *transaction {
@@ -38,7 +38,7 @@
 	t.writes[key] = api.JSON(v)
 }
 
-// putCapacity writes a part's free-room record, which nobody changes from now on.
+// putCapacity writes a shard's capacity record, which nobody changes from now on.
 func (t *transaction) putCapacity(key string, r *shard.CapacityRecord) {
 	t.put(key, r)
 	t.capacities[key] = r
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -18,7 +18,9 @@
 		shape = rapid.SampledFrom([]string{api.Array, api.Service, api.Gang}).Draw(t, "shape")
 	}
 	r := &api.Job{UID: uid, Class: "l", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), Kind: shape,
-		Priority: rapid.SampledFrom([]string{"production", "standard", "idle"}).Draw(t, "rank"), CPUs: 1, GPUs: 1, MemGB: 4, Image: "img", ImageGB: 1}
+		Priority: rapid.SampledFrom([]string{"production", "standard", "idle"}).
+			Draw(t, "rank"),
+		CPUs: 1, GPUs: 1, MemGB: 4, Image: "img", ImageGB: 1}
 	r.Tasks = rapid.IntRange(1, 5).Draw(t, "pieces")
 	if r.Kind == api.Array && rapid.IntRange(0, 5).Draw(t, "large") == 0 {
 		r.Tasks = rapid.IntRange(20, 60).Draw(t, "pieces") // several chunks
--- a/internal/controller/unmet.go
+++ b/internal/controller/unmet.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// rentable gives as many of the tasks set aside as the machines that are coming take, and
+// rentable returns as many of the tasks set aside as the machines that are coming take, and
 // some more to be rented for: or a large job on an empty fleet would have its first tasks
 // meet the coming machines, and wait for them to boot before more are rented.
 func (p *planner) rentable(l *waitingJob) []taskIndex {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -81,7 +81,8 @@
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !c.reachability.storeReachable && c.now().Sub(c.reachability.since) > c.cfg.ControllerLeaseTTL()/2 && c.reachability.peersAsked && len(c.reachability.peers) == 0 {
+	if !c.reachability.storeReachable && c.now().Sub(c.reachability.since) > c.cfg.ControllerLeaseTTL()/2 && c.reachability.peersAsked &&
+		len(c.reachability.peers) == 0 {
 		return responseBusy
 	}
 	return jsonResponse(200, map[string]string{"node": c.cfg.HostName})
@@ -134,8 +135,8 @@
 	return jsonResponse(200, s)
 }
 
-// cancel commits the withdrawal and then says so. Any node can do it: a start
-// is committed under a guard on the same record.
+// cancel commits the cancellation and then says so. Any node can do it: a start
+// is committed under a precondition on the same record.
 func (c *Controller) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return jsonResponse(404, map[string]string{"error": "no such run"})
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// An outage of the state service takes no node out of the balancer's sight, not
+// An outage of the state service takes no node out of the balancer's observation, not
 // even one that starts in it; a node that is still loading is not ready.
 func TestHealthInOutage(t *testing.T) {
 	s := newSim()
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -16,7 +16,7 @@
 // may read what.
 const schemaVersion = 2
 
-// schemaUpgraded tells whether every configured controller, living or not, has shown that
+// schemaUpgraded reports whether every configured controller, living or not, has shown that
 // it reads this version's forms. Each leaves a mark that outlives it, so that one
 // alone after the end of all still knows; one that shows itself without (somebody
 // went back to the version before) counts as not upgraded whatever its mark says. Call
@@ -31,7 +31,7 @@
 	return c.loaded
 }
 
-// isDowngraded tells whether a node is of the version before although all had been
+// isDowngraded reports whether a node is of the version before although all had been
 // upgraded: it would lose what it doesn't know, so nothing is handed to it. Call with
 // the lock held.
 func (c *Controller) isDowngraded(node string) bool {
@@ -86,7 +86,7 @@
 	return pageID(host, 1)
 }
 
-// openPage gives a copy of a machine's page to be changed and guards what it rests
+// openPage returns a copy of a machine's page to be changed and makes the write conditional on what it rests
 // on. A fine page that is new takes over what a coarser one has of its machines: from
 // then on it alone counts for them. Call with the lock held.
 func (c *Controller) openPage(t *transaction, host string) (string, shard.Page) {
@@ -159,7 +159,7 @@
 
 // noteTooLarge notes that the state service refused a transaction for its size or count:
 // its limits have come down, further than was announced if it was made within those.
-// Nothing is made as large again. It tells whether a smaller form is left to try.
+// Nothing is made as large again. It reports whether a smaller form is left to try.
 func (c *Controller) noteTooLarge(err error, t *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// wakeLeaseLoop has the parts tended now, not with the next renewal of the hold.
+// wakeLeaseLoop has the shards tended now, not with the next renewal of the lease.
 func (c *Controller) wakeLeaseLoop() {
 	select {
 	case c.leaderlessShard <- struct{}{}:
@@ -207,7 +207,7 @@
 			return false, nil, nil // put together anew, smaller
 		}
 	}
-	// Refused, overtaken or in doubt: what it wrote shows in the log of changes.
+	// Refused, beaten by a conflicting write or in doubt: what it wrote shows in the log of changes.
 	_ = c.awaitReadBarrier(ctx)
 	return false, failed, err
 }
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// checkPartRecords compares the parts' records that a controller holds, which it does not
+// checkPartRecords compares the shards' capacity records that a controller holds, which it does not
 // read back when it wrote them itself, with what the state service has of that version.
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
 	store := simulator.Client{S: s.w.Store}
@@ -145,7 +145,8 @@
 		s.checkPartRecords(t, n)
 		for h, kept := range c.replica.loads {
 			delete(c.replica.loads, h)
-			if now := c.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) || now.services != kept.services ||
+			if now := c.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) ||
+				now.services != kept.services ||
 				now.arrays != kept.arrays ||
 				!slices.EqualFunc(now.runningByPriority[:], kept.runningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("%s keeps %+v of %s, there is %+v", n.name, kept, h, now)
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -55,7 +55,13 @@
 	z.until(zonehealth.Down, 1, 60)
 	second := z.state(1)
 	if second.Transitions <= first.Transitions || second.SlowStartShare != first.SlowStartShare/2 {
-		t.Errorf("number %d after %d, start %g after %g", second.Transitions, first.Transitions, second.SlowStartShare, first.SlowStartShare)
+		t.Errorf(
+			"number %d after %d, start %g after %g",
+			second.Transitions,
+			first.Transitions,
+			second.SlowStartShare,
+			first.SlowStartShare,
+		)
 	}
 	for _, x := range withReaders {
 		z.w.Cloud.Kill(x.Host)
@@ -70,7 +76,7 @@
 }
 
 // Room is kept for a production task until its end is committed and it waits in the queue:
-// also in the seconds in which a new owner has heard of nothing yet, and in those between
+// also in the seconds in which a new leader has heard of nothing yet, and in those between
 // its machine's return to the cloud and the commit. Arrays took it in both.
 func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
@@ -150,7 +156,7 @@
 }
 
 // Whoever wrote the zone's states ends, or stands still and wakes late: what it then would
-// write rests on an old record and on a part that it no longer owns, and is refused.
+// write rests on an old record and on a shard that it no longer owns, and is refused.
 func TestZoneWriterWakesLate(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	_, others := z.drop()
@@ -334,7 +340,7 @@
 	z.recovers(arrayTasks)
 }
 
-// Services scattered over zones get their replicas back that may only be in this zone, and
+// Services spread over zones get their replicas back that may only be in this zone, and
 // those that found room elsewhere stay there.
 func TestScatteredServices(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
--- a/internal/controller/zonegate.go
+++ b/internal/controller/zonegate.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// trial gives an admission to try things on.
+// trial returns an admission to try things on.
 func (g *jobAdmission) trial() *recovery.Admission {
 	if g == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return g.admission.Copy()
 }
 
-// admissionOf gives the gate of a job; nil if nothing restricts it. Call with the lock held.
+// admissionOf returns the gate of a job; nil if nothing restricts it. Call with the lock held.
 func (c *Controller) admissionOf(j *liveJob, admission *recovery.Admission) *jobAdmission {
 	return c.admissionOfSpec(&j.record.Spec, admission)
 }
@@ -60,7 +60,7 @@
 	return &jobAdmission{admission, recovery.MachineShare(size, c.machineSizes())}
 }
 
-// admission tells what work below production may take of zones that are down or recovering;
+// admission returns what work below production may take of zones that are down or recovering;
 // nil if none is, or the feature is off. It follows from what all controllers replicate, so
 // that all of them, whoever owns the machines, act alike. Call with the lock held.
 func (c *Controller) admission(now time.Time) *recovery.Admission {
@@ -89,7 +89,7 @@
 	return recovery.NewAdmission(zones, c.protectedSizes(zones), c.machineSizes())
 }
 
-// waitingProduction gives the production tasks that wait for lost machines of a zone: of own parts
+// waitingProduction returns the production tasks that wait for lost machines of a zone: of own shards
 // as last seen, of peers' as they told. Call with the lock held.
 func (c *Controller) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
 	var needs []zonehealth.Demand
@@ -130,7 +130,7 @@
 	}
 }
 
-// isHeldBack tells whether a task below production that its machine no longer has, and that
+// isHeldBack reports whether a task below production that its machine no longer has, and that
 // went when its zone went down, does not start again in place yet. All at once they would
 // fill the zone ahead of production work whose machines have not returned. A gang is one
 // whole: it ends and starts anew by its own rules. Call with the lock held.
@@ -146,7 +146,7 @@
 
 // admittedMachines tells on which machines of returning zones tasks start again in place: as large
 // a share of those that are up as the slow start has come to, less what the production work
-// that waits there needs. They open in the order of their names, so that another owner has
+// that waits there needs. They open in the order of their names, so that another leader has
 // the same. Call with the lock held.
 func (c *Controller) admittedMachines(up map[string][]string, now time.Time) map[string]bool {
 	open := map[string]bool{}
@@ -171,7 +171,7 @@
 	return open
 }
 
-// restrictedZone gives the record of a zone that is down or recovering; nil if it is not, or the
+// restrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
 // feature is off. It ends also if nobody can write that it does. Call with the lock held.
 func (c *Controller) restrictedZone(zone string, now time.Time) *zonehealth.Record {
 	r := c.replica.zones[url.PathEscape(zone)].record
@@ -189,7 +189,7 @@
 	return j.record.AcceptedMS + pl.placement.PlacedS*1000
 }
 
-// protectedSizes gives the sizes of production tasks. Call with the lock held.
+// protectedSizes returns the sizes of production tasks. Call with the lock held.
 func (c *Controller) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
 	var out []sched.Resources
 	note := func(size sched.Resources) {
--- a/internal/controller/zonemeasure_test.go
+++ b/internal/controller/zonemeasure_test.go
@@ -123,7 +123,7 @@
 }
 
 // BenchmarkZoneRecovery measures returns of a zone with and without the feature, each over
-// the same seeds, in simulated time with stand-ins; ZONE_REPORT names an HTML file for the
+// the same seeds, in simulated time with simulated services; ZONE_REPORT names an HTML file for the
 // plots.
 func BenchmarkZoneRecovery(b *testing.B) {
 	const seeds = 60
--- a/internal/controller/zoneplan_test.go
+++ b/internal/controller/zoneplan_test.go
@@ -13,7 +13,9 @@
 func (c *Controller) withZone(r zonehealth.Record) {
 	c.features.ZoneRecovery.Enabled = true
 	for _, node := range c.shards {
-		c.replica.capabilities[node] = cached[shard.CapabilityRecord]{record: &shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: c.features.Names()}}
+		c.replica.capabilities[node] = cached[shard.CapabilityRecord]{
+			record: &shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: c.features.Names()},
+		}
 	}
 	c.replica.zones["x"] = cached[zonehealth.Record]{record: &r}
 }
@@ -60,8 +62,16 @@
 func TestReservationKeepsRoom(t *testing.T) {
 	placed := func(waiting int) int {
 		c := sized(256, 4) // with room for four tasks
-		r := zonehealth.Record{State: zonehealth.Recovering, SinceMS: c.now().Add(-time.Second).UnixMilli(), SlowStartShare: 1, MachinesBefore: 256}
-		r = r.WithObservation("n1", zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}})
+		r := zonehealth.Record{
+			State:          zonehealth.Recovering,
+			SinceMS:        c.now().Add(-time.Second).UnixMilli(),
+			SlowStartShare: 1,
+			MachinesBefore: 256,
+		}
+		r = r.WithObservation(
+			"n1",
+			zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}},
+		)
 		c.withZone(r)
 		for _, j := range c.replica.jobs { // none is production
 			j.record.Spec.Priority = "standard"
--- a/internal/controller/zonerecovery_test.go
+++ b/internal/controller/zonerecovery_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// state gives the zone's state as a controller has it.
+// state returns the zone's state as a controller has it.
 func (z *zoneWorld) state(node int) zonehealth.Record {
 	if v := z.nodes[node].c.replica.zones["x"].record; v != nil {
 		return *v
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -3,8 +3,8 @@
 import "violetturn/internal/recovery"
 
 // zoneConstraint follows where the tasks of a job are or will be, for jobs that are to
-// go together or be scattered. A job of several chunks is scattered chunk by
-// chunk: chunks are of even size, so that half of each is half of all.
+// go together or be spread. A job of several task ranges is spread task range by
+// task range: task ranges are of even size, so that half of each is half of all.
 type zoneConstraint struct {
 	job         *liveJob
 	zone        string // of a job that goes together
@@ -12,7 +12,7 @@
 	admission   *jobAdmission // of zones that return, for work below production; nil: all are open
 }
 
-// zoneConstraintOf gives the zones of a job; admission tells what it may take of those that return.
+// zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
 // Call with the lock held.
 func (c *Controller) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
 	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: c.admissionOf(j, admission)}
@@ -31,13 +31,13 @@
 	return z
 }
 
-// add notes that a task of a chunk goes to a zone.
+// add notes that a task of a task range goes to a zone.
 func (z *zoneConstraint) add(chunk int, zone string) {
 	z.count(chunk, zone)
 	z.admission.admit(zone)
 }
 
-// count notes that a task of a chunk is in a zone.
+// count notes that a task of a task range is in a zone.
 func (z *zoneConstraint) count(chunk int, zone string) {
 	if z.job.record.Spec.Together && z.zone == "" {
 		z.zone = zone
@@ -49,7 +49,7 @@
 	z.tasksByZone[g][zone]++
 }
 
-// allows tells whether a task of a chunk may go to a zone.
+// allows reports whether a task of a task range may go to a zone.
 func (z *zoneConstraint) allows(chunk int, zone string) bool {
 	r := &z.job.record.Spec
 	if !z.admission.admits(zone) {
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -21,11 +21,11 @@
 // zoneView is what this node sees of zones.
 type zoneView struct {
 	observedAt       time.Time                                    // when it last looked
-	observations     map[string]map[string]zonehealth.Observation // by zone and own part
+	observations     map[string]map[string]zonehealth.Observation // by zone and own shard
 	admittedMachines map[string]bool                              // machines of returning zones where tasks start again in place
 }
 
-// featureEnabled tells whether a feature is on: here, and at every configured controller, living
+// featureEnabled reports whether a feature is on: here, and at every configured controller, living
 // or not, as its mark says. One that shows itself without it, because it was started without
 // or is of a version that doesn't know it, has it off everywhere. Call with the lock held.
 func (c *Controller) featureEnabled(name string) bool {
@@ -41,7 +41,7 @@
 	return c.schemaUpgraded()
 }
 
-// zoneLimits gives the bounds between the states of zones.
+// zoneLimits returns the bounds between the states of zones.
 func (c *Controller) zoneLimits() *zonehealth.Limits {
 	z := &c.features.ZoneRecovery
 	leases := func(n float64) time.Duration { return time.Duration(n * float64(c.cfg.WorkerLease())) }
@@ -56,9 +56,9 @@
 	}
 }
 
-// updateZones looks at the zones once in a report round and commits what has changed. It
+// updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
 // changes nothing but zones' records, each on the version that it judged by and on this
-// node's ownership of a part: one that wakes late, or was replaced, is refused.
+// node's leadership of a shard: one that wakes late, or was replaced, is refused.
 func (c *Controller) updateZones(ctx context.Context) bool {
 	now := c.now()
 	c.mu.Lock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// judgeZone gives a zone's record as it is to be, and whether that is to be written. Call
+// judgeZone returns a zone's record as it is to be, and whether that is to be written. Call
 // with the lock held.
 func (c *Controller) judgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := c.zoneLimits()
@@ -130,7 +130,7 @@
 	return next, changed || next.State != was.State
 }
 
-// hasOutsideObserver tells whether this node can say that a zone is down, not itself cut off: it hears
+// hasOutsideObserver reports whether this node can say that a zone is down, not itself cut off: it hears
 // workers now, and it or a peer at home in another zone hears some of another zone. Call with
 // the lock held.
 func (c *Controller) hasOutsideObserver(zone string, now time.Time) bool {
@@ -155,7 +155,7 @@
 	return false
 }
 
-// observeZones looks at the machines of own parts, by zone, and lists those that are up. Call
+// observeZones looks at the machines of own shards, by zone, and lists those that are up. Call
 // with the lock held.
 func (c *Controller) observeZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
 	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
@@ -185,7 +185,7 @@
 			observation.Lost++
 		}
 		// Until its end is committed a task is placed, and waits in no queue: room for it is
-		// kept also while a new owner has not heard of its machine yet, and when the machine
+		// kept also while a new leader has not heard of its machine yet, and when the machine
 		// is known to be gone.
 		if what != machineUp {
 			c.addWaiting(waiting, host, m)
@@ -202,7 +202,7 @@
 	return out, up
 }
 
-// machineState is what an owner sees of a machine.
+// machineState is what a leader sees of a machine.
 type machineState int
 
 const (
@@ -212,7 +212,7 @@
 	machineLost
 )
 
-// observedState tells what an owner sees of a machine. Call with the lock held.
+// observedState returns what a leader sees of a machine. Call with the lock held.
 func (c *Controller) observedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) machineState {
 	patience := 2 * c.cfg.HeartbeatInterval() // who reports at all has done so
 	switch {
@@ -259,7 +259,7 @@
 	}
 }
 
-// cloudRefuses tells whether the cloud refuses all that it could rent in a zone. Call with the
+// cloudRefuses reports whether the cloud refuses all that it could rent in a zone. Call with the
 // lock held.
 func (c *Controller) cloudRefuses(zone string, now time.Time) bool {
 	offered := false
@@ -292,7 +292,7 @@
 	return zonehealth.Demand{Need: shard.Vec(resourcesOf(spec)), Spot: spec.Spot}
 }
 
-// zoneName gives the zone of a record's key.
+// zoneName returns the zone of a record's key.
 func zoneName(id string) string {
 	name, err := url.PathUnescape(id)
 	if err != nil {
@@ -301,7 +301,7 @@
 	return name
 }
 
-// machineSizes gives the sizes of all machine types. Call with the lock held.
+// machineSizes returns the sizes of all machine types. Call with the lock held.
 func (c *Controller) machineSizes() []sched.Resources {
 	out := make([]sched.Resources, 0, len(c.machineTypes))
 	for i := range c.machineTypes {
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -36,7 +36,7 @@
 	ZoneRecovery ZoneRecovery `toml:"zone_recovery"`
 }
 
-// Default gives all features off, with the settings that hold where a file names none.
+// Default returns all features off, with the settings that hold where a file names none.
 func Default() *Features {
 	return &Features{ZoneRecovery: ZoneRecovery{
 		SuspectShare:  0.25,
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -26,11 +26,43 @@
 
 // records are values with every field set, by the names of their lines in records.txt.
 var records = map[string]any{
-	"api.Run": &api.Job{UID: "run-1", Class: "l", Team: "o", Kind: api.Array, Priority: "idle", Tasks: 3, CPUs: 1.5, GPUs: 1, MemGB: 4, Image: "i", ImageGB: 2.5,
-		MachineTypes: []string{"m"}, Zone: "x", Together: true, Spread: true, Spot: true, EstimateS: 60, CheckpointS: 30, SaveS: 2, DeadlineS: pointer(90.5)},
+	"api.Run": &api.Job{
+		UID:      "run-1",
+		Class:    "l",
+		Team:     "o",
+		Kind:     api.Array,
+		Priority: "idle",
+		Tasks:    3,
+		CPUs:     1.5,
+		GPUs:     1,
+		MemGB:    4,
+		Image:    "i",
+		ImageGB:  2.5,
+		MachineTypes: []string{
+			"m",
+		},
+		Zone:        "x",
+		Together:    true,
+		Spread:      true,
+		Spot:        true,
+		EstimateS:   60,
+		CheckpointS: 30,
+		SaveS:       2,
+		DeadlineS:   pointer(90.5),
+	},
 	"api.State": &api.State{UID: "run-1", Phase: api.Running, Done: 1, Running: 2},
-	"api.Checkin": &api.Heartbeat{Host: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, AgentEpoch: 2, Sequence: 3, Token: 4, SpotNoticeS: pointer(5.5),
-		Tasks: []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.Ended, Cause: api.CauseDone, Saved: true}}},
+	"api.Checkin": &api.Heartbeat{
+		Host:        "i-1",
+		Addr:        "10.0.0.1:9",
+		MachineType: "m",
+		Zone:        "x",
+		Spot:        true,
+		AgentEpoch:  2,
+		Sequence:    3,
+		Token:       4,
+		SpotNoticeS: pointer(5.5),
+		Tasks:       []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.Ended, Cause: api.CauseDone, Saved: true}},
+	},
 	"api.Orders": &api.CommandBatch{
 		Token:      4,
 		AgentEpoch: 2,
@@ -66,8 +98,24 @@
 		DoneBits:    "AQ",
 		Placements:  map[int]*job.Placement{1: {Attempt: 2, Host: "i-1", Stopping: true, PlacedS: 9}},
 	},
-	"job.Gang":                &job.Gang{Attempt: 2, Launched: true, Stopping: true, Ended: true, Done: true, LaunchedS: 9, ErrorStreak: 1, FailureStreak: 2},
-	"part.Own":                &shard.LeaderRecord{Node: "n0", Incarnation: 5, Term: 6, WorkersUnreachable: true, HearsWorkers: true, SchemaVersion: 2},
+	"job.Gang": &job.Gang{
+		Attempt:       2,
+		Launched:      true,
+		Stopping:      true,
+		Ended:         true,
+		Done:          true,
+		LaunchedS:     9,
+		ErrorStreak:   1,
+		FailureStreak: 2,
+	},
+	"part.Own": &shard.LeaderRecord{
+		Node:               "n0",
+		Incarnation:        5,
+		Term:               6,
+		WorkersUnreachable: true,
+		HearsWorkers:       true,
+		SchemaVersion:      2,
+	},
 	"part.Mark":               &shard.CapabilityRecord{SchemaVersion: 2},
 	"part.Mark with features": &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}},
 	"part.Own with features":  &shard.LeaderRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}},
@@ -86,7 +134,15 @@
 		Free:               shard.FreeCapacity{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
 		QuotaUse:           map[string][3]float64{"a": {1, 2, 3}},
 	},
-	"part.Machine": &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x", Spot: true, Addr: "10.0.0.1:9", RentedFor: "n1", RegisteredMS: 7},
+	"part.Machine": &shard.Machine{
+		Shard:        "n0",
+		MachineType:  "m",
+		Zone:         "x",
+		Spot:         true,
+		Addr:         "10.0.0.1:9",
+		RentedFor:    "n1",
+		RegisteredMS: 7,
+	},
 	"part.Page":    &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}},
 	"part.Usage":   &shard.QuotaRecord{Held: map[string][3]float64{"n0": {1, 2, 3}}},
 	"peer.Request": &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9},
@@ -95,7 +151,11 @@
 		Status:       200,
 		Body:         []byte("b"),
 		RetryAfter:   3,
-		Vouch:        &peer.Vouch{Complete: true, Cancelled: []string{"run-1"}, Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}}},
+		Vouch: &peer.Vouch{
+			Complete:  true,
+			Cancelled: []string{"run-1"},
+			Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}},
+		},
 	},
 	"job.Main inner": &job.Record{Spec: api.Job{
 		UID:      "run-1",
@@ -123,7 +183,7 @@
 		Generation: 1, SpreadRangeSize: 8, Frozen: true, Gang: &job.Gang{Attempt: 1}},
 }
 
-// encode gives the recorded form, or that on the wire in hexadecimal.
+// encode returns the recorded form, or that on the wire in hexadecimal.
 func encode(t *testing.T, v any) string {
 	t.Helper()
 	if m, ok := v.(proto.Message); ok {
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -63,7 +63,7 @@
 	stage    stage
 	msg      *Message
 	headers  int
-	length   int // body length, or bytes left of the chunk; -1 unknown
+	length   int // body length, or bytes left of the task range; -1 unknown
 	chunked  bool
 	http10   bool
 	keep     bool
@@ -78,7 +78,7 @@
 // Feed adds bytes of the stream; it copies them.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Idle tells whether the parser stands between two messages.
+// Idle reports whether the parser stands between two messages.
 func (p *Parser) Idle() bool { return p.stage == atStart && len(p.buf) == 0 }
 
 // line takes the next line without its end. A bare LF is refused: accepting it
@@ -110,7 +110,7 @@
 	}
 }
 
-// Next gives the next whole message, or nil when more bytes are needed.
+// Next returns the next whole message, or nil when more bytes are needed.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
 		if whole, more := p.step(); whole {
@@ -122,7 +122,7 @@
 	return nil, p.err
 }
 
-// step parses on by one element. It tells whether that completed a message, and whether
+// step parses on by one element. It reports whether that completed a message, and whether
 // more bytes are needed, or the message is in error.
 func (p *Parser) step() (whole, more bool) {
 	switch p.stage {
@@ -182,7 +182,7 @@
 	return false, p.err != nil
 }
 
-// readChunkSize reads the line before a chunk; true if it is not whole, or in error.
+// readChunkSize reads the line before a task range; true if it is not whole, or in error.
 func (p *Parser) readChunkSize() (more bool) {
 	s, ok := p.line()
 	if !ok {
@@ -206,7 +206,7 @@
 	return false
 }
 
-// readChunk reads a chunk with its line end; true if it is not whole, or in error.
+// readChunk reads a task range with its line end; true if it is not whole, or in error.
 func (p *Parser) readChunk() (more bool) {
 	if len(p.buf) < p.length+2 {
 		return true
@@ -221,7 +221,7 @@
 	return false
 }
 
-// readTrailer reads a header after the last chunk, or the end of the message.
+// readTrailer reads a header after the last task range, or the end of the message.
 func (p *Parser) readTrailer() (whole, more bool) {
 	s, ok := p.line()
 	if !ok {
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -1,6 +1,6 @@
 package job
 
-// Gang is how the newest attempt of an ensemble stands: all its tasks run at the same
+// Gang is how the newest attempt of an gang stands: all its tasks run at the same
 // time or none does. It is part of the main record, which is written with every change
 // of the job's tasks, so that one version covers all of them wherever their places
 // are recorded. Every place of an attempt has the attempt's number.
@@ -59,22 +59,22 @@
 	return GangReserving
 }
 
-// MayLaunch tells whether a place with that number may be launched.
+// MayLaunch reports whether a place with that number may be launched.
 func (g *Gang) MayLaunch(try uint64) bool {
 	return g != nil && g.Launched && !g.Stopping && !g.Ended && !g.Done && try == g.Attempt
 }
 
-// MustStop tells whether a task with that number has to leave its machine.
+// MustStop reports whether a task with that number has to leave its machine.
 func (g *Gang) MustStop(try uint64) bool {
 	return g != nil && (g.Stopping || g.Ended || g.Done || try != g.Attempt)
 }
 
-// AcceptsPlacements tells whether places may be added to the attempt.
+// AcceptsPlacements reports whether places may be added to the attempt.
 func (g *Gang) AcceptsPlacements() bool {
 	return g == nil || !g.Stopping && !g.Ended && !g.Done
 }
 
-// BeginAttempt gives the number for new places. Where nothing of the attempt before is left
+// BeginAttempt returns the number for new places. Where nothing of the attempt before is left
 // a new one begins, above every earlier number.
 func (g *Gang) BeginAttempt(placed int) uint64 {
 	if g.Ended || placed == 0 {
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -96,7 +96,7 @@
 	})
 }
 
-// A record divided into smaller chunks says of each task what it said before, and a
+// A record divided into smaller task ranges says of each task what it said before, and a
 // later attempt's number is above all earlier ones.
 func TestSplitKeepsTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -138,7 +138,8 @@
 			}
 			from := n*k - was*old.RangeSize
 			p := chunks[was].Slice(from, m.RangeLen(n))
-			if p.Done(i%k) != chunks[was].Done(i%old.RangeSize) || (p.PlacementOf(i%k) == nil) != (chunks[was].PlacementOf(i%old.RangeSize) == nil) {
+			if p.Done(i%k) != chunks[was].Done(i%old.RangeSize) ||
+				(p.PlacementOf(i%k) == nil) != (chunks[was].PlacementOf(i%old.RangeSize) == nil) {
 				t.Fatalf("task %d has changed", i)
 			}
 			if p != nil && p.LastAttempt < chunks[was].LastAttempt {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,5 +1,5 @@
 // Package job holds the records of a job and what may happen to them. A job
-// that lives has one main record and a record for each chunk of its tasks that
+// that lives has one main record and a record for each task range of its tasks that
 // was ever touched; a job that is over has one short past record.
 package job
 
@@ -81,7 +81,7 @@
 	Placements  map[int]*Placement `json:"p,omitempty"` // unfinished tasks that are on a machine, or may be
 }
 
-// TaskRangeSize is the number of tasks in a chunk, such that its record fits a
+// TaskRangeSize is the number of tasks in a task range, such that its record fits a
 // value of the state service even with every task placed.
 func TaskRangeSize(valueKB float64) int { return rangeSizeFor(valueKB, placementBytes) }
 
@@ -89,13 +89,13 @@
 	return min(max(int(valueKB*1024)/e/2*2, 2), 512)
 }
 
-// RangeCount is the number of chunks of the job.
+// RangeCount is the number of task ranges of the job.
 func (m *Record) RangeCount() int { return (m.Spec.Tasks + m.RangeSize - 1) / m.RangeSize }
 
-// RangeLen is the number of tasks in chunk n.
+// RangeLen is the number of tasks in task range n.
 func (m *Record) RangeLen(n int) int { return min(m.RangeSize, m.Spec.Tasks-n*m.RangeSize) }
 
-// RangeFinished tells whether chunk n is done.
+// RangeFinished reports whether task range n is done.
 func (m *Record) RangeFinished(n int) bool {
 	for i := 0; i+1 < len(m.FinishedRanges); i += 2 {
 		if n >= m.FinishedRanges[i] && n < m.FinishedRanges[i+1] {
@@ -105,7 +105,7 @@
 	return false
 }
 
-// FinishRange marks chunk n as done.
+// FinishRange marks task range n as done.
 func (m *Record) FinishRange(n int) {
 	if m.RangeFinished(n) {
 		return
@@ -124,12 +124,12 @@
 	m.FinishedRanges = all
 }
 
-// Complete tells whether every chunk is done.
+// Complete reports whether every task range is done.
 func (m *Record) Complete() bool {
 	return len(m.FinishedRanges) == 2 && m.FinishedRanges[0] == 0 && m.FinishedRanges[1] == m.RangeCount()
 }
 
-// FinishedTasks counts the tasks of finished chunks.
+// FinishedTasks counts the tasks of finished task ranges.
 func (m *Record) FinishedTasks() int {
 	n := 0
 	for i := 0; i+1 < len(m.FinishedRanges); i += 2 {
@@ -149,9 +149,9 @@
 	return &c
 }
 
-// SplitSize gives the size of chunks into which those of the job can be divided so that
+// SplitSize returns the size of task ranges into which those of the job can be divided so that
 // their records fit a value: an even part of the present size, so that what is done
-// and what is scattered by halves stays so.
+// and what is spread by halves stays so.
 func (m *Record) SplitSize(valueKB float64) int {
 	most := TaskRangeSize(valueKB)
 	for k := min(most, m.RangeSize); k > 2; k-- {
@@ -162,24 +162,24 @@
 	return 2
 }
 
-// Split turns the record into that of the job with chunks of size k, an even part
+// Split turns the record into that of the job with task ranges of size k, an even part
 // of the present size, each with a record of its own.
 func (m *Record) Split(k int) {
 	each := m.RangeSize / k
 	if m.Spec.Spread && m.SpreadRangeSize == 0 {
-		m.SpreadRangeSize = m.RangeSize // half of one zone's tasks may be in any of the smaller chunks
+		m.SpreadRangeSize = m.RangeSize // half of one zone's tasks may be in any of the smaller task ranges
 	}
 	for i := range m.FinishedRanges {
 		m.FinishedRanges[i] *= each
 	}
 	m.RangeSize, m.Inline, m.InlineRange, m.Frozen = k, false, nil, false
 	m.Generation++
-	if n := len(m.FinishedRanges); n > 0 { // the last chunk may have been a short one
+	if n := len(m.FinishedRanges); n > 0 { // the last task range may have been a short one
 		m.FinishedRanges[n-1] = min(m.FinishedRanges[n-1], m.RangeCount())
 	}
 }
 
-// SpreadGroup tells by which group of tasks chunk n counts when a job is scattered, and how
+// SpreadGroup returns by which group of tasks task range n counts when a job is spread, and how
 // many tasks the group has: of each half may be in one zone, and so half of all.
 func (m *Record) SpreadGroup(n int) (group, tasks int) {
 	size := m.RangeSize
@@ -190,7 +190,7 @@
 	return g, min(size, m.Spec.Tasks-g*size)
 }
 
-// Slice gives the tasks from on, n of them, as a chunk of their own, nil if nothing is
+// Slice returns the tasks from on, n of them, as a task range of their own, nil if nothing is
 // known of them.
 func (c *TaskRange) Slice(from, n int) *TaskRange {
 	if c == nil {
@@ -209,7 +209,7 @@
 	return d
 }
 
-// Copy copies the record so that it can be changed; a nil chunk is one never touched.
+// Copy copies the record so that it can be changed; a nil task range is one never touched.
 func (c *TaskRange) Copy() *TaskRange {
 	if c == nil {
 		return &TaskRange{Placements: map[int]*Placement{}}
@@ -228,7 +228,7 @@
 	return b
 }
 
-// Done tells whether task i (within the chunk) is done.
+// Done reports whether task i (within the task range) is done.
 func (c *TaskRange) Done(i int) bool {
 	if c == nil {
 		return false
@@ -264,7 +264,7 @@
 	return n
 }
 
-// PlacementOf gives where task i is placed, nil if nowhere.
+// PlacementOf returns where task i is placed, nil if nowhere.
 func (c *TaskRange) PlacementOf(i int) *Placement {
 	if c == nil {
 		return nil
@@ -295,7 +295,7 @@
 	c.DoneBits = base64.RawStdEncoding.EncodeToString(b)
 }
 
-// EndAttempt takes attempt try of task i off its machine. It tells whether that was
+// EndAttempt takes attempt try of task i off its machine. It reports whether that was
 // the task's present attempt; if not, nothing changes.
 func (c *TaskRange) EndAttempt(i int, try uint64, done, failed bool) bool {
 	p := c.Placements[i]
@@ -330,7 +330,7 @@
 	return &m, nil
 }
 
-// ParseTaskRange reads a chunk's record.
+// ParseTaskRange reads a task range's record.
 func ParseTaskRange(raw []byte) (*TaskRange, error) {
 	var c TaskRange
 	if err := json.Unmarshal(raw, &c); err != nil {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -11,7 +11,7 @@
 	"violetturn/internal/api"
 )
 
-// A chunk's record stays within a value of the state service even with every
+// A task range's record stays within a value of the state service even with every
 // task placed and the numbers large, and reads back the same.
 func TestTaskRangeRecordFits(t *testing.T) {
 	for _, kb := range []float64{1, 4, 16, 64} {
@@ -66,7 +66,7 @@
 	})
 }
 
-// The chunk against a plain model of its tasks.
+// The task range against a plain model of its tasks.
 func TestTaskRangeModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := (*TaskRange)(nil).Copy()
@@ -123,7 +123,7 @@
 	})
 }
 
-// Finished chunks are counted right in whatever order they finish, and the
+// Finished task ranges are counted right in whatever order they finish, and the
 // record of a job of 100,000 tasks stays small.
 func TestFinishRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -21,7 +21,7 @@
 	ReservableShare float64             // share of the free machines that may be kept for those
 }
 
-// Admission tells what work below production may still take of zones. A nil one lets
+// Admission returns what work below production may still take of zones. A nil one lets
 // everything in.
 type Admission struct {
 	zones     map[string]*Zone
@@ -38,7 +38,7 @@
 	return &Admission{zones: zones, protected: protected, types: types}
 }
 
-// Copy gives an admission of its own to try things on.
+// Copy returns an admission of its own to try things on.
 func (a *Admission) Copy() *Admission {
 	if a == nil {
 		return nil
@@ -52,7 +52,7 @@
 	return &trial
 }
 
-// Competes tells whether a task of work below production, which may go to machines of some
+// Competes reports whether a task of work below production, which may go to machines of some
 // sizes, could take what production needs: some machine fits both.
 func (a *Admission) Competes(need sched.Resources, allowed func(machine int) bool) bool {
 	if a == nil {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// Admits tells whether work below production may take so much of a machine in a zone.
+// Admits reports whether work below production may take so much of a machine in a zone.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
 	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
@@ -87,7 +87,7 @@
 	}
 }
 
-// Zone gives a restricted zone, nil if it is not.
+// Zone returns a restricted zone, nil if it is not.
 func (a *Admission) zone(name string) *Zone {
 	if a == nil {
 		return nil
@@ -95,7 +95,7 @@
 	return a.zones[name]
 }
 
-// MachineShare tells how much of the smallest machine that fits it a task takes, in machines.
+// MachineShare returns how much of the smallest machine that fits it a task takes, in machines.
 func MachineShare(need sched.Resources, types []sched.Resources) float64 {
 	share := 1.0
 	for _, machine := range types {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -61,7 +61,11 @@
 		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
 		keep := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "keep")
-		z := &Zone{MachinesBefore: float64(n), ReservableShare: keep, Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}}}
+		z := &Zone{
+			MachinesBefore:  float64(n),
+			ReservableShare: keep,
+			Waiting:         []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}},
+		}
 		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		kept := a.Reserve(append(hosts, other))
 		if keep == 1 && kept != min(tasks, slots) {
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -7,7 +7,7 @@
 )
 
 // GangRetry follows how a job whose tasks can only start all together looks for room, as
-// the paper's Algorithm 2 has it: it claims what parts have, up to what is missing,
+// the paper's Algorithm 2 has it: it claims what shards have, up to what is missing,
 // sleeps after it found them empty, and after too many empty looks in a row releases
 // all its claims and begins again, before newer ones. It starts nothing until all is
 // held.
@@ -68,8 +68,8 @@
 	return n
 }
 
-// AssignGang finds machines for tasks that start together: on the own part first, then on
-// peers' parts, so that few records change. Machines that can start a task soon come
+// AssignGang finds machines for tasks that start together: on the own shard first, then on
+// peers' shards, so that few records change. Machines that can start a task soon come
 // first (the last one decides when all run), then those that already take one (fewer
 // machines that the gang can be lost with, and one fetch for all), then the fullest fit,
 // which leaves room beside accelerators to those who need them. It takes the room that
@@ -97,7 +97,7 @@
 	return out
 }
 
-// Unassign gives the room of seats back.
+// Unassign returns the room of seats back.
 func Unassign(hosts []*Host, a *TaskRequest) {
 	for _, h := range hosts {
 		if h != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// soonest gives the machine of one part for the next task of a gang.
+// soonest returns the machine of one shard for the next task of a gang.
 func soonest(hosts []*Host, a *TaskRequest, taken map[*Host]bool) *Host {
 	delay := func(h *Host) float64 {
 		d := h.StartDelayS
@@ -173,7 +173,7 @@
 	return n
 }
 
-// CountShards counts the parts that seats touch.
+// CountShards counts the shards that seats touch.
 func CountShards(hosts []*Host) int {
 	var shards []string
 	for _, h := range hosts {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -10,7 +10,7 @@
 
 const eps = 1e-6 // amounts are decimal fractions, sums of them are not exact
 
-// Fits tells whether n fits into r.
+// Fits reports whether n fits into r.
 func (r Resources) Fits(n Resources) bool {
 	return n.CPUs <= r.CPUs+eps && n.GPUs <= r.GPUs+eps && n.MemGB <= r.MemGB+eps
 }
@@ -28,7 +28,7 @@
 // Scale multiplies r.
 func (r Resources) Scale(k float64) Resources { return Resources{r.CPUs * k, r.GPUs * k, r.MemGB * k} }
 
-// ApproxEqual tells whether two amounts are the same but for rounding.
+// ApproxEqual reports whether two amounts are the same but for rounding.
 func (r Resources) ApproxEqual(o Resources) bool { return r.Fits(o) && o.Fits(r) }
 
 // Host is a machine as a decision sees it.
@@ -56,7 +56,7 @@
 	ZoneAllowed  func(zone string) bool // what the job's other tasks leave; nil: any
 }
 
-// Allows tells whether the machine is one the task may run on, room aside.
+// Allows reports whether the machine is one the task may run on, room aside.
 func (a *TaskRequest) Allows(machineType, zone string, spot bool) bool {
 	return a.allowsKind(machineType, zone, spot) && (a.ZoneAllowed == nil || a.ZoneAllowed(zone))
 }
@@ -98,7 +98,7 @@
 }
 
 // Preempt picks tasks on one machine whose end makes room for the task, losing
-// least, and tells what is lost. It gives none when even all of them would not
+// least, and tells what is lost. It returns none when even all of them would not
 // be enough: room that does not help is not taken from anybody.
 func Preempt(free Resources, need Resources, victims []Victim) ([]Victim, float64) {
 	slices.SortFunc(victims, func(a, b Victim) int {
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -21,7 +21,7 @@
 	coldFirstBit fitKey = 1 << 62
 )
 
-// fitKeyOf tells how well a machine fits a task: the fullest first; among equals one
+// fitKeyOf returns how well a machine fits a task: the fullest first; among equals one
 // without tasks of the other shape, then one that has the image, then a spot one, so
 // that ordinary machines stay for those that need them. Only a task whose aim a cold
 // start would miss looks for its image before fullness. ok is false if the machine has
@@ -61,7 +61,7 @@
 	return key, true
 }
 
-// FullestFit gives the machine that fits the task best by fitKeyOf.
+// FullestFit returns the machine that fits the task best by fitKeyOf.
 func FullestFit(hosts []*Host, a *TaskRequest) *Host {
 	var best candidate
 	for _, h := range hosts {
@@ -168,7 +168,7 @@
 	}
 }
 
-// Best gives the machine for the next task, nil if none fits. Who takes it takes the
+// Best returns the machine for the next task, nil if none fits. Who takes it takes the
 // task's room from it before asking again.
 func (r *Ranking) Best(zoneOK func(zone string) bool) *Host {
 	var best candidate
@@ -187,20 +187,20 @@
 	return best.host
 }
 
-// Chooser finds machines for the tasks of one job after the other, in parts: in the
-// job's own part first and then in the peers' parts in random order, as the design has
-// it. It gives the fullest fit of the first part that has room.
+// Chooser finds machines for the tasks of one job after the other, in shards: in the
+// job's own shard first and then in the peers' shards in random order, as the design has
+// it. It returns the fullest fit of the first shard that has room.
 type Chooser struct {
 	shards   map[string][]*Host
 	rnd      *rand.Rand
 	names    []string
 	request  *TaskRequest
-	order    []string   // the parts, as this job asks them
+	order    []string   // the shards, as this job asks them
 	rankings []*Ranking // of the first of them, made when they are asked
 	reusable []*Ranking // of earlier jobs
 }
 
-// NewChooser makes a chooser among machines by part.
+// NewChooser makes a chooser among machines by shard.
 func NewChooser(shards map[string][]*Host, rnd *rand.Rand) *Chooser {
 	c := &Chooser{shards: shards, rnd: rnd}
 	for name := range shards {
@@ -225,7 +225,7 @@
 	c.rnd.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 }
 
-// Next gives the machine for the job's next task, nil if there is none.
+// Next returns the machine for the job's next task, nil if there is none.
 func (c *Chooser) Next(zoneOK func(zone string) bool) *Host {
 	for i, name := range c.order {
 		if i == len(c.rankings) {
--- a/internal/sched/rent.go
+++ b/internal/sched/rent.go
@@ -23,7 +23,7 @@
 	Count int
 }
 
-// PlanRentals tells what to rent for the unmet tasks, after filling the machines that
+// PlanRentals returns what to rent for the unmet tasks, after filling the machines that
 // are coming already. Of the offers that fit, the one that is cheapest for the
 // task is taken; home breaks a tie between zones.
 func PlanRentals(unmet []UnmetDemand, coming []*Host, offers []Offer, home string) []RentalOrder {
@@ -91,7 +91,7 @@
 	return h
 }
 
-// hostsWithRoom gives the machines that may have room for some of the tasks: most have
+// hostsWithRoom returns the machines that may have room for some of the tasks: most have
 // none, and each task is held against all that are left.
 func hostsWithRoom(hosts []*Host, unmet []UnmetDemand) []*Host {
 	if len(unmet) == 0 {
@@ -111,7 +111,7 @@
 	return out
 }
 
-// tasksPerMachine tells how many such tasks fit into an empty machine.
+// tasksPerMachine returns how many such tasks fit into an empty machine.
 func tasksPerMachine(c, n Resources) float64 {
 	k := 1000.0
 	for _, x := range [][2]float64{{c.CPUs, n.CPUs}, {c.GPUs, n.GPUs}, {c.MemGB, n.MemGB}} {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -20,7 +20,9 @@
 	for i := range rapid.IntRange(0, 6).Draw(t, "hosts") {
 		c := Resources{8, 4, 8}
 		out = append(out, &Host{Name: fmt.Sprint("h", i), MachineType: "m", Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "site"),
-			Spot: rapid.Bool().Draw(t, "spot"), Cap: c, Free: c.Sub(drawResources(t, "used", 8)), Services: rapid.IntRange(0, 1).Draw(t, "daemons")})
+			Spot: rapid.Bool().
+				Draw(t, "spot"),
+			Cap: c, Free: c.Sub(drawResources(t, "used", 8)), Services: rapid.IntRange(0, 1).Draw(t, "daemons")})
 	}
 	return out
 }
@@ -64,8 +66,15 @@
 			same := *h
 			plain[i] = &same
 		}
-		a := &TaskRequest{Need: drawResources(t, "need", 6), Spot: rapid.Bool().Draw(t, "loaners"), Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
-			Image: "i", PreferImage: rapid.Bool().Draw(t, "wants its image"), RequireImage: rapid.Bool().Draw(t, "needs its image"), Service: rapid.Bool().Draw(t, "daemon")}
+		a := &TaskRequest{
+			Need:         drawResources(t, "need", 6),
+			Spot:         rapid.Bool().Draw(t, "loaners"),
+			Zone:         rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Image:        "i",
+			PreferImage:  rapid.Bool().Draw(t, "wants its image"),
+			RequireImage: rapid.Bool().Draw(t, "needs its image"),
+			Service:      rapid.Bool().Draw(t, "daemon"),
+		}
 		r := Rank(nil, nil, &TaskRequest{})
 		r = Rank(r, hosts[:len(hosts)/2], a)
 		for _, h := range hosts[len(hosts)/2:] {
@@ -127,7 +136,10 @@
 		var v []Victim
 		all := free
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
-			v = append(v, Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))})
+			v = append(
+				v,
+				Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
+			)
 			all = all.Add(v[i].Room)
 		}
 		take, _ := Preempt(free, need, slices.Clone(v))
@@ -184,7 +196,7 @@
 	})
 }
 
-// Shares of a limit, taken and given back by parts in any order, never sum up to
+// Shares of a limit, taken and given back by shards in any order, never sum up to
 // more than the limit, cover what is used, and keep little from the others when
 // the limit is near.
 func TestQuotaShares(t *testing.T) {
@@ -272,8 +284,17 @@
 		var all []*Host
 		before := map[*Host]Resources{}
 		for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
-			h := &Host{Name: string(rune('a' + i)), Shard: string(rune('p' + i%2)), Zone: string(rune('x' + i%2)), Cap: Resources{CPUs: 8, GPUs: 2, MemGB: 64},
-				Free: Resources{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")), MemGB: 64}}
+			h := &Host{
+				Name:  string(rune('a' + i)),
+				Shard: string(rune('p' + i%2)),
+				Zone:  string(rune('x' + i%2)),
+				Cap:   Resources{CPUs: 8, GPUs: 2, MemGB: 64},
+				Free: Resources{
+					CPUs:  float64(rapid.IntRange(0, 8).Draw(t, "cpus")),
+					GPUs:  float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
+					MemGB: 64,
+				},
+			}
 			if rapid.Bool().Draw(t, "warm") {
 				h.Images = map[string]bool{"i": true}
 			}
