--- a/internal/sched/share.go
+++ b/internal/sched/share.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// quotaSteps is into how many steps a limit is divided: a part reserves a team's
+// quotaSteps is into how many steps a limit is divided: a shard reserves a team's
 // limit in such steps, so that most placements there change no record but the
-// part's own.
+// shard's own.
 const quotaSteps = 32
 
-// QuotaShare gives the share of a team's limit that a part should hold for what the
-// team's tasks use there, when the other parts hold others: a step more than is
+// QuotaShare returns the share of a team's limit that a shard should hold for what the
+// team's tasks use there, when the other shards hold others: a step more than is
 // used while the limit is far away, exactly what is used when it is near, so
-// that no part keeps from others what it does not use. It fails when the limit
+// that no shard keeps from others what it does not use. It fails when the limit
 // does not leave as much. Amounts without a limit are 0 in limit.
 func QuotaShare(limit, others, use Resources) (Resources, bool) {
 	ok := true
@@ -33,7 +33,7 @@
 	return Resources{one(limit.CPUs, others.CPUs, use.CPUs), one(limit.GPUs, others.GPUs, use.GPUs), 0}, ok
 }
 
-// HoldsExcessQuota tells whether a part holds so much more of a limit than is used there
+// HoldsExcessQuota reports whether a shard holds so much more of a limit than is used there
 // that it should give some back.
 func HoldsExcessQuota(limit, others, held, use Resources) bool {
 	one := func(limit, others, held, use float64) bool {
@@ -45,7 +45,7 @@
 	return one(limit.CPUs, others.CPUs, held.CPUs, use.CPUs) || one(limit.GPUs, others.GPUs, held.GPUs, use.GPUs)
 }
 
-// WithinQuota tells whether use is within a held share, where there is a limit.
+// WithinQuota reports whether use is within a held share, where there is a limit.
 func WithinQuota(limit, held, use Resources) bool {
 	return (limit.CPUs <= 0 || use.CPUs <= held.CPUs+eps) && (limit.GPUs <= 0 || use.GPUs <= held.GPUs+eps)
 }
--- a/internal/shard/offer.go
+++ b/internal/shard/offer.go
@@ -24,7 +24,7 @@
 // mostDemands is how many sizes of tasks a selection looks at, the most wanted ones.
 const mostDemands = 8
 
-// FitsIn tells whether the recorded form surely takes at most size bytes.
+// FitsIn reports whether the recorded form surely takes at most size bytes.
 func (f FreeCapacity) FitsIn(size int) bool {
 	bytes := emptyBytes
 	for name := range f {
@@ -106,7 +106,7 @@
 	return s
 }
 
-// mostWanted gives the sizes of task that are wanted most.
+// mostWanted returns the sizes of task that are wanted most.
 func mostWanted(demand []PeerDemand) []PeerDemand {
 	wanted := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
 	slices.SortStableFunc(wanted, func(a, b PeerDemand) int { return cmp.Compare(b.Tasks, a.Tasks) })
@@ -133,7 +133,7 @@
 	return out
 }
 
-// countFits tells how many tasks fit into room.
+// countFits returns how many tasks fit into room.
 func countFits(room, need sched.Resources) float64 {
 	n := 0.0
 	for room.Fits(need) && n < 1000 {
@@ -197,7 +197,7 @@
 
 func (s *machineSelection) servedTasks() float64 { return s.tasksServed(s.demand) }
 
-// tasksServed tells how many tasks of a demand the kept machines take.
+// tasksServed returns how many tasks of a demand the kept machines take.
 func (s *machineSelection) tasksServed(demand []PeerDemand) float64 {
 	free := make([]sched.Resources, 0, len(s.kept))
 	for _, name := range slices.Sorted(maps.Keys(s.kept)) {
--- a/internal/shard/part.go
+++ b/internal/shard/part.go
@@ -1,5 +1,5 @@
-// Package part holds the records of the parts into which the controllers
-// divide the machines, and the sessions of the workers in the parts that this
+// Package shard holds the records of the shards into which the controllers
+// divide the machines, and the sessions of the workers in the shards that this
 // controller owns: who may speak for a machine, what it last said, and when its
 // tasks are surely dead.
 package shard
@@ -15,8 +15,8 @@
 	"violetturn/internal/sched"
 )
 
-// LeaderRecord is the record of a part's owner. It is attached to the owner's hold and
-// goes when the hold ends.
+// LeaderRecord is the record of a shard's owner. It is attached to the leader's lease and
+// goes when the lease ends.
 type LeaderRecord struct {
 	Node               string `json:"node"`
 	Incarnation        uint64 `json:"inc"` // one life of the node's process
@@ -30,14 +30,14 @@
 
 // CapabilityRecord is what a node leaves behind of the forms that it reads and the features that it has
 // switched on: it stays when the
-// node's own record goes with its hold.
+// node's own record goes with its lease.
 type CapabilityRecord struct {
 	SchemaVersion int      `json:"v"`
 	Features      []string `json:"f,omitempty"` // what was switched on there last
 }
 
-// CapacityRecord is a part's free-room record. Whoever places a task on a machine of
-// the part, its owner or a thief, changes it in the same transaction, so its
+// CapacityRecord is a shard's capacity record. Whoever places a task on a machine of
+// the shard, its leader or a stealing peer, changes it in the same transaction, so its
 // version is what they contend for.
 type CapacityRecord struct {
 	Term               uint64                `json:"term"`
@@ -49,7 +49,7 @@
 }
 
 // FreeCapacity is the room of machines by name. Its recorded form names each amount
-// once with all the machines that have it: a part of hundreds of machines has
+// once with all the machines that have it: a shard of hundreds of machines has
 // to fit one value of the state service.
 type FreeCapacity map[string][3]float64
 
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Machine is a machine's record: which part it belongs to, and what it is.
+// Machine is a machine's record: which shard it belongs to, and what it is.
 type Machine struct {
 	Shard        string `json:"p"`
 	MachineType  string `json:"b"`
@@ -106,22 +106,22 @@
 // recorded with few changes.
 type Page map[string]*Machine
 
-// QuotaRecord is a team's record: the share of its limit that each part may use. What
-// the team's tasks hold in a part stands in the part's record, which changes
+// QuotaRecord is a team's record: the share of its limit that each shard may use. What
+// the team's tasks hold in a shard stands in the shard's capacity record, which changes
 // with every placement there; a share changes only together with that record.
 type QuotaRecord struct {
 	Held map[string][3]float64 `json:"u"`
 }
 
-// FencingToken gives the token of a term after so many raises. Terms rise globally,
+// FencingToken returns the token of a term after so many raises. Terms rise globally,
 // so every token of a later term is above all of an earlier one; within its
-// term an owner raises a worker's token to have it report, or to see that it
+// term a leader raises a worker's token to have it report, or to see that it
 // hears.
 func FencingToken(term, raises uint64) uint64 {
 	return term<<sequenceBits | min(raises, 1<<sequenceBits-1)
 }
 
-// TokenTerm gives the term of a token.
+// TokenTerm returns the term of a token.
 func TokenTerm(token uint64) uint64 { return token >> sequenceBits }
 
 const sequenceBits = 20
@@ -153,14 +153,14 @@
 	At      time.Time
 }
 
-// Agent is what the owner knows of one worker under its present term.
+// Agent is what the leader knows of one worker under its present term.
 type Agent struct {
 	Term             uint64
 	CreatedAt        time.Time      // when the session began
 	Fenced           bool           // the worker has said that it has seen this term
 	Heartbeat        *api.Heartbeat // newest report made under this term
 	LastSeen         time.Time      // last sign of life
-	LastAnswered     time.Time      // latest time at which an answer of ours, or of an owner before us, can have renewed its lease
+	LastAnswered     time.Time      // latest time at which an answer of ours, or of a leader before us, can have renewed its lease
 	Terminated       bool           // the cloud has confirmed its end
 	LeaseExpired     bool           // its lease is surely over
 	EndedAttempts    map[string]EndedAttempt
@@ -169,7 +169,7 @@
 	IdleSince        time.Time                // since when it has no task; zero: it has some
 	UnderusedSince   time.Time                // since when its few replicas would fit elsewhere; zero: they don't
 	Cordoned         bool                     // it takes no more tasks: it is to be returned
-	LastCommandAt    time.Time                // when a fence or a nudge was last sent
+	LastCommandAt    time.Time                // when a fence or a request for a heartbeat was last sent
 	TokenSequence    uint64                   // how often its token was raised under this term
 	TokenRaisedAt    time.Time                // when last
 	Unresponsive     bool                     // its session ended although it was answered: it takes no task until it is heard to obey
@@ -191,7 +191,7 @@
 }
 
 // NewAgent starts a worker's session under a term. answered is the latest
-// time at which an earlier owner can have answered it.
+// time at which an earlier leader can have answered it.
 func NewAgent(term uint64, now, answered time.Time) *Agent {
 	return &Agent{
 		Term:            term,
@@ -220,7 +220,7 @@
 	return s.TokenRaisedAt
 }
 
-// IsStale tells whether a report is no newer than one that came before: a copy
+// IsStale reports whether a heartbeat is no newer than one that came before: a copy
 // that comes late. Its sender no longer waits for an answer, and it shows
 // nothing about now, not even that the machine lives. So is one of an earlier
 // term long after the worker has said that it has seen ours; shortly after, one
@@ -231,9 +231,9 @@
 }
 
 // Accept takes what a worker reports if it can be believed: made after the
-// worker saw this term. A report under an older term may have been held back by
+// worker saw this term. A heartbeat under an older term may have been held back by
 // a cut since before our predecessor's last commands, so it shows nothing about
-// now. The newest is kept, be it a report or the answer to a direct command.
+// now. The newest is kept, be it a heartbeat or the answer to a direct command.
 func (s *Agent) Accept(c *api.Heartbeat, now time.Time) bool {
 	if TokenTerm(c.Token) != s.Term {
 		return false
@@ -256,7 +256,7 @@
 	return true
 }
 
-// IsLeaseExpired tells whether the worker's tasks are surely dead: its lease, counted
+// IsLeaseExpired reports whether the worker's tasks are surely dead: its lease, counted
 // from the last answer it can have accepted, is over.
 func (s *Agent) IsLeaseExpired(now time.Time, bound time.Duration) bool {
 	return s.Terminated || now.Sub(s.LastAnswered) > bound
--- a/internal/shard/part_test.go
+++ b/internal/shard/part_test.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/api"
 )
 
-// A part's free room reads back the same, and after trimming its recorded form
+// A shard's free room reads back the same, and after trimming its recorded form
 // fits: a record of hundreds of machines must not pass the limit of a value, and
 // what is left out has no more room than what stays.
 func TestFreeCapacityRecord(t *testing.T) {
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -124,7 +124,9 @@
 // NewJob makes job n of a class, and tells how long it runs.
 func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
 	run := api.Job{UID: fmt.Sprintf("run-%06d", n), Class: c.Name, Team: []string{"a", "b"}[n%2], Kind: api.Array, Priority: "standard",
-		Tasks: 1 + rnd.IntN(2*c.Tasks), CPUs: c.CPUs, GPUs: 1, MemGB: c.MemGB, Image: fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images)), ImageGB: 4,
+		Tasks: 1 + rnd.IntN(
+			2*c.Tasks,
+		), CPUs: c.CPUs, GPUs: 1, MemGB: c.MemGB, Image: fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images)), ImageGB: 4,
 		Spot: true, EstimateS: c.RunTime.Seconds(), CheckpointS: 30, SaveS: 2}
 	if c.Service {
 		run.Kind, run.Priority, run.Spot, run.Spread = api.Service, "production", false, true
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -25,7 +25,7 @@
 	cause      string // why
 }
 
-// gangTasks gives the tasks of an attempt that are on machines.
+// gangTasks returns the tasks of an attempt that are on machines.
 func (w *World) gangTasks(uid string, try uint64) (tasks []*Task, on []*Worker) {
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
@@ -69,7 +69,7 @@
 	}
 	if run.ended {
 		// A machine that forgot its tasks with its lease may start them once more under
-		// the same number, when an owner that can't know it takes them for never started.
+		// the same number, when a leader that can't know it takes them for never started.
 		for i, t := range tasks { // one that stood still goes on, and sees that it is over
 			if t.phase == api.Running && !on[i].Hung {
 				t.phase, t.cause = api.Ended, run.cause
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -113,7 +113,7 @@
 	return out, nil
 }
 
-// Return gives machines back.
+// Return returns machines back.
 func (c *CloudClient) Return(_ context.Context, hosts []string) error {
 	f := c.C.Next[c.Node]
 	delete(c.C.Next, c.Node)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Page tells what there was some time ago, a page of it.
+// Page returns what there was some time ago, a page of it.
 func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
 	if c.C.Down || c.C.Unreachable[c.Node] {
 		return nil, false, cloud.ErrUnavailable
@@ -139,7 +139,7 @@
 	return hosts, truncated, nil
 }
 
-// page gives the machines as they were listed some time ago whose names come after since.
+// page returns the machines as they were listed some time ago whose names come after since.
 func (c *Cloud) page(since string, limit int) (hosts []cloud.Host, truncated bool) {
 	all := c.list()
 	from, found := slices.BinarySearchFunc(all, since, func(h cloud.Host, name string) int { return strings.Compare(h.UID, name) })
@@ -150,7 +150,7 @@
 	return hosts, from+len(hosts) < len(all)
 }
 
-// list tells what there was some time ago.
+// list returns what there was some time ago.
 func (c *Cloud) list() []cloud.Host {
 	if c.listed != nil && c.listedAt.Equal(c.w.Now) {
 		return c.listed
@@ -199,10 +199,11 @@
 	PartitionedFrom func(x *Worker) bool // whether the node and a worker can't; nil: they can
 }
 
-// Status asks a worker for its report.
+// Status asks a worker for its heartbeat.
 func (d *CommandClient) Status(_ context.Context, addr string) (*api.Heartbeat, error) {
 	for _, x := range d.W.Cloud.Hosts {
-		if x.Addr == addr && x.Up() && !x.Partitioned && !x.InboundLost && !x.Hung && !d.Cut && (d.PartitionedFrom == nil || !d.PartitionedFrom(x)) {
+		if x.Addr == addr && x.Up() && !x.Partitioned && !x.InboundLost && !x.Hung && !d.Cut &&
+			(d.PartitionedFrom == nil || !d.PartitionedFrom(x)) {
 			return x.Heartbeat(), nil
 		}
 	}
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -300,7 +300,7 @@
 	return mux
 }
 
-// loopbackOf gives a machine an address of its own.
+// loopbackOf returns a machine an address of its own.
 func loopbackOf(host string, port int) string {
 	n, _ := strconv.Atoi(strings.TrimPrefix(host, "i-"))
 	ip := net.IPv4(127, 1, byte(n>>8), byte(n))
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// inHistory tells whether all changes after a revision are still in the log.
+// inHistory reports whether all changes after a revision are still in the log.
 func (s *Store) inHistory(since uint64) bool {
 	n := len(s.log)
 	return n <= History || since >= s.log[n-History-1].Version
@@ -187,7 +187,7 @@
 	BeforeCommit  func()        // what happens before the next transaction is sent, once: its node stands still
 }
 
-// unavailable tells whether a request is not served: 503, or no answer at all.
+// unavailable reports whether a request is not served: 503, or no answer at all.
 func (c *Client) unavailable() error {
 	var err error
 	switch {
@@ -235,7 +235,11 @@
 		return nil, 0, store.ErrTooOld
 	}
 	var out []store.Change
-	from, _ := slices.BinarySearchFunc(c.S.log, since+1, func(e store.Change, version uint64) int { return cmp.Compare(e.Version, version) })
+	from, _ := slices.BinarySearchFunc(
+		c.S.log,
+		since+1,
+		func(e store.Change, version uint64) int { return cmp.Compare(e.Version, version) },
+	)
 	for _, e := range c.S.log[from:] {
 		if strings.HasPrefix(e.Write+e.Drop, prefix) {
 			out = append(out, e)
@@ -293,7 +297,7 @@
 	return c.S.lastLeaseID, nil
 }
 
-// RenewLease renews a hold.
+// RenewLease renews a lease.
 func (c *Client) RenewLease(_ context.Context, leaseID uint64) error {
 	if err := c.unavailable(); err != nil {
 		return err
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -42,12 +42,12 @@
 	saved     bool
 }
 
-// isOnMachine tells whether the task is on its machine in the sense of the rules.
+// isOnMachine reports whether the task is on its machine in the sense of the rules.
 func (t *Task) isOnMachine() bool {
 	return t.phase == api.Running || t.phase == api.Saving || t.phase == api.Gathering
 }
 
-// Up tells whether the machine has booted.
+// Up reports whether the machine has booted.
 func (x *Worker) Up() bool { return !x.w.Now.Before(x.upAt) }
 
 func (x *Worker) tick() {
@@ -114,7 +114,7 @@
 	return cpus, gpus
 }
 
-// Heartbeat makes a report.
+// Heartbeat makes a heartbeat.
 func (x *Worker) Heartbeat() *api.Heartbeat {
 	x.Sequence++
 	c := &api.Heartbeat{
@@ -138,7 +138,7 @@
 	return c
 }
 
-// Summary stands for all in a report whose change has the worker report at once.
+// Summary stands for all in a heartbeat whose change has the worker report at once.
 func (x *Worker) Summary() string {
 	var b strings.Builder
 	fmt.Fprint(&b, x.AgentEpoch, x.Token, x.SpotNoticeS != nil)
@@ -148,7 +148,7 @@
 	return b.String()
 }
 
-// ParseHeartbeatResponse reads the answer to a report: orders, or which controller to report to.
+// ParseHeartbeatResponse reads the answer to a heartbeat: orders, or which controller to report to.
 func ParseHeartbeatResponse(body []byte) (o api.CommandBatch, leader string, err error) {
 	var a struct {
 		api.CommandBatch
@@ -158,7 +158,7 @@
 	return a.CommandBatch, a.Steward, err
 }
 
-// HandleResponse takes in the answer to a report sent at the given time in the given
+// HandleResponse takes in the answer to a heartbeat sent at the given time in the given
 // session.
 func (x *Worker) HandleResponse(o api.CommandBatch, sent time.Time, agentEpoch uint64) {
 	if agentEpoch != x.AgentEpoch || o.Token < x.Token || o.Token == 0 {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -1,4 +1,4 @@
-// Package standin holds stand-ins for the outside systems: a state service, a
+// Package simulator holds simulated services for the outside systems: a state service, a
 // cloud, workers and users, written from PROTOCOL, in one simulated world with
 // its own clock and with faults. It checks PROTOCOL's rules as it goes. Nothing
 // in it runs by itself: a test, or one day a rehearsal, drives it step by step,
@@ -50,7 +50,7 @@
 	RunTime         time.Duration // of a task
 	Step            time.Duration // by how much longer each next task runs
 	Accepted        bool          // a user was told that it is accepted
-	FinalPhase      string        // last phase told, if it was done or withdrawn
+	FinalPhase      string        // last phase told, if it was done or cancelled
 	CancelRequested bool          // a user asked for its cancellation
 	CancelConfirmed time.Time     // when its user was told that it is cancelled
 	Done            map[int]bool
@@ -68,7 +68,13 @@
 		Unreachable: map[string]bool{},
 		Next:        map[string]Fault{},
 	}
-	w.Cloud = &Cloud{w: w, Hosts: map[string]*Worker{}, rentals: map[string][]string{}, Next: map[string]Fault{}, Unreachable: map[string]bool{}}
+	w.Cloud = &Cloud{
+		w:           w,
+		Hosts:       map[string]*Worker{},
+		rentals:     map[string][]string{},
+		Next:        map[string]Fault{},
+		Unreachable: map[string]bool{},
+	}
 	return w
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,7 +21,7 @@
 	ErrRefused = errors.New("state service refused")
 	// ErrUnknown: the request may have been executed, or may still be later.
 	ErrUnknown = errors.New("state service did not answer")
-	// ErrNoLease: the hold has ended.
+	// ErrNoLease: the lease has ended.
 	ErrNoLease = errors.New("no such hold")
 	// ErrTooLarge: a transaction or a value is larger than the service takes.
 	ErrTooLarge = errors.New("state service refused the size")
@@ -123,7 +123,7 @@
 	return c
 }
 
-// Used tells how many requests and writes were sent in all.
+// Used returns how many requests and writes were sent in all.
 func (c *Client) Used() (reqs, writes float64) { return c.requests.Used(), c.writes.Used() }
 
 func waitForTokens(ctx context.Context, b *transport.TokenBucket, n, leave float64, until time.Time) error {
@@ -145,7 +145,7 @@
 
 // AwaitWrites waits until some changes can be sent, n at best, and tells how many. What
 // is put together only then rests on what is newest when it is sent: a
-// transaction that first waits for its budget is overtaken by others meanwhile.
+// transaction that first waits for its budget is beaten by a conflicting write by others meanwhile.
 func (c *Client) AwaitWrites(ctx context.Context, n int, r Priority) int {
 	until := time.Now().Add(c.deadline)
 	leave := c.reservedShare(r)
@@ -284,7 +284,7 @@
 }
 
 // Multi commits a transaction. ok is false, with the keys that differed, when
-// its guards did not hold.
+// its preconditions did not hold.
 func (c *Client) Multi(ctx context.Context, t *Txn, r Priority) (revision uint64, ok bool, failed []string, err error) {
 	m, err := c.do(ctx, "POST", "/multi", t, len(t.Ops), r, 0)
 	if err != nil {
@@ -324,7 +324,7 @@
 	return a.Permit, decode(m, &a)
 }
 
-// RenewLease renews a hold.
+// RenewLease renews a lease.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	m, err := c.do(ctx, "POST", "/holds/"+strconv.FormatUint(leaseID, 10)+"/touch", struct{}{}, 0, PriorityLease, 0)
 	if err != nil {
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -52,7 +52,7 @@
 	return time.Duration((need - b.tokens) / b.rate * float64(time.Second)), false
 }
 
-// Available tells how many tokens can be taken now that leave the share reserve.
+// Available returns how many tokens can be taken now that leave the share reserve.
 func (b *TokenBucket) Available(now time.Time, reserve float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,14 +77,14 @@
 	return b.burst
 }
 
-// TimeToRefill tells how long n tokens take to come.
+// TimeToRefill returns how long n tokens take to come.
 func (b *TokenBucket) TimeToRefill(n float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(n / b.rate * float64(time.Second))
 }
 
-// Used tells how many tokens were taken in all.
+// Used returns how many tokens were taken in all.
 func (b *TokenBucket) Used() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -50,7 +50,7 @@
 // closes its connection, and at maxConns a new one takes the place of the one
 // that was idle longest: when one controller is left, the workers of all come to
 // it, and none may be starved of answers because others hold connections that
-// they use once in a report round. The same bounds what half requests and
+// they use once in a heartbeat interval. The same bounds what half requests and
 // connections that say nothing cost; those to machines that were cut off never
 // end by themselves.
 func NewServer(h Handler, lim httpwire.Limits, maxConns int, idle time.Duration) *Server {
@@ -67,8 +67,19 @@
 
 // Run serves until Stop, or until the address can't be had.
 func (s *Server) Run(addr string) error {
-	return gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(false), gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(16<<10), gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.ErrorLevel))
+	return gnet.Run(
+		s,
+		"tcp://"+addr,
+		gnet.WithMulticore(false),
+		gnet.WithNumEventLoop(1),
+		gnet.WithReuseAddr(true),
+		gnet.WithTCPNoDelay(
+			gnet.TCPNoDelay,
+		),
+		gnet.WithReadBufferCap(16<<10),
+		gnet.WithLogger(quiet{}),
+		gnet.WithLogLevel(logging.ErrorLevel),
+	)
 }
 
 // Listening is closed once the server listens.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -148,7 +148,7 @@
 	return c
 }
 
-// sendRequest sends one request and tells whether it was answered and whether the
+// sendRequest sends one request and reports whether it was answered and whether the
 // connection is closed with it.
 func sendRequest(t *testing.T, addr string) (answered, closed bool) {
 	t.Helper()
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -24,7 +24,7 @@
 	return &Client{http: h, deadline: deadline}
 }
 
-// Status asks a worker for its report.
+// Status asks a worker for its heartbeat.
 func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	m, err := c.http.DoOnce(ctx, addr, "GET", "/show", nil, c.deadline)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return api.ParseHeartbeat(m.Body)
 }
 
-// SendCommands sends orders under a baton and session. It gives the worker's report
+// SendCommands sends orders under a fencing token and session. It returns the worker's heartbeat
 // and whether the orders were executed.
 func (c *Client) SendCommands(ctx context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, x := range o.Commands {
--- a/internal/zonehealth/zonehealth.go
+++ b/internal/zonehealth/zonehealth.go
@@ -1,6 +1,6 @@
 // Package zonehealth judges whether a zone is up, down or coming back. It is a pure state
-// machine over one record of the state service that all controllers share: what the owners
-// of parts see of the zone's machines, and the state that follows. A change is committed by
+// machine over one record of the state service that all controllers share: what the leaders
+// of shards see of the zone's machines, and the state that follows. A change is committed by
 // conditional write on the record, so that of several controllers one wins and a late one
 // is refused; Number rises with each change of what work may be placed in the zone.
 //
@@ -35,7 +35,7 @@
 	Tasks int        `json:"n"`
 }
 
-// Observation is what the owner of a part sees of its machines in the zone.
+// Observation is what the leader of a shard sees of its machines in the zone.
 type Observation struct {
 	Up      int      `json:"u"`
 	Lost    int      `json:"x"`
@@ -44,7 +44,7 @@
 	Waiting []Demand `json:"w,omitempty"`
 }
 
-// Equal tells whether two sights say the same.
+// Equal reports whether two observations say the same.
 func (s Observation) Equal(o Observation) bool {
 	return s.Up == o.Up && s.Lost == o.Lost && s.Unclear == o.Unclear && s.Refused == o.Refused && slices.Equal(s.Waiting, o.Waiting)
 }
@@ -57,7 +57,7 @@
 	return float64(s.Lost) / float64(s.Up+s.Lost)
 }
 
-// Empty tells whether the part has no machines in the zone that say anything.
+// Empty reports whether the shard has no machines in the zone that say anything.
 func (s Observation) Empty() bool { return s.Up+s.Lost+s.Unclear == 0 && len(s.Waiting) == 0 }
 
 // Record is a zone's record. The zero record is that of a healthy zone that nobody has
@@ -94,7 +94,7 @@
 // zone to be recovering.
 const returnShare = 1. / 16
 
-// Sum gives the machines that are up, lost and unclear, over all parts.
+// Sum returns the machines that are up, lost and unclear, over all shards.
 func (r *Record) Sum() Observation {
 	var sum Observation
 	for _, s := range r.Observations {
@@ -105,7 +105,7 @@
 	return sum
 }
 
-// Refused tells whether the cloud refuses machines there to any owner of a part.
+// Refused reports whether the cloud refuses machines there to any owner of a shard.
 func (r *Record) Refused() bool {
 	for _, s := range r.Observations {
 		if s.Refused {
@@ -115,7 +115,7 @@
 	return false
 }
 
-// Waiting tells whether production work waits for lost machines.
+// Waiting reports whether production work waits for lost machines.
 func (r *Record) Waiting() bool {
 	for _, s := range r.Observations {
 		if len(s.Waiting) > 0 {
@@ -125,10 +125,10 @@
 	return false
 }
 
-// Restricts tells whether the state restricts what may be placed in the zone.
+// Restricts reports whether the state restricts what may be placed in the zone.
 func (r *Record) Restricts() bool { return r.State == Down || r.State == Recovering }
 
-// WithObservation gives the record with what the owner of a part sees now. The record stays as it is.
+// WithObservation returns the record with what the leader of a shard sees now. The record stays as it is.
 func (r *Record) WithObservation(shard string, observation Observation) Record {
 	next := *r
 	next.Observations = make(map[string]Observation, len(r.Observations)+1)
@@ -143,7 +143,7 @@
 	return next
 }
 
-// Judge gives the record as it is to be now, by what its sights say. witness tells whether
+// Judge returns the record as it is to be now, by what its observations say. witness tells whether
 // whoever judges hears machines of another zone.
 func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
@@ -151,7 +151,7 @@
 	lasted := now.Sub(time.UnixMilli(r.SinceMS))
 	j := transition{next: &next, sum: sum, lasted: lasted, now: now, hasObserver: hasObserver, limits: limits}
 	if sum.Unclear > 0 && 2*sum.Unclear >= sum.Up+sum.Lost+sum.Unclear && lasted < limits.Longest && !j.machinesReturned() {
-		// A part has just changed hands: what its new owner has not heard of yet is
+		// A shard has just changed hands: what its new leader has not heard of yet is
 		// neither lost nor back. What it has heard of is.
 		return next
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-// machinesReturned tells whether machines of a zone that is down are back.
+// machinesReturned reports whether machines of a zone that is down are back.
 func (j *transition) machinesReturned() bool {
 	back := j.sum.Up - min(j.next.Watermark, j.sum.Up)
 	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.MachinesBefore)))
@@ -245,7 +245,7 @@
 	r.enter(Down, now)
 }
 
-// productionServed tells whether nearly all machines are back and no production work waits for others.
+// productionServed reports whether nearly all machines are back and no production work waits for others.
 func (r *Record) productionServed(limits *Limits) bool {
 	sum := r.Sum()
 	away := float64(sum.Lost + sum.Unclear)
--- a/internal/zonehealth/zonehealth_test.go
+++ b/internal/zonehealth/zonehealth_test.go
@@ -35,7 +35,7 @@
 
 func (c *testController) catchUp(s *recordStore) { c.read, c.version = s.record, s.version }
 
-// write judges by the copy, and tells whether the store took it.
+// write judges by the copy, and reports whether the store took it.
 func (c *testController) write(s *recordStore, now time.Time) bool {
 	with := c.read.WithObservation(c.shard, c.observation)
 	next := with.Judge(now, c.hasObserver, testLimits())
