--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,3 @@
-// Package cloud is the client of the cloud that rents machines.
 package cloud
 
 import (
@@ -15,143 +14,145 @@
 
 // Errors of the cloud.
 var (
-	ErrNoCapacity  = errors.New("cloud has no capacity")
-	ErrUnavailable = errors.New("cloud in trouble")
+	// ErrNoCapacity: the cloud has no such machines at present.
+	ErrNoCapacity = errors.New("cloud has no capacity")
+	// ErrUnavailable: the cloud did not serve the call, which it may have carried out.
+	ErrUnavailable = errors.New("cloud unavailable")
 )
 
-// MachineType is a machine type.
-type MachineType struct {
-	Name        string   `json:"label"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"gpus"`
-	MemGB       float64  `json:"memGb"`
-	CacheGB     float64  `json:"localGb"`
-	FetchGBPerS float64  `json:"pullGbPerS"`
-	Price       float64  `json:"price"`
-	SpotPrice   float64  `json:"marketPrice"`
-	BootS       float64  `json:"startupS"`
-	Zones       []string `json:"sites"`
-}
-
-// Host is a rented machine as listed.
-type Host struct {
-	UID         string  `json:"uid"`
-	Addr        string  `json:"addr"`
-	MachineType string  `json:"build"`
-	Zone        string  `json:"site"`
-	Spot        bool    `json:"loaners"`
-	Phase       string  `json:"phase"`
-	AgeS        float64 `json:"heldS"`
-}
-
-// RentalRequest asks for machines. Hire names the request and is never used again.
-type RentalRequest struct {
-	Name        string `json:"hire"`
-	MachineType string `json:"build"`
-	Zone        string `json:"site"`
-	Spot        bool   `json:"loaners"`
-	Count       int    `json:"howMany"`
-}
-
-// MaxRental is the most machines one request may ask for; MaxReturn the most
-// that one may give back.
 const (
+	// MaxRental is the most machines that one request may ask for.
 	MaxRental = 50
+	// MaxReturn is the most machines that one request may return.
 	MaxReturn = 100
 )
 
+// Statuses of the cloud's answers.
+const (
+	statusOK                 = 200
+	statusServiceUnavailable = 503
+)
+
+// errorNoCapacity is the error text of a rental that the cloud has no machines for.
+const errorNoCapacity = "no capacity"
+
+// burstSeconds is for how many seconds a client may save up its share of the rate.
+const burstSeconds = 2
+
 // Client talks to the cloud within the controller's share of its rate.
 type Client struct {
 	http     *transport.Client
 	addr     string
-	deadline time.Duration
+	deadline time.Duration // of one request
 	budget   *transport.TokenBucket
 }
 
-// New makes a client.
+// New makes a client that sends rps requests a second to addr, each with the deadline.
 func New(h *transport.Client, addr string, deadline time.Duration, rps float64) *Client {
-	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewTokenBucket(rps, 2*rps)}
+	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
 }
 
-func (c *Client) do(ctx context.Context, method, target string, body, v any) error {
-	for {
-		d, ok := c.budget.Take(time.Now(), 1, 0)
-		if ok {
-			break
-		}
-		select {
-		case <-time.After(d):
-		case <-ctx.Done():
-			return ErrUnavailable
-		}
+// MachineTypes reads the machine types.
+func (c *Client) MachineTypes(ctx context.Context) ([]MachineType, error) {
+	var answer struct {
+		MachineTypes []MachineType `json:"builds"`
+	}
+	if err := c.do(ctx, "GET", "/flavors", nil, &answer); err != nil {
+		return nil, fmt.Errorf("read machine types: %w", err)
+	}
+	return answer.MachineTypes, nil
+}
+
+// Rent rents machines and returns their names.
+func (c *Client) Rent(ctx context.Context, r RentalRequest) ([]string, error) {
+	var answer struct {
+		Hosts []string `json:"hosts"`
+	}
+	if err := c.do(ctx, "POST", "/rentals", r, &answer); err != nil {
+		return nil, fmt.Errorf("rent %s: %w", r.Name, err)
 	}
-	var b []byte
+	return answer.Hosts, nil
+}
+
+// Return returns machines to the cloud, MaxReturn at most. When it succeeds they are terminated.
+func (c *Client) Return(ctx context.Context, hosts []string) error {
+	if err := c.do(ctx, "POST", "/rentals/return", returnRequest{Hosts: hosts}, nil); err != nil {
+		return fmt.Errorf("return machines: %w", err)
+	}
+	return nil
+}
+
+// Page reads the machines whose names come after since, MaxPage at most. truncated reports
+// whether there are more.
+func (c *Client) Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error) {
+	var answer struct {
+		Hosts     []Host `json:"hosts"`
+		Truncated bool   `json:"truncated"`
+	}
+	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxPage)
+	if err := c.do(ctx, "GET", target, nil, &answer); err != nil {
+		return nil, false, fmt.Errorf("list machines: %w", err)
+	}
+	return answer.Hosts, answer.Truncated, nil
+}
+
+// do sends a request with a JSON body, none if it is nil, and decodes the answer into out,
+// unless that is nil.
+func (c *Client) do(ctx context.Context, method, target string, body, out any) error {
+	if err := c.awaitBudget(ctx); err != nil {
+		return err
+	}
+	var encoded []byte
 	if body != nil {
 		var err error
-		if b, err = json.Marshal(body); err != nil {
-			return fmt.Errorf("cloud request: %w", err)
+		if encoded, err = json.Marshal(body); err != nil {
+			return fmt.Errorf("encode: %w", err)
 		}
 	}
-	m, err := c.http.Do(ctx, c.addr, method, target, b, c.deadline)
+	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Deadline: c.deadline})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return answer(m, v)
+	return decode(m, out)
 }
 
-func answer(m *httpwire.Message, v any) error {
-	if m.Status == 200 {
-		if v == nil {
+// awaitBudget waits until the rate allows one more request.
+func (c *Client) awaitBudget(ctx context.Context) error {
+	for {
+		wait, ok := c.budget.Take(time.Now(), 1, 0)
+		if ok {
 			return nil
 		}
-		if err := json.Unmarshal(m.Body, v); err != nil {
-			return fmt.Errorf("cloud: %w", err)
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return ErrUnavailable
 		}
-		return nil
-	}
-	var e struct {
-		Error string `json:"error"`
 	}
-	_ = json.Unmarshal(m.Body, &e) // an unreadable error counts as trouble
-	if m.Status == 503 && e.Error == "no capacity" {
-		return ErrNoCapacity
-	}
-	return fmt.Errorf("%w: status %d", ErrUnavailable, m.Status)
 }
 
-// MachineTypes reads the machine types.
-func (c *Client) MachineTypes(ctx context.Context) ([]MachineType, error) {
-	var a struct {
-		Builds []MachineType `json:"builds"`
+// decode decodes an answer into out, unless that is nil, or returns the error that it tells.
+func decode(m *httpwire.Message, out any) error {
+	if m.Status != statusOK {
+		return refusal(m)
 	}
-	err := c.do(ctx, "GET", "/flavors", nil, &a)
-	return a.Builds, err
-}
-
-// Rent rents machines and gives their names.
-func (c *Client) Rent(ctx context.Context, r RentalRequest) ([]string, error) {
-	var a struct {
-		Hosts []string `json:"hosts"`
+	if out == nil {
+		return nil
 	}
-	err := c.do(ctx, "POST", "/rentals", r, &a)
-	return a.Hosts, err
-}
-
-// Return returns machines back. When it succeeds they are gone.
-func (c *Client) Return(ctx context.Context, hosts []string) error {
-	return c.do(ctx, "POST", "/rentals/return", map[string][]string{"hosts": hosts}, nil)
+	if err := json.Unmarshal(m.Body, out); err != nil {
+		return fmt.Errorf("%w: decode: %w", ErrUnavailable, err)
+	}
+	return nil
 }
 
-// Page reads the machines whose names come after since, MaxPage at most. truncated tells
-// that there are more.
-func (c *Client) Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error) {
-	var a struct {
-		Hosts     []Host `json:"hosts"`
-		Truncated bool   `json:"truncated"`
+// refusal returns the error that an answer tells. One that can't be read is ErrUnavailable.
+func refusal(m *httpwire.Message) error {
+	var answer struct {
+		Error string `json:"error"`
 	}
-	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxPage)
-	if err := c.do(ctx, "GET", target, nil, &a); err != nil {
-		return nil, false, err
+	_ = json.Unmarshal(m.Body, &answer) // what can't be read has no text
+	if m.Status == statusServiceUnavailable && answer.Error == errorNoCapacity {
+		return ErrNoCapacity
 	}
-	return a.Hosts, a.Truncated, nil
+	return fmt.Errorf("%w: status %d", ErrUnavailable, m.Status)
 }
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -8,7 +8,7 @@
 // MaxPage is the most machines that one page of the list holds.
 const MaxPage = 500
 
-// pageReader reads one page of the list of rented machines.
+// pageReader reads one page of the list of rented machines; Client is one.
 type pageReader interface {
 	Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error)
 }
@@ -20,20 +20,23 @@
 // Machines are listed in the order in which they were created, so one that appears while
 // a listing is under way is on a later page or misses it as it would have missed a list
 // read at once. Whoever judges by the absence of a machine counts from Began.
+//
+// The zero value has read nothing. It is not safe for use by several goroutines at once.
 type Listing struct {
 	// Began is when the listing under way read its first page.
 	Began time.Time
 
-	hosts  []Host
-	since  string
-	active bool
+	hosts  []Host // those read so far
+	since  string // name of the last of them
+	active bool   // some pages have been read and some not
 }
 
 // Active reports whether some pages have been read and some not.
 func (l *Listing) Active() bool { return l.active }
 
-// Read reads up to so many pages. complete is true once the last one is in, and hosts is
-// then the whole list. After an error the next call reads the same page again.
+// Read reads up to so many pages, one at least. complete reports whether the last one has been
+// read; hosts is then the whole list, else nil. After an error the next call reads the same
+// page again.
 func (l *Listing) Read(ctx context.Context, from pageReader, now time.Time, pages int) (hosts []Host, complete bool, err error) {
 	if !l.active {
 		*l = Listing{Began: now, active: true}
@@ -53,5 +56,5 @@
 	return nil, false, nil
 }
 
-// Abandon drops the pages read so far: they have become too old.
+// Abandon drops the pages read so far, for when they have become too old.
 func (l *Listing) Abandon() { *l = Listing{} }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -183,7 +183,7 @@
 			return nil, fmt.Errorf("state service request: %w", err)
 		}
 	}
-	m, err := c.http.Do(ctx, c.addr, method, target, b, c.deadline+extra)
+	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: b, Deadline: c.deadline + extra})
 	if errors.Is(err, httpwire.ErrTooLarge) { // served, but more than we can hold
 		c.onAnswer(true)
 		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -14,49 +14,82 @@
 	"violetturn/internal/httpwire"
 )
 
-// ErrNoResponse means that the request may or may not have been carried out.
-var ErrNoResponse = errors.New("no response")
+// Errors of a request.
+var (
+	// ErrNoResponse: the request may or may not have been carried out.
+	ErrNoResponse = errors.New("no response")
+	// errConnectionClosed: the connection ended before the request was sent.
+	errConnectionClosed = errors.New("connection closed")
+)
+
+// clientReadBuffer is how many bytes the event loop of a client reads at once.
+const clientReadBuffer = 64 << 10
+
+// firstFinalStatus is the lowest status that ends a request; lower ones are interim answers.
+const firstFinalStatus = 200
 
-// Client sends HTTP requests over kept connections, one request at a time on
-// each. All its connections share one event loop.
+// Request is one HTTP request.
+type Request struct {
+	Addr     string // host:port of the server
+	Method   string
+	Target   string        // path and query
+	Body     []byte        // nil: a request without a body
+	Deadline time.Duration // how long to wait for the answer, the connection's setup included
+
+	// CloseAfter closes the connection after the answer. It is for addresses of which there
+	// are more than sockets to keep.
+	CloseAfter bool
+}
+
+// Client sends HTTP requests over kept connections, one request at a time on each. All its
+// connections share one event loop. Its methods may be called from any goroutine.
 type Client struct {
 	gnet.BuiltinEventEngine
-	g *gnet.Client
-
+	engine *gnet.Client
 	limits httpwire.Limits // of answers
 
-	mu   sync.Mutex
-	idle map[string][]*clientConn
+	mu   sync.Mutex               // guards idle
+	idle map[string][]*clientConn // connections without a request, by address; the last one was used last
 }
 
+// clientConn is one connection of a client.
 type clientConn struct {
-	addr   string
-	conn   gnet.Conn
-	parser *httpwire.Parser
-	mu     sync.Mutex
-	reply  chan result // of the request in flight
-	dead   bool
+	conn   gnet.Conn        // set before the first request
+	parser *httpwire.Parser // only the event loop touches it
+
+	mu       sync.Mutex    // guards what follows
+	response chan response // of the request in flight; nil without one
+	closed   bool
 }
 
-type result struct {
-	msg *httpwire.Message
-	err error
+// response is what a request in flight ends with: a message or an error.
+type response struct {
+	message *httpwire.Message
+	err     error
 }
 
 // NewClient starts a client that takes answers within the limits.
 func NewClient(limits httpwire.Limits) (*Client, error) {
 	c := &Client{limits: limits, idle: map[string][]*clientConn{}}
-	g, err := gnet.NewClient(c, gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(64<<10),
-		gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.ErrorLevel))
+	engine, err := gnet.NewClient(
+		c,
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+		gnet.WithReadBufferCap(clientReadBuffer),
+		gnet.WithLogger(silentLogger{}),
+		gnet.WithLogLevel(logging.ErrorLevel),
+	)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("HTTP client: %w", err)
 	}
-	c.g = g
-	return c, g.Start()
+	c.engine = engine
+	if err := engine.Start(); err != nil {
+		return nil, fmt.Errorf("HTTP client: %w", err)
+	}
+	return c, nil
 }
 
-// Close ends all connections.
-func (c *Client) Close() error { return c.g.Stop() }
+// Close ends all connections and the event loop.
+func (c *Client) Close() error { return c.engine.Stop() }
 
 // OnTraffic implements gnet.EventHandler.
 func (c *Client) OnTraffic(gc gnet.Conn) gnet.Action {
@@ -72,16 +105,16 @@
 	for {
 		m, err := cc.parser.Next()
 		if err != nil {
-			cc.deliver(result{err: fmt.Errorf("%w: %w", ErrNoResponse, err)})
+			cc.deliver(response{err: fmt.Errorf("%w: %w", ErrNoResponse, err)})
 			return gnet.Close
 		}
 		if m == nil {
 			return gnet.None
 		}
-		if m.Status < 200 {
+		if m.Status < firstFinalStatus {
 			continue
 		}
-		if !cc.deliver(result{msg: m}) { // an answer nobody asked for
+		if !cc.deliver(response{message: m}) { // an answer that nobody asked for
 			return gnet.Close
 		}
 		if m.Close {
@@ -92,113 +125,135 @@
 
 // OnClose implements gnet.EventHandler.
 func (c *Client) OnClose(gc gnet.Conn, _ error) gnet.Action {
-	if cc, ok := gc.Context().(*clientConn); ok {
-		cc.mu.Lock()
-		cc.dead = true
-		cc.mu.Unlock()
-		if m := cc.parser.End(); m != nil {
-			cc.deliver(result{msg: m})
-		} else {
-			cc.deliver(result{err: ErrNoResponse})
-		}
+	cc, ok := gc.Context().(*clientConn)
+	if !ok {
+		return gnet.None
+	}
+	cc.mu.Lock()
+	cc.closed = true
+	cc.mu.Unlock()
+	if m := cc.parser.End(); m != nil {
+		cc.deliver(response{message: m})
+	} else {
+		cc.deliver(response{err: ErrNoResponse})
 	}
 	return gnet.None
 }
 
-func (cc *clientConn) deliver(r result) bool {
-	cc.mu.Lock()
-	ch := cc.reply
-	cc.reply = nil
-	cc.mu.Unlock()
-	if ch == nil {
-		return false
+// Do sends one request and waits for the answer or the deadline. An error that is
+// ErrNoResponse leaves open whether the request was carried out; any other error means that
+// it was never sent.
+func (c *Client) Do(ctx context.Context, r Request) (*httpwire.Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
+	defer cancel()
+	cc, err := c.connection(ctx, r.Addr)
+	if err != nil {
+		return nil, fmt.Errorf("connect: %w", err)
+	}
+	answered, err := cc.expect()
+	if err != nil {
+		return nil, err
+	}
+	if err := cc.conn.AsyncWrite(httpwire.AppendRequest(nil, r.Method, r.Target, r.Addr, r.Body), nil); err != nil {
+		_ = cc.conn.Close()
+		return nil, ErrNoResponse
+	}
+	select {
+	case a := <-answered:
+		if a.err != nil {
+			return nil, a.err
+		}
+		if !a.message.Close { // else the event loop closes the connection
+			c.release(cc, r)
+		}
+		return a.message, nil
+	case <-ctx.Done():
+		cc.abandon()
+		return nil, ErrNoResponse
 	}
-	ch <- r
-	return true
 }
 
+// connection returns an idle connection to an address, or a new one.
 func (c *Client) connection(ctx context.Context, addr string) (*clientConn, error) {
-	c.mu.Lock()
-	for l := c.idle[addr]; len(l) > 0; l = c.idle[addr] {
-		cc := l[len(l)-1]
-		c.idle[addr] = l[:len(l)-1]
-		cc.mu.Lock()
-		dead := cc.dead
-		cc.mu.Unlock()
-		if !dead {
-			c.mu.Unlock()
-			return cc, nil
-		}
+	if cc := c.idleConnection(addr); cc != nil {
+		return cc, nil
 	}
-	c.mu.Unlock()
-	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
+	netConn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	cc := &clientConn{addr: addr, parser: httpwire.NewParser(true, c.limits)}
-	gc, err := c.g.EnrollContext(nc, cc)
+	cc := &clientConn{parser: httpwire.NewParser(true, c.limits)}
+	gc, err := c.engine.EnrollContext(netConn, cc)
 	if err != nil {
-		_ = nc.Close()
+		_ = netConn.Close()
 		return nil, err
 	}
 	cc.conn = gc
 	return cc, nil
 }
 
-// Do sends one request and waits for the answer or the deadline. An error that
-// is ErrNoResponse leaves open whether the request was carried out; any other
-// error means that it was never sent.
-func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte, deadline time.Duration) (*httpwire.Message, error) {
-	return c.do(ctx, addr, method, target, body, deadline, true)
+// idleConnection takes the idle connection to an address that was used last, nil if there is
+// none. It drops those that have been closed meanwhile.
+func (c *Client) idleConnection(addr string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for idle := c.idle[addr]; len(idle) > 0; idle = c.idle[addr] {
+		cc := idle[len(idle)-1]
+		c.idle[addr] = idle[:len(idle)-1]
+		if !cc.isClosed() {
+			return cc
+		}
+	}
+	return nil
 }
 
-// DoOnce does the same over a connection that is closed afterwards: for addresses
-// of which there are more than sockets to keep.
-func (c *Client) DoOnce(ctx context.Context, addr, method, target string, body []byte, deadline time.Duration) (*httpwire.Message, error) {
-	return c.do(ctx, addr, method, target, body, deadline, false)
+// release keeps a connection whose request was answered for the next one, or closes it.
+func (c *Client) release(cc *clientConn, r Request) {
+	if r.CloseAfter {
+		_ = cc.conn.Close()
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle[r.Addr] = append(c.idle[r.Addr], cc)
 }
 
-func (c *Client) do(
-	ctx context.Context, addr, method, target string, body []byte, deadline time.Duration, keep bool,
-) (*httpwire.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, deadline)
-	defer cancel()
-	cc, err := c.connection(ctx, addr)
-	if err != nil {
-		return nil, err
-	}
-	ch := make(chan result, 1)
+// expect makes the connection ready for an answer, which comes on the channel.
+func (cc *clientConn) expect() (<-chan response, error) {
+	ch := make(chan response, 1) // so that the event loop never waits for who asked
 	cc.mu.Lock()
-	if cc.dead {
-		cc.mu.Unlock()
-		return nil, errors.New("connection closed")
+	defer cc.mu.Unlock()
+	if cc.closed {
+		return nil, errConnectionClosed
 	}
-	cc.reply = ch
+	cc.response = ch
+	return ch, nil
+}
+
+// deliver ends the request in flight; it reports whether there was one.
+func (cc *clientConn) deliver(r response) bool {
+	cc.mu.Lock()
+	ch := cc.response
+	cc.response = nil
 	cc.mu.Unlock()
-	if err := cc.conn.AsyncWrite(httpwire.AppendRequest(nil, method, target, addr, body), nil); err != nil {
-		_ = cc.conn.Close()
-		return nil, ErrNoResponse
-	}
-	select {
-	case r := <-ch:
-		if r.err != nil {
-			return nil, r.err
-		}
-		switch {
-		case r.msg.Close:
-		case !keep:
-			_ = cc.conn.Close()
-		default:
-			c.mu.Lock()
-			c.idle[addr] = append(c.idle[addr], cc)
-			c.mu.Unlock()
-		}
-		return r.msg, nil
-	case <-ctx.Done():
-		cc.mu.Lock()
-		cc.reply = nil
-		cc.mu.Unlock()
-		_ = cc.conn.Close()
-		return nil, ErrNoResponse
+	if ch == nil {
+		return false
 	}
+	ch <- r
+	return true
+}
+
+// abandon closes a connection whose answer is awaited no longer.
+func (cc *clientConn) abandon() {
+	cc.mu.Lock()
+	cc.response = nil
+	cc.mu.Unlock()
+	_ = cc.conn.Close()
+}
+
+// isClosed reports whether the event loop has seen the connection's end.
+func (cc *clientConn) isClosed() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return cc.closed
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,12 +1,9 @@
-// Package transport carries HTTP over gnet: a server whose handlers answer in
-// the event loop when they can, clients with deadlines, and rate budgets with
-// ranks of work.
 package transport
 
 import (
-	"container/list"
 	"context"
 	"errors"
+	"fmt"
 	"sync"
 	"time"
 
@@ -16,73 +13,81 @@
 	"violetturn/internal/httpwire"
 )
 
+// serverReadBuffer is how many bytes the event loop of a server reads at once.
+const serverReadBuffer = 16 << 10
+
+// badRequestBody is the body of the answer to a request that can't be parsed.
+const badRequestBody = `{"error":"bad request"}`
+
+// Statuses of answers to requests that can't be parsed.
+const (
+	statusBadRequest      = 400
+	statusContentTooLarge = 413
+)
+
 // Response is what a handler answers.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter int
+	RetryAfter int // seconds until the client may come back; 0: not named
 }
 
-// Handler answers a request at once (true), or takes it over and calls later
-// exactly once from any goroutine (false). It runs in the event loop and must
-// not block.
+// Handler answers a request. Either it returns the response and true, or it returns false,
+// takes the request over and calls later exactly once, from any goroutine. It runs in the
+// event loop and must not block.
 type Handler func(req *httpwire.Message, later func(Response)) (Response, bool)
 
 // Server serves HTTP on one address with one event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
-	handler  Handler
-	limits   httpwire.Limits
-	maxConns int
-	idle     time.Duration
+	handler Handler
+	limits  httpwire.Limits
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards engine
 	engine    gnet.Engine
-	listening chan struct{}
+	listening chan struct{} // closed by the event loop once engine is set
 
-	conns list.List // of *serverConn, those that were idle longest first; only the event loop touches it
+	connections connectionTable // only the event loop touches it
 }
 
-// NewServer makes a server that takes requests within lim and holds at most
-// maxConns connections, each for as long as idle between two requests.
+// NewServer makes a server that takes requests within the limits and holds at most maxConns
+// connections, each for as long as idle between two requests.
 //
-// Connections are kept while there is room. Beyond half of maxConns each answer
-// closes its connection, and at maxConns a new one takes the place of the one
-// that was idle longest: when one controller is left, the workers of all come to
-// it, and none may be starved of answers because others hold connections that
-// they use once in a heartbeat interval. The same bounds what half requests and
-// connections that say nothing cost; those to machines that were cut off never
-// end by themselves.
-func NewServer(h Handler, lim httpwire.Limits, maxConns int, idle time.Duration) *Server {
-	return &Server{handler: h, limits: lim, maxConns: maxConns, idle: idle, listening: make(chan struct{})}
-}
-
-type serverConn struct {
-	conn   gnet.Conn
-	parser *httpwire.Parser
-	busy   bool // a request is being answered; only the event loop touches it
-	last   time.Time
-	at     *list.Element
+// Connections are kept while there is room. Beyond half of maxConns each answer closes its
+// connection, and at maxConns a new one takes the place of the one that was idle longest:
+// when one controller is left, the workers of all come to it, and none may be starved of
+// answers because others hold connections that they use once in a heartbeat interval. The
+// same bounds what half requests and silent connections cost; those to machines that were cut
+// off never end by themselves.
+func NewServer(h Handler, limits httpwire.Limits, maxConns int, idle time.Duration) *Server {
+	return &Server{
+		handler:     h,
+		limits:      limits,
+		listening:   make(chan struct{}),
+		connections: connectionTable{maxConns: maxConns, maxIdle: idle},
+	}
 }
 
-// Run serves until Stop, or until the address can't be had.
+// Run serves until Stop. It returns an error if the address can't be listened on.
 func (s *Server) Run(addr string) error {
-	return gnet.Run(
+	err := gnet.Run(
 		s,
 		"tcp://"+addr,
 		gnet.WithMulticore(false),
 		gnet.WithNumEventLoop(1),
 		gnet.WithReuseAddr(true),
-		gnet.WithTCPNoDelay(
-			gnet.TCPNoDelay,
-		),
-		gnet.WithReadBufferCap(16<<10),
-		gnet.WithLogger(quiet{}),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+		gnet.WithReadBufferCap(serverReadBuffer),
+		gnet.WithLogger(silentLogger{}),
 		gnet.WithLogLevel(logging.ErrorLevel),
 	)
+	if err != nil {
+		return fmt.Errorf("serve on %s: %w", addr, err)
+	}
+	return nil
 }
 
-// Listening is closed once the server listens.
+// Listening returns a channel that is closed once the server listens.
 func (s *Server) Listening() <-chan struct{} { return s.listening }
 
 // Stop ends the server if it has started.
@@ -93,15 +98,15 @@
 		return nil
 	}
 	s.mu.Lock()
-	e := s.engine
+	engine := s.engine
 	s.mu.Unlock()
-	return e.Stop(ctx)
+	return engine.Stop(ctx)
 }
 
 // OnBoot implements gnet.EventHandler.
-func (s *Server) OnBoot(e gnet.Engine) gnet.Action {
+func (s *Server) OnBoot(engine gnet.Engine) gnet.Action {
 	s.mu.Lock()
-	s.engine = e
+	s.engine = engine
 	s.mu.Unlock()
 	close(s.listening)
 	return gnet.None
@@ -109,56 +114,18 @@
 
 // OnOpen implements gnet.EventHandler.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	now := time.Now()
-	s.closeIdle(now)
-	if s.conns.Len() >= s.maxConns && !s.evict() {
+	sc := &serverConn{conn: c, parser: httpwire.NewParser(false, s.limits), lastUsed: time.Now()}
+	if !s.connections.add(sc) {
 		return nil, gnet.Close
 	}
-	sc := &serverConn{conn: c, parser: httpwire.NewParser(false, s.limits), last: now}
-	sc.at = s.conns.PushBack(sc)
 	c.SetContext(sc)
 	return nil, gnet.None
 }
 
-// closeIdle closes the connections that were idle for too long.
-func (s *Server) closeIdle(now time.Time) {
-	for e := s.conns.Front(); e != nil && now.Sub(e.Value.(*serverConn).last) > s.idle; e = s.conns.Front() {
-		s.drop(e.Value.(*serverConn))
-	}
-}
-
-// evict closes the connection that was idle longest; false if all are busy.
-func (s *Server) evict() bool {
-	for e := s.conns.Front(); e != nil; e = e.Next() {
-		if sc := e.Value.(*serverConn); !sc.busy {
-			s.drop(sc)
-			return true
-		}
-	}
-	return false
-}
-
-// drop forgets a connection and closes it.
-func (s *Server) drop(sc *serverConn) {
-	if sc.at != nil {
-		s.conns.Remove(sc.at)
-		sc.at = nil
-		_ = sc.conn.Close()
-	}
-}
-
-// used notes that a connection was not idle just now.
-func (s *Server) used(sc *serverConn) {
-	if sc.last = time.Now(); sc.at != nil {
-		s.conns.MoveToBack(sc.at)
-	}
-}
-
 // OnClose implements gnet.EventHandler.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if sc, ok := c.Context().(*serverConn); ok && sc.at != nil {
-		s.conns.Remove(sc.at)
-		sc.at = nil
+	if sc, ok := c.Context().(*serverConn); ok {
+		s.connections.remove(sc)
 	}
 	return gnet.None
 }
@@ -174,56 +141,61 @@
 		return gnet.Close
 	}
 	sc.parser.Feed(b)
-	return s.serve(c, sc)
+	return s.serve(sc)
 }
 
-func (s *Server) serve(c gnet.Conn, sc *serverConn) gnet.Action {
+// serve answers the whole requests that a connection holds, in their order, up to one that is
+// answered later.
+func (s *Server) serve(sc *serverConn) gnet.Action {
 	for !sc.busy {
 		req, err := sc.parser.Next()
 		if err != nil {
-			status := 400
-			if errors.Is(err, httpwire.ErrTooLarge) {
-				status = 413
-			}
-			_, _ = c.Write(httpwire.AppendResponse(nil, status, []byte(`{"error":"bad request"}`), 0, true))
+			_, _ = sc.conn.Write(httpwire.AppendResponse(nil, refusalStatus(err), []byte(badRequestBody), 0, true))
 			return gnet.Close
 		}
 		if req == nil {
 			return gnet.None
 		}
-		closing := req.Close || s.conns.Len() > s.maxConns/2
+		closing := req.Close || s.connections.crowded()
 		sc.busy = true
-		s.used(sc)
-		resp, now := s.handler(req, func(r Response) {
-			out := httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, closing)
-			_ = c.AsyncWrite(out, func(c gnet.Conn, err error) error {
-				sc.busy = false
-				s.used(sc)
-				if closing || err != nil {
-					return c.Close()
-				}
-				if s.serve(c, sc) == gnet.Close {
-					return c.Close()
-				}
-				return nil
-			})
-		})
+		s.connections.touch(sc)
+		resp, now := s.handler(req, func(r Response) { s.answerLater(sc, r, closing) })
 		if !now {
 			return gnet.None
 		}
 		sc.busy = false
-		if _, err := c.Write(httpwire.AppendResponse(nil, resp.Status, resp.Body, resp.RetryAfter, closing)); err != nil || closing {
+		if _, err := sc.conn.Write(encodeResponse(resp, closing)); err != nil || closing {
 			return gnet.Close
 		}
 	}
 	return gnet.None
 }
 
-// quiet drops gnet's own log lines: what matters is logged by the service.
-type quiet struct{}
+// answerLater sends the answer to a request that a handler took over, and goes on in the
+// event loop with what the connection holds. Any goroutine may call it.
+func (s *Server) answerLater(sc *serverConn, r Response, closing bool) {
+	_ = sc.conn.AsyncWrite(encodeResponse(r, closing), func(c gnet.Conn, err error) error {
+		sc.busy = false
+		s.connections.touch(sc)
+		if closing || err != nil {
+			return c.Close()
+		}
+		if s.serve(sc) == gnet.Close {
+			return c.Close()
+		}
+		return nil
+	})
+}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+// encodeResponse returns the bytes of a response.
+func encodeResponse(r Response, closing bool) []byte {
+	return httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, closing)
+}
+
+// refusalStatus returns the status for a request that the parser refuses.
+func refusalStatus(err error) int {
+	if errors.Is(err, httpwire.ErrTooLarge) {
+		return statusContentTooLarge
+	}
+	return statusBadRequest
+}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -58,7 +58,7 @@
 	ctx := context.Background()
 	for range 5 {
 		for _, target := range []string{"/now", "/later"} {
-			m, err := c.Do(ctx, addr, "POST", target, []byte("abc"), time.Minute)
+			m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
 			if err != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
 				t.Fatalf("%s: %+v %v", target, m, err)
 			}
@@ -67,11 +67,11 @@
 	if len(c.idle[addr]) != 1 {
 		t.Errorf("%d kept connections after requests in turn", len(c.idle[addr]))
 	}
-	m, err := c.Do(ctx, addr, "POST", "/now", make([]byte, 65<<10), time.Minute)
+	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Deadline: time.Minute})
 	if err != nil || m.Status != 413 || !m.Close {
 		t.Errorf("large body: %+v %v", m, err)
 	}
-	m, err = c.Do(ctx, addr, "BAD METHOD", "/now", nil, time.Minute)
+	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Deadline: time.Minute})
 	if err != nil || m.Status != 400 {
 		t.Errorf("malformed: %+v %v", m, err)
 	}
@@ -100,12 +100,13 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	if _, err := c.Do(context.Background(), l.Addr().String(), "GET", "/", nil, time.Minute); !errors.Is(err, ErrNoResponse) {
+	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Deadline: time.Minute}
+	if _, err := c.Do(context.Background(), request); !errors.Is(err, ErrNoResponse) {
 		t.Error(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := c.Do(ctx, l.Addr().String(), "GET", "/", nil, time.Minute); err == nil || errors.Is(err, ErrNoResponse) {
+	if _, err := c.Do(ctx, request); err == nil || errors.Is(err, ErrNoResponse) {
 		t.Errorf("a request never sent counts as unanswered: %v", err)
 	}
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,60 +1,101 @@
-// Package worker is the client for direct commands to workers. Only commands
-// that may be carried out at any later time are sent this way: fences and
-// stops, never starts, since a cut may hold a command back for minutes.
+// Package worker is the client for commands that a controller sends to a worker directly,
+// rather than in the answer to its heartbeat. Only commands that may be carried out at any
+// later time are sent this way: fencing tokens, stops and clears, never launches, since a
+// network cut may hold a command back for minutes.
+//
+// Each request uses a connection of its own that is closed afterwards: there are more workers
+// than sockets. A Client's methods may be called from any goroutine.
 package worker
 
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/httpwire"
 	"violetturn/internal/transport"
 )
 
+// ErrLaunch: a launch was to be sent directly; nothing was sent.
+var ErrLaunch = errors.New("a launch is never sent directly")
+
+// StatusError is an answer with a status that PROTOCOL does not have for the request.
+type StatusError struct{ Status int }
+
+// Error implements error.
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+
+// Statuses of a worker's answers.
+const (
+	statusOK       = 200
+	statusConflict = 409 // the fencing token or the agent epoch is out of date
+)
+
 // Client sends commands to workers.
 type Client struct {
 	http     *transport.Client
-	deadline time.Duration
+	deadline time.Duration // of one request
 }
 
-// New makes a client.
+// New makes a client whose requests each have the deadline.
 func New(h *transport.Client, deadline time.Duration) *Client {
 	return &Client{http: h, deadline: deadline}
 }
 
-// Status asks a worker for its heartbeat.
+// Status asks the worker at addr for its heartbeat.
 func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
-	m, err := c.http.DoOnce(ctx, addr, "GET", "/show", nil, c.deadline)
+	m, err := c.do(ctx, addr, "GET", "/show", nil)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("ask worker %s: %w", addr, err)
 	}
-	if m.Status != 200 {
-		return nil, fmt.Errorf("worker: status %d", m.Status)
+	if m.Status != statusOK {
+		return nil, fmt.Errorf("ask worker %s: %w", addr, &StatusError{m.Status})
 	}
-	return api.ParseHeartbeat(m.Body)
+	h, err := api.ParseHeartbeat(m.Body)
+	if err != nil {
+		return nil, fmt.Errorf("heartbeat of worker %s: %w", addr, err)
+	}
+	return h, nil
 }
 
-// SendCommands sends orders under a fencing token and session. It returns the worker's heartbeat
-// and whether the orders were executed.
-func (c *Client) SendCommands(ctx context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error) {
-	for _, x := range o.Commands {
-		if x.Action == api.Launch {
-			return nil, false, fmt.Errorf("launch %s: never sent directly", x.Task)
+// SendCommands sends commands under a fencing token and an agent epoch to the worker at addr.
+// It returns the worker's heartbeat and whether the worker carried the commands out. After an
+// error, ErrLaunch aside, it may have or may still do so.
+func (c *Client) SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
+	for _, command := range batch.Commands {
+		if command.Action == api.Launch {
+			return nil, false, fmt.Errorf("command for %s: %w", command.Task, ErrLaunch)
 		}
 	}
-	b, err := json.Marshal(o)
+	body, err := json.Marshal(batch)
 	if err != nil {
-		return nil, false, fmt.Errorf("worker command: %w", err)
+		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, err)
 	}
-	m, err := c.http.DoOnce(ctx, addr, "POST", "/commands", b, c.deadline)
+	m, err := c.do(ctx, addr, "POST", "/commands", body)
 	if err != nil {
-		return nil, false, err
+		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, err)
+	}
+	if m.Status != statusOK && m.Status != statusConflict {
+		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, &StatusError{m.Status})
 	}
-	if m.Status != 200 && m.Status != 409 {
-		return nil, false, fmt.Errorf("worker: status %d", m.Status)
+	h, err := api.ParseHeartbeat(m.Body)
+	if err != nil {
+		return nil, m.Status == statusOK, fmt.Errorf("heartbeat of worker %s: %w", addr, err)
 	}
-	r, err := api.ParseHeartbeat(m.Body)
-	return r, m.Status == 200, err
+	return h, m.Status == statusOK, nil
+}
+
+// do sends one request over a connection that is closed afterwards.
+func (c *Client) do(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Message, error) {
+	return c.http.Do(ctx, transport.Request{
+		Addr:       addr,
+		Method:     method,
+		Target:     target,
+		Body:       body,
+		Deadline:   c.deadline,
+		CloseAfter: true,
+	})
 }
