--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -56,8 +56,6 @@
 
 // acknowledgement says what this node has done after a revision, up to now.
 func (c *Controller) acknowledgement(since uint64) *peer.Vouch {
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	v := &peer.Vouch{Complete: c.loaded && since >= c.replica.cancellationsCompleteFrom}
 	if !v.Complete {
 		return v
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -33,11 +33,12 @@
 
 // checkWorkerContact judges whether workers reach this node, and reports whether it should leave
 // its shards to others: only when another is heard, or it may as well be the workers,
-// and their part would go round. Call with the lock held.
-func (c *Controller) checkWorkerContact(ctx context.Context, now time.Time) bool {
+// and their shards would go round. It returns the addresses of workers to be asked whether
+// they hear this node. Call with the lock held.
+func (c *Controller) checkWorkerContact(now time.Time) (leave bool, probes []string) {
 	h := &c.contact
 	if h.unreachable {
-		c.probeWorkers(ctx)
+		probes = c.probeTargets()
 	} else if round := c.cfg.HeartbeatInterval() * 5 / 4; now.Sub(h.lastHeard) <= round { // who reports at all has done so in that time
 		h.silentSteps = 0
 	} else if h.silentSteps++; h.silentSteps >= minSilent {
@@ -47,14 +48,14 @@
 		}
 	}
 	if !h.unreachable {
-		return false
+		return false, probes
 	}
 	for _, x := range c.shards {
 		if n := c.replica.nodes[x].record; x != c.cfg.HostName && n != nil && n.HearsWorkers {
-			return true
+			return true, probes
 		}
 	}
-	return false
+	return false, probes
 }
 
 // countExpectedAgents counts the machines of own shards that should be heard: those that were,
@@ -74,23 +75,29 @@
 	return n
 }
 
-// probeWorkers asks some machines of the home shard, those with tasks first, whether they
-// hear this node. Call with the lock held.
-func (c *Controller) probeWorkers(ctx context.Context) {
-	const some = 4
-	var ask []string
+// probeTargets returns the addresses of some machines of the home shard, those with tasks
+// first. Without any there is nobody to be heard, and the contact counts as made. Call with
+// the lock held.
+func (c *Controller) probeTargets() []string {
+	const maxProbes = 4
+	var addresses []string
 	for pass := range 2 {
 		for host, m := range c.replica.machines {
-			if m.Shard == c.cfg.HostName && m.Addr != "" && (len(c.replica.placements[host]) > 0) == (pass == 0) && len(ask) < some {
-				ask = append(ask, m.Addr)
+			if m.Shard == c.cfg.HostName && m.Addr != "" && (len(c.replica.placements[host]) > 0) == (pass == 0) && len(addresses) < maxProbes {
+				addresses = append(addresses, m.Addr)
 			}
 		}
 	}
-	if len(ask) == 0 {
-		c.contact = workerContact{lastHeard: c.now()} // there is nobody to be heard
-		return
+	if len(addresses) == 0 {
+		c.contact = workerContact{lastHeard: c.now()}
 	}
-	for _, addr := range ask {
+	return addresses
+}
+
+// probeWorkers asks workers whether they hear this node, each in a goroutine of its own that
+// ends with the answer or the client's deadline.
+func (c *Controller) probeWorkers(ctx context.Context, addresses []string) {
+	for _, addr := range addresses {
 		c.runAsync(func() {
 			if _, err := c.workers.Status(ctx, addr); err != nil {
 				return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,6 +37,9 @@
 		Multi(ctx context.Context, t *store.Txn, r store.Priority) (revision uint64, ok bool, failed []string, err error)
 		AwaitWrites(ctx context.Context, n int, r store.Priority) int
 		SetControllers(controllers int)
+		ReserveForGangs(changes float64)
+		LowerLimits()
+		Used() (requests, writes float64)
 		GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 		RenewLease(ctx context.Context, leaseID uint64) error
 		RevokeLease(ctx context.Context, leaseID uint64) error
@@ -136,8 +139,9 @@
 	limitsLowered               bool      // the state service has refused what was larger than its coming limits
 	acceptedTxnOps              int       // changes in a transaction that it took less than announced for; 0: not so
 	gangStates                  map[string]*gangState
-	quotaShortages              map[string]bool // teams whose limit left too little for a placement
-	gangsToRelease              map[string]bool // gangs whose claims are to be released
+	runningGangs                map[string]uint64 // by gang, the attempt that was seen running here
+	quotaShortages              map[string]bool   // teams whose limit left too little for a placement
+	gangsToRelease              map[string]bool   // gangs whose claims are to be released
 	splitAt, garbageCollectedAt time.Time
 	splitRequests               map[string]int       // jobs with a record that outgrew a value: their generation then, from 1 on
 	runtimeBias                 map[string]float64   // by class, run times against estimates
@@ -232,6 +236,7 @@
 		splitRequests:         map[string]int{},
 		quotaShortages:        map[string]bool{},
 		gangStates:            map[string]*gangState{},
+		runningGangs:          map[string]uint64{},
 		gangsToRelease:        map[string]bool{},
 		commits:               map[string]commitStats{},
 		arrivals:              map[string][]arrival{},
@@ -307,10 +312,7 @@
 	every := 4 * c.cfg.WorkerLease()
 	var reqs, writes float64
 	for sleep(ctx, every) {
-		r, w := reqs, writes
-		if u, ok := c.store.(interface{ Used() (float64, float64) }); ok {
-			r, w = u.Used()
-		}
+		r, w := c.store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		c.mu.Lock()
@@ -339,6 +341,11 @@
 				delete(c.gangsToRelease, uid)
 			}
 		}
+		for uid := range c.runningGangs {
+			if c.replica.jobs[uid] == nil {
+				delete(c.runningGangs, uid)
+			}
+		}
 		c.mu.Unlock()
 		reqs, writes = r, w
 	}
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -16,18 +16,15 @@
 // the shards' that it is on. As many are left to gangs while there are any.
 const gangClaimChanges = 3
 
-// reserveWritesForGangs has other decisions leave changes for gangs if some came lately. Call
-// with the lock held.
-func (c *Controller) reserveWritesForGangs(now time.Time) {
-	keep := 0.0
+// writesReservedForGangs returns how many changes other decisions leave for gangs: some if a
+// gang came lately. Call with the lock held.
+func (c *Controller) writesReservedForGangs(now time.Time) float64 {
 	for _, l := range c.arrivals {
 		if n := len(l); n > 0 && l[n-1].spec.Kind == api.Gang && now.Sub(l[n-1].at) < maxStartDelay {
-			keep = gangClaimChanges
+			return gangClaimChanges
 		}
 	}
-	if s, ok := c.store.(interface{ Keep(float64) }); ok {
-		s.Keep(keep)
-	}
+	return 0
 }
 
 // gangClaim is room for all tasks of a gang that lack some.
@@ -344,7 +341,7 @@
 	c.mu.Lock()
 	var claims []*gangClaim
 	some := false
-	c.reserveWritesForGangs(now)
+	reserved := c.writesReservedForGangs(now)
 	for uid := range c.replica.gangs {
 		j := c.replica.jobs[uid]
 		if j.record.Cancelled || c.leadershipOf(j.record.Shard) == nil || len(j.pendingTasks()) == 0 {
@@ -358,6 +355,7 @@
 		claims = c.plan(now).gangs
 	}
 	c.mu.Unlock()
+	c.store.ReserveForGangs(reserved)
 	for _, g := range claims {
 		c.commitGangClaim(ctx, g)
 	}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -15,9 +15,8 @@
 // gangState is what this node remembers of a gang besides its record: how its search
 // for room goes, and whether its tasks were seen running.
 type gangState struct {
-	retry          *sched.GangRetry
-	lookedAt       time.Time // when room was last looked for out of turn
-	runningAttempt uint64    // the attempt that was seen running here
+	retry    *sched.GangRetry
+	lookedAt time.Time // when room was last looked for out of turn
 }
 
 func (c *Controller) gangStateOf(uid string) *gangState {
@@ -134,7 +133,7 @@
 	uid, m := j.record.Spec.UID, j.record
 	g := *m.Gang // as it will be
 	launched := time.UnixMilli(m.AcceptedMS).Add(time.Duration(g.LaunchedS) * time.Second)
-	gathering := c.gangStateOf(uid).runningAttempt != g.Attempt && now.Sub(launched) < c.cfg.GangGatherTimeout()/2
+	gathering := c.runningGangs[uid] != g.Attempt && now.Sub(launched) < c.cfg.GangGatherTimeout()/2
 	for _, x := range ends {
 		how := x.end.Reason
 		if how == job.ExitDone && m.Cancelled {
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -13,7 +13,10 @@
 
 // scaleIn decides which machines go back and returns them.
 func (c *Controller) scaleIn(ctx context.Context) {
-	back := c.machinesToReturn(ctx)
+	c.mu.Lock()
+	back, fences := c.machinesToReturn(c.now())
+	c.mu.Unlock()
+	c.sendCommands(ctx, fences)
 	if len(back) == 0 {
 		return
 	}
@@ -37,14 +40,10 @@
 
 // machinesToReturn returns the machines of own shards that are to be returned. On the way it fences
 // those that have not heard of this owner, and judges which are to go.
-func (c *Controller) machinesToReturn(ctx context.Context) []string {
-	now := c.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (c *Controller) machinesToReturn(now time.Time) (back []string, fences []directCommand) {
 	if !c.mayAct(now) {
-		return nil
+		return nil, nil
 	}
-	var back []string
 	view := &scaleInView{c: c, now: now}
 	// What is idle or loose is judged against a plan of all machines, which is the dearest
 	// thing that a controller works out. Against a boot it may wait a little.
@@ -65,7 +64,9 @@
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is taken, for the list is late.
 		if !s.Fenced && !c.provisioning[host] {
-			c.fence(ctx, host)
+			if command, ok := c.fence(host); ok {
+				fences = append(fences, command)
+			}
 		}
 		if judge {
 			c.considerScaleIn(host, m, s, view)
@@ -78,7 +79,7 @@
 		}
 	}
 	slices.Sort(back)
-	return back[:min(len(back), cloud.MaxReturn)]
+	return back[:min(len(back), cloud.MaxReturn)], fences
 }
 
 // scaleInView is what judging a round of machines needs to know of all of them,
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -107,12 +107,20 @@
 		}
 		return
 	}
-	now := c.now()
 	c.mu.Lock()
-	defer c.mu.Unlock()
+	fences := c.beginLeadership(p, term, clean, had)
+	c.mu.Unlock()
+	c.sendCommands(ctx, fences)
+}
+
+// beginLeadership begins the leadership of a shard that was acquired, unless it is lost
+// again already. It returns the commands that fence the shard's workers. Call with the lock
+// held.
+func (c *Controller) beginLeadership(p string, term uint64, clean, hadLeader bool) []directCommand {
+	now := c.now()
 	v := c.replica.leaders[p]
 	if v.record == nil || v.record.Term != term || c.leaseID == 0 {
-		return // lost again already
+		return nil
 	}
 	c.dropLeadership(p)
 	o := &leadership{term: term, version: v.version, predecessorAnswersUntil: now}
@@ -120,14 +128,19 @@
 		o.predecessorAnswersUntil = now.Add(c.cfg.LeadershipGrace())
 	}
 	c.leaderships[p] = o
-	c.log.Info("shard acquired", "shard", p, "term", term, "had_leader", had, "clean", clean)
+	c.log.Info("shard acquired", "shard", p, "term", term, "had_leader", hadLeader, "clean", clean)
+	var fences []directCommand
 	for host, m := range c.replica.machines {
-		if m.Shard == p {
-			c.agentOf(host, o)
-			c.fence(ctx, host)
+		if m.Shard != p {
+			continue
+		}
+		c.agentOf(host, o)
+		if command, ok := c.fence(host); ok {
+			fences = append(fences, command)
 		}
 	}
 	c.wakeDecider()
+	return fences
 }
 
 // dropLeadership forgets a shard that is no longer ours. Call with the lock held.
@@ -189,50 +202,82 @@
 	}
 }
 
-// fence tells a worker our fencing token directly, so that an earlier leader's answers
-// are dropped from then on, and learns what runs there. Call with the lock held.
-func (c *Controller) fence(ctx context.Context, host string) {
-	if s := c.agents[host]; s != nil && !s.Fenced && c.now().Sub(s.LastCommandAt) >= c.cfg.HeartbeatInterval() {
-		c.sendCommands(ctx, host, c.fenceSlots, api.CommandBatch{AgentEpoch: 1, Commands: []api.Command{}})
+// directCommand is a batch of commands for one worker, to be sent to its address beside its
+// heartbeats. It holds one of the slots until it was answered.
+type directCommand struct {
+	host  string
+	addr  string
+	term  uint64
+	batch api.CommandBatch
+	slots chan struct{}
+}
+
+// fence prepares the command that tells a worker our fencing token directly, so that an
+// earlier leader's answers are dropped from then on; its answer shows what runs there. ok is
+// false if the worker has seen this term, was asked a moment ago, or no slot is free. Call
+// with the lock held.
+func (c *Controller) fence(host string) (command directCommand, ok bool) {
+	s := c.agents[host]
+	if s == nil || s.Fenced || c.now().Sub(s.LastCommandAt) < c.cfg.HeartbeatInterval() {
+		return directCommand{}, false
 	}
+	return c.prepareCommand(host, c.fenceSlots, api.CommandBatch{AgentEpoch: 1, Commands: []api.Command{}})
 }
 
-// sendCommands sends orders that may be carried out at any later time to a worker
-// directly, and takes in the heartbeat that it answers with. It reports whether there
-// was room to send them. Call with the lock held.
-func (c *Controller) sendCommands(ctx context.Context, host string, slots chan struct{}, o api.CommandBatch) bool {
+// prepareCommand prepares commands that may be executed at any later time. ok is false if
+// the worker can't be addressed or no slot is free: the next round asks again. Call with the
+// lock held.
+func (c *Controller) prepareCommand(
+	host string, slots chan struct{}, batch api.CommandBatch,
+) (command directCommand, ok bool) {
 	m, s := c.replica.machines[host], c.agents[host]
 	if m == nil || m.Addr == "" || s == nil {
-		return false
+		return directCommand{}, false
 	}
 	select {
 	case slots <- struct{}{}:
 	default:
-		return false // the next round asks again
+		return directCommand{}, false
 	}
 	s.LastCommandAt = c.now()
-	term, addr := s.Term, m.Addr
-	o.Token = s.Token()
-	c.runAsync(func() {
-		defer func() { <-slots }()
-		for range 2 {
-			r, done, err := c.workers.SendCommands(ctx, addr, o)
-			if err != nil {
-				c.log.Debug("direct commands not answered", "host", host, "err", err)
-				return
-			}
-			c.mu.Lock()
-			if s := c.agents[host]; s != nil && s.Term == term && r.Host == host {
-				c.acceptHeartbeat(host, s, r)
-			}
-			c.mu.Unlock()
-			if done || shard.TokenTerm(r.Token) >= term {
-				return
-			}
-			o.AgentEpoch = r.AgentEpoch
+	batch.Token = s.Token()
+	return directCommand{host: host, addr: m.Addr, term: s.Term, batch: batch, slots: slots}, true
+}
+
+// sendCommands sends prepared commands, each in a goroutine of its own that ends with the
+// answer or the client's deadline.
+func (c *Controller) sendCommands(ctx context.Context, commands []directCommand) {
+	for _, command := range commands {
+		c.runAsync(func() { c.sendCommand(ctx, command) })
+	}
+}
+
+// sendCommand sends commands to a worker and takes in the heartbeat that it answers with. A
+// worker of another agent epoch refuses them and is asked once more with the epoch it named.
+func (c *Controller) sendCommand(ctx context.Context, command directCommand) {
+	defer func() { <-command.slots }()
+	for range 2 {
+		r, done, err := c.workers.SendCommands(ctx, command.addr, command.batch)
+		if err != nil {
+			c.log.Debug("direct commands not answered", "host", command.host, "err", err)
+			return
 		}
-	})
-	return true
+		c.mu.Lock()
+		c.acceptAnswer(command.host, command.term, r)
+		c.mu.Unlock()
+		if done || shard.TokenTerm(r.Token) >= command.term {
+			return
+		}
+		command.batch.AgentEpoch = r.AgentEpoch
+	}
+}
+
+// acceptAnswer takes in the heartbeat that a worker answered direct commands of a term with.
+// Call with the lock held.
+func (c *Controller) acceptAnswer(host string, term uint64, r *api.Heartbeat) {
+	if s := c.agents[host]; s != nil && s.Term == term && r.Host == host {
+		c.acceptHeartbeat(host, s, r)
+	}
 }
 
 // requestHeartbeats has workers report at once for whom there is something new: a start
@@ -241,11 +286,18 @@
 // report; neither does harm whenever it is carried out. (One that only clears
 // ended tasks does not make it report.)
 func (c *Controller) requestHeartbeats(ctx context.Context) {
-	now := c.now()
 	c.mu.Lock()
-	defer c.mu.Unlock()
+	commands := c.dueHeartbeatRequests(c.now())
+	c.mu.Unlock()
+	c.sendCommands(ctx, commands)
+}
+
+// dueHeartbeatRequests prepares the commands that have workers send a heartbeat now, as many
+// as there are free slots: the rest follows in the next round. Call with the lock held.
+func (c *Controller) dueHeartbeatRequests(now time.Time) []directCommand {
+	var commands []directCommand
 	if !c.mayAct(now) {
-		return
+		return nil
 	}
 	for host := range c.heartbeatRequests {
 		m := c.replica.machines[host]
@@ -267,11 +319,14 @@
 			}
 			s.RaiseToken(now)
 		}
-		if !c.sendCommands(ctx, host, c.heartbeatRequestSlots, o) {
-			return // the rest in the next round
+		command, ok := c.prepareCommand(host, c.heartbeatRequestSlots, o)
+		if !ok {
+			break
 		}
+		commands = append(commands, command)
 		delete(c.heartbeatRequests, host)
 	}
+	return commands
 }
 
 // immediateCommands returns the orders that need not wait for the worker's next heartbeat: they
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -159,7 +159,9 @@
 func (c *Controller) peerStatus(r *peer.Request) *peer.Reply {
 	a := &peer.Reply{StoreReached: c.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
+		c.mu.Lock()
 		a.Vouch = c.acknowledgement(r.GetSince())
+		c.mu.Unlock()
 	}
 	return a
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -110,7 +110,7 @@
 		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
 		x.c.log.Info("task running", "task", a.task, "attempt", a.attempt, "host", x.heartbeat.Host)
 		if isGang(j) {
-			x.c.gangStateOf(pl.uid).runningAttempt = a.attempt
+			x.c.runningGangs[pl.uid] = a.attempt
 		}
 	}
 	switch {
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -52,7 +52,9 @@
 			c.log.Debug("machine types not read", "err", err)
 		}
 	}
+	c.mu.Lock()
 	headroom := c.dueHeadroom(now)
+	c.mu.Unlock()
 	for range 6 { // a refusal is followed at once by the next best offer
 		if !c.scaleOut(ctx, r.unanswered, headroom) {
 			break
@@ -79,7 +81,9 @@
 	}
 	if complete {
 		r.listReadAt = now
+		c.mu.Lock()
 		c.noteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
+		c.mu.Unlock()
 	}
 }
 
@@ -146,8 +150,6 @@
 // now whether there is enough of it: one node does it for all. After there was enough, that
 // may wait a little, against a boot, unless more is wanted by now.
 func (c *Controller) dueHeadroom(now time.Time) []headroomRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	if c.leadershipOf(c.shards[0]) == nil {
 		return nil
 	}
@@ -308,8 +310,6 @@
 // Its first page was read at the time began.
 func (c *Controller) noteMachineList(l []cloud.Host, began time.Time, seen map[string]time.Time, lag time.Duration) {
 	now := c.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	in := map[string]bool{}
 	c.provisioning = map[string]bool{}
 	for _, h := range l {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -16,9 +16,13 @@
 	if err != nil {
 		return jsonResponse(400, map[string]string{"error": err.Error()})
 	}
-	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	return c.answerHeartbeat(r, c.now())
+}
+
+// answerHeartbeat answers a heartbeat that was read. Call with the lock held.
+func (c *Controller) answerHeartbeat(r *api.Heartbeat, now time.Time) transport.Response {
 	if !c.loaded {
 		return responseBusy
 	}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -36,7 +36,10 @@
 	if undecided {
 		return c.stateOrRefusal(ctx, r.UID, responseBusy)
 	}
-	if why := c.rejectionReason(r); why != "" {
+	c.mu.Lock()
+	why := c.rejectionReason(r)
+	c.mu.Unlock()
+	if why != "" {
 		return c.stateOrRefusal(ctx, r.UID, jsonResponse(422, map[string]string{"error": why}))
 	}
 	if live {
@@ -109,7 +112,6 @@
 	}
 	ask := taskRequestOf(r)
 	zones := map[string]bool{}
-	c.mu.Lock()
 	for _, f := range c.machineTypes {
 		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
 		for _, s := range f.Zones {
@@ -118,7 +120,6 @@
 			}
 		}
 	}
-	c.mu.Unlock()
 	switch {
 	case len(zones) == 0:
 		return "fits no allowed machine type"
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -20,12 +20,16 @@
 		return
 	}
 	c.dropLostLeaderships()
-	c.updateRateSharing(now)
-	unreachable := c.checkWorkerContact(ctx, now)
+	sharers, sharersChanged := c.updateRateSharing(now)
+	unreachable, probes := c.checkWorkerContact(now)
 	registration := c.registration()
 	c.notePeersReachable(now)
 	tending := c.planLeadershipChanges(now, unreachable)
 	c.mu.Unlock()
+	if sharersChanged {
+		c.store.SetControllers(sharers)
+	}
+	c.probeWorkers(ctx, probes)
 	if registration != nil {
 		if _, _, err := c.commit(ctx, "node", registration, store.PriorityLease); errors.Is(err, store.ErrNoLease) {
 			return
@@ -150,7 +154,7 @@
 // away for a lease's time: at the start, and when all come back, none has registered
 // yet, and to take all for oneself would have the others refused. Call with the lock
 // held.
-func (c *Controller) updateRateSharing(now time.Time) {
+func (c *Controller) updateRateSharing(now time.Time) (sharers int, changed bool) {
 	n := 0
 	for _, x := range c.shards {
 		if x == c.cfg.HostName || c.replica.nodes[x].record != nil {
@@ -162,11 +166,12 @@
 			n++
 		}
 	}
-	if n != c.rateSharers {
-		c.log.Info("rate share changed", "controllers", n, "before", c.rateSharers)
-		c.rateSharers = n
-		c.store.SetControllers(n)
+	if n == c.rateSharers {
+		return n, false
 	}
+	c.log.Info("rate share changed", "controllers", n, "before", c.rateSharers)
+	c.rateSharers = n
+	return n, true
 }
 
 // takeoverDelay is how long this node waits before it takes a shard without a leader: the
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -168,9 +168,7 @@
 	defer c.mu.Unlock()
 	if !c.limitsLowered {
 		c.limitsLowered = true
-		if s, ok := c.store.(interface{ Fallen() }); ok {
-			s.Fallen()
-		}
+		c.store.LowerLimits()
 		c.log.Info("state service limits lowered")
 		return true
 	}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -287,6 +287,15 @@
 // SetControllers changes nothing: any number of changes can be sent.
 func (c *Client) SetControllers(int) {}
 
+// ReserveForGangs changes nothing: any number of changes can be sent.
+func (c *Client) ReserveForGangs(float64) {}
+
+// LowerLimits changes nothing: the client has no limits of its own.
+func (c *Client) LowerLimits() {}
+
+// Used returns zeros: the client counts no requests.
+func (c *Client) Used() (requests, writes float64) { return 0, 0 }
+
 // GrantLease makes a lease.
 func (c *Client) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	if err := c.unavailable(); err != nil {
