--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/parser_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// parse feeds a stream in the given pieces and gives all messages.
-func parse(p *Parser, tasks []string) ([]*Message, error) {
+// parse feeds a stream in the given fragments and returns all its messages.
+func parse(p *Parser, fragments []string) ([]*Message, error) {
 	var out []*Message
-	for _, s := range tasks {
+	for _, s := range fragments {
 		p.Feed([]byte(s))
 		for {
 			m, err := p.Next()
@@ -28,10 +28,11 @@
 	return out, nil
 }
 
+// split cuts a stream into fragments at random places.
 func split(t *rapid.T, s string) []string {
 	var out []string
 	for len(s) > 0 {
-		n := rapid.IntRange(1, min(len(s), 40)).Draw(t, "piece")
+		n := rapid.IntRange(1, min(len(s), 40)).Draw(t, "fragment")
 		out = append(out, s[:n])
 		s = s[n:]
 	}
@@ -80,6 +81,7 @@
 	})
 }
 
+// Streams that are malformed, ambiguous or beyond the limits are refused, and give no message.
 func TestRefused(t *testing.T) {
 	for name, s := range map[string]string{
 		"two lengths":           "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
@@ -131,6 +133,7 @@
 	})
 }
 
+// A response without a length ends with the stream.
 func TestResponseUntilClose(t *testing.T) {
 	p := NewParser(true, RequestLimits)
 	if got, err := parse(p, []string{"HTTP/1.0 200 OK\r\n\r\n", "ab"}); err != nil || len(got) > 0 {
