--- /dev/null
+++ b/internal/sched/chooser.go
@@ -0,0 +1,65 @@
+package sched
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+)
+
+// Chooser finds machines for the tasks of one job after the other, in shards: in the
+// job's own shard first and then in the peers' shards in random order (work stealing). It
+// returns the fullest fit of the first shard that has room.
+type Chooser struct {
+	shards   map[string][]*Host
+	random   *rand.Rand
+	names    []string
+	request  *TaskRequest
+	order    []string   // the shards in the order of the present job
+	rankings []*Ranking // of the first shards in that order, made when they are asked
+	reusable []*Ranking // of earlier jobs
+}
+
+// NewChooser returns a chooser among machines by shard.
+func NewChooser(shards map[string][]*Host, random *rand.Rand) *Chooser {
+	return &Chooser{shards: shards, random: random, names: slices.Sorted(maps.Keys(shards))}
+}
+
+// Begin turns to the tasks of another job, one of the given shard.
+func (c *Chooser) Begin(own string, a *TaskRequest) {
+	c.request = a
+	c.reusable = append(c.reusable, c.rankings...)
+	c.rankings = c.rankings[:0]
+	c.order = append(c.order[:0], own)
+	for _, name := range c.names {
+		if name != own {
+			c.order = append(c.order, name)
+		}
+	}
+	peers := c.order[1:]
+	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+}
+
+// Next returns the machine for the job's next task, nil if there is none. zoneAllowed is that
+// of Ranking.Best.
+func (c *Chooser) Next(zoneAllowed func(zone string) bool) *Host {
+	for i, name := range c.order {
+		if i == len(c.rankings) {
+			c.rankings = append(c.rankings, Rank(c.reuse(), c.shards[name], c.request))
+		}
+		if h := c.rankings[i].Best(zoneAllowed); h != nil {
+			return h
+		}
+	}
+	return nil
+}
+
+// reuse returns a ranking of an earlier job, nil if there is none.
+func (c *Chooser) reuse() *Ranking {
+	last := len(c.reusable) - 1
+	if last < 0 {
+		return nil
+	}
+	old := c.reusable[last]
+	c.reusable = c.reusable[:last]
+	return old
+}
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -3,58 +3,16 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 )
 
-// GangRetry follows how a job whose tasks can only start all together looks for room, as
-// the paper's Algorithm 2 has it: it claims what shards have, up to what is missing,
-// sleeps after it found them empty, and after too many empty looks in a row releases
-// all its claims and begins again, before newer ones. It starts nothing until all is
-// held.
-type GangRetry struct {
-	MaxMisses int           // misses in a row that are borne
-	Sleep     time.Duration // after each miss
-	Released  bool          // it has begun again: it goes before newer ones
-
-	consecutiveMisses int
-	sleepUntil        time.Time
-}
-
-// The values that DESIGN starts with.
-const (
-	InitialSleep     = time.Second
-	InitialMaxMisses = 3
-)
-
-// NewGangRetry makes a gang.
-func NewGangRetry() *GangRetry { return &GangRetry{MaxMisses: InitialMaxMisses, Sleep: InitialSleep} }
-
-// Claimed notes that room was claimed.
-func (g *GangRetry) Claimed() { g.consecutiveMisses, g.sleepUntil = 0, time.Time{} }
-
-// Missed notes that it looked and found too little while it holds some. It tells
-// whether all its claims are to be released. What is seen while it sleeps is no miss.
-func (g *GangRetry) Missed(now time.Time) (release bool) {
-	if now.Before(g.sleepUntil) {
-		return false
-	}
-	g.consecutiveMisses++
-	g.sleepUntil = now.Add(g.Sleep)
-	if g.consecutiveMisses <= g.MaxMisses {
-		return false
-	}
-	g.consecutiveMisses, g.Released = 0, true
-	return true
-}
-
 // GangTask is a task of a gang that needs a machine.
 type GangTask struct {
-	ZoneAllowed func(zone string) bool // what the job's other tasks leave it; nil: any
-	Assigned    func(zone string)      // is told where it went
+	ZoneAllowed func(zone string) bool // the zones that the job's other tasks leave it; nil: any
+	Assigned    func(zone string)      // is called with the zone that the task was assigned to; may be nil
 }
 
-// CountFits counts how many tasks fit into the room of machines that the job may use, at
-// most so many.
+// CountFits returns how many tasks, at most most, fit into the room of machines that the job
+// may use.
 func CountFits(hosts []*Host, a *TaskRequest, most int) int {
 	n := 0
 	for _, h := range hosts {
@@ -68,36 +26,38 @@
 	return n
 }
 
-// AssignGang finds machines for tasks that start together: on the own shard first, then on
-// peers' shards, so that few records change. Machines that can start a task soon come
-// first (the last one decides when all run), then those that already take one (fewer
-// machines that the gang can be lost with, and one fetch for all), then the fullest fit,
-// which leaves room beside accelerators to those who need them. It takes the room that
-// it finds; what it does not find is nil.
-func AssignGang(shards [][]*Host, a *TaskRequest, seats []GangTask) []*Host {
-	out := make([]*Host, len(seats))
+// AssignGang returns a machine for each of the tasks, which start together, nil for one that
+// finds none. It subtracts what it assigns from the machines' room.
+//
+// The shards are in the order in which they are asked, the own one first, so that few records
+// change. In a shard, machines that can start a task soon come first (the last one decides
+// when all run), then those that already have one of the tasks (fewer machines that the gang
+// can be lost with, and one fetch for all), then the fullest fit, which leaves room beside
+// accelerators to those who need them.
+func AssignGang(shards [][]*Host, a *TaskRequest, tasks []GangTask) []*Host {
+	assigned := make([]*Host, len(tasks))
 	taken := map[*Host]bool{}
-	for i, s := range seats {
-		b := *a
-		if s.ZoneAllowed != nil {
-			b.ZoneAllowed = s.ZoneAllowed
+	for i, task := range tasks {
+		request := *a
+		if task.ZoneAllowed != nil {
+			request.ZoneAllowed = task.ZoneAllowed
 		}
 		for _, hosts := range shards {
-			if h := soonest(hosts, &b, taken); h != nil {
-				out[i] = h
+			if h := soonest(hosts, &request, taken); h != nil {
+				assigned[i] = h
 				taken[h] = true
 				h.Free = h.Free.Sub(a.Need)
-				if s.Assigned != nil {
-					s.Assigned(h.Zone)
+				if task.Assigned != nil {
+					task.Assigned(h.Zone)
 				}
 				break
 			}
 		}
 	}
-	return out
+	return assigned
 }
 
-// Unassign returns the room of seats back.
+// Unassign adds back to the machines' room what AssignGang subtracted.
 func Unassign(hosts []*Host, a *TaskRequest) {
 	for _, h := range hosts {
 		if h != nil {
@@ -106,14 +66,13 @@
 	}
 }
 
-// soonest returns the machine of one shard for the next task of a gang.
+// soonest returns the machine of one shard for the next task of a gang, nil if none fits.
 func soonest(hosts []*Host, a *TaskRequest, taken map[*Host]bool) *Host {
 	delay := func(h *Host) float64 {
-		d := h.StartDelayS
-		if !h.Images[a.Image] && !taken[h] {
-			d += a.FetchS
+		if taken[h] { // another of the tasks fetches the image there
+			return h.StartDelayS
 		}
-		return d
+		return startDelayOn(h, a)
 	}
 	var best *Host
 	for _, h := range hosts {
@@ -124,10 +83,11 @@
 			best = h
 			continue
 		}
-		x, y := delay(h), delay(best)
 		if c := cmp.Or(
-			cmp.Compare(x, y), -CompareBool(taken[h], taken[best]),
-			cmp.Compare(emptyShare(h, a.Need), emptyShare(best, a.Need)), cmp.Compare(h.Name, best.Name),
+			cmp.Compare(delay(h), delay(best)),
+			-CompareBool(taken[h], taken[best]),
+			cmp.Compare(emptyShare(h, a.Need), emptyShare(best, a.Need)),
+			cmp.Compare(h.Name, best.Name),
 		); c < 0 {
 			best = h
 		}
@@ -135,6 +95,14 @@
 	return best
 }
 
+// startDelayOn returns the seconds that a task takes to start on a machine, as far as is known.
+func startDelayOn(h *Host, a *TaskRequest) float64 {
+	if h.Images[a.Image] {
+		return h.StartDelayS
+	}
+	return h.StartDelayS + a.FetchS
+}
+
 // CompareBool orders false before true.
 func CompareBool(a, b bool) int {
 	switch {
@@ -146,23 +114,19 @@
 	return -1
 }
 
-// StartDelay is how long the last of some seats takes to start, by what is known.
+// StartDelay returns the seconds that the last of some tasks takes to start on the machines
+// that they are assigned to, as far as is known.
 func StartDelay(hosts []*Host, a *TaskRequest) float64 {
-	d := 0.0
+	longest := 0.0
 	for _, h := range hosts {
-		if h == nil {
-			continue
-		}
-		w := h.StartDelayS
-		if !h.Images[a.Image] {
-			w += a.FetchS
+		if h != nil {
+			longest = max(longest, startDelayOn(h, a))
 		}
-		d = max(d, w)
 	}
-	return d
+	return longest
 }
 
-// CountUnassigned counts the seats that were not found.
+// CountUnassigned returns the number of tasks that found no machine.
 func CountUnassigned(hosts []*Host) int {
 	n := 0
 	for _, h := range hosts {
@@ -173,7 +137,7 @@
 	return n
 }
 
-// CountShards counts the shards that seats touch.
+// CountShards returns the number of shards that the machines belong to.
 func CountShards(hosts []*Host) int {
 	var shards []string
 	for _, h := range hosts {
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -14,7 +14,7 @@
 type UnmetDemand struct {
 	Request  TaskRequest
 	Count    int
-	Assigned func(zone string) // hears of each task's zone, for ZoneOK; may be nil
+	Assigned func(zone string) // is called with each task's zone, for Request.ZoneAllowed; may be nil
 }
 
 // RentalOrder is a number of machines to rent.
@@ -23,9 +23,9 @@
 	Count int
 }
 
-// PlanRentals returns what to rent for the unmet tasks, after filling the machines that
-// are coming already. Of the offers that fit, the one that is cheapest for the
-// task is taken; home breaks a tie between zones.
+// PlanRentals returns what to rent for the unmet tasks, after assigning tasks to the machines
+// that are coming already, whose room it subtracts from. Of the offers that fit, the one that
+// is cheapest for the task is taken; the zone home breaks a tie.
 func PlanRentals(unmet []UnmetDemand, coming []*Host, offers []Offer, home string) []RentalOrder {
 	p := &rentPlan{hosts: hostsWithRoom(coming, unmet), offers: offers, home: home}
 	for i := range unmet {
@@ -34,10 +34,10 @@
 	return p.orders
 }
 
-// rentPlan is a plan of rentals under way.
+// rentPlan is the state of PlanRentals.
 type rentPlan struct {
 	hosts  []*Host // coming and to be rented, with room
-	full   []*Host // without accelerators left: most tasks need not look at them
+	full   []*Host // without processors or accelerators left: only tasks without accelerators look at them
 	offers []Offer
 	home   string
 	orders []RentalOrder
@@ -57,11 +57,11 @@
 			h = p.rankingFull.Best(u.Request.ZoneAllowed)
 		}
 		if h == nil {
-			o := cheapestOffer(p.offers, &u.Request, p.home)
-			if o == nil {
+			offer := cheapestOffer(p.offers, &u.Request, p.home)
+			if offer == nil {
 				break
 			}
-			h = p.rent(o)
+			h = p.rent(offer)
 			p.ranking.Add(h)
 		}
 		h.Free = h.Free.Sub(u.Request.Need)
@@ -70,7 +70,7 @@
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
-		full := h.Free.CPUs < eps || h.Cap.GPUs > 0 && h.Free.GPUs < eps
+		full := h.Free.CPUs < epsilon || h.Cap.GPUs > 0 && h.Free.GPUs < epsilon
 		if full {
 			p.full = append(p.full, h)
 		}
@@ -78,7 +78,7 @@
 	})
 }
 
-// rent adds a machine to the orders.
+// rent adds a machine of an offer to the orders and returns it.
 func (p *rentPlan) rent(o *Offer) *Host {
 	h := &Host{Name: "new", MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot, Cap: o.Cap, Free: o.Cap}
 	p.hosts = append(p.hosts, h)
@@ -92,7 +92,7 @@
 }
 
 // hostsWithRoom returns the machines that may have room for some of the tasks: most have
-// none, and each task is held against all that are left.
+// none, and each task is compared with all that are left.
 func hostsWithRoom(hosts []*Host, unmet []UnmetDemand) []*Host {
 	if len(unmet) == 0 {
 		return nil
@@ -111,17 +111,24 @@
 	return out
 }
 
-// tasksPerMachine returns how many such tasks fit into an empty machine.
-func tasksPerMachine(c, n Resources) float64 {
-	k := 1000.0
-	for _, x := range [][2]float64{{c.CPUs, n.CPUs}, {c.GPUs, n.GPUs}, {c.MemGB, n.MemGB}} {
-		if x[1] > 0 {
-			k = min(k, float64(int(x[0]/x[1]+eps)))
+// mostTasksPerMachine bounds tasksPerMachine for tasks that need nothing.
+const mostTasksPerMachine = 1000
+
+// tasksPerMachine returns the number of such tasks that fit into an empty machine.
+func tasksPerMachine(capacity, need Resources) float64 {
+	tasks := float64(mostTasksPerMachine)
+	for _, amount := range [...]struct{ capacity, need float64 }{
+		{capacity.CPUs, need.CPUs}, {capacity.GPUs, need.GPUs}, {capacity.MemGB, need.MemGB},
+	} {
+		if amount.need > 0 {
+			tasks = min(tasks, float64(int(amount.capacity/amount.need+epsilon)))
 		}
 	}
-	return k
+	return tasks
 }
 
+// cheapestOffer returns the offer whose price for one task is lowest, nil if none fits. Among
+// equals one in the zone home wins.
 func cheapestOffer(offers []Offer, a *TaskRequest, home string) *Offer {
 	var best *Offer
 	var bestCost float64
@@ -131,7 +138,8 @@
 			continue
 		}
 		cost := o.Price / tasksPerMachine(o.Cap, a.Need)
-		if best == nil || cost < bestCost-eps || cost < bestCost+eps && o.Zone == home && best.Zone != home {
+		nearer := best != nil && o.Zone == home && best.Zone != home
+		if best == nil || cost < bestCost-epsilon || nearer && cost < bestCost+epsilon {
 			best, bestCost = o, cost
 		}
 	}
