--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,10 +1,13 @@
-// Package recovery decides which work may take which room of a zone that has dropped and
-// returns. Production work goes first: room is kept for those of its tasks that wait for
-// lost machines, and work below it follows by a slow start. It is pure: who asks gives it
+// Package recovery decides which work may take which room of a zone that was down and is
+// recovering. Production work goes first: room is reserved for those of its tasks that wait for
+// lost machines, and work below it follows by a slow start. It is pure: the caller gives it
 // the state of zones and a view of the machines.
 //
-// Work that competes for nothing that production needs is not held up, and a share of the
-// machines is kept for nobody after a while, so that nothing waits for ever.
+// Invariants:
+//   - work below production never takes more of a restricted zone than its slow start allows;
+//   - work that competes for nothing that production needs is not restricted;
+//   - a zone reserves at most its ReservableShare of the free machines, so that nothing waits
+//     for ever.
 package recovery
 
 import (
@@ -14,31 +17,31 @@
 
 // Zone is a zone that is down or recovering.
 type Zone struct {
-	SlowStartShare  float64             // share of its machines that work below production may have taken since it returned
-	MachinesBefore  float64             // that it had before
-	Taken           float64             // by work below production since it returned, in machines
+	SlowStartShare  float64             // share of its machines that work below production may have taken since it came back
+	MachinesBefore  float64             // machines that it had before it went down
+	Taken           float64             // by work below production since it came back, in machines
 	Waiting         []zonehealth.Demand // production tasks that wait for lost machines there
-	ReservableShare float64             // share of the free machines that may be kept for those
+	ReservableShare float64             // share of the free machines that may be reserved for those
 }
 
-// Admission returns what work below production may still take of zones. A nil one lets
-// everything in.
+// Admission is what work below production may still take of zones. A nil one restricts
+// nothing.
 type Admission struct {
-	zones     map[string]*Zone
-	protected []sched.Resources // what a task of production work needs, by size
-	types     []sched.Resources // sizes of machines that there are
+	zones        map[string]*Zone
+	protected    []sched.Resources // what a task of production work needs, by size
+	machineTypes []sched.Resources // sizes of machines that there are
 }
 
-// NewAdmission makes an admission; nil if no zone is restricted or there is no production work to
-// protect. protected are the sizes of its tasks, types those of machines.
-func NewAdmission(zones map[string]*Zone, protected, types []sched.Resources) *Admission {
+// NewAdmission returns an admission; nil if no zone is restricted or there is no production
+// work to protect. protected are the sizes of its tasks, machineTypes those of machines.
+func NewAdmission(zones map[string]*Zone, protected, machineTypes []sched.Resources) *Admission {
 	if len(zones) == 0 || len(protected) == 0 {
 		return nil
 	}
-	return &Admission{zones: zones, protected: protected, types: types}
+	return &Admission{zones: zones, protected: protected, machineTypes: machineTypes}
 }
 
-// Copy returns an admission of its own to try things on.
+// Copy returns an independent admission, for a trial.
 func (a *Admission) Copy() *Admission {
 	if a == nil {
 		return nil
@@ -52,42 +55,48 @@
 	return &trial
 }
 
-// Competes reports whether a task of work below production, which may go to machines of some
-// sizes, could take what production needs: some machine fits both.
-func (a *Admission) Competes(need sched.Resources, allowed func(machine int) bool) bool {
+// Competes reports whether a task of work below production could take what production needs:
+// some machine fits both. allowed tells for the index of a machine type whether the task may
+// run on it.
+func (a *Admission) Competes(need sched.Resources, allowed func(machineType int) bool) bool {
 	if a == nil {
 		return false
 	}
-	for i, machine := range a.types {
-		if !machine.Fits(need) || !allowed(i) {
-			continue
+	for i, machine := range a.machineTypes {
+		if machine.Fits(need) && allowed(i) && a.fitsProtected(machine) {
+			return true
 		}
-		for _, p := range a.protected {
-			if machine.Fits(p) {
-				return true
-			}
+	}
+	return false
+}
+
+// fitsProtected reports whether a machine fits a task of production work.
+func (a *Admission) fitsProtected(machine sched.Resources) bool {
+	for _, need := range a.protected {
+		if machine.Fits(need) {
+			return true
 		}
 	}
 	return false
 }
 
-// Admits reports whether work below production may take so much of a machine in a zone.
+// Admits reports whether work below production may take so much of a zone, in machines.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
 	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
-// epsilon absorbs what sums of fractions are off by.
+// epsilon absorbs the rounding of sums of fractions.
 const epsilon = 1e-9
 
-// Admit counts what such work takes.
+// Admit counts what work below production takes of a zone, in machines.
 func (a *Admission) Admit(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
 		z.Taken += machines
 	}
 }
 
-// Zone returns a restricted zone, nil if it is not.
+// zone returns a restricted zone, nil if it is not restricted.
 func (a *Admission) zone(name string) *Zone {
 	if a == nil {
 		return nil
@@ -96,9 +105,9 @@
 }
 
 // MachineShare returns how much of the smallest machine that fits it a task takes, in machines.
-func MachineShare(need sched.Resources, types []sched.Resources) float64 {
+func MachineShare(need sched.Resources, machineTypes []sched.Resources) float64 {
 	share := 1.0
-	for _, machine := range types {
+	for _, machine := range machineTypes {
 		if machine.Fits(need) {
 			share = min(share, dominantShare(need, machine))
 		}
@@ -106,55 +115,58 @@
 	return share
 }
 
+// dominantShare returns the largest share that a task takes of any resource of a machine.
 func dominantShare(need, machine sched.Resources) float64 {
 	share := 0.0
-	for _, x := range [][2]float64{{need.CPUs, machine.CPUs}, {need.GPUs, machine.GPUs}, {need.MemGB, machine.MemGB}} {
-		if x[1] > 0 {
-			share = max(share, x[0]/x[1])
+	for _, amount := range [...]struct{ need, machine float64 }{
+		{need.CPUs, machine.CPUs}, {need.GPUs, machine.GPUs}, {need.MemGB, machine.MemGB},
+	} {
+		if amount.machine > 0 {
+			share = max(share, amount.need/amount.machine)
 		}
 	}
 	return share
 }
 
-// Reserve takes room for production tasks that wait for lost machines off what is free in
-// their zones, one machine after the other as the tasks would be placed. What finds no room
-// there reserves none: it can't be had. It tells how many tasks have room kept.
-func (a *Admission) Reserve(hosts []*sched.Host) (kept int) {
+// Reserve reserves room for production tasks that wait for lost machines: it subtracts their
+// needs from the room of the hosts in their zones, in the order in which they would be placed.
+// A task that finds no room there reserves none. It returns the number of tasks with room.
+func (a *Admission) Reserve(hosts []*sched.Host) (reserved int) {
 	if a == nil {
 		return 0
 	}
 	for name, z := range a.zones {
-		kept += z.reserve(name, hosts)
+		reserved += z.reserve(name, hosts)
 	}
-	return kept
+	return reserved
 }
 
-func (z *Zone) reserve(name string, hosts []*sched.Host) (kept int) {
+func (z *Zone) reserve(name string, hosts []*sched.Host) (reserved int) {
 	if len(z.Waiting) == 0 {
 		return 0
 	}
-	var free []*sched.Host
+	var reservable []*sched.Host
 	for _, h := range hosts {
 		if h.Zone == name {
-			free = append(free, h)
+			reservable = append(reservable, h)
 		}
 	}
-	free = free[:int(float64(len(free))*z.ReservableShare+0.5)]
+	reservable = reservable[:int(float64(len(reservable))*z.ReservableShare+0.5)]
 	for _, d := range z.Waiting {
-		ask := sched.TaskRequest{
+		request := sched.TaskRequest{
 			Need:    sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]},
 			Spot:    d.Spot,
 			Service: true,
 		}
-		ranking := sched.Rank(nil, free, &ask)
+		ranking := sched.Rank(nil, reservable, &request)
 		for range d.Tasks {
 			h := ranking.Best(nil)
 			if h == nil {
 				break
 			}
-			h.Free = h.Free.Sub(ask.Need)
-			kept++
+			h.Free = h.Free.Sub(request.Need)
+			reserved++
 		}
 	}
-	return kept
+	return reserved
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,12 +12,12 @@
 
 var machine = sched.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
 
-// Whatever work below production asks for, it never takes more than the window of a zone,
+// Whatever work below production asks for, it never takes more than the slow start of a zone allows,
 // and a trial on a copy takes nothing.
 func TestSlowStartShareBinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := &Zone{
-			SlowStartShare: rapid.Float64Range(0, 1.2).Draw(t, "window"),
+			SlowStartShare: rapid.Float64Range(0, 1.2).Draw(t, "share"),
 			MachinesBefore: float64(rapid.IntRange(0, 40).Draw(t, "machines")),
 		}
 		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
@@ -38,12 +38,12 @@
 			}
 		}
 		if z.SlowStartShare < 1 && z.Taken > z.SlowStartShare*z.MachinesBefore+1e-6 {
-			t.Fatalf("%g of %g machines taken in a window of %g", z.Taken, z.MachinesBefore, z.SlowStartShare)
+			t.Fatalf("%g of %g machines taken with a share of %g", z.Taken, z.MachinesBefore, z.SlowStartShare)
 		}
 	})
 }
 
-// Room is kept for as many production tasks as there is room for, no machine gives more
+// Room is reserved for as many production tasks as there is room for, no machine gives more
 // than it has, and a share of the machines is left alone.
 func TestReserve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,16 +60,16 @@
 		}
 		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
-		keep := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "keep")
+		reservable := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "reservable")
 		z := &Zone{
 			MachinesBefore:  float64(n),
-			ReservableShare: keep,
+			ReservableShare: reservable,
 			Waiting:         []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}},
 		}
 		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
-		kept := a.Reserve(append(hosts, other))
-		if keep == 1 && kept != min(tasks, slots) {
-			t.Fatalf("room kept for %d tasks of %d, there is some for %d", kept, tasks, slots)
+		reserved := a.Reserve(append(hosts, other))
+		if reservable == 1 && reserved != min(tasks, slots) {
+			t.Fatalf("room reserved for %d tasks of %d, there is some for %d", reserved, tasks, slots)
 		}
 		left := 0
 		for _, h := range hosts {
@@ -78,8 +78,8 @@
 			}
 			left += int(h.Free.GPUs)
 		}
-		if left != slots-kept || other.Free != machine {
-			t.Fatalf("%d of %d left with %d kept; another zone's machine has %v", left, slots, kept, other.Free)
+		if left != slots-reserved || other.Free != machine {
+			t.Fatalf("%d of %d left with %d reserved; another zone's machine has %v", left, slots, reserved, other.Free)
 		}
 	})
 }
--- a/internal/zonehealth/zonehealth_test.go
+++ b/internal/zonehealth/judge_test.go
@@ -51,14 +51,14 @@
 // checkStep checks what may change from one record to the next.
 func checkStep(t *rapid.T, before, after *Record, hasObserver bool) {
 	if after.Transitions < before.Transitions {
-		t.Fatalf("the number falls from %d to %d", before.Transitions, after.Transitions)
+		t.Fatalf("the number of transitions falls from %d to %d", before.Transitions, after.Transitions)
 	}
 	if after.State == Down && before.State != Down && !hasObserver {
-		t.Fatal("down without a witness")
+		t.Fatal("down without an observer")
 	}
 	turned := after.State != before.State && (after.Restricts() || before.State == Down)
 	if turned && after.Transitions == before.Transitions {
-		t.Fatalf("%s to %s under the same number", before.State, after.State)
+		t.Fatalf("%s to %s without a transition counted", before.State, after.State)
 	}
 	if after.Restricts() && after.SlowStartShare > testLimits().FirstShare {
 		t.Fatalf("a slow start begins with %g", after.SlowStartShare)
@@ -66,7 +66,7 @@
 }
 
 // Three controllers see machines lost and found in any order, read late, write with old
-// views and lose their witness: the number only rises, nobody without a witness has the
+// views and lose their observer: the number of transitions only rises, nobody without an observer has the
 // zone down, each failure soon after another halves the slow start, and once nothing more
 // happens the zone is open to all work within three times the longest a state lasts.
 func TestAnyOrder(t *testing.T) {
@@ -89,7 +89,7 @@
 					c.observation.Waiting = []Demand{{Need: [3]float64{4, 1, 29}, Tasks: all - up}}
 				}
 			case 1:
-				c.hasObserver = rapid.Bool().Draw(t, "witness")
+				c.hasObserver = rapid.Bool().Draw(t, "observer")
 			case 2:
 				c.catchUp(s)
 			case 3:
@@ -118,7 +118,7 @@
 	})
 }
 
-// sequence plays what one owner sees and lists the states that follow.
+// sequence returns the record after what one leader observes, and the states on the way.
 func sequence(hasObserver bool, observations ...Observation) (r Record, states []State) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, s := range observations {
@@ -136,12 +136,12 @@
 	well, lost, half := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
 	few := Observation{Up: 4, Lost: 16}
 	for _, x := range []struct {
-		name    string
-		witness bool
-		sights  []Observation
-		states  []State
-		number  uint64
-		start   float64
+		name           string
+		hasObserver    bool
+		observations   []Observation
+		states         []State
+		transitions    uint64
+		slowStartShare float64
 	}{
 		{"down and back", true, []Observation{well, lost, lost, well}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
 		{"half returns", true, []Observation{well, lost, lost, half, half}, []State{"", Suspect, Down, Recovering, Recovering}, 2, 1. / 16},
@@ -157,47 +157,54 @@
 		{"two machines", true, []Observation{{Lost: 2}, {Lost: 2}}, []State{"", ""}, 0, 0},
 		{"all given up", true, []Observation{lost, lost, {}}, []State{Suspect, Down, Recovering}, 2, 1. / 16},
 		{
-			"a new owner has heard of nobody yet", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Lost: 5}, lost},
+			"a new leader has heard of nobody yet", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Lost: 5}, lost},
 			[]State{Suspect, Down, Down, Down, Down}, 1, 1. / 16,
 		},
 		{
-			"a new owner hears of some", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
+			"a new leader hears of some", true, []Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
 			[]State{Suspect, Down, Down, Recovering}, 2, 1. / 16,
 		},
 	} {
-		r, states := sequence(x.witness, x.sights...)
-		if d := cmp.Diff(x.states, states); d != "" {
-			t.Errorf("%s: %s", x.name, d)
-		}
-		if r.Transitions != x.number || r.SlowStartShare != x.start {
-			t.Errorf("%s: number %d, start %g", x.name, r.Transitions, r.SlowStartShare)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			r, states := sequence(x.hasObserver, x.observations...)
+			if d := cmp.Diff(x.states, states); d != "" {
+				t.Error(d)
+			}
+			if r.Transitions != x.transitions || r.SlowStartShare != x.slowStartShare {
+				t.Errorf("%d transitions, slow start with %g", r.Transitions, r.SlowStartShare)
+			}
+		})
 	}
 }
 
 // A slow start opens the zone step by step, the same for all who read the record.
-func TestWindow(t *testing.T) {
+func TestAdmissionShare(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
-	r := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
-	back := r.WithObservation("n0", Observation{Up: 9, Lost: 1})
-	if got := back.AdmissionShare(at.Add(4*time.Second), testLimits()); got != 1./2 {
-		t.Errorf("with all back and nothing waiting: %g after 4 s, not a half", got)
-	}
-	r = r.WithObservation("n0", Observation{Lost: 1, Waiting: []Demand{{Need: [3]float64{4, 1, 29}, Tasks: 1}}})
+	recovering := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
+	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: [3]float64{4, 1, 29}, Tasks: 1}}}
+	served := recovering.WithObservation("n0", Observation{Up: 9, Lost: 1})
+	unserved := recovering.WithObservation("n0", waiting)
 	for _, x := range []struct {
-		after time.Duration
-		share float64
+		name   string
+		record Record
+		after  time.Duration
+		share  float64
 	}{
-		{-time.Second, 1. / 16}, {0, 1. / 16}, {5 * time.Second, 1. / 8}, {11 * time.Second, 1. / 4}, {20 * time.Second, 1},
-		{time.Hour, 1},
+		{"nearly all back, nothing waits", served, 4 * time.Second, 1. / 2},
+		{"before the start, by another clock", unserved, -time.Second, 1. / 16},
+		{"at the start", unserved, 0, 1. / 16},
+		{"doubled once", unserved, 5 * time.Second, 1. / 8},
+		{"doubled twice", unserved, 11 * time.Second, 1. / 4},
+		{"open", unserved, 20 * time.Second, 1},
+		{"long open", unserved, time.Hour, 1},
+		{"down", Record{State: Down}, 0, 0},
+		{"healthy", Record{}, 0, 1},
 	} {
-		if got := r.AdmissionShare(at.Add(x.after), testLimits()); got != x.share {
-			t.Errorf("after %v: %g, not %g", x.after, got, x.share)
-		}
-	}
-	down, healthy := Record{State: Down}, Record{}
-	if down.AdmissionShare(at, testLimits()) != 0 || healthy.AdmissionShare(at, testLimits()) != 1 {
-		t.Error("down lets work in, or healthy keeps it out")
+		t.Run(x.name, func(t *testing.T) {
+			if got := x.record.AdmissionShare(at.Add(x.after), testLimits()); got != x.share {
+				t.Errorf("%g, not %g", got, x.share)
+			}
+		})
 	}
 }
 
--- /dev/null
+++ b/internal/zonehealth/observation.go
@@ -0,0 +1,37 @@
+package zonehealth
+
+import "slices"
+
+// Demand is production work that waits for lost machines of the zone: a number of tasks of one
+// size.
+type Demand struct {
+	Need  [3]float64 `json:"r"` // processors, accelerators, memory
+	Spot  bool       `json:"l,omitempty"`
+	Tasks int        `json:"n"`
+}
+
+// Observation is what the leader of a shard observes of its machines in the zone.
+type Observation struct {
+	Up      int      `json:"u"`
+	Lost    int      `json:"x"`
+	Unclear int      `json:"c,omitempty"` // a new leader has not heard from them yet
+	Refused bool     `json:"f,omitempty"` // the cloud rents nothing there
+	Waiting []Demand `json:"w,omitempty"`
+}
+
+// Equal reports whether two observations say the same.
+func (o Observation) Equal(other Observation) bool {
+	return o.Up == other.Up && o.Lost == other.Lost && o.Unclear == other.Unclear && o.Refused == other.Refused &&
+		slices.Equal(o.Waiting, other.Waiting)
+}
+
+// LostShare returns the share of the machines that are lost, the unclear ones aside.
+func (o Observation) LostShare() float64 {
+	if o.Lost == 0 {
+		return 0
+	}
+	return float64(o.Lost) / float64(o.Up+o.Lost)
+}
+
+// Empty reports whether the shard has no machines in the zone and no demand for them.
+func (o Observation) Empty() bool { return o.Up+o.Lost+o.Unclear == 0 && len(o.Waiting) == 0 }
