--- /dev/null
+++ b/internal/simulator/cloud_client.go
@@ -0,0 +1,87 @@
+package simulator
+
+import (
+	"context"
+
+	"violetturn/internal/cloud"
+)
+
+// Facts of the one machine type that no test varies.
+const (
+	fetchGBPerS = 1
+	price       = 3
+	spotPrice   = 1
+)
+
+// CloudClient is the cloud as one node reaches it.
+type CloudClient struct {
+	C    *Cloud
+	Node string
+}
+
+// available reports whether a request of the node is served.
+func (c *CloudClient) available() bool { return !c.C.Down && !c.C.Unreachable[c.Node] }
+
+// MachineTypes returns the machine types.
+func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
+	if !c.available() {
+		return nil, cloud.ErrUnavailable
+	}
+	m := c.C.w.MachineType
+	return []cloud.MachineType{{
+		Name:        m.Name,
+		CPUs:        m.CPUs,
+		GPUs:        m.GPUs,
+		MemGB:       m.MemGB,
+		FetchGBPerS: fetchGBPerS,
+		Price:       price,
+		SpotPrice:   spotPrice,
+		BootS:       m.Boot.Seconds(),
+		Zones:       c.C.w.Zones,
+	}}, nil
+}
+
+// Rent rents machines. A request that was carried out before, by its name, rents nothing
+// more and gets the same response.
+func (c *CloudClient) Rent(_ context.Context, r cloud.RentalRequest) ([]string, error) {
+	fault := c.C.takeNext(c.Node)
+	if !c.available() || fault == LoseBefore {
+		return nil, cloud.ErrUnavailable
+	}
+	if hosts, ok := c.C.rentals[r.Name]; ok {
+		return hosts, nil
+	}
+	if c.C.Full {
+		return nil, cloud.ErrNoCapacity
+	}
+	hosts := c.C.rent(r)
+	if fault != None {
+		return nil, cloud.ErrUnavailable
+	}
+	return hosts, nil
+}
+
+// Return returns machines to the cloud, which ends them.
+func (c *CloudClient) Return(_ context.Context, hosts []string) error {
+	fault := c.C.takeNext(c.Node)
+	if !c.available() || fault == LoseBefore {
+		return cloud.ErrUnavailable
+	}
+	for _, h := range hosts {
+		c.C.Kill(h)
+	}
+	if fault != None {
+		return cloud.ErrUnavailable
+	}
+	return nil
+}
+
+// Page returns a page of the list of machines, which lags behind what there is.
+func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
+	if !c.available() {
+		return nil, false, cloud.ErrUnavailable
+	}
+	c.C.Pages++
+	hosts, truncated = c.C.page(since, cloud.MaxPage)
+	return hosts, truncated, nil
+}
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -1,19 +1,19 @@
 package simulator
 
 import (
-	"fmt"
-	"math/rand/v2"
 	"time"
 
-	"violetturn/internal/api"
 	"violetturn/internal/config"
 )
 
+// listLag is by how much the cloud's list lags in a deployment.
+const listLag = 5 * time.Second
+
 // Deployment is the size and the load of a simulated deployment.
 type Deployment struct {
 	Name                        string
-	HeartbeatS, LeaseS, CancelS float64
-	Boot, Fetch                 time.Duration
+	HeartbeatS, LeaseS, CancelS float64       // seconds
+	Boot, Fetch                 time.Duration // of a machine, of an image
 	MachineType                 MachineType
 	State                       config.StateLimits
 	TeamGPUs                    float64 // of each team at most; 0: no limit
@@ -24,16 +24,16 @@
 type Class struct {
 	Name      string
 	Service   bool
-	Initial   int     // jobs that are there from the start
-	PerSecond float64 // and that come then
-	Tasks     int     // on the mean
+	Initial   int     // jobs that are submitted at the start
+	PerSecond float64 // jobs that are submitted each second from then on
+	Tasks     int     // of a job, on the mean
 	CPUs      float64
 	MemGB     float64
 	RunTime   time.Duration // of a task, or until a service is cancelled
 	Images    int
 }
 
-// Large is of the size of a grown deployment of some two thousand machines and three
+// Large returns a deployment of the size of a grown deployment of some two thousand machines and three
 // controllers.
 func Large() *Deployment {
 	return &Deployment{
@@ -56,7 +56,7 @@
 	}
 }
 
-// Huge is of some four thousand machines and three controllers, on a state service of the
+// Huge returns a deployment of some four thousand machines and three controllers, on a state service of the
 // grown deployments' rates, with long tasks.
 func Huge() *Deployment {
 	return &Deployment{
@@ -88,7 +88,7 @@
 	}
 }
 
-// Small is of the size of a grown deployment of some three hundred machines, whose
+// Small returns a deployment of the size of a grown deployment of some three hundred machines, whose
 // workers report often.
 func Small() *Deployment {
 	return &Deployment{
@@ -110,38 +110,13 @@
 	}
 }
 
-// World makes the world of the deployment.
+// World returns the world of the deployment.
 func (d *Deployment) World(start time.Time) *World {
 	w := New(start)
 	w.MachineType = d.MachineType
 	w.MachineType.Boot, w.MachineType.Fetch = d.Boot, d.Fetch
 	w.Zones = []string{"x", "y", "z"}
-	w.Lease, w.CancelS = time.Duration(d.LeaseS*float64(time.Second)), time.Duration(d.CancelS*float64(time.Second))
-	w.ListLag = 5 * time.Second
+	w.Lease, w.CancelS = seconds(d.LeaseS), seconds(d.CancelS)
+	w.ListLag = listLag
 	return w
 }
-
-// NewJob makes job n of a class, and tells how long it runs.
-func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
-	run := api.Job{UID: fmt.Sprintf("run-%06d", n), Class: c.Name, Team: []string{"a", "b"}[n%2], Kind: api.Array, Priority: "standard",
-		Tasks: 1 + rnd.IntN(
-			2*c.Tasks,
-		), CPUs: c.CPUs, GPUs: 1, MemGB: c.MemGB, Image: fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images)), ImageGB: 4,
-		Spot: true, EstimateS: c.RunTime.Seconds(), CheckpointS: 30, SaveS: 2}
-	if c.Service {
-		run.Kind, run.Priority, run.Spot, run.Spread = api.Service, "production", false, true
-		run.EstimateS, run.CheckpointS, run.SaveS = 0, 0, 0
-	}
-	return run, time.Duration(float64(c.RunTime) * (0.5 + rnd.Float64()))
-}
-
-// Submission is the body with which a user submits a job.
-func Submission(r *api.Job) []byte {
-	m := map[string]any{"uid": r.UID, "lane": r.Class, "owner": r.Team, "shape": r.Kind, "rank": r.Priority, "pieces": r.Tasks,
-		"cpus": r.CPUs, "gpus": r.GPUs, "memGb": r.MemGB, "bundle": r.Image, "sizeGb": r.ImageGB, "together": r.Together,
-		"scatter": r.Spread, "loaners": r.Spot, "guessS": r.EstimateS, "bookmarkS": r.CheckpointS, "stowS": r.SaveS}
-	if r.Zone != "" {
-		m["site"] = r.Zone
-	}
-	return api.JSON(m)
-}
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -1,202 +1,245 @@
 package simulator
 
 import (
+	"maps"
 	"slices"
 	"time"
 
 	"violetturn/internal/api"
 )
 
-// gangProgress is how a job's tasks run that start together.
+// gangProgress is the progress of a job whose tasks start together.
 type gangProgress struct {
-	saved time.Duration // progress that is safe
-	runs  map[uint64]*gangAttempt
-	last  uint64 // the highest attempt whose tasks were launched
+	saved       time.Duration // progress that is safe
+	attempts    map[uint64]*gangAttempt
+	lastAttempt uint64 // the highest number whose tasks were launched
 }
 
 // gangAttempt is an attempt whose tasks have all started.
 type gangAttempt struct {
-	since      time.Time     // when
-	from       time.Duration // with what progress
-	broken     time.Time     // when a task of it went, or stopped being executed; zero: none did
-	stopped    time.Time     // when the first task was told to stop and save
-	toldToStop map[int]bool
-	ended      bool
-	cause      string // why
+	startedAt       time.Time
+	initialProgress time.Duration
+	brokenAt        time.Time    // when a task of it was lost, or stopped being executed; zero: none was
+	stopRequestedAt time.Time    // when the first task was told to stop and save; zero: none was
+	stopping        map[int]bool // the tasks that were told so
+	ended           bool
+	cause           string // of the end
+}
+
+// placedTask is a task with the worker that it is on.
+type placedTask struct {
+	*Task
+	worker *Worker
 }
 
 // gangTasks returns the tasks of an attempt that are on machines.
-func (w *World) gangTasks(uid string, try uint64) (tasks []*Task, on []*Worker) {
+func (w *World) gangTasks(uid string, attempt uint64) []placedTask {
+	var tasks []placedTask
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
-			if t.uid == uid && t.attempt == try && t.phase != api.Ended {
-				tasks, on = append(tasks, t), append(on, x)
+			if t.uid == uid && t.attempt == attempt && t.phase != api.Ended {
+				tasks = append(tasks, placedTask{t, x})
 			}
 		}
 	}
-	return tasks, on
+	return tasks
 }
 
-// tickGangs lets the tasks of gangs find each other, run, and notice who is gone.
+// tickGangs lets the tasks of gangs find each other, run, and notice who is lost.
 func (w *World) tickGangs() {
-	for _, uid := range slices.Sorted(func(yield func(string) bool) {
-		for u := range w.Jobs {
-			if !yield(u) {
-				return
-			}
+	for _, uid := range slices.Sorted(maps.Keys(w.Jobs)) {
+		j := w.Jobs[uid]
+		if j.Spec.Kind != api.Gang {
+			continue
 		}
-	}) {
-		if j := w.Jobs[uid]; j.Spec.Kind == api.Gang {
-			for try := uint64(1); try <= j.gang.last; try++ {
-				w.tickGangAttempt(j, try)
-			}
+		for attempt := uint64(1); attempt <= j.gang.lastAttempt; attempt++ {
+			w.tickGangAttempt(j, attempt)
 		}
 	}
 }
 
-func (w *World) tickGangAttempt(j *Job, try uint64) {
-	tasks, on := w.gangTasks(j.Spec.UID, try)
+// tickGangAttempt advances one attempt of a gang.
+func (w *World) tickGangAttempt(j *Job, number uint64) {
+	tasks := w.gangTasks(j.Spec.UID, number)
 	if len(tasks) == 0 {
 		return
 	}
-	if j.gang.runs == nil {
-		j.gang.runs = map[uint64]*gangAttempt{}
+	if j.gang.attempts == nil {
+		j.gang.attempts = map[uint64]*gangAttempt{}
 	}
-	run := j.gang.runs[try]
-	if run == nil {
-		w.gather(j, try, tasks, on)
-		return
-	}
-	if run.ended {
-		// A machine that forgot its tasks with its lease may start them once more under
+	attempt := j.gang.attempts[number]
+	switch {
+	case attempt == nil:
+		w.gather(j, number, tasks)
+	case attempt.ended:
+		// A machine that lost its tasks with its lease may start them once more under
 		// the same number, when a leader that can't know it takes them for never started.
-		for i, t := range tasks { // one that stood still goes on, and sees that it is over
-			if t.phase == api.Running && !on[i].Hung {
-				t.phase, t.cause = api.Ended, run.cause
-			}
-		}
-		w.gather(j, try, tasks, on)
-		return
+		attempt.endRunning(tasks)
+		w.gather(j, number, tasks)
+	default:
+		w.runAttempt(j, attempt, tasks)
 	}
-	stop := w.Now
-	if !run.broken.IsZero() {
-		stop = run.broken
+}
+
+// gather lets an attempt start when all its tasks have their images, and ends the tasks that
+// have waited too long for the others.
+func (w *World) gather(j *Job, number uint64, tasks []placedTask) {
+	ready := map[int]bool{}
+	for _, t := range tasks {
+		if t.phase == api.Gathering && !t.worker.Hung {
+			ready[t.index] = true
+		}
 	}
-	if !run.stopped.IsZero() && run.stopped.Before(stop) {
-		stop = run.stopped
+	if len(ready) == j.Spec.Tasks {
+		w.startAttempt(j, number, tasks)
+		return
 	}
-	progress := run.from + stop.Sub(run.since)
-	fall := func() time.Duration { // to the last checkpoint
-		if j.Spec.CheckpointS <= 0 {
-			return j.gang.saved
-		}
-		b := time.Duration(j.Spec.CheckpointS * float64(time.Second))
-		return max(j.gang.saved, progress/b*b)
-	}
-	end := func(cause string, saved bool) {
-		run.ended, run.cause = true, cause
-		for i, t := range tasks {
-			if !on[i].Hung {
-				t.phase, t.cause, t.saved = api.Ended, cause, saved
-			}
+	for _, t := range tasks {
+		if t.phase == api.Gathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangWait {
+			t.end(api.CauseGangIncomplete)
 		}
 	}
-	alive := 0
-	for i := range tasks {
-		if !on[i].Hung {
-			alive++
+}
+
+// startAttempt lets the gathered tasks of an attempt run, from the progress that is safe.
+func (w *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
+	for _, t := range tasks {
+		if t.phase == api.Gathering {
+			t.phase, t.since = api.Running, w.Now
 		}
 	}
-	if run.broken.IsZero() && (alive < j.Spec.Tasks) {
-		run.broken = w.Now
+	progress := j.gang.saved
+	if len(j.Done) == j.Spec.Tasks { // the result is kept
+		progress = j.RunTime
+	}
+	j.gang.attempts[number] = &gangAttempt{startedAt: w.Now, initialProgress: progress, stopping: map[int]bool{}}
+}
+
+// runAttempt advances an attempt that has started and not ended.
+func (w *World) runAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
+	progress := attempt.progress(w.Now)
+	if attempt.brokenAt.IsZero() && responsive(tasks) < j.Spec.Tasks {
+		attempt.brokenAt = w.Now
 	}
 	switch {
-	case !run.broken.IsZero():
-		if w.Now.Sub(run.broken) >= w.GangPeer {
-			j.gang.saved = fall()
-			end(api.CausePeerLost, false)
-		}
-	case !run.stopped.IsZero():
-		if len(run.toldToStop) == j.Spec.Tasks {
-			if w.Now.Sub(run.stopped) >= time.Duration(j.Spec.SaveS*float64(time.Second)) {
-				j.gang.saved = max(j.gang.saved, progress)
-				end(api.CauseStopped, true)
-			}
-		} else if w.Now.Sub(run.stopped) >= w.GangPeer {
-			j.gang.saved = fall()
-			end(api.CausePeerLost, false)
+	case !attempt.brokenAt.IsZero():
+		if w.Now.Sub(attempt.brokenAt) >= w.GangPeer {
+			j.gang.saved = j.lastCheckpoint(progress)
+			attempt.end(tasks, api.CausePeerLost, false)
 		}
+	case !attempt.stopRequestedAt.IsZero():
+		w.stopAttempt(j, attempt, tasks, progress)
 	case progress >= j.RunTime:
 		for i := range j.Spec.Tasks {
-			j.Done[i] = true
-			if w.OnTaskDone != nil {
-				w.OnTaskDone(j.Spec.UID)
-			}
+			w.taskDone(j, i)
 		}
-		end(api.CauseDone, false)
+		attempt.end(tasks, api.CauseDone, false)
 	}
 }
 
-// gather lets an attempt start when all its tasks have their images.
-func (w *World) gather(j *Job, try uint64, tasks []*Task, on []*Worker) {
-	ready := map[int]bool{}
-	for i, t := range tasks {
-		if t.phase == api.Gathering && !on[i].Hung {
-			ready[t.index] = true
-		}
+// stopAttempt ends an attempt that was told to stop: with its progress saved once all tasks
+// were told and had their time, or as broken if some were not told in time.
+func (w *World) stopAttempt(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
+	stopping := w.Now.Sub(attempt.stopRequestedAt)
+	allTold := len(attempt.stopping) == j.Spec.Tasks
+	switch {
+	case allTold && stopping >= seconds(j.Spec.SaveS):
+		j.gang.saved = max(j.gang.saved, progress)
+		attempt.end(tasks, api.CauseStopped, true)
+	case !allTold && stopping >= w.GangPeer:
+		j.gang.saved = j.lastCheckpoint(progress)
+		attempt.end(tasks, api.CausePeerLost, false)
 	}
-	if len(ready) == j.Spec.Tasks {
-		for _, t := range tasks {
-			if t.phase == api.Gathering {
-				t.phase, t.since = api.Running, w.Now
-			}
+}
+
+// progress returns how far the attempt has come. It makes none once it is broken or stops.
+func (a *gangAttempt) progress(now time.Time) time.Duration {
+	until := now
+	if !a.brokenAt.IsZero() {
+		until = a.brokenAt
+	}
+	if !a.stopRequestedAt.IsZero() && a.stopRequestedAt.Before(until) {
+		until = a.stopRequestedAt
+	}
+	return a.initialProgress + until.Sub(a.startedAt)
+}
+
+// end ends the attempt, and those of its tasks whose workers execute anything.
+func (a *gangAttempt) end(tasks []placedTask, cause string, saved bool) {
+	a.ended, a.cause = true, cause
+	for _, t := range tasks {
+		if !t.worker.Hung {
+			t.end(cause)
+			t.saved = saved
 		}
-		j.gang.runs[try] = &gangAttempt{since: w.Now, from: j.gang.saved, toldToStop: map[int]bool{}}
-		if len(j.Done) == j.Spec.Tasks { // the result is kept
-			j.gang.runs[try].from = j.RunTime
+	}
+}
+
+// endRunning ends the tasks of an ended attempt that still run: their workers were hung when
+// it ended.
+func (a *gangAttempt) endRunning(tasks []placedTask) {
+	for _, t := range tasks {
+		if t.phase == api.Running && !t.worker.Hung {
+			t.end(a.cause)
 		}
-		return
 	}
-	for i, t := range tasks {
-		if t.phase == api.Gathering && !on[i].Hung && w.Now.Sub(t.since) >= w.GangWait {
-			t.phase, t.cause = api.Ended, api.CauseGangIncomplete
+}
+
+// responsive returns the number of tasks whose workers execute anything.
+func responsive(tasks []placedTask) int {
+	n := 0
+	for _, t := range tasks {
+		if !t.worker.Hung {
+			n++
 		}
 	}
+	return n
 }
 
-// stopGangTask tells a task of a gang to stop.
-func (x *Worker) stopGangTask(t *Task, leeway *float64) {
+// lastCheckpoint returns the progress that a broken attempt leaves.
+func (j *Job) lastCheckpoint(progress time.Duration) time.Duration {
+	if j.Spec.CheckpointS <= 0 {
+		return j.gang.saved
+	}
+	interval := seconds(j.Spec.CheckpointS)
+	return max(j.gang.saved, progress/interval*interval)
+}
+
+// stopGangTask tells a task of a gang to stop. The gang saves its progress if it can and the
+// grace is enough; then its tasks end together.
+func (x *Worker) stopGangTask(t *Task, graceS *float64) {
 	j := t.job
-	run := j.gang.runs[t.attempt]
-	if run == nil || run.ended || t.phase != api.Running {
-		t.phase, t.cause = api.Ended, api.CauseStopped
+	attempt := j.gang.attempts[t.attempt]
+	if attempt == nil || attempt.ended || t.phase != api.Running {
+		t.end(api.CauseStopped)
 		return
 	}
-	if j.Spec.CheckpointS > 0 && leeway != nil && *leeway >= j.Spec.SaveS && run.broken.IsZero() {
-		if run.stopped.IsZero() {
-			run.stopped = x.w.Now
-		}
-		if x.w.Now.Sub(run.stopped) <= x.w.GangPeer {
-			run.toldToStop[t.index] = true
-		}
+	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.brokenAt.IsZero()
+	if !canSave {
+		t.end(api.CauseStopped)
 		return
 	}
-	t.phase, t.cause = api.Ended, api.CauseStopped
+	if attempt.stopRequestedAt.IsZero() {
+		attempt.stopRequestedAt = x.w.Now
+	}
+	if x.w.Now.Sub(attempt.stopRequestedAt) <= x.w.GangPeer {
+		attempt.stopping[t.index] = true
+	}
 }
 
 // launchGangTask checks the launch of a task of a gang: a lower attempt than one that was
 // launched before, or one beside another that is still there, mixes two attempts up.
-func (w *World) launchGangTask(j *Job, i int, try uint64) {
-	name := api.TaskName(j.Spec.UID, i)
-	if try < j.gang.last {
-		w.Violate("attempts", "%s starts as attempt %d after %d", name, try, j.gang.last)
+func (w *World) launchGangTask(j *Job, index int, attempt uint64) {
+	name := api.TaskName(j.Spec.UID, index)
+	if attempt < j.gang.lastAttempt {
+		w.Violate(RuleAttempts, "%s starts as attempt %d after %d", name, attempt, j.gang.lastAttempt)
 	}
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
-			if t.uid == j.Spec.UID && t.attempt != try && t.phase != api.Ended {
-				w.Violate("attempts", "%s starts as attempt %d beside attempt %d of task %d on %s", name, try, t.attempt, t.index, x.Host)
+			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.Ended {
+				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s", name, attempt, t.attempt, t.index, x.Host)
 			}
 		}
 	}
-	j.gang.last = max(j.gang.last, try)
+	j.gang.lastAttempt = max(j.gang.lastAttempt, attempt)
 }
--- /dev/null
+++ b/internal/simulator/users.go
@@ -0,0 +1,87 @@
+package simulator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"violetturn/internal/api"
+)
+
+// teams are the teams whose users submit jobs, in turn.
+var teams = [...]string{"a", "b"}
+
+// NewJob returns the n-th job of a class and how long each of its tasks runs. It draws from
+// rnd in a fixed order.
+func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
+	tasks := 1 + rnd.IntN(2*c.Tasks)
+	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
+	j := api.Job{
+		UID:         fmt.Sprintf("run-%06d", n),
+		Class:       c.Name,
+		Team:        teams[n%len(teams)],
+		Kind:        api.Array,
+		Priority:    "standard",
+		Tasks:       tasks,
+		CPUs:        c.CPUs,
+		GPUs:        1,
+		MemGB:       c.MemGB,
+		Image:       image,
+		ImageGB:     4,
+		Spot:        true,
+		EstimateS:   c.RunTime.Seconds(),
+		CheckpointS: 30,
+		SaveS:       2,
+	}
+	if c.Service {
+		j.Kind, j.Priority, j.Spot, j.Spread = api.Service, "production", false, true
+		j.EstimateS, j.CheckpointS, j.SaveS = 0, 0, 0
+	}
+	return j, time.Duration(float64(c.RunTime) * (0.5 + rnd.Float64()))
+}
+
+// submissionBody is the body with which a user submits a job.
+type submissionBody struct {
+	UID         string  `json:"uid"`
+	Class       string  `json:"lane"`
+	Team        string  `json:"owner"`
+	Kind        string  `json:"shape"`
+	Priority    string  `json:"rank"`
+	Tasks       int     `json:"pieces"`
+	CPUs        float64 `json:"cpus"`
+	GPUs        float64 `json:"gpus"`
+	MemGB       float64 `json:"memGb"`
+	Image       string  `json:"bundle"`
+	ImageGB     float64 `json:"sizeGb"`
+	Zone        string  `json:"site,omitempty"`
+	Together    bool    `json:"together"`
+	Spread      bool    `json:"scatter"`
+	Spot        bool    `json:"loaners"`
+	EstimateS   float64 `json:"guessS"`
+	CheckpointS float64 `json:"bookmarkS"`
+	SaveS       float64 `json:"stowS"`
+}
+
+// Submission returns the body with which a user submits a job.
+func Submission(j *api.Job) []byte {
+	return api.JSON(submissionBody{
+		UID:         j.UID,
+		Class:       j.Class,
+		Team:        j.Team,
+		Kind:        j.Kind,
+		Priority:    j.Priority,
+		Tasks:       j.Tasks,
+		CPUs:        j.CPUs,
+		GPUs:        j.GPUs,
+		MemGB:       j.MemGB,
+		Image:       j.Image,
+		ImageGB:     j.ImageGB,
+		Zone:        j.Zone,
+		Together:    j.Together,
+		Spread:      j.Spread,
+		Spot:        j.Spot,
+		EstimateS:   j.EstimateS,
+		CheckpointS: j.CheckpointS,
+		SaveS:       j.SaveS,
+	})
+}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -1,47 +1,69 @@
 package simulator
 
 import (
-	"encoding/json"
-	"fmt"
-	"slices"
-	"strings"
 	"time"
 
 	"violetturn/internal/api"
 )
 
-// Worker is a machine's worker.
-type Worker struct {
-	w                             *World
+// Machine is a machine as the cloud rented it.
+type Machine struct {
 	Host, Addr, MachineType, Zone string
 	Spot                          bool
-	AgentEpoch, Sequence, Token   uint64
-	Tasks                         []*Task
-	Node                          int  // the controller it reports to
-	Partitioned                   bool // no message passes, either way
-	InboundLost                   bool // its reports arrive, answers and commands don't reach it
-	OutboundLost                  bool // its reports reach nobody, while direct commands reach it
-	Hung                          bool // it executes nothing and says nothing, but may go on
-	SpotNoticeS                   *float64
+}
+
+// AgentState is what a worker says of itself and of its sequence of messages.
+type AgentState struct {
+	AgentEpoch  uint64 // rises when its lease ends
+	Sequence    uint64 // of its last heartbeat
+	Token       uint64 // highest fencing token that it obeyed
+	SpotNoticeS *float64
+}
+
+// Worker is a machine's worker.
+type Worker struct {
+	Machine
+	AgentState
+	WorkerFaults
+	Tasks []*Task
+	Node  int // the controller that it reports to
 
+	w                            *World
 	rentedAt, upAt, terminatedAt time.Time
-	renewedAt                    time.Time // when its last answered report was sent
-	epochStartedAt               time.Time // when the session began
+	renewedAt                    time.Time // when the last heartbeat that was answered was sent
+	epochStartedAt               time.Time // when the agent epoch began
+}
+
+// newWorker returns the worker of a machine that is rented now.
+func newWorker(w *World, m Machine) *Worker {
+	return &Worker{
+		Machine:    m,
+		AgentState: AgentState{AgentEpoch: 1},
+		w:          w,
+		rentedAt:   w.Now,
+		upAt:       w.Now.Add(w.MachineType.Boot),
+	}
 }
 
 // Task is an attempt on a machine.
 type Task struct {
-	uid       string
+	uid       string // of the job
 	job       *Job
 	index     int
 	attempt   uint64
 	phase     string
-	cause     string
-	since     time.Time
+	cause     string    // of the end
+	since     time.Time // when the phase began
 	saveUntil time.Time
 	saved     bool
 }
 
+// name returns the name of the task.
+func (t *Task) name() string { return api.TaskName(t.uid, t.index) }
+
+// end ends the task.
+func (t *Task) end(cause string) { t.phase, t.cause = api.Ended, cause }
+
 // isOnMachine reports whether the task is on its machine in the sense of the rules.
 func (t *Task) isOnMachine() bool {
 	return t.phase == api.Running || t.phase == api.Saving || t.phase == api.Gathering
@@ -50,6 +72,7 @@
 // Up reports whether the machine has booted.
 func (x *Worker) Up() bool { return !x.w.Now.Before(x.upAt) }
 
+// tick ends the worker's lease if its time is over, and else advances its tasks.
 func (x *Worker) tick() {
 	if !x.Up() {
 		return
@@ -57,11 +80,7 @@
 	if x.epochStartedAt.IsZero() {
 		x.epochStartedAt = x.w.Now
 	}
-	last := x.epochStartedAt
-	if x.renewedAt.After(last) {
-		last = x.renewedAt
-	}
-	if x.w.Now.Sub(last) > x.w.Lease {
+	if x.leaseExpired() {
 		x.Tasks = nil
 		x.AgentEpoch++
 		x.epochStartedAt, x.renewedAt = x.w.Now, time.Time{}
@@ -71,22 +90,41 @@
 		return
 	}
 	for _, t := range x.Tasks {
-		j := t.job
-		switch {
-		case t.phase == api.Fetching && x.w.Now.Sub(t.since) >= x.w.MachineType.Fetch:
-			t.phase, t.since = api.Running, x.w.Now
-			if j.Spec.Kind == api.Gang {
-				t.phase = api.Gathering
-			}
-			x.w.taskStarted(x, t)
-		case t.phase == api.Running && j.Spec.Kind == api.Array && x.w.Now.Sub(t.since) >= j.RunTime+time.Duration(t.index)*j.Step:
-			t.phase, t.cause = api.Ended, api.CauseDone
-			j.Done[t.index] = true
-			if x.w.OnTaskDone != nil {
-				x.w.OnTaskDone(t.uid)
-			}
-		case t.phase == api.Saving && !x.w.Now.Before(t.saveUntil):
-			t.phase, t.cause = api.Ended, api.CauseStopped
+		x.tickTask(t)
+	}
+}
+
+// leaseExpired reports whether the worker's lease, from its last renewal or from the start
+// of its epoch, is over.
+func (x *Worker) leaseExpired() bool {
+	last := x.epochStartedAt
+	if x.renewedAt.After(last) {
+		last = x.renewedAt
+	}
+	return x.w.Now.Sub(last) > x.w.Lease
+}
+
+// tickTask advances a task. Gangs run in tickGangs.
+func (x *Worker) tickTask(t *Task) {
+	inPhase := x.w.Now.Sub(t.since)
+	switch t.phase {
+	case api.Fetching:
+		if inPhase < x.w.MachineType.Fetch {
+			return
+		}
+		t.phase, t.since = api.Running, x.w.Now
+		if t.job.Spec.Kind == api.Gang {
+			t.phase = api.Gathering
+		}
+		x.w.taskStarted(x, t)
+	case api.Running:
+		if t.job.Spec.Kind == api.Array && inPhase >= t.job.RunTime+time.Duration(t.index)*t.job.Step {
+			t.end(api.CauseDone)
+			x.w.taskDone(t.job, t.index)
+		}
+	case api.Saving:
+		if !x.w.Now.Before(t.saveUntil) {
+			t.end(api.CauseStopped)
 		}
 	}
 }
@@ -102,7 +140,7 @@
 	return out
 }
 
-// Room is what the machine's tasks leave.
+// Room returns what the machine's tasks leave of its CPUs and GPUs.
 func (x *Worker) Room() (cpus, gpus float64) {
 	cpus, gpus = x.w.MachineType.CPUs, x.w.MachineType.GPUs
 	for _, t := range x.Tasks {
@@ -113,127 +151,3 @@
 	}
 	return cpus, gpus
 }
-
-// Heartbeat makes a heartbeat.
-func (x *Worker) Heartbeat() *api.Heartbeat {
-	x.Sequence++
-	c := &api.Heartbeat{
-		Host:        x.Host,
-		Addr:        x.Addr,
-		MachineType: x.MachineType,
-		Zone:        x.Zone,
-		Spot:        x.Spot,
-		AgentEpoch:  x.AgentEpoch,
-		Sequence:    x.Sequence,
-		Token:       x.Token,
-		SpotNoticeS: x.SpotNoticeS,
-		Tasks:       []api.TaskState{},
-	}
-	for _, t := range x.Tasks {
-		c.Tasks = append(
-			c.Tasks,
-			api.TaskState{Task: api.TaskName(t.uid, t.index), Attempt: t.attempt, Phase: t.phase, Cause: t.cause, Saved: t.saved},
-		)
-	}
-	return c
-}
-
-// Summary stands for all in a heartbeat whose change has the worker report at once.
-func (x *Worker) Summary() string {
-	var b strings.Builder
-	fmt.Fprint(&b, x.AgentEpoch, x.Token, x.SpotNoticeS != nil)
-	for _, t := range x.Tasks {
-		fmt.Fprint(&b, " ", t.uid, t.index, t.attempt, t.phase)
-	}
-	return b.String()
-}
-
-// ParseHeartbeatResponse reads the answer to a heartbeat: orders, or which controller to report to.
-func ParseHeartbeatResponse(body []byte) (o api.CommandBatch, leader string, err error) {
-	var a struct {
-		api.CommandBatch
-		Steward string `json:"steward"`
-	}
-	err = json.Unmarshal(body, &a)
-	return a.CommandBatch, a.Steward, err
-}
-
-// HandleResponse takes in the answer to a heartbeat sent at the given time in the given
-// session.
-func (x *Worker) HandleResponse(o api.CommandBatch, sent time.Time, agentEpoch uint64) {
-	if agentEpoch != x.AgentEpoch || o.Token < x.Token || o.Token == 0 {
-		return
-	}
-	x.Token = o.Token
-	if sent.After(x.renewedAt) {
-		x.renewedAt = sent
-	}
-	x.execute(o.Commands)
-}
-
-func (x *Worker) execute(orders []api.Command) {
-	for _, o := range orders {
-		uid, i, ok := api.SplitTaskName(o.Task)
-		if !ok {
-			x.w.Violate("orders", "piece %q", o.Task)
-			continue
-		}
-		at := slices.IndexFunc(x.Tasks, func(t *Task) bool { return t.uid == uid && t.index == i && t.attempt == o.Attempt })
-		switch o.Action {
-		case api.Launch:
-			if at < 0 {
-				x.launch(uid, i, o.Attempt)
-			}
-		case api.Stop:
-			if at < 0 || x.Tasks[at].phase == api.Ended {
-				continue
-			}
-			t, j := x.Tasks[at], x.Tasks[at].job
-			if j.Spec.Kind == api.Gang {
-				x.stopGangTask(t, o.GraceS)
-				continue
-			}
-			saveTime := j.Spec.SaveS
-			if t.phase == api.Running && j.Spec.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= saveTime {
-				t.phase, t.saveUntil = api.Saving, x.w.Now.Add(time.Duration(saveTime*float64(time.Second)))
-			} else if t.phase != api.Saving || o.GraceS == nil || *o.GraceS == 0 {
-				t.phase, t.cause = api.Ended, api.CauseStopped
-			}
-		case api.Clear:
-			if at >= 0 && x.Tasks[at].phase == api.Ended {
-				x.Tasks = slices.Delete(x.Tasks, at, at+1)
-			}
-		}
-	}
-}
-
-func (x *Worker) launch(uid string, i int, try uint64) {
-	j := x.w.Jobs[uid]
-	t := &Task{uid: uid, job: j, index: i, attempt: try, phase: api.Fetching, since: x.w.Now}
-	refuse := func(cause string) { t.phase, t.cause = api.Ended, cause }
-	if j == nil || i >= j.Spec.Tasks {
-		x.w.Violate("orders", "launch of unknown %s", uid)
-		return
-	}
-	if !j.CancelConfirmed.IsZero() {
-		x.w.LateStarts++
-	}
-	if j.Spec.Kind == api.Gang {
-		x.w.launchGangTask(j, i, try)
-	}
-	free, cpus := x.w.MachineType.GPUs, x.w.MachineType.CPUs
-	for _, o := range x.Tasks {
-		if o.phase == api.Ended {
-			continue
-		}
-		free -= o.job.Spec.GPUs
-		cpus -= o.job.Spec.CPUs
-		if o.uid == uid && o.index == i {
-			refuse(api.CauseBusy)
-		}
-	}
-	if t.phase != api.Ended && (j.Spec.GPUs > free+1e-6 || j.Spec.CPUs > cpus+1e-6) {
-		refuse(api.CauseNoRoom)
-	}
-	x.Tasks = append(x.Tasks, t)
-}
