--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -14,9 +14,9 @@
 
 // Errors of the cloud.
 var (
-	// ErrNoCapacity: the cloud has no such machines at present.
+	// ErrNoCapacity says that the cloud has no such machines at present.
 	ErrNoCapacity = errors.New("cloud has no capacity")
-	// ErrUnavailable: the cloud did not serve the call, which it may have carried out.
+	// ErrUnavailable says that the cloud did not serve the call, which it may have carried out.
 	ErrUnavailable = errors.New("cloud unavailable")
 )
 
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -21,9 +21,9 @@
 
 // Errors of the parser; they tell a server which status to refuse with.
 var (
-	// ErrMalformed: not an HTTP/1.0 or 1.1 message, or an ambiguous one.
+	// ErrMalformed says that a message is no HTTP/1.0 or 1.1 message, or an ambiguous one.
 	ErrMalformed = errors.New("malformed HTTP message")
-	// ErrTooLarge: the body is larger than the limit.
+	// ErrTooLarge says that the body is larger than the limit.
 	ErrTooLarge = errors.New("HTTP body too large")
 )
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -16,9 +16,9 @@
 
 // Errors of a request.
 var (
-	// ErrNoResponse: the request may or may not have been carried out.
+	// ErrNoResponse says that the request may or may not have been carried out.
 	ErrNoResponse = errors.New("no response")
-	// errConnectionClosed: the connection ended before the request was sent.
+	// errConnectionClosed says that the connection ended before the request was sent.
 	errConnectionClosed = errors.New("connection closed")
 )
 
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -19,7 +19,7 @@
 	"violetturn/internal/transport"
 )
 
-// ErrLaunch: a launch was to be sent directly; nothing was sent.
+// ErrLaunch says that a launch was to be sent directly; nothing was sent.
 var ErrLaunch = errors.New("a launch is never sent directly")
 
 // StatusError is an answer with a status that PROTOCOL does not have for the request.
