--- a/internal/shard/capacity_trim.go
+++ b/internal/shard/capacity_trim.go
@@ -14,16 +14,19 @@
 	Tasks float64
 }
 
-// Bytes of the recorded form around an amount and around a machine's name, rounded up.
+// Bytes of the recorded form of a free capacity, rounded up.
 const (
-	amountBytes = 60
-	nameBytes   = 4
-	emptyBytes  = 2
+	amountBytes = 60 // of an amount and what surrounds its group
+	nameBytes   = 4  // around a machine's name
+	emptyBytes  = 2  // without machines
 )
 
 // mostDemands is how many sizes of tasks a selection looks at, the most wanted ones.
 const mostDemands = 8
 
+// mostSlots bounds how many tasks of a size are counted on one machine.
+const mostSlots = 1000
+
 // FitsIn reports whether the recorded form surely takes at most size bytes.
 func (f FreeCapacity) FitsIn(size int) bool {
 	bytes := emptyBytes
@@ -40,72 +43,96 @@
 	return bytes+len(amounts)*amountBytes <= size
 }
 
-// TrimTo leaves out machines until the recorded form surely takes at most size bytes, and
-// tells how many. What stays is what peers most likely take: as much room for the demand
-// as the bytes can name, and then the machines with most accelerators and processors.
+// TrimTo removes machines until the recorded form surely takes at most size bytes, and
+// returns how many it removed. What stays is what peers most likely take: as much room for
+// the demand as the bytes can name, and then the machines with most accelerators and
+// processors.
 //
 // Without a demand, or where that order alone has room for more of it, only the order
 // counts.
-func (f FreeCapacity) TrimTo(size int, demand []PeerDemand) (left int) {
+func (f FreeCapacity) TrimTo(size int, demand []PeerDemand) (removed int) {
 	if f.FitsIn(size) {
 		return 0
 	}
 	order := byCapacity(f)
-	plain := machineSelection{capacity: f, size: size}
-	plain.clear()
+	plain := newSelection(f, size)
 	plain.fill(order)
-	best := &plain
+	best := plain
 	if len(demand) > 0 {
-		wanted := newSelection(f, order, size, demand)
-		if wanted.servedTasks() > plain.tasksServed(wanted.demand) {
+		wanted := newDemandSelection(f, order, size, demand)
+		if wanted.tasksServed(wanted.demand) > plain.tasksServed(wanted.demand) {
 			best = wanted
 		}
 	}
-	left = len(f) - len(best.kept)
+	removed = len(f) - len(best.kept)
 	maps.DeleteFunc(f, func(name string, _ [3]float64) bool { return !best.kept[name] })
-	return left
+	return removed
 }
 
 // machineSelection is a choice of machines whose recorded form takes at most size bytes.
 type machineSelection struct {
 	capacity FreeCapacity
 	size     int
-	demand   []PeerDemand
+	demand   []PeerDemand // the most wanted sizes of tasks
 	kept     map[string]bool
-	amounts  map[[3]float64]bool
+	amounts  map[[3]float64]bool // of the kept machines
 	bytes    int
 }
 
-// newSelection chooses machines for the demand, each size of task in proportion to how
+// newSelection returns a selection without machines.
+func newSelection(capacity FreeCapacity, size int) *machineSelection {
+	most := min(len(capacity), size/nameBytes)
+	return &machineSelection{
+		capacity: capacity, size: size, kept: make(map[string]bool, most), amounts: map[[3]float64]bool{}, bytes: emptyBytes,
+	}
+}
+
+// newDemandSelection chooses machines for the demand, each size of task in proportion to how
 // much of it is wanted, and fills up with the others in their order.
-func newSelection(room FreeCapacity, order []machineCapacity, size int, demand []PeerDemand) *machineSelection {
-	s := &machineSelection{capacity: room, size: size, demand: mostWanted(demand)}
-	s.clear()
-	queues := make([][]candidate, len(s.demand))
+func newDemandSelection(capacity FreeCapacity, order []machineCapacity, size int, demand []PeerDemand) *machineSelection {
+	s := newSelection(capacity, size)
+	s.demand = mostWanted(demand)
+	queues := make([]demandQueue, len(s.demand))
 	for i, d := range s.demand {
-		queues[i] = candidatesByFit(room, d.Need)
+		queues[i] = demandQueue{tasks: d.Tasks, candidates: candidatesByFit(capacity, d.Need)}
 	}
-	covered := make([]float64, len(s.demand))
 	for {
-		next := -1
-		for i, d := range s.demand {
-			if len(queues[i]) > 0 && covered[i] < d.Tasks && (next < 0 || covered[i]/d.Tasks < covered[next]/s.demand[next].Tasks) {
-				next = i
-			}
-		}
-		if next < 0 {
+		next := leastCovered(queues)
+		if next == nil {
 			break
 		}
-		best := queues[next][0]
-		queues[next] = queues[next][1:]
+		best := next.candidates[0]
+		next.candidates = next.candidates[1:]
 		if s.add(best.name) {
-			covered[next] += best.slots
+			next.covered += best.slots
 		}
 	}
 	s.fill(order)
 	return s
 }
 
+// demandQueue is a size of task with the machines that could be kept for it.
+type demandQueue struct {
+	tasks, covered float64     // wanted, and that the machines kept for it take
+	candidates     []candidate // those that take most first
+}
+
+// leastCovered returns the queue with the lowest covered share of its tasks, nil if each has
+// enough or no more candidates.
+func leastCovered(queues []demandQueue) *demandQueue {
+	var least *demandQueue
+	for i := range queues {
+		q := &queues[i]
+		if len(q.candidates) == 0 || q.covered >= q.tasks {
+			continue
+		}
+		if least == nil || q.covered/q.tasks < least.covered/least.tasks {
+			least = q
+		}
+	}
+	return least
+}
+
 // mostWanted returns the sizes of task that are wanted most.
 func mostWanted(demand []PeerDemand) []PeerDemand {
 	wanted := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
@@ -113,42 +140,37 @@
 	return wanted[:min(len(wanted), mostDemands)]
 }
 
-// candidate is a machine with room for so many tasks of a size.
+// candidate is a machine with room for a number of tasks of a size.
 type candidate struct {
 	name  string
 	slots float64
 }
 
-// candidatesByFit lists the machines that take a task, those that take most first.
-func candidatesByFit(room FreeCapacity, need sched.Resources) []candidate {
-	var out []candidate
-	for name, v := range room {
-		if n := countFits(Unvec(v), need); n > 0 {
-			out = append(out, candidate{name, n})
+// candidatesByFit returns the machines that take a task, those that take most first.
+func candidatesByFit(capacity FreeCapacity, need sched.Resources) []candidate {
+	var fitting []candidate
+	for name, room := range capacity {
+		if slots := countFits(Unvec(room), need); slots > 0 {
+			fitting = append(fitting, candidate{name, slots})
 		}
 	}
-	slices.SortFunc(out, func(a, b candidate) int {
+	slices.SortFunc(fitting, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(b.slots, a.slots), cmp.Compare(a.name, b.name))
 	})
-	return out
+	return fitting
 }
 
 // countFits returns how many tasks fit into room.
 func countFits(room, need sched.Resources) float64 {
 	n := 0.0
-	for room.Fits(need) && n < 1000 {
+	for room.Fits(need) && n < mostSlots {
 		room = room.Sub(need)
 		n++
 	}
 	return n
 }
 
-func (s *machineSelection) clear() {
-	most := min(len(s.capacity), s.size/nameBytes)
-	s.kept, s.amounts, s.bytes = make(map[string]bool, most), map[[3]float64]bool{}, emptyBytes
-}
-
-// add keeps a machine if it still fits.
+// add keeps a machine if it still fits, and reports whether it does.
 func (s *machineSelection) add(name string) bool {
 	amount := s.capacity[name]
 	cost := 0
@@ -166,25 +188,6 @@
 	return true
 }
 
-// machineCapacity is a machine with its room.
-type machineCapacity struct {
-	name string
-	free [3]float64
-}
-
-// byCapacity lists the machines, those with most accelerators and processors first.
-func byCapacity(room FreeCapacity) []machineCapacity {
-	out := make([]machineCapacity, 0, len(room))
-	for name, amount := range room {
-		out = append(out, machineCapacity{name, amount})
-	}
-	slices.SortFunc(out, func(a, b machineCapacity) int {
-		x, y := a.free, b.free
-		return cmp.Or(cmp.Compare(y[1], x[1]), cmp.Compare(y[0], x[0]), cmp.Compare(b.name, a.name))
-	})
-	return out
-}
-
 // fill keeps as many of the others as fit, in their order. It stops at the first that does
 // not fit, so that none with less room stays in the place of one with more.
 func (s *machineSelection) fill(order []machineCapacity) {
@@ -195,8 +198,6 @@
 	}
 }
 
-func (s *machineSelection) servedTasks() float64 { return s.tasksServed(s.demand) }
-
 // tasksServed returns how many tasks of a demand the kept machines take.
 func (s *machineSelection) tasksServed(demand []PeerDemand) float64 {
 	free := make([]sched.Resources, 0, len(s.kept))
@@ -215,3 +216,22 @@
 	}
 	return served
 }
+
+// machineCapacity is a machine with its room.
+type machineCapacity struct {
+	name string
+	free [3]float64
+}
+
+// byCapacity returns the machines, those with most accelerators and processors first.
+func byCapacity(capacity FreeCapacity) []machineCapacity {
+	order := make([]machineCapacity, 0, len(capacity))
+	for name, amount := range capacity {
+		order = append(order, machineCapacity{name, amount})
+	}
+	slices.SortFunc(order, func(a, b machineCapacity) int {
+		x, y := a.free, b.free
+		return cmp.Or(cmp.Compare(y[1], x[1]), cmp.Compare(y[0], x[0]), cmp.Compare(b.name, a.name))
+	})
+	return order
+}
--- a/internal/shard/capacity_trim_test.go
+++ b/internal/shard/capacity_trim_test.go
@@ -67,11 +67,11 @@
 			t.Fatalf("%d bytes of %d, %v", len(raw), size, err)
 		}
 		if left != len(room)-len(wanted) {
-			t.Fatalf("tells of %d left out, not %d", left, len(room)-len(wanted))
+			t.Fatalf("returns %d removed, not %d", left, len(room)-len(wanted))
 		}
 		for name, v := range wanted {
 			if room[name] != v {
-				t.Fatalf("%s is offered with %v, has %v", name, v, room[name])
+				t.Fatalf("%s is kept with %v, has %v", name, v, room[name])
 			}
 		}
 		if a, b := tasksServedBy(wanted, demand), tasksServedBy(plain, demand); a < b {
