--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,6 +1,11 @@
 // Package golden fixes the recorded and transmitted forms of all records and messages.
 // Controllers of neighbouring versions read each other's records, so a form may gain
 // fields but never lose or rename one, however the code's own names change.
+//
+// The forms are in text files, a line each, NAME: FORM. records.txt has each record and
+// message with all fields set, variants.txt those with fields left out and other cases, words.txt
+// the words of enumerations. A line that is there never changes; the names of lines in
+// records.txt are older than those of the types.
 package golden
 
 import (
@@ -14,173 +19,30 @@
 	"google.golang.org/protobuf/proto"
 
 	"violetturn/internal/api"
-	"violetturn/internal/cloud"
-	"violetturn/internal/job"
-	"violetturn/internal/peer"
-	"violetturn/internal/shard"
-	"violetturn/internal/store"
-	"violetturn/internal/zonehealth"
 )
 
-func pointer[T any](v T) *T { return &v }
+// golden is a value whose form a line fixes.
+type golden struct {
+	line  string
+	value any // a pointer
+}
 
-// records are values with every field set, by the names of their lines in records.txt.
-var records = map[string]any{
-	"api.Run": &api.Job{
-		UID:      "run-1",
-		Class:    "l",
-		Team:     "o",
-		Kind:     api.Array,
-		Priority: "idle",
-		Tasks:    3,
-		CPUs:     1.5,
-		GPUs:     1,
-		MemGB:    4,
-		Image:    "i",
-		ImageGB:  2.5,
-		MachineTypes: []string{
-			"m",
-		},
-		Zone:        "x",
-		Together:    true,
-		Spread:      true,
-		Spot:        true,
-		EstimateS:   60,
-		CheckpointS: 30,
-		SaveS:       2,
-		DeadlineS:   pointer(90.5),
-	},
-	"api.State": &api.State{UID: "run-1", Phase: api.Running, Done: 1, Running: 2},
-	"api.Checkin": &api.Heartbeat{
-		Host:        "i-1",
-		Addr:        "10.0.0.1:9",
-		MachineType: "m",
-		Zone:        "x",
-		Spot:        true,
-		AgentEpoch:  2,
-		Sequence:    3,
-		Token:       4,
-		SpotNoticeS: pointer(5.5),
-		Tasks:       []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.Ended, Cause: api.CauseDone, Saved: true}},
-	},
-	"api.Orders": &api.CommandBatch{
-		Token:      4,
-		AgentEpoch: 2,
-		Commands: []api.Command{
-			{Action: api.Stop, Task: "run-1/0", Attempt: 2, GraceS: pointer(10.0)},
-			{Action: api.Launch, Task: "run-1/1", Attempt: 1},
-		},
-	},
-	"cloud.Rental": &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3},
-	"cloud.Host":   &cloud.Host{UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: "running", AgeS: 1.5},
-	"cloud.Flavor": &cloud.MachineType{
-		Name:        "m",
-		CPUs:        8,
-		GPUs:        2,
-		MemGB:       64,
-		CacheGB:     90,
-		FetchGBPerS: 0.5,
-		Price:       3,
-		SpotPrice:   1,
-		BootS:       60,
-		Zones:       []string{"x"},
-	},
-	"store.Txn": &store.Txn{
-		Preconditions: []store.Precondition{{Key: "a", Version: 1}},
-		Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
-	},
-	"store.Item":   &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2},
-	"store.Change": &store.Change{Write: "a", Value: json.RawMessage(`1`), Version: 2},
-	"job.Past":     &job.FinalState{Phase: api.Done, Done: 3},
-	"job.Chunk": &job.TaskRange{
-		LastAttempt: 3,
-		Errors:      1,
-		DoneBits:    "AQ",
-		Placements:  map[int]*job.Placement{1: {Attempt: 2, Host: "i-1", Stopping: true, PlacedS: 9}},
-	},
-	"job.Gang": &job.Gang{
-		Attempt:       2,
-		Launched:      true,
-		Stopping:      true,
-		Ended:         true,
-		Done:          true,
-		LaunchedS:     9,
-		ErrorStreak:   1,
-		FailureStreak: 2,
-	},
-	"part.Own": &shard.LeaderRecord{
-		Node:               "n0",
-		Incarnation:        5,
-		Term:               6,
-		WorkersUnreachable: true,
-		HearsWorkers:       true,
-		SchemaVersion:      2,
-	},
-	"part.Mark":               &shard.CapabilityRecord{SchemaVersion: 2},
-	"part.Mark with features": &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}},
-	"part.Own with features":  &shard.LeaderRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}},
-	"zonehealth.Record": &zonehealth.Record{
-		State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
-		Observations: map[string]zonehealth.Observation{"n0": {
-			Up: 1, Lost: 8, Unclear: 2, Refused: true,
-			Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
-		}},
-	},
-	"part.Record": &shard.CapacityRecord{
-		Term:               6,
-		Leader:             "n0",
-		Released:           true,
-		PredecessorInDoubt: true,
-		Free:               shard.FreeCapacity{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
-		QuotaUse:           map[string][3]float64{"a": {1, 2, 3}},
-	},
-	"part.Machine": &shard.Machine{
-		Shard:        "n0",
-		MachineType:  "m",
-		Zone:         "x",
-		Spot:         true,
-		Addr:         "10.0.0.1:9",
-		RentedFor:    "n1",
-		RegisteredMS: 7,
-	},
-	"part.Page":    &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}},
-	"part.Usage":   &shard.QuotaRecord{Held: map[string][3]float64{"n0": {1, 2, 3}}},
-	"peer.Request": &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9},
-	"peer.Reply": &peer.Reply{
-		StoreReached: true,
-		Status:       200,
-		Body:         []byte("b"),
-		RetryAfter:   3,
-		Vouch: &peer.Vouch{
-			Complete:  true,
-			Cancelled: []string{"run-1"},
-			Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}},
-		},
-	},
-	"job.Main inner": &job.Record{Spec: api.Job{
-		UID:      "run-1",
-		Class:    "l",
-		Team:     "o",
-		Kind:     api.Array,
-		Priority: "idle",
-		Tasks:    3,
-		CPUs:     1,
-		MemGB:    4,
-		Image:    "i",
-	}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
-		Cancelled: true, FinishedRanges: []int{0, 1}, Zone: "x", Inline: true, InlineRange: &job.TaskRange{LastAttempt: 1}},
-	"job.Main divided": &job.Record{Spec: api.Job{
-		UID:      "run-1",
-		Class:    "l",
-		Team:     "o",
-		Kind:     api.Gang,
-		Priority: "idle",
-		Tasks:    9,
-		CPUs:     1,
-		MemGB:    4,
-		Image:    "i",
-	}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
-		Generation: 1, SpreadRangeSize: 8, Frozen: true, Gang: &job.Gang{Attempt: 1}},
+// readForms returns the forms of a file by the names of their lines.
+func readForms(t *testing.T, file string) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	forms := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		if _, twice := forms[name]; twice || !found {
+			t.Errorf("%s: line %q is malformed, or there twice", file, line)
+		}
+		forms[name] = form
+	}
+	return forms
 }
 
 // encode returns the recorded form, or that on the wire in hexadecimal.
@@ -196,7 +58,7 @@
 	return string(api.JSON(v))
 }
 
-// decode reads it back into a new value of the same type.
+// decode reads a form into a new value of the type of like.
 func decode(t *testing.T, like any, form string) any {
 	t.Helper()
 	out := reflect.New(reflect.TypeOf(like).Elem()).Interface()
@@ -216,32 +78,76 @@
 	return out
 }
 
-// Every record and message has the form that records.txt fixes, and that form is read as
-// the same value.
+// equal reports whether two values are the same.
+func equal(a, b any) bool {
+	if m, ok := a.(proto.Message); ok {
+		return proto.Equal(m, b.(proto.Message))
+	}
+	return reflect.DeepEqual(a, b)
+}
+
+// Every record and message has the form that a file fixes, that form is read as the same
+// value, and what is read has the form again.
 func TestForms(t *testing.T) {
-	text, err := os.ReadFile("records.txt")
-	if err != nil {
-		t.Fatal(err)
+	for _, x := range []struct {
+		file   string
+		values []golden
+	}{
+		{"records.txt", records()},
+		{"variants.txt", variants()},
+	} {
+		t.Run(x.file, func(t *testing.T) {
+			forms := readForms(t, x.file)
+			if len(forms) != len(x.values) {
+				t.Errorf("%d forms are fixed, there are %d values", len(forms), len(x.values))
+			}
+			for _, g := range x.values {
+				t.Run(g.line, func(t *testing.T) { checkForm(t, g.value, forms[g.line]) })
+			}
+		})
 	}
-	fixed := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		fixed[name] = form
+}
+
+// checkForm checks a value against its fixed form, in both directions.
+func checkForm(t *testing.T, value any, form string) {
+	t.Helper()
+	if got := encode(t, value); got != form {
+		t.Errorf("encoded as %s\nfixed is   %s", got, form)
+	}
+	back := decode(t, value, form)
+	if !equal(value, back) {
+		t.Errorf("read as %+v, was %+v", back, value)
 	}
-	if len(fixed) != len(records) {
-		t.Errorf("%d forms are fixed, there are %d records", len(fixed), len(records))
+	if got := encode(t, back); got != form {
+		t.Errorf("what is read is encoded as %s", got)
 	}
-	for name, v := range records {
-		if got := encode(t, v); got != fixed[name] {
-			t.Errorf("%s: %s\nfixed is %s", name, got, fixed[name])
+}
+
+// What a later version adds to a record does not harm.
+func TestReadsLaterForms(t *testing.T) {
+	forms := readForms(t, "records.txt")
+	for _, g := range records() {
+		if _, isMessage := g.value.(proto.Message); isMessage || reflect.TypeOf(g.value).Elem().Kind() != reflect.Struct {
+			continue
 		}
-		back := decode(t, v, fixed[name])
-		if m, ok := v.(proto.Message); ok {
-			if !proto.Equal(m, back.(proto.Message)) {
-				t.Errorf("%s is read as %v", name, back)
+		t.Run(g.line, func(t *testing.T) {
+			later := strings.Replace(forms[g.line], "{", `{"added later":{"x":[1]},`, 1)
+			if back := decode(t, g.value, later); !equal(g.value, back) {
+				t.Errorf("read as %+v, was %+v", back, g.value)
 			}
-		} else if !reflect.DeepEqual(v, back) {
-			t.Errorf("%s is read as %+v, was %+v", name, back, v)
+		})
+	}
+}
+
+// The words of enumerations are those that the file fixes.
+func TestWords(t *testing.T) {
+	fixed := readForms(t, "words.txt")
+	if len(fixed) != len(words) {
+		t.Errorf("%d words are fixed, there are %d", len(fixed), len(words))
+	}
+	for name, word := range words {
+		if got := encode(t, word); got != fixed[name] {
+			t.Errorf("%s is %s, fixed is %s", name, got, fixed[name])
 		}
 	}
 }
--- /dev/null
+++ b/internal/golden/values_test.go
@@ -0,0 +1,176 @@
+package golden
+
+import (
+	"encoding/json"
+
+	"violetturn/internal/api"
+	"violetturn/internal/cloud"
+	"violetturn/internal/job"
+	"violetturn/internal/peer"
+	"violetturn/internal/shard"
+	"violetturn/internal/store"
+	"violetturn/internal/zonehealth"
+)
+
+func pointer[T any](v T) *T { return &v }
+
+// records returns values with every field set, one for each line in records.txt.
+func records() []golden {
+	return []golden{
+		{"api.Run", &api.Job{
+			UID:      "run-1",
+			Class:    "l",
+			Team:     "o",
+			Kind:     api.Array,
+			Priority: "idle",
+			Tasks:    3,
+			CPUs:     1.5,
+			GPUs:     1,
+			MemGB:    4,
+			Image:    "i",
+			ImageGB:  2.5,
+			MachineTypes: []string{
+				"m",
+			},
+			Zone:        "x",
+			Together:    true,
+			Spread:      true,
+			Spot:        true,
+			EstimateS:   60,
+			CheckpointS: 30,
+			SaveS:       2,
+			DeadlineS:   pointer(90.5),
+		}},
+		{"api.State", &api.State{UID: "run-1", Phase: api.Running, Done: 1, Running: 2}},
+		{"api.Checkin", &api.Heartbeat{
+			Host:        "i-1",
+			Addr:        "10.0.0.1:9",
+			MachineType: "m",
+			Zone:        "x",
+			Spot:        true,
+			AgentEpoch:  2,
+			Sequence:    3,
+			Token:       4,
+			SpotNoticeS: pointer(5.5),
+			Tasks:       []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.Ended, Cause: api.CauseDone, Saved: true}},
+		}},
+		{"api.Orders", &api.CommandBatch{
+			Token:      4,
+			AgentEpoch: 2,
+			Commands: []api.Command{
+				{Action: api.Stop, Task: "run-1/0", Attempt: 2, GraceS: pointer(10.0)},
+				{Action: api.Launch, Task: "run-1/1", Attempt: 1},
+			},
+		}},
+		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
+		{"cloud.Host", &cloud.Host{UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: "running", AgeS: 1.5}},
+		{"cloud.Flavor", &cloud.MachineType{
+			Name:        "m",
+			CPUs:        8,
+			GPUs:        2,
+			MemGB:       64,
+			CacheGB:     90,
+			FetchGBPerS: 0.5,
+			Price:       3,
+			SpotPrice:   1,
+			BootS:       60,
+			Zones:       []string{"x"},
+		}},
+		{"store.Txn", &store.Txn{
+			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
+			Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
+		}},
+		{"store.Item", &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2}},
+		{"store.Change", &store.Change{Write: "a", Value: json.RawMessage(`1`), Version: 2}},
+		{"job.Past", &job.FinalState{Phase: api.Done, Done: 3}},
+		{"job.Chunk", &job.TaskRange{
+			LastAttempt: 3,
+			Errors:      1,
+			DoneBits:    "AQ",
+			Placements:  map[int]*job.Placement{1: {Attempt: 2, Host: "i-1", Stopping: true, PlacedS: 9}},
+		}},
+		{"job.Gang", &job.Gang{
+			Attempt:       2,
+			Launched:      true,
+			Stopping:      true,
+			Ended:         true,
+			Done:          true,
+			LaunchedS:     9,
+			ErrorStreak:   1,
+			FailureStreak: 2,
+		}},
+		{"part.Own", &shard.LeaderRecord{
+			Node:               "n0",
+			Incarnation:        5,
+			Term:               6,
+			WorkersUnreachable: true,
+			HearsWorkers:       true,
+			SchemaVersion:      2,
+		}},
+		{"part.Mark", &shard.CapabilityRecord{SchemaVersion: 2}},
+		{"part.Mark with features", &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}}},
+		{"part.Own with features", &shard.LeaderRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}}},
+		{"zonehealth.Record", &zonehealth.Record{
+			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
+			Observations: map[string]zonehealth.Observation{"n0": {
+				Up: 1, Lost: 8, Unclear: 2, Refused: true,
+				Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
+			}},
+		}},
+		{"part.Record", &shard.CapacityRecord{
+			Term:               6,
+			Leader:             "n0",
+			Released:           true,
+			PredecessorInDoubt: true,
+			Free:               shard.FreeCapacity{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
+			QuotaUse:           map[string][3]float64{"a": {1, 2, 3}},
+		}},
+		{"part.Machine", &shard.Machine{
+			Shard:        "n0",
+			MachineType:  "m",
+			Zone:         "x",
+			Spot:         true,
+			Addr:         "10.0.0.1:9",
+			RentedFor:    "n1",
+			RegisteredMS: 7,
+		}},
+		{"part.Page", &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}}},
+		{"part.Usage", &shard.QuotaRecord{Held: map[string][3]float64{"n0": {1, 2, 3}}}},
+		{"peer.Request", &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9}},
+		{"peer.Reply", &peer.Reply{
+			StoreReached: true,
+			Status:       200,
+			Body:         []byte("b"),
+			RetryAfter:   3,
+			Vouch: &peer.Vouch{
+				Complete:  true,
+				Cancelled: []string{"run-1"},
+				Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}},
+			},
+		}},
+		{"job.Main inner", &job.Record{Spec: api.Job{
+			UID:      "run-1",
+			Class:    "l",
+			Team:     "o",
+			Kind:     api.Array,
+			Priority: "idle",
+			Tasks:    3,
+			CPUs:     1,
+			MemGB:    4,
+			Image:    "i",
+		}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
+			Cancelled: true, FinishedRanges: []int{0, 1}, Zone: "x", Inline: true, InlineRange: &job.TaskRange{LastAttempt: 1}}},
+		{"job.Main divided", &job.Record{Spec: api.Job{
+			UID:      "run-1",
+			Class:    "l",
+			Team:     "o",
+			Kind:     api.Gang,
+			Priority: "idle",
+			Tasks:    9,
+			CPUs:     1,
+			MemGB:    4,
+			Image:    "i",
+		}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
+			Generation: 1, SpreadRangeSize: 8, Frozen: true, Gang: &job.Gang{Attempt: 1}}},
+	}
+}
--- /dev/null
+++ b/internal/golden/variants_test.go
@@ -0,0 +1,90 @@
+package golden
+
+import (
+	"encoding/json"
+
+	"violetturn/internal/api"
+	"violetturn/internal/job"
+	"violetturn/internal/peer"
+	"violetturn/internal/shard"
+	"violetturn/internal/store"
+	"violetturn/internal/zonehealth"
+)
+
+// variants returns values in other forms than records does, mostly with fields left out, one
+// for each line in variants.txt.
+func variants() []golden {
+	return []golden{
+		{"api.Job of any machine", &api.Job{UID: "run-1", Class: "l", Team: "o", Kind: api.Service, Priority: "standard", Tasks: 1, Image: "i"}},
+		{"api.Heartbeat without tasks", &api.Heartbeat{Host: "i-1", Tasks: []api.TaskState{}}},
+		{"api.TaskState running", &api.TaskState{Task: "run-1/0", Attempt: 1, Phase: api.Running}},
+		{"api.CommandBatch without commands", &api.CommandBatch{Token: 4, Commands: []api.Command{}}},
+		{"api.Command at once", &api.Command{Action: api.Stop, Task: "run-1/0", Attempt: 2, GraceS: pointer(0.0)}},
+		{"api.Command clear", &api.Command{Action: api.Clear, Task: "run-1/0", Attempt: 2}},
+		{"store.Precondition absent", &store.Precondition{Key: "a"}},
+		{"store.Op write", &store.Op{Write: "a", Value: json.RawMessage(`{"x":1}`)}},
+		{"store.Op delete", &store.Op{Drop: "a"}},
+		{"store.Change delete", &store.Change{Drop: "a", Value: json.RawMessage(`null`), Version: 3}},
+		{"job.FinalState cancelled", &job.FinalState{Phase: api.Cancelled}},
+		{"job.Placement new", &job.Placement{Attempt: 1, Host: "i-1"}},
+		{"job.TaskRange done", &job.TaskRange{LastAttempt: 9, DoneBits: "/wE"}},
+		{"job.TaskRange empty", &job.TaskRange{}},
+		{"job.Gang idle", &job.Gang{Attempt: 3, FailureStreak: 1}},
+		{"job.Gang empty", &job.Gang{}},
+		{"job.Record new", &job.Record{Spec: api.Job{UID: "run-1", Kind: api.Array, Tasks: 9}, Shard: "n0", AcceptedMS: 7, RangeSize: 4}},
+		{"shard.LeaderRecord", &shard.LeaderRecord{Node: "n0", Incarnation: 5, Term: 6}},
+		{"shard.CapabilityRecord empty", &shard.CapabilityRecord{}},
+		{"shard.CapacityRecord empty", &shard.CapacityRecord{Term: 6, Leader: "n0", Free: shard.FreeCapacity{}}},
+		{"shard.FreeCapacity", &shard.FreeCapacity{"i-2": {0.1, 0, 0.25}, "i-1": {1e6, 8, 1e-6}}},
+		{"shard.FreeCapacity empty", &shard.FreeCapacity{}},
+		{"shard.Machine on demand", &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}},
+		{"shard.Page empty", &shard.Page{}},
+		{"shard.QuotaRecord empty", &shard.QuotaRecord{Held: map[string][3]float64{}}},
+		{"zonehealth.Record healthy", &zonehealth.Record{State: zonehealth.Healthy, Transitions: 2, SinceMS: 3}},
+		{"zonehealth.Record empty", &zonehealth.Record{}},
+		{"zonehealth.Observation", &zonehealth.Observation{Up: 1}},
+		{"zonehealth.Demand", &zonehealth.Demand{Need: [3]float64{0.5, 0, 1.25}, Tasks: 1}},
+		{"peer.Request health", &peer.Request{Kind: peer.Request_KIND_HEALTH}},
+		{"peer.Request submit", &peer.Request{Kind: peer.Request_KIND_SUBMIT, From: "n0", Body: []byte("b")}},
+		{"peer.Request query", &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: "run-1"}},
+		{"peer.Request cancel", &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: "run-1"}},
+		{"peer.Reply without acknowledgement", &peer.Reply{StoreReached: true, Status: 404}},
+		{"peer.Vouch", &peer.Vouch{Complete: true}},
+		{"peer.Tenancy", &peer.Tenancy{Part: "n0", Owner: "n1", Term: 6}},
+	}
+}
+
+// words are the words of enumerations in records and messages, one for each line in words.txt.
+var words = map[string]any{
+	"job kind array":             api.Array,
+	"job kind service":           api.Service,
+	"job kind gang":              api.Gang,
+	"job phase pending":          api.Pending,
+	"job phase running":          api.Running,
+	"job phase done":             api.Done,
+	"job phase cancelled":        api.Cancelled,
+	"task phase fetching":        api.Fetching,
+	"task phase gathering":       api.Gathering,
+	"task phase saving":          api.Saving,
+	"task phase ended":           api.Ended,
+	"cause done":                 api.CauseDone,
+	"cause stopped":              api.CauseStopped,
+	"cause error":                api.CauseError,
+	"cause no room":              api.CauseNoRoom,
+	"cause busy":                 api.CauseBusy,
+	"cause unknown":              api.CauseUnknown,
+	"cause peer lost":            api.CausePeerLost,
+	"cause gang incomplete":      api.CauseGangIncomplete,
+	"command launch":             api.Launch,
+	"command stop":               api.Stop,
+	"command clear":              api.Clear,
+	"zone state healthy":         zonehealth.Healthy,
+	"zone state suspect":         zonehealth.Suspect,
+	"zone state down":            zonehealth.Down,
+	"zone state recovering":      zonehealth.Recovering,
+	"peer request health":        peer.Request_KIND_HEALTH,
+	"peer request submit":        peer.Request_KIND_SUBMIT,
+	"peer request query":         peer.Request_KIND_QUERY,
+	"peer request cancel":        peer.Request_KIND_CANCEL,
+	"peer request acknowledging": peer.Request_KIND_VOUCH,
+}
