--- /dev/null
+++ b/cmd/violetturn/arguments.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"github.com/alecthomas/kong"
+)
+
+// version is what --version prints.
+const version = "0.1.0"
+
+// commandCheck is the command that checks the files and exits.
+const commandCheck = "check"
+
+// arguments are the command line. Their help texts are in helpTexts.
+type arguments struct {
+	Config   string           `help:"${config_help}" required:"" type:"path" placeholder:"FILE"`
+	Policy   string           `help:"${policy_help}" type:"path" placeholder:"FILE"`
+	Features string           `help:"${features_help}" type:"path" placeholder:"FILE"`
+	Profile  string           `help:"${profile_help}" type:"path" placeholder:"DIR"`
+	Version  kong.VersionFlag `help:"Print the version and exit."`
+	Serve    struct{}         `cmd:"" default:"1" help:"Run a controller (the default)."`
+	Check    struct{}         `cmd:"" help:"Check the settings, and the policy and features if given, and exit."`
+}
+
+const description = "A cluster scheduler run as several controllers that share a state service. " +
+	"Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug."
+
+// helpTexts returns the help texts of the flags, by the names that arguments gives them.
+func helpTexts() kong.Vars {
+	return kong.Vars{
+		"config_help":   "Settings file (TOML) that the platform hands over.",
+		"policy_help":   "Policy file (TOML) with the operators' own expressions. Built-in policy without it.",
+		"features_help": "Features file (TOML): new behaviour that is on. None without it.",
+		"profile_help":  "Folder for profiles of processor, memory and the state's lock, written when the process is stopped.",
+	}
+}
+
+// parseArguments reads the command line and returns the arguments and the command that they
+// name. For --help and --version it prints and exits.
+func parseArguments(line []string) (*arguments, string, error) {
+	args := &arguments{}
+	parser := kong.Must(
+		args,
+		kong.Name("violetturn"),
+		kong.Description(description),
+		kong.Vars{"version": version},
+		helpTexts(),
+	)
+	context, err := parser.Parse(line)
+	if err != nil {
+		return nil, "", err
+	}
+	return args, context.Command(), nil
+}
--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -1,9 +1,15 @@
 // Command violetturn runs one controller of the cluster scheduler.
+//
+// It reads its settings, and the policy and features if given, refuses them with one line on
+// standard error, and else serves until it is told to stop by SIGTERM or SIGINT. Its exit code
+// is exitOK after such a stop, exitFailed if it could not serve, and exitUsage for arguments or
+// files that it refuses: then nothing was served.
 package main
 
 import (
 	"context"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -12,82 +18,70 @@
 	"strings"
 	"syscall"
 
-	"github.com/alecthomas/kong"
-
 	"violetturn/internal/config"
 	"violetturn/internal/controller"
 	"violetturn/internal/features"
 )
 
-var version = "0.1.0"
+// Exit codes. The platform reads them, so they stay.
+const (
+	exitOK     = 0
+	exitFailed = 1 // the controller could not start, or stopped serving by itself
+	exitUsage  = 2 // bad arguments, settings, policy or features: nothing was served
+)
 
-type cli struct {
-	Config   string           `help:"Settings file (TOML) that the platform hands over." required:"" type:"path" placeholder:"FILE"`
-	Policy   string           `help:"Policy file (TOML) with the operators' own expressions. Built-in policy without it." type:"path" placeholder:"FILE"`
-	Features string           `help:"Features file (TOML): new behaviour that is on. None without it." type:"path" placeholder:"FILE"`
-	Profile  string           `help:"Folder for profiles of processor, memory and the state's lock, written when the process is stopped." type:"path" placeholder:"DIR"`
-	Version  kong.VersionFlag `help:"Print the version and exit."`
-	Serve    struct{}         `cmd:"" default:"1" help:"Run a controller (the default)."`
-	Check    struct{}         `cmd:"" help:"Check the settings, and the policy and features if given, and exit."`
-}
+// logLevelVariable is the environment variable that names the log level.
+const logLevelVariable = "LOG_LEVEL"
 
-// exitUsage is the exit code for bad settings or arguments: nothing was served.
-const exitUsage = 2
+// collectorPercent is how much the heap may grow between two collections. What lives is small
+// against the limit, and plans make much that is soon garbage: collecting a quarter as often as
+// by default saves processor time, of which there is less. The memory limit still holds.
+const collectorPercent = 400
 
 func main() { os.Exit(run()) }
 
+// run does what the arguments name and returns the exit code.
 func run() int {
-	var args cli
-	parser := kong.Must(
-		&args,
-		kong.Name("violetturn"),
-		kong.Description(
-			"A cluster scheduler run as several controllers that share a state service. Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug.",
-		),
-		kong.Vars{"version": version},
-		kong.UsageOnError(),
-	)
-	ctx, err := parser.Parse(os.Args[1:])
+	args, command, err := parseArguments(os.Args[1:])
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "violetturn: %v\n", err)
-		return exitUsage
+		return refuse(os.Stderr, err)
 	}
-	level, err := logLevel(os.Getenv("LOG_LEVEL"))
+	level, err := logLevel(os.Getenv(logLevelVariable))
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "violetturn: %v\n", err)
-		return exitUsage
+		return refuse(os.Stderr, err)
 	}
-	in, err := readInputs(&args)
+	in, err := readInputs(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "violetturn: %v\n", err)
-		return exitUsage
+		return refuse(os.Stderr, err)
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	for _, x := range in.policy.DeprecatedNames() {
-		log.Warn("policy uses a deprecated variable", "old", x.Old, "new", x.New)
-	}
-	if ctx.Command() == "check" {
+	warnOfDeprecatedNames(log, in.policy)
+	if command == commandCheck {
 		fmt.Printf("%s: in order\n", args.Config)
-		return 0
+		return exitOK
 	}
-	// One core's share and little memory: one running thread, and a collector
-	// that works harder before the limit instead of being killed at it.
-	runtime.GOMAXPROCS(in.settings.Processors(runtime.NumCPU()))
-	debug.SetMemoryLimit(in.settings.MemoryTarget())
-	// What lives is small against the limit, and plans make much that is soon
-	// garbage: collecting a quarter as often saves processor time, of which there
-	// is less. The limit above still holds.
-	debug.SetGCPercent(400)
+	return runController(in, args.Profile, log)
+}
+
+// refuse writes an error of arguments or files and returns the exit code for it.
+func refuse(to io.Writer, err error) int {
+	_, _ = fmt.Fprintf(to, "violetturn: %v\n", err) // nobody is left to tell if that fails
+	return exitUsage
+}
+
+// runController runs a controller until a signal to stop, and writes profiles into a folder unless that
+// is "". It returns the exit code.
+func runController(in inputs, profileDir string, log *slog.Logger) int {
+	limitResources(in.settings)
 	c, err := controller.New(in.settings, in.policy, in.features, log)
 	if err != nil {
 		log.Error("not started", "err", err)
-		return 1
+		return exitFailed
 	}
-	if args.Profile != "" {
-		end, err := startProfile(args.Profile, c)
+	if profileDir != "" {
+		end, err := startProfile(profileDir, c)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "violetturn: --profile: %v\n", err)
-			return exitUsage
+			return refuse(os.Stderr, fmt.Errorf("--profile: %w", err))
 		}
 		defer end(log)
 	}
@@ -95,9 +89,18 @@
 	defer cancel()
 	if err := c.Run(stop); err != nil {
 		log.Error("ended", "err", err)
-		return 1
+		return exitFailed
 	}
-	return 0
+	return exitOK
+}
+
+// limitResources keeps the process within what the settings leave it: as many running threads
+// as it has processors, and a collector that works harder before the memory limit instead of a
+// process that is killed at it.
+func limitResources(s *config.Settings) {
+	runtime.GOMAXPROCS(s.Processors(runtime.NumCPU()))
+	debug.SetMemoryLimit(s.MemoryTarget())
+	debug.SetGCPercent(collectorPercent)
 }
 
 // inputs are the files that a controller is started with, read and checked.
@@ -107,7 +110,8 @@
 	features *features.Features
 }
 
-func readInputs(args *cli) (in inputs, err error) {
+// readInputs reads and checks the files that the arguments name, in the order of their flags.
+func readInputs(args *arguments) (in inputs, err error) {
 	if in.settings, err = config.Load(args.Config); err != nil {
 		return in, err
 	}
@@ -118,8 +122,16 @@
 	return in, err
 }
 
-func logLevel(s string) (slog.Level, error) {
-	switch strings.ToLower(s) {
+// warnOfDeprecatedNames logs the variables that a policy names as they were called earlier.
+func warnOfDeprecatedNames(log *slog.Logger, policy *config.Policy) {
+	for _, name := range policy.DeprecatedNames() {
+		log.Warn("policy uses a deprecated variable", "old", name.Old, "new", name.New)
+	}
+}
+
+// logLevel returns the log level of a name; the default is info.
+func logLevel(name string) (slog.Level, error) {
+	switch strings.ToLower(name) {
 	case "", "info":
 		return slog.LevelInfo, nil
 	case "error":
@@ -127,5 +139,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", s)
+	return 0, fmt.Errorf("%s: %q is none of error, info, debug", logLevelVariable, name)
 }
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -276,8 +276,9 @@
 				if x.Up() && !x.Partitioned && !r.sending {
 					state = x.Summary()
 				}
-				if state == "" || w.Now.Before(r.next) &&
-					(state == r.said || w.Now.Before(r.next.Add(-time.Duration(c.d.HeartbeatS*float64(time.Second))+500*time.Millisecond))) {
+				interval := time.Duration(c.d.HeartbeatS * float64(time.Second))
+				soonest := r.next.Add(500*time.Millisecond - interval)
+				if state == "" || w.Now.Before(r.next) && (state == r.said || w.Now.Before(soonest)) {
 					continue
 				}
 				r.said, r.sending = state, true
