--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"slices"
 
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
@@ -16,30 +17,35 @@
 
 // records returns values with every field set, one for each line in records.txt.
 func records() []golden {
+	return slices.Concat(
+		apiMessages(), cloudMessages(), storeMessages(), jobRecords(), shardRecords(), zoneRecords(), peerMessages(),
+	)
+}
+
+// apiMessages are the messages of users and workers.
+func apiMessages() []golden {
 	return []golden{
 		{"api.Run", &api.Job{
-			UID:      "run-1",
-			Class:    "l",
-			Team:     "o",
-			Kind:     api.Array,
-			Priority: "idle",
-			Tasks:    3,
-			CPUs:     1.5,
-			GPUs:     1,
-			MemGB:    4,
-			Image:    "i",
-			ImageGB:  2.5,
-			MachineTypes: []string{
-				"m",
-			},
-			Zone:        "x",
-			Together:    true,
-			Spread:      true,
-			Spot:        true,
-			EstimateS:   60,
-			CheckpointS: 30,
-			SaveS:       2,
-			DeadlineS:   pointer(90.5),
+			UID:          "run-1",
+			Class:        "l",
+			Team:         "o",
+			Kind:         api.Array,
+			Priority:     "idle",
+			Tasks:        3,
+			CPUs:         1.5,
+			GPUs:         1,
+			MemGB:        4,
+			Image:        "i",
+			ImageGB:      2.5,
+			MachineTypes: []string{"m"},
+			Zone:         "x",
+			Together:     true,
+			Spread:       true,
+			Spot:         true,
+			EstimateS:    60,
+			CheckpointS:  30,
+			SaveS:        2,
+			DeadlineS:    pointer(90.5),
 		}},
 		{"api.State", &api.State{UID: "run-1", Phase: api.Running, Done: 1, Running: 2}},
 		{"api.Checkin", &api.Heartbeat{
@@ -62,6 +68,12 @@
 				{Action: api.Launch, Task: "run-1/1", Attempt: 1},
 			},
 		}},
+	}
+}
+
+// cloudMessages are the messages of the cloud.
+func cloudMessages() []golden {
+	return []golden{
 		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
 		{"cloud.Host", &cloud.Host{UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: "running", AgeS: 1.5}},
 		{"cloud.Flavor", &cloud.MachineType{
@@ -76,12 +88,31 @@
 			BootS:       60,
 			Zones:       []string{"x"},
 		}},
+	}
+}
+
+// storeMessages are the messages of the state service.
+func storeMessages() []golden {
+	return []golden{
 		{"store.Txn", &store.Txn{
 			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
 			Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
 		}},
 		{"store.Item", &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2}},
 		{"store.Change", &store.Change{Write: "a", Value: json.RawMessage(`1`), Version: 2}},
+	}
+}
+
+// goldenJob returns the submission of a job within its record.
+func goldenJob(kind string, tasks int) api.Job {
+	return api.Job{
+		UID: "run-1", Class: "l", Team: "o", Kind: kind, Priority: "idle", Tasks: tasks, CPUs: 1, MemGB: 4, Image: "i",
+	}
+}
+
+// jobRecords are the records of jobs.
+func jobRecords() []golden {
+	return []golden{
 		{"job.Past", &job.FinalState{Phase: api.Done, Done: 3}},
 		{"job.Chunk", &job.TaskRange{
 			LastAttempt: 3,
@@ -99,6 +130,22 @@
 			ErrorStreak:   1,
 			FailureStreak: 2,
 		}},
+		{"job.Main inner", &job.Record{
+			Spec:  goldenJob(api.Array, 3),
+			Shard: "n0", AcceptedMS: 7, RangeSize: 4, Cancelled: true, FinishedRanges: []int{0, 1},
+			Zone: "x", Inline: true, InlineRange: &job.TaskRange{LastAttempt: 1},
+		}},
+		{"job.Main divided", &job.Record{
+			Spec:  goldenJob(api.Gang, 9),
+			Shard: "n0", AcceptedMS: 7, RangeSize: 4,
+			Generation: 1, SpreadRangeSize: 8, Frozen: true, Gang: &job.Gang{Attempt: 1},
+		}},
+	}
+}
+
+// shardRecords are the records of shards, machines and controllers.
+func shardRecords() []golden {
+	return []golden{
 		{"part.Own", &shard.LeaderRecord{
 			Node:               "n0",
 			Incarnation:        5,
@@ -110,13 +157,6 @@
 		{"part.Mark", &shard.CapabilityRecord{SchemaVersion: 2}},
 		{"part.Mark with features", &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}}},
 		{"part.Own with features", &shard.LeaderRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}}},
-		{"zonehealth.Record", &zonehealth.Record{
-			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
-			Observations: map[string]zonehealth.Observation{"n0": {
-				Up: 1, Lost: 8, Unclear: 2, Refused: true,
-				Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
-			}},
-		}},
 		{"part.Record", &shard.CapacityRecord{
 			Term:               6,
 			Leader:             "n0",
@@ -136,6 +176,26 @@
 		}},
 		{"part.Page", &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}}},
 		{"part.Usage", &shard.QuotaRecord{Held: map[string][3]float64{"n0": {1, 2, 3}}}},
+	}
+}
+
+// zoneRecords are the records of zones.
+func zoneRecords() []golden {
+	return []golden{
+		{"zonehealth.Record", &zonehealth.Record{
+			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2,
+			SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
+			Observations: map[string]zonehealth.Observation{"n0": {
+				Up: 1, Lost: 8, Unclear: 2, Refused: true,
+				Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
+			}},
+		}},
+	}
+}
+
+// peerMessages are the messages between controllers.
+func peerMessages() []golden {
+	return []golden{
 		{"peer.Request", &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9}},
 		{"peer.Reply", &peer.Reply{
 			StoreReached: true,
@@ -148,29 +208,5 @@
 				Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}},
 			},
 		}},
-		{"job.Main inner", &job.Record{Spec: api.Job{
-			UID:      "run-1",
-			Class:    "l",
-			Team:     "o",
-			Kind:     api.Array,
-			Priority: "idle",
-			Tasks:    3,
-			CPUs:     1,
-			MemGB:    4,
-			Image:    "i",
-		}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
-			Cancelled: true, FinishedRanges: []int{0, 1}, Zone: "x", Inline: true, InlineRange: &job.TaskRange{LastAttempt: 1}}},
-		{"job.Main divided", &job.Record{Spec: api.Job{
-			UID:      "run-1",
-			Class:    "l",
-			Team:     "o",
-			Kind:     api.Gang,
-			Priority: "idle",
-			Tasks:    9,
-			CPUs:     1,
-			MemGB:    4,
-			Image:    "i",
-		}, Shard: "n0", AcceptedMS: 7, RangeSize: 4,
-			Generation: 1, SpreadRangeSize: 8, Frozen: true, Gang: &job.Gang{Attempt: 1}}},
 	}
 }
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -15,7 +15,9 @@
 // for each line in variants.txt.
 func variants() []golden {
 	return []golden{
-		{"api.Job of any machine", &api.Job{UID: "run-1", Class: "l", Team: "o", Kind: api.Service, Priority: "standard", Tasks: 1, Image: "i"}},
+		{"api.Job of any machine", &api.Job{
+			UID: "run-1", Class: "l", Team: "o", Kind: api.Service, Priority: "standard", Tasks: 1, Image: "i",
+		}},
 		{"api.Heartbeat without tasks", &api.Heartbeat{Host: "i-1", Tasks: []api.TaskState{}}},
 		{"api.TaskState running", &api.TaskState{Task: "run-1/0", Attempt: 1, Phase: api.Running}},
 		{"api.CommandBatch without commands", &api.CommandBatch{Token: 4, Commands: []api.Command{}}},
--- a/internal/sched/gang_assign_test.go
+++ b/internal/sched/gang_assign_test.go
@@ -58,7 +58,8 @@
 func TestAssignGangOrder(t *testing.T) {
 	capacity, need := Resources{CPUs: 8, MemGB: 64}, Resources{CPUs: 2, MemGB: 4}
 	host := func(name string, freeCPUs, startDelayS float64, images ...string) *Host {
-		h := &Host{Name: name, Cap: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS, Images: map[string]bool{}}
+		h := &Host{Name: name, Cap: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS}
+		h.Images = map[string]bool{}
 		for _, image := range images {
 			h.Images[image] = true
 		}
