--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -198,6 +198,16 @@
 	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
 }
 
+// CloudCallsPerRound is how many calls of the cloud one round of scaling takes of each kind as a rule.
+const CloudCallsPerRound = 2
+
+// AutoscaleInterval is the time between two rounds of scaling: a few calls of this
+// controller's share of the cloud's rate, and short against a heartbeat interval.
+func (s *Settings) AutoscaleInterval() time.Duration {
+	share := s.Facts.Cloud.RPS / float64(s.Facts.Size)
+	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRound/share))
+}
+
 // ReadInterval is how far apart reads for users' questions are at least: about a
 // quarter of this controller's share of the request rate.
 func (s *Settings) ReadInterval() time.Duration {
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -195,7 +195,7 @@
 func (c *Controller) reusePlan(now time.Time) *plan {
 	recent := c.lastPlan
 	c.lastPlan = lastPlan{}
-	if recent.plan != nil && now.Sub(recent.at) <= c.autoscaleInterval() {
+	if recent.plan != nil && now.Sub(recent.at) <= c.cfg.AutoscaleInterval() {
 		return recent.plan
 	}
 	return c.plan(now)
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -16,7 +16,7 @@
 		t.Fatal("taken twice")
 	}
 	c.lastPlan = lastPlan{first, now}
-	if c.reusePlan(now.Add(c.autoscaleInterval()+1)) == first {
+	if c.reusePlan(now.Add(c.cfg.AutoscaleInterval()+1)) == first {
 		t.Fatal("taken though it is old")
 	}
 }
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"violetturn/internal/cloud"
+	"violetturn/internal/config"
 	"violetturn/internal/sched"
 	"violetturn/internal/shard"
 )
@@ -16,20 +17,10 @@
 func (c *Controller) autoscaleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.autoscale(ctx)
-		sleep(ctx, c.autoscaleInterval())
+		sleep(ctx, c.cfg.AutoscaleInterval())
 	}
 }
 
-// callsPerRound is how many calls of the cloud a round may take of each kind as a rule.
-const callsPerRound = 2
-
-// autoscaleInterval is the time between two rounds of rentals: a few calls of this
-// controller's share of the cloud's rate, and short against a heartbeat interval.
-func (c *Controller) autoscaleInterval() time.Duration {
-	share := c.cfg.Facts.Cloud.RPS / float64(c.cfg.Facts.Size)
-	return min(c.cfg.HeartbeatInterval()/3, time.Duration(callsPerRound/share*float64(time.Second)))
-}
-
 // rentalState is what the cloud's rounds remember; only they use it.
 type rentalState struct {
 	typesReadAt, listReadAt time.Time
@@ -75,7 +66,7 @@
 	if !r.listing.Active() && now.Sub(r.listReadAt) <= max(lag, c.cfg.HeartbeatInterval()) {
 		return
 	}
-	hosts, complete, err := r.listing.Read(ctx, c.cloud, now, callsPerRound)
+	hosts, complete, err := r.listing.Read(ctx, c.cloud, now, config.CloudCallsPerRound)
 	if err != nil {
 		c.log.Debug("list of machines not read", "err", err)
 	}
@@ -229,7 +220,7 @@
 func (c *Controller) rentMachines(
 	ctx context.Context, o sched.RentalOrder, inDoubt map[sched.Offer]cloud.RentalRequest, by rentingShard,
 ) (refused bool, err error) {
-	for wanted, calls := o.Count, 0; wanted > 0 && calls < callsPerRound && !refused; calls++ {
+	for wanted, calls := o.Count, 0; wanted > 0 && calls < config.CloudCallsPerRound && !refused; calls++ {
 		r, unanswered := inDoubt[o.Offer]
 		if !unanswered {
 			c.rentalRequests++
--- a/internal/controller/unmet.go
+++ b/internal/controller/unmet.go
@@ -2,6 +2,7 @@
 
 import (
 	"violetturn/internal/cloud"
+	"violetturn/internal/config"
 	"violetturn/internal/sched"
 )
 
@@ -11,7 +12,7 @@
 
 // maxRentAhead is how many machines a round of rentals may ask for, and as many tasks beyond
 // what is coming are looked at.
-const maxRentAhead = callsPerRound * cloud.MaxRental
+const maxRentAhead = config.CloudCallsPerRound * cloud.MaxRental
 
 // limitSearch sets the tasks aside that are more than room is sought for.
 func (l *waitingJob) limitSearch() {
