--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -24,9 +24,9 @@
 	cfg := settings(0, []string{"n0", "n1", "n2"}, zones, map[string]float64{"a": 5})
 	c := newController(cfg, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Unix(1_800_000_000, 0)
-	c.now = func() time.Time { return now }
-	c.loaded, c.leaseID, c.leaseValidUntil, c.changesReadAt = true, 1, now.Add(time.Hour), now
-	c.machineTypes = []cloud.MachineType{{
+	c.node.now = func() time.Time { return now }
+	c.testState().cache.loaded, c.testState().leadership.leaseID, c.testState().leadership.leaseValidUntil, c.testState().cache.changesReadAt = true, 1, now.Add(time.Hour), now
+	c.testState().catalog.machineTypes = []cloud.MachineType{{
 		Name:        "m",
 		CPUs:        16,
 		GPUs:        2,
@@ -40,10 +40,10 @@
 	version := uint64(1)
 	apply := func(key string, v any) {
 		version++
-		c.replica.apply(key, api.JSON(v), version)
+		c.testState().cache.apply(key, api.JSON(v), version)
 	}
-	apply(leaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.incarnation, Term: 1})
-	c.leaderships["n0"] = &leadership{term: 1, version: version}
+	apply(leaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.node.incarnation, Term: 1})
+	c.testState().leadership.byShard["n0"] = &leadership{term: 1, version: version}
 	apply(capacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	page := shard.Page{}
 	for i := range machines {
@@ -80,8 +80,8 @@
 		m := run(500_000+i, []string{"production", "standard"}[i%2])
 		apply(jobPrefix+m.Spec.UID, m)
 	}
-	for h := range c.replica.machines {
-		s := c.agentOf(h, c.leaderships["n0"])
+	for h := range c.testState().cache.machines {
+		s := c.testState().agents.of(h, c.testState().leadership.byShard["n0"])
 		s.Fenced, s.LastSeen, s.LastAnswered, s.Heartbeat = true, now, now, &api.Heartbeat{Host: h}
 	}
 	return c
@@ -94,7 +94,7 @@
 		c := sized(n, n/10)
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
-				c.plan(c.now())
+				c.testState().scheduler.plan(c.node.now())
 			}
 		})
 	}
@@ -103,10 +103,10 @@
 // BenchmarkCheckin is the answer to one report in such a shard.
 func BenchmarkCheckin(b *testing.B) {
 	c := sized(800, 80)
-	s := c.agents["i-000009"]
+	s := c.testState().agents.byHost["i-000009"]
 	for range b.N {
 		s.Heartbeat.Sequence++
-		c.commandsFor(s.Heartbeat, s, c.now())
+		c.testState().reconciler.commandsFor(s.Heartbeat, s, c.node.now())
 	}
 }
 
@@ -114,11 +114,11 @@
 // the orders.
 func BenchmarkReport(b *testing.B) {
 	c := sized(800, 80)
-	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.agents["i-000009"].Token()}
-	for _, pl := range c.replica.placements[x.Host] {
+	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.testState().agents.byHost["i-000009"].Token()}
+	for _, pl := range c.testState().cache.placements[x.Host] {
 		x.Tasks = append(
 			x.Tasks,
-			api.TaskState{Task: pl.taskName(c.replica.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running},
+			api.TaskState{Task: pl.taskName(c.testState().cache.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running},
 		)
 	}
 	b.ReportAllocs()
@@ -136,15 +136,15 @@
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, n/10)
 		var items []store.Item
-		for key, version := range c.replica.versions {
+		for key, version := range c.testState().cache.versions {
 			var v any
 			switch {
 			case strings.HasPrefix(key, jobPrefix):
-				v = c.replica.jobs[key[len(jobPrefix):]].record
+				v = c.testState().cache.jobs[key[len(jobPrefix):]].record
 			case strings.HasPrefix(key, machinePagePrefix):
-				v = c.replica.pages[key[len(machinePagePrefix):]].record
+				v = c.testState().cache.pages[key[len(machinePagePrefix):]].record
 			case strings.HasPrefix(key, capacityPrefix):
-				v = c.replica.capacities[key[len(capacityPrefix):]].record
+				v = c.testState().cache.capacities[key[len(capacityPrefix):]].record
 			default:
 				continue
 			}
@@ -153,7 +153,7 @@
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				newReplica(c.log, func(*job.Record) {}, func(string) {}).reload(items, c.replica.revision+1)
+				newReplica(c.node.log).reload(items, c.testState().cache.revision+1)
 			}
 		})
 	}
@@ -164,25 +164,25 @@
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, 0)
-		for _, j := range c.replica.jobs {
+		for _, j := range c.testState().cache.jobs {
 			j.record.Spec.Kind = api.Service
 			for _, p := range j.ranges[0].record.Placements {
 				p.PlacedS = -3600
 			}
 			for i := range j.ranges[0].record.Placements {
 				if i%4 > 0 {
-					c.replica.removePlacement(j.record.Spec.UID, 0, i, j.ranges[0].record.Placements[i])
+					c.testState().cache.removePlacement(j.record.Spec.UID, 0, i, j.ranges[0].record.Placements[i])
 				}
 			}
 		}
-		clear(c.replica.loads)
+		clear(c.testState().cache.loads)
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
-				v := &scaleInView{c: c, now: c.now()}
-				for host, m := range c.replica.machines {
-					s := c.agents[host]
+				v := &scaleInView{autoscaler: c.testState().autoscaler, now: c.node.now()}
+				for host, m := range c.testState().cache.machines {
+					s := c.testState().agents.byHost[host]
 					s.UnderusedSince = time.Time{}
-					c.considerScaleIn(host, m, s, v)
+					c.testState().autoscaler.considerScaleIn(host, m, s, v)
 				}
 			}
 		})
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -17,17 +17,17 @@
 
 // openClaim opens a shard for placements: an own one with its room as it is, a
 // peer's as its record says. Call with the lock held.
-func (c *Controller) openClaim(p string, now time.Time) *claim {
-	rec := c.replica.capacities[p]
-	if rec.record == nil || c.replica.leaders[p].record == nil {
+func (acc *capacityAccounts) openClaim(p string, now time.Time) *claim {
+	rec := acc.cache.capacities[p]
+	if rec.record == nil || acc.cache.leaders[p].record == nil {
 		return nil
 	}
 	x := &claim{free: shard.FreeCapacity{}, quotaShares: map[string]sched.Resources{}}
-	if c.leadershipOf(p) != nil {
-		for h, r := range c.freeInShard(p, now) {
+	if acc.leadership.of(p) != nil {
+		for h, r := range acc.room.freeInShard(p, now) {
 			x.free[h] = shard.Vec(r)
 		}
-		x.quotaUse = c.quotaUseOf(p)
+		x.quotaUse = acc.quotaUseOf(p)
 		return x
 	}
 	maps.Copy(x.free, rec.record.Free)
@@ -38,7 +38,7 @@
 
 // claims are the shards that a transaction takes room of.
 type claims struct {
-	c            *Controller
+	accounts     *capacityAccounts
 	byShard      map[string]*claim
 	otherChanges int // changes of other records than jobs'
 }
@@ -47,9 +47,8 @@
 // is how many changes it adds besides the jobs' own. Nothing is claimed before
 // ok is called.
 func (x *claims) tryClaim(pl placement, now time.Time) (j *liveJob, cost int, ok func()) {
-	c := x.c
-	j = c.replica.jobs[pl.uid]
-	if j == nil || j.record.Cancelled || j.record.RangeFinished(pl.rangeIndex) || c.leadershipOf(j.record.Shard) == nil || c.isBlocked(j) {
+	j = x.accounts.cache.jobs[pl.uid]
+	if j == nil || j.record.Cancelled || j.record.RangeFinished(pl.rangeIndex) || x.accounts.leadership.of(j.record.Shard) == nil || x.accounts.schema.isBlocked(j) {
 		return nil, 0, nil
 	}
 	old := j.ranges[pl.rangeIndex].record
@@ -59,7 +58,7 @@
 	p := pl.host.Shard
 	cl, open := x.byShard[p], true
 	if cl == nil {
-		if cl, open = c.openClaim(p, now), false; cl == nil {
+		if cl, open = x.accounts.openClaim(p, now), false; cl == nil {
 			return nil, 0, nil
 		}
 		cost++
@@ -72,9 +71,9 @@
 		return nil, 0, nil // the record has moved on
 	}
 	use := shard.Unvec(cl.quotaUse[r.Team]).Add(n)
-	share, grown, within := c.quotaShareFor(r.Team, p, use, cl.quotaShares, x.byShard)
+	share, grown, within := x.accounts.quotaShareFor(r.Team, p, use, cl.quotaShares, x.byShard)
 	if !within {
-		c.quotaShortages[r.Team] = true
+		x.accounts.quotaShortages[r.Team] = true
 		return nil, 0, nil // the team's limit
 	}
 	if grown {
@@ -85,7 +84,7 @@
 			x.byShard[p] = cl
 			x.otherChanges++
 		}
-		if team, _ := c.cfg.Team(r.Team); team.Limited() {
+		if team, _ := x.accounts.node.settings.Team(r.Team); team.Limited() {
 			cl.quotaUse[r.Team] = shard.Vec(use)
 			if grown {
 				cl.quotaShares[r.Team] = share
@@ -104,26 +103,26 @@
 func (x *claims) write(t *transaction) {
 	shares := map[string]map[string]sched.Resources{}
 	for p, cl := range x.byShard {
-		x.c.putCapacityRecord(t, p, cl.free, cl.quotaUse)
+		x.accounts.putCapacityRecord(t, p, cl.free, cl.quotaUse)
 		shares[p] = cl.quotaShares
 	}
-	x.c.putQuotaShares(t, shares)
+	x.accounts.putQuotaShares(t, shares)
 }
 
 // quotaShareFor reports whether a team may use so much in a shard, by the share of its
 // limit that the shard holds, or will hold after growing it; with other shards'
 // growth in the same transaction. Call with the lock held.
-func (c *Controller) quotaShareFor(
+func (acc *capacityAccounts) quotaShareFor(
 	team, p string, use sched.Resources, grown map[string]sched.Resources, claims map[string]*claim,
 ) (sched.Resources, bool, bool) {
-	x, _ := c.cfg.Team(team)
+	x, _ := acc.node.settings.Team(team)
 	if !x.Limited() {
 		return sched.Resources{}, false, true
 	}
-	held, others := c.quotaShares(team, p)
+	held, others := acc.quotaShares(team, p)
 	for q, cl := range claims {
 		if g, ok := cl.quotaShares[team]; ok && q != p {
-			was, _ := c.quotaShares(team, q)
+			was, _ := acc.quotaShares(team, q)
 			others = others.Add(g).Sub(was)
 		}
 	}
--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -55,18 +55,18 @@
 }
 
 // acknowledgement says what this node has done after a revision, up to now.
-func (c *Controller) acknowledgement(since uint64) *peer.Vouch {
-	v := &peer.Vouch{Complete: c.loaded && since >= c.replica.cancellationsCompleteFrom}
+func (l *leadershipTable) acknowledgement(since uint64) *peer.Vouch {
+	v := &peer.Vouch{Complete: l.cache.loaded && since >= l.cache.cancellationsCompleteFrom}
 	if !v.Complete {
 		return v
 	}
-	for _, x := range c.replica.cancellations {
+	for _, x := range l.cache.cancellations {
 		if x.version > since {
 			v.Cancelled = append(v.Cancelled, x.uid)
 		}
 	}
-	for _, p := range c.shards {
-		if rec, own := c.replica.capacities[p].record, c.replica.leaders[p].record; rec != nil {
+	for _, p := range l.node.shards {
+		if rec, own := l.cache.capacities[p].record, l.cache.leaders[p].record; rec != nil {
 			t := &peer.Tenancy{Part: p, Owner: rec.Leader, Term: rec.Term}
 			if own != nil && own.Term > t.Term {
 				t.Owner, t.Term = own.Node, own.Term
@@ -79,33 +79,33 @@
 
 // noteAcknowledgement takes in what a peer answers for, asked at the given time with the given
 // revision. Call with the lock held.
-func (c *Controller) noteAcknowledgement(node string, v *peer.Vouch, sent time.Time) {
-	if !v.GetComplete() || !c.loaded {
+func (l *leadershipTable) noteAcknowledgement(node string, v *peer.Vouch, sent time.Time) {
+	if !v.GetComplete() || !l.cache.loaded {
 		return
 	}
 	for _, uid := range v.GetCancelled() {
-		c.replica.noteCancelledByPeer(uid)
+		l.cache.noteCancelledByPeer(uid)
 	}
 	for _, t := range v.GetTenancies() {
-		if o := c.leaderships[t.GetPart()]; o != nil && t.GetTerm() > o.term && o.successor == "" {
-			c.log.Info("shard acquired by a peer", "shard", t.GetPart(), "leader", t.GetOwner(), "term", t.GetTerm())
+		if o := l.byShard[t.GetPart()]; o != nil && t.GetTerm() > o.term && o.successor == "" {
+			l.node.log.Info("shard acquired by a peer", "shard", t.GetPart(), "leader", t.GetOwner(), "term", t.GetTerm())
 			o.successor = t.GetOwner()
 		}
 	}
-	if sent.After(c.acknowledgedUntil[node]) {
-		c.acknowledgedUntil[node] = sent
+	if sent.After(l.acknowledgedUntil[node]) {
+		l.acknowledgedUntil[node] = sent
 	}
 }
 
 // acknowledgedByAllUntil is the moment up to which all controllers that could have called a job
 // off, or taken a shard, have answered for themselves. Call with the lock held.
-func (c *Controller) acknowledgedByAllUntil() time.Time {
-	if len(c.cfg.Members)+1 < c.cfg.Facts.Size {
+func (l *leadershipTable) acknowledgedByAllUntil() time.Time {
+	if len(l.node.settings.Members)+1 < l.node.settings.Facts.Size {
 		return time.Time{} // there are some that we can't ask
 	}
-	until := c.now()
-	for _, m := range c.cfg.Members {
-		at, ok := c.acknowledgedUntil[m.HostName]
+	until := l.node.now()
+	for _, m := range l.node.settings.Members {
+		at, ok := l.acknowledgedUntil[m.HostName]
 		if !ok {
 			return time.Time{}
 		}
@@ -120,13 +120,13 @@
 // last could reach the state service: no longer after its lease than a new leader allows
 // for, and no longer after it last knew of all cancellations than leaves a lease of
 // cancel_s. Call with the lock held.
-func (c *Controller) mayAnswerHeartbeats(now time.Time) bool {
-	if !c.loaded || c.leaseID == 0 {
+func (l *leadershipTable) mayAnswerHeartbeats(now time.Time) bool {
+	if !l.cache.loaded || l.leaseID == 0 {
 		return false
 	}
-	v := c.acknowledgedByAllUntil()
-	return now.Before(latest(c.leaseValidUntil, v).Add(c.cfg.LeadershipGrace())) &&
-		now.Before(latest(c.changesReadAt, v).Add(c.cfg.MaxStaleness()))
+	v := l.acknowledgedByAllUntil()
+	return now.Before(latest(l.leaseValidUntil, v).Add(l.node.settings.LeadershipGrace())) &&
+		now.Before(latest(l.cache.changesReadAt, v).Add(l.node.settings.MaxStaleness()))
 }
 
 func latest(a, b time.Time) time.Time {
@@ -139,20 +139,20 @@
 // askPeer asks one peer what it sees of the state service and what it has done.
 func (c *Controller) askPeer(ctx context.Context, name, addr string) {
 	c.mu.Lock()
-	since, sent := c.replica.revision, c.now()
+	since, sent := c.state.cache.revision, c.node.now()
 	c.mu.Unlock()
 	r, err := c.peers.Ask(
 		ctx,
 		addr,
-		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.cfg.HostName, Since: since},
-		c.cfg.ControllerLeaseTTL()/4,
+		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.node.settings.HostName, Since: since},
+		c.node.settings.ControllerLeaseTTL()/4,
 	)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		delete(c.reachability.peers, name)
+		delete(c.state.reachability.peers, name)
 		return
 	}
-	c.reachability.peers[name] = r.GetStoreReached()
-	c.noteAcknowledgement(name, r.GetVouch(), sent)
+	c.state.reachability.peers[name] = r.GetStoreReached()
+	c.state.leadership.noteAcknowledgement(name, r.GetVouch(), sent)
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -26,8 +26,8 @@
 
 // workersReach reports whether a node lives and is reached by workers. Call with the lock
 // held.
-func (c *Controller) workersReach(node string) bool {
-	n := c.replica.nodes[node].record
+func (l *leadershipTable) workersReach(node string) bool {
+	n := l.cache.nodes[node].record
 	return n != nil && !n.WorkersUnreachable
 }
 
@@ -35,23 +35,23 @@
 // its shards to others: only when another is heard, or it may as well be the workers,
 // and their shards would go round. It returns the addresses of workers to be asked whether
 // they hear this node. Call with the lock held.
-func (c *Controller) checkWorkerContact(now time.Time) (leave bool, probes []string) {
-	h := &c.contact
+func (reg *agentRegistry) checkWorkerContact(now time.Time) (leave bool, probes []string) {
+	h := &reg.leadership.contact
 	if h.unreachable {
-		probes = c.probeTargets()
-	} else if round := c.cfg.HeartbeatInterval() * 5 / 4; now.Sub(h.lastHeard) <= round { // who reports at all has done so in that time
+		probes = reg.probeTargets()
+	} else if round := reg.node.settings.HeartbeatInterval() * 5 / 4; now.Sub(h.lastHeard) <= round { // who reports at all has done so in that time
 		h.silentSteps = 0
 	} else if h.silentSteps++; h.silentSteps >= minSilent {
-		if h.hearsWorkers = false; c.countExpectedAgents(now) >= minSilent {
+		if h.hearsWorkers = false; reg.countExpectedAgents(now) >= minSilent {
 			h.unreachable = true
-			c.log.Info("no heartbeat reaches this controller", "last_heard", h.lastHeard)
+			reg.node.log.Info("no heartbeat reaches this controller", "last_heard", h.lastHeard)
 		}
 	}
 	if !h.unreachable {
 		return false, probes
 	}
-	for _, x := range c.shards {
-		if n := c.replica.nodes[x].record; x != c.cfg.HostName && n != nil && n.HearsWorkers {
+	for _, x := range reg.node.shards {
+		if n := reg.cache.nodes[x].record; x != reg.node.settings.HostName && n != nil && n.HearsWorkers {
 			return true, probes
 		}
 	}
@@ -60,15 +60,15 @@
 
 // countExpectedAgents counts the machines of own shards that should be heard: those that were,
 // and those that had tasks long before. Call with the lock held.
-func (c *Controller) countExpectedAgents(now time.Time) int {
+func (reg *agentRegistry) countExpectedAgents(now time.Time) int {
 	n := 0
-	for host, m := range c.replica.machines {
-		if c.leadershipOf(m.Shard) == nil {
+	for host, m := range reg.cache.machines {
+		if reg.leadership.of(m.Shard) == nil {
 			continue
 		}
-		s := c.agentOf(host, c.leaderships[m.Shard])
+		s := reg.of(host, reg.leadership.byShard[m.Shard])
 		if !s.Terminated && !s.LeaseExpired &&
-			(s.Fenced || len(c.replica.placements[host]) > 0 && now.Sub(s.CreatedAt) > c.cfg.HeartbeatInterval()) {
+			(s.Fenced || len(reg.cache.placements[host]) > 0 && now.Sub(s.CreatedAt) > reg.node.settings.HeartbeatInterval()) {
 			n++
 		}
 	}
@@ -78,18 +78,18 @@
 // probeTargets returns the addresses of some machines of the home shard, those with tasks
 // first. Without any there is nobody to be heard, and the contact counts as made. Call with
 // the lock held.
-func (c *Controller) probeTargets() []string {
+func (reg *agentRegistry) probeTargets() []string {
 	const maxProbes = 4
 	var addresses []string
 	for pass := range 2 {
-		for host, m := range c.replica.machines {
-			if m.Shard == c.cfg.HostName && m.Addr != "" && (len(c.replica.placements[host]) > 0) == (pass == 0) && len(addresses) < maxProbes {
+		for host, m := range reg.cache.machines {
+			if m.Shard == reg.node.settings.HostName && m.Addr != "" && (len(reg.cache.placements[host]) > 0) == (pass == 0) && len(addresses) < maxProbes {
 				addresses = append(addresses, m.Addr)
 			}
 		}
 	}
 	if len(addresses) == 0 {
-		c.contact = workerContact{lastHeard: c.now()}
+		reg.leadership.contact = workerContact{lastHeard: reg.node.now()}
 	}
 	return addresses
 }
@@ -103,28 +103,28 @@
 				return
 			}
 			c.mu.Lock()
-			c.noteWorkerHeard(c.now())
+			c.state.leadership.noteWorkerHeard(c.node.now())
 			c.mu.Unlock()
 		})
 	}
 }
 
 // noteWorkerHeard notes that workers reach this node. Call with the lock held.
-func (c *Controller) noteWorkerHeard(now time.Time) {
-	if c.contact.unreachable {
-		c.log.Info("heartbeats reach this controller again")
+func (l *leadershipTable) noteWorkerHeard(now time.Time) {
+	if l.contact.unreachable {
+		l.node.log.Info("heartbeats reach this controller again")
 	}
-	c.contact = workerContact{lastHeard: now, hearsWorkers: true}
+	l.contact = workerContact{lastHeard: now, hearsWorkers: true}
 }
 
 // nodeRecord is what this node says of itself. Call with the lock held.
-func (c *Controller) nodeRecord() shard.LeaderRecord {
+func (l *leadershipTable) nodeRecord() shard.LeaderRecord {
 	return shard.LeaderRecord{
-		Node:               c.cfg.HostName,
-		Incarnation:        c.incarnation,
-		WorkersUnreachable: c.contact.unreachable,
-		HearsWorkers:       c.contact.hearsWorkers,
+		Node:               l.node.settings.HostName,
+		Incarnation:        l.node.incarnation,
+		WorkersUnreachable: l.contact.unreachable,
+		HearsWorkers:       l.contact.hearsWorkers,
 		SchemaVersion:      schemaVersion,
-		Features:           c.features.Names(),
+		Features:           l.node.features.Names(),
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"maps"
 	"math"
-	"math/rand/v2"
 	"runtime"
 	"slices"
 	"sync"
@@ -19,10 +18,8 @@
 	"violetturn/internal/config"
 	"violetturn/internal/features"
 	"violetturn/internal/httpwire"
-	"violetturn/internal/job"
 	"violetturn/internal/peer"
 	"violetturn/internal/sched"
-	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 	"violetturn/internal/worker"
@@ -61,91 +58,44 @@
 
 // Controller is one node of the service.
 type Controller struct {
-	cfg          *config.Settings
-	policy       *config.Policy
-	features     *features.Features
-	log          *slog.Logger
-	now          func() time.Time
+	node         *nodeInfo
 	runAsync     func(func()) // runs work aside
 	steppedClock bool         // time is advanced from outside: nothing may wait for it
-	store        stateService
-	cloud        cloudService
-	workers      workerService
-	peers        peerService
-	cluster      *transport.Server // for the peers
-	http         *transport.Client
-	server       *transport.Server
-	incarnation  uint64 // this life of the process
-	random       *rand.Rand
-	shards       []string // all shards, by name of their home controller
 
-	wake                  chan struct{} // the decider has something to do
-	gangAccepted          chan struct{} // a gang has been accepted
-	leaderlessShard       chan struct{} // a shard has no owner
-	fenceSlots            chan struct{} // bounds fences under way
-	heartbeatRequestSlots chan struct{} // bounds request for a heartbeat under way: fences of machines that are cut off must not hold them up
-	userSlots             chan struct{} // bounds user requests under way
+	store   stateService
+	cloud   cloudService
+	workers workerService
+	peers   peerService
+	cluster *transport.Server // for the peers
+	server  *transport.Server // for users and workers
+	http    *transport.Client
 
-	readBarrier struct {
-		sync.Mutex
-		last    time.Time    // when the last read was sent
-		next    *readBarrier // those who asked after the read under way was sent
-		reading bool
-	}
+	wake            signal        // the decider has something to do
+	gangAccepted    signal        // a gang has been accepted
+	leaderlessShard signal        // a shard has no leader
+	userSlots       chan struct{} // bounds user requests under way
 
-	submissions struct { // submissions to be committed
-		sync.Mutex
-		queue []*submission
-		busy  bool
-	}
+	readBarrier readBarriers
+	submissions submissionQueue
+	rentals     rentalState // only the autoscale loop uses it
 
-	rentals rentalState
+	mu    stateLock
+	state *controllerState // guarded by mu
+}
 
-	mu                          stateLock
-	replica                     *replica
-	loaded                      bool
-	reachability                reachability
-	acknowledgedUntil           map[string]time.Time // by peer: up to when it has answered for what it did
-	leaseID                     uint64
-	leaseValidUntil             time.Time // our lease surely lasts until then
-	changesReadAt               time.Time // all changes until then are in the replica
-	leaderships                 map[string]*leadership
-	agents                      map[string]*shard.Agent
-	leaderlessSince             map[string]time.Time // shards without a leader, since when
-	peerReachableSince          map[string]time.Time // nodes alive, since when seen so
-	contact                     workerContact
-	rateSharers                 int                  // controllers that share the state service's rates
-	peerAbsentSince             map[string]time.Time // those that have not registered, since when
-	machineTypes                []cloud.MachineType
-	capacityBackoffs            map[string]capacityBackoff
-	rentalRequests              int
-	finalStates                 map[string]job.FinalState
-	finalStateOrder             []string
-	unregistered                map[string]shard.Machine // unregistered machines to be recorded
-	retryAt                     map[string]time.Time     // jobs that failed, when they are tried again
-	errorsSeen                  map[string]int
-	listedByCloud               map[string]bool        // machines in the cloud's newest list
-	provisioning                map[string]bool        // those that it shows as starting
-	heartbeatRequests           map[string]bool        // machines where tasks were placed, or are to leave, since their owner last looked
-	commits                     map[string]commitStats // by what they were for, since the last summary
-	planningTime                time.Duration          // processor time of plans since the last decision
-	deregisteredAt              time.Time              // when machines were last forgotten
-	lastPlan                    lastPlan               // for the next round of rentals
-	sufficientHeadroom          sufficientHeadroom
-	demand                      peerDemand
-	zoneView                    zoneView
-	scaleInCheckedAt            time.Time // when machines were last judged, whether they are to go back
-	migratedAt                  time.Time // when replicas were last moved to save a machine
-	limitsLowered               bool      // the state service has refused what was larger than its coming limits
-	acceptedTxnOps              int       // changes in a transaction that it took less than announced for; 0: not so
-	gangStates                  map[string]*gangState
-	runningGangs                map[string]uint64 // by gang, the attempt that was seen running here
-	quotaShortages              map[string]bool   // teams whose limit left too little for a placement
-	gangsToRelease              map[string]bool   // gangs whose claims are to be released
-	splitAt, garbageCollectedAt time.Time
-	splitRequests               map[string]int       // jobs with a record that outgrew a value: their generation then, from 1 on
-	runtimeBias                 map[string]float64   // by class, run times against estimates
-	arrivals                    map[string][]arrival // by class, the recent ones
+// readBarriers is the read of changes under way and the next one.
+type readBarriers struct {
+	sync.Mutex
+	last    time.Time    // when the last read was sent
+	next    *readBarrier // those who asked after the read under way was sent
+	reading bool
+}
+
+// submissionQueue is the submissions to be committed.
+type submissionQueue struct {
+	sync.Mutex
+	queue []*submission
+	busy  bool
 }
 
 // leadership is a shard that this node owns.
@@ -175,7 +125,7 @@
 	}
 	n := float64(cfg.Facts.Size)
 	c := newController(cfg, policy, log)
-	c.features = on
+	c.node.features = on
 	c.http = h
 	low := cfg.LowestLimits()
 	c.store = store.New(
@@ -204,61 +154,36 @@
 }
 
 // newController makes a controller without its outside systems.
-func newController(cfg *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
+func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
 	c := &Controller{
-		cfg:                   cfg,
-		policy:                policy,
-		features:              features.Default(),
-		log:                   log,
-		now:                   time.Now,
-		runAsync:              func(f func()) { go f() },
-		incarnation:           rand.Uint64() >> 12,
-		random:                rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		wake:                  make(chan struct{}, 1),
-		gangAccepted:          make(chan struct{}, 1),
-		leaderlessShard:       make(chan struct{}, 1),
-		fenceSlots:            make(chan struct{}, max(8, cfg.Facts.Limits.MaxSockets/16)),
-		heartbeatRequestSlots: make(chan struct{}, max(8, cfg.Facts.Limits.MaxSockets/32)),
-		userSlots:             make(chan struct{}, 128),
-		leaderships:           map[string]*leadership{},
-		agents:                map[string]*shard.Agent{},
-		leaderlessSince:       map[string]time.Time{},
-		peerReachableSince:    map[string]time.Time{},
-		rateSharers:           cfg.Facts.Size,
-		peerAbsentSince:       map[string]time.Time{},
-		capacityBackoffs:      map[string]capacityBackoff{},
-		finalStates:           map[string]job.FinalState{},
-		unregistered:          map[string]shard.Machine{},
-		acknowledgedUntil:     map[string]time.Time{},
-		retryAt:               map[string]time.Time{},
-		errorsSeen:            map[string]int{},
-		heartbeatRequests:     map[string]bool{},
-		splitRequests:         map[string]int{},
-		quotaShortages:        map[string]bool{},
-		gangStates:            map[string]*gangState{},
-		runningGangs:          map[string]uint64{},
-		gangsToRelease:        map[string]bool{},
-		commits:               map[string]commitStats{},
-		arrivals:              map[string][]arrival{},
-		runtimeBias:           map[string]float64{},
-		reachability:          reachability{storeReachable: true, peers: map[string]bool{}},
-		rentals:               rentalState{unanswered: map[sched.Offer]cloud.RentalRequest{}, unknownSince: map[string]time.Time{}},
-	}
-	c.replica = newReplica(log, c.noteArrival, func(host string) { c.heartbeatRequests[host] = true })
-	c.replica.onJobEnded = c.rememberFinalState
-	c.shards = append(c.shards, cfg.HostName)
-	for _, m := range cfg.Members {
-		c.shards = append(c.shards, m.HostName)
+		node:            newNodeInfo(settings, policy, log),
+		runAsync:        func(f func()) { go f() },
+		wake:            newSignal(),
+		gangAccepted:    newSignal(),
+		leaderlessShard: newSignal(),
+		userSlots:       make(chan struct{}, 128),
+		rentals: rentalState{
+			unanswered:   map[sched.Offer]cloud.RentalRequest{},
+			unknownSince: map[string]time.Time{},
+		},
 	}
-	slices.Sort(c.shards)
+	c.state = newControllerState(c.node, c.wake, controllerBudget{c})
 	return c
 }
 
+// controllerBudget is the budget of changes of a controller's state service.
+type controllerBudget struct{ c *Controller }
+
+// Available returns how many changes may be sent now.
+func (b controllerBudget) Available() int {
+	return b.c.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
+}
+
 // Run serves until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	failed := make(chan error, 2)
-	go func() { failed <- c.server.Run(c.cfg.ServeOn) }()
-	go func() { failed <- c.cluster.Run(c.cfg.ClusterListen) }()
+	go func() { failed <- c.server.Run(c.node.settings.ServeOn) }()
+	go func() { failed <- c.cluster.Run(c.node.settings.ClusterListen) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -269,10 +194,10 @@
 	case err := <-failed:
 		cancel()
 		wg.Wait()
-		return fmt.Errorf("serving on %s and %s: %w", c.cfg.ServeOn, c.cfg.ClusterListen, err)
+		return fmt.Errorf("serving on %s and %s: %w", c.node.settings.ServeOn, c.node.settings.ClusterListen, err)
 	case <-ctx.Done():
 	}
-	c.log.Info("stopping")
+	c.node.log.Info("stopping")
 	wg.Wait()
 	c.revokeLease()
 	stop, done := context.WithTimeout(context.Background(), 5*time.Second) // gnet looks twice a second whether it has ended
@@ -288,62 +213,55 @@
 // revokeLease ends the lease in an orderly shutdown, so that others take over at once.
 func (c *Controller) revokeLease() {
 	c.mu.Lock()
-	leaseID := c.leaseID
-	c.leaseID, c.leaseValidUntil = 0, time.Time{}
+	leaseID := c.state.leadership.leaseID
+	c.state.leadership.leaseID, c.state.leadership.leaseValidUntil = 0, time.Time{}
 	c.mu.Unlock()
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := c.store.RevokeLease(ctx, leaseID); err != nil {
-			c.log.Info("lease not revoked", "err", err)
+			c.node.log.Info("lease not revoked", "err", err)
 		}
 	}
 }
 
-func (c *Controller) wakeDecider() {
-	select {
-	case c.wake <- struct{}{}:
-	default:
-	}
-}
-
 // summaryLoop logs from time to time what this node uses and holds.
 func (c *Controller) summaryLoop(ctx context.Context) {
-	every := 4 * c.cfg.WorkerLease()
+	every := 4 * c.node.settings.WorkerLease()
 	var reqs, writes float64
 	for sleep(ctx, every) {
 		r, w := c.store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		c.mu.Lock()
-		c.log.Info(
+		c.node.log.Info(
 			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
 			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(c.replica.jobs), "hosts", len(c.replica.machines), "shards", len(c.leaderships), "heap_kb", mem.HeapAlloc>>10,
+			"jobs", len(c.state.cache.jobs), "hosts", len(c.state.cache.machines), "shards", len(c.state.leadership.byShard), "heap_kb", mem.HeapAlloc>>10,
 		)
-		for _, what := range slices.Sorted(maps.Keys(c.commits)) {
-			n := c.commits[what]
-			c.log.Info(
+		for _, what := range slices.Sorted(maps.Keys(c.state.stats.commits)) {
+			n := c.state.stats.commits[what]
+			c.node.log.Info(
 				"commits", "for", what, "transactions", n.transactions, "changes", n.writes, "conflicts", n.conflicts,
 				"conflicted_changes", n.conflictedWrites, "failed", n.failed,
 			)
 		}
-		clear(c.commits)
-		for uid := range c.errorsSeen { // of jobs that are over
-			if c.replica.jobs[uid] == nil {
-				delete(c.errorsSeen, uid)
-				delete(c.retryAt, uid)
+		clear(c.state.stats.commits)
+		for uid := range c.state.scheduler.errorsSeen { // of jobs that are over
+			if c.state.cache.jobs[uid] == nil {
+				delete(c.state.scheduler.errorsSeen, uid)
+				delete(c.state.scheduler.retryAt, uid)
 			}
 		}
-		for uid := range c.gangStates {
-			if c.replica.jobs[uid] == nil {
-				delete(c.gangStates, uid)
-				delete(c.gangsToRelease, uid)
+		for uid := range c.state.scheduler.gangStates {
+			if c.state.cache.jobs[uid] == nil {
+				delete(c.state.scheduler.gangStates, uid)
+				delete(c.state.scheduler.gangsToRelease, uid)
 			}
 		}
-		for uid := range c.runningGangs {
-			if c.replica.jobs[uid] == nil {
-				delete(c.runningGangs, uid)
+		for uid := range c.state.agents.runningGangs {
+			if c.state.cache.jobs[uid] == nil {
+				delete(c.state.agents.runningGangs, uid)
 			}
 		}
 		c.mu.Unlock()
@@ -365,12 +283,14 @@
 
 // mayAct reports whether this node may launch and commit as a leader. Call with
 // the lock held.
-func (c *Controller) mayAct(now time.Time) bool { return c.loaded && now.Before(c.leaseValidUntil) }
+func (l *leadershipTable) mayAct(now time.Time) bool {
+	return l.cache.loaded && now.Before(l.leaseValidUntil)
+}
 
-// leadershipOf returns the shard if this node owns it. Call with the lock held.
-func (c *Controller) leadershipOf(p string) *leadership {
-	o := c.leaderships[p]
-	if o == nil || o.releasing || o.successor != "" || c.replica.leaders[p].version != o.version {
+// of returns the shard if this node owns it. Call with the lock held.
+func (l *leadershipTable) of(p string) *leadership {
+	o := l.byShard[p]
+	if o == nil || o.releasing || o.successor != "" || l.cache.leaders[p].version != o.version {
 		return nil
 	}
 	return o
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -20,7 +20,7 @@
 // slow processor has most of its time for reports.
 func (c *Controller) decideLoop(ctx context.Context) {
 	for {
-		t := time.NewTimer(c.cfg.HeartbeatInterval() / 2)
+		t := time.NewTimer(c.node.settings.HeartbeatInterval() / 2)
 		select {
 		case <-c.wake:
 		case <-t.C:
@@ -31,10 +31,10 @@
 		t.Stop()
 		c.decide(ctx)
 		c.mu.Lock()
-		spent := c.planningTime
-		c.planningTime = 0
+		spent := c.state.scheduler.planningTime
+		c.state.scheduler.planningTime = 0
 		c.mu.Unlock()
-		if !sleep(ctx, max(c.cfg.DecisionInterval(), 3*spent)) {
+		if !sleep(ctx, max(c.node.settings.DecisionInterval(), 3*spent)) {
 			return
 		}
 	}
@@ -43,7 +43,7 @@
 func (c *Controller) decide(ctx context.Context) {
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
-	if !c.mayActNow() || c.store.AwaitWrites(ctx, min(c.cfg.LowestLimits().TxnOps, c.writesPerSecond()), store.PriorityDecision) < 2 ||
+	if !c.mayActNow() || c.store.AwaitWrites(ctx, min(c.node.settings.LowestLimits().TxnOps, c.writesPerSecond()), store.PriorityDecision) < 2 ||
 		c.readNewest(ctx) != nil {
 		return
 	}
@@ -70,19 +70,19 @@
 func (c *Controller) writesPerSecond() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(2, int(c.cfg.LowestLimits().WriteRPS/float64(c.rateSharers)))
+	return max(2, int(c.node.settings.LowestLimits().WriteRPS/float64(c.state.leadership.rateSharers)))
 }
 
 func (c *Controller) mayActNow() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mayAct(c.now())
+	return c.state.leadership.mayAct(c.node.now())
 }
 
-// requireLeadership makes a transaction conditional on this node's leadership of a shard: a leader
+// require makes a transaction conditional on this node's leadership of a shard: a leader
 // that was superseded commits nothing more. Call with the lock held.
-func (c *Controller) requireLeadership(t *transaction, p string) bool {
-	o := c.leadershipOf(p)
+func (l *leadershipTable) require(t *transaction, p string) bool {
+	o := l.of(p)
 	if o == nil {
 		return false
 	}
@@ -91,8 +91,8 @@
 }
 
 // putCapacityRecord writes a shard's capacity record. Call with the lock held.
-func (c *Controller) putCapacityRecord(t *transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
-	rec := c.replica.capacities[p]
+func (acc *capacityAccounts) putCapacityRecord(t *transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
+	rec := acc.cache.capacities[p]
 	t.require(capacityPrefix+p, rec.version)
 	r := shard.CapacityRecord{
 		Term:               rec.record.Term,
@@ -101,11 +101,11 @@
 		Free:               free,
 		QuotaUse:           use,
 	}
-	if o := c.leadershipOf(p); o != nil && c.now().After(o.predecessorAnswersUntil) {
+	if o := acc.leadership.of(p); o != nil && acc.node.now().After(o.predecessorAnswersUntil) {
 		r.PredecessorInDoubt = false // the grace of whoever came before us is over
 	}
-	if n := c.trimCapacity(r.Free, use, c.now()); n > 0 {
-		c.log.Info(
+	if n := acc.trimCapacity(r.Free, use, acc.node.now()); n > 0 {
+		acc.node.log.Info(
 			"machines not offered to peers", "shard", p, "machines", n, "why",
 			"the capacity record is full; left out are those that peers are least likely to use",
 		)
@@ -114,37 +114,39 @@
 }
 
 // maxValueBytes is how many bytes of a value records may use.
-func (c *Controller) maxValueBytes() int { return int(c.cfg.LowestLimits().ValueKB * 1024 * 7 / 8) }
+func (s *schemaState) maxValueBytes() int {
+	return int(s.node.settings.LowestLimits().ValueKB * 1024 * 7 / 8)
+}
 
 // maxPageBytes is the same for pages, which the version before makes of today's size. Call
 // with the lock held.
-func (c *Controller) maxPageBytes() int {
-	if c.schemaUpgraded() || c.limitsLowered {
-		return c.maxValueBytes()
+func (s *schemaState) maxPageBytes() int {
+	if s.upgraded() || s.limitsLowered {
+		return s.maxValueBytes()
 	}
-	return int(c.cfg.Facts.State.ValueKB * 1024 * 7 / 8)
+	return int(s.node.settings.Facts.State.ValueKB * 1024 * 7 / 8)
 }
 
 // quotaUseOf sums what limited teams' tasks hold in a shard, ended ones that are not
 // yet committed as such included: another leader might start them anew. Call with
 // the lock held.
-func (c *Controller) quotaUseOf(p string) map[string][3]float64 {
+func (acc *capacityAccounts) quotaUseOf(p string) map[string][3]float64 {
 	sum := map[string]sched.Resources{}
-	if !c.cfg.HasTeamLimits() {
+	if !acc.node.settings.HasTeamLimits() {
 		return map[string][3]float64{}
 	}
-	for host, on := range c.replica.placements {
-		if m := c.replica.machines[host]; m == nil || m.Shard != p {
+	for host, on := range acc.cache.placements {
+		if m := acc.cache.machines[host]; m == nil || m.Shard != p {
 			continue
 		}
 		for _, pl := range on {
-			if j := c.replica.jobs[pl.uid]; j != nil {
+			if j := acc.cache.jobs[pl.uid]; j != nil {
 				sum[j.record.Spec.Team] = sum[j.record.Spec.Team].Add(resourcesOf(&j.record.Spec))
 			}
 		}
 	}
 	use := map[string][3]float64{}
-	for _, t := range c.cfg.Facts.Teams {
+	for _, t := range acc.node.settings.Facts.Teams {
 		if r, ok := sum[t.Name]; ok && t.Limited() {
 			use[t.Name] = shard.Vec(r)
 		}
@@ -158,8 +160,8 @@
 
 // quotaShares returns what a shard holds of a team's limit, and what the others hold.
 // Call with the lock held.
-func (c *Controller) quotaShares(team, p string) (held, others sched.Resources) {
-	if u := c.replica.quotas[quotaID(team)].record; u != nil {
+func (acc *capacityAccounts) quotaShares(team, p string) (held, others sched.Resources) {
+	if u := acc.cache.quotas[quotaID(team)].record; u != nil {
 		for q, v := range u.Held {
 			if q == p {
 				held = shard.Unvec(v)
@@ -173,7 +175,7 @@
 
 // putQuotaShares writes what shards hold of teams' limits from now on. It goes only
 // with writes of those shards' capacity records. Call with the lock held.
-func (c *Controller) putQuotaShares(t *transaction, shares map[string]map[string]sched.Resources) {
+func (acc *capacityAccounts) putQuotaShares(t *transaction, shares map[string]map[string]sched.Resources) {
 	teams := map[string]shard.QuotaRecord{}
 	for p, byTeam := range shares {
 		for name, r := range byTeam {
@@ -181,7 +183,7 @@
 			u, ok := teams[id]
 			if !ok {
 				u = shard.QuotaRecord{Held: map[string][3]float64{}}
-				if old := c.replica.quotas[id].record; old != nil {
+				if old := acc.cache.quotas[id].record; old != nil {
 					maps.Copy(u.Held, old.Held)
 				}
 				teams[id] = u
@@ -190,7 +192,7 @@
 		}
 	}
 	for id, u := range teams {
-		t.require(quotaPrefix+id, c.replica.quotas[id].version)
+		t.require(quotaPrefix+id, acc.cache.quotas[id].version)
 		t.put(quotaPrefix+id, u)
 	}
 }
@@ -209,22 +211,22 @@
 // refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
 // changed, at intervals: placements there write it anyway.
 func (c *Controller) refreshCapacityRecord(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	for p, o := range c.leaderships {
-		rec := c.replica.capacities[p]
-		if c.leadershipOf(p) == nil || rec.record == nil || len(c.machineTypes) == 0 ||
-			now.Sub(o.capacityRecordedAt) < 6*c.cfg.DecisionInterval() {
+	for p, o := range c.state.leadership.byShard {
+		rec := c.state.cache.capacities[p]
+		if c.state.leadership.of(p) == nil || rec.record == nil || len(c.state.catalog.machineTypes) == 0 ||
+			now.Sub(o.capacityRecordedAt) < 6*c.node.settings.DecisionInterval() {
 			continue
 		}
 		free := shard.FreeCapacity{}
-		for h, r := range c.freeInShard(p, now) {
+		for h, r := range c.state.room.freeInShard(p, now) {
 			free[h] = shard.Vec(r)
 		}
-		use := c.quotaUseOf(p)
+		use := c.state.capacity.quotaUseOf(p)
 		shares := map[string]sched.Resources{}
-		for _, team := range c.cfg.Facts.Teams {
-			held, others := c.quotaShares(team.Name, p)
+		for _, team := range c.node.settings.Facts.Teams {
+			held, others := c.state.capacity.quotaShares(team.Name, p)
 			if u := shard.Unvec(use[team.Name]); team.Limited() && sched.HoldsExcessQuota(quotaLimitOf(team), others, held, u) {
 				if less, ok := sched.QuotaShare(quotaLimitOf(team), others, u); ok {
 					shares[team.Name] = less
@@ -234,7 +236,7 @@
 		out := free
 		if len(rec.record.Free) < len(free) { // as it would be recorded
 			out = maps.Clone(free)
-			c.trimCapacity(out, use, now)
+			c.state.capacity.trimCapacity(out, use, now)
 		}
 		if maps.Equal(out, rec.record.Free) && maps.Equal(use, rec.record.QuotaUse) && len(shares) == 0 &&
 			(!rec.record.PredecessorInDoubt || !now.After(o.predecessorAnswersUntil)) {
@@ -243,21 +245,21 @@
 		// More room than the record says is news for peers only, and while own jobs wait
 		// for room they take it first: that is told less often, and so is another choice of
 		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.cfg.DecisionInterval() && c.hasPendingTasks() &&
+		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.node.settings.DecisionInterval() && c.state.scheduler.hasPendingTasks() &&
 			stillOffered(free, rec.record.Free) {
 			continue
 		}
 		for name := range shares { // the record and as many teams' as a transaction takes
-			if len(shares) < c.transactionLimits().TxnOps {
+			if len(shares) < c.state.schema.transactionLimits().TxnOps {
 				break
 			}
 			delete(shares, name)
 		}
 		o.capacityRecordedAt = now
 		t := newTransaction()
-		c.requireLeadership(t, p)
-		c.putCapacityRecord(t, p, free, use)
-		c.putQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
+		c.state.leadership.require(t, p)
+		c.state.capacity.putCapacityRecord(t, p, free, use)
+		c.state.capacity.putQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
 		c.mu.Unlock()
 		done, _, _ := c.commit(ctx, "upkeep", t, store.PriorityDecision)
 		return done
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -20,19 +20,19 @@
 // expectedPeerDemand returns what room peers are likely to look for in the shards of this node:
 // what their jobs wait for now, and what came lately. It decides which machines a shard's
 // record names when it can't name all. Call with the lock held.
-func (c *Controller) expectedPeerDemand(now time.Time) []shard.PeerDemand {
-	if !c.demand.computedAt.IsZero() && now.Sub(c.demand.computedAt) < c.cfg.HeartbeatInterval() {
-		return c.demand.sizes
+func (acc *capacityAccounts) expectedPeerDemand(now time.Time) []shard.PeerDemand {
+	if !acc.demand.computedAt.IsZero() && now.Sub(acc.demand.computedAt) < acc.node.settings.HeartbeatInterval() {
+		return acc.demand.sizes
 	}
 	tasks := map[sched.Resources]float64{}
-	for _, j := range c.replica.jobs {
-		if !j.record.Cancelled && c.leadershipOf(j.record.Shard) == nil {
+	for _, j := range acc.cache.jobs {
+		if !j.record.Cancelled && acc.leadership.of(j.record.Shard) == nil {
 			tasks[resourcesOf(&j.record.Spec)] += float64(len(j.pendingTasks()))
 		}
 	}
-	for _, arrivals := range c.arrivals {
+	for _, arrivals := range acc.arrivals {
 		for _, a := range arrivals {
-			if now.Sub(a.at) < arrivalWindows*c.shortestBoot() {
+			if now.Sub(a.at) < arrivalWindows*acc.catalog.shortestBoot() {
 				tasks[resourcesOf(a.spec)] += a.tasks / arrivalWindows // of a boot's time
 			}
 		}
@@ -41,18 +41,18 @@
 	for _, size := range slices.SortedFunc(maps.Keys(tasks), compareResources) {
 		sizes = append(sizes, shard.PeerDemand{Need: size, Tasks: tasks[size]})
 	}
-	c.demand = peerDemand{now, sizes}
+	acc.demand = peerDemand{now, sizes}
 	return sizes
 }
 
 // trimCapacity leaves out of a shard's free room what does not fit its record beside what
 // teams use, and tells how many machines that are. Call with the lock held.
-func (c *Controller) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
-	size := c.maxValueBytes() - 128*len(use)
+func (acc *capacityAccounts) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
+	size := acc.schema.maxValueBytes() - 128*len(use)
 	if free.FitsIn(size) {
 		return 0
 	}
-	return free.TrimTo(size, c.expectedPeerDemand(now))
+	return free.TrimTo(size, acc.expectedPeerDemand(now))
 }
 
 // compareResources orders amounts.
@@ -66,9 +66,9 @@
 // maxArrivals bounds the arrivals of a class that are remembered: each accepted job takes
 // a change of the state service, so more can't come in the time that is looked at. Call
 // with the lock held.
-func (c *Controller) maxArrivals() int {
-	window := arrivalWindows * c.shortestBoot().Seconds()
-	return max(minArrivals, int(c.cfg.Facts.State.WriteRPS*window))
+func (acc *capacityAccounts) maxArrivals() int {
+	window := arrivalWindows * acc.catalog.shortestBoot().Seconds()
+	return max(minArrivals, int(acc.node.settings.Facts.State.WriteRPS*window))
 }
 
 // endedJobBytes is about what a remembered end of a job takes.
@@ -80,14 +80,14 @@
 	return max(minArrivals, int(cfg.Facts.Limits.MemoryMB*(1<<20)/64/endedJobBytes))
 }
 
-// rememberFinalState keeps the end of a job in the bounded cache. Call with the lock held.
-func (c *Controller) rememberFinalState(uid string, p job.FinalState) {
-	if _, ok := c.finalStates[uid]; !ok {
-		c.finalStateOrder = append(c.finalStateOrder, uid)
-		if len(c.finalStateOrder) > maxFinalStates(c.cfg) {
-			delete(c.finalStates, c.finalStateOrder[0])
-			c.finalStateOrder = c.finalStateOrder[1:]
+// remember keeps the end of a job in the bounded cache. Call with the lock held.
+func (f *finalStateCache) remember(uid string, p job.FinalState) {
+	if _, ok := f.byJob[uid]; !ok {
+		f.order = append(f.order, uid)
+		if len(f.order) > maxFinalStates(f.node.settings) {
+			delete(f.byJob, f.order[0])
+			f.order = f.order[1:]
 		}
 	}
-	c.finalStates[uid] = p
+	f.byJob[uid] = p
 }
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -27,15 +27,15 @@
 
 // isBlocked reports whether a job's tasks may not change now: it is being divided, or has
 // to be before its records can grow. Call with the lock held.
-func (c *Controller) isBlocked(j *liveJob) bool {
-	return j.record.Frozen || c.splitRequests[j.record.Spec.UID] == j.record.Generation+1
+func (s *schemaState) isBlocked(j *liveJob) bool {
+	return j.record.Frozen || s.splitRequests[j.record.Spec.UID] == j.record.Generation+1
 }
 
 // canSplit reports whether a job's records take more than the coming limits allow and can
 // be made smaller. Call with the lock held.
-func (c *Controller) canSplit(j *liveJob, most int) bool {
+func (sp *recordSplitter) canSplit(j *liveJob, most int) bool {
 	m := j.record
-	if !m.Inline && m.RangeSize <= job.TaskRangeSize(c.cfg.LowestLimits().ValueKB) {
+	if !m.Inline && m.RangeSize <= job.TaskRangeSize(sp.node.settings.LowestLimits().ValueKB) {
 		return false
 	}
 	if j.size > most && m.Inline {
@@ -52,32 +52,32 @@
 // nextToSplit picks the next job to be divided, nil if none is to be now. Those that
 // wait for it come first; for the others there is time, and a fraction of the changes.
 // Call with the lock held.
-func (c *Controller) nextToSplit() *liveJob {
-	most := c.maxRecordBytes()
-	now := c.now()
-	paced := now.Sub(c.splitAt) < 8*c.cfg.DecisionInterval()
+func (sp *recordSplitter) nextToSplit() *liveJob {
+	most := sp.schema.maxRecordBytes()
+	now := sp.node.now()
+	paced := now.Sub(sp.splitAt) < 8*sp.node.settings.DecisionInterval()
 	var other *liveJob
-	for _, uid := range slices.Sorted(maps.Keys(c.splitRequests)) {
-		j := c.replica.jobs[uid]
-		if j == nil || c.splitRequests[uid] != j.record.Generation+1 {
-			delete(c.splitRequests, uid)
+	for _, uid := range slices.Sorted(maps.Keys(sp.schema.splitRequests)) {
+		j := sp.cache.jobs[uid]
+		if j == nil || sp.schema.splitRequests[uid] != j.record.Generation+1 {
+			delete(sp.schema.splitRequests, uid)
 			continue
 		}
 		return j
 	}
-	for _, j := range c.replica.jobs {
-		if c.leadershipOf(j.record.Shard) == nil {
+	for _, j := range sp.cache.jobs {
+		if sp.leadership.of(j.record.Shard) == nil {
 			continue
 		}
 		if j.record.Frozen {
 			return j
 		}
-		if !paced && (other == nil || compareAge(j, other) < 0) && !j.record.Cancelled && c.canSplit(j, most) {
+		if !paced && (other == nil || compareAge(j, other) < 0) && !j.record.Cancelled && sp.canSplit(j, most) {
 			other = j
 		}
 	}
 	if other != nil {
-		c.splitAt = now
+		sp.splitAt = now
 	}
 	return other
 }
@@ -85,17 +85,17 @@
 // splitRecords takes the next step in dividing a job. It reports whether there is more.
 func (c *Controller) splitRecords(ctx context.Context) bool {
 	c.mu.Lock()
-	if !c.schemaUpgraded() {
+	if !c.state.schema.upgraded() {
 		c.mu.Unlock()
 		return false
 	}
-	j := c.nextToSplit()
+	j := c.state.splitter.nextToSplit()
 	if j == nil {
 		c.mu.Unlock()
 		return c.collectGarbage(ctx)
 	}
 	m, uid := j.record, j.record.Spec.UID
-	k := m.SplitSize(c.cfg.LowestLimits().ValueKB)
+	k := m.SplitSize(c.node.settings.LowestLimits().ValueKB)
 	t := newTransaction()
 	t.require(jobPrefix+uid, j.version)
 	over := false
@@ -103,8 +103,8 @@
 	case !m.Inline && k >= m.RangeSize:
 		// It can't be: a record of the smallest task range still is too large. It is told
 		// and left alone until it is over.
-		c.log.Error("record can't be split further", "job", uid)
-		delete(c.splitRequests, uid)
+		c.node.log.Error("record can't be split further", "job", uid)
+		delete(c.state.schema.splitRequests, uid)
 		c.mu.Unlock()
 		return false
 	case !m.Inline && !m.Frozen:
@@ -113,7 +113,7 @@
 		t.put(jobPrefix+uid, x)
 	default:
 		for n, ch := range j.ranges {
-			if !c.copyRange(t, j, n, ch, k) {
+			if !c.state.splitter.copyRange(t, j, n, ch, k) {
 				break
 			}
 		}
@@ -127,8 +127,8 @@
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
-		c.log.Info("job records split", "job", uid, "range_size", k)
-		c.wakeDecider()
+		c.node.log.Info("job records split", "job", uid, "range_size", k)
+		c.wake.notify()
 	}
 	return done || err == nil
 }
@@ -136,17 +136,17 @@
 // copyRange adds small task ranges of the next generation that stand for a task range, those that
 // are not there yet. It is false when the transaction takes no more. Call with the lock
 // held.
-func (c *Controller) copyRange(t *transaction, j *liveJob, n int, ch cached[job.TaskRange], k int) bool {
+func (sp *recordSplitter) copyRange(t *transaction, j *liveJob, n int, ch cached[job.TaskRange], k int) bool {
 	uid, each := j.record.Spec.UID, j.record.RangeSize/k
 	key, version := j.rangeRecord(n)
 	length := j.record.RangeLen(n)
 	for s := 0; s*k < length; s++ {
 		rec := rangeGeneration{j.record.Generation + 1, n*each + s}
-		old := c.replica.taskRanges[uid][rec]
+		old := sp.cache.taskRanges[uid][rec]
 		if old.record != nil && old.version > max(version, j.version) {
 			continue // copied from what there is
 		}
-		l := c.transactionLimits()
+		l := sp.schema.transactionLimits()
 		if t.changes() >= l.TxnOps || len(t.preconditions) >= 4*l.TxnOps-1 {
 			return false
 		}
@@ -159,17 +159,17 @@
 // collectGarbage drops records of task ranges that no longer count: of an earlier division of
 // their job, or of a job that is over. Nothing waits for it.
 func (c *Controller) collectGarbage(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	if now.Sub(c.garbageCollectedAt) < c.cfg.WorkerLease()/4 {
+	if now.Sub(c.state.splitter.garbageCollectedAt) < c.node.settings.WorkerLease()/4 {
 		c.mu.Unlock()
 		return false
 	}
 	t := newTransaction()
-	l := c.transactionLimits()
-	for uid, recs := range c.replica.taskRanges {
-		j := c.replica.jobs[uid]
-		if j != nil && c.leadershipOf(j.record.Shard) == nil || j == nil && c.leadershipOf(c.shards[0]) == nil {
+	l := c.state.schema.transactionLimits()
+	for uid, recs := range c.state.cache.taskRanges {
+		j := c.state.cache.jobs[uid]
+		if j != nil && c.state.leadership.of(j.record.Shard) == nil || j == nil && c.state.leadership.of(c.node.shards[0]) == nil {
 			continue
 		}
 		for rec, ch := range recs {
@@ -192,6 +192,6 @@
 		return false
 	}
 	_, _, _ = c.commit(ctx, "swept", t, store.PrioritySubmission)
-	c.garbageCollectedAt = now
+	c.state.splitter.garbageCollectedAt = now
 	return false
 }
--- a/internal/controller/edit.go
+++ b/internal/controller/edit.go
@@ -1,11 +1,9 @@
 package controller
 
 import (
-	"context"
 	"strings"
 
 	"violetturn/internal/job"
-	"violetturn/internal/store"
 )
 
 type rangeID struct {
@@ -15,7 +13,7 @@
 
 // recordEditor collects changes of jobs' records for one transaction.
 type recordEditor struct {
-	c          *Controller
+	schema     *schemaState
 	txn        *transaction
 	jobs       map[string]*liveJob
 	records    map[string]*job.Record
@@ -26,24 +24,24 @@
 	outgrown   bool // some record outgrew a value: nothing of this is to be committed
 }
 
-func (c *Controller) newRecordEditor() *recordEditor {
+func (s *schemaState) newRecordEditor() *recordEditor {
 	return &recordEditor{
-		c:          c,
+		schema:     s,
 		txn:        newTransaction(),
 		jobs:       map[string]*liveJob{},
 		records:    map[string]*job.Record{},
 		ranges:     map[rangeID]*job.TaskRange{},
 		deletes:    map[rangeID]bool{},
-		maxChanges: c.maxChanges(),
+		maxChanges: s.maxChanges(),
 	}
 }
 
 // maxChanges is how many changes a transaction may have now: what the budget holds, so
 // that one of many changes does not keep others waiting for as long as it takes
 // to earn them, and at least as many as one step needs.
-func (c *Controller) maxChanges() int {
+func (s *schemaState) maxChanges() int {
 	const step = 4
-	return min(c.transactionLimits().TxnOps, max(step, c.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)))
+	return min(s.transactionLimits().TxnOps, max(step, s.budget.Available()))
 }
 
 // record returns a copy of the job's main record to be changed.
@@ -144,11 +142,11 @@
 			e.txn.put(jobPrefix+uid, m)
 		}
 	}
-	most := e.c.maxRecordBytes()
+	most := e.schema.maxRecordBytes()
 	for uid, j := range e.jobs {
 		for _, k := range e.txn.order {
 			if len(e.txn.writes[k]) > most && (k == jobPrefix+uid || strings.HasPrefix(k, taskRangePrefix+uid+"/")) {
-				e.c.splitRequests[uid] = j.record.Generation + 1 // divided before it is changed again
+				e.schema.splitRequests[uid] = j.record.Generation + 1 // divided before it is changed again
 				e.outgrown = true
 			}
 		}
@@ -160,7 +158,7 @@
 // limits of a transaction.
 func (e *recordEditor) isFull(more, others int) bool {
 	const guards, bytes = 4, 48 << 10 // of PROTOCOL's 4 preconditions for each change and 64 KiB
-	f := e.c.transactionLimits()
+	f := e.schema.transactionLimits()
 	each := 512.0 // bytes of a change and its guard, records aside
 	size := 0.0
 	for id, ch := range e.ranges {
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -21,8 +21,8 @@
 // isCompleted reports whether a placed task has completed, though that need not be
 // committed yet: its room is free, and its end is recorded with others to save
 // changes. Call with the lock held.
-func (c *Controller) isCompleted(host, id string, pl *placedTask) bool {
-	s := c.agents[host]
+func (reg *agentRegistry) isCompleted(host, id string, pl *placedTask) bool {
+	s := reg.byHost[host]
 	if s == nil {
 		return false
 	}
@@ -34,18 +34,18 @@
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (places, the jobs' records, Releases) drops it. Call with the lock
 // held.
-func (c *Controller) loadOf(host string) *machineLoad {
-	l := c.replica.loads[host]
+func (mr *machineRoom) loadOf(host string) *machineLoad {
+	l := mr.cache.loads[host]
 	if l != nil {
 		return l
 	}
 	l = &machineLoad{}
-	for id, pl := range c.replica.placements[host] {
-		j := c.replica.jobs[pl.uid]
+	for id, pl := range mr.cache.placements[host] {
+		j := mr.cache.jobs[pl.uid]
 		if j != nil {
 			l.lastPlacedMS = max(l.lastPlacedMS, j.record.AcceptedMS+pl.placement.PlacedS*1000)
 		}
-		if c.isCompleted(host, id, pl) {
+		if mr.agents.isCompleted(host, id, pl) {
 			continue
 		}
 		if j == nil {
@@ -65,34 +65,34 @@
 			l.runningByPriority[priority] = l.runningByPriority[priority].Add(n)
 		}
 	}
-	c.replica.loads[host] = l
+	mr.cache.loads[host] = l
 	return l
 }
 
 // noteEnd notes that an attempt is over. Call with the lock held.
-func (c *Controller) noteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
+func (reg *agentRegistry) noteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
 	s.EndedAttempts[id] = r
-	delete(c.replica.loads, host)
+	delete(reg.cache.loads, host)
 }
 
 // unfinishedTasks counts the tasks on a machine that are not over. Call with the lock held.
-func (c *Controller) unfinishedTasks(host string) int {
-	l := c.loadOf(host)
+func (mr *machineRoom) unfinishedTasks(host string) int {
+	l := mr.loadOf(host)
 	return l.services + l.arrays
 }
 
 // endedTasks looks over the machines of own shards and collects the attempts that
 // are over, by task range. Call with the lock held.
-func (c *Controller) endedTasks(now time.Time) map[rangeID][]endedTask {
+func (reg *agentRegistry) endedTasks(now time.Time) map[rangeID][]endedTask {
 	chunks := map[rangeID][]endedTask{}
-	bound := c.cfg.WorkerLeaseBound()
-	for host, m := range c.replica.machines {
-		o := c.leadershipOf(m.Shard)
-		if o == nil || c.replica.capacities[m.Shard].record == nil {
+	bound := reg.node.settings.WorkerLeaseBound()
+	for host, m := range reg.cache.machines {
+		o := reg.leadership.of(m.Shard)
+		if o == nil || reg.cache.capacities[m.Shard].record == nil {
 			continue
 		}
-		s := c.agentOf(host, o)
-		on := c.replica.placements[host]
+		s := reg.of(host, o)
+		on := reg.cache.placements[host]
 		// Entries of tasks that are no longer there do no harm, for a later
 		// attempt has another number: they go when there are too many.
 		if len(s.FirstRuns) > len(on) {
@@ -110,7 +110,7 @@
 		if dead && !s.LeaseExpired {
 			s.LeaseExpired = true
 			if len(on) > 0 {
-				c.log.Info("worker lease expired", "host", host, "tasks", len(on), "terminated", s.Terminated)
+				reg.node.log.Info("worker lease expired", "host", host, "tasks", len(on), "terminated", s.Terminated)
 			}
 		} else if !dead {
 			s.LeaseExpired = false
@@ -120,9 +120,9 @@
 		}
 		for id, pl := range on {
 			if _, ok := s.EndedAttempts[id]; !ok && dead {
-				c.noteEnd(host, s, id, shard.EndedAttempt{Attempt: pl.placement.Attempt, EndedAt: now})
+				reg.noteEnd(host, s, id, shard.EndedAttempt{Attempt: pl.placement.Attempt, EndedAt: now})
 			}
-			if r, ok := s.EndedAttempts[id]; ok && c.replica.jobs[pl.uid] != nil {
+			if r, ok := s.EndedAttempts[id]; ok && reg.cache.jobs[pl.uid] != nil {
 				k := rangeID{pl.uid, pl.rangeIndex}
 				chunks[k] = append(chunks[k], endedTask{pl, r})
 			}
@@ -135,8 +135,8 @@
 // that completed while others of its task range run on can wait for them, unless its
 // machine is to go or its team is near its limit; one that has to run again can
 // not, nor can the last one of a task range. Call with the lock held.
-func (c *Controller) endsAreDue(k rangeID, ends []endedTask, now time.Time) bool {
-	j := c.replica.jobs[k.uid]
+func (sch *schedulerState) endsAreDue(k rangeID, ends []endedTask, now time.Time) bool {
+	j := sch.cache.jobs[k.uid]
 	ch := j.ranges[k.index].record
 	if ch == nil {
 		return false
@@ -146,7 +146,7 @@
 	// completes the task range.
 	own := 0
 	for _, p := range ch.Placements {
-		if m := c.replica.machines[p.Host]; m != nil && c.leadershipOf(m.Shard) != nil {
+		if m := sch.cache.machines[p.Host]; m != nil && sch.leadership.of(m.Shard) != nil {
 			own++
 		}
 	}
@@ -154,17 +154,17 @@
 		return true
 	}
 	if j.record.Cancelled {
-		return now.Sub(ends[0].end.EndedAt) > c.cfg.WorkerLease()
+		return now.Sub(ends[0].end.EndedAt) > sch.node.settings.WorkerLease()
 	}
-	team, _ := c.cfg.Team(j.record.Spec.Team)
+	team, _ := sch.node.settings.Team(j.record.Spec.Team)
 	for _, e := range ends {
-		s := c.agents[e.task.placement.Host]
-		if !e.end.Done || s == nil || s.Cordoned || s.Terminated || now.Sub(e.end.EndedAt) > 2*c.cfg.WorkerLease() {
+		s := sch.agents.byHost[e.task.placement.Host]
+		if !e.end.Done || s == nil || s.Cordoned || s.Terminated || now.Sub(e.end.EndedAt) > 2*sch.node.settings.WorkerLease() {
 			return true
 		}
 	}
 	if team.Limited() {
-		held, others := c.quotaShares(team.Name, "")
+		held, others := sch.capacity.quotaShares(team.Name, "")
 		limit, all := quotaLimitOf(team), held.Add(others)
 		return limit.CPUs > 0 && all.CPUs > limit.CPUs*3/4 || limit.GPUs > 0 && all.GPUs > limit.GPUs*3/4
 	}
@@ -174,13 +174,13 @@
 // commitEnds commits ended attempts. The room they free shows in the shards'
 // records with the next write of those.
 func (c *Controller) commitEnds(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	e := c.newRecordEditor()
-	for p := range c.leaderships {
-		c.requireLeadership(e.txn, p)
+	e := c.state.schema.newRecordEditor()
+	for p := range c.state.leadership.byShard {
+		c.state.leadership.require(e.txn, p)
 	}
-	chunks := c.endedTasks(now)
+	chunks := c.state.agents.endedTasks(now)
 	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b rangeID) int { // jobs that may be complete first
 		if a.uid != b.uid {
 			if a.uid < b.uid {
@@ -193,8 +193,8 @@
 	more := false
 	for _, k := range keys {
 		ends := chunks[k]
-		j := c.replica.jobs[k.uid]
-		if j.record.Spec.Kind == api.Gang || c.isBlocked(j) || !c.endsAreDue(k, ends, now) {
+		j := c.state.cache.jobs[k.uid]
+		if j.record.Spec.Kind == api.Gang || c.state.schema.isBlocked(j) || !c.state.scheduler.endsAreDue(k, ends, now) {
 			continue
 		}
 		cost := 3 // task range, main record and past record
@@ -218,7 +218,7 @@
 		e.deletes[k] = true
 		if m.Complete() {
 			e.archive(j, job.FinalState{Phase: api.Done, Done: r.Tasks})
-			c.log.Info("job done", "job", k.uid)
+			c.node.log.Info("job done", "job", k.uid)
 		}
 	}
 	n := e.changes
@@ -234,10 +234,10 @@
 // archiveJobs moves cancelled jobs without tasks on machines to the past.
 func (c *Controller) archiveJobs(ctx context.Context) bool {
 	c.mu.Lock()
-	e := c.newRecordEditor()
-	for _, j := range c.replica.jobs {
+	e := c.state.schema.newRecordEditor()
+	for _, j := range c.state.cache.jobs {
 		over := j.record.Cancelled || j.record.Gang != nil && j.record.Gang.Done
-		if !over || c.leadershipOf(j.record.Shard) == nil || e.isFull(2, 0) {
+		if !over || c.state.leadership.of(j.record.Shard) == nil || e.isFull(2, 0) {
 			continue
 		}
 		on, done := 0, j.record.FinishedTasks()
@@ -250,13 +250,13 @@
 		past := job.FinalState{Phase: api.Cancelled, Done: done}
 		if g := j.record.Gang; g != nil && g.Done {
 			past = job.FinalState{Phase: api.Done, Done: j.record.Spec.Tasks}
-			if on > 0 && c.countsAgainstQuota(j) {
+			if on > 0 && c.state.capacity.countsAgainstQuota(j) {
 				continue
 			}
 		} else if on > 0 {
 			continue
 		}
-		c.requireLeadership(e.txn, j.record.Shard)
+		c.state.leadership.require(e.txn, j.record.Shard)
 		all := true
 		if !j.record.Inline {
 			for n := range j.ranges {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -32,7 +32,7 @@
 // Machines that went lately stay known as gone however many went: a late copy of one's
 // report must not bring it back. All of them were once forgotten at a fixed number.
 func TestLatelyGoneMachinesAreRemembered(t *testing.T) {
-	m := newReplica(nil, nil, nil)
+	m := newReplica(nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	const machines = 3 * minTerminated
 	for i := range machines {
@@ -59,7 +59,7 @@
 	s.nodes[2].still = false
 	terminated := s.job(nil)
 	s.rounds(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
-		return s.nodes[2].c.loaded && s.nodes[2].c.replica.revision >= s.nodes[0].c.replica.revision && s.done(terminated)()
+		return s.nodes[2].c.testState().cache.loaded && s.nodes[2].c.testState().cache.revision >= s.nodes[0].c.testState().cache.revision && s.done(terminated)()
 	})
 	if n := s.running(id); n != 2 {
 		t.Errorf("%d of 2 replicas run", n)
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -18,8 +18,8 @@
 
 // writesReservedForGangs returns how many changes other decisions leave for gangs: some if a
 // gang came lately. Call with the lock held.
-func (c *Controller) writesReservedForGangs(now time.Time) float64 {
-	for _, l := range c.arrivals {
+func (sch *schedulerState) writesReservedForGangs(now time.Time) float64 {
+	for _, l := range sch.capacity.arrivals {
 		if n := len(l); n > 0 && l[n-1].spec.Kind == api.Gang && now.Sub(l[n-1].at) < maxStartDelay {
 			return gangClaimChanges
 		}
@@ -58,11 +58,11 @@
 
 // outlookOf returns how a gang that lacks room in a zone, even with what is coming, can get
 // it. Call with the lock held.
-func (c *Controller) outlookOf(l *waitingJob, a *sched.TaskRequest, all []*sched.Host, n int, now time.Time) roomOutlook {
-	if sched.CountFits(c.withPreemptibleRoom(all, l.entry.priority), a, n) >= n {
+func (sch *schedulerState) outlookOf(l *waitingJob, a *sched.TaskRequest, all []*sched.Host, n int, now time.Time) roomOutlook {
+	if sched.CountFits(sch.room.withPreemptibleRoom(all, l.entry.priority), a, n) >= n {
 		return roomByPreemption
 	}
-	for _, o := range c.availableOffers(now) {
+	for _, o := range sch.catalog.availableOffers(now) {
 		if a.Allows(o.MachineType, o.Zone, o.Spot) {
 			return roomByRental
 		}
@@ -72,14 +72,14 @@
 
 // candidateZones lists the zones that a gang whose tasks go together may choose from, this
 // node's first; one that is bound, or that may go anywhere, has one choice.
-func (c *Controller) candidateZones(l *waitingJob) []string {
+func (sch *schedulerState) candidateZones(l *waitingJob) []string {
 	r := &l.entry.job.record.Spec
 	if !r.Together || l.zones.zone != "" || r.Zone != "" {
 		return []string{""}
 	}
-	out := []string{c.cfg.Zone}
-	for _, z := range c.cfg.Facts.Zones {
-		if z != c.cfg.Zone {
+	out := []string{sch.node.settings.Zone}
+	for _, z := range sch.node.settings.Facts.Zones {
+		if z != sch.node.settings.Zone {
 			out = append(out, z)
 		}
 	}
@@ -88,14 +88,14 @@
 
 // hostsInOrder returns the machines with room by shard: the gang's own first, then the peers'
 // in random order.
-func (c *Controller) hostsInOrder(hosts map[string][]*sched.Host, own string) [][]*sched.Host {
+func (sch *schedulerState) hostsInOrder(hosts map[string][]*sched.Host, own string) [][]*sched.Host {
 	var peers []string
 	for _, p := range slices.Sorted(maps.Keys(hosts)) {
 		if p != own {
 			peers = append(peers, p)
 		}
 	}
-	c.random.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
+	sch.node.random.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
 	out := [][]*sched.Host{hosts[own]}
 	for _, p := range peers {
 		out = append(out, hosts[p])
@@ -106,11 +106,11 @@
 // findGangRoom looks for room for all of a gang's tasks that have none, in the zone where they
 // start soonest. What is found for a gang that can't be complete is kept from others
 // only when the room that is coming completes it. Call with the lock held.
-func (c *Controller) findGangRoom(l *waitingJob, hosts map[string][]*sched.Host, all, coming []*sched.Host, now time.Time) *gangSearch {
+func (sch *schedulerState) findGangRoom(l *waitingJob, hosts map[string][]*sched.Host, all, coming []*sched.Host, now time.Time) *gangSearch {
 	j := l.entry.job
 	n := len(l.tasks)
 	x := &gangSearch{job: l, placed: j.countPlaced()}
-	shards := c.hostsInOrder(hosts, j.record.Shard)
+	shards := sch.hostsInOrder(hosts, j.record.Shard)
 	flat := slices.Concat(shards...)
 	better := func(seats []*sched.Host, how roomOutlook, than []*sched.Host) bool {
 		if than == nil {
@@ -128,7 +128,7 @@
 		return sched.CountShards(seats) < sched.CountShards(than)
 	}
 	soon := false // with what is coming it would be complete
-	zones := c.candidateZones(l)
+	zones := sch.candidateZones(l)
 	for _, zone := range zones {
 		a := l.request
 		if zone != "" {
@@ -139,7 +139,7 @@
 		for _, h := range flat { // and what is on its way out
 			if a.Allows(h.MachineType, h.Zone, h.Spot) && will < n {
 				away := *h
-				away.Free = c.loadOf(h.Name).stopping
+				away.Free = sch.room.loadOf(h.Name).stopping
 				will += sched.CountFits([]*sched.Host{&away}, &a, n-will)
 			}
 		}
@@ -151,7 +151,7 @@
 		case will >= n:
 			how = roomComing
 		case len(zones) > 1:
-			how = c.outlookOf(l, &a, all, n, now)
+			how = sch.outlookOf(l, &a, all, n, now)
 		}
 		if free == 0 || will < n { // a quick look, for one that is far too large
 			if none := make([]*sched.Host, n); better(none, how, x.hosts) {
@@ -162,7 +162,7 @@
 		// Part after part, or all as one: a fetch takes longer than another shard's capacity record
 		// to be changed, and the last task decides when all start.
 		for _, by := range [][][]*sched.Host{shards, {flat}} {
-			z := c.zoneConstraintOf(j, l.zones.admission.trial())
+			z := sch.zoneConstraintOf(j, l.zones.admission.trial())
 			var seats []sched.GangTask
 			for _, t := range l.tasks {
 				seats = append(
@@ -212,15 +212,15 @@
 // gangTransaction claims room for a gang: all that fits one transaction. If then all of its
 // tasks have a place the same write lets the workers start them, else what was claimed
 // is only held. It returns no transaction when the room is gone. Call with the lock held.
-func (c *Controller) gangTransaction(g *gangClaim, now time.Time) (t *transaction, rest []placement, said [][]any) {
-	j := c.replica.jobs[g.uid]
+func (sch *schedulerState) gangTransaction(g *gangClaim, now time.Time) (t *transaction, rest []placement, said [][]any) {
+	j := sch.cache.jobs[g.uid]
 	if j == nil || !j.record.Gang.AcceptsPlacements() && j.countPlaced() > 0 {
 		return nil, nil, nil
 	}
-	e := c.newRecordEditor()
-	e.maxChanges = c.transactionLimits().TxnOps
-	cl := &claims{c: c, byShard: map[string]*claim{}}
-	z := c.zoneConstraintOf(j, c.admission(now))
+	e := sch.schema.newRecordEditor()
+	e.maxChanges = sch.schema.transactionLimits().TxnOps
+	cl := &claims{accounts: sch.capacity, byShard: map[string]*claim{}}
+	z := sch.zoneConstraintOf(j, sch.zones.admission(now))
 	placed := j.countPlaced()
 	var try uint64
 	n := 0
@@ -234,7 +234,7 @@
 			break
 		}
 		ok()
-		c.requireLeadership(e.txn, j.record.Shard)
+		sch.leadership.require(e.txn, j.record.Shard)
 		ch := e.taskRange(j, x.rangeIndex)
 		m := e.record(j)
 		if n == 0 {
@@ -249,7 +249,7 @@
 		if j.record.Spec.Together && m.Zone == "" {
 			m.Zone = x.host.Zone
 		}
-		if s := c.agents[x.host.Name]; s != nil && s.EndedAttempts[placementKey(g.uid, x.rangeIndex, x.index)].Attempt == try {
+		if s := sch.agents.byHost[x.host.Name]; s != nil && s.EndedAttempts[placementKey(g.uid, x.rangeIndex, x.index)].Attempt == try {
 			return nil, nil, nil // that attempt of the task is over on that machine
 		}
 		ch.PlaceAttempt(x.index, x.host.Name, try, max(0, (now.UnixMilli()-j.record.AcceptedMS)/1000))
@@ -292,12 +292,12 @@
 // commitGangClaim commits a gang's claim, in as many steps as it takes.
 func (c *Controller) commitGangClaim(ctx context.Context, g *gangClaim) {
 	for tries := 0; len(g.placements) > 0 && tries < 3; {
-		if c.store.AwaitWrites(ctx, min(gangClaimChanges, c.cfg.LowestLimits().TxnOps), store.PriorityGang) < 2 || !c.mayActNow() ||
+		if c.store.AwaitWrites(ctx, min(gangClaimChanges, c.node.settings.LowestLimits().TxnOps), store.PriorityGang) < 2 || !c.mayActNow() ||
 			c.readNewest(ctx) != nil {
 			return
 		}
 		c.mu.Lock()
-		t, rest, said := c.gangTransaction(g, c.now())
+		t, rest, said := c.state.scheduler.gangTransaction(g, c.node.now())
 		c.mu.Unlock()
 		if t == nil {
 			return
@@ -307,10 +307,10 @@
 		case done:
 			g.placements, tries = rest, 0
 			for _, l := range said {
-				c.log.Info("task placed", l...)
+				c.node.log.Info("task placed", l...)
 			}
 			c.mu.Lock()
-			c.gangStateOf(g.uid).retry.Claimed()
+			c.state.scheduler.gangStateOf(g.uid).retry.Claimed()
 			c.mu.Unlock()
 		case err == nil:
 			tries++
@@ -337,22 +337,22 @@
 // tasks of one start with the last, so each second counts as often as it has tasks. One
 // that finds no room is not looked at again for a while out of turn.
 func (c *Controller) placeNewGangs(ctx context.Context) {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
 	var claims []*gangClaim
 	some := false
-	reserved := c.writesReservedForGangs(now)
-	for uid := range c.replica.gangs {
-		j := c.replica.jobs[uid]
-		if j.record.Cancelled || c.leadershipOf(j.record.Shard) == nil || len(j.pendingTasks()) == 0 {
+	reserved := c.state.scheduler.writesReservedForGangs(now)
+	for uid := range c.state.cache.gangs {
+		j := c.state.cache.jobs[uid]
+		if j.record.Cancelled || c.state.leadership.of(j.record.Shard) == nil || len(j.pendingTasks()) == 0 {
 			continue
 		}
-		if g := c.gangStateOf(uid); now.Sub(g.lookedAt) > 8*c.cfg.DecisionInterval() {
+		if g := c.state.scheduler.gangStateOf(uid); now.Sub(g.lookedAt) > 8*c.node.settings.DecisionInterval() {
 			g.lookedAt, some = now, true
 		}
 	}
-	if some && c.mayAct(now) {
-		claims = c.plan(now).gangs
+	if some && c.state.leadership.mayAct(now) {
+		claims = c.state.scheduler.plan(now).gangs
 	}
 	c.mu.Unlock()
 	c.store.ReserveForGangs(reserved)
@@ -363,24 +363,24 @@
 
 // noteGangMiss notes that a gang found no room for all its tasks. One that holds some
 // releases its claims after too many misses in a row. Call with the lock held.
-func (c *Controller) noteGangMiss(x *gangSearch, now time.Time) {
+func (sch *schedulerState) noteGangMiss(x *gangSearch, now time.Time) {
 	uid := x.job.entry.uid
-	if x.job.entry.job.gangPhase() == job.GangReserving && c.gangStateOf(uid).retry.Missed(now) {
-		c.gangsToRelease[uid] = true
-		c.wakeDecider()
+	if x.job.entry.job.gangPhase() == job.GangReserving && sch.gangStateOf(uid).retry.Missed(now) {
+		sch.gangsToRelease[uid] = true
+		sch.wake.notify()
 	}
 }
 
 // startDelay estimates how long a start on a machine waits for the worker's next heartbeat:
 // one whose token was raised a moment ago can't be made to report by another raise. On a
 // peer's machine that is so if a task was placed there. Call with the lock held.
-func (c *Controller) startDelay(host string, l *machineLoad, now time.Time) float64 {
+func (mr *machineRoom) startDelay(host string, l *machineLoad, now time.Time) float64 {
 	raised := time.UnixMilli(l.lastPlacedMS)
-	if s := c.agents[host]; s != nil {
+	if s := mr.agents.byHost[host]; s != nil {
 		raised = s.LastTokenChange()
 	}
-	if now.Sub(raised) < c.cfg.WorkerLease()/2 {
-		return c.cfg.HeartbeatInterval().Seconds() / 2
+	if now.Sub(raised) < mr.node.settings.WorkerLease()/2 {
+		return mr.node.settings.HeartbeatInterval().Seconds() / 2
 	}
 	return 0
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -19,19 +19,19 @@
 	lookedAt time.Time // when room was last looked for out of turn
 }
 
-func (c *Controller) gangStateOf(uid string) *gangState {
-	g := c.gangStates[uid]
+func (sch *schedulerState) gangStateOf(uid string) *gangState {
+	g := sch.gangStates[uid]
 	if g == nil {
 		g = &gangState{retry: sched.NewGangRetry()}
-		c.gangStates[uid] = g
+		sch.gangStates[uid] = g
 	}
 	return g
 }
 
 // hasReleasedClaims reports whether a gang has begun its search for room again: it goes before
 // newer ones. Call with the lock held.
-func (c *Controller) hasReleasedClaims(uid string) bool {
-	g := c.gangStates[uid]
+func (sch *schedulerState) hasReleasedClaims(uid string) bool {
+	g := sch.gangStates[uid]
 	return g != nil && g.retry.Released
 }
 
@@ -66,25 +66,25 @@
 // updateGangs commits what became of gangs: ends of their tasks, which decide about all
 // of them, orderly stops, claims that are given up.
 func (c *Controller) updateGangs(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	if len(c.replica.gangs) == 0 {
+	if len(c.state.cache.gangs) == 0 {
 		c.mu.Unlock()
 		return false
 	}
 	byJob := map[string][]endedTask{}
-	for k, ends := range c.endedGangAttempts(now) {
+	for k, ends := range c.state.scheduler.endedGangAttempts(now) {
 		byJob[k.uid] = append(byJob[k.uid], ends...)
 	}
-	e := c.newRecordEditor()
-	for p := range c.leaderships {
-		c.requireLeadership(e.txn, p)
+	e := c.state.schema.newRecordEditor()
+	for p := range c.state.leadership.byShard {
+		c.state.leadership.require(e.txn, p)
 	}
 	more := false
 	var said [][]any
-	for _, uid := range slices.Sorted(maps.Keys(c.replica.gangs)) {
-		j := c.replica.jobs[uid]
-		if c.isBlocked(j) || j.record.Gang == nil {
+	for _, uid := range slices.Sorted(maps.Keys(c.state.cache.gangs)) {
+		j := c.state.cache.jobs[uid]
+		if c.state.schema.isBlocked(j) || j.record.Gang == nil {
 			continue
 		}
 		if e.isFull(2, 0) {
@@ -92,7 +92,7 @@
 			break
 		}
 		before := *j.record.Gang
-		if c.updateGang(e, j, byJob[uid], now) {
+		if c.state.scheduler.updateGang(e, j, byJob[uid], now) {
 			after := e.records[uid]
 			line := []any{"job", uid, "attempt", before.Attempt, "phase_before", before.Phase(j.countPlaced())}
 			if after != nil {
@@ -112,28 +112,28 @@
 	done, _, err := c.commit(ctx, "gang ends", t, store.PriorityGang)
 	if done {
 		for _, l := range said {
-			c.log.Info("gang", l...)
+			c.node.log.Info("gang", l...)
 		}
-		c.wakeDecider()
+		c.wake.notify()
 	}
 	return more && (done || err == nil)
 }
 
 // endedGangAttempts returns the ends of gangs' tasks on machines of own shards. Call with the lock
 // held.
-func (c *Controller) endedGangAttempts(now time.Time) map[rangeID][]endedTask {
-	all := c.endedTasks(now)
-	maps.DeleteFunc(all, func(k rangeID, _ []endedTask) bool { return !isGang(c.replica.jobs[k.uid]) })
+func (sch *schedulerState) endedGangAttempts(now time.Time) map[rangeID][]endedTask {
+	all := sch.agents.endedTasks(now)
+	maps.DeleteFunc(all, func(k rangeID, _ []endedTask) bool { return !isGang(sch.cache.jobs[k.uid]) })
 	return all
 }
 
 // updateGang adds to a transaction what is to become of a gang. It reports whether it did
 // anything. Call with the lock held.
-func (c *Controller) updateGang(e *recordEditor, j *liveJob, ends []endedTask, now time.Time) bool {
+func (sch *schedulerState) updateGang(e *recordEditor, j *liveJob, ends []endedTask, now time.Time) bool {
 	uid, m := j.record.Spec.UID, j.record
 	g := *m.Gang // as it will be
 	launched := time.UnixMilli(m.AcceptedMS).Add(time.Duration(g.LaunchedS) * time.Second)
-	gathering := c.runningGangs[uid] != g.Attempt && now.Sub(launched) < c.cfg.GangGatherTimeout()/2
+	gathering := sch.agents.runningGangs[uid] != g.Attempt && now.Sub(launched) < sch.node.settings.GangGatherTimeout()/2
 	for _, x := range ends {
 		how := x.end.Reason
 		if how == job.ExitDone && m.Cancelled {
@@ -142,25 +142,25 @@
 		g.TaskEnded(x.end.Attempt, how, gathering)
 	}
 	if g.Done && !m.Gang.Done {
-		c.log.Info("job done", "job", uid)
-		if m.Inline && (len(ends) == j.countPlaced() || !c.countsAgainstQuota(j)) {
+		sch.node.log.Info("job done", "job", uid)
+		if m.Inline && (len(ends) == j.countPlaced() || !sch.capacity.countsAgainstQuota(j)) {
 			e.archive(j, job.FinalState{Phase: api.Done, Done: m.Spec.Tasks})
 			return true
 		}
 		// It is called done from now on, though not all of its records are gone yet.
 	}
-	led := c.leadershipOf(m.Shard) != nil
+	led := sch.leadership.of(m.Shard) != nil
 	drop := false // claims that are given up: nothing of them was ever started
 	switch j.record.Gang.Phase(j.countPlaced()) {
 	case job.GangReserving:
-		drop = led && (m.Cancelled || c.gangsToRelease[uid])
-		delete(c.gangsToRelease, uid)
+		drop = led && (m.Cancelled || sch.gangsToRelease[uid])
+		delete(sch.gangsToRelease, uid)
 	case job.GangLaunched:
-		if !m.Cancelled && c.gangInterruptionIsDue(j) {
+		if !m.Cancelled && sch.agents.gangInterruptionIsDue(j) {
 			g.Stopping = true
 		}
 		// The others wait for a task that was lost before they ran, but not for ever.
-		if led && j.countPlaced() < m.Spec.Tasks && now.Sub(launched) > c.cfg.GangGatherTimeout()*3/4 {
+		if led && j.countPlaced() < m.Spec.Tasks && now.Sub(launched) > sch.node.settings.GangGatherTimeout()*3/4 {
 			g.Abandon()
 		}
 	}
@@ -174,7 +174,7 @@
 			}
 			clear(e.taskRange(j, n).Placements)
 		}
-		c.log.Info("gang claims released", "job", uid, "attempt", g.Attempt)
+		sch.node.log.Info("gang claims released", "job", uid, "attempt", g.Attempt)
 	}
 	for _, x := range ends {
 		if e.rangeCost(j, x.task.rangeIndex) > 0 && e.isFull(e.rangeCost(j, x.task.rangeIndex), 0) {
@@ -189,17 +189,17 @@
 // countsAgainstQuota reports whether what a gang's tasks use counts against a limit: the place of one
 // on a machine that says nothing may still be taken, done or not, so its record is kept
 // until all have been heard of. Call with the lock held.
-func (c *Controller) countsAgainstQuota(j *liveJob) bool {
-	team, _ := c.cfg.Team(j.record.Spec.Team)
+func (acc *capacityAccounts) countsAgainstQuota(j *liveJob) bool {
+	team, _ := acc.node.settings.Team(j.record.Spec.Team)
 	return team.Limited()
 }
 
 // gangInterruptionIsDue reports whether a machine with a task of a gang is taken away so soon that
 // all of them have to save now. Call with the lock held.
-func (c *Controller) gangInterruptionIsDue(j *liveJob) bool {
+func (reg *agentRegistry) gangInterruptionIsDue(j *liveJob) bool {
 	for _, ch := range j.ranges {
 		for _, p := range ch.record.Placements {
-			if s := c.agents[p.Host]; s != nil && c.interruptionIsDue(s, j) {
+			if s := reg.byHost[p.Host]; s != nil && reg.interruptionIsDue(s, j) {
 				return true
 			}
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -72,7 +72,7 @@
 		s.rounds(t, 200, "done", s.done(id))
 		s.rounds(t, 40, "its records are gone", func() bool {
 			c := s.nodes[0].c
-			return c.replica.jobs[id] == nil && len(c.replica.taskRanges[id]) == 0
+			return c.testState().cache.jobs[id] == nil && len(c.testState().cache.taskRanges[id]) == 0
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	s := warmSim()
 	s.w.GangWait = 25 * time.Second
 	for _, n := range s.nodes {
-		n.c.cfg.Facts.Workers.GangWaitS = 25
+		n.c.node.settings.Facts.Workers.GangWaitS = 25
 	}
 	other := s.gang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.rounds(t, 300, "done", s.done(other))
@@ -92,7 +92,7 @@
 	s.rounds(t, 40, "some have been launched", func() bool { return s.phases(id, api.Fetching) == 4 })
 	s.w.Cloud.Kill(s.holder(id).Host)
 	s.rounds(t, 100, "all run", func() bool { return s.phases(id, api.Running) == 4 })
-	if g := s.nodes[0].c.replica.jobs[id].record.Gang; g.Attempt != 1 {
+	if g := s.nodes[0].c.testState().cache.jobs[id].record.Gang; g.Attempt != 1 {
 		t.Fatalf("runs as attempt %d", g.Attempt)
 	}
 	s.rounds(t, 200, "done", s.done(id))
@@ -118,7 +118,7 @@
 			x.Partitioned = true
 		}
 		s.rounds(t, 400, how+": a later attempt runs", func() bool {
-			j := s.nodes[0].c.replica.jobs[id]
+			j := s.nodes[0].c.testState().cache.jobs[id]
 			return j != nil && j.record.Gang.Attempt > 1 && s.phases(id, api.Running) == 4
 		})
 		s.rounds(t, 300, "done", s.done(id))
@@ -164,9 +164,9 @@
 	s.rounds(t, 300, "done", s.done(warm))
 	lease := func(withdraw bool) {
 		id := s.gang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
-		j := c.replica.jobs[id]
+		j := c.testState().cache.jobs[id]
 		var host *sched.Host
-		for _, h := range c.schedulableHosts(c.now()) {
+		for _, h := range c.testState().scheduler.schedulableHosts(c.node.now()) {
 			if h.Shard == "n0" {
 				host = h
 			}
@@ -175,7 +175,7 @@
 			t.Fatal("no machine of its own part")
 		}
 		c.mu.Lock()
-		tx, _, _ := c.gangTransaction(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.now())
+		tx, _, _ := c.testState().scheduler.gangTransaction(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.node.now())
 		c.mu.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
@@ -195,7 +195,7 @@
 			return
 		}
 		s.rounds(t, 40, "released", func() bool { return j.countPlaced() == 0 })
-		if !c.hasReleasedClaims(id) {
+		if !c.testState().scheduler.hasReleasedClaims(id) {
 			t.Fatal("does not go before newer ones")
 		}
 		for _, x := range s.w.Cloud.Hosts {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -24,16 +24,16 @@
 const arrivalWindows = 4
 
 // noteArrival notes a job for the headroom. It is called with the lock held.
-func (c *Controller) noteArrival(m *job.Record) {
+func (acc *capacityAccounts) noteArrival(m *job.Record) {
 	const lanes = 64
-	if c.arrivals[m.Spec.Class] == nil && len(c.arrivals) >= lanes {
-		clear(c.arrivals) // users may name classes at will
+	if acc.arrivals[m.Spec.Class] == nil && len(acc.arrivals) >= lanes {
+		clear(acc.arrivals) // users may name classes at will
 	}
-	l := append(c.arrivals[m.Spec.Class], arrival{time.UnixMilli(m.AcceptedMS), &m.Spec, float64(m.Spec.Tasks)})
-	if len(l) > c.maxArrivals() {
+	l := append(acc.arrivals[m.Spec.Class], arrival{time.UnixMilli(m.AcceptedMS), &m.Spec, float64(m.Spec.Tasks)})
+	if len(l) > acc.maxArrivals() {
 		l = l[1:]
 	}
-	c.arrivals[m.Spec.Class] = l
+	acc.arrivals[m.Spec.Class] = l
 }
 
 // headroomRequest is room to be kept for a class of jobs, by zone if they are spread, and the
@@ -56,12 +56,12 @@
 // withPreemptibleRoom returns copies of the machines with the room of tasks of a lower rank
 // added to what is free: that need not be kept, it can be taken when needed.
 // Call with the lock held.
-func (c *Controller) withPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
+func (mr *machineRoom) withPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
 	room := make([]sched.Host, len(hosts))
 	out := make([]*sched.Host, len(hosts))
 	for i, h := range hosts {
 		room[i] = *h
-		l := c.loadOf(h.Name)
+		l := mr.loadOf(h.Name)
 		for r := priority + 1; r < len(l.runningByPriority); r++ {
 			room[i].Free = room[i].Free.Add(l.runningByPriority[r])
 		}
@@ -71,7 +71,7 @@
 }
 
 // shortestBoot is how long the soonest machine takes to boot. Call with the lock held.
-func (c *Controller) shortestBoot() time.Duration {
+func (c *machineCatalog) shortestBoot() time.Duration {
 	startup := 0.0
 	for _, f := range c.machineTypes {
 		if startup == 0 || f.BootS < startup {
@@ -85,15 +85,15 @@
 // whose jobs can't wait for a machine to boot, as many as arrivals fluctuate by
 // while one does. What ends in that time makes room for the average. Call with
 // the lock held.
-func (c *Controller) headroom(now time.Time) []headroomRequest {
-	boot := c.shortestBoot()
+func (as *autoscalerState) headroom(now time.Time) []headroomRequest {
+	boot := as.catalog.shortestBoot()
 	if boot == 0 {
 		return nil
 	}
 	startup := boot.Seconds()
-	admission := c.admission(now)
+	admission := as.zones.admission(now)
 	var out []headroomRequest
-	for class, l := range c.arrivals {
+	for class, l := range as.capacity.arrivals {
 		squares := 0.0
 		var last *api.Job
 		for _, a := range l {
@@ -106,7 +106,7 @@
 			continue
 		}
 		priority, _ := api.PriorityOf(last.Priority)
-		slack := c.waitingSlack(class, last, c.fetchSeconds(last))
+		slack := as.estimates.waitingSlack(class, last, as.catalog.fetchSeconds(last))
 		w := config.JobVariables{
 			Class:    class,
 			Team:     last.Team,
@@ -117,20 +117,20 @@
 			GPUs:     last.GPUs,
 			CPUs:     last.CPUs,
 		}
-		keep := c.policy.Headroom(w, math.Sqrt(squares/arrivalWindows), startup, min(slack, unlimitedSeconds))
+		keep := as.node.policy.Headroom(w, math.Sqrt(squares/arrivalWindows), startup, min(slack, unlimitedSeconds))
 		if keep == 0 {
 			continue
 		}
-		n := int(math.Ceil(max(keep, c.growth(class, l, boot, arrivalWindows*boot, now))))
+		n := int(math.Ceil(max(keep, as.growth(class, l, boot, arrivalWindows*boot, now))))
 		ask := taskRequestOf(last)
-		if gate := c.admissionOfSpec(last, admission); gate != nil {
+		if gate := as.zones.admissionOfSpec(last, admission); gate != nil {
 			ask.ZoneAllowed = gate.admits // no headroom below production in a zone that is closed to it
 		}
 		if !last.Spread {
 			out = append(out, headroomRequest{class, priority, []sched.UnmetDemand{{Request: ask, Count: n}}})
 			continue
 		}
-		zones := c.cfg.Facts.Zones
+		zones := as.node.settings.Facts.Zones
 		byZone := headroomRequest{class: class, priority: priority}
 		for _, zone := range zones { // each zone takes its share of a spread job
 			if ask.Zone == "" || ask.Zone == zone {
@@ -149,7 +149,7 @@
 // than before, whoever waits for them to find no room rents a boot too late. The
 // rate is that of the newer half of what was seen, so that what came at once in
 // the beginning does not count. Call with the lock held.
-func (c *Controller) growth(class string, l []arrival, boot, window time.Duration, now time.Time) float64 {
+func (as *autoscalerState) growth(class string, l []arrival, boot, window time.Duration, now time.Time) float64 {
 	if len(l) == 0 || l[len(l)-1].spec.Kind != api.Array {
 		return 0
 	}
@@ -166,14 +166,14 @@
 		return 0
 	}
 	grow := tasks / half.Seconds() * boot.Seconds()
-	for _, on := range c.replica.placements {
+	for _, on := range as.cache.placements {
 		for _, pl := range on {
-			j := c.replica.jobs[pl.uid]
+			j := as.cache.jobs[pl.uid]
 			if j == nil || j.record.Spec.Class != class {
 				continue
 			}
 			ran := now.Sub(time.UnixMilli(placedAtMS(j, pl)))
-			if (ran + boot).Seconds() > c.estimatedRuntime(&j.record.Spec) {
+			if (ran + boot).Seconds() > as.estimates.estimatedRuntime(&j.record.Spec) {
 				grow--
 			}
 		}
@@ -183,12 +183,12 @@
 
 // waitingSlack is how long a job of the class can wait before it misses its aim, when
 // fetching its image takes so many seconds.
-func (c *Controller) waitingSlack(class string, r *api.Job, fetch float64) float64 {
+func (e *runEstimates) waitingSlack(class string, r *api.Job, fetch float64) float64 {
 	s := math.Inf(1)
 	if r.DeadlineS != nil {
 		s = *r.DeadlineS - r.EstimateS - fetch
 	}
-	for _, o := range c.cfg.Facts.Objectives {
+	for _, o := range e.node.settings.Facts.Objectives {
 		if o.Class != class {
 			continue
 		}
@@ -199,8 +199,8 @@
 			s = min(s, o.WithinS-fetch-r.EstimateS)
 		}
 	}
-	if team, ok := c.cfg.Team(r.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
-		s = min(s, 2*c.cfg.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
+	if team, ok := e.node.settings.Team(r.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
+		s = min(s, 2*e.node.settings.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
 	}
 	return s
 }
@@ -208,10 +208,10 @@
 // headroomMachines returns the idle machines that belong to the headroom: what is to be
 // kept room for takes them after it has filled the others. Call with the lock
 // held.
-func (c *Controller) headroomMachines(left []*sched.Host, now time.Time) map[string]bool {
+func (as *autoscalerState) headroomMachines(left []*sched.Host, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	for _, w := range c.headroom(now) {
-		room := c.withPreemptibleRoom(left, w.priority)
+	for _, w := range as.headroom(now) {
+		room := as.room.withPreemptibleRoom(left, w.priority)
 		for _, u := range w.requests {
 			ranking := sched.Rank(nil, room, &u.Request)
 			for range u.Count {
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -18,7 +18,7 @@
 		s.round()
 	}
 	c := s.nodes[0].c
-	c.cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "l", WithinS: 10}}
+	c.node.settings.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "l", WithinS: 10}}
 	run := &api.Job{
 		UID:      "run-1",
 		Class:    "l",
@@ -32,7 +32,7 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.arrivals["l"] = append(c.arrivals["l"], arrival{c.now(), run, 40})
+		c.testState().capacity.arrivals["l"] = append(c.testState().capacity.arrivals["l"], arrival{c.node.now(), run, 40})
 	}
 	for range 6 { // a sixteenth of a boot is eight rounds
 		s.round()
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -33,7 +33,7 @@
 
 	l.nodes[2].up = false
 	l.play("takeover", 30*time.Second)
-	if own := l.nodes[0].c.replica.leaders["n2"].record; own == nil || own.Node == "n2" {
+	if own := l.nodes[0].c.testState().cache.leaders["n2"].record; own == nil || own.Node == "n2" {
 		t.Fatalf("the lost controller's part is owned by %v", own)
 	}
 	for i := range l.nodes {
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -14,67 +14,67 @@
 // scaleIn decides which machines go back and returns them.
 func (c *Controller) scaleIn(ctx context.Context) {
 	c.mu.Lock()
-	back, fences := c.machinesToReturn(c.now())
+	back, fences := c.state.autoscaler.machinesToReturn(c.node.now())
 	c.mu.Unlock()
 	c.sendCommands(ctx, fences)
 	if len(back) == 0 {
 		return
 	}
 	if err := c.cloud.Return(ctx, back); err != nil {
-		c.log.Info("machines not returned", "hosts", back, "err", err)
+		c.node.log.Info("machines not returned", "hosts", back, "err", err)
 		return
 	}
 	c.mu.Lock()
 	for _, h := range back {
-		if s := c.agents[h]; s != nil {
+		if s := c.state.agents.byHost[h]; s != nil {
 			s.Terminated = true
 		}
-		if m := c.replica.machines[h]; m != nil { // what was refused may be had again
-			delete(c.capacityBackoffs, offerKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
+		if m := c.state.cache.machines[h]; m != nil { // what was refused may be had again
+			delete(c.state.catalog.capacityBackoffs, offerKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
 		}
 	}
 	c.mu.Unlock()
-	c.log.Info("machines returned", "hosts", back)
-	c.wakeDecider()
+	c.node.log.Info("machines returned", "hosts", back)
+	c.wake.notify()
 }
 
 // machinesToReturn returns the machines of own shards that are to be returned. On the way it fences
 // those that have not heard of this owner, and judges which are to go.
-func (c *Controller) machinesToReturn(now time.Time) (back []string, fences []directCommand) {
-	if !c.mayAct(now) {
+func (as *autoscalerState) machinesToReturn(now time.Time) (back []string, fences []directCommand) {
+	if !as.leadership.mayAct(now) {
 		return nil, nil
 	}
-	view := &scaleInView{c: c, now: now}
+	view := &scaleInView{autoscaler: as, now: now}
 	// What is idle or loose is judged against a plan of all machines, which is the dearest
 	// thing that a controller works out. Against a boot it may wait a little.
-	judge := now.Sub(c.scaleInCheckedAt) >= c.shortestBoot()/16
+	judge := now.Sub(as.scaleInCheckedAt) >= as.catalog.shortestBoot()/16
 	if judge {
-		c.scaleInCheckedAt = now
+		as.scaleInCheckedAt = now
 	}
-	for host, m := range c.replica.machines {
-		o := c.leadershipOf(m.Shard)
-		rec := c.replica.capacities[m.Shard].record
+	for host, m := range as.cache.machines {
+		o := as.leadership.of(m.Shard)
+		rec := as.cache.capacities[m.Shard].record
 		if o == nil || rec == nil {
 			continue
 		}
-		s := c.agentOf(host, o)
+		s := as.agents.of(host, o)
 		if s.Terminated {
 			continue
 		}
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is taken, for the list is late.
-		if !s.Fenced && !c.provisioning[host] {
-			if command, ok := c.fence(host); ok {
+		if !s.Fenced && !as.agents.provisioning[host] {
+			if command, ok := as.agents.fence(host); ok {
 				fences = append(fences, command)
 			}
 		}
 		if judge {
-			c.considerScaleIn(host, m, s, view)
+			as.considerScaleIn(host, m, s, view)
 		}
 		_, offered := rec.Free[host]
-		silent := now.Sub(s.LastSeen) > 2*c.cfg.HeartbeatInterval()
+		silent := now.Sub(s.LastSeen) > 2*as.node.settings.HeartbeatInterval()
 		terminated := s.MissingFromLists >= 2 && silent // says the list; the return proves it
-		if terminated || s.Cordoned && !offered && len(c.replica.placements[host]) == 0 {
+		if terminated || s.Cordoned && !offered && len(as.cache.placements[host]) == 0 {
 			back = append(back, host)
 		}
 	}
@@ -85,7 +85,7 @@
 // scaleInView is what judging a round of machines needs to know of all of them,
 // worked out once if one of them asks.
 type scaleInView struct {
-	c            *Controller
+	autoscaler   *autoscalerState
 	now          time.Time
 	hosts        []*sched.Host            // with the room that is left after what is to be placed
 	replicaHosts map[string][]*sched.Host // by zone, those of them with replicas
@@ -95,7 +95,7 @@
 
 func (v *scaleInView) remaining() []*sched.Host {
 	if v.hosts == nil {
-		p := v.c.plan(v.now)
+		p := v.autoscaler.scheduler.plan(v.now)
 		v.hosts, v.reserved = p.remaining, p.reservedHosts
 	}
 	return v.hosts
@@ -147,30 +147,30 @@
 // inHeadroom reports whether a machine is part of the headroom.
 func (v *scaleInView) inHeadroom(host string) bool {
 	if v.headroom == nil {
-		v.headroom = v.c.headroomMachines(v.remaining(), v.now)
+		v.headroom = v.autoscaler.headroomMachines(v.remaining(), v.now)
 	}
 	return v.headroom[host] || v.reserved[host]
 }
 
 // considerScaleIn decides whether a machine is to be returned. Call with the lock held.
-func (c *Controller) considerScaleIn(host string, m *shard.Machine, s *shard.Agent, view *scaleInView) {
+func (as *autoscalerState) considerScaleIn(host string, m *shard.Machine, s *shard.Agent, view *scaleInView) {
 	now := view.now
-	_, f := c.machineCapacity(m.MachineType)
+	_, f := as.catalog.machineCapacity(m.MachineType)
 	if f == nil || s.Cordoned {
 		return
 	}
 	startup := time.Duration(f.BootS * float64(time.Second))
 	drain := func(why string) {
 		s.Cordoned = true
-		c.log.Info("machine cordoned", "host", host, "why", why)
-		c.wakeDecider()
+		as.node.log.Info("machine cordoned", "host", host, "why", why)
+		as.wake.notify()
 	}
 	if !s.Fenced {
 		// It has had time to boot, and since this owner took the shard time to
 		// answer a fence: what an earlier leader waited says nothing of a machine
 		// that came up under it, but one that was lost under it must not be given
 		// the time of a whole boot once more.
-		if now.Sub(time.UnixMilli(m.RegisteredMS)) > 4*startup+c.cfg.WorkerLease() && now.Sub(s.CreatedAt) > 2*c.cfg.WorkerLeaseBound() {
+		if now.Sub(time.UnixMilli(m.RegisteredMS)) > 4*startup+as.node.settings.WorkerLease() && now.Sub(s.CreatedAt) > 2*as.node.settings.WorkerLeaseBound() {
 			drain("never came up, or silent since before the part was taken")
 		}
 		return
@@ -178,20 +178,20 @@
 	if s.LeaseExpired {
 		// A machine that is just up may be fenced before its first report was
 		// ever answered: it counts from the fence.
-		if now.Sub(s.LastAnswered) > 2*c.cfg.WorkerLeaseBound() && now.Sub(s.LastSeen) > 2*c.cfg.WorkerLeaseBound() {
+		if now.Sub(s.LastAnswered) > 2*as.node.settings.WorkerLeaseBound() && now.Sub(s.LastSeen) > 2*as.node.settings.WorkerLeaseBound() {
 			drain("silent for long")
 		}
 		return
 	}
-	if c.unfinishedTasks(host) > 0 ||
+	if as.room.unfinishedTasks(host) > 0 ||
 		s.Heartbeat != nil && slices.ContainsFunc(s.Heartbeat.Tasks, func(p api.TaskState) bool { return p.Phase != api.Ended }) {
 		s.IdleSince = time.Time{}
-		if !c.canMigrate(host, startup, view) {
+		if !as.canMigrate(host, startup, view) {
 			s.UnderusedSince = time.Time{}
 		} else if s.UnderusedSince.IsZero() {
 			s.UnderusedSince = now
-		} else if now.Sub(s.UnderusedSince) > 2*startup && now.Sub(c.migratedAt) > startup {
-			c.migratedAt = now
+		} else if now.Sub(s.UnderusedSince) > 2*startup && now.Sub(as.migratedAt) > startup {
+			as.migratedAt = now
 			drain("its replicas fit elsewhere")
 		}
 		return
@@ -199,10 +199,10 @@
 	if s.IdleSince.IsZero() {
 		s.IdleSince = now
 	}
-	if c.restrictedZone(m.Zone, now) != nil {
+	if as.zones.restrictedZone(m.Zone, now) != nil {
 		return // it is idle because room is kept, or work held back, that will want it soon
 	}
-	if now.Sub(s.IdleSince).Seconds() > c.policy.Idle(f.BootS, priceOf(f, m.Spot), m.Spot) && !view.inHeadroom(host) {
+	if now.Sub(s.IdleSince).Seconds() > as.node.policy.Idle(f.BootS, priceOf(f, m.Spot), m.Spot) && !view.inHeadroom(host) {
 		drain("idle")
 	}
 }
@@ -210,12 +210,12 @@
 // canMigrate reports whether a machine holds nothing but a few replicas that have run
 // for a while and fit on machines in use elsewhere that have their images, so
 // that moving them costs seconds and saves a machine. Call with the lock held.
-func (c *Controller) canMigrate(host string, startup time.Duration, view *scaleInView) bool {
-	m, now := c.replica.machines[host], view.now
-	cp, _ := c.machineCapacity(m.MachineType)
+func (as *autoscalerState) canMigrate(host string, startup time.Duration, view *scaleInView) bool {
+	m, now := as.cache.machines[host], view.now
+	cp, _ := as.catalog.machineCapacity(m.MachineType)
 	used := sched.Resources{}
-	for _, pl := range c.replica.placements[host] {
-		j := c.replica.jobs[pl.uid]
+	for _, pl := range as.cache.placements[host] {
+		j := as.cache.jobs[pl.uid]
 		if j == nil || j.record.Cancelled || pl.placement.Stopping || j.record.Spec.Kind != api.Service {
 			return false
 		}
@@ -229,8 +229,8 @@
 		return false
 	}
 	var asks []sched.TaskRequest
-	for _, pl := range c.replica.placements[host] {
-		asks = append(asks, taskRequestOf(&c.replica.jobs[pl.uid].record.Spec))
+	for _, pl := range as.cache.placements[host] {
+		asks = append(asks, taskRequestOf(&as.cache.jobs[pl.uid].record.Spec))
 	}
 	return view.fitElsewhere(host, m.Zone, asks) && !view.inHeadroom(host)
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -99,7 +99,7 @@
 	})
 	s.rounds(t, 100, "all run", func() bool { return s.running(id) == 120 })
 	s.upgrade()
-	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.replica.jobs[id].record.Generation == 1 })
+	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.testState().cache.jobs[id].record.Generation == 1 })
 	for range 60 {
 		s.round()
 		if n := s.running(id); n != 120 {
@@ -121,9 +121,9 @@
 	s.fall()
 	s.cancel(0, id)
 	s.rounds(t, 400, "all machines have gone and are forgotten", func() bool {
-		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.replica.machines) == 0
+		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.testState().cache.machines) == 0
 	})
-	s.rounds(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].c.replica.pages) == 0 })
+	s.rounds(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].c.testState().cache.pages) == 0 })
 	again := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.rounds(t, 400, "done", s.done(again))
 	if s.w.Store.TooLarge > 3 {
@@ -135,7 +135,7 @@
 // one has taken over stays as the fine one says.
 func TestFinePageHidesCoarse(t *testing.T) {
 	s := newSim()
-	m := s.nodes[0].c.replica
+	m := s.nodes[0].c.testState().cache
 	page := func(id string, version uint64, hosts ...string) {
 		p := shard.Page{}
 		for _, h := range hosts {
--- a/internal/controller/livejob.go
+++ b/internal/controller/livejob.go
@@ -23,7 +23,7 @@
 	j := m.jobs[uid]
 	if raw == nil {
 		if j != nil {
-			if !m.loading && m.onJobEnded != nil {
+			if !m.loading {
 				m.onJobEnded(uid, j.finalState())
 			}
 			for n := range j.ranges {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -146,8 +146,8 @@
 	}
 	ctx := context.Background()
 	l.measure("watch", func() {
-		if n.c.loaded {
-			_ = n.c.applyChanges(ctx, n.c.replica.revision, 0) // refused in an outage
+		if n.c.testState().cache.loaded {
+			_ = n.c.applyChanges(ctx, n.c.testState().cache.revision, 0) // refused in an outage
 			n.c.requestHeartbeats(ctx)
 		} else {
 			_ = n.c.loadReplica(ctx)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -14,7 +14,7 @@
 // without a record, each in one shard, by conditional writes of their pages.
 func (c *Controller) registerMachines(ctx context.Context) bool {
 	c.mu.Lock()
-	if len(c.unregistered) == 0 {
+	if len(c.state.agents.unregistered) == 0 {
 		c.mu.Unlock()
 		return false
 	}
@@ -23,31 +23,31 @@
 	var names []string
 	size := 0 // bytes of the pages
 	count := map[string]int{}
-	for _, m := range c.replica.machines {
+	for _, m := range c.state.cache.machines {
 		count[m.Shard]++
 	}
-	for _, host := range slices.Sorted(maps.Keys(c.unregistered)) {
-		m := c.unregistered[host]
-		if c.replica.machines[host] != nil || c.replica.terminated[host] {
-			delete(c.unregistered, host)
+	for _, host := range slices.Sorted(maps.Keys(c.state.agents.unregistered)) {
+		m := c.state.agents.unregistered[host]
+		if c.state.cache.machines[host] != nil || c.state.cache.terminated[host] {
+			delete(c.state.agents.unregistered, host)
 			continue
 		}
-		id := c.pageFor(host)
+		id := c.state.schema.pageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= c.maxChanges() || size > 48<<10-int(c.cfg.Facts.State.ValueKB*1024) {
+			if len(pages) >= c.state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
 				break
 			}
-			_, page = c.openPage(t, host)
+			_, page = c.state.schema.openPage(t, host)
 		}
 		m.Shard = c.shardFor(m.Zone, count)
-		m.RegisteredMS = c.now().UnixMilli()
+		m.RegisteredMS = c.node.now().UnixMilli()
 		page[host] = &m
 		bytes := len(api.JSON(page))
-		if bytes > c.maxPageBytes() {
-			c.log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
+		if bytes > c.state.schema.maxPageBytes() {
+			c.node.log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
 			delete(page, host)
-			delete(c.unregistered, host)
+			delete(c.state.agents.unregistered, host)
 			continue
 		}
 		if !open {
@@ -68,23 +68,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if done {
-		c.log.Info("machines registered", "hosts", names)
+		c.node.log.Info("machines registered", "hosts", names)
 		for _, h := range names {
-			delete(c.unregistered, h)
+			delete(c.state.agents.unregistered, h)
 		}
 	}
-	return (done || err == nil) && len(c.unregistered) > 0
+	return (done || err == nil) && len(c.state.agents.unregistered) > 0
 }
 
 // shardFor chooses the shard for a machine: one whose home controller is in the
 // machine's zone, so that a zone cut off keeps its leader; of those the smallest.
 func (c *Controller) shardFor(site string, count map[string]int) string {
-	zone := map[string]string{c.cfg.HostName: c.cfg.Zone}
-	for _, m := range c.cfg.Members {
+	zone := map[string]string{c.node.settings.HostName: c.node.settings.Zone}
+	for _, m := range c.node.settings.Members {
 		zone[m.HostName] = m.Zone
 	}
 	best, bestN := "", 0
-	for _, p := range c.shards {
+	for _, p := range c.node.shards {
 		n := count[p]
 		if zone[p] != site {
 			n += 1 << 20
@@ -99,9 +99,9 @@
 // deregisterMachines drops machines that are gone and empty from their pages: several
 // at once, now and then, since nothing waits for it.
 func (c *Controller) deregisterMachines(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	if now.Sub(c.deregisteredAt) < c.cfg.WorkerLease()/4 {
+	if now.Sub(c.state.stats.deregisteredAt) < c.node.settings.WorkerLease()/4 {
 		c.mu.Unlock()
 		return false
 	}
@@ -109,34 +109,34 @@
 	pages := map[string]shard.Page{}
 	size := 0 // bytes of the pages
 	var names []string
-	for host, s := range c.agents {
-		m := c.replica.machines[host]
-		if !s.Terminated || m == nil || c.leadershipOf(m.Shard) == nil || len(c.replica.placements[host]) > 0 {
+	for host, s := range c.state.agents.byHost {
+		m := c.state.cache.machines[host]
+		if !s.Terminated || m == nil || c.state.leadership.of(m.Shard) == nil || len(c.state.cache.placements[host]) > 0 {
 			continue
 		}
-		if _, in := c.replica.capacities[m.Shard].record.Free[host]; in {
+		if _, in := c.state.cache.capacities[m.Shard].record.Free[host]; in {
 			continue // upkeep comes first: no stealing peer may still put a task there
 		}
-		id := c.pageFor(host)
+		id := c.state.schema.pageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= c.maxChanges() || size > 48<<10-int(c.cfg.Facts.State.ValueKB*1024) {
+			if len(pages) >= c.state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
 				continue
 			}
-			_, page = c.openPage(t, host)
+			_, page = c.state.schema.openPage(t, host)
 			size += len(api.JSON(page))
 			pages[id] = page
 		}
-		c.requireLeadership(t, m.Shard)
-		t.require(capacityPrefix+m.Shard, c.replica.capacities[m.Shard].version)
+		c.state.leadership.require(t, m.Shard)
+		t.require(capacityPrefix+m.Shard, c.state.cache.capacities[m.Shard].version)
 		delete(page, host)
 		names = append(names, host)
 	}
 	for id, page := range pages {
-		c.closePage(t, id, page)
+		c.state.schema.closePage(t, id, page)
 	}
-	if len(names) == 0 && c.schemaUpgraded() && c.deleteObsoletePage(t) {
-		c.deregisteredAt = now
+	if len(names) == 0 && c.state.schema.upgraded() && c.state.schema.deleteObsoletePage(t) {
+		c.state.stats.deregisteredAt = now
 	}
 	c.mu.Unlock()
 	if t.changes() == 0 {
@@ -146,12 +146,12 @@
 	if done {
 		slices.Sort(names)
 		c.mu.Lock()
-		c.deregisteredAt = now
+		c.state.stats.deregisteredAt = now
 		for _, h := range names {
-			c.dropAgent(h)
+			c.state.agents.drop(h)
 		}
 		c.mu.Unlock()
-		c.log.Info("machines deregistered", "hosts", names)
+		c.node.log.Info("machines deregistered", "hosts", names)
 	}
 	return false
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -43,7 +43,9 @@
 	late := api.JSON(s.w.Cloud.Hosts[host].Heartbeat())
 	s.rounds(
 		t, 60, "machine returned and forgotten",
-		func() bool { return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.replica.machines[host] == nil },
+		func() bool {
+			return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.testState().cache.machines[host] == nil
+		},
 	)
 	for range 20 {
 		for i := range s.nodes {
@@ -51,7 +53,7 @@
 		}
 		s.round()
 		for _, n := range s.nodes {
-			if n.c.replica.machines[host] != nil {
+			if n.c.testState().cache.machines[host] != nil {
 				t.Fatal("recorded again")
 			}
 		}
@@ -63,9 +65,9 @@
 func TestMachineOutlivesChangesOfOwner(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.replica.machines) > 0 })
+	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.testState().cache.machines) > 0 })
 	home := 0
-	for _, m := range s.nodes[0].c.replica.machines {
+	for _, m := range s.nodes[0].c.testState().cache.machines {
 		home = int(m.Shard[1] - '0')
 	}
 	s.w.Store.Refuse[s.nodes[home].name] = true // before the machine is up
@@ -92,10 +94,10 @@
 	for range 90 { // long enough for any boot
 		s.round()
 	}
-	home := int(s.nodes[0].c.replica.machines[host].Shard[1] - '0')
+	home := int(s.nodes[0].c.testState().cache.machines[host].Shard[1] - '0')
 	s.w.Cloud.Hosts[host].Partitioned = true
 	s.w.Store.Refuse[s.nodes[home].name] = true
-	cfg := s.nodes[0].c.cfg
+	cfg := s.nodes[0].c.node.settings
 	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
 	s.rounds(t, int(bound/(500*time.Millisecond)), "machine returned", func() bool { return s.w.Cloud.Hosts[host] == nil })
 }
@@ -106,14 +108,14 @@
 	s := warmSim()
 	c := s.nodes[0].c
 	for i := range 60 {
-		c.unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
+		c.testState().agents.unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
 	}
 	before := s.w.Store.Writes
-	for len(c.unregistered) > 0 && s.w.Store.Writes < before+60 {
+	for len(c.testState().agents.unregistered) > 0 && s.w.Store.Writes < before+60 {
 		c.registerMachines(context.Background())
 	}
-	if n := s.w.Store.Writes - before; n > 6 || len(c.replica.machines) < 60 {
-		t.Fatalf("%d changes for %d machines", n, len(c.replica.machines))
+	if n := s.w.Store.Writes - before; n > 6 || len(c.testState().cache.machines) < 60 {
+		t.Fatalf("%d changes for %d machines", n, len(c.testState().cache.machines))
 	}
 }
 
@@ -133,7 +135,7 @@
 		}
 		deaf.InboundLost = true
 		if handover {
-			s.start(int(s.nodes[0].c.replica.machines[deaf.Host].Shard[1] - '0'))
+			s.start(int(s.nodes[0].c.testState().cache.machines[deaf.Host].Shard[1] - '0'))
 		}
 		elsewhere := func() bool {
 			on := s.hostsOf(id)
@@ -166,7 +168,7 @@
 	var copies [][]byte
 	for range 8 {
 		copies = append(copies, api.JSON(s.w.Cloud.Hosts[host].Heartbeat()))
-		s.deliver(int(s.nodes[0].c.replica.machines[host].Shard[1]-'0'), copies[len(copies)-1])
+		s.deliver(int(s.nodes[0].c.testState().cache.machines[host].Shard[1]-'0'), copies[len(copies)-1])
 	}
 	s.w.Cloud.Kill(host)
 	again := func() {
@@ -184,14 +186,14 @@
 	if s.running(id) < 2 {
 		t.Fatalf("%d of 2 replicas run while copies of the lost machine's reports come in", s.running(id))
 	}
-	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.replica.machines[host] == nil })
+	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.testState().cache.machines[host] == nil })
 	for i := range s.nodes {
 		s.start(i)
 	}
 	for range 40 {
 		again()
 		for _, n := range s.nodes {
-			if n.c.replica.machines[host] != nil {
+			if n.c.testState().cache.machines[host] != nil {
 				t.Fatal("a machine that is long gone is recorded again")
 			}
 		}
@@ -206,8 +208,8 @@
 func TestOtherNodesSendWorkersOn(t *testing.T) {
 	s := warmSim()
 	s.job(nil)
-	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.replica.machines) > 0 && len(s.w.Cloud.Hosts) > 0 })
-	for h, m := range s.nodes[0].c.replica.machines {
+	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.testState().cache.machines) > 0 && len(s.w.Cloud.Hosts) > 0 })
+	for h, m := range s.nodes[0].c.testState().cache.machines {
 		x := s.w.Cloud.Hosts[h]
 		for i, n := range s.nodes {
 			status, _, leader := s.deliver(i, api.JSON(x.Heartbeat()))
@@ -221,7 +223,7 @@
 		s.w.Store.Refuse["n0"] = true
 		s.round()
 	}
-	for h := range s.nodes[1].c.replica.machines {
+	for h := range s.nodes[1].c.testState().cache.machines {
 		if x := s.w.Cloud.Hosts[h]; x != nil {
 			if status, _, _ := s.deliver(0, api.JSON(x.Heartbeat())); status == 200 {
 				t.Error("answers 200 long after its hold has ended")
@@ -241,24 +243,26 @@
 	for h := range s.hostsOf(id) {
 		host = h
 	}
-	home := int(s.nodes[0].c.replica.machines[host].Shard[1] - '0')
+	home := int(s.nodes[0].c.testState().cache.machines[host].Shard[1] - '0')
 	c := s.nodes[home].c
 	for range 2 * int(s.w.Lease/time.Second) { // raises count again
 		s.round()
 	}
-	raises := c.agents[host].TokenSequence
+	raises := c.testState().agents.byHost[host].TokenSequence
 	s.cancel(home, id)
 	s.step(home)
-	if s.running(id) != 0 || c.agents[host].TokenSequence != raises {
-		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.agents[host].TokenSequence-raises)
+	if s.running(id) != 0 || c.testState().agents.byHost[host].TokenSequence != raises {
+		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.testState().agents.byHost[host].TokenSequence-raises)
 	}
-	s.rounds(t, 6, "machine empty", func() bool { return len(c.replica.placements[host]) == 0 && len(c.agents[host].Heartbeat.Tasks) == 0 })
+	s.rounds(t, 6, "machine empty", func() bool {
+		return len(c.testState().cache.placements[host]) == 0 && len(c.testState().agents.byHost[host].Heartbeat.Tasks) == 0
+	})
 	next := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	for range 2 {
 		s.step(0)
 		s.step(home)
 	}
-	if on := c.replica.placements[host]; len(on) != 1 || c.agents[host].TokenSequence != raises+1 {
-		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.agents[host].TokenSequence-raises)
+	if on := c.testState().cache.placements[host]; len(on) != 1 || c.testState().agents.byHost[host].TokenSequence != raises+1 {
+		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().agents.byHost[host].TokenSequence-raises)
 	}
 }
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -13,7 +13,7 @@
 )
 
 // machineCapacity returns a machine type's size. Call with the lock held.
-func (c *Controller) machineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
+func (c *machineCatalog) machineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
 		if f.Name == machineType {
@@ -25,15 +25,15 @@
 
 // isSchedulable reports whether a machine of an own shard can take tasks. Call with the
 // lock held.
-func (c *Controller) isSchedulable(host string, now time.Time) bool {
-	s := c.agents[host]
+func (mr *machineRoom) isSchedulable(host string, now time.Time) bool {
+	s := mr.agents.byHost[host]
 	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil &&
 		!now.Before(s.AvoidUntil) &&
-		now.Sub(s.LastSeen) < 3*c.cfg.HeartbeatInterval()
+		now.Sub(s.LastSeen) < 3*mr.node.settings.HeartbeatInterval()
 }
 
 // fetchSeconds is how long fetching a job's image takes at least. Call with the lock held.
-func (c *Controller) fetchSeconds(r *api.Job) float64 {
+func (c *machineCatalog) fetchSeconds(r *api.Job) float64 {
 	best := 0.0
 	for _, f := range c.machineTypes {
 		best = max(best, f.FetchGBPerS)
@@ -47,13 +47,13 @@
 // freeInShard computes the free room of the usable machines of an own shard from the
 // committed placements, less those that are over. A machine without any is left
 // out. Call with the lock held.
-func (c *Controller) freeInShard(p string, now time.Time) map[string]sched.Resources {
+func (mr *machineRoom) freeInShard(p string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
-	for _, host := range c.replica.machineNames() {
-		if c.replica.machines[host].Shard != p {
+	for _, host := range mr.cache.machineNames() {
+		if mr.cache.machines[host].Shard != p {
 			continue
 		}
-		if r, _, ok := c.freeOnMachine(host, now); ok {
+		if r, _, ok := mr.freeOnMachine(host, now); ok {
 			free[host] = r
 		}
 	}
@@ -62,64 +62,64 @@
 
 // freeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
 // false if it has none or can't take tasks. Call with the lock held.
-func (c *Controller) freeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
-	if !c.isSchedulable(host, now) {
+func (mr *machineRoom) freeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+	if !mr.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
-	size, f := c.machineCapacity(c.replica.machines[host].MachineType)
+	size, f := mr.catalog.machineCapacity(mr.cache.machines[host].MachineType)
 	if f == nil {
 		return sched.Resources{}, size, false
 	}
-	free = size.Sub(c.loadOf(host).used)
+	free = size.Sub(mr.loadOf(host).used)
 	return free, size, free.CPUs > 1e-6 && free.MemGB > 1e-6
 }
 
 // schedulableHosts lists the machines with their free room: of own shards as computed, of
 // peers' as their records say. Call with the lock held.
-func (c *Controller) schedulableHosts(now time.Time) []*sched.Host {
+func (sch *schedulerState) schedulableHosts(now time.Time) []*sched.Host {
 	type view struct {
 		own  bool
 		free shard.FreeCapacity // of a peer's shard
 	}
 	shards := map[string]view{}
-	for _, p := range c.shards {
-		own, rec := c.replica.leaders[p].record, c.replica.capacities[p].record
+	for _, p := range sch.node.shards {
+		own, rec := sch.cache.leaders[p].record, sch.cache.capacities[p].record
 		if own == nil || rec == nil {
 			continue
 		}
-		if c.leadershipOf(p) != nil {
+		if sch.leadership.of(p) != nil {
 			shards[p] = view{own: true}
-		} else if own.Node != c.cfg.HostName {
+		} else if own.Node != sch.node.settings.HostName {
 			shards[p] = view{free: rec.Free}
 		}
 	}
-	names := c.replica.machineNames()
+	names := sch.cache.machineNames()
 	room := make([]sched.Host, 0, len(names))
 	out := make([]*sched.Host, 0, len(names))
 	for _, h := range names {
-		m := c.replica.machines[h]
+		m := sch.cache.machines[h]
 		v, ok := shards[m.Shard]
 		if !ok {
 			continue
 		}
 		var free, size sched.Resources
 		if v.own {
-			free, size, ok = c.freeOnMachine(h, now)
+			free, size, ok = sch.room.freeOnMachine(h, now)
 		} else {
 			var vec [3]float64
 			vec, ok = v.free[h]
 			free = shard.Unvec(vec)
-			size, _ = c.machineCapacity(m.MachineType)
+			size, _ = sch.catalog.machineCapacity(m.MachineType)
 		}
 		if !ok {
 			continue
 		}
-		l := c.loadOf(h)
+		l := sch.room.loadOf(h)
 		room = append(
 			room,
 			sched.Host{
-				StartDelayS: c.startDelay(h, l, now), Name: h, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone,
-				Spot: m.Spot, Cap: size, Free: free, Stopping: l.stopping, Images: c.replica.images[h],
+				StartDelayS: sch.room.startDelay(h, l, now), Name: h, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone,
+				Spot: m.Spot, Cap: size, Free: free, Stopping: l.stopping, Images: sch.cache.images[h],
 				Services: l.services, Arrays: l.arrays,
 			},
 		)
@@ -129,9 +129,9 @@
 }
 
 // teamUse is what a team's tasks hold in all, by the shards' capacity records.
-func (c *Controller) teamUse(name string) sched.Resources {
+func (acc *capacityAccounts) teamUse(name string) sched.Resources {
 	var r sched.Resources
-	for _, p := range c.replica.capacities {
+	for _, p := range acc.cache.capacities {
 		r = r.Add(shard.Unvec(p.record.QuotaUse[name]))
 	}
 	return r
@@ -192,11 +192,11 @@
 // one: a plan is the dearest thing that a controller works out, and what a decision
 // found to lack room lacks it for rentals too. Each plan is given once, for who rents
 // fills its machines. Call with the lock held.
-func (c *Controller) reusePlan(now time.Time) *plan {
-	recent := c.lastPlan
-	c.lastPlan = lastPlan{}
-	if recent.plan != nil && now.Sub(recent.at) <= c.cfg.AutoscaleInterval() {
+func (sch *schedulerState) reusePlan(now time.Time) *plan {
+	recent := sch.lastPlan
+	sch.lastPlan = lastPlan{}
+	if recent.plan != nil && now.Sub(recent.at) <= sch.node.settings.AutoscaleInterval() {
 		return recent.plan
 	}
-	return c.plan(now)
+	return sch.plan(now)
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -18,7 +18,7 @@
 		select {
 		case <-t.C:
 		case <-c.leaderlessShard: // its turn may be ours
-			sleep(ctx, c.cfg.ControllerLeaseTTL()/32)
+			sleep(ctx, c.node.settings.ControllerLeaseTTL()/32)
 		case <-ctx.Done():
 		}
 		t.Stop()
@@ -28,34 +28,34 @@
 // maintainLease makes or renews the lease and tends the shards. It tells how long to
 // wait before the next step.
 func (c *Controller) maintainLease(ctx context.Context) time.Duration {
-	ttl := c.cfg.ControllerLeaseTTL()
+	ttl := c.node.settings.ControllerLeaseTTL()
 	c.mu.Lock()
-	leaseID := c.leaseID
+	leaseID := c.state.leadership.leaseID
 	c.mu.Unlock()
-	sent := c.now()
+	sent := c.node.now()
 	var err error
 	if leaseID == 0 {
 		if leaseID, err = c.store.GrantLease(ctx, ttl); err == nil {
-			c.log.Info("lease granted", "lease", leaseID)
+			c.node.log.Info("lease granted", "lease", leaseID)
 			c.mu.Lock()
-			c.leaseID = leaseID
+			c.state.leadership.leaseID = leaseID
 			c.mu.Unlock()
 		}
 	} else if err = c.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
-		c.log.Info("lease lost", "lease", leaseID)
+		c.node.log.Info("lease lost", "lease", leaseID)
 		c.mu.Lock()
-		c.leaseID, c.leaseValidUntil = 0, time.Time{}
-		clear(c.leaderships)
-		clear(c.agents)
-		clear(c.replica.loads)
+		c.state.leadership.leaseID, c.state.leadership.leaseValidUntil = 0, time.Time{}
+		clear(c.state.leadership.byShard)
+		clear(c.state.agents.byHost)
+		clear(c.state.cache.loads)
 		c.mu.Unlock()
 		return 0
 	}
 	if err == nil {
 		c.mu.Lock()
 		// Our clock may run slow against the service's: count a little less.
-		c.leaseValidUntil = sent.Add(ttl - ttl/256)
-		stale := c.loaded && sent.Sub(c.changesReadAt) > ttl/4
+		c.state.leadership.leaseValidUntil = sent.Add(ttl - ttl/256)
+		stale := c.state.cache.loaded && sent.Sub(c.state.cache.changesReadAt) > ttl/4
 		c.mu.Unlock()
 		if stale { // how long we may answer once we are cut off counts from the last read
 			_ = c.readNewest(ctx)
@@ -69,24 +69,24 @@
 // acquireShard takes a shard: its leader's key under our lease, and a term above all
 // that were ever given out, which is the shard's fencing token.
 func (c *Controller) acquireShard(ctx context.Context, p string, seen uint64) {
-	me := c.cfg.HostName
+	me := c.node.settings.HostName
 	c.mu.Lock()
-	old, had := c.replica.leaders[p]
+	old, had := c.state.cache.leaders[p]
 	if old.version != seen {
 		// Somebody took it since: with the newer version the precondition would hold,
 		// and the shard be taken from a living leader.
 		c.mu.Unlock()
 		return
 	}
-	rec := c.replica.capacities[p]
-	term := c.replica.term + 1
+	rec := c.state.cache.capacities[p]
+	term := c.state.cache.term + 1
 	t := newTransaction()
 	t.require(leaderPrefix+p, old.version)
-	t.require(termKey, c.replica.versions[termKey])
+	t.require(termKey, c.state.cache.versions[termKey])
 	t.require(capacityPrefix+p, rec.version)
 	t.put(termKey, term)
-	t.put(leaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: c.incarnation, Term: term})
-	t.leases[leaderPrefix+p] = c.leaseID
+	t.put(leaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: c.node.incarnation, Term: term})
+	t.leases[leaderPrefix+p] = c.state.leadership.leaseID
 	// An earlier life of this process has ended, and one that released the shard
 	// has stopped answering; any other may go on for its grace. So may one before
 	// those, if they did not live to see its grace out: the doubt stays with the
@@ -94,12 +94,12 @@
 	clean := rec.record == nil || (rec.record.Leader == me || rec.record.Released) && !rec.record.PredecessorInDoubt
 	t.put(
 		capacityPrefix+p,
-		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: c.quotaUseOf(p)},
+		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: c.state.capacity.quotaUseOf(p)},
 	)
 	c.mu.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
 	if !done {
-		c.log.Debug("shard not acquired", "shard", p, "err", err)
+		c.node.log.Debug("shard not acquired", "shard", p, "err", err)
 		if err == nil {
 			// Overtaken, by another's take that raised the term as a rule: after
 			// the end of all they come at once, and leases run meanwhile.
@@ -108,7 +108,7 @@
 		return
 	}
 	c.mu.Lock()
-	fences := c.beginLeadership(p, term, clean, had)
+	fences := c.state.agents.beginLeadership(p, term, clean, had)
 	c.mu.Unlock()
 	c.sendCommands(ctx, fences)
 }
@@ -116,56 +116,56 @@
 // beginLeadership begins the leadership of a shard that was acquired, unless it is lost
 // again already. It returns the commands that fence the shard's workers. Call with the lock
 // held.
-func (c *Controller) beginLeadership(p string, term uint64, clean, hadLeader bool) []directCommand {
-	now := c.now()
-	v := c.replica.leaders[p]
-	if v.record == nil || v.record.Term != term || c.leaseID == 0 {
+func (reg *agentRegistry) beginLeadership(p string, term uint64, clean, hadLeader bool) []directCommand {
+	now := reg.node.now()
+	v := reg.cache.leaders[p]
+	if v.record == nil || v.record.Term != term || reg.leadership.leaseID == 0 {
 		return nil
 	}
-	c.dropLeadership(p)
+	reg.dropLeadership(p)
 	o := &leadership{term: term, version: v.version, predecessorAnswersUntil: now}
 	if !clean {
-		o.predecessorAnswersUntil = now.Add(c.cfg.LeadershipGrace())
+		o.predecessorAnswersUntil = now.Add(reg.node.settings.LeadershipGrace())
 	}
-	c.leaderships[p] = o
-	c.log.Info("shard acquired", "shard", p, "term", term, "had_leader", hadLeader, "clean", clean)
+	reg.leadership.byShard[p] = o
+	reg.node.log.Info("shard acquired", "shard", p, "term", term, "had_leader", hadLeader, "clean", clean)
 	var fences []directCommand
-	for host, m := range c.replica.machines {
+	for host, m := range reg.cache.machines {
 		if m.Shard != p {
 			continue
 		}
-		c.agentOf(host, o)
-		if command, ok := c.fence(host); ok {
+		reg.of(host, o)
+		if command, ok := reg.fence(host); ok {
 			fences = append(fences, command)
 		}
 	}
-	c.wakeDecider()
+	reg.wake.notify()
 	return fences
 }
 
 // dropLeadership forgets a shard that is no longer ours. Call with the lock held.
-func (c *Controller) dropLeadership(p string) {
-	delete(c.leaderships, p)
-	for host := range c.agents {
-		if m := c.replica.machines[host]; m == nil || m.Shard == p {
-			c.dropAgent(host)
+func (reg *agentRegistry) dropLeadership(p string) {
+	delete(reg.leadership.byShard, p)
+	for host := range reg.byHost {
+		if m := reg.cache.machines[host]; m == nil || m.Shard == p {
+			reg.drop(host)
 		}
 	}
 }
 
-// dropAgent drops a machine's session. Call with the lock held.
-func (c *Controller) dropAgent(host string) {
-	delete(c.agents, host)
-	delete(c.replica.loads, host)
+// drop drops a machine's session. Call with the lock held.
+func (reg *agentRegistry) drop(host string) {
+	delete(reg.byHost, host)
+	delete(reg.cache.loads, host)
 }
 
-// agentOf returns the session of a machine of an own shard. Call with the lock held.
-func (c *Controller) agentOf(host string, o *leadership) *shard.Agent {
-	s := c.agents[host]
+// of returns the session of a machine of an own shard. Call with the lock held.
+func (reg *agentRegistry) of(host string, o *leadership) *shard.Agent {
+	s := reg.byHost[host]
 	if s == nil || s.Term != o.term {
-		s = shard.NewAgent(o.term, c.now(), o.predecessorAnswersUntil)
-		c.agents[host] = s
-		delete(c.replica.loads, host)
+		s = shard.NewAgent(o.term, reg.node.now(), o.predecessorAnswersUntil)
+		reg.byHost[host] = s
+		delete(reg.cache.loads, host)
 	}
 	return s
 }
@@ -174,7 +174,7 @@
 // stop first, then the release is committed.
 func (c *Controller) releaseShard(ctx context.Context, p string) {
 	c.mu.Lock()
-	o, rec := c.leaderships[p], c.replica.capacities[p]
+	o, rec := c.state.leadership.byShard[p], c.state.cache.capacities[p]
 	if o == nil || rec.record == nil {
 		c.mu.Unlock()
 		return
@@ -192,8 +192,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if done {
-		c.log.Info("shard released", "shard", p, "term", o.term)
-		c.dropLeadership(p)
+		c.node.log.Info("shard released", "shard", p, "term", o.term)
+		c.state.agents.dropLeadership(p)
 		return
 	}
 	// In doubt it stays unanswered until the replica shows who owns it.
@@ -216,21 +216,21 @@
 // earlier leader's answers are dropped from then on; its answer shows what runs there. ok is
 // false if the worker has seen this term, was asked a moment ago, or no slot is free. Call
 // with the lock held.
-func (c *Controller) fence(host string) (command directCommand, ok bool) {
-	s := c.agents[host]
-	if s == nil || s.Fenced || c.now().Sub(s.LastCommandAt) < c.cfg.HeartbeatInterval() {
+func (reg *agentRegistry) fence(host string) (command directCommand, ok bool) {
+	s := reg.byHost[host]
+	if s == nil || s.Fenced || reg.node.now().Sub(s.LastCommandAt) < reg.node.settings.HeartbeatInterval() {
 		return directCommand{}, false
 	}
-	return c.prepareCommand(host, c.fenceSlots, api.CommandBatch{AgentEpoch: 1, Commands: []api.Command{}})
+	return reg.prepareCommand(host, reg.fenceSlots, api.CommandBatch{AgentEpoch: 1, Commands: []api.Command{}})
 }
 
 // prepareCommand prepares commands that may be executed at any later time. ok is false if
 // the worker can't be addressed or no slot is free: the next round asks again. Call with the
 // lock held.
-func (c *Controller) prepareCommand(
+func (reg *agentRegistry) prepareCommand(
 	host string, slots chan struct{}, batch api.CommandBatch,
 ) (command directCommand, ok bool) {
-	m, s := c.replica.machines[host], c.agents[host]
+	m, s := reg.cache.machines[host], reg.byHost[host]
 	if m == nil || m.Addr == "" || s == nil {
 		return directCommand{}, false
 	}
@@ -239,7 +239,7 @@
 	default:
 		return directCommand{}, false
 	}
-	s.LastCommandAt = c.now()
+	s.LastCommandAt = reg.node.now()
 	batch.Token = s.Token()
 	return directCommand{host: host, addr: m.Addr, term: s.Term, batch: batch, slots: slots}, true
 }
@@ -259,11 +259,11 @@
 	for range 2 {
 		r, done, err := c.workers.SendCommands(ctx, command.addr, command.batch)
 		if err != nil {
-			c.log.Debug("direct commands not answered", "host", command.host, "err", err)
+			c.node.log.Debug("direct commands not answered", "host", command.host, "err", err)
 			return
 		}
 		c.mu.Lock()
-		c.acceptAnswer(command.host, command.term, r)
+		c.state.agents.acceptAnswer(command.host, command.term, r)
 		c.mu.Unlock()
 		if done || shard.TokenTerm(r.Token) >= command.term {
 			return
@@ -274,9 +274,9 @@
 
 // acceptAnswer takes in the heartbeat that a worker answered direct commands of a term with.
 // Call with the lock held.
-func (c *Controller) acceptAnswer(host string, term uint64, r *api.Heartbeat) {
-	if s := c.agents[host]; s != nil && s.Term == term && r.Host == host {
-		c.acceptHeartbeat(host, s, r)
+func (reg *agentRegistry) acceptAnswer(host string, term uint64, r *api.Heartbeat) {
+	if s := reg.byHost[host]; s != nil && s.Term == term && r.Host == host {
+		reg.acceptHeartbeat(host, s, r)
 	}
 }
 
@@ -287,44 +287,44 @@
 // ended tasks does not make it report.)
 func (c *Controller) requestHeartbeats(ctx context.Context) {
 	c.mu.Lock()
-	commands := c.dueHeartbeatRequests(c.now())
+	commands := c.state.agents.dueHeartbeatRequests(c.node.now())
 	c.mu.Unlock()
 	c.sendCommands(ctx, commands)
 }
 
 // dueHeartbeatRequests prepares the commands that have workers send a heartbeat now, as many
 // as there are free slots: the rest follows in the next round. Call with the lock held.
-func (c *Controller) dueHeartbeatRequests(now time.Time) []directCommand {
+func (reg *agentRegistry) dueHeartbeatRequests(now time.Time) []directCommand {
 	var commands []directCommand
-	if !c.mayAct(now) {
+	if !reg.leadership.mayAct(now) {
 		return nil
 	}
-	for host := range c.heartbeatRequests {
-		m := c.replica.machines[host]
-		s := c.agents[host]
-		if m == nil || c.leadershipOf(m.Shard) == nil || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
+	for host := range reg.heartbeatRequests {
+		m := reg.cache.machines[host]
+		s := reg.byHost[host]
+		if m == nil || reg.leadership.of(m.Shard) == nil || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
 			s.Unresponsive {
-			delete(c.heartbeatRequests, host)
+			delete(reg.heartbeatRequests, host)
 			continue
 		}
 		o := api.CommandBatch{AgentEpoch: s.Heartbeat.AgentEpoch}
 		var stop, start bool
-		o.Commands, stop, start = c.immediateCommands(host, s)
+		o.Commands, stop, start = reg.immediateCommands(host, s)
 		if !stop {
 			// Raises that come sooner after one another count as no change: they are
 			// kept for starts that nothing else can announce.
-			if !start || now.Sub(s.LastTokenChange()) < c.cfg.WorkerLease()/2 {
-				delete(c.heartbeatRequests, host)
+			if !start || now.Sub(s.LastTokenChange()) < reg.node.settings.WorkerLease()/2 {
+				delete(reg.heartbeatRequests, host)
 				continue
 			}
 			s.RaiseToken(now)
 		}
-		command, ok := c.prepareCommand(host, c.heartbeatRequestSlots, o)
+		command, ok := reg.prepareCommand(host, reg.heartbeatRequestSlots, o)
 		if !ok {
 			break
 		}
 		commands = append(commands, command)
-		delete(c.heartbeatRequests, host)
+		delete(reg.heartbeatRequests, host)
 	}
 	return commands
 }
@@ -332,14 +332,14 @@
 // immediateCommands returns the orders that need not wait for the worker's next heartbeat: they
 // may be carried out at any later time, and reports whether there are stops among
 // them, and whether there are starts, which have to wait. Call with the lock held.
-func (c *Controller) immediateCommands(host string, s *shard.Agent) (out []api.Command, stop, start bool) {
+func (reg *agentRegistry) immediateCommands(host string, s *shard.Agent) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
 	listed := map[attemptID]string{}
 	for _, p := range s.Heartbeat.Tasks {
 		listed[attemptID{p.Task, p.Attempt}] = p.Phase
 	}
-	for _, pl := range c.replica.placements[host] {
-		j := c.replica.jobs[pl.uid]
+	for _, pl := range reg.cache.placements[host] {
+		j := reg.cache.jobs[pl.uid]
 		if j == nil {
 			continue
 		}
@@ -350,7 +350,7 @@
 		case !there:
 			start = start || j.mayLaunch(pl.placement)
 		case j.mustStop(pl.placement) && phase != api.Saving && phase != api.Ended:
-			out, stop = append(out, c.stopCommand(j, a)), true
+			out, stop = append(out, reg.stopCommand(j, a)), true
 		}
 	}
 	for a, phase := range listed {
@@ -362,12 +362,12 @@
 }
 
 // stopCommand is the order that stops a task, with time to save if it can and is worth it.
-func (c *Controller) stopCommand(j *liveJob, a attemptID) api.Command {
+func (reg *agentRegistry) stopCommand(j *liveJob, a attemptID) api.Command {
 	leeway := 0.0
 	if savesOnStop(j) {
 		leeway = j.record.Spec.SaveS * 2
 		if isGang(j) {
-			leeway += c.cfg.GangPeerTimeout().Seconds() // each waits for all others' saves
+			leeway += reg.node.settings.GangPeerTimeout().Seconds() // each waits for all others' saves
 		}
 	}
 	return api.Command{Action: api.Stop, Task: a.task, Attempt: a.attempt, GraceS: &leeway}
@@ -381,15 +381,15 @@
 }
 
 // acceptHeartbeat takes in a heartbeat and looks at what it says. Call with the lock held.
-func (c *Controller) acceptHeartbeat(host string, s *shard.Agent, r *api.Heartbeat) bool {
+func (reg *agentRegistry) acceptHeartbeat(host string, s *shard.Agent, r *api.Heartbeat) bool {
 	old, deaf := s.Heartbeat, s.Unresponsive
-	if !s.Accept(r, c.now()) {
+	if !s.Accept(r, reg.node.now()) {
 		return false
 	}
-	c.noteWorkerHeard(c.now())
-	s.LastSeen = c.now()
+	reg.leadership.noteWorkerHeard(reg.node.now())
+	s.LastSeen = reg.node.now()
 	if s.Unresponsive && !deaf {
-		c.log.Info(
+		reg.node.log.Info(
 			"worker unresponsive",
 			"host",
 			host,
@@ -399,7 +399,7 @@
 	}
 	if old == nil || deaf != s.Unresponsive || old.AgentEpoch != r.AgentEpoch || (old.SpotNoticeS == nil) != (r.SpotNoticeS == nil) ||
 		!slices.Equal(old.Tasks, r.Tasks) {
-		c.wakeDecider()
+		reg.wake.notify()
 	}
 	return true
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -24,9 +24,9 @@
 // noteStoreAnswer notes whether the state service served a request.
 func (c *Controller) noteStoreAnswer(ok bool) {
 	c.mu.Lock()
-	if c.reachability.storeReachable != ok {
-		c.reachability.storeReachable, c.reachability.since, c.reachability.peersAsked = ok, c.now(), false
-		c.log.Info("state service reachability", "reachable", ok)
+	if c.state.reachability.storeReachable != ok {
+		c.state.reachability.storeReachable, c.state.reachability.since, c.state.reachability.peersAsked = ok, c.node.now(), false
+		c.node.log.Info("state service reachability", "reachable", ok)
 	}
 	c.mu.Unlock()
 }
@@ -35,15 +35,15 @@
 func (c *Controller) storeReachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reachability.storeReachable
+	return c.state.reachability.storeReachable
 }
 
 // peerLoop asks the peers for their sight of the state service while ours is
 // gone.
 func (c *Controller) peerLoop(ctx context.Context) {
-	for sleep(ctx, c.cfg.ControllerLeaseTTL()/8) {
+	for sleep(ctx, c.node.settings.ControllerLeaseTTL()/8) {
 		c.mu.Lock()
-		lost := !c.reachability.storeReachable
+		lost := !c.state.reachability.storeReachable
 		c.mu.Unlock()
 		if !lost {
 			continue
@@ -55,11 +55,11 @@
 // askPeers asks every peer whether it reaches the state service, and what it has done
 // that this node can't see meanwhile.
 func (c *Controller) askPeers(ctx context.Context) {
-	for _, m := range c.cfg.Members {
+	for _, m := range c.node.settings.Members {
 		c.askPeer(ctx, m.HostName, m.Addr)
 	}
 	c.mu.Lock()
-	c.reachability.peersAsked = !c.reachability.storeReachable
+	c.state.reachability.peersAsked = !c.state.reachability.storeReachable
 	c.mu.Unlock()
 }
 
@@ -68,11 +68,11 @@
 func (c *Controller) forwardingPeer() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reachability.storeReachable {
+	if c.state.reachability.storeReachable {
 		return ""
 	}
-	for _, m := range c.cfg.Members {
-		if c.reachability.peers[m.HostName] {
+	for _, m := range c.node.settings.Members {
+		if c.state.reachability.peers[m.HostName] {
 			return m.Addr
 		}
 	}
@@ -87,7 +87,7 @@
 		if r.GetKind() == peer.Request_KIND_SUBMIT && !c.acceptsKind(api.KindOf(r.GetBody())) {
 			return responseBusy
 		}
-		r.From = c.cfg.HostName
+		r.From = c.node.settings.HostName
 		a, err := c.peers.Ask(ctx, addr, r, userRequestTimeout*3/4)
 		if err == nil && a.GetStatus() != 0 {
 			return transport.Response{Status: int(a.GetStatus()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfter())}
@@ -144,7 +144,7 @@
 func (c *Controller) canServe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loaded && c.reachability.storeReachable
+	return c.state.cache.loaded && c.state.reachability.storeReachable
 }
 
 // servesForPeer reports whether a peer's request is to be carried out: it asks for more
@@ -160,7 +160,7 @@
 	a := &peer.Reply{StoreReached: c.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
 		c.mu.Lock()
-		a.Vouch = c.acknowledgement(r.GetSince())
+		a.Vouch = c.state.leadership.acknowledgement(r.GetSince())
 		c.mu.Unlock()
 	}
 	return a
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -22,10 +22,10 @@
 	var todo []placement
 	var gangs []*gangClaim
 	var marks []*placedTask
-	began := c.now()
-	if c.hasPendingTasks() {
-		p := c.plan(began)
-		c.lastPlan = lastPlan{p, began}
+	began := c.node.now()
+	if c.state.scheduler.hasPendingTasks() {
+		p := c.state.scheduler.plan(began)
+		c.state.scheduler.lastPlan = lastPlan{p, began}
 		todo, gangs, marks = p.placements, p.gangs, p.stops
 	}
 	c.mu.Unlock()
@@ -33,20 +33,20 @@
 		c.commitGangClaim(ctx, g)
 	}
 	for tries := 0; len(todo) > 0 && tries < 3; {
-		if c.now().Sub(began) > 4*c.cfg.DecisionInterval() {
+		if c.node.now().Sub(began) > 4*c.node.settings.DecisionInterval() {
 			// What came meanwhile may be more urgent than the rest of this plan: with
 			// few changes a second a long one took many seconds.
-			c.wakeDecider()
+			c.wake.notify()
 			break
 		}
 		// Every placement in a shard changes its record. Looking at the newest
 		// one first costs a request, being beaten by a conflicting write costs all changes.
-		room := c.store.AwaitWrites(ctx, min(countJobs(todo)+len(c.shards), c.cfg.LowestLimits().TxnOps), store.PriorityDecision)
+		room := c.store.AwaitWrites(ctx, min(countJobs(todo)+len(c.node.shards), c.node.settings.LowestLimits().TxnOps), store.PriorityDecision)
 		if room < 3 || !c.mayActNow() || c.readNewest(ctx) != nil {
 			return false
 		}
 		c.mu.Lock()
-		t, rest, said, apart := c.placementTransaction(todo, room, c.now())
+		t, rest, said, apart := c.state.scheduler.placementTransaction(todo, room, c.node.now())
 		c.mu.Unlock()
 		marks = append(marks, apart...)
 		if t == nil {
@@ -57,7 +57,7 @@
 		case done:
 			todo, tries = rest, 0
 			for _, l := range said {
-				c.log.Info("task placed", l...)
+				c.node.log.Info("task placed", l...)
 			}
 			c.placeNewGangs(ctx)
 		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
@@ -77,15 +77,15 @@
 // record is written with its share, so that no placement there rests on the old one.
 func (c *Controller) reclaimQuota(ctx context.Context) {
 	c.mu.Lock()
-	now := c.now()
+	now := c.node.now()
 	t := newTransaction()
-	cl := &claims{c: c, byShard: map[string]*claim{}}
-	for _, team := range slices.Sorted(maps.Keys(c.quotaShortages)) {
-		delete(c.quotaShortages, team)
-		for _, p := range c.shards {
-			held, _ := c.quotaShares(team, p)
-			x := c.openClaim(p, now)
-			if x == nil || len(cl.byShard) > 0 && len(cl.byShard) >= c.transactionLimits().TxnOps-1 {
+	cl := &claims{accounts: c.state.capacity, byShard: map[string]*claim{}}
+	for _, team := range slices.Sorted(maps.Keys(c.state.capacity.quotaShortages)) {
+		delete(c.state.capacity.quotaShortages, team)
+		for _, p := range c.node.shards {
+			held, _ := c.state.capacity.quotaShares(team, p)
+			x := c.state.capacity.openClaim(p, now)
+			if x == nil || len(cl.byShard) > 0 && len(cl.byShard) >= c.state.schema.transactionLimits().TxnOps-1 {
 				continue
 			}
 			if use := shard.Unvec(x.quotaUse[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
@@ -103,7 +103,7 @@
 	c.mu.Unlock()
 	if t.changes() > 0 && c.mayActNow() {
 		if done, _, _ := c.commit(ctx, "shares", t, store.PriorityDecision); done {
-			c.wakeDecider()
+			c.wake.notify()
 		}
 	}
 }
@@ -118,12 +118,12 @@
 			return
 		}
 		c.mu.Lock()
-		e := c.newRecordEditor()
+		e := c.state.schema.newRecordEditor()
 		var rest []*placedTask
 		var line []any
 		for i, v := range marks {
-			k := c.replica.jobs[v.uid]
-			if !c.canStop(k, v) {
+			k := c.state.cache.jobs[v.uid]
+			if !c.state.scheduler.canStop(k, v) {
 				continue
 			}
 			if more := e.stopCost(k, v); more > 0 && e.isFull(more, 0) {
@@ -142,15 +142,15 @@
 		if done, _, _ := c.commit(ctx, "marks", t, store.PriorityDecision); !done {
 			return // planned anew
 		}
-		c.log.Info("tasks stopped for others", line...)
+		c.node.log.Info("tasks stopped for others", line...)
 		marks = rest
 	}
 }
 
 // canStop reports whether a task is still where it was to be stopped. Call with the
 // lock held.
-func (c *Controller) canStop(j *liveJob, v *placedTask) bool {
-	if j == nil || c.isBlocked(j) {
+func (sch *schedulerState) canStop(j *liveJob, v *placedTask) bool {
+	if j == nil || sch.schema.isBlocked(j) {
 		return false
 	}
 	p := j.ranges[v.rangeIndex].record.PlacementOf(v.index)
@@ -179,9 +179,9 @@
 
 // hasPendingTasks reports whether a job of an own shard has tasks to place. Call with the
 // lock held.
-func (c *Controller) hasPendingTasks() bool {
-	for _, j := range c.replica.jobs {
-		if !j.record.Cancelled && len(j.pendingTasks()) > 0 && c.leadershipOf(j.record.Shard) != nil {
+func (sch *schedulerState) hasPendingTasks() bool {
+	for _, j := range sch.cache.jobs {
+		if !j.record.Cancelled && len(j.pendingTasks()) > 0 && sch.leadership.of(j.record.Shard) != nil {
 			return true
 		}
 	}
@@ -201,9 +201,9 @@
 }
 
 // addPlacement places a task and tells what to log of it. Call with the lock held.
-func (c *Controller) addPlacement(e *recordEditor, j *liveJob, x placement, now time.Time) []any {
+func (sch *schedulerState) addPlacement(e *recordEditor, j *liveJob, x placement, now time.Time) []any {
 	r := &j.record.Spec
-	c.requireLeadership(e.txn, j.record.Shard)
+	sch.leadership.require(e.txn, j.record.Shard)
 	e.txn.require(jobPrefix+r.UID, j.version)
 	ch := e.taskRange(j, x.rangeIndex)
 	if r.Together && j.record.Zone == "" {
@@ -218,10 +218,10 @@
 
 // zoneAllows reports whether the job's other tasks leave a zone to one of its tasks;
 // zs keeps what was worked out for each job.
-func (c *Controller) zoneAllows(zs map[string]*zoneConstraint, j *liveJob, x placement, admission *recovery.Admission) bool {
+func (sch *schedulerState) zoneAllows(zs map[string]*zoneConstraint, j *liveJob, x placement, admission *recovery.Admission) bool {
 	z := zs[x.uid]
 	if z == nil {
-		z = c.zoneConstraintOf(j, admission)
+		z = sch.zoneConstraintOf(j, admission)
 		zs[x.uid] = z
 	}
 	return z.allows(x.rangeIndex, x.host.Zone)
@@ -235,19 +235,19 @@
 //
 // What has to leave for a placement that alone is more than a transaction takes is
 // given in apart.
-func (c *Controller) placementTransaction(
+func (sch *schedulerState) placementTransaction(
 	todo []placement,
 	room int,
 	now time.Time,
 ) (t *transaction, rest []placement, said [][]any, apart []*placedTask) {
-	e := c.newRecordEditor()
+	e := sch.schema.newRecordEditor()
 	e.maxChanges = min(e.maxChanges, room)
-	cl := &claims{c: c, byShard: map[string]*claim{}}
+	cl := &claims{accounts: sch.capacity, byShard: map[string]*claim{}}
 	zs := map[string]*zoneConstraint{}
-	admission := c.admission(now)
+	admission := sch.zones.admission(now)
 	for i, x := range todo {
 		j, more, ok := cl.tryClaim(x, now)
-		if j == nil || !c.zoneAllows(zs, j, x, admission) {
+		if j == nil || !sch.zoneAllows(zs, j, x, admission) {
 			continue
 		}
 		more += e.rangeCost(j, x.rangeIndex)
@@ -256,8 +256,8 @@
 		}
 		there := true
 		for _, v := range x.victims {
-			k := c.replica.jobs[v.uid]
-			if there = there && c.canStop(k, v); !there {
+			k := sch.cache.jobs[v.uid]
+			if there = there && sch.canStop(k, v); !there {
 				break
 			}
 			more += e.stopCost(k, v)
@@ -265,7 +265,7 @@
 		if !there {
 			continue // the room may be free by now: planned anew
 		}
-		if e.changes == 0 && len(x.victims) > 0 && more > c.transactionLimits().TxnOps {
+		if e.changes == 0 && len(x.victims) > 0 && more > sch.schema.transactionLimits().TxnOps {
 			apart = append(apart, x.victims...)
 			continue
 		}
@@ -274,9 +274,9 @@
 			break
 		}
 		ok()
-		line := c.addPlacement(e, j, x, now)
+		line := sch.addPlacement(e, j, x, now)
 		for _, v := range x.victims {
-			k := c.replica.jobs[v.uid]
+			k := sch.cache.jobs[v.uid]
 			e.stopTask(k, v)
 			line = append(line, "preempts", v.taskName(k))
 		}
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -58,12 +58,12 @@
 // room for, and seeks room for the rest among what is being left and what may be
 // preempted. What then still lacks room is to be rented for.
 type planner struct {
-	c        *Controller
-	now      time.Time
-	plan     *plan
-	hosts    []*sched.Host // the machines that can take tasks
-	queue    []*queueEntry
-	smallest sched.Resources // the smallest amounts that any waiting task asks for
+	scheduler *schedulerState
+	now       time.Time
+	plan      *plan
+	hosts     []*sched.Host // the machines that can take tasks
+	queue     []*queueEntry
+	smallest  sched.Resources // the smallest amounts that any waiting task asks for
 
 	jobs         []*waitingJob
 	hostsByShard map[string][]*sched.Host // by shard, those with room for the least
@@ -86,11 +86,11 @@
 
 // plan places what can be placed, picks what to stop for what can't, and tells
 // what then still lacks room. Call with the lock held.
-func (c *Controller) plan(now time.Time) *plan {
+func (sch *schedulerState) plan(now time.Time) *plan {
 	began := time.Now()
-	defer func() { c.planningTime += time.Since(began) }()
-	p := &planner{c: c, now: now, plan: &plan{reservedHosts: map[string]bool{}}, gangSearches: map[*waitingJob]*gangSearch{}}
-	if len(c.machineTypes) == 0 || !c.mayAct(now) {
+	defer func() { sch.planningTime += time.Since(began) }()
+	p := &planner{scheduler: sch, now: now, plan: &plan{reservedHosts: map[string]bool{}}, gangSearches: map[*waitingJob]*gangSearch{}}
+	if len(sch.catalog.machineTypes) == 0 || !sch.leadership.mayAct(now) {
 		return p.plan
 	}
 	p.selectJobs()
@@ -110,31 +110,30 @@
 
 // selectJobs lists the jobs with tasks to place, in the order in which they are served.
 func (p *planner) selectJobs() {
-	c := p.c
-	p.hosts = c.schedulableHosts(p.now)
-	p.admission = c.admission(p.now)
-	p.queue = c.queue(p.now)
+	p.hosts = p.scheduler.schedulableHosts(p.now)
+	p.admission = p.scheduler.zones.admission(p.now)
+	p.queue = p.scheduler.queue(p.now)
 	p.smallest = smallestRequest(p.queue)
 	p.hostsByShard = hostsWithRoom(p.hosts, p.smallest) // only those with room: work per task is bounded by them
-	p.chooser = sched.NewChooser(p.hostsByShard, c.random)
+	p.chooser = sched.NewChooser(p.hostsByShard, p.scheduler.node.random)
 	p.teamUse = map[string]sched.Resources{}
-	for _, team := range c.cfg.Facts.Teams {
+	for _, team := range p.scheduler.node.settings.Facts.Teams {
 		if team.Limited() {
-			p.teamUse[team.Name] = c.teamUse(team.Name)
+			p.teamUse[team.Name] = p.scheduler.capacity.teamUse(team.Name)
 		}
 	}
 	for _, q := range p.queue {
 		r := &q.job.record.Spec
-		if q.led && c.isBackingOff(q, p.now) || c.isBlocked(q.job) || len(q.job.pendingTasks()) == 0 {
+		if q.led && p.scheduler.isBackingOff(q, p.now) || p.scheduler.schema.isBlocked(q.job) || len(q.job.pendingTasks()) == 0 {
 			continue
 		}
 		ask := taskRequestOf(r)
-		ask.FetchS = c.fetchSeconds(r)
+		ask.FetchS = p.scheduler.catalog.fetchSeconds(r)
 		// Fetches may be a third slower than told.
-		ask.PreferImage = c.waitingSlack(r.Class, r, 1.5*ask.FetchS) < c.cfg.HeartbeatInterval().Seconds()
+		ask.PreferImage = p.scheduler.estimates.waitingSlack(r.Class, r, 1.5*ask.FetchS) < p.scheduler.node.settings.HeartbeatInterval().Seconds()
 		p.jobs = append(
 			p.jobs,
-			&waitingJob{entry: q, request: ask, zones: c.zoneConstraintOf(q.job, p.admission), tasks: slices.Clone(q.job.pendingTasks())},
+			&waitingJob{entry: q, request: ask, zones: p.scheduler.zoneConstraintOf(q.job, p.admission), tasks: slices.Clone(q.job.pendingTasks())},
 		)
 	}
 }
@@ -202,7 +201,7 @@
 // any, and leaves the rest.
 func (p *planner) placeTasks(l *waitingJob, warm bool) {
 	r := &l.entry.job.record.Spec
-	team, _ := p.c.cfg.Team(r.Team)
+	team, _ := p.scheduler.node.settings.Team(r.Team)
 	ask := l.request
 	ask.RequireImage = warm
 	p.chooser.Begin(l.entry.job.record.Shard, &ask)
@@ -257,8 +256,7 @@
 
 // placeGang finds machines for all of a gang's tasks, or notes what it found.
 func (p *planner) placeGang(l *waitingJob) {
-	c := p.c
-	if team, _ := c.cfg.Team(l.entry.job.record.Spec.Team); team.Limited() {
+	if team, _ := p.scheduler.node.settings.Team(l.entry.job.record.Spec.Team); team.Limited() {
 		use := p.teamUse[team.Name].Add(l.request.Need.Scale(float64(len(l.tasks))))
 		if exceedsQuota(team, use) {
 			l.tasks = nil // what is beyond the limit lacks no room
@@ -267,9 +265,9 @@
 		p.teamUse[team.Name] = use
 	}
 	if p.provisioning == nil {
-		p.provisioning = c.provisioningHosts(p.now, true)
+		p.provisioning = p.scheduler.room.provisioningHosts(p.now, true)
 	}
-	x := c.findGangRoom(l, p.hostsByShard, p.hosts, p.provisioning, p.now)
+	x := p.scheduler.findGangRoom(l, p.hostsByShard, p.hosts, p.provisioning, p.now)
 	if sched.CountUnassigned(x.hosts) == 0 {
 		if l.entry.led {
 			p.plan.gangs = append(p.plan.gangs, x.claim())
@@ -278,7 +276,7 @@
 		return
 	}
 	if l.entry.led {
-		c.noteGangMiss(x, p.now)
+		p.scheduler.noteGangMiss(x, p.now)
 	}
 	for _, h := range x.hosts {
 		if h != nil && x.reserved {
@@ -294,7 +292,7 @@
 		p.openHosts = append(p.openHosts, hosts...)
 	}
 	slices.SortFunc(p.openHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
-	p.preemption = p.c.newPreemption(p.queue, p.hosts, p.now)
+	p.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
 }
 
 // preemptOptions returns machines where a job could take others' room.
@@ -309,7 +307,7 @@
 // assignOverVictims puts a task of the job on a machine that victims leave.
 func (p *planner) assignOverVictims(l *waitingJob, chunk int, victims []*placedTask, h *sched.Host) {
 	for _, v := range victims {
-		h.Free = h.Free.Add(resourcesOf(&p.c.replica.jobs[v.uid].record.Spec))
+		h.Free = h.Free.Add(resourcesOf(&p.scheduler.cache.jobs[v.uid].record.Spec))
 	}
 	h.Free = h.Free.Sub(l.request.Need)
 	l.zones.add(chunk, h.Zone)
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -6,17 +6,17 @@
 // machines, and not one that is older than their own pause.
 func TestPlanIsTakenOnce(t *testing.T) {
 	c := warmSim().nodes[0].c
-	now := c.now()
+	now := c.node.now()
 	first := &plan{}
-	c.lastPlan = lastPlan{first, now}
-	if c.reusePlan(now) != first {
+	c.testState().scheduler.lastPlan = lastPlan{first, now}
+	if c.testState().scheduler.reusePlan(now) != first {
 		t.Fatal("the newest plan is not taken")
 	}
-	if c.reusePlan(now) == first {
+	if c.testState().scheduler.reusePlan(now) == first {
 		t.Fatal("taken twice")
 	}
-	c.lastPlan = lastPlan{first, now}
-	if c.reusePlan(now.Add(c.cfg.AutoscaleInterval()+1)) == first {
+	c.testState().scheduler.lastPlan = lastPlan{first, now}
+	if c.testState().scheduler.reusePlan(now.Add(c.node.settings.AutoscaleInterval()+1)) == first {
 		t.Fatal("taken though it is old")
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -13,7 +13,7 @@
 // higher rank and a guarantee do. Between teams the guarantee decides first: what is
 // within one yields to no rank of another team that is beyond its own, or the one would
 // take back by its guarantee what the other took by its rank, again and again.
-func (c *Controller) mayPreempt(q *queueEntry, v *api.Job, over bool) bool {
+func (sch *schedulerState) mayPreempt(q *queueEntry, v *api.Job, over bool) bool {
 	priority, _ := api.PriorityOf(v.Priority)
 	own := v.Team == q.job.record.Spec.Team
 	if priority > q.priority {
@@ -25,7 +25,7 @@
 // preemption finds tasks to stop for others, within one plan. It looks over the machines
 // once for a kind of job, not for each job and each of its tasks.
 type preemption struct {
-	c               *Controller
+	scheduler       *schedulerState
 	now             time.Time
 	hosts           []*sched.Host
 	beyondGuarantee map[string]bool // jobs beyond their teams' guarantees
@@ -77,8 +77,8 @@
 
 // newPreemption begins the search for tasks to stop within one plan. Call with the lock
 // held, as all of its methods.
-func (c *Controller) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
-	p := &preemption{c: c, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*placedTask]bool{},
+func (sch *schedulerState) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
+	p := &preemption{scheduler: sch, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*placedTask]bool{},
 		victimsByKind: map[preemptorKind]*victimHosts{}, victimsOnHost: map[*sched.Host][]*victimHost{}}
 	for _, q := range queue {
 		p.beyondGuarantee[q.uid] = !q.withinGuarantee
@@ -110,7 +110,7 @@
 // mayHoldVictims tells, from the sums by rank alone, whether a machine may hold tasks that
 // the job can stop: with a guarantee it may stop work of any rank.
 func (p *preemption) mayHoldVictims(q *queueEntry, h *sched.Host) bool {
-	staying := p.c.loadOf(h.Name).runningByPriority[:]
+	staying := p.scheduler.room.loadOf(h.Name).runningByPriority[:]
 	return q.withinGuarantee || slices.ContainsFunc(
 		staying[min(q.priority+1, len(staying)):],
 		func(r sched.Resources) bool { return r != sched.Resources{} },
@@ -119,16 +119,15 @@
 
 // victimsOn lists the tasks on a machine that the job may stop.
 func (p *preemption) victimsOn(q *queueEntry, h *sched.Host) *victimHost {
-	c := p.c
 	v := &victimHost{host: h}
-	only := c.newestOverplaced(h)
-	for id, pl := range c.replica.placements[h.Name] {
-		j := c.replica.jobs[pl.uid]
+	only := p.scheduler.newestOverplaced(h)
+	for id, pl := range p.scheduler.cache.placements[h.Name] {
+		j := p.scheduler.cache.jobs[pl.uid]
 		switch {
 		case j == nil, only != nil && only != pl, j.mustStop(pl.placement), p.taken[pl]:
-		case !c.mayPreempt(q, &j.record.Spec, p.beyondGuarantee[pl.uid]), c.isCompleted(h.Name, id, pl):
+		case !p.scheduler.mayPreempt(q, &j.record.Spec, p.beyondGuarantee[pl.uid]), p.scheduler.agents.isCompleted(h.Name, id, pl):
 		default:
-			cost := c.lostWork(h.Name, j, pl, p.now)
+			cost := p.scheduler.lostWork(h.Name, j, pl, p.now)
 			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: resourcesOf(&j.record.Spec), Cost: cost, Ref: len(v.tasks)})
 			v.tasks = append(v.tasks, pl)
 		}
@@ -159,7 +158,7 @@
 		if len(from) == 0 {
 			continue
 		}
-		first := p.c.random.IntN(len(from))
+		first := p.scheduler.node.random.IntN(len(from))
 		warmFound := len(found) > 0 // those are not to come twice
 		for i := 0; i < len(from) && len(found) < most; i++ {
 			v := from[(first+i)%len(from)]
@@ -182,12 +181,11 @@
 // allowed narrows a machine's candidates to what the operators' policy lets the job stop;
 // nil if nothing is left.
 func (p *preemption) allowed(q *queueEntry, v *victimHost) *victimHost {
-	c := p.c
-	if c.policy.RestrictsPreemption() {
+	if p.scheduler.node.policy.RestrictsPreemption() {
 		forbidden := func(x sched.Victim) bool {
-			j := c.replica.jobs[v.tasks[x.Ref].uid]
+			j := p.scheduler.cache.jobs[v.tasks[x.Ref].uid]
 			priority, _ := api.PriorityOf(j.record.Spec.Priority)
-			return !c.policy.Preempt(q.variables, c.policyVariables(j, priority, !p.beyondGuarantee[j.record.Spec.UID], p.now), x.Cost)
+			return !p.scheduler.node.policy.Preempt(q.variables, p.scheduler.policyVariables(j, priority, !p.beyondGuarantee[j.record.Spec.UID], p.now), x.Cost)
 		}
 		v = &victimHost{host: v.host, tasks: v.tasks, candidates: slices.DeleteFunc(slices.Clone(v.candidates), forbidden)}
 		p.victimsOnHost[v.host] = append(p.victimsOnHost[v.host], v)
@@ -202,15 +200,15 @@
 // placed than there is room for: some have completed and others have taken their
 // room, but the ends are not committed yet and only the leader knows which. The
 // newest is the one that is surely there. It returns nil where all are.
-func (c *Controller) newestOverplaced(h *sched.Host) *placedTask {
-	if c.leadershipOf(h.Shard) != nil {
+func (sch *schedulerState) newestOverplaced(h *sched.Host) *placedTask {
+	if sch.leadership.of(h.Shard) != nil {
 		return nil
 	}
 	used := h.Free
 	var newest *placedTask
 	last := int64(0)
-	for _, pl := range c.replica.placements[h.Name] {
-		j := c.replica.jobs[pl.uid]
+	for _, pl := range sch.cache.placements[h.Name] {
+		j := sch.cache.jobs[pl.uid]
 		if j == nil {
 			continue
 		}
@@ -266,9 +264,9 @@
 
 // lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
 // went with its zone and has not started again. Call with the lock held.
-func (c *Controller) lostWork(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
-	s := c.agents[host]
-	if s == nil || s.Heartbeat == nil || !c.isHeldBack(host, pl, j, now) {
+func (sch *schedulerState) lostWork(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
+	s := sch.agents.byHost[host]
+	if s == nil || s.Heartbeat == nil || !sch.zones.isHeldBack(host, pl, j, now) {
 		return lostSeconds(j, pl.placement, now)
 	}
 	name := pl.taskName(j)
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -258,7 +258,7 @@
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
 		}
 	}
-	if s.nodes[0].c.schemaUpgraded() {
+	if s.nodes[0].c.testState().schema.upgraded() {
 		t.Error("upgraded with one of the version in production")
 	}
 }
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -24,7 +24,7 @@
 }
 
 // policyVariables tells expressions of a job. Call with the lock held.
-func (c *Controller) policyVariables(j *liveJob, priority int, guarantee bool, now time.Time) config.JobVariables {
+func (sch *schedulerState) policyVariables(j *liveJob, priority int, guarantee bool, now time.Time) config.JobVariables {
 	r := &j.record.Spec
 	w := config.JobVariables{
 		Class:      r.Class,
@@ -38,8 +38,8 @@
 		Age:        float64(now.UnixMilli()-j.record.AcceptedMS) / 1000,
 		Slack:      unlimitedSeconds,
 	}
-	if in := c.deadlineSeconds(r); in < unlimitedSeconds {
-		w.Slack = in - w.Age - c.estimatedRuntime(r)
+	if in := sch.estimates.deadlineSeconds(r); in < unlimitedSeconds {
+		w.Slack = in - w.Age - sch.estimates.estimatedRuntime(r)
 	}
 	return w
 }
@@ -62,16 +62,16 @@
 
 // queue lists the living jobs in the order in which they are served. Call with the lock
 // held.
-func (c *Controller) queue(now time.Time) []*queueEntry {
+func (sch *schedulerState) queue(now time.Time) []*queueEntry {
 	var q []*queueEntry
 	byTeam := map[string][]*liveJob{}
-	for _, j := range c.replica.jobs {
+	for _, j := range sch.cache.jobs {
 		if !j.record.Cancelled {
 			byTeam[j.record.Spec.Team] = append(byTeam[j.record.Spec.Team], j)
 		}
 	}
 	for name, jobs := range byTeam {
-		team, _ := c.cfg.Team(name)
+		team, _ := sch.node.settings.Team(name)
 		slices.SortFunc(jobs, compareAge)
 		cpus, gpus := 0.0, 0.0
 		for _, j := range jobs {
@@ -81,7 +81,7 @@
 			gpus += r.GPUs * left
 			priority, _ := api.PriorityOf(r.Priority)
 			within := fitsGuarantee(team, cpus, gpus)
-			w := c.policyVariables(j, priority, within, now)
+			w := sch.policyVariables(j, priority, within, now)
 			q = append(
 				q,
 				&queueEntry{
@@ -89,11 +89,11 @@
 					uid:             r.UID,
 					priority:        priority,
 					withinGuarantee: within,
-					led:             c.leadershipOf(j.record.Shard) != nil,
+					led:             sch.leadership.of(j.record.Shard) != nil,
 					variables:       w,
-					weight:          c.policy.Weight(w),
-					starving:        c.starving(j, w.Age),
-					released:        c.hasReleasedClaims(r.UID),
+					weight:          sch.node.policy.Weight(w),
+					starving:        sch.starving(j, w.Age),
+					released:        sch.hasReleasedClaims(r.UID),
 				},
 			)
 		}
@@ -119,8 +119,8 @@
 // its weight: what is late otherwise goes last, and under a stream of small jobs
 // that can still be in time a large one would never begin. Call with the lock
 // held.
-func (c *Controller) starving(j *liveJob, age float64) bool {
-	if age < min(c.deadlineSeconds(&j.record.Spec), (maxStartDelay/2).Seconds()) || len(j.record.FinishedRanges) > 0 {
+func (sch *schedulerState) starving(j *liveJob, age float64) bool {
+	if age < min(sch.estimates.deadlineSeconds(&j.record.Spec), (maxStartDelay/2).Seconds()) || len(j.record.FinishedRanges) > 0 {
 		return false
 	}
 	if isGang(j) { // what it holds or did before is no beginning
@@ -180,7 +180,7 @@
 
 // isBackingOff reports whether a job whose tasks failed waits before the next try:
 // ever longer, so that a job that fails everywhere hurts nobody.
-func (c *Controller) isBackingOff(q *queueEntry, now time.Time) bool {
+func (sch *schedulerState) isBackingOff(q *queueEntry, now time.Time) bool {
 	e := 0
 	for _, ch := range q.job.ranges {
 		e += ch.record.Errors
@@ -189,13 +189,13 @@
 		e += max(g.ErrorStreak, g.FailureStreak-1) // one attempt may fail by chance, and the next goes at once
 	}
 	if e == 0 {
-		delete(c.errorsSeen, q.uid)
-		delete(c.retryAt, q.uid)
+		delete(sch.errorsSeen, q.uid)
+		delete(sch.retryAt, q.uid)
 		return false
 	}
-	if e > c.errorsSeen[q.uid] {
-		c.retryAt[q.uid] = now.Add(min(c.cfg.HeartbeatInterval()<<min(e-1, 10), c.cfg.WorkerLease()))
+	if e > sch.errorsSeen[q.uid] {
+		sch.retryAt[q.uid] = now.Add(min(sch.node.settings.HeartbeatInterval()<<min(e-1, 10), sch.node.settings.WorkerLease()))
 	}
-	c.errorsSeen[q.uid] = e
-	return now.Before(c.retryAt[q.uid])
+	sch.errorsSeen[q.uid] = e
+	return now.Before(sch.retryAt[q.uid])
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -26,10 +26,10 @@
 // a direct command: a worker has one report in flight, so a heartbeat shows what
 // became of the answers to those before, which a command's answer does not.
 type reconciliation struct {
-	c         *Controller
-	heartbeat *api.Heartbeat
-	agent     *shard.Agent
-	now       time.Time
+	reconciler *heartbeatReconciler
+	heartbeat  *api.Heartbeat
+	agent      *shard.Agent
+	now        time.Time
 
 	reported      map[attemptID]*api.TaskState
 	desired       map[attemptID]bool // committed for the machine
@@ -42,18 +42,18 @@
 
 // commandsFor returns the commands for a worker that has just reported. Call with the lock
 // held.
-func (c *Controller) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
-	if !c.mayAct(now) {
-		return c.stopCancelledTasks(r.Host)
+func (rec *heartbeatReconciler) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
+	if !rec.leadership.mayAct(now) {
+		return rec.agents.stopCancelledTasks(r.Host)
 	}
 	// What runs on takes its room until a later heartbeat shows its end; what is
 	// stopped without saving leaves before the starts in the same answer.
-	size, machineType := c.machineCapacity(r.MachineType)
-	x := &reconciliation{c: c, heartbeat: r, agent: s, now: now, reported: map[attemptID]*api.TaskState{}, desired: map[attemptID]bool{},
+	size, machineType := rec.catalog.machineCapacity(r.MachineType)
+	x := &reconciliation{reconciler: rec, heartbeat: r, agent: s, now: now, reported: map[attemptID]*api.TaskState{}, desired: map[attemptID]bool{},
 		free: size, capacityKnown: machineType != nil, commands: []api.Command{}}
 	x.readHeartbeat()
-	for id, pl := range c.replica.placements[r.Host] {
-		if j := c.replica.jobs[pl.uid]; j != nil {
+	for id, pl := range rec.cache.placements[r.Host] {
+		if j := rec.cache.jobs[pl.uid]; j != nil {
 			x.reconcileTask(id, pl, j)
 		}
 	}
@@ -65,11 +65,11 @@
 // stopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine: what
 // is committed may have changed where this node can't see it, but a cancelled job stays
 // cancelled, and its tasks have to go in time. Call with the lock held.
-func (c *Controller) stopCancelledTasks(host string) []api.Command {
+func (reg *agentRegistry) stopCancelledTasks(host string) []api.Command {
 	commands := []api.Command{}
-	for _, pl := range c.replica.placements[host] {
-		if j := c.replica.jobs[pl.uid]; j != nil && j.isCancelled() {
-			commands = append(commands, c.stopCommand(j, attemptID{pl.taskName(j), pl.placement.Attempt}))
+	for _, pl := range reg.cache.placements[host] {
+		if j := reg.cache.jobs[pl.uid]; j != nil && j.isCancelled() {
+			commands = append(commands, reg.stopCommand(j, attemptID{pl.taskName(j), pl.placement.Attempt}))
 		}
 	}
 	return commands
@@ -80,7 +80,7 @@
 	for i := range x.heartbeat.Tasks {
 		t := &x.heartbeat.Tasks[i]
 		if !api.KnownPhase(t.Phase) {
-			x.c.log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
+			x.reconciler.node.log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
 		x.reported[attemptID{t.Task, t.Attempt}] = t
 	}
@@ -92,7 +92,7 @@
 	x.desired[a] = true
 	stop := j.mustStop(pl.placement)
 	if !isGang(j) { // a gang is stopped as a whole, or else goes on
-		stop = stop || x.agent.Cordoned || x.c.interruptionIsDue(x.agent, j)
+		stop = stop || x.agent.Cordoned || x.reconciler.agents.interruptionIsDue(x.agent, j)
 	}
 	if state := x.reported[a]; state != nil {
 		delete(x.agent.PendingLaunches, id)
@@ -108,9 +108,9 @@
 	_, released := s.EndedAttempts[id]
 	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.attempt {
 		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
-		x.c.log.Info("task running", "task", a.task, "attempt", a.attempt, "host", x.heartbeat.Host)
+		x.reconciler.node.log.Info("task running", "task", a.task, "attempt", a.attempt, "host", x.heartbeat.Host)
 		if isGang(j) {
-			x.c.runningGangs[pl.uid] = a.attempt
+			x.reconciler.agents.runningGangs[pl.uid] = a.attempt
 		}
 	}
 	switch {
@@ -124,7 +124,7 @@
 			x.free = x.free.Sub(resourcesOf(&j.record.Spec))
 		}
 		if state.Phase != api.Saving || j.isCancelled() {
-			x.commands = append(x.commands, x.c.stopCommand(j, a))
+			x.commands = append(x.commands, x.reconciler.agents.stopCommand(j, a))
 		}
 	default:
 		x.free = x.free.Sub(resourcesOf(&j.record.Spec))
@@ -146,9 +146,9 @@
 		},
 	)
 	if started := x.agent.FirstRuns[id]; done && started.Attempt == pl.placement.Attempt && spec.EstimateS > 0 {
-		x.c.observeRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
+		x.reconciler.estimates.observeRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
-	x.c.noteTaskEnd(x.heartbeat.Host, x.agent, j, pl, state)
+	x.reconciler.agents.noteTaskEnd(x.heartbeat.Host, x.agent, j, pl, state)
 }
 
 // reconcileAbsent deals with a committed task that is not on the machine.
@@ -171,7 +171,7 @@
 		if !s.Unresponsive {
 			s.Unresponsive = true
 			s.RaiseToken(x.now)
-			x.c.log.Info(
+			x.reconciler.node.log.Info(
 				"worker ignores launches",
 				"host",
 				x.heartbeat.Host,
@@ -182,11 +182,11 @@
 			)
 		}
 		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
-	case x.c.isHeldBack(x.heartbeat.Host, pl, j, x.now):
+	case x.reconciler.zones.isHeldBack(x.heartbeat.Host, pl, j, x.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
 		// a zone's arrays anew would take the changes that the readers' placements need.
-	case !s.IsLeaseExpired(x.now, x.c.cfg.WorkerLeaseBound()):
+	case !s.IsLeaseExpired(x.now, x.reconciler.node.settings.WorkerLeaseBound()):
 		x.launches = append(x.launches, pendingLaunch{id, attemptID{pl.taskName(j), try}, resourcesOf(&j.record.Spec)})
 	}
 }
@@ -194,8 +194,8 @@
 // endAttempt notes that an attempt is over.
 func (x *reconciliation) endAttempt(id string, r shard.EndedAttempt) {
 	r.EndedAt = x.now
-	x.c.noteEnd(x.heartbeat.Host, x.agent, id, r)
-	x.c.wakeDecider()
+	x.reconciler.agents.noteEnd(x.heartbeat.Host, x.agent, id, r)
+	x.reconciler.wake.notify()
 }
 
 // removeUnwanted clears or stops what was reported and is not committed.
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -17,7 +17,7 @@
 func (c *Controller) autoscaleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.autoscale(ctx)
-		sleep(ctx, c.cfg.AutoscaleInterval())
+		sleep(ctx, c.node.settings.AutoscaleInterval())
 	}
 }
 
@@ -30,21 +30,21 @@
 }
 
 func (c *Controller) autoscale(ctx context.Context) {
-	now := c.now()
+	now := c.node.now()
 	r := &c.rentals
-	if r.typesReadAt.IsZero() || now.Sub(r.typesReadAt) > c.cfg.WorkerLease()*2 {
+	if r.typesReadAt.IsZero() || now.Sub(r.typesReadAt) > c.node.settings.WorkerLease()*2 {
 		if f, err := c.cloud.MachineTypes(ctx); err == nil {
 			r.typesReadAt = now
 			c.mu.Lock()
-			c.machineTypes = f
+			c.state.catalog.machineTypes = f
 			c.mu.Unlock()
-			c.wakeDecider()
+			c.wake.notify()
 		} else {
-			c.log.Debug("machine types not read", "err", err)
+			c.node.log.Debug("machine types not read", "err", err)
 		}
 	}
 	c.mu.Lock()
-	headroom := c.dueHeadroom(now)
+	headroom := c.state.autoscaler.dueHeadroom(now)
 	c.mu.Unlock()
 	for range 6 { // a refusal is followed at once by the next best offer
 		if !c.scaleOut(ctx, r.unanswered, headroom) {
@@ -59,28 +59,28 @@
 // of some thousand machines takes several rounds.
 func (c *Controller) readMachineList(ctx context.Context, now time.Time) {
 	r := &c.rentals
-	lag := time.Duration(c.cfg.Facts.Cloud.ListLagS * float64(time.Second))
-	if r.listing.Active() && now.Sub(r.listing.Began) > 4*max(lag, c.cfg.HeartbeatInterval()) {
+	lag := time.Duration(c.node.settings.Facts.Cloud.ListLagS * float64(time.Second))
+	if r.listing.Active() && now.Sub(r.listing.Began) > 4*max(lag, c.node.settings.HeartbeatInterval()) {
 		r.listing.Abandon() // the cloud did not answer meanwhile
 	}
-	if !r.listing.Active() && now.Sub(r.listReadAt) <= max(lag, c.cfg.HeartbeatInterval()) {
+	if !r.listing.Active() && now.Sub(r.listReadAt) <= max(lag, c.node.settings.HeartbeatInterval()) {
 		return
 	}
 	hosts, complete, err := r.listing.Read(ctx, c.cloud, now, config.CloudCallsPerRound)
 	if err != nil {
-		c.log.Debug("list of machines not read", "err", err)
+		c.node.log.Debug("list of machines not read", "err", err)
 	}
 	if complete {
 		r.listReadAt = now
 		c.mu.Lock()
-		c.noteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
+		c.state.agents.noteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
 		c.mu.Unlock()
 	}
 }
 
 // availableOffers lists what can be rented, less what was refused lately. Call with the
 // lock held.
-func (c *Controller) availableOffers(now time.Time) []sched.Offer {
+func (c *machineCatalog) availableOffers(now time.Time) []sched.Offer {
 	var out []sched.Offer
 	for _, f := range c.machineTypes {
 		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
@@ -109,21 +109,21 @@
 
 // provisioningHosts lists the machines that have not come up yet: those rented for this
 // node's shards, or all. Call with the lock held.
-func (c *Controller) provisioningHosts(now time.Time, all bool) []*sched.Host {
+func (mr *machineRoom) provisioningHosts(now time.Time, all bool) []*sched.Host {
 	var out []*sched.Host
-	for host, m := range c.replica.machines {
-		if !all && c.leadershipOf(m.RentedFor) == nil || len(c.replica.placements[host]) > 0 {
+	for host, m := range mr.cache.machines {
+		if !all && mr.leadership.of(m.RentedFor) == nil || len(mr.cache.placements[host]) > 0 {
 			continue
 		}
-		cp, f := c.machineCapacity(m.MachineType)
-		rec := c.replica.capacities[m.Shard].record
+		cp, f := mr.catalog.machineCapacity(m.MachineType)
+		rec := mr.cache.capacities[m.Shard].record
 		if f == nil || rec == nil {
 			continue
 		}
 		if _, up := rec.Free[host]; up {
 			continue
 		}
-		if s := c.agents[host]; s != nil && s.Fenced {
+		if s := mr.agents.byHost[host]; s != nil && s.Fenced {
 			continue
 		}
 		if float64(now.UnixMilli()-m.RegisteredMS)/1000 > 2*f.BootS {
@@ -140,13 +140,13 @@
 // dueHeadroom returns the room to be kept for what is still to come if this node is to look
 // now whether there is enough of it: one node does it for all. After there was enough, that
 // may wait a little, against a boot, unless more is wanted by now.
-func (c *Controller) dueHeadroom(now time.Time) []headroomRequest {
-	if c.leadershipOf(c.shards[0]) == nil {
+func (as *autoscalerState) dueHeadroom(now time.Time) []headroomRequest {
+	if as.leadership.of(as.node.shards[0]) == nil {
 		return nil
 	}
-	wants := c.headroom(now)
-	more := slices.ContainsFunc(wants, func(w headroomRequest) bool { return w.tasks() > c.sufficientHeadroom.tasks[w.class] })
-	if !more && now.Sub(c.sufficientHeadroom.at) < c.shortestBoot()/16 {
+	wants := as.headroom(now)
+	more := slices.ContainsFunc(wants, func(w headroomRequest) bool { return w.tasks() > as.sufficientHeadroom.tasks[w.class] })
+	if !more && now.Sub(as.sufficientHeadroom.at) < as.catalog.shortestBoot()/16 {
 		return nil
 	}
 	return wants
@@ -160,38 +160,38 @@
 
 // rentalOrders returns what to rent for what lacks room after the machines that are coming,
 // and for the headroom that is wanted. Call with the lock held.
-func (c *Controller) rentalOrders(now time.Time, headroom []headroomRequest) []sched.RentalOrder {
-	if len(headroom) == 0 && !c.hasPendingTasks() {
+func (as *autoscalerState) rentalOrders(now time.Time, headroom []headroomRequest) []sched.RentalOrder {
+	if len(headroom) == 0 && !as.scheduler.hasPendingTasks() {
 		return nil
 	}
-	p := c.reusePlan(now)
-	orders := sched.PlanRentals(p.unmet, c.provisioningHosts(now, false), c.availableOffers(now), c.cfg.Zone)
+	p := as.scheduler.reusePlan(now)
+	orders := sched.PlanRentals(p.unmet, as.room.provisioningHosts(now, false), as.catalog.availableOffers(now), as.node.settings.Zone)
 	if len(headroom) == 0 {
 		return orders
 	}
 	// What lacks room now, here and at the peers, has been rented for and takes its
 	// share of what is coming.
-	sim := append(c.provisioningHosts(now, true), p.remaining...)
+	sim := append(as.room.provisioningHosts(now, true), p.remaining...)
 	sched.PlanRentals(p.allUnmet, sim, nil, "")
 	enough := sufficientHeadroom{now, map[string]int{}}
 	for _, w := range headroom {
-		more := sched.PlanRentals(w.requests, c.withPreemptibleRoom(sim, w.priority), c.availableOffers(now), c.cfg.Zone)
+		more := sched.PlanRentals(w.requests, as.room.withPreemptibleRoom(sim, w.priority), as.catalog.availableOffers(now), as.node.settings.Zone)
 		if len(more) == 0 { // else again in the next round: one takes no more than the cloud gives at once
 			enough.tasks[w.class] = w.tasks()
 		}
 		orders = append(orders, more...)
 	}
-	c.sufficientHeadroom = enough
+	as.sufficientHeadroom = enough
 	return orders
 }
 
 // scaleOut rents what rentOrders tells. It reports whether an offer was refused, so that
 // another may do.
 func (c *Controller) scaleOut(ctx context.Context, inDoubt map[sched.Offer]cloud.RentalRequest, headroom []headroomRequest) (again bool) {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	orders := c.rentalOrders(now, headroom)
-	home, term := c.rentingShard()
+	orders := c.state.autoscaler.rentalOrders(now, headroom)
+	home, term := c.state.autoscaler.rentingShard()
 	c.mu.Unlock()
 	if home == "" || len(orders) == 0 {
 		return false
@@ -223,15 +223,15 @@
 	for wanted, calls := o.Count, 0; wanted > 0 && calls < config.CloudCallsPerRound && !refused; calls++ {
 		r, unanswered := inDoubt[o.Offer]
 		if !unanswered {
-			c.rentalRequests++
+			c.state.autoscaler.rentalRequests++
 			// Part, term and count: no other node or life ever uses this name.
-			name := fmt.Sprintf("%s-%d-%d", by.shard, by.term, c.rentalRequests)
+			name := fmt.Sprintf("%s-%d-%d", by.shard, by.term, c.state.autoscaler.rentalRequests)
 			r = cloud.RentalRequest{Name: name, MachineType: o.Offer.MachineType, Zone: o.Offer.Zone, Spot: o.Offer.Spot}
 			r.Count = min(wanted, cloud.MaxRental)
 		}
 		hosts, err := c.cloud.Rent(ctx, r)
 		c.mu.Lock()
-		refused = c.noteRental(r, hosts, err, by.shard, by.at)
+		refused = c.state.autoscaler.noteRental(r, hosts, err, by.shard, by.at)
 		c.mu.Unlock()
 		delete(inDoubt, o.Offer)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
@@ -245,9 +245,9 @@
 
 // rentingShard returns the shard that machines are rented for, this node's home if it owns it,
 // and its term; "" if it owns none. Call with the lock held.
-func (c *Controller) rentingShard() (name string, term uint64) {
-	for _, x := range c.shards {
-		if o := c.leadershipOf(x); o != nil && (name == "" || x == c.cfg.HostName) {
+func (as *autoscalerState) rentingShard() (name string, term uint64) {
+	for _, x := range as.node.shards {
+		if o := as.leadership.of(x); o != nil && (name == "" || x == as.node.settings.HostName) {
 			name, term = x, o.term
 		}
 	}
@@ -256,27 +256,27 @@
 
 // noteRental takes in the cloud's answer to a rental, and reports whether it gave less than was
 // asked for. Call with the lock held.
-func (c *Controller) noteRental(r cloud.RentalRequest, hosts []string, err error, home string, now time.Time) (refused bool) {
+func (as *autoscalerState) noteRental(r cloud.RentalRequest, hosts []string, err error, home string, now time.Time) (refused bool) {
 	key := offerKey(sched.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot})
 	switch {
 	case err == nil:
-		delete(c.capacityBackoffs, key)
-		c.log.Info(
+		delete(as.catalog.capacityBackoffs, key)
+		as.node.log.Info(
 			"machines rented", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot,
 			"requested", r.Count, "hosts", hosts,
 		)
 		for _, h := range hosts {
-			c.unregistered[h] = shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: home}
+			as.agents.unregistered[h] = shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: home}
 		}
 		refused = len(hosts) < r.Count
 	case errors.Is(err, cloud.ErrNoCapacity):
-		c.log.Info("rental refused", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
+		as.node.log.Info("rental refused", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
 		refused = true
 	default:
-		c.log.Info("rental outcome unknown", "request", r.Name, "err", err)
+		as.node.log.Info("rental outcome unknown", "request", r.Name, "err", err)
 	}
 	if refused {
-		c.backOff(key, r.MachineType, now)
+		as.catalog.backOff(key, r.MachineType, now)
 	}
 	return refused
 }
@@ -284,9 +284,9 @@
 // backOff keeps an offer from being asked for again at once, ever longer: what
 // was refused seldom comes back sooner than a machine would boot. Call with the
 // lock held.
-func (c *Controller) backOff(key, machineType string, now time.Time) {
+func (c *machineCatalog) backOff(key, machineType string, now time.Time) {
 	_, f := c.machineCapacity(machineType)
-	startup := c.cfg.WorkerLease()
+	startup := c.node.settings.WorkerLease()
 	if f != nil {
 		startup = time.Duration(f.BootS * float64(time.Second))
 	}
@@ -299,22 +299,22 @@
 // noteMachineList takes in the cloud's list. It is late and may be older than the last
 // one, so it only raises questions; a return answers them.
 // Its first page was read at the time began.
-func (c *Controller) noteMachineList(l []cloud.Host, began time.Time, seen map[string]time.Time, lag time.Duration) {
-	now := c.now()
+func (reg *agentRegistry) noteMachineList(l []cloud.Host, began time.Time, seen map[string]time.Time, lag time.Duration) {
+	now := reg.node.now()
 	in := map[string]bool{}
-	c.provisioning = map[string]bool{}
+	reg.provisioning = map[string]bool{}
 	for _, h := range l {
 		in[h.UID] = h.Phase != "failed"
 		if h.Phase == "starting" {
-			c.provisioning[h.UID] = true
+			reg.provisioning[h.UID] = true
 		}
-		m := c.replica.machines[h.UID]
+		m := reg.cache.machines[h.UID]
 		if m == nil {
 			// Perhaps just rented by a peer, or just returned and still listed.
 			if first, ok := seen[h.UID]; !ok {
 				seen[h.UID] = now
 			} else if now.Sub(first) > 4*lag && h.Phase != "failed" {
-				c.noteUnregistered(h.UID, shard.Machine{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Addr: h.Addr})
+				reg.noteUnregistered(h.UID, shard.Machine{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Addr: h.Addr})
 			}
 			continue
 		}
@@ -322,26 +322,26 @@
 		if m.Addr == "" {
 			m.Addr = h.Addr
 		}
-		if o := c.leadershipOf(m.Shard); o != nil {
-			s := c.agentOf(h.UID, o)
+		if o := reg.leadership.of(m.Shard); o != nil {
+			s := reg.of(h.UID, o)
 			s.MissingFromLists = 0
 			if h.Phase == "failed" && !s.Cordoned {
-				c.log.Info("machine failed", "host", h.UID)
+				reg.node.log.Info("machine failed", "host", h.UID)
 				s.Cordoned, s.MissingFromLists = true, 2
 			}
 		}
 	}
-	c.listedByCloud = in
+	reg.listedByCloud = in
 	for h := range seen {
 		if _, ok := in[h]; !ok {
 			delete(seen, h)
 		}
 	}
-	for host, s := range c.agents {
+	for host, s := range reg.byHost {
 		// One that is listed stays so until it is gone, and a new one is listed
 		// after some time: what a late copy had recorded never is.
-		m := c.replica.machines[host]
-		if _, ok := in[host]; !ok && m != nil && began.Sub(time.UnixMilli(m.RegisteredMS)) > 4*lag+c.cfg.HeartbeatInterval() {
+		m := reg.cache.machines[host]
+		if _, ok := in[host]; !ok && m != nil && began.Sub(time.UnixMilli(m.RegisteredMS)) > 4*lag+reg.node.settings.HeartbeatInterval() {
 			s.MissingFromLists++
 		}
 	}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
@@ -48,13 +49,15 @@
 // cache: every decision that rests on it is committed under preconditions on the
 // versions it rests on.
 type replica struct {
-	log      *slog.Logger
-	loading  bool              // a full list is being taken in
-	revision uint64            // all changes up to here are in
-	versions map[string]uint64 // of present keys
-	dropped  map[string]uint64 // of keys dropped at revisions that the watch has yet to reach
-	jobs     map[string]*liveJob
-	gangs    map[string]bool // those of them whose tasks start together
+	log           *slog.Logger
+	loaded        bool              // all live records were read, and no change was missed since
+	changesReadAt time.Time         // all changes until then are in
+	loading       bool              // a full list is being taken in
+	revision      uint64            // all changes up to here are in
+	versions      map[string]uint64 // of present keys
+	dropped       map[string]uint64 // of keys dropped at revisions that the watch has yet to reach
+	jobs          map[string]*liveJob
+	gangs         map[string]bool // those of them whose tasks start together
 	// task ranges' records as they are, those of other divisions and of no job included
 	taskRanges                map[string]map[rangeGeneration]cached[job.TaskRange]
 	capacities                map[string]cached[shard.CapacityRecord]
@@ -86,11 +89,9 @@
 	placement  *job.Placement
 }
 
-func newReplica(log *slog.Logger, onJob func(*job.Record), onTask func(string)) *replica {
+func newReplica(log *slog.Logger) *replica {
 	return &replica{
 		log:            log,
-		onJobAdded:     onJob,
-		onTasksChanged: onTask,
 		versions:       map[string]uint64{},
 		dropped:        map[string]uint64{},
 		jobs:           map[string]*liveJob{},
@@ -108,6 +109,9 @@
 		loads:          map[string]*machineLoad{},
 		images:         map[string]map[string]bool{},
 		terminated:     map[string]bool{},
+		onJobAdded:     func(*job.Record) {},
+		onJobEnded:     func(string, job.FinalState) {},
+		onTasksChanged: func(string) {},
 	}
 }
 
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -10,7 +10,6 @@
 	"pgregory.net/rapid"
 
 	"violetturn/internal/api"
-	"violetturn/internal/job"
 	"violetturn/internal/shard"
 )
 
@@ -19,7 +18,7 @@
 // write that came after the drop of its key once left a ghost for good.
 func TestReplicaWithLateAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newReplica(slog.New(slog.NewTextHandler(io.Discard, nil)), func(*job.Record) {}, func(string) {})
+		m := newReplica(slog.New(slog.NewTextHandler(io.Discard, nil)))
 		type change struct {
 			key   string
 			drop  bool
