--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -18,35 +18,35 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answerHeartbeat(r, c.now())
+	return c.state.reconciler.answerHeartbeat(r, c.node.now())
 }
 
 // answerHeartbeat answers a heartbeat that was read. Call with the lock held.
-func (c *Controller) answerHeartbeat(r *api.Heartbeat, now time.Time) transport.Response {
-	if !c.loaded {
+func (rec *heartbeatReconciler) answerHeartbeat(r *api.Heartbeat, now time.Time) transport.Response {
+	if !rec.cache.loaded {
 		return responseBusy
 	}
-	m := c.replica.machines[r.Host]
+	m := rec.cache.machines[r.Host]
 	if m == nil {
 		// Only one that the cloud lists: a copy of a heartbeat may come long after
 		// its machine is gone, and nobody else remembers that it was there.
-		if c.listedByCloud[r.Host] {
-			c.noteUnregistered(r.Host, shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
+		if rec.agents.listedByCloud[r.Host] {
+			rec.agents.noteUnregistered(r.Host, shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
 		}
 		return responseBusy
 	}
-	o := c.leadershipOf(m.Shard)
-	if o == nil || !c.mayAnswerHeartbeats(now) {
-		return c.redirect(m.Shard)
+	o := rec.leadership.of(m.Shard)
+	if o == nil || !rec.leadership.mayAnswerHeartbeats(now) {
+		return rec.leadership.redirect(m.Shard)
 	}
-	s := c.agentOf(r.Host, o)
+	s := rec.agents.of(r.Host, o)
 	if s.IsStale(r, now, heartbeatTimeout) {
 		return responseBusy // nobody waits for it, and it says nothing about now
 	}
 	if shard.TokenTerm(r.Token) > o.term {
 		// It has seen a token above ours, so it drops what we say. When the term
 		// record knows it, somebody else has taken the shard.
-		if shard.TokenTerm(r.Token) <= c.replica.term {
+		if shard.TokenTerm(r.Token) <= rec.cache.term {
 			o.needsNewTerm = true
 		}
 		return jsonResponse(421, struct{}{})
@@ -57,11 +57,11 @@
 	s.LastHeartbeat = [2]uint64{r.AgentEpoch, r.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(r.Token) < o.term {
-		if !c.mayIntroduceTerm(s, now) {
+		if !rec.agents.mayIntroduceTerm(s, now) {
 			return responseBusy
 		}
-	} else if c.acceptHeartbeat(r.Host, s, r) {
-		commands = c.commandsFor(r, s, now)
+	} else if rec.agents.acceptHeartbeat(r.Host, s, r) {
+		commands = rec.commandsFor(r, s, now)
 	}
 	s.LastAnswered = now
 	return jsonResponse(200, api.CommandBatch{Token: s.Token(), Commands: commands})
@@ -70,11 +70,11 @@
 // redirect answers a worker whose shard this node may not answer for. It does so at once: a
 // 200 that the worker has to drop would hold it here while its lease runs out. Call with
 // the lock held.
-func (c *Controller) redirect(shard string) transport.Response {
-	if led := c.leaderships[shard]; led != nil && led.successor != "" && led.successor != c.cfg.HostName {
+func (l *leadershipTable) redirect(shard string) transport.Response {
+	if led := l.byShard[shard]; led != nil && led.successor != "" && led.successor != l.node.settings.HostName {
 		return jsonResponse(421, map[string]string{"steward": led.successor})
 	}
-	if own := c.replica.leaders[shard]; own.record != nil && own.record.Node != c.cfg.HostName {
+	if own := l.cache.leaders[shard]; own.record != nil && own.record.Node != l.node.settings.HostName {
 		return jsonResponse(421, map[string]string{"steward": own.record.Node})
 	}
 	return jsonResponse(421, struct{}{})
@@ -84,9 +84,9 @@
 // told of it. One that was answered and reports as before does not hear: our answers renew
 // no lease there, and to count them would keep its tasks waiting for ever. Call with the
 // lock held.
-func (c *Controller) mayIntroduceTerm(s *shard.Agent, now time.Time) bool {
+func (reg *agentRegistry) mayIntroduceTerm(s *shard.Agent, now time.Time) bool {
 	if s.UnheardAnswers >= maxUnheardAnswers {
-		if s.IsLeaseExpired(now, c.cfg.WorkerLeaseBound()) {
+		if s.IsLeaseExpired(now, reg.node.settings.WorkerLeaseBound()) {
 			s.UnheardAnswers = 0 // nothing runs there any more: it may try again
 		}
 		return false
@@ -94,7 +94,7 @@
 	// A worker's own reports come in rounds. Copies of old ones come at once, and
 	// many may have been kept for a new leader: counted as answers that the worker
 	// did not hear, they would have it refused while it lives.
-	if now.Sub(s.UnheardAt) >= c.cfg.HeartbeatInterval()/2 {
+	if now.Sub(s.UnheardAt) >= reg.node.settings.HeartbeatInterval()/2 {
 		s.UnheardAnswers++
 		s.UnheardAt = now
 	}
@@ -113,49 +113,49 @@
 // what a cut held back, or a list that lags, must not bring it back as a ghost
 // that counts as coming room. Only machines that the cloud lists come here, which bounds
 // how many there are. Call with the lock held.
-func (c *Controller) noteUnregistered(host string, m shard.Machine) {
-	if c.replica.terminated[host] {
+func (reg *agentRegistry) noteUnregistered(host string, m shard.Machine) {
+	if reg.cache.terminated[host] {
 		return
 	}
-	if _, ok := c.unregistered[host]; ok {
+	if _, ok := reg.unregistered[host]; ok {
 		return
 	}
-	c.unregistered[host] = m
-	c.wakeDecider()
+	reg.unregistered[host] = m
+	reg.wake.notify()
 }
 
 // interruptionIsDue reports whether the cloud takes the machine away so soon that the task
 // has to leave now; until then it runs on, for it may complete. Call with the
 // lock held.
-func (c *Controller) interruptionIsDue(s *shard.Agent, j *liveJob) bool {
+func (reg *agentRegistry) interruptionIsDue(s *shard.Agent, j *liveJob) bool {
 	if s.Heartbeat == nil || s.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
-	need := 2*j.record.Spec.SaveS + 2*c.cfg.HeartbeatInterval().Seconds()
+	need := 2*j.record.Spec.SaveS + 2*reg.node.settings.HeartbeatInterval().Seconds()
 	if isGang(j) {
-		need += c.cfg.GangPeerTimeout().Seconds() // to tell all of them
+		need += reg.node.settings.GangPeerTimeout().Seconds() // to tell all of them
 	}
 	return *s.Heartbeat.SpotNoticeS <= need
 }
 
 // noteTaskEnd notes what a task's end says of the machine and of its job. Call with
 // the lock held.
-func (c *Controller) noteTaskEnd(host string, s *shard.Agent, j *liveJob, _ *placedTask, l *api.TaskState) {
+func (reg *agentRegistry) noteTaskEnd(host string, s *shard.Agent, j *liveJob, _ *placedTask, l *api.TaskState) {
 	uid := j.record.Spec.UID
 	if !api.KnownCause(l.Cause) {
-		c.log.Error("unknown exit cause reported", "host", host, "cause", l.Cause)
+		reg.node.log.Error("unknown exit cause reported", "host", host, "cause", l.Cause)
 	}
-	c.log.Info("task ended", "task", l.Task, "attempt", l.Attempt, "host", host, "cause", l.Cause, "saved", l.Saved)
+	reg.node.log.Info("task ended", "task", l.Task, "attempt", l.Attempt, "host", host, "cause", l.Cause, "saved", l.Saved)
 	switch l.Cause {
 	case api.CauseDone:
 		clear(s.FailedJobs)
 	case api.CauseError:
 		s.FailedJobs[uid] = true
 		if len(s.FailedJobs) >= 2 && !s.Cordoned {
-			c.log.Info("machine cordoned", "host", host, "why", "tasks of several jobs failed there")
+			reg.node.log.Info("machine cordoned", "host", host, "why", "tasks of several jobs failed there")
 			s.Cordoned = true
 		}
 	case api.CauseNoRoom:
-		s.AvoidUntil = c.now().Add(2 * c.cfg.HeartbeatInterval())
+		s.AvoidUntil = reg.node.now().Add(2 * reg.node.settings.HeartbeatInterval())
 	}
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -58,8 +58,8 @@
 func TestLargestBegins(t *testing.T) {
 	s := newSim()
 	for i := range s.nodes {
-		s.nodes[i].c.cfg.Facts.Objectives = append(
-			s.nodes[i].c.cfg.Facts.Objectives,
+		s.nodes[i].c.node.settings.Facts.Objectives = append(
+			s.nodes[i].c.node.settings.Facts.Objectives,
 			config.Objective{Kind: "finished", Class: "l", WithinS: 60, Share: 0.9},
 		)
 	}
@@ -92,11 +92,11 @@
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 2 })
 	c := s.nodes[0].c
-	j := c.replica.jobs[id]
+	j := c.testState().cache.jobs[id]
 	for e := 1; e < 40; e++ {
 		j.ranges[0] = cached[job.TaskRange]{&job.TaskRange{Errors: e, Placements: map[int]*job.Placement{}}, j.version, 0}
-		c.isBackingOff(&queueEntry{job: j, uid: id}, c.now())
-		if wait := c.retryAt[id].Sub(c.now()); wait > c.cfg.WorkerLease() || wait <= 0 {
+		c.testState().scheduler.isBackingOff(&queueEntry{job: j, uid: id}, c.node.now())
+		if wait := c.testState().scheduler.retryAt[id].Sub(c.node.now()); wait > c.node.settings.WorkerLease() || wait <= 0 {
 			t.Fatalf("waits %v after %d failures", wait, e)
 		}
 	}
@@ -135,7 +135,7 @@
 			run := &api.Job{Team: owner, Priority: priority}
 			return side{&queueEntry{job: &liveJob{record: &job.Record{Spec: *run}}, priority: n, withinGuarantee: within}, run, !within}
 		}
-		stops := func(a, b side) bool { return c.mayPreempt(a.q, b.run, b.over) }
+		stops := func(a, b side) bool { return c.testState().scheduler.mayPreempt(a.q, b.run, b.over) }
 		x, y, z := draw("x"), draw("y"), draw("z")
 		if stops(x, y) && stops(y, x) {
 			t.Fatalf("%+v and %+v stop each other", x, y)
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -159,10 +159,10 @@
 		s.adjust(n, cfg)
 	}
 	n.c = newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
-	n.c.random = rand.New(rand.NewPCG(uint64(i), 1))
+	n.c.node.random = rand.New(rand.NewPCG(uint64(i), 1))
 	begin := s.w.Now
 	fast := float64(i) * 0.00025 // clocks run up to 0.05 per cent fast
-	n.c.now = func() time.Time {
+	n.c.node.now = func() time.Time {
 		return s.w.Now.Add(time.Duration(float64(s.w.Now.Sub(begin)) * fast))
 	}
 	n.aside = nil
@@ -210,8 +210,8 @@
 	if !n.c.storeReachable() {
 		n.c.askPeers(ctx)
 	}
-	if n.c.loaded {
-		_ = n.c.applyChanges(ctx, n.c.replica.revision, 0) // refused in an outage
+	if n.c.testState().cache.loaded {
+		_ = n.c.applyChanges(ctx, n.c.testState().cache.revision, 0) // refused in an outage
 	} else {
 		_ = n.c.loadReplica(ctx)
 	}
@@ -383,28 +383,31 @@
 func (s *sim) explain(uid string) string {
 	c := s.nodes[0].c
 	out := ""
-	if j := c.replica.jobs[uid]; j != nil {
+	if j := c.testState().cache.jobs[uid]; j != nil {
 		out = fmt.Sprintf("main %s", api.JSON(j.record))
 		for n, ch := range j.ranges {
 			out += fmt.Sprintf(" chunk %d %s", n, api.JSON(ch.record))
 		}
 	}
-	for t, u := range c.replica.quotas {
+	for t, u := range c.testState().cache.quotas {
 		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.record))
 	}
-	for _, p := range c.shards {
-		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.replica.capacities[p].record), api.JSON(c.replica.leaders[p].record))
+	for _, p := range c.node.shards {
+		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.testState().cache.capacities[p].record), api.JSON(c.testState().cache.leaders[p].record))
 	}
-	for h, m := range c.replica.machines {
+	for h, m := range c.testState().cache.machines {
 		x := s.w.Cloud.Hosts[h]
 		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
 	}
 	for _, n := range s.nodes {
-		p := n.c.plan(n.c.now())
+		p := n.c.testState().scheduler.plan(n.c.node.now())
 		out += fmt.Sprintf(
-			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.unmet), n.c.capacityBackoffs,
-			n.c.rentals.unanswered, len(n.c.machineTypes),
+			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.unmet), n.c.testState().catalog.capacityBackoffs,
+			n.c.rentals.unanswered, len(n.c.testState().catalog.machineTypes),
 		)
 	}
 	return out
 }
+
+// testState returns the state of a controller that nothing else uses at the time.
+func (c *Controller) testState() *controllerState { return c.state }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -30,8 +30,8 @@
 		return refusal
 	}
 	c.mu.Lock()
-	undecided := len(c.machineTypes) == 0
-	_, live := c.replica.jobs[r.UID]
+	undecided := len(c.state.catalog.machineTypes) == 0
+	_, live := c.state.cache.jobs[r.UID]
 	c.mu.Unlock()
 	if undecided {
 		return c.stateOrRefusal(ctx, r.UID, responseBusy)
@@ -52,15 +52,15 @@
 	if !c.storeReachable() || !c.acceptsKind(r.Kind) {
 		return responseBusy
 	}
-	m := &job.Record{Spec: *r, Shard: c.cfg.HostName, AcceptedMS: c.now().UnixMilli()}
+	m := &job.Record{Spec: *r, Shard: c.node.settings.HostName, AcceptedMS: c.node.now().UnixMilli()}
 	size := len(api.JSON(m))
-	if size > c.maxValueBytes() { // room for what is added later
+	if size > c.state.schema.maxValueBytes() { // room for what is added later
 		return c.stateOrRefusal(ctx, r.UID, jsonResponse(400, map[string]string{"error": "submission too long"}))
 	}
 	c.mu.Lock()
-	dense := c.schemaUpgraded()
+	dense := c.state.schema.upgraded()
 	c.mu.Unlock()
-	m.ChooseLayout(c.cfg.LowestLimits().ValueKB, size, dense)
+	m.ChooseLayout(c.node.settings.LowestLimits().ValueKB, size, dense)
 	return c.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
 }
 
@@ -94,12 +94,12 @@
 func (c *Controller) acceptsKind(shape string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return shape != api.Gang || c.schemaUpgraded()
+	return shape != api.Gang || c.state.schema.upgraded()
 }
 
 // rejectionReason returns why a job can never run, "" if it can.
 func (c *Controller) rejectionReason(r *api.Job) string {
-	team, ok := c.cfg.Team(r.Team)
+	team, ok := c.node.settings.Team(r.Team)
 	if !ok {
 		return "unknown team"
 	}
@@ -112,7 +112,7 @@
 	}
 	ask := taskRequestOf(r)
 	zones := map[string]bool{}
-	for _, f := range c.machineTypes {
+	for _, f := range c.state.catalog.machineTypes {
 		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
 		for _, s := range f.Zones {
 			if cp.Fits(ask.Need) && ask.Allows(f.Name, s, false) {
@@ -163,7 +163,7 @@
 // they came together: half of what a transaction takes, so that one batch does
 // not use up the writes that decisions need.
 func (c *Controller) commitQueued() {
-	most := max(1, min(c.cfg.LowestLimits().TxnOps, c.writesPerSecond())/2)
+	most := max(1, min(c.node.settings.LowestLimits().TxnOps, c.writesPerSecond())/2)
 	var batch, rest []*submission
 	c.submissions.Lock()
 	for _, a := range c.submissions.queue {
@@ -218,7 +218,7 @@
 		if done {
 			for _, a := range batch {
 				uid := a.record.Spec.UID
-				c.log.Info(
+				c.node.log.Info(
 					"job accepted", "job", uid, "class", a.record.Spec.Class, "team", a.record.Spec.Team, "priority",
 					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
 				)
@@ -230,7 +230,7 @@
 				default:
 				}
 			}
-			c.wakeDecider()
+			c.wake.notify()
 			return
 		}
 		var rest []*submission
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -13,18 +13,18 @@
 // maintainLeaderships registers this node, takes shards without a leader and hands shards
 // back to their home controllers.
 func (c *Controller) maintainLeaderships(ctx context.Context) {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	if !c.loaded {
+	if !c.state.cache.loaded {
 		c.mu.Unlock()
 		return
 	}
-	c.dropLostLeaderships()
-	sharers, sharersChanged := c.updateRateSharing(now)
-	unreachable, probes := c.checkWorkerContact(now)
-	registration := c.registration()
-	c.notePeersReachable(now)
-	tending := c.planLeadershipChanges(now, unreachable)
+	c.state.agents.dropLostLeaderships()
+	sharers, sharersChanged := c.state.leadership.updateRateSharing(now)
+	unreachable, probes := c.state.agents.checkWorkerContact(now)
+	registration := c.state.leadership.registration()
+	c.state.leadership.notePeersReachable(now)
+	tending := c.state.leadership.planChanges(now, unreachable)
 	c.mu.Unlock()
 	if sharersChanged {
 		c.store.SetControllers(sharers)
@@ -45,31 +45,31 @@
 
 // dropLostLeaderships forgets the shards that the replica shows as somebody else's. Call with the
 // lock held.
-func (c *Controller) dropLostLeaderships() {
-	for p, o := range c.leaderships {
-		v, ok := c.replica.leaders[p]
-		ours := ok && v.record.Incarnation == c.incarnation && v.record.Node == c.cfg.HostName
+func (reg *agentRegistry) dropLostLeaderships() {
+	for p, o := range reg.leadership.byShard {
+		v, ok := reg.cache.leaders[p]
+		ours := ok && v.record.Incarnation == reg.node.incarnation && v.record.Node == reg.node.settings.HostName
 		if !ours && (!ok || v.version > o.version) {
-			c.log.Info("shard lost", "shard", p, "term", o.term)
-			c.dropLeadership(p)
+			reg.node.log.Info("shard lost", "shard", p, "term", o.term)
+			reg.dropLeadership(p)
 		}
 	}
 }
 
 // registration returns the transaction that has this node's record tell what is so now; nil
 // if it does. Call with the lock held.
-func (c *Controller) registration() *transaction {
-	me := c.cfg.HostName
-	n, self := c.replica.nodes[me].record, c.nodeRecord()
-	mark := c.replica.capabilities[me].record
+func (l *leadershipTable) registration() *transaction {
+	me := l.node.settings.HostName
+	n, self := l.cache.nodes[me].record, l.nodeRecord()
+	mark := l.cache.capabilities[me].record
 	marked := mark != nil && mark.SchemaVersion >= schemaVersion && slices.Equal(mark.Features, self.Features)
-	if marked && n != nil && n.Incarnation == c.incarnation && n.WorkersUnreachable == self.WorkersUnreachable &&
+	if marked && n != nil && n.Incarnation == l.node.incarnation && n.WorkersUnreachable == self.WorkersUnreachable &&
 		n.HearsWorkers == self.HearsWorkers {
 		return nil
 	}
 	t := newTransaction()
 	t.put(nodePrefix+me, self)
-	t.leases[nodePrefix+me] = c.leaseID
+	t.leases[nodePrefix+me] = l.leaseID
 	if !marked {
 		t.put(capabilityPrefix+me, shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: self.Features})
 	}
@@ -78,12 +78,12 @@
 
 // notePeersReachable notes since when each node lives and is reached by workers. Call with the
 // lock held.
-func (c *Controller) notePeersReachable(now time.Time) {
-	for _, x := range c.shards {
-		if !c.workersReach(x) {
-			delete(c.peerReachableSince, x)
-		} else if _, ok := c.peerReachableSince[x]; !ok {
-			c.peerReachableSince[x] = now
+func (l *leadershipTable) notePeersReachable(now time.Time) {
+	for _, x := range l.node.shards {
+		if !l.workersReach(x) {
+			delete(l.peerReachableSince, x)
+		} else if _, ok := l.peerReachableSince[x]; !ok {
+			l.peerReachableSince[x] = now
 		}
 	}
 }
@@ -94,26 +94,26 @@
 	leaderVersions   map[string]uint64 // versions of the leaders' keys that this rests on
 }
 
-// planLeadershipChanges returns which shards this node takes now and which it hands to others. Call with
+// planChanges returns which shards this node takes now and which it hands to others. Call with
 // the lock held.
-func (c *Controller) planLeadershipChanges(now time.Time, unreachable bool) leadershipChanges {
+func (l *leadershipTable) planChanges(now time.Time, unreachable bool) leadershipChanges {
 	x := leadershipChanges{leaderVersions: map[string]uint64{}}
-	for _, p := range c.shards {
-		v, owned := c.replica.leaders[p]
+	for _, p := range l.node.shards {
+		v, owned := l.cache.leaders[p]
 		x.leaderVersions[p] = v.version
 		if owned {
-			delete(c.leaderlessSince, p)
-			if c.mustReacquire(p, v.record, unreachable) {
+			delete(l.leaderlessSince, p)
+			if l.mustReacquire(p, v.record, unreachable) {
 				x.acquire = append(x.acquire, p)
-			} else if c.mustRelease(p, now, unreachable) {
+			} else if l.mustRelease(p, now, unreachable) {
 				x.release = append(x.release, p)
 			}
 			continue
 		}
-		if _, ok := c.leaderlessSince[p]; !ok {
-			c.leaderlessSince[p] = now
+		if _, ok := l.leaderlessSince[p]; !ok {
+			l.leaderlessSince[p] = now
 		}
-		if !unreachable && now.Sub(c.leaderlessSince[p]) >= c.takeoverDelay(p) {
+		if !unreachable && now.Sub(l.leaderlessSince[p]) >= l.takeoverDelay(p) {
 			x.acquire = append(x.acquire, p)
 		}
 	}
@@ -122,9 +122,9 @@
 
 // mustReacquire reports whether this node takes a shard anew that has a leader. Call with the lock
 // held.
-func (c *Controller) mustReacquire(p string, owner *shard.LeaderRecord, unreachable bool) bool {
-	o := c.leaderships[p]
-	if owner.Node == c.cfg.HostName && (owner.Incarnation != c.incarnation || o == nil) && !unreachable {
+func (l *leadershipTable) mustReacquire(p string, owner *shard.LeaderRecord, unreachable bool) bool {
+	o := l.byShard[p]
+	if owner.Node == l.node.settings.HostName && (owner.Incarnation != l.node.incarnation || o == nil) && !unreachable {
 		// Our own earlier life, which is over, or a take whose answer was
 		// lost: the key is ours and nobody else would ever act on it.
 		return true
@@ -135,18 +135,18 @@
 // mustRelease reports whether this node hands a shard to others: all if no worker reaches it, one
 // whose release is in doubt again until it shows, and a peer's own when that peer has been
 // up for a while. Call with the lock held.
-func (c *Controller) mustRelease(p string, now time.Time, unreachable bool) bool {
-	o := c.leaderships[p]
+func (l *leadershipTable) mustRelease(p string, now time.Time, unreachable bool) bool {
+	o := l.byShard[p]
 	switch {
 	case o == nil:
 		return false
 	case unreachable, o.releasing:
 		return true
-	case p == c.cfg.HostName:
+	case p == l.node.settings.HostName:
 		return false
 	}
-	up, ok := c.peerReachableSince[p]
-	return ok && now.Sub(up) > c.cfg.ControllerLeaseTTL()/2 && !c.isDowngraded(p)
+	up, ok := l.peerReachableSince[p]
+	return ok && now.Sub(up) > l.node.settings.ControllerLeaseTTL()/2 && !l.schema.isDowngraded(p)
 }
 
 // updateRateSharing divides the state service's rates among the controllers that live: one
@@ -154,50 +154,50 @@
 // away for a lease's time: at the start, and when all come back, none has registered
 // yet, and to take all for oneself would have the others refused. Call with the lock
 // held.
-func (c *Controller) updateRateSharing(now time.Time) (sharers int, changed bool) {
+func (l *leadershipTable) updateRateSharing(now time.Time) (sharers int, changed bool) {
 	n := 0
-	for _, x := range c.shards {
-		if x == c.cfg.HostName || c.replica.nodes[x].record != nil {
-			delete(c.peerAbsentSince, x)
-		} else if _, ok := c.peerAbsentSince[x]; !ok {
-			c.peerAbsentSince[x] = now
+	for _, x := range l.node.shards {
+		if x == l.node.settings.HostName || l.cache.nodes[x].record != nil {
+			delete(l.peerAbsentSince, x)
+		} else if _, ok := l.peerAbsentSince[x]; !ok {
+			l.peerAbsentSince[x] = now
 		}
-		if since, ok := c.peerAbsentSince[x]; !ok || now.Sub(since) < c.cfg.ControllerLeaseTTL() {
+		if since, ok := l.peerAbsentSince[x]; !ok || now.Sub(since) < l.node.settings.ControllerLeaseTTL() {
 			n++
 		}
 	}
-	if n == c.rateSharers {
+	if n == l.rateSharers {
 		return n, false
 	}
-	c.log.Info("rate share changed", "controllers", n, "before", c.rateSharers)
-	c.rateSharers = n
+	l.node.log.Info("rate share changed", "controllers", n, "before", l.rateSharers)
+	l.rateSharers = n
 	return n, true
 }
 
 // takeoverDelay is how long this node waits before it takes a shard without a leader: the
 // home controller goes first, then the others that live, in a ring order that
 // spreads several shards over several nodes. Call with the lock held.
-func (c *Controller) takeoverDelay(p string) time.Duration {
-	if p == c.cfg.HostName {
+func (l *leadershipTable) takeoverDelay(p string) time.Duration {
+	if p == l.node.settings.HostName {
 		return 0
 	}
 	wait := time.Duration(0)
-	step := c.cfg.ControllerLeaseTTL() / 8
-	if c.workersReach(p) || c.replica.capacities[p].record == nil {
+	step := l.node.settings.ControllerLeaseTTL() / 8
+	if l.workersReach(p) || l.cache.capacities[p].record == nil {
 		wait = 8 * step // it lives, or is only now being started, and should come for it
 	}
 	start := 0
-	for i, x := range c.shards {
+	for i, x := range l.node.shards {
 		if x == p {
 			start = i
 		}
 	}
-	for k := 1; k < len(c.shards); k++ {
-		x := c.shards[(start+k)%len(c.shards)]
-		if x == c.cfg.HostName {
+	for k := 1; k < len(l.node.shards); k++ {
+		x := l.node.shards[(start+k)%len(l.node.shards)]
+		if x == l.node.settings.HostName {
 			break
 		}
-		if c.workersReach(x) {
+		if l.workersReach(x) {
 			wait += step
 		}
 	}
--- a/internal/controller/unmet.go
+++ b/internal/controller/unmet.go
@@ -28,7 +28,7 @@
 	if len(l.deferred) <= maxRentAhead {
 		return l.deferred
 	}
-	coming := sched.CountFits(p.c.provisioningHosts(p.now, false), &l.request, len(l.deferred))
+	coming := sched.CountFits(p.scheduler.room.provisioningHosts(p.now, false), &l.request, len(l.deferred))
 	return l.deferred[:min(len(l.deferred), coming+maxRentAhead)]
 }
 
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -76,16 +76,16 @@
 	// One that can't reach the state service stays in: a peer may serve for it,
 	// and in an outage of all, nodes taken out would stay out for long after it,
 	// since the balancer's pauses double.
-	if !c.loaded && c.reachability.storeReachable {
+	if !c.state.cache.loaded && c.state.reachability.storeReachable {
 		return responseBusy
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !c.reachability.storeReachable && c.now().Sub(c.reachability.since) > c.cfg.ControllerLeaseTTL()/2 && c.reachability.peersAsked &&
-		len(c.reachability.peers) == 0 {
+	if !c.state.reachability.storeReachable && c.node.now().Sub(c.state.reachability.since) > c.node.settings.ControllerLeaseTTL()/2 && c.state.reachability.peersAsked &&
+		len(c.state.reachability.peers) == 0 {
 		return responseBusy
 	}
-	return jsonResponse(200, map[string]string{"node": c.cfg.HostName})
+	return jsonResponse(200, map[string]string{"node": c.node.settings.HostName})
 }
 
 // jobState finds what is committed of a job: its state, or that it does not exist.
@@ -93,7 +93,7 @@
 // user something newer before the question was asked.
 func (c *Controller) jobState(ctx context.Context, uid string) (api.State, bool, error) {
 	c.mu.Lock()
-	p, over := c.finalStates[uid]
+	p, over := c.state.finalStates.byJob[uid]
 	c.mu.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
@@ -102,8 +102,8 @@
 		return api.State{}, false, err
 	}
 	c.mu.Lock()
-	if j := c.replica.jobs[uid]; j != nil {
-		s := j.userState(c.cfg.ConfirmsCancelWhenEmpty())
+	if j := c.state.cache.jobs[uid]; j != nil {
+		s := j.userState(c.node.settings.ConfirmsCancelWhenEmpty())
 		c.mu.Unlock()
 		return s, true, nil
 	}
@@ -116,7 +116,7 @@
 		return api.State{}, false, err
 	}
 	c.mu.Lock()
-	c.rememberFinalState(uid, p)
+	c.state.finalStates.remember(uid, p)
 	c.mu.Unlock()
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
@@ -152,7 +152,7 @@
 			return jsonResponse(200, map[string]string{"uid": uid, "phase": s.Phase})
 		}
 		c.mu.Lock()
-		j := c.replica.jobs[uid]
+		j := c.state.cache.jobs[uid]
 		if j == nil || j.record.Cancelled {
 			c.mu.Unlock()
 			continue
@@ -162,10 +162,10 @@
 		m := j.record.Copy()
 		m.Cancelled = true
 		t.put(jobPrefix+uid, m)
-		if len(t.writes[jobPrefix+uid]) > c.maxRecordBytes() {
-			c.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
+		if len(t.writes[jobPrefix+uid]) > c.state.schema.maxRecordBytes() {
+			c.state.schema.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
 			c.mu.Unlock()
-			c.wakeDecider()
+			c.wake.notify()
 			return responseBusy
 		}
 		c.mu.Unlock()
@@ -174,9 +174,9 @@
 			return responseBusy
 		}
 		if done {
-			c.log.Info("job cancelled", "job", uid)
-			c.wakeDecider()
-			if c.cfg.ConfirmsCancelWhenEmpty() {
+			c.node.log.Info("job cancelled", "job", uid)
+			c.wake.notify()
+			if c.node.settings.ConfirmsCancelWhenEmpty() {
 				continue // what is committed is told as it stands
 			}
 			return jsonResponse(200, map[string]string{"uid": uid, "phase": api.Cancelled})
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -16,31 +16,31 @@
 // may read what.
 const schemaVersion = 2
 
-// schemaUpgraded reports whether every configured controller, living or not, has shown that
+// upgraded reports whether every configured controller, living or not, has shown that
 // it reads this version's forms. Each leaves a mark that outlives it, so that one
 // alone after the end of all still knows; one that shows itself without (somebody
 // went back to the version before) counts as not upgraded whatever its mark says. Call
 // with the lock held.
-func (c *Controller) schemaUpgraded() bool {
-	for _, x := range c.shards {
-		m, n := c.replica.capabilities[x].record, c.replica.nodes[x].record
+func (s *schemaState) upgraded() bool {
+	for _, x := range s.node.shards {
+		m, n := s.cache.capabilities[x].record, s.cache.nodes[x].record
 		if m == nil || m.SchemaVersion < schemaVersion || n != nil && n.SchemaVersion < schemaVersion {
 			return false
 		}
 	}
-	return c.loaded
+	return s.cache.loaded
 }
 
 // isDowngraded reports whether a node is of the version before although all had been
 // upgraded: it would lose what it doesn't know, so nothing is handed to it. Call with
 // the lock held.
-func (c *Controller) isDowngraded(node string) bool {
-	n := c.replica.nodes[node].record
+func (s *schemaState) isDowngraded(node string) bool {
+	n := s.cache.nodes[node].record
 	if n == nil || n.SchemaVersion >= schemaVersion {
 		return false
 	}
-	for _, x := range c.shards {
-		if m := c.replica.capabilities[x].record; m == nil || m.SchemaVersion < schemaVersion {
+	for _, x := range s.node.shards {
+		if m := s.cache.capabilities[x].record; m == nil || m.SchemaVersion < schemaVersion {
 			return false
 		}
 	}
@@ -51,10 +51,10 @@
 // whatever the state service's become. Records that the version before made larger
 // are kept at their size while it may still write them, and divided afterwards. Call
 // with the lock held.
-func (c *Controller) transactionLimits() config.StateLimits {
-	l := c.cfg.LowestLimits()
-	if c.acceptedTxnOps > 0 {
-		l.TxnOps = min(l.TxnOps, c.acceptedTxnOps)
+func (s *schemaState) transactionLimits() config.StateLimits {
+	l := s.node.settings.LowestLimits()
+	if s.acceptedTxnOps > 0 {
+		l.TxnOps = min(l.TxnOps, s.acceptedTxnOps)
 	}
 	return l
 }
@@ -64,21 +64,21 @@
 const valueSlackBytes = 32
 
 // maxRecordBytes is how large the record of a job may be made. Call with the lock held.
-func (c *Controller) maxRecordBytes() int {
-	l := c.cfg.LowestLimits()
-	if !c.schemaUpgraded() && !c.limitsLowered {
-		l = c.cfg.Facts.State.StateLimits
+func (s *schemaState) maxRecordBytes() int {
+	l := s.node.settings.LowestLimits()
+	if !s.upgraded() && !s.limitsLowered {
+		l = s.node.settings.Facts.State.StateLimits
 	}
 	return int(l.ValueKB*1024) - valueSlackBytes
 }
 
 // pageFor names the page of a machine to be written. The version before works the
 // name out from today's limit. Call with the lock held.
-func (c *Controller) pageFor(host string) string {
+func (s *schemaState) pageFor(host string) string {
 	const bytes = 160 // of one machine at most
-	l := c.cfg.Facts.State.StateLimits
-	if c.schemaUpgraded() || c.limitsLowered {
-		l = c.cfg.LowestLimits()
+	l := s.node.settings.Facts.State.StateLimits
+	if s.upgraded() || s.limitsLowered {
+		l = s.node.settings.LowestLimits()
 	}
 	if l.ValueKB*1024 >= 100*bytes {
 		return pageID(host, coarsestPageCut)
@@ -89,18 +89,18 @@
 // openPage returns a copy of a machine's page to be changed and makes the write conditional on what it rests
 // on. A fine page that is new takes over what a coarser one has of its machines: from
 // then on it alone counts for them. Call with the lock held.
-func (c *Controller) openPage(t *transaction, host string) (string, shard.Page) {
-	id := c.pageFor(host)
-	t.require(machinePagePrefix+id, c.replica.pages[id].version)
+func (s *schemaState) openPage(t *transaction, host string) (string, shard.Page) {
+	id := s.pageFor(host)
+	t.require(machinePagePrefix+id, s.cache.pages[id].version)
 	page := shard.Page{}
-	if old := c.replica.pages[id].record; old != nil {
+	if old := s.cache.pages[id].record; old != nil {
 		maps.Copy(page, *old)
 		return id, page
 	}
 	if id == pageID(host, coarsestPageCut) {
 		return id, page
 	}
-	if above := c.replica.pages[pageID(host, coarsestPageCut)]; above.record != nil {
+	if above := s.cache.pages[pageID(host, coarsestPageCut)]; above.record != nil {
 		t.require(machinePagePrefix+pageID(host, coarsestPageCut), above.version)
 		for h, m := range *above.record {
 			if pageID(h, 1) == id {
@@ -113,12 +113,12 @@
 
 // closePage writes a page, or drops an empty one, unless a coarser one would speak
 // for its machines again. Call with the lock held.
-func (c *Controller) closePage(t *transaction, id string, page shard.Page) {
+func (s *schemaState) closePage(t *transaction, id string, page shard.Page) {
 	if len(page) == 0 {
 		hides := false
 		if len(id) > 2 {
 			key := id[:len(id)-2] + "-"
-			if above := c.replica.pages[key]; above.record != nil && key != id {
+			if above := s.cache.pages[key]; above.record != nil && key != id {
 				t.require(machinePagePrefix+key, above.version)
 				for h := range *above.record {
 					hides = hides || pageID(h, 1) == id
@@ -136,16 +136,16 @@
 // deleteObsoletePage adds to a transaction the drop of a page that says nothing more: a coarse
 // one all of whose machines finer pages speak for, or an empty one that hid one. It
 // tells whether there was one. Call with the lock held.
-func (c *Controller) deleteObsoletePage(t *transaction) bool {
-	for id, p := range c.replica.pages {
+func (s *schemaState) deleteObsoletePage(t *transaction) bool {
+	for id, p := range s.cache.pages {
 		over := true
 		for h := range *p.record {
-			over = over && id == pageID(h, coarsestPageCut) && c.replica.pages[pageID(h, 1)].record != nil
+			over = over && id == pageID(h, coarsestPageCut) && s.cache.pages[pageID(h, 1)].record != nil
 		}
 		if len(*p.record) == 0 && len(id) > 2 {
 			above := id[:len(id)-2] + "-"
 			t.require(machinePagePrefix+above, 0)
-			over = c.replica.pages[above].record == nil
+			over = s.cache.pages[above].record == nil
 		}
 		if over {
 			t.require(machinePagePrefix+id, p.version)
@@ -166,20 +166,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.limitsLowered {
-		c.limitsLowered = true
+	if !c.state.schema.limitsLowered {
+		c.state.schema.limitsLowered = true
 		c.store.LowerLimits()
-		c.log.Info("state service limits lowered")
+		c.node.log.Info("state service limits lowered")
 		return true
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
 	// longest step needs, and the jobs in it are divided.
-	c.acceptedTxnOps = max(len(t.Ops)-1, 4)
+	c.state.schema.acceptedTxnOps = max(len(t.Ops)-1, 4)
 	for _, op := range t.Ops {
-		if uid, ok := strings.CutPrefix(op.Write, jobPrefix); ok && c.replica.jobs[uid] != nil {
-			c.splitRequests[uid] = c.replica.jobs[uid].record.Generation + 1
+		if uid, ok := strings.CutPrefix(op.Write, jobPrefix); ok && c.state.cache.jobs[uid] != nil {
+			c.state.schema.splitRequests[uid] = c.state.cache.jobs[uid].record.Generation + 1
 		}
 	}
-	c.log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
+	c.node.log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
 	return true
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -10,21 +10,21 @@
 
 // watchLoop keeps the replica up to date: the paper's state change callback.
 func (c *Controller) watchLoop(ctx context.Context) {
-	pause := c.cfg.DecisionInterval()
+	pause := c.node.settings.DecisionInterval()
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		loaded, since := c.loaded, c.replica.revision
+		loaded, since := c.state.cache.loaded, c.state.cache.revision
 		c.mu.Unlock()
 		if !loaded {
 			if err := c.loadReplica(ctx); err != nil {
-				c.log.Debug("replica not loaded", "err", err)
-				sleep(ctx, c.cfg.ControllerLeaseTTL()/8)
+				c.node.log.Debug("replica not loaded", "err", err)
+				sleep(ctx, c.node.settings.ControllerLeaseTTL()/8)
 			}
 			continue
 		}
-		err := c.applyChanges(ctx, since, c.cfg.WorkerLease()/2)
+		err := c.applyChanges(ctx, since, c.node.settings.WorkerLease()/2)
 		if err != nil {
-			sleep(ctx, c.cfg.ControllerLeaseTTL()/8)
+			sleep(ctx, c.node.settings.ControllerLeaseTTL()/8)
 			continue
 		}
 		c.requestHeartbeats(ctx)
@@ -34,29 +34,29 @@
 
 // loadReplica reads all that lives.
 func (c *Controller) loadReplica(ctx context.Context) error {
-	sent := c.now()
+	sent := c.node.now()
 	items, revision, err := c.store.List(ctx, livePrefix)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.changesReadAt = sent
-	c.replica.reload(items, revision)
-	c.loaded = true
+	c.state.cache.changesReadAt = sent
+	c.state.cache.reload(items, revision)
+	c.state.cache.loaded = true
 	c.mu.Unlock()
-	c.log.Info("replica loaded", "keys", len(items), "revision", revision)
-	c.wakeDecider()
+	c.node.log.Info("replica loaded", "keys", len(items), "revision", revision)
+	c.wake.notify()
 	c.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
 	return nil
 }
 
 // applyChanges applies the changes after a revision; it waits up to block for some.
 func (c *Controller) applyChanges(ctx context.Context, since uint64, block time.Duration) error {
-	sent := c.now()
+	sent := c.node.now()
 	log, revision, err := c.store.Changes(ctx, livePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		c.mu.Lock()
-		c.loaded = false
+		c.state.cache.loaded = false
 		c.mu.Unlock()
 		return err
 	}
@@ -66,22 +66,22 @@
 	c.mu.Lock()
 	for _, e := range log {
 		if e.Drop != "" {
-			c.replica.apply(e.Drop, nil, e.Version)
+			c.state.cache.apply(e.Drop, nil, e.Version)
 		} else {
-			c.replica.apply(e.Write, e.Value, e.Version)
+			c.state.cache.apply(e.Write, e.Value, e.Version)
 		}
 	}
-	c.replica.advance(revision)
-	if sent.After(c.changesReadAt) {
-		c.changesReadAt = sent
+	c.state.cache.advance(revision)
+	if sent.After(c.state.cache.changesReadAt) {
+		c.state.cache.changesReadAt = sent
 	}
 	orphan := false
-	for _, p := range c.shards {
-		orphan = orphan || c.replica.leaders[p].record == nil
+	for _, p := range c.node.shards {
+		orphan = orphan || c.state.cache.leaders[p].record == nil
 	}
 	c.mu.Unlock()
 	if len(log) > 0 {
-		c.wakeDecider()
+		c.wake.notify()
 	}
 	if orphan {
 		c.wakeLeaseLoop()
@@ -101,7 +101,7 @@
 // read with users.
 func (c *Controller) readNewest(ctx context.Context) error {
 	c.mu.Lock()
-	loaded, since := c.loaded, c.replica.revision
+	loaded, since := c.state.cache.loaded, c.state.cache.revision
 	c.mu.Unlock()
 	if !loaded {
 		return store.ErrRefused
@@ -147,17 +147,17 @@
 // part of the request budget; a lone question is not held up.
 func (c *Controller) runReadBarrier(ctx context.Context, b *readBarrier) {
 	c.readBarrier.Lock()
-	wait := c.cfg.ReadInterval() - c.now().Sub(c.readBarrier.last)
+	wait := c.node.settings.ReadInterval() - c.node.now().Sub(c.readBarrier.last)
 	c.readBarrier.Unlock()
 	if wait > 0 && !c.steppedClock {
 		sleep(ctx, wait)
 	}
 	c.readBarrier.Lock()
 	c.readBarrier.next = nil
-	c.readBarrier.last = c.now()
+	c.readBarrier.last = c.node.now()
 	c.readBarrier.Unlock()
 	c.mu.Lock()
-	loaded, since := c.loaded, c.replica.revision
+	loaded, since := c.state.cache.loaded, c.state.cache.revision
 	c.mu.Unlock()
 	b.err = store.ErrRefused
 	if loaded {
@@ -183,7 +183,7 @@
 	w := t.request()
 	revision, ok, failed, err := c.store.Multi(ctx, w, r)
 	c.mu.Lock()
-	n := c.commits[what]
+	n := c.state.stats.commits[what]
 	n.writes += len(w.Ops)
 	n.transactions++
 	if err != nil {
@@ -191,18 +191,18 @@
 	} else if !ok {
 		n.conflicts++
 		n.conflictedWrites += len(w.Ops)
-		c.log.Debug("transaction conflict", "for", what, "keys", failed)
+		c.node.log.Debug("transaction conflict", "for", what, "keys", failed)
 	}
-	c.commits[what] = n
+	c.state.stats.commits[what] = n
 	c.mu.Unlock()
 	if err == nil && ok {
 		c.mu.Lock()
-		c.replica.applyCommitted(t, revision)
+		c.state.cache.applyCommitted(t, revision)
 		c.mu.Unlock()
 		return true, nil, nil
 	}
 	if err != nil {
-		c.log.Debug("commit failed", "err", err)
+		c.node.log.Debug("commit failed", "err", err)
 		if c.noteTooLarge(err, w) {
 			return false, nil, nil // put together anew, smaller
 		}
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -119,7 +119,7 @@
 // read back when it wrote them itself, with what the state service has of that version.
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
 	store := simulator.Client{S: s.w.Store}
-	for id, held := range n.c.replica.capacities {
+	for id, held := range n.c.testState().cache.capacities {
 		it, found, err := store.Get(context.Background(), capacityPrefix+id, 0)
 		if err != nil || !found || it.Version != held.version {
 			continue // it has moved on, or can't be read now
@@ -143,24 +143,24 @@
 	for _, n := range s.nodes {
 		c := n.c
 		s.checkPartRecords(t, n)
-		for h, kept := range c.replica.loads {
-			delete(c.replica.loads, h)
-			if now := c.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) ||
+		for h, kept := range c.testState().cache.loads {
+			delete(c.testState().cache.loads, h)
+			if now := c.testState().room.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) ||
 				now.services != kept.services ||
 				now.arrays != kept.arrays ||
 				!slices.EqualFunc(now.runningByPriority[:], kept.runningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("%s keeps %+v of %s, there is %+v", n.name, kept, h, now)
 			}
 		}
-		for uid, j := range c.replica.jobs {
+		for uid, j := range c.testState().cache.jobs {
 			kept := j.pending
 			if j.pending = nil; kept != nil && !slices.Equal(kept, j.pendingTasks()) {
 				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.pendingTasks())
 			}
 		}
-		if kept := c.replica.sortedMachines; kept != nil {
-			if c.replica.sortedMachines = nil; !slices.Equal(kept, c.replica.machineNames()) {
-				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.replica.machineNames())
+		if kept := c.testState().cache.sortedMachines; kept != nil {
+			if c.testState().cache.sortedMachines = nil; !slices.Equal(kept, c.testState().cache.machineNames()) {
+				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.testState().cache.machineNames())
 			}
 		}
 	}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -14,15 +14,15 @@
 
 // zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
 // Call with the lock held.
-func (c *Controller) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
-	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: c.admissionOf(j, admission)}
+func (sch *schedulerState) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
+	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: sch.zones.admissionOf(j, admission)}
 	if isGang(j) && j.countPlaced() == 0 {
 		z.zone = "" // nothing binds its next attempt
 	}
 	if j.record.Spec.Spread {
 		for n, ch := range j.ranges {
 			for _, p := range ch.record.Placements {
-				if h := c.replica.machines[p.Host]; h != nil {
+				if h := sch.cache.machines[p.Host]; h != nil {
 					z.count(n, h.Zone)
 				}
 			}
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -28,23 +28,23 @@
 // featureEnabled reports whether a feature is on: here, and at every configured controller, living
 // or not, as its mark says. One that shows itself without it, because it was started without
 // or is of a version that doesn't know it, has it off everywhere. Call with the lock held.
-func (c *Controller) featureEnabled(name string) bool {
-	if !slices.Contains(c.features.Names(), name) {
+func (s *schemaState) featureEnabled(name string) bool {
+	if !slices.Contains(s.node.features.Names(), name) {
 		return false
 	}
-	for _, x := range c.shards {
-		mark, node := c.replica.capabilities[x].record, c.replica.nodes[x].record
+	for _, x := range s.node.shards {
+		mark, node := s.cache.capabilities[x].record, s.cache.nodes[x].record
 		if mark == nil || !slices.Contains(mark.Features, name) || node != nil && !slices.Contains(node.Features, name) {
 			return false
 		}
 	}
-	return c.schemaUpgraded()
+	return s.upgraded()
 }
 
 // zoneLimits returns the bounds between the states of zones.
-func (c *Controller) zoneLimits() *zonehealth.Limits {
-	z := &c.features.ZoneRecovery
-	leases := func(n float64) time.Duration { return time.Duration(n * float64(c.cfg.WorkerLease())) }
+func (zs *zoneState) zoneLimits() *zonehealth.Limits {
+	z := &zs.node.features.ZoneRecovery
+	leases := func(n float64) time.Duration { return time.Duration(n * float64(zs.node.settings.WorkerLease())) }
 	return &zonehealth.Limits{
 		SuspectShare: z.SuspectShare,
 		DownShare:    z.DownShare,
@@ -60,27 +60,27 @@
 // changes nothing but zones' records, each on the version that it judged by and on this
 // node's leadership of a shard: one that wakes late, or was replaced, is refused.
 func (c *Controller) updateZones(ctx context.Context) bool {
-	now := c.now()
+	now := c.node.now()
 	c.mu.Lock()
-	if now.Sub(c.zoneView.observedAt) < c.cfg.HeartbeatInterval() || !c.featureEnabled(features.ZoneRecoveryName) {
+	if now.Sub(c.state.zones.view.observedAt) < c.node.settings.HeartbeatInterval() || !c.state.schema.featureEnabled(features.ZoneRecoveryName) {
 		c.mu.Unlock()
 		return false
 	}
-	observations, up := c.observeZones(now)
-	c.zoneView = zoneView{observedAt: now, observations: observations}
-	c.zoneView.admittedMachines = c.admittedMachines(up, now)
+	observations, up := c.state.zones.observeZones(now)
+	c.state.zones.view = zoneView{observedAt: now, observations: observations}
+	c.state.zones.view.admittedMachines = c.state.zones.admittedMachines(up, now)
 	t := newTransaction()
 	changed := map[string]zonehealth.Record{}
-	for _, zone := range slices.Sorted(maps.Keys(c.zoneView.observations)) {
-		if next, ok := c.judgeZone(zone, now); ok && t.changes() < c.transactionLimits().TxnOps {
+	for _, zone := range slices.Sorted(maps.Keys(c.state.zones.view.observations)) {
+		if next, ok := c.state.zones.judgeZone(zone, now); ok && t.changes() < c.state.schema.transactionLimits().TxnOps {
 			id := url.PathEscape(zone)
-			t.require(zonePrefix+id, c.replica.zones[id].version)
+			t.require(zonePrefix+id, c.state.cache.zones[id].version)
 			t.put(zonePrefix+id, next)
 			changed[zone] = next
 		}
 	}
-	for p := range c.leaderships {
-		c.requireLeadership(t, p)
+	for p := range c.state.leadership.byShard {
+		c.state.leadership.require(t, p)
 	}
 	c.mu.Unlock()
 	if len(changed) == 0 {
@@ -88,7 +88,7 @@
 	}
 	if done, _, _ := c.commit(ctx, "zones", t, store.PriorityDecision); done {
 		c.logZoneChanges(changed)
-		c.wakeDecider()
+		c.wake.notify()
 	}
 	return false
 }
@@ -97,7 +97,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[zone]
 		sum := r.Sum()
-		c.log.Info(
+		c.node.log.Info(
 			"zone", "zone", zone, "state", r.State, "transitions", r.Transitions, "up", sum.Up, "lost", sum.Lost,
 			"unknown", sum.Unclear, "waiting", r.Waiting(), "slow_start_share", r.SlowStartShare,
 		)
@@ -106,14 +106,14 @@
 
 // judgeZone returns a zone's record as it is to be, and whether that is to be written. Call
 // with the lock held.
-func (c *Controller) judgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
-	limits := c.zoneLimits()
+func (zs *zoneState) judgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
+	limits := zs.zoneLimits()
 	var was zonehealth.Record
-	if v := c.replica.zones[url.PathEscape(zone)].record; v != nil {
+	if v := zs.cache.zones[url.PathEscape(zone)].record; v != nil {
 		was = *v
 	}
 	owns, seen := false, was
-	for p, observation := range c.zoneView.observations[zone] {
+	for p, observation := range zs.view.observations[zone] {
 		owns = true
 		old, told := was.Observations[p]
 		if !was.Restricts() && was.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
@@ -126,29 +126,29 @@
 	if !owns {
 		return was, false
 	}
-	next = seen.Judge(now, c.hasOutsideObserver(zone, now), limits)
+	next = seen.Judge(now, zs.hasOutsideObserver(zone, now), limits)
 	return next, changed || next.State != was.State
 }
 
 // hasOutsideObserver reports whether this node can say that a zone is down, not itself cut off: it hears
 // workers now, and it or a peer at home in another zone hears some of another zone. Call with
 // the lock held.
-func (c *Controller) hasOutsideObserver(zone string, now time.Time) bool {
-	if c.contact.unreachable || now.Sub(c.contact.lastHeard) > 2*c.cfg.HeartbeatInterval() {
+func (zs *zoneState) hasOutsideObserver(zone string, now time.Time) bool {
+	if zs.leadership.contact.unreachable || now.Sub(zs.leadership.contact.lastHeard) > 2*zs.node.settings.HeartbeatInterval() {
 		return false
 	}
-	for other, observations := range c.zoneView.observations {
+	for other, observations := range zs.view.observations {
 		up, lost := 0, 0
 		for _, s := range observations {
 			up, lost = up+s.Up, lost+s.Lost
 		}
 		all := zonehealth.Observation{Up: up, Lost: lost}
-		if other != zone && up > 0 && all.LostShare() < c.features.ZoneRecovery.SuspectShare {
+		if other != zone && up > 0 && all.LostShare() < zs.node.features.ZoneRecovery.SuspectShare {
 			return true
 		}
 	}
-	for _, m := range c.cfg.Members {
-		if n := c.replica.nodes[m.HostName].record; m.Zone != zone && n != nil && n.HearsWorkers {
+	for _, m := range zs.node.settings.Members {
+		if n := zs.cache.nodes[m.HostName].record; m.Zone != zone && n != nil && n.HearsWorkers {
 			return true
 		}
 	}
@@ -157,24 +157,24 @@
 
 // observeZones looks at the machines of own shards, by zone, and lists those that are up. Call
 // with the lock held.
-func (c *Controller) observeZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
+func (zs *zoneState) observeZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
 	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
-	for _, zone := range c.cfg.Facts.Zones {
+	for _, zone := range zs.node.settings.Facts.Zones {
 		out[zone] = map[string]zonehealth.Observation{}
-		for p := range c.leaderships {
-			if c.leadershipOf(p) != nil {
-				out[zone][p] = zonehealth.Observation{Refused: c.cloudRefuses(zone, now)}
+		for p := range zs.leadership.byShard {
+			if zs.leadership.of(p) != nil {
+				out[zone][p] = zonehealth.Observation{Refused: zs.catalog.cloudRefuses(zone, now)}
 			}
 		}
 	}
 	waiting := map[string]map[string]map[zonehealth.Demand]int{}
-	for host, m := range c.replica.machines {
-		s, seen := c.agents[host], out[m.Zone]
-		if seen == nil || s == nil || c.leadershipOf(m.Shard) == nil {
+	for host, m := range zs.cache.machines {
+		s, seen := zs.agents.byHost[host], out[m.Zone]
+		if seen == nil || s == nil || zs.leadership.of(m.Shard) == nil {
 			continue
 		}
 		observation := seen[m.Shard]
-		what := c.observedState(host, m, s, now)
+		what := zs.agents.observedState(host, m, s, now)
 		switch what {
 		case machineUnclear:
 			observation.Unclear++
@@ -188,7 +188,7 @@
 		// kept also while a new leader has not heard of its machine yet, and when the machine
 		// is known to be gone.
 		if what != machineUp {
-			c.addWaiting(waiting, host, m)
+			zs.addWaiting(waiting, host, m)
 		}
 		seen[m.Shard] = observation
 	}
@@ -213,8 +213,8 @@
 )
 
 // observedState returns what a leader sees of a machine. Call with the lock held.
-func (c *Controller) observedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) machineState {
-	patience := 2 * c.cfg.HeartbeatInterval() // who reports at all has done so
+func (reg *agentRegistry) observedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) machineState {
+	patience := 2 * reg.node.settings.HeartbeatInterval() // who reports at all has done so
 	switch {
 	case s.Terminated, s.Cordoned && now.Sub(s.LastSeen) > patience:
 		return machineIgnored
@@ -226,9 +226,9 @@
 		return machineLost
 	}
 	// Never heard under this term. One that has tasks was up before.
-	_, machineType := c.machineCapacity(m.MachineType)
+	_, machineType := reg.catalog.machineCapacity(m.MachineType)
 	age := float64(now.UnixMilli()-m.RegisteredMS) / 1000
-	boots := len(c.replica.placements[host]) == 0 && (machineType == nil || age <= 2*machineType.BootS || c.provisioning[host])
+	boots := len(reg.cache.placements[host]) == 0 && (machineType == nil || age <= 2*machineType.BootS || reg.provisioning[host])
 	switch {
 	case boots:
 		return machineIgnored
@@ -239,9 +239,9 @@
 }
 
 // addWaiting counts the production tasks of a machine that is not heard. Call with the lock held.
-func (c *Controller) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
-	for _, pl := range c.replica.placements[host] {
-		j := c.replica.jobs[pl.uid]
+func (zs *zoneState) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
+	for _, pl := range zs.cache.placements[host] {
+		j := zs.cache.jobs[pl.uid]
 		if j == nil || j.mustStop(pl.placement) {
 			continue
 		}
@@ -261,7 +261,7 @@
 
 // cloudRefuses reports whether the cloud refuses all that it could rent in a zone. Call with the
 // lock held.
-func (c *Controller) cloudRefuses(zone string, now time.Time) bool {
+func (c *machineCatalog) cloudRefuses(zone string, now time.Time) bool {
 	offered := false
 	for _, o := range c.availableOffers(now) {
 		offered = offered || o.Zone == zone
@@ -302,7 +302,7 @@
 }
 
 // machineSizes returns the sizes of all machine types. Call with the lock held.
-func (c *Controller) machineSizes() []sched.Resources {
+func (c *machineCatalog) machineSizes() []sched.Resources {
 	out := make([]sched.Resources, 0, len(c.machineTypes))
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
