--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -16,7 +16,7 @@
 }
 
 // openClaim opens a shard for placements: an own one with its room as it is, a
-// peer's as its record says. Call with the lock held.
+// peer's as its record says.
 func (acc *capacityAccounts) openClaim(p string, now time.Time) *claim {
 	rec := acc.cache.capacities[p]
 	if rec.record == nil || acc.cache.leaders[p].record == nil {
@@ -111,7 +111,7 @@
 
 // quotaShareFor reports whether a team may use so much in a shard, by the share of its
 // limit that the shard holds, or will hold after growing it; with other shards'
-// growth in the same transaction. Call with the lock held.
+// growth in the same transaction.
 func (acc *capacityAccounts) quotaShareFor(
 	team, p string, use sched.Resources, grown map[string]sched.Resources, claims map[string]*claim,
 ) (sched.Resources, bool, bool) {
--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -78,7 +78,7 @@
 }
 
 // noteAcknowledgement takes in what a peer answers for, asked at the given time with the given
-// revision. Call with the lock held.
+// revision.
 func (l *leadershipTable) noteAcknowledgement(node string, v *peer.Vouch, sent time.Time) {
 	if !v.GetComplete() || !l.cache.loaded {
 		return
@@ -98,7 +98,7 @@
 }
 
 // acknowledgedByAllUntil is the moment up to which all controllers that could have called a job
-// off, or taken a shard, have answered for themselves. Call with the lock held.
+// off, or taken a shard, have answered for themselves.
 func (l *leadershipTable) acknowledgedByAllUntil() time.Time {
 	if len(l.node.settings.Members)+1 < l.node.settings.Facts.Size {
 		return time.Time{} // there are some that we can't ask
@@ -119,7 +119,7 @@
 // mayAnswerHeartbeats reports whether this node may still answer heartbeats for what it owned when it
 // last could reach the state service: no longer after its lease than a new leader allows
 // for, and no longer after it last knew of all cancellations than leaves a lease of
-// cancel_s. Call with the lock held.
+// cancel_s.
 func (l *leadershipTable) mayAnswerHeartbeats(now time.Time) bool {
 	if !l.cache.loaded || l.leaseID == 0 {
 		return false
@@ -138,21 +138,21 @@
 
 // askPeer asks one peer what it sees of the state service and what it has done.
 func (c *Controller) askPeer(ctx context.Context, name, addr string) {
-	c.mu.Lock()
-	since, sent := c.state.cache.revision, c.node.now()
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	since, sent := state.cache.revision, c.node.now()
+	c.guard.Unlock()
 	r, err := c.peers.Ask(
 		ctx,
 		addr,
 		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.node.settings.HostName, Since: since},
 		c.node.settings.ControllerLeaseTTL()/4,
 	)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	state = c.guard.Lock()
+	defer c.guard.Unlock()
 	if err != nil {
-		delete(c.state.reachability.peers, name)
+		delete(state.reachability.peers, name)
 		return
 	}
-	c.state.reachability.peers[name] = r.GetStoreReached()
-	c.state.leadership.noteAcknowledgement(name, r.GetVouch(), sent)
+	state.reachability.peers[name] = r.GetStoreReached()
+	state.leadership.noteAcknowledgement(name, r.GetVouch(), sent)
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -24,8 +24,7 @@
 // starts the wait for the end of their leases anew.
 const minSilent = 3
 
-// workersReach reports whether a node lives and is reached by workers. Call with the lock
-// held.
+// workersReach reports whether a node lives and is reached by workers.
 func (l *leadershipTable) workersReach(node string) bool {
 	n := l.cache.nodes[node].record
 	return n != nil && !n.WorkersUnreachable
@@ -34,7 +33,7 @@
 // checkWorkerContact judges whether workers reach this node, and reports whether it should leave
 // its shards to others: only when another is heard, or it may as well be the workers,
 // and their shards would go round. It returns the addresses of workers to be asked whether
-// they hear this node. Call with the lock held.
+// they hear this node.
 func (reg *agentRegistry) checkWorkerContact(now time.Time) (leave bool, probes []string) {
 	h := &reg.leadership.contact
 	if h.unreachable {
@@ -59,7 +58,7 @@
 }
 
 // countExpectedAgents counts the machines of own shards that should be heard: those that were,
-// and those that had tasks long before. Call with the lock held.
+// and those that had tasks long before.
 func (reg *agentRegistry) countExpectedAgents(now time.Time) int {
 	n := 0
 	for host, m := range reg.cache.machines {
@@ -76,8 +75,7 @@
 }
 
 // probeTargets returns the addresses of some machines of the home shard, those with tasks
-// first. Without any there is nobody to be heard, and the contact counts as made. Call with
-// the lock held.
+// first. Without any there is nobody to be heard, and the contact counts as made.
 func (reg *agentRegistry) probeTargets() []string {
 	const maxProbes = 4
 	var addresses []string
@@ -102,14 +100,14 @@
 			if _, err := c.workers.Status(ctx, addr); err != nil {
 				return
 			}
-			c.mu.Lock()
-			c.state.leadership.noteWorkerHeard(c.node.now())
-			c.mu.Unlock()
+			state := c.guard.Lock()
+			state.leadership.noteWorkerHeard(c.node.now())
+			c.guard.Unlock()
 		})
 	}
 }
 
-// noteWorkerHeard notes that workers reach this node. Call with the lock held.
+// noteWorkerHeard notes that workers reach this node.
 func (l *leadershipTable) noteWorkerHeard(now time.Time) {
 	if l.contact.unreachable {
 		l.node.log.Info("heartbeats reach this controller again")
@@ -117,7 +115,7 @@
 	l.contact = workerContact{lastHeard: now, hearsWorkers: true}
 }
 
-// nodeRecord is what this node says of itself. Call with the lock held.
+// nodeRecord is what this node says of itself.
 func (l *leadershipTable) nodeRecord() shard.LeaderRecord {
 	return shard.LeaderRecord{
 		Node:               l.node.settings.HostName,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,8 +79,7 @@
 	submissions submissionQueue
 	rentals     rentalState // only the autoscale loop uses it
 
-	mu    stateLock
-	state *controllerState // guarded by mu
+	guard guardedState
 }
 
 // readBarriers is the read of changes under way and the next one.
@@ -167,7 +166,7 @@
 			unknownSince: map[string]time.Time{},
 		},
 	}
-	c.state = newControllerState(c.node, c.wake, controllerBudget{c})
+	c.guard.state = newControllerState(c.node, c.wake, controllerBudget{c})
 	return c
 }
 
@@ -212,10 +211,10 @@
 
 // revokeLease ends the lease in an orderly shutdown, so that others take over at once.
 func (c *Controller) revokeLease() {
-	c.mu.Lock()
-	leaseID := c.state.leadership.leaseID
-	c.state.leadership.leaseID, c.state.leadership.leaseValidUntil = 0, time.Time{}
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	leaseID := state.leadership.leaseID
+	state.leadership.leaseID, state.leadership.leaseValidUntil = 0, time.Time{}
+	c.guard.Unlock()
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -233,38 +232,38 @@
 		r, w := c.store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
-		c.mu.Lock()
+		state := c.guard.Lock()
 		c.node.log.Info(
 			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
 			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(c.state.cache.jobs), "hosts", len(c.state.cache.machines), "shards", len(c.state.leadership.byShard), "heap_kb", mem.HeapAlloc>>10,
+			"jobs", len(state.cache.jobs), "hosts", len(state.cache.machines), "shards", len(state.leadership.byShard), "heap_kb", mem.HeapAlloc>>10,
 		)
-		for _, what := range slices.Sorted(maps.Keys(c.state.stats.commits)) {
-			n := c.state.stats.commits[what]
+		for _, what := range slices.Sorted(maps.Keys(state.stats.commits)) {
+			n := state.stats.commits[what]
 			c.node.log.Info(
 				"commits", "for", what, "transactions", n.transactions, "changes", n.writes, "conflicts", n.conflicts,
 				"conflicted_changes", n.conflictedWrites, "failed", n.failed,
 			)
 		}
-		clear(c.state.stats.commits)
-		for uid := range c.state.scheduler.errorsSeen { // of jobs that are over
-			if c.state.cache.jobs[uid] == nil {
-				delete(c.state.scheduler.errorsSeen, uid)
-				delete(c.state.scheduler.retryAt, uid)
+		clear(state.stats.commits)
+		for uid := range state.scheduler.errorsSeen { // of jobs that are over
+			if state.cache.jobs[uid] == nil {
+				delete(state.scheduler.errorsSeen, uid)
+				delete(state.scheduler.retryAt, uid)
 			}
 		}
-		for uid := range c.state.scheduler.gangStates {
-			if c.state.cache.jobs[uid] == nil {
-				delete(c.state.scheduler.gangStates, uid)
-				delete(c.state.scheduler.gangsToRelease, uid)
+		for uid := range state.scheduler.gangStates {
+			if state.cache.jobs[uid] == nil {
+				delete(state.scheduler.gangStates, uid)
+				delete(state.scheduler.gangsToRelease, uid)
 			}
 		}
-		for uid := range c.state.agents.runningGangs {
-			if c.state.cache.jobs[uid] == nil {
-				delete(c.state.agents.runningGangs, uid)
+		for uid := range state.agents.runningGangs {
+			if state.cache.jobs[uid] == nil {
+				delete(state.agents.runningGangs, uid)
 			}
 		}
-		c.mu.Unlock()
+		c.guard.Unlock()
 		reqs, writes = r, w
 	}
 }
@@ -281,13 +280,12 @@
 	}
 }
 
-// mayAct reports whether this node may launch and commit as a leader. Call with
-// the lock held.
+// mayAct reports whether this node may launch and commit as a leader.
 func (l *leadershipTable) mayAct(now time.Time) bool {
 	return l.cache.loaded && now.Before(l.leaseValidUntil)
 }
 
-// of returns the shard if this node owns it. Call with the lock held.
+// of returns the shard if this node owns it.
 func (l *leadershipTable) of(p string) *leadership {
 	o := l.byShard[p]
 	if o == nil || o.releasing || o.successor != "" || l.cache.leaders[p].version != o.version {
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -30,10 +30,10 @@
 		}
 		t.Stop()
 		c.decide(ctx)
-		c.mu.Lock()
-		spent := c.state.scheduler.planningTime
-		c.state.scheduler.planningTime = 0
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		spent := state.scheduler.planningTime
+		state.scheduler.planningTime = 0
+		c.guard.Unlock()
 		if !sleep(ctx, max(c.node.settings.DecisionInterval(), 3*spent)) {
 			return
 		}
@@ -68,19 +68,19 @@
 
 // writesPerSecond is this controller's share of the changes of a second.
 func (c *Controller) writesPerSecond() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return max(2, int(c.node.settings.LowestLimits().WriteRPS/float64(c.state.leadership.rateSharers)))
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return max(2, int(c.node.settings.LowestLimits().WriteRPS/float64(state.leadership.rateSharers)))
 }
 
 func (c *Controller) mayActNow() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.leadership.mayAct(c.node.now())
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return state.leadership.mayAct(c.node.now())
 }
 
 // require makes a transaction conditional on this node's leadership of a shard: a leader
-// that was superseded commits nothing more. Call with the lock held.
+// that was superseded commits nothing more.
 func (l *leadershipTable) require(t *transaction, p string) bool {
 	o := l.of(p)
 	if o == nil {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// putCapacityRecord writes a shard's capacity record. Call with the lock held.
+// putCapacityRecord writes a shard's capacity record.
 func (acc *capacityAccounts) putCapacityRecord(t *transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
 	rec := acc.cache.capacities[p]
 	t.require(capacityPrefix+p, rec.version)
@@ -118,8 +118,7 @@
 	return int(s.node.settings.LowestLimits().ValueKB * 1024 * 7 / 8)
 }
 
-// maxPageBytes is the same for pages, which the version before makes of today's size. Call
-// with the lock held.
+// maxPageBytes is the same for pages, which the version before makes of today's size.
 func (s *schemaState) maxPageBytes() int {
 	if s.upgraded() || s.limitsLowered {
 		return s.maxValueBytes()
@@ -128,8 +127,7 @@
 }
 
 // quotaUseOf sums what limited teams' tasks hold in a shard, ended ones that are not
-// yet committed as such included: another leader might start them anew. Call with
-// the lock held.
+// yet committed as such included: another leader might start them anew.
 func (acc *capacityAccounts) quotaUseOf(p string) map[string][3]float64 {
 	sum := map[string]sched.Resources{}
 	if !acc.node.settings.HasTeamLimits() {
@@ -159,7 +157,6 @@
 }
 
 // quotaShares returns what a shard holds of a team's limit, and what the others hold.
-// Call with the lock held.
 func (acc *capacityAccounts) quotaShares(team, p string) (held, others sched.Resources) {
 	if u := acc.cache.quotas[quotaID(team)].record; u != nil {
 		for q, v := range u.Held {
@@ -174,7 +171,7 @@
 }
 
 // putQuotaShares writes what shards hold of teams' limits from now on. It goes only
-// with writes of those shards' capacity records. Call with the lock held.
+// with writes of those shards' capacity records.
 func (acc *capacityAccounts) putQuotaShares(t *transaction, shares map[string]map[string]sched.Resources) {
 	teams := map[string]shard.QuotaRecord{}
 	for p, byTeam := range shares {
@@ -212,21 +209,21 @@
 // changed, at intervals: placements there write it anyway.
 func (c *Controller) refreshCapacityRecord(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	for p, o := range c.state.leadership.byShard {
-		rec := c.state.cache.capacities[p]
-		if c.state.leadership.of(p) == nil || rec.record == nil || len(c.state.catalog.machineTypes) == 0 ||
+	state := c.guard.Lock()
+	for p, o := range state.leadership.byShard {
+		rec := state.cache.capacities[p]
+		if state.leadership.of(p) == nil || rec.record == nil || len(state.catalog.machineTypes) == 0 ||
 			now.Sub(o.capacityRecordedAt) < 6*c.node.settings.DecisionInterval() {
 			continue
 		}
 		free := shard.FreeCapacity{}
-		for h, r := range c.state.room.freeInShard(p, now) {
+		for h, r := range state.room.freeInShard(p, now) {
 			free[h] = shard.Vec(r)
 		}
-		use := c.state.capacity.quotaUseOf(p)
+		use := state.capacity.quotaUseOf(p)
 		shares := map[string]sched.Resources{}
 		for _, team := range c.node.settings.Facts.Teams {
-			held, others := c.state.capacity.quotaShares(team.Name, p)
+			held, others := state.capacity.quotaShares(team.Name, p)
 			if u := shard.Unvec(use[team.Name]); team.Limited() && sched.HoldsExcessQuota(quotaLimitOf(team), others, held, u) {
 				if less, ok := sched.QuotaShare(quotaLimitOf(team), others, u); ok {
 					shares[team.Name] = less
@@ -236,7 +233,7 @@
 		out := free
 		if len(rec.record.Free) < len(free) { // as it would be recorded
 			out = maps.Clone(free)
-			c.state.capacity.trimCapacity(out, use, now)
+			state.capacity.trimCapacity(out, use, now)
 		}
 		if maps.Equal(out, rec.record.Free) && maps.Equal(use, rec.record.QuotaUse) && len(shares) == 0 &&
 			(!rec.record.PredecessorInDoubt || !now.After(o.predecessorAnswersUntil)) {
@@ -245,25 +242,25 @@
 		// More room than the record says is news for peers only, and while own jobs wait
 		// for room they take it first: that is told less often, and so is another choice of
 		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.node.settings.DecisionInterval() && c.state.scheduler.hasPendingTasks() &&
+		if len(shares) == 0 && now.Sub(o.capacityRecordedAt) < 24*c.node.settings.DecisionInterval() && state.scheduler.hasPendingTasks() &&
 			stillOffered(free, rec.record.Free) {
 			continue
 		}
 		for name := range shares { // the record and as many teams' as a transaction takes
-			if len(shares) < c.state.schema.transactionLimits().TxnOps {
+			if len(shares) < state.schema.transactionLimits().TxnOps {
 				break
 			}
 			delete(shares, name)
 		}
 		o.capacityRecordedAt = now
 		t := newTransaction()
-		c.state.leadership.require(t, p)
-		c.state.capacity.putCapacityRecord(t, p, free, use)
-		c.state.capacity.putQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
-		c.mu.Unlock()
+		state.leadership.require(t, p)
+		state.capacity.putCapacityRecord(t, p, free, use)
+		state.capacity.putQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
+		c.guard.Unlock()
 		done, _, _ := c.commit(ctx, "upkeep", t, store.PriorityDecision)
 		return done
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	return false
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -19,7 +19,7 @@
 
 // expectedPeerDemand returns what room peers are likely to look for in the shards of this node:
 // what their jobs wait for now, and what came lately. It decides which machines a shard's
-// record names when it can't name all. Call with the lock held.
+// record names when it can't name all.
 func (acc *capacityAccounts) expectedPeerDemand(now time.Time) []shard.PeerDemand {
 	if !acc.demand.computedAt.IsZero() && now.Sub(acc.demand.computedAt) < acc.node.settings.HeartbeatInterval() {
 		return acc.demand.sizes
@@ -46,7 +46,7 @@
 }
 
 // trimCapacity leaves out of a shard's free room what does not fit its record beside what
-// teams use, and tells how many machines that are. Call with the lock held.
+// teams use, and tells how many machines that are.
 func (acc *capacityAccounts) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
 	size := acc.schema.maxValueBytes() - 128*len(use)
 	if free.FitsIn(size) {
@@ -64,8 +64,7 @@
 const minArrivals = 1024
 
 // maxArrivals bounds the arrivals of a class that are remembered: each accepted job takes
-// a change of the state service, so more can't come in the time that is looked at. Call
-// with the lock held.
+// a change of the state service, so more can't come in the time that is looked at.
 func (acc *capacityAccounts) maxArrivals() int {
 	window := arrivalWindows * acc.catalog.shortestBoot().Seconds()
 	return max(minArrivals, int(acc.node.settings.Facts.State.WriteRPS*window))
@@ -80,7 +79,7 @@
 	return max(minArrivals, int(cfg.Facts.Limits.MemoryMB*(1<<20)/64/endedJobBytes))
 }
 
-// remember keeps the end of a job in the bounded cache. Call with the lock held.
+// remember keeps the end of a job in the bounded cache.
 func (f *finalStateCache) remember(uid string, p job.FinalState) {
 	if _, ok := f.byJob[uid]; !ok {
 		f.order = append(f.order, uid)
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -26,13 +26,13 @@
 // that no longer count. The old records are dropped when there is time.
 
 // isBlocked reports whether a job's tasks may not change now: it is being divided, or has
-// to be before its records can grow. Call with the lock held.
+// to be before its records can grow.
 func (s *schemaState) isBlocked(j *liveJob) bool {
 	return j.record.Frozen || s.splitRequests[j.record.Spec.UID] == j.record.Generation+1
 }
 
 // canSplit reports whether a job's records take more than the coming limits allow and can
-// be made smaller. Call with the lock held.
+// be made smaller.
 func (sp *recordSplitter) canSplit(j *liveJob, most int) bool {
 	m := j.record
 	if !m.Inline && m.RangeSize <= job.TaskRangeSize(sp.node.settings.LowestLimits().ValueKB) {
@@ -51,7 +51,6 @@
 
 // nextToSplit picks the next job to be divided, nil if none is to be now. Those that
 // wait for it come first; for the others there is time, and a fraction of the changes.
-// Call with the lock held.
 func (sp *recordSplitter) nextToSplit() *liveJob {
 	most := sp.schema.maxRecordBytes()
 	now := sp.node.now()
@@ -84,14 +83,14 @@
 
 // splitRecords takes the next step in dividing a job. It reports whether there is more.
 func (c *Controller) splitRecords(ctx context.Context) bool {
-	c.mu.Lock()
-	if !c.state.schema.upgraded() {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if !state.schema.upgraded() {
+		c.guard.Unlock()
 		return false
 	}
-	j := c.state.splitter.nextToSplit()
+	j := state.splitter.nextToSplit()
 	if j == nil {
-		c.mu.Unlock()
+		c.guard.Unlock()
 		return c.collectGarbage(ctx)
 	}
 	m, uid := j.record, j.record.Spec.UID
@@ -104,8 +103,8 @@
 		// It can't be: a record of the smallest task range still is too large. It is told
 		// and left alone until it is over.
 		c.node.log.Error("record can't be split further", "job", uid)
-		delete(c.state.schema.splitRequests, uid)
-		c.mu.Unlock()
+		delete(state.schema.splitRequests, uid)
+		c.guard.Unlock()
 		return false
 	case !m.Inline && !m.Frozen:
 		x := m.Copy()
@@ -113,7 +112,7 @@
 		t.put(jobPrefix+uid, x)
 	default:
 		for n, ch := range j.ranges {
-			if !c.state.splitter.copyRange(t, j, n, ch, k) {
+			if !state.splitter.copyRange(t, j, n, ch, k) {
 				break
 			}
 		}
@@ -124,7 +123,7 @@
 			over = true
 		}
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
 		c.node.log.Info("job records split", "job", uid, "range_size", k)
@@ -134,8 +133,7 @@
 }
 
 // copyRange adds small task ranges of the next generation that stand for a task range, those that
-// are not there yet. It is false when the transaction takes no more. Call with the lock
-// held.
+// are not there yet. It is false when the transaction takes no more.
 func (sp *recordSplitter) copyRange(t *transaction, j *liveJob, n int, ch cached[job.TaskRange], k int) bool {
 	uid, each := j.record.Spec.UID, j.record.RangeSize/k
 	key, version := j.rangeRecord(n)
@@ -160,16 +158,16 @@
 // their job, or of a job that is over. Nothing waits for it.
 func (c *Controller) collectGarbage(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	if now.Sub(c.state.splitter.garbageCollectedAt) < c.node.settings.WorkerLease()/4 {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if now.Sub(state.splitter.garbageCollectedAt) < c.node.settings.WorkerLease()/4 {
+		c.guard.Unlock()
 		return false
 	}
 	t := newTransaction()
-	l := c.state.schema.transactionLimits()
-	for uid, recs := range c.state.cache.taskRanges {
-		j := c.state.cache.jobs[uid]
-		if j != nil && c.state.leadership.of(j.record.Shard) == nil || j == nil && c.state.leadership.of(c.node.shards[0]) == nil {
+	l := state.schema.transactionLimits()
+	for uid, recs := range state.cache.taskRanges {
+		j := state.cache.jobs[uid]
+		if j != nil && state.leadership.of(j.record.Shard) == nil || j == nil && state.leadership.of(c.node.shards[0]) == nil {
 			continue
 		}
 		for rec, ch := range recs {
@@ -187,11 +185,11 @@
 			t.delete(key)
 		}
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if t.changes() == 0 {
 		return false
 	}
 	_, _, _ = c.commit(ctx, "swept", t, store.PrioritySubmission)
-	c.state.splitter.garbageCollectedAt = now
+	state.splitter.garbageCollectedAt = now
 	return false
 }
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -20,7 +20,7 @@
 
 // isCompleted reports whether a placed task has completed, though that need not be
 // committed yet: its room is free, and its end is recorded with others to save
-// changes. Call with the lock held.
+// changes.
 func (reg *agentRegistry) isCompleted(host, id string, pl *placedTask) bool {
 	s := reg.byHost[host]
 	if s == nil {
@@ -32,8 +32,7 @@
 
 // loadOf returns what is placed on a machine. A plan asks for that of all machines,
 // so it is worked out only when something has changed there: whoever changes what
-// it rests on (places, the jobs' records, Releases) drops it. Call with the lock
-// held.
+// it rests on (places, the jobs' records, Releases) drops it.
 func (mr *machineRoom) loadOf(host string) *machineLoad {
 	l := mr.cache.loads[host]
 	if l != nil {
@@ -69,20 +68,20 @@
 	return l
 }
 
-// noteEnd notes that an attempt is over. Call with the lock held.
+// noteEnd notes that an attempt is over.
 func (reg *agentRegistry) noteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
 	s.EndedAttempts[id] = r
 	delete(reg.cache.loads, host)
 }
 
-// unfinishedTasks counts the tasks on a machine that are not over. Call with the lock held.
+// unfinishedTasks counts the tasks on a machine that are not over.
 func (mr *machineRoom) unfinishedTasks(host string) int {
 	l := mr.loadOf(host)
 	return l.services + l.arrays
 }
 
 // endedTasks looks over the machines of own shards and collects the attempts that
-// are over, by task range. Call with the lock held.
+// are over, by task range.
 func (reg *agentRegistry) endedTasks(now time.Time) map[rangeID][]endedTask {
 	chunks := map[rangeID][]endedTask{}
 	bound := reg.node.settings.WorkerLeaseBound()
@@ -134,7 +133,7 @@
 // endsAreDue reports whether the ends of tasks of a task range are to be committed now. A task
 // that completed while others of its task range run on can wait for them, unless its
 // machine is to go or its team is near its limit; one that has to run again can
-// not, nor can the last one of a task range. Call with the lock held.
+// not, nor can the last one of a task range.
 func (sch *schedulerState) endsAreDue(k rangeID, ends []endedTask, now time.Time) bool {
 	j := sch.cache.jobs[k.uid]
 	ch := j.ranges[k.index].record
@@ -175,12 +174,12 @@
 // records with the next write of those.
 func (c *Controller) commitEnds(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	e := c.state.schema.newRecordEditor()
-	for p := range c.state.leadership.byShard {
-		c.state.leadership.require(e.txn, p)
+	state := c.guard.Lock()
+	e := state.schema.newRecordEditor()
+	for p := range state.leadership.byShard {
+		state.leadership.require(e.txn, p)
 	}
-	chunks := c.state.agents.endedTasks(now)
+	chunks := state.agents.endedTasks(now)
 	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b rangeID) int { // jobs that may be complete first
 		if a.uid != b.uid {
 			if a.uid < b.uid {
@@ -193,8 +192,8 @@
 	more := false
 	for _, k := range keys {
 		ends := chunks[k]
-		j := c.state.cache.jobs[k.uid]
-		if j.record.Spec.Kind == api.Gang || c.state.schema.isBlocked(j) || !c.state.scheduler.endsAreDue(k, ends, now) {
+		j := state.cache.jobs[k.uid]
+		if j.record.Spec.Kind == api.Gang || state.schema.isBlocked(j) || !state.scheduler.endsAreDue(k, ends, now) {
 			continue
 		}
 		cost := 3 // task range, main record and past record
@@ -223,7 +222,7 @@
 	}
 	n := e.changes
 	t := e.transaction()
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if n == 0 || e.outgrown {
 		return e.outgrown
 	}
@@ -233,11 +232,11 @@
 
 // archiveJobs moves cancelled jobs without tasks on machines to the past.
 func (c *Controller) archiveJobs(ctx context.Context) bool {
-	c.mu.Lock()
-	e := c.state.schema.newRecordEditor()
-	for _, j := range c.state.cache.jobs {
+	state := c.guard.Lock()
+	e := state.schema.newRecordEditor()
+	for _, j := range state.cache.jobs {
 		over := j.record.Cancelled || j.record.Gang != nil && j.record.Gang.Done
-		if !over || c.state.leadership.of(j.record.Shard) == nil || e.isFull(2, 0) {
+		if !over || state.leadership.of(j.record.Shard) == nil || e.isFull(2, 0) {
 			continue
 		}
 		on, done := 0, j.record.FinishedTasks()
@@ -250,13 +249,13 @@
 		past := job.FinalState{Phase: api.Cancelled, Done: done}
 		if g := j.record.Gang; g != nil && g.Done {
 			past = job.FinalState{Phase: api.Done, Done: j.record.Spec.Tasks}
-			if on > 0 && c.state.capacity.countsAgainstQuota(j) {
+			if on > 0 && state.capacity.countsAgainstQuota(j) {
 				continue
 			}
 		} else if on > 0 {
 			continue
 		}
-		c.state.leadership.require(e.txn, j.record.Shard)
+		state.leadership.require(e.txn, j.record.Shard)
 		all := true
 		if !j.record.Inline {
 			for n := range j.ranges {
@@ -274,7 +273,7 @@
 	}
 	n := e.changes
 	t := e.transaction()
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if n == 0 || e.outgrown {
 		return e.outgrown
 	}
--- a/internal/controller/estimate.go
+++ b/internal/controller/estimate.go
@@ -7,7 +7,7 @@
 )
 
 // observeRuntime learns how long tasks of a class run against their owners' estimates,
-// which are often mostly too high or mostly too low. Call with the lock held.
+// which are often mostly too high or mostly too low.
 func (e *runEstimates) observeRuntime(class string, ratio float64) {
 	const lanes = 64
 	if _, ok := e.runtimeBias[class]; !ok && len(e.runtimeBias) >= lanes {
@@ -20,8 +20,7 @@
 	e.runtimeBias[class] = ratio
 }
 
-// estimatedRuntime estimates how long a task of the job runs, image apart. Call with the
-// lock held.
+// estimatedRuntime estimates how long a task of the job runs, image apart.
 func (e *runEstimates) estimatedRuntime(r *api.Job) float64 {
 	if b, ok := e.runtimeBias[r.Class]; ok {
 		return r.EstimateS * b
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -17,7 +17,7 @@
 const gangClaimChanges = 3
 
 // writesReservedForGangs returns how many changes other decisions leave for gangs: some if a
-// gang came lately. Call with the lock held.
+// gang came lately.
 func (sch *schedulerState) writesReservedForGangs(now time.Time) float64 {
 	for _, l := range sch.capacity.arrivals {
 		if n := len(l); n > 0 && l[n-1].spec.Kind == api.Gang && now.Sub(l[n-1].at) < maxStartDelay {
@@ -57,7 +57,7 @@
 )
 
 // outlookOf returns how a gang that lacks room in a zone, even with what is coming, can get
-// it. Call with the lock held.
+// it.
 func (sch *schedulerState) outlookOf(l *waitingJob, a *sched.TaskRequest, all []*sched.Host, n int, now time.Time) roomOutlook {
 	if sched.CountFits(sch.room.withPreemptibleRoom(all, l.entry.priority), a, n) >= n {
 		return roomByPreemption
@@ -105,7 +105,7 @@
 
 // findGangRoom looks for room for all of a gang's tasks that have none, in the zone where they
 // start soonest. What is found for a gang that can't be complete is kept from others
-// only when the room that is coming completes it. Call with the lock held.
+// only when the room that is coming completes it.
 func (sch *schedulerState) findGangRoom(l *waitingJob, hosts map[string][]*sched.Host, all, coming []*sched.Host, now time.Time) *gangSearch {
 	j := l.entry.job
 	n := len(l.tasks)
@@ -211,7 +211,7 @@
 
 // gangTransaction claims room for a gang: all that fits one transaction. If then all of its
 // tasks have a place the same write lets the workers start them, else what was claimed
-// is only held. It returns no transaction when the room is gone. Call with the lock held.
+// is only held. It returns no transaction when the room is gone.
 func (sch *schedulerState) gangTransaction(g *gangClaim, now time.Time) (t *transaction, rest []placement, said [][]any) {
 	j := sch.cache.jobs[g.uid]
 	if j == nil || !j.record.Gang.AcceptsPlacements() && j.countPlaced() > 0 {
@@ -296,9 +296,9 @@
 			c.readNewest(ctx) != nil {
 			return
 		}
-		c.mu.Lock()
-		t, rest, said := c.state.scheduler.gangTransaction(g, c.node.now())
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		t, rest, said := state.scheduler.gangTransaction(g, c.node.now())
+		c.guard.Unlock()
 		if t == nil {
 			return
 		}
@@ -309,9 +309,9 @@
 			for _, l := range said {
 				c.node.log.Info("task placed", l...)
 			}
-			c.mu.Lock()
-			c.state.scheduler.gangStateOf(g.uid).retry.Claimed()
-			c.mu.Unlock()
+			state = c.guard.Lock()
+			state.scheduler.gangStateOf(g.uid).retry.Claimed()
+			c.guard.Unlock()
 		case err == nil:
 			tries++
 		default:
@@ -338,23 +338,23 @@
 // that finds no room is not looked at again for a while out of turn.
 func (c *Controller) placeNewGangs(ctx context.Context) {
 	now := c.node.now()
-	c.mu.Lock()
+	state := c.guard.Lock()
 	var claims []*gangClaim
 	some := false
-	reserved := c.state.scheduler.writesReservedForGangs(now)
-	for uid := range c.state.cache.gangs {
-		j := c.state.cache.jobs[uid]
-		if j.record.Cancelled || c.state.leadership.of(j.record.Shard) == nil || len(j.pendingTasks()) == 0 {
+	reserved := state.scheduler.writesReservedForGangs(now)
+	for uid := range state.cache.gangs {
+		j := state.cache.jobs[uid]
+		if j.record.Cancelled || state.leadership.of(j.record.Shard) == nil || len(j.pendingTasks()) == 0 {
 			continue
 		}
-		if g := c.state.scheduler.gangStateOf(uid); now.Sub(g.lookedAt) > 8*c.node.settings.DecisionInterval() {
+		if g := state.scheduler.gangStateOf(uid); now.Sub(g.lookedAt) > 8*c.node.settings.DecisionInterval() {
 			g.lookedAt, some = now, true
 		}
 	}
-	if some && c.state.leadership.mayAct(now) {
-		claims = c.state.scheduler.plan(now).gangs
+	if some && state.leadership.mayAct(now) {
+		claims = state.scheduler.plan(now).gangs
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	c.store.ReserveForGangs(reserved)
 	for _, g := range claims {
 		c.commitGangClaim(ctx, g)
@@ -362,7 +362,7 @@
 }
 
 // noteGangMiss notes that a gang found no room for all its tasks. One that holds some
-// releases its claims after too many misses in a row. Call with the lock held.
+// releases its claims after too many misses in a row.
 func (sch *schedulerState) noteGangMiss(x *gangSearch, now time.Time) {
 	uid := x.job.entry.uid
 	if x.job.entry.job.gangPhase() == job.GangReserving && sch.gangStateOf(uid).retry.Missed(now) {
@@ -373,7 +373,7 @@
 
 // startDelay estimates how long a start on a machine waits for the worker's next heartbeat:
 // one whose token was raised a moment ago can't be made to report by another raise. On a
-// peer's machine that is so if a task was placed there. Call with the lock held.
+// peer's machine that is so if a task was placed there.
 func (mr *machineRoom) startDelay(host string, l *machineLoad, now time.Time) float64 {
 	raised := time.UnixMilli(l.lastPlacedMS)
 	if s := mr.agents.byHost[host]; s != nil {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -29,7 +29,7 @@
 }
 
 // hasReleasedClaims reports whether a gang has begun its search for room again: it goes before
-// newer ones. Call with the lock held.
+// newer ones.
 func (sch *schedulerState) hasReleasedClaims(uid string) bool {
 	g := sch.gangStates[uid]
 	return g != nil && g.retry.Released
@@ -67,24 +67,24 @@
 // of them, orderly stops, claims that are given up.
 func (c *Controller) updateGangs(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	if len(c.state.cache.gangs) == 0 {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if len(state.cache.gangs) == 0 {
+		c.guard.Unlock()
 		return false
 	}
 	byJob := map[string][]endedTask{}
-	for k, ends := range c.state.scheduler.endedGangAttempts(now) {
+	for k, ends := range state.scheduler.endedGangAttempts(now) {
 		byJob[k.uid] = append(byJob[k.uid], ends...)
 	}
-	e := c.state.schema.newRecordEditor()
-	for p := range c.state.leadership.byShard {
-		c.state.leadership.require(e.txn, p)
+	e := state.schema.newRecordEditor()
+	for p := range state.leadership.byShard {
+		state.leadership.require(e.txn, p)
 	}
 	more := false
 	var said [][]any
-	for _, uid := range slices.Sorted(maps.Keys(c.state.cache.gangs)) {
-		j := c.state.cache.jobs[uid]
-		if c.state.schema.isBlocked(j) || j.record.Gang == nil {
+	for _, uid := range slices.Sorted(maps.Keys(state.cache.gangs)) {
+		j := state.cache.jobs[uid]
+		if state.schema.isBlocked(j) || j.record.Gang == nil {
 			continue
 		}
 		if e.isFull(2, 0) {
@@ -92,7 +92,7 @@
 			break
 		}
 		before := *j.record.Gang
-		if c.state.scheduler.updateGang(e, j, byJob[uid], now) {
+		if state.scheduler.updateGang(e, j, byJob[uid], now) {
 			after := e.records[uid]
 			line := []any{"job", uid, "attempt", before.Attempt, "phase_before", before.Phase(j.countPlaced())}
 			if after != nil {
@@ -105,7 +105,7 @@
 	}
 	n := e.changes
 	t := e.transaction()
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if n == 0 || e.outgrown {
 		return e.outgrown
 	}
@@ -119,8 +119,7 @@
 	return more && (done || err == nil)
 }
 
-// endedGangAttempts returns the ends of gangs' tasks on machines of own shards. Call with the lock
-// held.
+// endedGangAttempts returns the ends of gangs' tasks on machines of own shards.
 func (sch *schedulerState) endedGangAttempts(now time.Time) map[rangeID][]endedTask {
 	all := sch.agents.endedTasks(now)
 	maps.DeleteFunc(all, func(k rangeID, _ []endedTask) bool { return !isGang(sch.cache.jobs[k.uid]) })
@@ -128,7 +127,7 @@
 }
 
 // updateGang adds to a transaction what is to become of a gang. It reports whether it did
-// anything. Call with the lock held.
+// anything.
 func (sch *schedulerState) updateGang(e *recordEditor, j *liveJob, ends []endedTask, now time.Time) bool {
 	uid, m := j.record.Spec.UID, j.record
 	g := *m.Gang // as it will be
@@ -188,14 +187,14 @@
 
 // countsAgainstQuota reports whether what a gang's tasks use counts against a limit: the place of one
 // on a machine that says nothing may still be taken, done or not, so its record is kept
-// until all have been heard of. Call with the lock held.
+// until all have been heard of.
 func (acc *capacityAccounts) countsAgainstQuota(j *liveJob) bool {
 	team, _ := acc.node.settings.Team(j.record.Spec.Team)
 	return team.Limited()
 }
 
 // gangInterruptionIsDue reports whether a machine with a task of a gang is taken away so soon that
-// all of them have to save now. Call with the lock held.
+// all of them have to save now.
 func (reg *agentRegistry) gangInterruptionIsDue(j *liveJob) bool {
 	for _, ch := range j.ranges {
 		for _, p := range ch.record.Placements {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -174,9 +174,9 @@
 		if host == nil {
 			t.Fatal("no machine of its own part")
 		}
-		c.mu.Lock()
+		c.guard.Lock()
 		tx, _, _ := c.testState().scheduler.gangTransaction(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.node.now())
-		c.mu.Unlock()
+		c.guard.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
 		}
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -23,7 +23,7 @@
 // arrivalWindows is over how many boots arrivals are looked at.
 const arrivalWindows = 4
 
-// noteArrival notes a job for the headroom. It is called with the lock held.
+// noteArrival notes a job for the headroom.
 func (acc *capacityAccounts) noteArrival(m *job.Record) {
 	const lanes = 64
 	if acc.arrivals[m.Spec.Class] == nil && len(acc.arrivals) >= lanes {
@@ -55,7 +55,6 @@
 
 // withPreemptibleRoom returns copies of the machines with the room of tasks of a lower rank
 // added to what is free: that need not be kept, it can be taken when needed.
-// Call with the lock held.
 func (mr *machineRoom) withPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
 	room := make([]sched.Host, len(hosts))
 	out := make([]*sched.Host, len(hosts))
@@ -70,7 +69,7 @@
 	return out
 }
 
-// shortestBoot is how long the soonest machine takes to boot. Call with the lock held.
+// shortestBoot is how long the soonest machine takes to boot.
 func (c *machineCatalog) shortestBoot() time.Duration {
 	startup := 0.0
 	for _, f := range c.machineTypes {
@@ -83,8 +82,7 @@
 
 // headroom returns which tasks to keep room for that have not come yet: of classes
 // whose jobs can't wait for a machine to boot, as many as arrivals fluctuate by
-// while one does. What ends in that time makes room for the average. Call with
-// the lock held.
+// while one does. What ends in that time makes room for the average.
 func (as *autoscalerState) headroom(now time.Time) []headroomRequest {
 	boot := as.catalog.shortestBoot()
 	if boot == 0 {
@@ -148,7 +146,7 @@
 // tasks leave while a machine boots: at the start of a day, or when more come
 // than before, whoever waits for them to find no room rents a boot too late. The
 // rate is that of the newer half of what was seen, so that what came at once in
-// the beginning does not count. Call with the lock held.
+// the beginning does not count.
 func (as *autoscalerState) growth(class string, l []arrival, boot, window time.Duration, now time.Time) float64 {
 	if len(l) == 0 || l[len(l)-1].spec.Kind != api.Array {
 		return 0
@@ -206,8 +204,7 @@
 }
 
 // headroomMachines returns the idle machines that belong to the headroom: what is to be
-// kept room for takes them after it has filled the others. Call with the lock
-// held.
+// kept room for takes them after it has filled the others.
 func (as *autoscalerState) headroomMachines(left []*sched.Host, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, w := range as.headroom(now) {
--- a/internal/controller/idle.go
+++ b/internal/controller/idle.go
@@ -13,9 +13,9 @@
 
 // scaleIn decides which machines go back and returns them.
 func (c *Controller) scaleIn(ctx context.Context) {
-	c.mu.Lock()
-	back, fences := c.state.autoscaler.machinesToReturn(c.node.now())
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	back, fences := state.autoscaler.machinesToReturn(c.node.now())
+	c.guard.Unlock()
 	c.sendCommands(ctx, fences)
 	if len(back) == 0 {
 		return
@@ -24,16 +24,16 @@
 		c.node.log.Info("machines not returned", "hosts", back, "err", err)
 		return
 	}
-	c.mu.Lock()
+	state = c.guard.Lock()
 	for _, h := range back {
-		if s := c.state.agents.byHost[h]; s != nil {
+		if s := state.agents.byHost[h]; s != nil {
 			s.Terminated = true
 		}
-		if m := c.state.cache.machines[h]; m != nil { // what was refused may be had again
-			delete(c.state.catalog.capacityBackoffs, offerKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
+		if m := state.cache.machines[h]; m != nil { // what was refused may be had again
+			delete(state.catalog.capacityBackoffs, offerKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
 		}
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	c.node.log.Info("machines returned", "hosts", back)
 	c.wake.notify()
 }
@@ -152,7 +152,7 @@
 	return v.headroom[host] || v.reserved[host]
 }
 
-// considerScaleIn decides whether a machine is to be returned. Call with the lock held.
+// considerScaleIn decides whether a machine is to be returned.
 func (as *autoscalerState) considerScaleIn(host string, m *shard.Machine, s *shard.Agent, view *scaleInView) {
 	now := view.now
 	_, f := as.catalog.machineCapacity(m.MachineType)
@@ -209,7 +209,7 @@
 
 // canMigrate reports whether a machine holds nothing but a few replicas that have run
 // for a while and fit on machines in use elsewhere that have their images, so
-// that moving them costs seconds and saves a machine. Call with the lock held.
+// that moving them costs seconds and saves a machine.
 func (as *autoscalerState) canMigrate(host string, startup time.Duration, view *scaleInView) bool {
 	m, now := as.cache.machines[host], view.now
 	cp, _ := as.catalog.machineCapacity(m.MachineType)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -105,7 +105,7 @@
 			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
-		n.c.mu.meter = newLockMeter()
+		n.c.guard.meter = newLockMeter()
 	}
 	for i := range 3 {
 		l.nodes = append(l.nodes, &simNode{name: fmt.Sprintf("n%d", i)})
@@ -297,7 +297,7 @@
 	if cost := l.costs[phase]; cost != nil {
 		cost.simulated += d
 		for _, n := range l.nodes {
-			for _, use := range n.c.mu.meter.take() {
+			for _, use := range n.c.guard.meter.take() {
 				sum := cost.holds[use.Function]
 				if sum == nil {
 					sum = &LockUse{Function: use.Function}
--- a/internal/controller/lock.go
+++ b/internal/controller/lock.go
@@ -8,35 +8,38 @@
 	"time"
 )
 
-// stateLock guards a controller's state. With a meter it records which functions
-// hold it, for how long, and how long they waited to get it.
-type stateLock struct {
+// guardedState is a controller's state behind its lock: nothing reaches the state but through
+// Lock, so that whoever has it holds the lock. No lock is held across I/O. With a meter it
+// records which functions hold the lock, for how long, and how long they waited to get it.
+type guardedState struct {
+	state  *controllerState
 	mutex  sync.Mutex
 	meter  *lockMeter // nil: nothing is recorded
 	holder uintptr    // return address in the function that holds the lock
 	since  time.Time  // when it got the lock
 }
 
-// Lock takes the lock.
-func (l *stateLock) Lock() {
-	if l.meter == nil {
-		l.mutex.Lock()
-		return
+// Lock takes the lock and returns the state, which is not to be used after Unlock.
+func (g *guardedState) Lock() *controllerState {
+	if g.meter == nil {
+		g.mutex.Lock()
+		return g.state
 	}
 	asked := time.Now()
-	l.mutex.Lock()
-	l.since = time.Now()
-	l.holder = callerOf(2)
-	l.meter.waited(l.holder, l.since.Sub(asked))
+	g.mutex.Lock()
+	g.since = time.Now()
+	g.holder = callerOf(2)
+	g.meter.waited(g.holder, g.since.Sub(asked))
+	return g.state
 }
 
 // Unlock releases the lock.
-func (l *stateLock) Unlock() {
-	if l.meter != nil && !l.since.IsZero() {
-		l.meter.held(l.holder, time.Since(l.since))
-		l.since = time.Time{}
+func (g *guardedState) Unlock() {
+	if g.meter != nil && !g.since.IsZero() {
+		g.meter.held(g.holder, time.Since(g.since))
+		g.since = time.Time{}
 	}
-	l.mutex.Unlock()
+	g.mutex.Unlock()
 }
 
 // callerOf returns the return address so many frames above its caller.
@@ -81,7 +84,7 @@
 }
 
 // take returns what was recorded, by function, the longest in all first, and begins
-// anew. Call with the lock held.
+// anew.
 func (m *lockMeter) take() []LockUse {
 	byFunction := map[string]*LockUse{}
 	for holder, use := range m.byHolder {
@@ -108,12 +111,12 @@
 }
 
 // MeterLock records from now on how the state's lock is used. It is called before Run.
-func (c *Controller) MeterLock() { c.mu.meter = newLockMeter() }
+func (c *Controller) MeterLock() { c.guard.meter = newLockMeter() }
 
 // LockUses returns what was recorded since MeterLock or the last call, by function, the
 // longest in all first.
 func (c *Controller) LockUses() []LockUse {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.mu.meter.take()
+	c.guard.Lock()
+	defer c.guard.Unlock()
+	return c.guard.meter.take()
 }
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -9,7 +9,7 @@
 // A metered lock tells holds apart by the function that took it, deferred unlocks
 // included, and begins anew when it was read; without a meter it only locks.
 func TestLockMeter(t *testing.T) {
-	var l stateLock
+	var l guardedState
 	if !lockPlainly(&l) {
 		t.Fatal("not locked")
 	}
@@ -33,12 +33,12 @@
 	}
 }
 
-func lockDeferred(l *stateLock) {
+func lockDeferred(l *guardedState) {
 	l.Lock()
 	defer l.Unlock()
 }
 
-func lockPlainly(l *stateLock) (held bool) {
+func lockPlainly(l *guardedState) (held bool) {
 	l.Lock()
 	held = !l.mutex.TryLock()
 	l.Unlock()
@@ -47,7 +47,7 @@
 
 // A lock that was taken before it was metered can be released: nothing is counted for it.
 func TestLockMeterBeginsWhileHeld(t *testing.T) {
-	var l stateLock
+	var l guardedState
 	l.Lock()
 	l.meter = newLockMeter()
 	l.Unlock()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -13,9 +13,9 @@
 // registerMachines records machines that reported or were rented or listed
 // without a record, each in one shard, by conditional writes of their pages.
 func (c *Controller) registerMachines(ctx context.Context) bool {
-	c.mu.Lock()
-	if len(c.state.agents.unregistered) == 0 {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if len(state.agents.unregistered) == 0 {
+		c.guard.Unlock()
 		return false
 	}
 	t := newTransaction()
@@ -23,31 +23,31 @@
 	var names []string
 	size := 0 // bytes of the pages
 	count := map[string]int{}
-	for _, m := range c.state.cache.machines {
+	for _, m := range state.cache.machines {
 		count[m.Shard]++
 	}
-	for _, host := range slices.Sorted(maps.Keys(c.state.agents.unregistered)) {
-		m := c.state.agents.unregistered[host]
-		if c.state.cache.machines[host] != nil || c.state.cache.terminated[host] {
-			delete(c.state.agents.unregistered, host)
+	for _, host := range slices.Sorted(maps.Keys(state.agents.unregistered)) {
+		m := state.agents.unregistered[host]
+		if state.cache.machines[host] != nil || state.cache.terminated[host] {
+			delete(state.agents.unregistered, host)
 			continue
 		}
-		id := c.state.schema.pageFor(host)
+		id := state.schema.pageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= c.state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
 				break
 			}
-			_, page = c.state.schema.openPage(t, host)
+			_, page = state.schema.openPage(t, host)
 		}
 		m.Shard = c.shardFor(m.Zone, count)
 		m.RegisteredMS = c.node.now().UnixMilli()
 		page[host] = &m
 		bytes := len(api.JSON(page))
-		if bytes > c.state.schema.maxPageBytes() {
+		if bytes > state.schema.maxPageBytes() {
 			c.node.log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
 			delete(page, host)
-			delete(c.state.agents.unregistered, host)
+			delete(state.agents.unregistered, host)
 			continue
 		}
 		if !open {
@@ -60,20 +60,20 @@
 	for id, page := range pages {
 		t.put(machinePagePrefix+id, page)
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if len(names) == 0 {
 		return false
 	}
 	done, _, err := c.commit(ctx, "machines", t, store.PriorityDecision)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	state = c.guard.Lock()
+	defer c.guard.Unlock()
 	if done {
 		c.node.log.Info("machines registered", "hosts", names)
 		for _, h := range names {
-			delete(c.state.agents.unregistered, h)
+			delete(state.agents.unregistered, h)
 		}
 	}
-	return (done || err == nil) && len(c.state.agents.unregistered) > 0
+	return (done || err == nil) && len(state.agents.unregistered) > 0
 }
 
 // shardFor chooses the shard for a machine: one whose home controller is in the
@@ -100,57 +100,57 @@
 // at once, now and then, since nothing waits for it.
 func (c *Controller) deregisterMachines(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	if now.Sub(c.state.stats.deregisteredAt) < c.node.settings.WorkerLease()/4 {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if now.Sub(state.stats.deregisteredAt) < c.node.settings.WorkerLease()/4 {
+		c.guard.Unlock()
 		return false
 	}
 	t := newTransaction()
 	pages := map[string]shard.Page{}
 	size := 0 // bytes of the pages
 	var names []string
-	for host, s := range c.state.agents.byHost {
-		m := c.state.cache.machines[host]
-		if !s.Terminated || m == nil || c.state.leadership.of(m.Shard) == nil || len(c.state.cache.placements[host]) > 0 {
+	for host, s := range state.agents.byHost {
+		m := state.cache.machines[host]
+		if !s.Terminated || m == nil || state.leadership.of(m.Shard) == nil || len(state.cache.placements[host]) > 0 {
 			continue
 		}
-		if _, in := c.state.cache.capacities[m.Shard].record.Free[host]; in {
+		if _, in := state.cache.capacities[m.Shard].record.Free[host]; in {
 			continue // upkeep comes first: no stealing peer may still put a task there
 		}
-		id := c.state.schema.pageFor(host)
+		id := state.schema.pageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= c.state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
 				continue
 			}
-			_, page = c.state.schema.openPage(t, host)
+			_, page = state.schema.openPage(t, host)
 			size += len(api.JSON(page))
 			pages[id] = page
 		}
-		c.state.leadership.require(t, m.Shard)
-		t.require(capacityPrefix+m.Shard, c.state.cache.capacities[m.Shard].version)
+		state.leadership.require(t, m.Shard)
+		t.require(capacityPrefix+m.Shard, state.cache.capacities[m.Shard].version)
 		delete(page, host)
 		names = append(names, host)
 	}
 	for id, page := range pages {
-		c.state.schema.closePage(t, id, page)
+		state.schema.closePage(t, id, page)
 	}
-	if len(names) == 0 && c.state.schema.upgraded() && c.state.schema.deleteObsoletePage(t) {
-		c.state.stats.deregisteredAt = now
+	if len(names) == 0 && state.schema.upgraded() && state.schema.deleteObsoletePage(t) {
+		state.stats.deregisteredAt = now
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if t.changes() == 0 {
 		return false
 	}
 	done, _, _ := c.commit(ctx, "forgotten", t, store.PriorityDecision)
 	if done {
 		slices.Sort(names)
-		c.mu.Lock()
-		c.state.stats.deregisteredAt = now
+		state = c.guard.Lock()
+		state.stats.deregisteredAt = now
 		for _, h := range names {
-			c.state.agents.drop(h)
+			state.agents.drop(h)
 		}
-		c.mu.Unlock()
+		c.guard.Unlock()
 		c.node.log.Info("machines deregistered", "hosts", names)
 	}
 	return false
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/shard"
 )
 
-// machineCapacity returns a machine type's size. Call with the lock held.
+// machineCapacity returns a machine type's size.
 func (c *machineCatalog) machineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
 	for i := range c.machineTypes {
 		f := &c.machineTypes[i]
@@ -23,8 +23,7 @@
 	return sched.Resources{}, nil
 }
 
-// isSchedulable reports whether a machine of an own shard can take tasks. Call with the
-// lock held.
+// isSchedulable reports whether a machine of an own shard can take tasks.
 func (mr *machineRoom) isSchedulable(host string, now time.Time) bool {
 	s := mr.agents.byHost[host]
 	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil &&
@@ -32,7 +31,7 @@
 		now.Sub(s.LastSeen) < 3*mr.node.settings.HeartbeatInterval()
 }
 
-// fetchSeconds is how long fetching a job's image takes at least. Call with the lock held.
+// fetchSeconds is how long fetching a job's image takes at least.
 func (c *machineCatalog) fetchSeconds(r *api.Job) float64 {
 	best := 0.0
 	for _, f := range c.machineTypes {
@@ -46,7 +45,7 @@
 
 // freeInShard computes the free room of the usable machines of an own shard from the
 // committed placements, less those that are over. A machine without any is left
-// out. Call with the lock held.
+// out.
 func (mr *machineRoom) freeInShard(p string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
 	for _, host := range mr.cache.machineNames() {
@@ -61,7 +60,7 @@
 }
 
 // freeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
-// false if it has none or can't take tasks. Call with the lock held.
+// false if it has none or can't take tasks.
 func (mr *machineRoom) freeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
 	if !mr.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
@@ -75,7 +74,7 @@
 }
 
 // schedulableHosts lists the machines with their free room: of own shards as computed, of
-// peers' as their records say. Call with the lock held.
+// peers' as their records say.
 func (sch *schedulerState) schedulableHosts(now time.Time) []*sched.Host {
 	type view struct {
 		own  bool
@@ -140,7 +139,7 @@
 func quotaID(name string) string { return url.PathEscape(name) }
 
 // smallestRequest returns the smallest amounts that any waiting task asks for: a machine
-// with less has no room for anybody. Call with the lock held.
+// with less has no room for anybody.
 func smallestRequest(queue []*queueEntry) sched.Resources {
 	inf := math.Inf(1)
 	m := sched.Resources{CPUs: inf, GPUs: inf, MemGB: inf}
@@ -191,7 +190,7 @@
 // reusePlan returns a plan that was made since the last round of rentals, or else makes
 // one: a plan is the dearest thing that a controller works out, and what a decision
 // found to lack room lacks it for rentals too. Each plan is given once, for who rents
-// fills its machines. Call with the lock held.
+// fills its machines.
 func (sch *schedulerState) reusePlan(now time.Time) *plan {
 	recent := sch.lastPlan
 	sch.lastPlan = lastPlan{}
@@ -200,3 +199,35 @@
 	}
 	return sch.plan(now)
 }
+
+// rejectionReason returns why a job can never run, "" if it can.
+func (c *machineCatalog) rejectionReason(r *api.Job) string {
+	team, ok := c.node.settings.Team(r.Team)
+	if !ok {
+		return "unknown team"
+	}
+	k := 1.0
+	if r.Kind != api.Array {
+		k = float64(r.Tasks)
+	}
+	if team.CPUsMax > 0 && r.CPUs*k > team.CPUsMax+1e-6 || team.GPUsMax > 0 && r.GPUs*k > team.GPUsMax+1e-6 {
+		return "more than the team's limit"
+	}
+	ask := taskRequestOf(r)
+	zones := map[string]bool{}
+	for _, f := range c.machineTypes {
+		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
+		for _, s := range f.Zones {
+			if cp.Fits(ask.Need) && ask.Allows(f.Name, s, false) {
+				zones[s] = true
+			}
+		}
+	}
+	switch {
+	case len(zones) == 0:
+		return "fits no allowed machine type"
+	case r.Spread && r.Tasks > 1 && (len(zones) == 1 || r.Together):
+		return "can't be scattered"
+	}
+	return ""
+}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -29,34 +29,34 @@
 // wait before the next step.
 func (c *Controller) maintainLease(ctx context.Context) time.Duration {
 	ttl := c.node.settings.ControllerLeaseTTL()
-	c.mu.Lock()
-	leaseID := c.state.leadership.leaseID
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	leaseID := state.leadership.leaseID
+	c.guard.Unlock()
 	sent := c.node.now()
 	var err error
 	if leaseID == 0 {
 		if leaseID, err = c.store.GrantLease(ctx, ttl); err == nil {
 			c.node.log.Info("lease granted", "lease", leaseID)
-			c.mu.Lock()
-			c.state.leadership.leaseID = leaseID
-			c.mu.Unlock()
+			state = c.guard.Lock()
+			state.leadership.leaseID = leaseID
+			c.guard.Unlock()
 		}
 	} else if err = c.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
 		c.node.log.Info("lease lost", "lease", leaseID)
-		c.mu.Lock()
-		c.state.leadership.leaseID, c.state.leadership.leaseValidUntil = 0, time.Time{}
-		clear(c.state.leadership.byShard)
-		clear(c.state.agents.byHost)
-		clear(c.state.cache.loads)
-		c.mu.Unlock()
+		state = c.guard.Lock()
+		state.leadership.leaseID, state.leadership.leaseValidUntil = 0, time.Time{}
+		clear(state.leadership.byShard)
+		clear(state.agents.byHost)
+		clear(state.cache.loads)
+		c.guard.Unlock()
 		return 0
 	}
 	if err == nil {
-		c.mu.Lock()
+		state = c.guard.Lock()
 		// Our clock may run slow against the service's: count a little less.
-		c.state.leadership.leaseValidUntil = sent.Add(ttl - ttl/256)
-		stale := c.state.cache.loaded && sent.Sub(c.state.cache.changesReadAt) > ttl/4
-		c.mu.Unlock()
+		state.leadership.leaseValidUntil = sent.Add(ttl - ttl/256)
+		stale := state.cache.loaded && sent.Sub(state.cache.changesReadAt) > ttl/4
+		c.guard.Unlock()
 		if stale { // how long we may answer once we are cut off counts from the last read
 			_ = c.readNewest(ctx)
 		}
@@ -70,23 +70,23 @@
 // that were ever given out, which is the shard's fencing token.
 func (c *Controller) acquireShard(ctx context.Context, p string, seen uint64) {
 	me := c.node.settings.HostName
-	c.mu.Lock()
-	old, had := c.state.cache.leaders[p]
+	state := c.guard.Lock()
+	old, had := state.cache.leaders[p]
 	if old.version != seen {
 		// Somebody took it since: with the newer version the precondition would hold,
 		// and the shard be taken from a living leader.
-		c.mu.Unlock()
+		c.guard.Unlock()
 		return
 	}
-	rec := c.state.cache.capacities[p]
-	term := c.state.cache.term + 1
+	rec := state.cache.capacities[p]
+	term := state.cache.term + 1
 	t := newTransaction()
 	t.require(leaderPrefix+p, old.version)
-	t.require(termKey, c.state.cache.versions[termKey])
+	t.require(termKey, state.cache.versions[termKey])
 	t.require(capacityPrefix+p, rec.version)
 	t.put(termKey, term)
 	t.put(leaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: c.node.incarnation, Term: term})
-	t.leases[leaderPrefix+p] = c.state.leadership.leaseID
+	t.leases[leaderPrefix+p] = state.leadership.leaseID
 	// An earlier life of this process has ended, and one that released the shard
 	// has stopped answering; any other may go on for its grace. So may one before
 	// those, if they did not live to see its grace out: the doubt stays with the
@@ -94,9 +94,9 @@
 	clean := rec.record == nil || (rec.record.Leader == me || rec.record.Released) && !rec.record.PredecessorInDoubt
 	t.put(
 		capacityPrefix+p,
-		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: c.state.capacity.quotaUseOf(p)},
+		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: state.capacity.quotaUseOf(p)},
 	)
-	c.mu.Unlock()
+	c.guard.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
 	if !done {
 		c.node.log.Debug("shard not acquired", "shard", p, "err", err)
@@ -107,15 +107,14 @@
 		}
 		return
 	}
-	c.mu.Lock()
-	fences := c.state.agents.beginLeadership(p, term, clean, had)
-	c.mu.Unlock()
+	state = c.guard.Lock()
+	fences := state.agents.beginLeadership(p, term, clean, had)
+	c.guard.Unlock()
 	c.sendCommands(ctx, fences)
 }
 
 // beginLeadership begins the leadership of a shard that was acquired, unless it is lost
-// again already. It returns the commands that fence the shard's workers. Call with the lock
-// held.
+// again already. It returns the commands that fence the shard's workers.
 func (reg *agentRegistry) beginLeadership(p string, term uint64, clean, hadLeader bool) []directCommand {
 	now := reg.node.now()
 	v := reg.cache.leaders[p]
@@ -143,7 +142,7 @@
 	return fences
 }
 
-// dropLeadership forgets a shard that is no longer ours. Call with the lock held.
+// dropLeadership forgets a shard that is no longer ours.
 func (reg *agentRegistry) dropLeadership(p string) {
 	delete(reg.leadership.byShard, p)
 	for host := range reg.byHost {
@@ -153,13 +152,13 @@
 	}
 }
 
-// drop drops a machine's session. Call with the lock held.
+// drop drops a machine's session.
 func (reg *agentRegistry) drop(host string) {
 	delete(reg.byHost, host)
 	delete(reg.cache.loads, host)
 }
 
-// of returns the session of a machine of an own shard. Call with the lock held.
+// of returns the session of a machine of an own shard.
 func (reg *agentRegistry) of(host string, o *leadership) *shard.Agent {
 	s := reg.byHost[host]
 	if s == nil || s.Term != o.term {
@@ -173,10 +172,10 @@
 // releaseShard returns a shard back to its home controller in an orderly way: answers
 // stop first, then the release is committed.
 func (c *Controller) releaseShard(ctx context.Context, p string) {
-	c.mu.Lock()
-	o, rec := c.state.leadership.byShard[p], c.state.cache.capacities[p]
+	state := c.guard.Lock()
+	o, rec := state.leadership.byShard[p], state.cache.capacities[p]
 	if o == nil || rec.record == nil {
-		c.mu.Unlock()
+		c.guard.Unlock()
 		return
 	}
 	o.releasing = true
@@ -187,13 +186,13 @@
 	r := *rec.record
 	r.Released = true
 	t.put(capacityPrefix+p, r)
-	c.mu.Unlock()
+	c.guard.Unlock()
 	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	state = c.guard.Lock()
+	defer c.guard.Unlock()
 	if done {
 		c.node.log.Info("shard released", "shard", p, "term", o.term)
-		c.state.agents.dropLeadership(p)
+		state.agents.dropLeadership(p)
 		return
 	}
 	// In doubt it stays unanswered until the replica shows who owns it.
@@ -214,8 +213,7 @@
 
 // fence prepares the command that tells a worker our fencing token directly, so that an
 // earlier leader's answers are dropped from then on; its answer shows what runs there. ok is
-// false if the worker has seen this term, was asked a moment ago, or no slot is free. Call
-// with the lock held.
+// false if the worker has seen this term, was asked a moment ago, or no slot is free.
 func (reg *agentRegistry) fence(host string) (command directCommand, ok bool) {
 	s := reg.byHost[host]
 	if s == nil || s.Fenced || reg.node.now().Sub(s.LastCommandAt) < reg.node.settings.HeartbeatInterval() {
@@ -225,8 +223,7 @@
 }
 
 // prepareCommand prepares commands that may be executed at any later time. ok is false if
-// the worker can't be addressed or no slot is free: the next round asks again. Call with the
-// lock held.
+// the worker can't be addressed or no slot is free: the next round asks again.
 func (reg *agentRegistry) prepareCommand(
 	host string, slots chan struct{}, batch api.CommandBatch,
 ) (command directCommand, ok bool) {
@@ -262,9 +259,9 @@
 			c.node.log.Debug("direct commands not answered", "host", command.host, "err", err)
 			return
 		}
-		c.mu.Lock()
-		c.state.agents.acceptAnswer(command.host, command.term, r)
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		state.agents.acceptAnswer(command.host, command.term, r)
+		c.guard.Unlock()
 		if done || shard.TokenTerm(r.Token) >= command.term {
 			return
 		}
@@ -273,7 +270,6 @@
 }
 
 // acceptAnswer takes in the heartbeat that a worker answered direct commands of a term with.
-// Call with the lock held.
 func (reg *agentRegistry) acceptAnswer(host string, term uint64, r *api.Heartbeat) {
 	if s := reg.byHost[host]; s != nil && s.Term == term && r.Host == host {
 		reg.acceptHeartbeat(host, s, r)
@@ -286,14 +282,14 @@
 // report; neither does harm whenever it is carried out. (One that only clears
 // ended tasks does not make it report.)
 func (c *Controller) requestHeartbeats(ctx context.Context) {
-	c.mu.Lock()
-	commands := c.state.agents.dueHeartbeatRequests(c.node.now())
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	commands := state.agents.dueHeartbeatRequests(c.node.now())
+	c.guard.Unlock()
 	c.sendCommands(ctx, commands)
 }
 
 // dueHeartbeatRequests prepares the commands that have workers send a heartbeat now, as many
-// as there are free slots: the rest follows in the next round. Call with the lock held.
+// as there are free slots: the rest follows in the next round.
 func (reg *agentRegistry) dueHeartbeatRequests(now time.Time) []directCommand {
 	var commands []directCommand
 	if !reg.leadership.mayAct(now) {
@@ -331,7 +327,7 @@
 
 // immediateCommands returns the orders that need not wait for the worker's next heartbeat: they
 // may be carried out at any later time, and reports whether there are stops among
-// them, and whether there are starts, which have to wait. Call with the lock held.
+// them, and whether there are starts, which have to wait.
 func (reg *agentRegistry) immediateCommands(host string, s *shard.Agent) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
 	listed := map[attemptID]string{}
@@ -380,7 +376,7 @@
 	return !j.isCancelled() && j.record.Spec.CheckpointS > 0 && (!isGang(j) || g != nil && g.Stopping)
 }
 
-// acceptHeartbeat takes in a heartbeat and looks at what it says. Call with the lock held.
+// acceptHeartbeat takes in a heartbeat and looks at what it says.
 func (reg *agentRegistry) acceptHeartbeat(host string, s *shard.Agent, r *api.Heartbeat) bool {
 	old, deaf := s.Heartbeat, s.Unresponsive
 	if !s.Accept(r, reg.node.now()) {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -23,28 +23,28 @@
 
 // noteStoreAnswer notes whether the state service served a request.
 func (c *Controller) noteStoreAnswer(ok bool) {
-	c.mu.Lock()
-	if c.state.reachability.storeReachable != ok {
-		c.state.reachability.storeReachable, c.state.reachability.since, c.state.reachability.peersAsked = ok, c.node.now(), false
+	state := c.guard.Lock()
+	if state.reachability.storeReachable != ok {
+		state.reachability.storeReachable, state.reachability.since, state.reachability.peersAsked = ok, c.node.now(), false
 		c.node.log.Info("state service reachability", "reachable", ok)
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 }
 
 // storeReachable reports whether the state service served our last request.
 func (c *Controller) storeReachable() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.reachability.storeReachable
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return state.reachability.storeReachable
 }
 
 // peerLoop asks the peers for their sight of the state service while ours is
 // gone.
 func (c *Controller) peerLoop(ctx context.Context) {
 	for sleep(ctx, c.node.settings.ControllerLeaseTTL()/8) {
-		c.mu.Lock()
-		lost := !c.state.reachability.storeReachable
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		lost := !state.reachability.storeReachable
+		c.guard.Unlock()
 		if !lost {
 			continue
 		}
@@ -58,21 +58,21 @@
 	for _, m := range c.node.settings.Members {
 		c.askPeer(ctx, m.HostName, m.Addr)
 	}
-	c.mu.Lock()
-	c.state.reachability.peersAsked = !c.state.reachability.storeReachable
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	state.reachability.peersAsked = !state.reachability.storeReachable
+	c.guard.Unlock()
 }
 
 // forwardingPeer names a peer that can serve users for us while we can't reach the
 // state service; "" when we can, or nobody else can.
 func (c *Controller) forwardingPeer() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state.reachability.storeReachable {
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	if state.reachability.storeReachable {
 		return ""
 	}
 	for _, m := range c.node.settings.Members {
-		if c.state.reachability.peers[m.HostName] {
+		if state.reachability.peers[m.HostName] {
 			return m.Addr
 		}
 	}
@@ -142,9 +142,9 @@
 
 // canServe reports whether this node can serve users of its own and of peers.
 func (c *Controller) canServe() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.cache.loaded && c.state.reachability.storeReachable
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return state.cache.loaded && state.reachability.storeReachable
 }
 
 // servesForPeer reports whether a peer's request is to be carried out: it asks for more
@@ -159,9 +159,9 @@
 func (c *Controller) peerStatus(r *peer.Request) *peer.Reply {
 	a := &peer.Reply{StoreReached: c.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
-		c.mu.Lock()
-		a.Vouch = c.state.leadership.acknowledgement(r.GetSince())
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		a.Vouch = state.leadership.acknowledgement(r.GetSince())
+		c.guard.Unlock()
 	}
 	return a
 }
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -18,17 +18,17 @@
 // marks of the tasks that have to leave for some. What comes together goes into
 // one transaction, so that a job whose tasks go to several shards is written once.
 func (c *Controller) placeTasks(ctx context.Context) bool {
-	c.mu.Lock()
+	state := c.guard.Lock()
 	var todo []placement
 	var gangs []*gangClaim
 	var marks []*placedTask
 	began := c.node.now()
-	if c.state.scheduler.hasPendingTasks() {
-		p := c.state.scheduler.plan(began)
-		c.state.scheduler.lastPlan = lastPlan{p, began}
+	if state.scheduler.hasPendingTasks() {
+		p := state.scheduler.plan(began)
+		state.scheduler.lastPlan = lastPlan{p, began}
 		todo, gangs, marks = p.placements, p.gangs, p.stops
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	for _, g := range gangs { // few, and what waits for them waits as a whole
 		c.commitGangClaim(ctx, g)
 	}
@@ -45,9 +45,9 @@
 		if room < 3 || !c.mayActNow() || c.readNewest(ctx) != nil {
 			return false
 		}
-		c.mu.Lock()
-		t, rest, said, apart := c.state.scheduler.placementTransaction(todo, room, c.node.now())
-		c.mu.Unlock()
+		state = c.guard.Lock()
+		t, rest, said, apart := state.scheduler.placementTransaction(todo, room, c.node.now())
+		c.guard.Unlock()
 		marks = append(marks, apart...)
 		if t == nil {
 			break
@@ -76,16 +76,16 @@
 // shards hold too little yet to give their surplus back by themselves. Each shard's
 // record is written with its share, so that no placement there rests on the old one.
 func (c *Controller) reclaimQuota(ctx context.Context) {
-	c.mu.Lock()
+	state := c.guard.Lock()
 	now := c.node.now()
 	t := newTransaction()
-	cl := &claims{accounts: c.state.capacity, byShard: map[string]*claim{}}
-	for _, team := range slices.Sorted(maps.Keys(c.state.capacity.quotaShortages)) {
-		delete(c.state.capacity.quotaShortages, team)
+	cl := &claims{accounts: state.capacity, byShard: map[string]*claim{}}
+	for _, team := range slices.Sorted(maps.Keys(state.capacity.quotaShortages)) {
+		delete(state.capacity.quotaShortages, team)
 		for _, p := range c.node.shards {
-			held, _ := c.state.capacity.quotaShares(team, p)
-			x := c.state.capacity.openClaim(p, now)
-			if x == nil || len(cl.byShard) > 0 && len(cl.byShard) >= c.state.schema.transactionLimits().TxnOps-1 {
+			held, _ := state.capacity.quotaShares(team, p)
+			x := state.capacity.openClaim(p, now)
+			if x == nil || len(cl.byShard) > 0 && len(cl.byShard) >= state.schema.transactionLimits().TxnOps-1 {
 				continue
 			}
 			if use := shard.Unvec(x.quotaUse[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
@@ -100,7 +100,7 @@
 	if len(cl.byShard) > 0 {
 		cl.write(t)
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if t.changes() > 0 && c.mayActNow() {
 		if done, _, _ := c.commit(ctx, "shares", t, store.PriorityDecision); done {
 			c.wake.notify()
@@ -117,13 +117,13 @@
 		if c.store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !c.mayActNow() || c.readNewest(ctx) != nil {
 			return
 		}
-		c.mu.Lock()
-		e := c.state.schema.newRecordEditor()
+		state := c.guard.Lock()
+		e := state.schema.newRecordEditor()
 		var rest []*placedTask
 		var line []any
 		for i, v := range marks {
-			k := c.state.cache.jobs[v.uid]
-			if !c.state.scheduler.canStop(k, v) {
+			k := state.cache.jobs[v.uid]
+			if !state.scheduler.canStop(k, v) {
 				continue
 			}
 			if more := e.stopCost(k, v); more > 0 && e.isFull(more, 0) {
@@ -135,7 +135,7 @@
 		}
 		n := e.changes
 		t := e.transaction()
-		c.mu.Unlock()
+		c.guard.Unlock()
 		if n == 0 || e.outgrown {
 			return
 		}
@@ -147,8 +147,7 @@
 	}
 }
 
-// canStop reports whether a task is still where it was to be stopped. Call with the
-// lock held.
+// canStop reports whether a task is still where it was to be stopped.
 func (sch *schedulerState) canStop(j *liveJob, v *placedTask) bool {
 	if j == nil || sch.schema.isBlocked(j) {
 		return false
@@ -177,8 +176,7 @@
 	return 1
 }
 
-// hasPendingTasks reports whether a job of an own shard has tasks to place. Call with the
-// lock held.
+// hasPendingTasks reports whether a job of an own shard has tasks to place.
 func (sch *schedulerState) hasPendingTasks() bool {
 	for _, j := range sch.cache.jobs {
 		if !j.record.Cancelled && len(j.pendingTasks()) > 0 && sch.leadership.of(j.record.Shard) != nil {
@@ -200,7 +198,7 @@
 	return len(seen)
 }
 
-// addPlacement places a task and tells what to log of it. Call with the lock held.
+// addPlacement places a task and tells what to log of it.
 func (sch *schedulerState) addPlacement(e *recordEditor, j *liveJob, x placement, now time.Time) []any {
 	r := &j.record.Spec
 	sch.leadership.require(e.txn, j.record.Shard)
@@ -231,7 +229,7 @@
 // plan may be older than the replica, so each is looked at again. A placement that
 // takes the room of others goes together with their marks: the leader's next
 // answer stops the ones and starts the other, instead of a round of commits and
-// reports for each. Call with the lock held.
+// reports for each.
 //
 // What has to leave for a placement that alone is more than a transaction takes is
 // given in apart.
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -85,7 +85,7 @@
 }
 
 // plan places what can be placed, picks what to stop for what can't, and tells
-// what then still lacks room. Call with the lock held.
+// what then still lacks room.
 func (sch *schedulerState) plan(now time.Time) *plan {
 	began := time.Now()
 	defer func() { sch.planningTime += time.Since(began) }()
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -75,8 +75,7 @@
 	return o.selected, o.cost
 }
 
-// newPreemption begins the search for tasks to stop within one plan. Call with the lock
-// held, as all of its methods.
+// newPreemption begins the search for tasks to stop within one plan.
 func (sch *schedulerState) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
 	p := &preemption{scheduler: sch, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*placedTask]bool{},
 		victimsByKind: map[preemptorKind]*victimHosts{}, victimsOnHost: map[*sched.Host][]*victimHost{}}
@@ -263,7 +262,7 @@
 }
 
 // lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
-// went with its zone and has not started again. Call with the lock held.
+// went with its zone and has not started again.
 func (sch *schedulerState) lostWork(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
 	s := sch.agents.byHost[host]
 	if s == nil || s.Heartbeat == nil || !sch.zones.isHeldBack(host, pl, j, now) {
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -23,7 +23,7 @@
 	weight          float64
 }
 
-// policyVariables tells expressions of a job. Call with the lock held.
+// policyVariables tells expressions of a job.
 func (sch *schedulerState) policyVariables(j *liveJob, priority int, guarantee bool, now time.Time) config.JobVariables {
 	r := &j.record.Spec
 	w := config.JobVariables{
@@ -60,8 +60,7 @@
 		-sched.CompareBool(a.released, b.released), compareSlack(a.variables, b.variables), compareAge(a.job, b.job))
 }
 
-// queue lists the living jobs in the order in which they are served. Call with the lock
-// held.
+// queue lists the living jobs in the order in which they are served.
 func (sch *schedulerState) queue(now time.Time) []*queueEntry {
 	var q []*queueEntry
 	byTeam := map[string][]*liveJob{}
@@ -117,8 +116,7 @@
 // starving reports whether a job has not begun although its own aim, or half of
 // what PROTOCOL grants the largest jobs, has passed. Such a job goes first within
 // its weight: what is late otherwise goes last, and under a stream of small jobs
-// that can still be in time a large one would never begin. Call with the lock
-// held.
+// that can still be in time a large one would never begin.
 func (sch *schedulerState) starving(j *liveJob, age float64) bool {
 	if age < min(sch.estimates.deadlineSeconds(&j.record.Spec), (maxStartDelay/2).Seconds()) || len(j.record.FinishedRanges) > 0 {
 		return false
@@ -145,7 +143,7 @@
 
 // pendingTasks returns the job's tasks that are neither done nor placed, at most mostPending.
 // Plans ask for those of all jobs, so they are kept until the job changes. Who
-// changes the list copies it. Call with the lock held.
+// changes the list copies it.
 func (j *liveJob) pendingTasks() []taskIndex {
 	most := maxPendingTasks
 	if j.pending != nil {
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -40,8 +40,7 @@
 	commands      []api.Command
 }
 
-// commandsFor returns the commands for a worker that has just reported. Call with the lock
-// held.
+// commandsFor returns the commands for a worker that has just reported.
 func (rec *heartbeatReconciler) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
 	if !rec.leadership.mayAct(now) {
 		return rec.agents.stopCancelledTasks(r.Host)
@@ -64,7 +63,7 @@
 
 // stopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine: what
 // is committed may have changed where this node can't see it, but a cancelled job stays
-// cancelled, and its tasks have to go in time. Call with the lock held.
+// cancelled, and its tasks have to go in time.
 func (reg *agentRegistry) stopCancelledTasks(host string) []api.Command {
 	commands := []api.Command{}
 	for _, pl := range reg.cache.placements[host] {
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -26,6 +26,7 @@
 	typesReadAt, listReadAt time.Time
 	listing                 cloud.Listing                       // the list, as far as it has been read
 	unanswered              map[sched.Offer]cloud.RentalRequest // rentals without an answer, repeated under their names
+	requests                int                                 // names given to rental requests so far
 	unknownSince            map[string]time.Time                // listed machines without a record, since when
 }
 
@@ -35,17 +36,17 @@
 	if r.typesReadAt.IsZero() || now.Sub(r.typesReadAt) > c.node.settings.WorkerLease()*2 {
 		if f, err := c.cloud.MachineTypes(ctx); err == nil {
 			r.typesReadAt = now
-			c.mu.Lock()
-			c.state.catalog.machineTypes = f
-			c.mu.Unlock()
+			state := c.guard.Lock()
+			state.catalog.machineTypes = f
+			c.guard.Unlock()
 			c.wake.notify()
 		} else {
 			c.node.log.Debug("machine types not read", "err", err)
 		}
 	}
-	c.mu.Lock()
-	headroom := c.state.autoscaler.dueHeadroom(now)
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	headroom := state.autoscaler.dueHeadroom(now)
+	c.guard.Unlock()
 	for range 6 { // a refusal is followed at once by the next best offer
 		if !c.scaleOut(ctx, r.unanswered, headroom) {
 			break
@@ -72,14 +73,13 @@
 	}
 	if complete {
 		r.listReadAt = now
-		c.mu.Lock()
-		c.state.agents.noteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		state.agents.noteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
+		c.guard.Unlock()
 	}
 }
 
-// availableOffers lists what can be rented, less what was refused lately. Call with the
-// lock held.
+// availableOffers lists what can be rented, less what was refused lately.
 func (c *machineCatalog) availableOffers(now time.Time) []sched.Offer {
 	var out []sched.Offer
 	for _, f := range c.machineTypes {
@@ -108,7 +108,7 @@
 func offerKey(o sched.Offer) string { return fmt.Sprintf("%s/%s/%t", o.MachineType, o.Zone, o.Spot) }
 
 // provisioningHosts lists the machines that have not come up yet: those rented for this
-// node's shards, or all. Call with the lock held.
+// node's shards, or all.
 func (mr *machineRoom) provisioningHosts(now time.Time, all bool) []*sched.Host {
 	var out []*sched.Host
 	for host, m := range mr.cache.machines {
@@ -159,7 +159,7 @@
 }
 
 // rentalOrders returns what to rent for what lacks room after the machines that are coming,
-// and for the headroom that is wanted. Call with the lock held.
+// and for the headroom that is wanted.
 func (as *autoscalerState) rentalOrders(now time.Time, headroom []headroomRequest) []sched.RentalOrder {
 	if len(headroom) == 0 && !as.scheduler.hasPendingTasks() {
 		return nil
@@ -189,10 +189,10 @@
 // another may do.
 func (c *Controller) scaleOut(ctx context.Context, inDoubt map[sched.Offer]cloud.RentalRequest, headroom []headroomRequest) (again bool) {
 	now := c.node.now()
-	c.mu.Lock()
-	orders := c.state.autoscaler.rentalOrders(now, headroom)
-	home, term := c.state.autoscaler.rentingShard()
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	orders := state.autoscaler.rentalOrders(now, headroom)
+	home, term := state.autoscaler.rentingShard()
+	c.guard.Unlock()
 	if home == "" || len(orders) == 0 {
 		return false
 	}
@@ -223,16 +223,16 @@
 	for wanted, calls := o.Count, 0; wanted > 0 && calls < config.CloudCallsPerRound && !refused; calls++ {
 		r, unanswered := inDoubt[o.Offer]
 		if !unanswered {
-			c.state.autoscaler.rentalRequests++
+			c.rentals.requests++
 			// Part, term and count: no other node or life ever uses this name.
-			name := fmt.Sprintf("%s-%d-%d", by.shard, by.term, c.state.autoscaler.rentalRequests)
+			name := fmt.Sprintf("%s-%d-%d", by.shard, by.term, c.rentals.requests)
 			r = cloud.RentalRequest{Name: name, MachineType: o.Offer.MachineType, Zone: o.Offer.Zone, Spot: o.Offer.Spot}
 			r.Count = min(wanted, cloud.MaxRental)
 		}
 		hosts, err := c.cloud.Rent(ctx, r)
-		c.mu.Lock()
-		refused = c.state.autoscaler.noteRental(r, hosts, err, by.shard, by.at)
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		refused = state.autoscaler.noteRental(r, hosts, err, by.shard, by.at)
+		c.guard.Unlock()
 		delete(inDoubt, o.Offer)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			inDoubt[o.Offer] = r // repeated under its name
@@ -244,7 +244,7 @@
 }
 
 // rentingShard returns the shard that machines are rented for, this node's home if it owns it,
-// and its term; "" if it owns none. Call with the lock held.
+// and its term; "" if it owns none.
 func (as *autoscalerState) rentingShard() (name string, term uint64) {
 	for _, x := range as.node.shards {
 		if o := as.leadership.of(x); o != nil && (name == "" || x == as.node.settings.HostName) {
@@ -255,7 +255,7 @@
 }
 
 // noteRental takes in the cloud's answer to a rental, and reports whether it gave less than was
-// asked for. Call with the lock held.
+// asked for.
 func (as *autoscalerState) noteRental(r cloud.RentalRequest, hosts []string, err error, home string, now time.Time) (refused bool) {
 	key := offerKey(sched.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot})
 	switch {
@@ -282,8 +282,7 @@
 }
 
 // backOff keeps an offer from being asked for again at once, ever longer: what
-// was refused seldom comes back sooner than a machine would boot. Call with the
-// lock held.
+// was refused seldom comes back sooner than a machine would boot.
 func (c *machineCatalog) backOff(key, machineType string, now time.Time) {
 	_, f := c.machineCapacity(machineType)
 	startup := c.node.settings.WorkerLease()
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		return jsonResponse(400, map[string]string{"error": err.Error()})
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state.reconciler.answerHeartbeat(r, c.node.now())
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return state.reconciler.answerHeartbeat(r, c.node.now())
 }
 
-// answerHeartbeat answers a heartbeat that was read. Call with the lock held.
+// answerHeartbeat answers a heartbeat that was read.
 func (rec *heartbeatReconciler) answerHeartbeat(r *api.Heartbeat, now time.Time) transport.Response {
 	if !rec.cache.loaded {
 		return responseBusy
@@ -68,8 +68,7 @@
 }
 
 // redirect answers a worker whose shard this node may not answer for. It does so at once: a
-// 200 that the worker has to drop would hold it here while its lease runs out. Call with
-// the lock held.
+// 200 that the worker has to drop would hold it here while its lease runs out.
 func (l *leadershipTable) redirect(shard string) transport.Response {
 	if led := l.byShard[shard]; led != nil && led.successor != "" && led.successor != l.node.settings.HostName {
 		return jsonResponse(421, map[string]string{"steward": led.successor})
@@ -82,8 +81,7 @@
 
 // mayIntroduceTerm reports whether a worker that has not heard of this node's term yet is to be
 // told of it. One that was answered and reports as before does not hear: our answers renew
-// no lease there, and to count them would keep its tasks waiting for ever. Call with the
-// lock held.
+// no lease there, and to count them would keep its tasks waiting for ever.
 func (reg *agentRegistry) mayIntroduceTerm(s *shard.Agent, now time.Time) bool {
 	if s.UnheardAnswers >= maxUnheardAnswers {
 		if s.IsLeaseExpired(now, reg.node.settings.WorkerLeaseBound()) {
@@ -112,7 +110,7 @@
 // zone. One whose record was dropped is gone, and names are never used again:
 // what a cut held back, or a list that lags, must not bring it back as a ghost
 // that counts as coming room. Only machines that the cloud lists come here, which bounds
-// how many there are. Call with the lock held.
+// how many there are.
 func (reg *agentRegistry) noteUnregistered(host string, m shard.Machine) {
 	if reg.cache.terminated[host] {
 		return
@@ -125,8 +123,7 @@
 }
 
 // interruptionIsDue reports whether the cloud takes the machine away so soon that the task
-// has to leave now; until then it runs on, for it may complete. Call with the
-// lock held.
+// has to leave now; until then it runs on, for it may complete.
 func (reg *agentRegistry) interruptionIsDue(s *shard.Agent, j *liveJob) bool {
 	if s.Heartbeat == nil || s.Heartbeat.SpotNoticeS == nil {
 		return false
@@ -138,8 +135,7 @@
 	return *s.Heartbeat.SpotNoticeS <= need
 }
 
-// noteTaskEnd notes what a task's end says of the machine and of its job. Call with
-// the lock held.
+// noteTaskEnd notes what a task's end says of the machine and of its job.
 func (reg *agentRegistry) noteTaskEnd(host string, s *shard.Agent, j *liveJob, _ *placedTask, l *api.TaskState) {
 	uid := j.record.Spec.UID
 	if !api.KnownCause(l.Cause) {
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -410,4 +410,4 @@
 }
 
 // testState returns the state of a controller that nothing else uses at the time.
-func (c *Controller) testState() *controllerState { return c.state }
+func (c *Controller) testState() *controllerState { return c.guard.state }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -194,7 +194,6 @@
 	scheduler  *schedulerState
 	wake       signal
 
-	rentalRequests     int
 	sufficientHeadroom sufficientHeadroom
 	scaleInCheckedAt   time.Time // when machines were last looked over for scale-in
 	migratedAt         time.Time // when replicas were last migrated to save a machine
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -29,16 +29,16 @@
 		}
 		return refusal
 	}
-	c.mu.Lock()
-	undecided := len(c.state.catalog.machineTypes) == 0
-	_, live := c.state.cache.jobs[r.UID]
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	undecided := len(state.catalog.machineTypes) == 0
+	_, live := state.cache.jobs[r.UID]
+	c.guard.Unlock()
 	if undecided {
 		return c.stateOrRefusal(ctx, r.UID, responseBusy)
 	}
-	c.mu.Lock()
-	why := c.rejectionReason(r)
-	c.mu.Unlock()
+	state = c.guard.Lock()
+	why := state.catalog.rejectionReason(r)
+	c.guard.Unlock()
 	if why != "" {
 		return c.stateOrRefusal(ctx, r.UID, jsonResponse(422, map[string]string{"error": why}))
 	}
@@ -54,12 +54,12 @@
 	}
 	m := &job.Record{Spec: *r, Shard: c.node.settings.HostName, AcceptedMS: c.node.now().UnixMilli()}
 	size := len(api.JSON(m))
-	if size > c.state.schema.maxValueBytes() { // room for what is added later
+	if size > state.schema.maxValueBytes() { // room for what is added later
 		return c.stateOrRefusal(ctx, r.UID, jsonResponse(400, map[string]string{"error": "submission too long"}))
 	}
-	c.mu.Lock()
-	dense := c.state.schema.upgraded()
-	c.mu.Unlock()
+	state = c.guard.Lock()
+	dense := state.schema.upgraded()
+	c.guard.Unlock()
 	m.ChooseLayout(c.node.settings.LowestLimits().ValueKB, size, dense)
 	return c.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
 }
@@ -92,41 +92,9 @@
 // acceptsKind reports whether a job of that shape can be kept safely: a controller of the
 // version before would place an gang task by task.
 func (c *Controller) acceptsKind(shape string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return shape != api.Gang || c.state.schema.upgraded()
-}
-
-// rejectionReason returns why a job can never run, "" if it can.
-func (c *Controller) rejectionReason(r *api.Job) string {
-	team, ok := c.node.settings.Team(r.Team)
-	if !ok {
-		return "unknown team"
-	}
-	k := 1.0
-	if r.Kind != api.Array {
-		k = float64(r.Tasks)
-	}
-	if team.CPUsMax > 0 && r.CPUs*k > team.CPUsMax+1e-6 || team.GPUsMax > 0 && r.GPUs*k > team.GPUsMax+1e-6 {
-		return "more than the team's limit"
-	}
-	ask := taskRequestOf(r)
-	zones := map[string]bool{}
-	for _, f := range c.state.catalog.machineTypes {
-		cp := sched.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemGB: f.MemGB}
-		for _, s := range f.Zones {
-			if cp.Fits(ask.Need) && ask.Allows(f.Name, s, false) {
-				zones[s] = true
-			}
-		}
-	}
-	switch {
-	case len(zones) == 0:
-		return "fits no allowed machine type"
-	case r.Spread && r.Tasks > 1 && (len(zones) == 1 || r.Together):
-		return "can't be scattered"
-	}
-	return ""
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return shape != api.Gang || state.schema.upgraded()
 }
 
 func taskRequestOf(r *api.Job) sched.TaskRequest {
--- a/internal/controller/tending.go
+++ b/internal/controller/tending.go
@@ -14,18 +14,18 @@
 // back to their home controllers.
 func (c *Controller) maintainLeaderships(ctx context.Context) {
 	now := c.node.now()
-	c.mu.Lock()
-	if !c.state.cache.loaded {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if !state.cache.loaded {
+		c.guard.Unlock()
 		return
 	}
-	c.state.agents.dropLostLeaderships()
-	sharers, sharersChanged := c.state.leadership.updateRateSharing(now)
-	unreachable, probes := c.state.agents.checkWorkerContact(now)
-	registration := c.state.leadership.registration()
-	c.state.leadership.notePeersReachable(now)
-	tending := c.state.leadership.planChanges(now, unreachable)
-	c.mu.Unlock()
+	state.agents.dropLostLeaderships()
+	sharers, sharersChanged := state.leadership.updateRateSharing(now)
+	unreachable, probes := state.agents.checkWorkerContact(now)
+	registration := state.leadership.registration()
+	state.leadership.notePeersReachable(now)
+	tending := state.leadership.planChanges(now, unreachable)
+	c.guard.Unlock()
 	if sharersChanged {
 		c.store.SetControllers(sharers)
 	}
@@ -43,8 +43,7 @@
 	}
 }
 
-// dropLostLeaderships forgets the shards that the replica shows as somebody else's. Call with the
-// lock held.
+// dropLostLeaderships forgets the shards that the replica shows as somebody else's.
 func (reg *agentRegistry) dropLostLeaderships() {
 	for p, o := range reg.leadership.byShard {
 		v, ok := reg.cache.leaders[p]
@@ -57,7 +56,7 @@
 }
 
 // registration returns the transaction that has this node's record tell what is so now; nil
-// if it does. Call with the lock held.
+// if it does.
 func (l *leadershipTable) registration() *transaction {
 	me := l.node.settings.HostName
 	n, self := l.cache.nodes[me].record, l.nodeRecord()
@@ -76,8 +75,7 @@
 	return t
 }
 
-// notePeersReachable notes since when each node lives and is reached by workers. Call with the
-// lock held.
+// notePeersReachable notes since when each node lives and is reached by workers.
 func (l *leadershipTable) notePeersReachable(now time.Time) {
 	for _, x := range l.node.shards {
 		if !l.workersReach(x) {
@@ -94,8 +92,7 @@
 	leaderVersions   map[string]uint64 // versions of the leaders' keys that this rests on
 }
 
-// planChanges returns which shards this node takes now and which it hands to others. Call with
-// the lock held.
+// planChanges returns which shards this node takes now and which it hands to others.
 func (l *leadershipTable) planChanges(now time.Time, unreachable bool) leadershipChanges {
 	x := leadershipChanges{leaderVersions: map[string]uint64{}}
 	for _, p := range l.node.shards {
@@ -120,8 +117,7 @@
 	return x
 }
 
-// mustReacquire reports whether this node takes a shard anew that has a leader. Call with the lock
-// held.
+// mustReacquire reports whether this node takes a shard anew that has a leader.
 func (l *leadershipTable) mustReacquire(p string, owner *shard.LeaderRecord, unreachable bool) bool {
 	o := l.byShard[p]
 	if owner.Node == l.node.settings.HostName && (owner.Incarnation != l.node.incarnation || o == nil) && !unreachable {
@@ -134,7 +130,7 @@
 
 // mustRelease reports whether this node hands a shard to others: all if no worker reaches it, one
 // whose release is in doubt again until it shows, and a peer's own when that peer has been
-// up for a while. Call with the lock held.
+// up for a while.
 func (l *leadershipTable) mustRelease(p string, now time.Time, unreachable bool) bool {
 	o := l.byShard[p]
 	switch {
@@ -152,8 +148,7 @@
 // updateRateSharing divides the state service's rates among the controllers that live: one
 // that is left alone has all of them. One that is not there counts until it has been
 // away for a lease's time: at the start, and when all come back, none has registered
-// yet, and to take all for oneself would have the others refused. Call with the lock
-// held.
+// yet, and to take all for oneself would have the others refused.
 func (l *leadershipTable) updateRateSharing(now time.Time) (sharers int, changed bool) {
 	n := 0
 	for _, x := range l.node.shards {
@@ -176,7 +171,7 @@
 
 // takeoverDelay is how long this node waits before it takes a shard without a leader: the
 // home controller goes first, then the others that live, in a ring order that
-// spreads several shards over several nodes. Call with the lock held.
+// spreads several shards over several nodes.
 func (l *leadershipTable) takeoverDelay(p string) time.Duration {
 	if p == l.node.settings.HostName {
 		return 0
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -70,19 +70,19 @@
 const userRequestTimeout = 1800 * time.Millisecond
 
 func (c *Controller) health() transport.Response {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
 	// A node that has just started is not ready before it has read what lives.
 	// One that can't reach the state service stays in: a peer may serve for it,
 	// and in an outage of all, nodes taken out would stay out for long after it,
 	// since the balancer's pauses double.
-	if !c.state.cache.loaded && c.state.reachability.storeReachable {
+	if !state.cache.loaded && state.reachability.storeReachable {
 		return responseBusy
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !c.state.reachability.storeReachable && c.node.now().Sub(c.state.reachability.since) > c.node.settings.ControllerLeaseTTL()/2 && c.state.reachability.peersAsked &&
-		len(c.state.reachability.peers) == 0 {
+	if !state.reachability.storeReachable && c.node.now().Sub(state.reachability.since) > c.node.settings.ControllerLeaseTTL()/2 && state.reachability.peersAsked &&
+		len(state.reachability.peers) == 0 {
 		return responseBusy
 	}
 	return jsonResponse(200, map[string]string{"node": c.node.settings.HostName})
@@ -92,22 +92,22 @@
 // The replica is brought up to now first, so no other node can have told the
 // user something newer before the question was asked.
 func (c *Controller) jobState(ctx context.Context, uid string) (api.State, bool, error) {
-	c.mu.Lock()
-	p, over := c.state.finalStates.byJob[uid]
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	p, over := state.finalStates.byJob[uid]
+	c.guard.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 	}
 	if err := c.awaitReadBarrier(ctx); err != nil {
 		return api.State{}, false, err
 	}
-	c.mu.Lock()
-	if j := c.state.cache.jobs[uid]; j != nil {
+	state = c.guard.Lock()
+	if j := state.cache.jobs[uid]; j != nil {
 		s := j.userState(c.node.settings.ConfirmsCancelWhenEmpty())
-		c.mu.Unlock()
+		c.guard.Unlock()
 		return s, true, nil
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	it, found, err := c.store.Get(ctx, finalStatePrefix+uid, store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
@@ -115,9 +115,9 @@
 	if err := unmarshal(it.Value, &p); err != nil {
 		return api.State{}, false, err
 	}
-	c.mu.Lock()
-	c.state.finalStates.remember(uid, p)
-	c.mu.Unlock()
+	state = c.guard.Lock()
+	state.finalStates.remember(uid, p)
+	c.guard.Unlock()
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
 
@@ -151,10 +151,10 @@
 		case s.Phase == api.Done || s.Phase == api.Cancelled:
 			return jsonResponse(200, map[string]string{"uid": uid, "phase": s.Phase})
 		}
-		c.mu.Lock()
-		j := c.state.cache.jobs[uid]
+		state := c.guard.Lock()
+		j := state.cache.jobs[uid]
 		if j == nil || j.record.Cancelled {
-			c.mu.Unlock()
+			c.guard.Unlock()
 			continue
 		}
 		t := newTransaction()
@@ -162,13 +162,13 @@
 		m := j.record.Copy()
 		m.Cancelled = true
 		t.put(jobPrefix+uid, m)
-		if len(t.writes[jobPrefix+uid]) > c.state.schema.maxRecordBytes() {
-			c.state.schema.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
-			c.mu.Unlock()
+		if len(t.writes[jobPrefix+uid]) > state.schema.maxRecordBytes() {
+			state.schema.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
+			c.guard.Unlock()
 			c.wake.notify()
 			return responseBusy
 		}
-		c.mu.Unlock()
+		c.guard.Unlock()
 		done, _, err := c.commit(ctx, "cancelled", t, store.PriorityDecision)
 		if err != nil {
 			return responseBusy
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -19,8 +19,7 @@
 // upgraded reports whether every configured controller, living or not, has shown that
 // it reads this version's forms. Each leaves a mark that outlives it, so that one
 // alone after the end of all still knows; one that shows itself without (somebody
-// went back to the version before) counts as not upgraded whatever its mark says. Call
-// with the lock held.
+// went back to the version before) counts as not upgraded whatever its mark says.
 func (s *schemaState) upgraded() bool {
 	for _, x := range s.node.shards {
 		m, n := s.cache.capabilities[x].record, s.cache.nodes[x].record
@@ -32,8 +31,7 @@
 }
 
 // isDowngraded reports whether a node is of the version before although all had been
-// upgraded: it would lose what it doesn't know, so nothing is handed to it. Call with
-// the lock held.
+// upgraded: it would lose what it doesn't know, so nothing is handed to it.
 func (s *schemaState) isDowngraded(node string) bool {
 	n := s.cache.nodes[node].record
 	if n == nil || n.SchemaVersion >= schemaVersion {
@@ -49,8 +47,7 @@
 
 // transactionLimits are those within which records and transactions are made: those that hold
 // whatever the state service's become. Records that the version before made larger
-// are kept at their size while it may still write them, and divided afterwards. Call
-// with the lock held.
+// are kept at their size while it may still write them, and divided afterwards.
 func (s *schemaState) transactionLimits() config.StateLimits {
 	l := s.node.settings.LowestLimits()
 	if s.acceptedTxnOps > 0 {
@@ -63,7 +60,7 @@
 // JSON that is sent.
 const valueSlackBytes = 32
 
-// maxRecordBytes is how large the record of a job may be made. Call with the lock held.
+// maxRecordBytes is how large the record of a job may be made.
 func (s *schemaState) maxRecordBytes() int {
 	l := s.node.settings.LowestLimits()
 	if !s.upgraded() && !s.limitsLowered {
@@ -73,7 +70,7 @@
 }
 
 // pageFor names the page of a machine to be written. The version before works the
-// name out from today's limit. Call with the lock held.
+// name out from today's limit.
 func (s *schemaState) pageFor(host string) string {
 	const bytes = 160 // of one machine at most
 	l := s.node.settings.Facts.State.StateLimits
@@ -88,7 +85,7 @@
 
 // openPage returns a copy of a machine's page to be changed and makes the write conditional on what it rests
 // on. A fine page that is new takes over what a coarser one has of its machines: from
-// then on it alone counts for them. Call with the lock held.
+// then on it alone counts for them.
 func (s *schemaState) openPage(t *transaction, host string) (string, shard.Page) {
 	id := s.pageFor(host)
 	t.require(machinePagePrefix+id, s.cache.pages[id].version)
@@ -112,7 +109,7 @@
 }
 
 // closePage writes a page, or drops an empty one, unless a coarser one would speak
-// for its machines again. Call with the lock held.
+// for its machines again.
 func (s *schemaState) closePage(t *transaction, id string, page shard.Page) {
 	if len(page) == 0 {
 		hides := false
@@ -135,7 +132,7 @@
 
 // deleteObsoletePage adds to a transaction the drop of a page that says nothing more: a coarse
 // one all of whose machines finer pages speak for, or an empty one that hid one. It
-// tells whether there was one. Call with the lock held.
+// tells whether there was one.
 func (s *schemaState) deleteObsoletePage(t *transaction) bool {
 	for id, p := range s.cache.pages {
 		over := true
@@ -164,20 +161,20 @@
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.state.schema.limitsLowered {
-		c.state.schema.limitsLowered = true
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	if !state.schema.limitsLowered {
+		state.schema.limitsLowered = true
 		c.store.LowerLimits()
 		c.node.log.Info("state service limits lowered")
 		return true
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
 	// longest step needs, and the jobs in it are divided.
-	c.state.schema.acceptedTxnOps = max(len(t.Ops)-1, 4)
+	state.schema.acceptedTxnOps = max(len(t.Ops)-1, 4)
 	for _, op := range t.Ops {
-		if uid, ok := strings.CutPrefix(op.Write, jobPrefix); ok && c.state.cache.jobs[uid] != nil {
-			c.state.schema.splitRequests[uid] = c.state.cache.jobs[uid].record.Generation + 1
+		if uid, ok := strings.CutPrefix(op.Write, jobPrefix); ok && state.cache.jobs[uid] != nil {
+			state.schema.splitRequests[uid] = state.cache.jobs[uid].record.Generation + 1
 		}
 	}
 	c.node.log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,9 +12,9 @@
 func (c *Controller) watchLoop(ctx context.Context) {
 	pause := c.node.settings.DecisionInterval()
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		loaded, since := c.state.cache.loaded, c.state.cache.revision
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		loaded, since := state.cache.loaded, state.cache.revision
+		c.guard.Unlock()
 		if !loaded {
 			if err := c.loadReplica(ctx); err != nil {
 				c.node.log.Debug("replica not loaded", "err", err)
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	c.state.cache.changesReadAt = sent
-	c.state.cache.reload(items, revision)
-	c.state.cache.loaded = true
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	state.cache.changesReadAt = sent
+	state.cache.reload(items, revision)
+	state.cache.loaded = true
+	c.guard.Unlock()
 	c.node.log.Info("replica loaded", "keys", len(items), "revision", revision)
 	c.wake.notify()
 	c.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
@@ -55,31 +55,31 @@
 	sent := c.node.now()
 	log, revision, err := c.store.Changes(ctx, livePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
-		c.mu.Lock()
-		c.state.cache.loaded = false
-		c.mu.Unlock()
+		state := c.guard.Lock()
+		state.cache.loaded = false
+		c.guard.Unlock()
 		return err
 	}
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
+	state := c.guard.Lock()
 	for _, e := range log {
 		if e.Drop != "" {
-			c.state.cache.apply(e.Drop, nil, e.Version)
+			state.cache.apply(e.Drop, nil, e.Version)
 		} else {
-			c.state.cache.apply(e.Write, e.Value, e.Version)
+			state.cache.apply(e.Write, e.Value, e.Version)
 		}
 	}
-	c.state.cache.advance(revision)
-	if sent.After(c.state.cache.changesReadAt) {
-		c.state.cache.changesReadAt = sent
+	state.cache.advance(revision)
+	if sent.After(state.cache.changesReadAt) {
+		state.cache.changesReadAt = sent
 	}
 	orphan := false
 	for _, p := range c.node.shards {
-		orphan = orphan || c.state.cache.leaders[p].record == nil
+		orphan = orphan || state.cache.leaders[p].record == nil
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if len(log) > 0 {
 		c.wake.notify()
 	}
@@ -100,9 +100,9 @@
 // readNewest brings the replica up to now for a decision, which need not share its
 // read with users.
 func (c *Controller) readNewest(ctx context.Context) error {
-	c.mu.Lock()
-	loaded, since := c.state.cache.loaded, c.state.cache.revision
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	loaded, since := state.cache.loaded, state.cache.revision
+	c.guard.Unlock()
 	if !loaded {
 		return store.ErrRefused
 	}
@@ -156,9 +156,9 @@
 	c.readBarrier.next = nil
 	c.readBarrier.last = c.node.now()
 	c.readBarrier.Unlock()
-	c.mu.Lock()
-	loaded, since := c.state.cache.loaded, c.state.cache.revision
-	c.mu.Unlock()
+	state := c.guard.Lock()
+	loaded, since := state.cache.loaded, state.cache.revision
+	c.guard.Unlock()
 	b.err = store.ErrRefused
 	if loaded {
 		b.err = c.applyChanges(ctx, since, 0)
@@ -182,8 +182,8 @@
 func (c *Controller) commit(ctx context.Context, what string, t *transaction, r store.Priority) (done bool, failed []string, err error) {
 	w := t.request()
 	revision, ok, failed, err := c.store.Multi(ctx, w, r)
-	c.mu.Lock()
-	n := c.state.stats.commits[what]
+	state := c.guard.Lock()
+	n := state.stats.commits[what]
 	n.writes += len(w.Ops)
 	n.transactions++
 	if err != nil {
@@ -193,12 +193,12 @@
 		n.conflictedWrites += len(w.Ops)
 		c.node.log.Debug("transaction conflict", "for", what, "keys", failed)
 	}
-	c.state.stats.commits[what] = n
-	c.mu.Unlock()
+	state.stats.commits[what] = n
+	c.guard.Unlock()
 	if err == nil && ok {
-		c.mu.Lock()
-		c.state.cache.applyCommitted(t, revision)
-		c.mu.Unlock()
+		state = c.guard.Lock()
+		state.cache.applyCommitted(t, revision)
+		c.guard.Unlock()
 		return true, nil, nil
 	}
 	if err != nil {
--- a/internal/controller/zonegate.go
+++ b/internal/controller/zonegate.go
@@ -37,12 +37,12 @@
 	return g.admission.Copy()
 }
 
-// admissionOf returns the gate of a job; nil if nothing restricts it. Call with the lock held.
+// admissionOf returns the gate of a job; nil if nothing restricts it.
 func (zs *zoneState) admissionOf(j *liveJob, admission *recovery.Admission) *jobAdmission {
 	return zs.admissionOfSpec(&j.record.Spec, admission)
 }
 
-// admissionOfSpec is the same for a job that is only described. Call with the lock held.
+// admissionOfSpec is the same for a job that is only described.
 func (zs *zoneState) admissionOfSpec(spec *api.Job, admission *recovery.Admission) *jobAdmission {
 	if admission == nil {
 		return nil
@@ -62,7 +62,7 @@
 
 // admission returns what work below production may take of zones that are down or recovering;
 // nil if none is, or the feature is off. It follows from what all controllers replicate, so
-// that all of them, whoever owns the machines, act alike. Call with the lock held.
+// that all of them, whoever owns the machines, act alike.
 func (zs *zoneState) admission(now time.Time) *recovery.Admission {
 	if len(zs.cache.zones) == 0 || !zs.schema.featureEnabled(features.ZoneRecoveryName) {
 		return nil
@@ -90,7 +90,7 @@
 }
 
 // waitingProduction returns the production tasks that wait for lost machines of a zone: of own shards
-// as last seen, of peers' as they told. Call with the lock held.
+// as last seen, of peers' as they told.
 func (zs *zoneState) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
 	var needs []zonehealth.Demand
 	own := zs.view.observations[zone]
@@ -108,7 +108,7 @@
 }
 
 // countAdmitted counts what work below production has taken of zones since they came back.
-// What was placed before and went on is not counted. Call with the lock held.
+// What was placed before and went on is not counted.
 func (zs *zoneState) countAdmitted(zones map[string]*recovery.Zone) {
 	types := zs.catalog.machineSizes()
 	for host, on := range zs.cache.placements {
@@ -133,7 +133,7 @@
 // isHeldBack reports whether a task below production that its machine no longer has, and that
 // went when its zone went down, does not start again in place yet. All at once they would
 // fill the zone ahead of production work whose machines have not returned. A gang is one
-// whole: it ends and starts anew by its own rules. Call with the lock held.
+// whole: it ends and starts anew by its own rules.
 func (zs *zoneState) isHeldBack(host string, pl *placedTask, j *liveJob, now time.Time) bool {
 	m := zs.cache.machines[host]
 	if len(zs.cache.zones) == 0 || m == nil || isGang(j) {
@@ -147,7 +147,7 @@
 // admittedMachines tells on which machines of returning zones tasks start again in place: as large
 // a share of those that are up as the slow start has come to, less what the production work
 // that waits there needs. They open in the order of their names, so that another leader has
-// the same. Call with the lock held.
+// the same.
 func (zs *zoneState) admittedMachines(up map[string][]string, now time.Time) map[string]bool {
 	open := map[string]bool{}
 	types := zs.catalog.machineSizes()
@@ -172,7 +172,7 @@
 }
 
 // restrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
-// feature is off. It ends also if nobody can write that it does. Call with the lock held.
+// feature is off. It ends also if nobody can write that it does.
 func (zs *zoneState) restrictedZone(zone string, now time.Time) *zonehealth.Record {
 	r := zs.cache.zones[url.PathEscape(zone)].record
 	if r == nil || !r.Restricts() || !zs.schema.featureEnabled(features.ZoneRecoveryName) {
@@ -189,7 +189,7 @@
 	return j.record.AcceptedMS + pl.placement.PlacedS*1000
 }
 
-// protectedSizes returns the sizes of production tasks. Call with the lock held.
+// protectedSizes returns the sizes of production tasks.
 func (zs *zoneState) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
 	var out []sched.Resources
 	note := func(size sched.Resources) {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -13,7 +13,6 @@
 }
 
 // zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
-// Call with the lock held.
 func (sch *schedulerState) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
 	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: sch.zones.admissionOf(j, admission)}
 	if isGang(j) && j.countPlaced() == 0 {
--- a/internal/controller/zonewatch.go
+++ b/internal/controller/zonewatch.go
@@ -27,7 +27,7 @@
 
 // featureEnabled reports whether a feature is on: here, and at every configured controller, living
 // or not, as its mark says. One that shows itself without it, because it was started without
-// or is of a version that doesn't know it, has it off everywhere. Call with the lock held.
+// or is of a version that doesn't know it, has it off everywhere.
 func (s *schemaState) featureEnabled(name string) bool {
 	if !slices.Contains(s.node.features.Names(), name) {
 		return false
@@ -61,28 +61,28 @@
 // node's leadership of a shard: one that wakes late, or was replaced, is refused.
 func (c *Controller) updateZones(ctx context.Context) bool {
 	now := c.node.now()
-	c.mu.Lock()
-	if now.Sub(c.state.zones.view.observedAt) < c.node.settings.HeartbeatInterval() || !c.state.schema.featureEnabled(features.ZoneRecoveryName) {
-		c.mu.Unlock()
+	state := c.guard.Lock()
+	if now.Sub(state.zones.view.observedAt) < c.node.settings.HeartbeatInterval() || !state.schema.featureEnabled(features.ZoneRecoveryName) {
+		c.guard.Unlock()
 		return false
 	}
-	observations, up := c.state.zones.observeZones(now)
-	c.state.zones.view = zoneView{observedAt: now, observations: observations}
-	c.state.zones.view.admittedMachines = c.state.zones.admittedMachines(up, now)
+	observations, up := state.zones.observeZones(now)
+	state.zones.view = zoneView{observedAt: now, observations: observations}
+	state.zones.view.admittedMachines = state.zones.admittedMachines(up, now)
 	t := newTransaction()
 	changed := map[string]zonehealth.Record{}
-	for _, zone := range slices.Sorted(maps.Keys(c.state.zones.view.observations)) {
-		if next, ok := c.state.zones.judgeZone(zone, now); ok && t.changes() < c.state.schema.transactionLimits().TxnOps {
+	for _, zone := range slices.Sorted(maps.Keys(state.zones.view.observations)) {
+		if next, ok := state.zones.judgeZone(zone, now); ok && t.changes() < state.schema.transactionLimits().TxnOps {
 			id := url.PathEscape(zone)
-			t.require(zonePrefix+id, c.state.cache.zones[id].version)
+			t.require(zonePrefix+id, state.cache.zones[id].version)
 			t.put(zonePrefix+id, next)
 			changed[zone] = next
 		}
 	}
-	for p := range c.state.leadership.byShard {
-		c.state.leadership.require(t, p)
+	for p := range state.leadership.byShard {
+		state.leadership.require(t, p)
 	}
-	c.mu.Unlock()
+	c.guard.Unlock()
 	if len(changed) == 0 {
 		return false
 	}
@@ -104,8 +104,7 @@
 	}
 }
 
-// judgeZone returns a zone's record as it is to be, and whether that is to be written. Call
-// with the lock held.
+// judgeZone returns a zone's record as it is to be, and whether that is to be written.
 func (zs *zoneState) judgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := zs.zoneLimits()
 	var was zonehealth.Record
@@ -131,8 +130,7 @@
 }
 
 // hasOutsideObserver reports whether this node can say that a zone is down, not itself cut off: it hears
-// workers now, and it or a peer at home in another zone hears some of another zone. Call with
-// the lock held.
+// workers now, and it or a peer at home in another zone hears some of another zone.
 func (zs *zoneState) hasOutsideObserver(zone string, now time.Time) bool {
 	if zs.leadership.contact.unreachable || now.Sub(zs.leadership.contact.lastHeard) > 2*zs.node.settings.HeartbeatInterval() {
 		return false
@@ -155,8 +153,7 @@
 	return false
 }
 
-// observeZones looks at the machines of own shards, by zone, and lists those that are up. Call
-// with the lock held.
+// observeZones looks at the machines of own shards, by zone, and lists those that are up.
 func (zs *zoneState) observeZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
 	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
 	for _, zone := range zs.node.settings.Facts.Zones {
@@ -212,7 +209,7 @@
 	machineLost
 )
 
-// observedState returns what a leader sees of a machine. Call with the lock held.
+// observedState returns what a leader sees of a machine.
 func (reg *agentRegistry) observedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) machineState {
 	patience := 2 * reg.node.settings.HeartbeatInterval() // who reports at all has done so
 	switch {
@@ -238,7 +235,7 @@
 	return machineLost
 }
 
-// addWaiting counts the production tasks of a machine that is not heard. Call with the lock held.
+// addWaiting counts the production tasks of a machine that is not heard.
 func (zs *zoneState) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
 	for _, pl := range zs.cache.placements[host] {
 		j := zs.cache.jobs[pl.uid]
@@ -259,8 +256,7 @@
 	}
 }
 
-// cloudRefuses reports whether the cloud refuses all that it could rent in a zone. Call with the
-// lock held.
+// cloudRefuses reports whether the cloud refuses all that it could rent in a zone.
 func (c *machineCatalog) cloudRefuses(zone string, now time.Time) bool {
 	offered := false
 	for _, o := range c.availableOffers(now) {
@@ -301,7 +297,7 @@
 	return name
 }
 
-// machineSizes returns the sizes of all machine types. Call with the lock held.
+// machineSizes returns the sizes of all machine types.
 func (c *machineCatalog) machineSizes() []sched.Resources {
 	out := make([]sched.Resources, 0, len(c.machineTypes))
 	for i := range c.machineTypes {
