--- a/internal/controller/confirmations.go
+++ b/internal/controller/confirmations.go
@@ -49,7 +49,7 @@
 	m.invalidateLoads(j.ranges)
 	for _, ch := range j.ranges {
 		for _, p := range ch.record.Placements {
-			m.onTasksChanged(p.Host)
+			m.observer.TasksChanged(p.Host)
 		}
 	}
 }
--- a/internal/controller/divide.go
+++ b/internal/controller/divide.go
@@ -139,7 +139,7 @@
 	key, version := j.rangeRecord(n)
 	length := j.record.RangeLen(n)
 	for s := 0; s*k < length; s++ {
-		rec := rangeGeneration{j.record.Generation + 1, n*each + s}
+		rec := rangeGeneration{generation: j.record.Generation + 1, index: n*each + s}
 		old := sp.cache.taskRanges[uid][rec]
 		if old.record != nil && old.version > max(version, j.version) {
 			continue // copied from what there is
--- a/internal/controller/edit.go
+++ b/internal/controller/edit.go
@@ -59,7 +59,7 @@
 
 // taskRange returns a copy of a task range to be changed.
 func (e *recordEditor) taskRange(j *liveJob, n int) *job.TaskRange {
-	id := rangeID{j.record.Spec.UID, n}
+	id := rangeID{uid: j.record.Spec.UID, index: n}
 	ch := e.ranges[id]
 	if ch == nil {
 		ch = j.ranges[n].record.Copy()
@@ -89,7 +89,7 @@
 // rangeCost is how many changes opening a task range adds.
 func (e *recordEditor) rangeCost(j *liveJob, n int) int {
 	uid := j.record.Spec.UID
-	if e.ranges[rangeID{uid, n}] != nil {
+	if e.ranges[rangeID{uid: uid, index: n}] != nil {
 		return 0
 	}
 	k := 0
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -122,7 +122,7 @@
 				reg.noteEnd(host, s, id, shard.EndedAttempt{Attempt: pl.placement.Attempt, EndedAt: now})
 			}
 			if r, ok := s.EndedAttempts[id]; ok && reg.cache.jobs[pl.uid] != nil {
-				k := rangeID{pl.uid, pl.rangeIndex}
+				k := rangeID{uid: pl.uid, index: pl.rangeIndex}
 				chunks[k] = append(chunks[k], endedTask{pl, r})
 			}
 		}
--- a/internal/controller/gangplacement.go
+++ b/internal/controller/gangplacement.go
@@ -204,7 +204,7 @@
 	out := &gangClaim{uid: x.job.entry.uid}
 	for i, h := range x.hosts {
 		t := x.job.tasks[i]
-		out.placements = append(out.placements, placement{x.job.entry.uid, t.rangeIndex, t.index, h, nil})
+		out.placements = append(out.placements, placementOf(x.job.entry.uid, t, h))
 	}
 	return out
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -175,7 +175,7 @@
 			t.Fatal("no machine of its own part")
 		}
 		c.guard.Lock()
-		tx, _, _ := c.testState().scheduler.gangTransaction(&gangClaim{id, []placement{{id, 0, 0, host, nil}}}, c.node.now())
+		tx, _, _ := c.testState().scheduler.gangTransaction(&gangClaim{uid: id, placements: []placement{{uid: id, host: host}}}, c.node.now())
 		c.guard.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
--- a/internal/controller/livejob.go
+++ b/internal/controller/livejob.go
@@ -24,7 +24,7 @@
 	if raw == nil {
 		if j != nil {
 			if !m.loading {
-				m.onJobEnded(uid, j.finalState())
+				m.observer.JobEnded(uid, j.finalState())
 			}
 			for n := range j.ranges {
 				m.setTaskRange(uid, j.ranges, n, cached[job.TaskRange]{version: version})
@@ -45,7 +45,7 @@
 		if v.Spec.Kind == api.Gang {
 			m.gangs[uid] = true
 		}
-		m.onJobAdded(v)
+		m.observer.JobAdded(v)
 	} else {
 		was = j.record
 	}
@@ -54,7 +54,7 @@
 		m.invalidateLoads(j.ranges)
 		for _, ch := range j.ranges {
 			for _, p := range ch.record.Placements {
-				m.onTasksChanged(p.Host)
+				m.observer.TasksChanged(p.Host)
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 			m.images[p.Host][j.record.Spec.Image] = true
 		}
 		if was := old.PlacementOf(i); was == nil || *was != *p {
-			m.onTasksChanged(p.Host)
+			m.observer.TasksChanged(p.Host)
 		}
 	}
 }
--- a/internal/controller/machineview.go
+++ b/internal/controller/machineview.go
@@ -187,6 +187,9 @@
 	at   time.Time
 }
 
+// rememberPlan keeps a plan for the next round of rentals.
+func (sch *schedulerState) rememberPlan(p *plan, at time.Time) { sch.lastPlan = lastPlan{p, at} }
+
 // reusePlan returns a plan that was made since the last round of rentals, or else makes
 // one: a plan is the dearest thing that a controller works out, and what a decision
 // found to lack room lacks it for rentals too. Each plan is given once, for who rents
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -332,14 +332,14 @@
 	out = []api.Command{}
 	listed := map[attemptID]string{}
 	for _, p := range s.Heartbeat.Tasks {
-		listed[attemptID{p.Task, p.Attempt}] = p.Phase
+		listed[attemptID{task: p.Task, attempt: p.Attempt}] = p.Phase
 	}
 	for _, pl := range reg.cache.placements[host] {
 		j := reg.cache.jobs[pl.uid]
 		if j == nil {
 			continue
 		}
-		a := attemptID{pl.taskName(j), pl.placement.Attempt}
+		a := attemptOf(pl, j)
 		phase, there := listed[a]
 		delete(listed, a)
 		switch {
@@ -405,3 +405,8 @@
 	task    string
 	attempt uint64
 }
+
+// attemptOf names the attempt of a placed task of a job.
+func attemptOf(pl *placedTask, j *liveJob) attemptID {
+	return attemptID{task: pl.taskName(j), attempt: pl.placement.Attempt}
+}
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -25,7 +25,7 @@
 	began := c.node.now()
 	if state.scheduler.hasPendingTasks() {
 		p := state.scheduler.plan(began)
-		state.scheduler.lastPlan = lastPlan{p, began}
+		state.scheduler.rememberPlan(p, began)
 		todo, gangs, marks = p.placements, p.gangs, p.stops
 	}
 	c.guard.Unlock()
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -21,6 +21,11 @@
 	victims []*placedTask // tasks that have to leave the machine for it
 }
 
+// placementOf puts a task of a job on a machine.
+func placementOf(uid string, t taskIndex, host *sched.Host) placement {
+	return placement{uid: uid, rangeIndex: t.rangeIndex, index: t.index, host: host}
+}
+
 // plan is what this node would do now, seen from one state of the replica.
 type plan struct {
 	placements    []placement
@@ -251,7 +256,7 @@
 	if l.request.PreferImage && !h.Images[l.request.Image] {
 		p.coldStarts = append(p.coldStarts, coldStart{l, len(p.plan.placements)})
 	}
-	p.plan.placements = append(p.plan.placements, placement{l.entry.uid, t.rangeIndex, t.index, h, nil})
+	p.plan.placements = append(p.plan.placements, placementOf(l.entry.uid, t, h))
 }
 
 // placeGang finds machines for all of a gang's tasks, or notes what it found.
@@ -373,7 +378,9 @@
 		if gang {
 			stops = append(stops, victims...)
 		} else {
-			p.swaps = append(p.swaps, placement{l.entry.uid, t.rangeIndex, t.index, h, victims})
+			swap := placementOf(l.entry.uid, t, h)
+			swap.victims = victims
+			p.swaps = append(p.swaps, swap)
 		}
 		p.assignOverVictims(l, t.rangeIndex, victims, h)
 		p.ranking.Add(h) // they may leave more than the task takes
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -68,7 +68,7 @@
 	commands := []api.Command{}
 	for _, pl := range reg.cache.placements[host] {
 		if j := reg.cache.jobs[pl.uid]; j != nil && j.isCancelled() {
-			commands = append(commands, reg.stopCommand(j, attemptID{pl.taskName(j), pl.placement.Attempt}))
+			commands = append(commands, reg.stopCommand(j, attemptOf(pl, j)))
 		}
 	}
 	return commands
@@ -81,13 +81,13 @@
 		if !api.KnownPhase(t.Phase) {
 			x.reconciler.node.log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
-		x.reported[attemptID{t.Task, t.Attempt}] = t
+		x.reported[attemptID{task: t.Task, attempt: t.Attempt}] = t
 	}
 }
 
 // reconcileTask compares one committed task with what was reported of it.
 func (x *reconciliation) reconcileTask(id string, pl *placedTask, j *liveJob) {
-	a := attemptID{pl.taskName(j), pl.placement.Attempt}
+	a := attemptOf(pl, j)
 	x.desired[a] = true
 	stop := j.mustStop(pl.placement)
 	if !isGang(j) { // a gang is stopped as a whole, or else goes on
@@ -103,7 +103,7 @@
 
 // reconcilePresent deals with a committed task that is on the machine.
 func (x *reconciliation) reconcilePresent(id string, pl *placedTask, j *liveJob, state *api.TaskState, stop bool) {
-	s, a := x.agent, attemptID{state.Task, state.Attempt}
+	s, a := x.agent, attemptID{task: state.Task, attempt: state.Attempt}
 	_, released := s.EndedAttempts[id]
 	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.attempt {
 		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
@@ -186,7 +186,7 @@
 		// place, which production may take, and starts there when its turn comes: to place
 		// a zone's arrays anew would take the changes that the readers' placements need.
 	case !s.IsLeaseExpired(x.now, x.reconciler.node.settings.WorkerLeaseBound()):
-		x.launches = append(x.launches, pendingLaunch{id, attemptID{pl.taskName(j), try}, resourcesOf(&j.record.Spec)})
+		x.launches = append(x.launches, pendingLaunch{id, attemptOf(pl, j), resourcesOf(&j.record.Spec)})
 	}
 }
 
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -76,9 +76,7 @@
 	loads                     map[string]*machineLoad           // host -> what is placed there, while nothing changes there
 	images                    map[string]map[string]bool        // host -> images that tasks were put there with
 	terminated                map[string]bool                   // machines that were forgotten: they are gone for good
-	onJobAdded                func(*job.Record)                 // hears of each job that appears
-	onJobEnded                func(string, job.FinalState)      // hears of each job that is over
-	onTasksChanged            func(host string)                 // hears of machines where tasks were placed, or are to leave
+	observer                  observer
 }
 
 // placedTask is one placement, found by its machine.
@@ -89,29 +87,47 @@
 	placement  *job.Placement
 }
 
+// observer hears of changes that others than the cache keep track of. It is called while a
+// change is taken in, with whatever guards the cache.
+type observer interface {
+	JobAdded(record *job.Record)               // a job has appeared
+	JobEnded(uid string, final job.FinalState) // a job is over
+	TasksChanged(host string)                  // tasks were placed on a machine, or are to stop
+}
+
+// noObserver is the observer of a cache that nobody observes.
+type noObserver struct{}
+
+func (noObserver) JobAdded(*job.Record) {}
+
+func (noObserver) JobEnded(string, job.FinalState) {}
+
+func (noObserver) TasksChanged(string) {}
+
+// observe has an observer hear of the changes from now on.
+func (m *replica) observe(o observer) { m.observer = o }
+
 func newReplica(log *slog.Logger) *replica {
 	return &replica{
-		log:            log,
-		versions:       map[string]uint64{},
-		dropped:        map[string]uint64{},
-		jobs:           map[string]*liveJob{},
-		gangs:          map[string]bool{},
-		taskRanges:     map[string]map[rangeGeneration]cached[job.TaskRange]{},
-		capabilities:   map[string]cached[shard.CapabilityRecord]{},
-		zones:          map[string]cached[zonehealth.Record]{},
-		capacities:     map[string]cached[shard.CapacityRecord]{},
-		leaders:        map[string]cached[shard.LeaderRecord]{},
-		nodes:          map[string]cached[shard.LeaderRecord]{},
-		pages:          map[string]cached[shard.Page]{},
-		machines:       map[string]*shard.Machine{},
-		quotas:         map[string]cached[shard.QuotaRecord]{},
-		placements:     map[string]map[string]*placedTask{},
-		loads:          map[string]*machineLoad{},
-		images:         map[string]map[string]bool{},
-		terminated:     map[string]bool{},
-		onJobAdded:     func(*job.Record) {},
-		onJobEnded:     func(string, job.FinalState) {},
-		onTasksChanged: func(string) {},
+		log:          log,
+		versions:     map[string]uint64{},
+		dropped:      map[string]uint64{},
+		jobs:         map[string]*liveJob{},
+		gangs:        map[string]bool{},
+		taskRanges:   map[string]map[rangeGeneration]cached[job.TaskRange]{},
+		capabilities: map[string]cached[shard.CapabilityRecord]{},
+		zones:        map[string]cached[zonehealth.Record]{},
+		capacities:   map[string]cached[shard.CapacityRecord]{},
+		leaders:      map[string]cached[shard.LeaderRecord]{},
+		nodes:        map[string]cached[shard.LeaderRecord]{},
+		pages:        map[string]cached[shard.Page]{},
+		machines:     map[string]*shard.Machine{},
+		quotas:       map[string]cached[shard.QuotaRecord]{},
+		placements:   map[string]map[string]*placedTask{},
+		loads:        map[string]*machineLoad{},
+		images:       map[string]map[string]bool{},
+		terminated:   map[string]bool{},
+		observer:     noObserver{},
 	}
 }
 
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -259,42 +259,194 @@
 
 // newControllerState makes the state of a controller that has read nothing yet.
 func newControllerState(node *nodeInfo, wake signal, budget writeBudget) *controllerState {
-	s := &controllerState{node: node, wake: wake, reachability: reachability{storeReachable: true, peers: map[string]bool{}}}
-	s.stats.commits = map[string]commitStats{}
-	s.cache = newReplica(node.log)
-	s.schema = &schemaState{node: node, cache: s.cache, budget: budget, splitRequests: map[string]int{}}
-	s.leadership = newLeadershipTable(node, s.cache, s.schema)
-	s.catalog = &machineCatalog{node: node, capacityBackoffs: map[string]capacityBackoff{}}
-	s.agents = newAgentRegistry(node, s.cache, s.leadership, s.catalog, wake)
-	s.room = &machineRoom{node: node, cache: s.cache, leadership: s.leadership, catalog: s.catalog, agents: s.agents}
-	s.estimates = &runEstimates{node: node, runtimeBias: map[string]float64{}}
-	s.zones = &zoneState{
-		node: node, cache: s.cache, schema: s.schema, leadership: s.leadership, catalog: s.catalog, agents: s.agents,
+	cache := newReplica(node.log)
+	schema := newSchemaState(node, cache, budget)
+	leadership := newLeadershipTable(node, cache, schema)
+	catalog := newMachineCatalog(node)
+	agents := newAgentRegistry(agentDeps{node: node, cache: cache, leadership: leadership, catalog: catalog, wake: wake})
+	room := newMachineRoom(roomDeps{node: node, cache: cache, leadership: leadership, catalog: catalog, agents: agents})
+	estimates := newRunEstimates(node)
+	zones := newZoneState(zoneDeps{
+		node: node, cache: cache, schema: schema, leadership: leadership, catalog: catalog, agents: agents,
+	})
+	capacity := newCapacityAccounts(accountDeps{
+		node: node, cache: cache, schema: schema, leadership: leadership, catalog: catalog, room: room,
+	})
+	scheduler := newScheduler(schedulerDeps{
+		node: node, cache: cache, schema: schema, leadership: leadership, catalog: catalog, agents: agents,
+		room: room, estimates: estimates, zones: zones, capacity: capacity, wake: wake,
+	})
+	s := &controllerState{
+		node: node, cache: cache, wake: wake, schema: schema, leadership: leadership, catalog: catalog, agents: agents,
+		room: room, estimates: estimates, zones: zones, capacity: capacity, scheduler: scheduler,
+		autoscaler: newAutoscaler(autoscalerDeps{
+			node: node, cache: cache, leadership: leadership, catalog: catalog, agents: agents, room: room,
+			estimates: estimates, zones: zones, capacity: capacity, scheduler: scheduler, wake: wake,
+		}),
+		finalStates: newFinalStateCache(node),
+		splitter:    newRecordSplitter(node, cache, schema, leadership),
+		reconciler: newHeartbeatReconciler(reconcilerDeps{
+			node: node, cache: cache, leadership: leadership, catalog: catalog, agents: agents,
+			estimates: estimates, zones: zones, wake: wake,
+		}),
+		stats:        decisionStats{commits: map[string]commitStats{}},
+		reachability: reachability{storeReachable: true, peers: map[string]bool{}},
 	}
-	s.capacity = &capacityAccounts{
-		node: node, cache: s.cache, schema: s.schema, leadership: s.leadership, catalog: s.catalog, room: s.room,
+	cache.observe(s)
+	return s
+}
+
+// JobAdded notes a job that has appeared, for what is expected of its class.
+func (s *controllerState) JobAdded(record *job.Record) { s.capacity.noteArrival(record) }
+
+// JobEnded remembers how a job ended.
+func (s *controllerState) JobEnded(uid string, final job.FinalState) {
+	s.finalStates.remember(uid, final)
+}
+
+// TasksChanged notes a machine where tasks were placed or are to stop.
+func (s *controllerState) TasksChanged(host string) { s.agents.heartbeatRequests[host] = true }
+
+func newSchemaState(node *nodeInfo, cache *replica, budget writeBudget) *schemaState {
+	return &schemaState{node: node, cache: cache, budget: budget, splitRequests: map[string]int{}}
+}
+
+func newMachineCatalog(node *nodeInfo) *machineCatalog {
+	return &machineCatalog{node: node, capacityBackoffs: map[string]capacityBackoff{}}
+}
+
+// roomDeps is what a machineRoom rests on.
+type roomDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	agents     *agentRegistry
+}
+
+func newMachineRoom(d roomDeps) *machineRoom {
+	return &machineRoom{node: d.node, cache: d.cache, leadership: d.leadership, catalog: d.catalog, agents: d.agents}
+}
+
+func newRunEstimates(node *nodeInfo) *runEstimates {
+	return &runEstimates{node: node, runtimeBias: map[string]float64{}}
+}
+
+// zoneDeps is what a zoneState rests on.
+type zoneDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	schema     *schemaState
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	agents     *agentRegistry
+}
+
+func newZoneState(d zoneDeps) *zoneState {
+	return &zoneState{
+		node: d.node, cache: d.cache, schema: d.schema, leadership: d.leadership, catalog: d.catalog, agents: d.agents,
+	}
+}
+
+// accountDeps is what capacityAccounts rest on.
+type accountDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	schema     *schemaState
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	room       *machineRoom
+}
+
+func newCapacityAccounts(d accountDeps) *capacityAccounts {
+	return &capacityAccounts{
+		node: d.node, cache: d.cache, schema: d.schema, leadership: d.leadership, catalog: d.catalog, room: d.room,
 		arrivals: map[string][]arrival{}, quotaShortages: map[string]bool{},
 	}
-	s.scheduler = &schedulerState{
-		node: node, cache: s.cache, schema: s.schema, leadership: s.leadership, catalog: s.catalog, agents: s.agents,
-		room: s.room, estimates: s.estimates, zones: s.zones, capacity: s.capacity, wake: wake,
+}
+
+// schedulerDeps is what a scheduler rests on.
+type schedulerDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	schema     *schemaState
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	agents     *agentRegistry
+	room       *machineRoom
+	estimates  *runEstimates
+	zones      *zoneState
+	capacity   *capacityAccounts
+	wake       signal
+}
+
+func newScheduler(d schedulerDeps) *schedulerState {
+	return &schedulerState{
+		node: d.node, cache: d.cache, schema: d.schema, leadership: d.leadership, catalog: d.catalog, agents: d.agents,
+		room: d.room, estimates: d.estimates, zones: d.zones, capacity: d.capacity, wake: d.wake,
 		gangStates: map[string]*gangState{}, gangsToRelease: map[string]bool{},
 		retryAt: map[string]time.Time{}, errorsSeen: map[string]int{},
 	}
-	s.autoscaler = &autoscalerState{
-		node: node, cache: s.cache, leadership: s.leadership, catalog: s.catalog, agents: s.agents, room: s.room,
-		estimates: s.estimates, zones: s.zones, capacity: s.capacity, scheduler: s.scheduler, wake: wake,
+}
+
+// autoscalerDeps is what an autoscaler rests on.
+type autoscalerDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	agents     *agentRegistry
+	room       *machineRoom
+	estimates  *runEstimates
+	zones      *zoneState
+	capacity   *capacityAccounts
+	scheduler  *schedulerState
+	wake       signal
+}
+
+func newAutoscaler(d autoscalerDeps) *autoscalerState {
+	return &autoscalerState{
+		node: d.node, cache: d.cache, leadership: d.leadership, catalog: d.catalog, agents: d.agents, room: d.room,
+		estimates: d.estimates, zones: d.zones, capacity: d.capacity, scheduler: d.scheduler, wake: d.wake,
 	}
-	s.finalStates = &finalStateCache{node: node, byJob: map[string]job.FinalState{}}
-	s.splitter = &recordSplitter{node: node, cache: s.cache, schema: s.schema, leadership: s.leadership}
-	s.reconciler = &heartbeatReconciler{
-		node: node, cache: s.cache, leadership: s.leadership, catalog: s.catalog, agents: s.agents,
-		estimates: s.estimates, zones: s.zones, wake: wake,
+}
+
+func newFinalStateCache(node *nodeInfo) *finalStateCache {
+	return &finalStateCache{node: node, byJob: map[string]job.FinalState{}}
+}
+
+func newRecordSplitter(
+	node *nodeInfo, cache *replica, schema *schemaState, leadership *leadershipTable,
+) *recordSplitter {
+	return &recordSplitter{node: node, cache: cache, schema: schema, leadership: leadership}
+}
+
+// reconcilerDeps is what a heartbeatReconciler rests on.
+type reconcilerDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	agents     *agentRegistry
+	estimates  *runEstimates
+	zones      *zoneState
+	wake       signal
+}
+
+func newHeartbeatReconciler(d reconcilerDeps) *heartbeatReconciler {
+	return &heartbeatReconciler{
+		node: d.node, cache: d.cache, leadership: d.leadership, catalog: d.catalog, agents: d.agents,
+		estimates: d.estimates, zones: d.zones, wake: d.wake,
 	}
-	s.cache.onJobAdded = s.capacity.noteArrival
-	s.cache.onJobEnded = s.finalStates.remember
-	s.cache.onTasksChanged = func(host string) { s.agents.heartbeatRequests[host] = true }
-	return s
+}
+
+// agentDeps is what an agentRegistry rests on.
+type agentDeps struct {
+	node       *nodeInfo
+	cache      *replica
+	leadership *leadershipTable
+	catalog    *machineCatalog
+	wake       signal
 }
 
 func newLeadershipTable(node *nodeInfo, cache *replica, schema *schemaState) *leadershipTable {
@@ -309,12 +461,10 @@
 	}
 }
 
-func newAgentRegistry(
-	node *nodeInfo, cache *replica, leadership *leadershipTable, catalog *machineCatalog, wake signal,
-) *agentRegistry {
-	sockets := node.settings.Facts.Limits.MaxSockets
+func newAgentRegistry(d agentDeps) *agentRegistry {
+	sockets := d.node.settings.Facts.Limits.MaxSockets
 	return &agentRegistry{
-		node: node, cache: cache, leadership: leadership, catalog: catalog, wake: wake,
+		node: d.node, cache: d.cache, leadership: d.leadership, catalog: d.catalog, wake: d.wake,
 		byHost:                map[string]*shard.Agent{},
 		unregistered:          map[string]shard.Machine{},
 		heartbeatRequests:     map[string]bool{},
