--- /dev/null
+++ b/internal/agent/registry.go
@@ -0,0 +1,79 @@
+package agent
+
+import (
+	"violetturn/internal/catalog"
+	"violetturn/internal/leadership"
+	"violetturn/internal/node"
+	"violetturn/internal/notify"
+	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
+)
+
+// Drop drops a machine's session.
+func (reg *Registry) Drop(host string) {
+	delete(reg.ByHost, host)
+	delete(reg.cache.Loads, host)
+}
+
+// Of returns the session of a machine of an own shard.
+func (reg *Registry) Of(host string, o *leadership.Leadership) *shard.Agent {
+	s := reg.ByHost[host]
+	if s == nil || s.Term != o.Term {
+		s = shard.NewAgent(o.Term, reg.node.Now(), o.PredecessorAnswersUntil)
+		reg.ByHost[host] = s
+		delete(reg.cache.Loads, host)
+	}
+	return s
+}
+
+// Registry is what this controller knows of the workers of the shards that it leads.
+type Registry struct {
+	node       *node.Info
+	cache      *statecache.Cache
+	leadership *leadership.Table
+	catalog    *catalog.Catalog
+	wake       notify.Signal
+
+	ByHost                map[string]*shard.Agent
+	Unregistered          map[string]shard.Machine // machines without a record, to be registered
+	ListedByCloud         map[string]bool          // machines in the cloud's newest list
+	Provisioning          map[string]bool          // those that it shows as starting
+	HeartbeatRequests     map[string]bool          // machines whose tasks have changed since their leader last looked
+	RunningGangs          map[string]uint64        // by gang, the attempt that was seen running here
+	fenceSlots            chan struct{}            // bounds fences under way
+	heartbeatRequestSlots chan struct{}            // bounds requests for a heartbeat under way: fences of machines that are cut off must not hold them up
+}
+
+// Deps is what an agentRegistry rests on.
+type Deps struct {
+	Node       *node.Info
+	Cache      *statecache.Cache
+	Leadership *leadership.Table
+	Catalog    *catalog.Catalog
+	Wake       notify.Signal
+}
+
+func NewRegistry(d Deps) *Registry {
+	sockets := d.Node.Settings.Facts.Limits.MaxSockets
+	return &Registry{
+		node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, wake: d.Wake,
+		ByHost:                map[string]*shard.Agent{},
+		Unregistered:          map[string]shard.Machine{},
+		HeartbeatRequests:     map[string]bool{},
+		RunningGangs:          map[string]uint64{},
+		fenceSlots:            make(chan struct{}, max(8, sockets/16)),
+		heartbeatRequestSlots: make(chan struct{}, max(8, sockets/32)),
+	}
+}
+
+// DropLostLeaderships forgets the shards that the replica shows as somebody else's.
+func (reg *Registry) DropLostLeaderships() {
+	for p, o := range reg.leadership.ByShard {
+		v, ok := reg.cache.Leaders[p]
+		ours := ok && v.Record.Incarnation == reg.node.Incarnation && v.Record.Node == reg.node.Settings.HostName
+		if !ours && (!ok || v.Version > o.Version) {
+			reg.node.Log.Info("shard lost", "shard", p, "term", o.Term)
+			reg.DropLeadership(p)
+		}
+	}
+}
--- a/internal/controller/idle.go
+++ b/internal/autoscaler/scale_in.go
@@ -1,80 +1,55 @@
-package controller
+package autoscaler
 
 import (
-	"context"
 	"slices"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
+	"violetturn/internal/catalog"
 	"violetturn/internal/cloud"
 	"violetturn/internal/sched"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 )
 
-// scaleIn decides which machines go back and returns them.
-func (c *Controller) scaleIn(ctx context.Context) {
-	state := c.guard.Lock()
-	back, fences := state.autoscaler.machinesToReturn(c.node.now())
-	c.guard.Unlock()
-	c.sendCommands(ctx, fences)
-	if len(back) == 0 {
-		return
-	}
-	if err := c.cloud.Return(ctx, back); err != nil {
-		c.node.log.Info("machines not returned", "hosts", back, "err", err)
-		return
-	}
-	state = c.guard.Lock()
-	for _, h := range back {
-		if s := state.agents.byHost[h]; s != nil {
-			s.Terminated = true
-		}
-		if m := state.cache.machines[h]; m != nil { // what was refused may be had again
-			delete(state.catalog.capacityBackoffs, offerKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
-		}
-	}
-	c.guard.Unlock()
-	c.node.log.Info("machines returned", "hosts", back)
-	c.wake.notify()
-}
-
-// machinesToReturn returns the machines of own shards that are to be returned. On the way it fences
+// MachinesToReturn returns the machines of own shards that are to be returned. On the way it fences
 // those that have not heard of this owner, and judges which are to go.
-func (as *autoscalerState) machinesToReturn(now time.Time) (back []string, fences []directCommand) {
-	if !as.leadership.mayAct(now) {
+func (as *Autoscaler) MachinesToReturn(now time.Time) (back []string, fences []agent.DirectCommand) {
+	if !as.leadership.MayAct(now) {
 		return nil, nil
 	}
-	view := &scaleInView{autoscaler: as, now: now}
+	view := &ScaleInView{Autoscaler: as, Now: now}
 	// What is idle or loose is judged against a plan of all machines, which is the dearest
 	// thing that a controller works out. Against a boot it may wait a little.
-	judge := now.Sub(as.scaleInCheckedAt) >= as.catalog.shortestBoot()/16
+	judge := now.Sub(as.scaleInCheckedAt) >= as.catalog.ShortestBoot()/16
 	if judge {
 		as.scaleInCheckedAt = now
 	}
-	for host, m := range as.cache.machines {
-		o := as.leadership.of(m.Shard)
-		rec := as.cache.capacities[m.Shard].record
+	for host, m := range as.cache.Machines {
+		o := as.leadership.Of(m.Shard)
+		rec := as.cache.Capacities[m.Shard].Record
 		if o == nil || rec == nil {
 			continue
 		}
-		s := as.agents.of(host, o)
+		s := as.agents.Of(host, o)
 		if s.Terminated {
 			continue
 		}
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is taken, for the list is late.
-		if !s.Fenced && !as.agents.provisioning[host] {
-			if command, ok := as.agents.fence(host); ok {
+		if !s.Fenced && !as.agents.Provisioning[host] {
+			if command, ok := as.agents.Fence(host); ok {
 				fences = append(fences, command)
 			}
 		}
 		if judge {
-			as.considerScaleIn(host, m, s, view)
+			as.ConsiderScaleIn(host, m, s, view)
 		}
 		_, offered := rec.Free[host]
-		silent := now.Sub(s.LastSeen) > 2*as.node.settings.HeartbeatInterval()
+		silent := now.Sub(s.LastSeen) > 2*as.node.Settings.HeartbeatInterval()
 		terminated := s.MissingFromLists >= 2 && silent // says the list; the return proves it
-		if terminated || s.Cordoned && !offered && len(as.cache.placements[host]) == 0 {
+		if terminated || s.Cordoned && !offered && len(as.cache.Placements[host]) == 0 {
 			back = append(back, host)
 		}
 	}
@@ -82,27 +57,27 @@
 	return back[:min(len(back), cloud.MaxReturn)], fences
 }
 
-// scaleInView is what judging a round of machines needs to know of all of them,
+// ScaleInView is what judging a round of machines needs to know of all of them,
 // worked out once if one of them asks.
-type scaleInView struct {
-	autoscaler   *autoscalerState
-	now          time.Time
-	hosts        []*sched.Host            // with the room that is left after what is to be placed
+type ScaleInView struct {
+	Autoscaler   *Autoscaler
+	Now          time.Time
+	Hosts        []*sched.Host            // with the room that is left after what is to be placed
 	replicaHosts map[string][]*sched.Host // by zone, those of them with replicas
 	headroom     map[string]bool          // idle ones that the headroom needs
 	reserved     map[string]bool          // those that wait for the rest of a gang's room
 }
 
-func (v *scaleInView) remaining() []*sched.Host {
-	if v.hosts == nil {
-		p := v.autoscaler.scheduler.plan(v.now)
-		v.hosts, v.reserved = p.remaining, p.reservedHosts
+func (v *ScaleInView) remaining() []*sched.Host {
+	if v.Hosts == nil {
+		p := v.Autoscaler.scheduler.Plan(v.Now)
+		v.Hosts, v.reserved = p.Remaining, p.ReservedHosts
 	}
-	return v.hosts
+	return v.Hosts
 }
 
 // replicas returns the machines with replicas in a zone.
-func (v *scaleInView) replicas(zone string) []*sched.Host {
+func (v *ScaleInView) replicas(zone string) []*sched.Host {
 	if v.replicaHosts == nil {
 		v.replicaHosts = map[string][]*sched.Host{}
 		for _, h := range v.remaining() {
@@ -114,9 +89,9 @@
 	return v.replicaHosts[zone]
 }
 
-// fitElsewhere reports whether the tasks would all fit on other machines with replicas in
+// FitElsewhere reports whether the tasks would all fit on other machines with replicas in
 // the zone that have their images. It leaves the view as it was.
-func (v *scaleInView) fitElsewhere(host, zone string, asks []sched.TaskRequest) bool {
+func (v *ScaleInView) FitElsewhere(host, zone string, asks []sched.TaskRequest) bool {
 	others := v.replicas(zone)
 	var was []sched.Host // as they were, with what was tried on them
 	var tried []*sched.Host
@@ -145,32 +120,32 @@
 }
 
 // inHeadroom reports whether a machine is part of the headroom.
-func (v *scaleInView) inHeadroom(host string) bool {
+func (v *ScaleInView) inHeadroom(host string) bool {
 	if v.headroom == nil {
-		v.headroom = v.autoscaler.headroomMachines(v.remaining(), v.now)
+		v.headroom = v.Autoscaler.headroomMachines(v.remaining(), v.Now)
 	}
 	return v.headroom[host] || v.reserved[host]
 }
 
-// considerScaleIn decides whether a machine is to be returned.
-func (as *autoscalerState) considerScaleIn(host string, m *shard.Machine, s *shard.Agent, view *scaleInView) {
-	now := view.now
-	_, f := as.catalog.machineCapacity(m.MachineType)
+// ConsiderScaleIn decides whether a machine is to be returned.
+func (as *Autoscaler) ConsiderScaleIn(host string, m *shard.Machine, s *shard.Agent, view *ScaleInView) {
+	now := view.Now
+	_, f := as.catalog.MachineCapacity(m.MachineType)
 	if f == nil || s.Cordoned {
 		return
 	}
 	startup := time.Duration(f.BootS * float64(time.Second))
 	drain := func(why string) {
 		s.Cordoned = true
-		as.node.log.Info("machine cordoned", "host", host, "why", why)
-		as.wake.notify()
+		as.node.Log.Info("machine cordoned", "host", host, "why", why)
+		as.wake.Notify()
 	}
 	if !s.Fenced {
 		// It has had time to boot, and since this owner took the shard time to
 		// answer a fence: what an earlier leader waited says nothing of a machine
 		// that came up under it, but one that was lost under it must not be given
 		// the time of a whole boot once more.
-		if now.Sub(time.UnixMilli(m.RegisteredMS)) > 4*startup+as.node.settings.WorkerLease() && now.Sub(s.CreatedAt) > 2*as.node.settings.WorkerLeaseBound() {
+		if now.Sub(time.UnixMilli(m.RegisteredMS)) > 4*startup+as.node.Settings.WorkerLease() && now.Sub(s.CreatedAt) > 2*as.node.Settings.WorkerLeaseBound() {
 			drain("never came up, or silent since before the part was taken")
 		}
 		return
@@ -178,12 +153,12 @@
 	if s.LeaseExpired {
 		// A machine that is just up may be fenced before its first report was
 		// ever answered: it counts from the fence.
-		if now.Sub(s.LastAnswered) > 2*as.node.settings.WorkerLeaseBound() && now.Sub(s.LastSeen) > 2*as.node.settings.WorkerLeaseBound() {
+		if now.Sub(s.LastAnswered) > 2*as.node.Settings.WorkerLeaseBound() && now.Sub(s.LastSeen) > 2*as.node.Settings.WorkerLeaseBound() {
 			drain("silent for long")
 		}
 		return
 	}
-	if as.room.unfinishedTasks(host) > 0 ||
+	if as.room.UnfinishedTasks(host) > 0 ||
 		s.Heartbeat != nil && slices.ContainsFunc(s.Heartbeat.Tasks, func(p api.TaskState) bool { return p.Phase != api.Ended }) {
 		s.IdleSince = time.Time{}
 		if !as.canMigrate(host, startup, view) {
@@ -199,10 +174,10 @@
 	if s.IdleSince.IsZero() {
 		s.IdleSince = now
 	}
-	if as.zones.restrictedZone(m.Zone, now) != nil {
+	if as.zones.RestrictedZone(m.Zone, now) != nil {
 		return // it is idle because room is kept, or work held back, that will want it soon
 	}
-	if now.Sub(s.IdleSince).Seconds() > as.node.policy.Idle(f.BootS, priceOf(f, m.Spot), m.Spot) && !view.inHeadroom(host) {
+	if now.Sub(s.IdleSince).Seconds() > as.node.Policy.Idle(f.BootS, catalog.PriceOf(f, m.Spot), m.Spot) && !view.inHeadroom(host) {
 		drain("idle")
 	}
 }
@@ -210,27 +185,27 @@
 // canMigrate reports whether a machine holds nothing but a few replicas that have run
 // for a while and fit on machines in use elsewhere that have their images, so
 // that moving them costs seconds and saves a machine.
-func (as *autoscalerState) canMigrate(host string, startup time.Duration, view *scaleInView) bool {
-	m, now := as.cache.machines[host], view.now
-	cp, _ := as.catalog.machineCapacity(m.MachineType)
+func (as *Autoscaler) canMigrate(host string, startup time.Duration, view *ScaleInView) bool {
+	m, now := as.cache.Machines[host], view.Now
+	cp, _ := as.catalog.MachineCapacity(m.MachineType)
 	used := sched.Resources{}
-	for _, pl := range as.cache.placements[host] {
-		j := as.cache.jobs[pl.uid]
-		if j == nil || j.record.Cancelled || pl.placement.Stopping || j.record.Spec.Kind != api.Service {
+	for _, pl := range as.cache.Placements[host] {
+		j := as.cache.Jobs[pl.UID]
+		if j == nil || j.Record.Cancelled || pl.Placement.Stopping || j.Record.Spec.Kind != api.Service {
 			return false
 		}
-		started := time.UnixMilli(j.record.AcceptedMS).Add(time.Duration(pl.placement.PlacedS) * time.Second)
+		started := time.UnixMilli(j.Record.AcceptedMS).Add(time.Duration(pl.Placement.PlacedS) * time.Second)
 		if now.Sub(started) < startup {
 			return false
 		}
-		used = used.Add(resourcesOf(&j.record.Spec))
+		used = used.Add(statecache.ResourcesOf(&j.Record.Spec))
 	}
 	if !cp.Fits(used.Scale(2)) {
 		return false
 	}
 	var asks []sched.TaskRequest
-	for _, pl := range as.cache.placements[host] {
-		asks = append(asks, taskRequestOf(&as.cache.jobs[pl.uid].record.Spec))
+	for _, pl := range as.cache.Placements[host] {
+		asks = append(asks, statecache.TaskRequestOf(&as.cache.Jobs[pl.UID].Record.Spec))
 	}
-	return view.fitElsewhere(host, m.Zone, asks) && !view.inHeadroom(host)
+	return view.FitElsewhere(host, m.Zone, asks) && !view.inHeadroom(host)
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -9,11 +9,14 @@
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/autoscaler"
 	"violetturn/internal/cloud"
 	"violetturn/internal/config"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/job"
+	"violetturn/internal/leadership"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
@@ -24,9 +27,9 @@
 	cfg := settings(0, []string{"n0", "n1", "n2"}, zones, map[string]float64{"a": 5})
 	c := newController(cfg, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Unix(1_800_000_000, 0)
-	c.node.now = func() time.Time { return now }
-	c.testState().cache.loaded, c.testState().leadership.leaseID, c.testState().leadership.leaseValidUntil, c.testState().cache.changesReadAt = true, 1, now.Add(time.Hour), now
-	c.testState().catalog.machineTypes = []cloud.MachineType{{
+	c.node.Now = func() time.Time { return now }
+	c.testState().Cache.Loaded, c.testState().Leadership.LeaseID, c.testState().Leadership.LeaseValidUntil, c.testState().Cache.ChangesReadAt = true, 1, now.Add(time.Hour), now
+	c.testState().Catalog.MachineTypes = []cloud.MachineType{{
 		Name:        "m",
 		CPUs:        16,
 		GPUs:        2,
@@ -40,17 +43,17 @@
 	version := uint64(1)
 	apply := func(key string, v any) {
 		version++
-		c.testState().cache.apply(key, api.JSON(v), version)
+		c.testState().Cache.Apply(key, api.JSON(v), version)
 	}
-	apply(leaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.node.incarnation, Term: 1})
-	c.testState().leadership.byShard["n0"] = &leadership{term: 1, version: version}
-	apply(capacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
+	apply(statecache.LeaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.node.Incarnation, Term: 1})
+	c.testState().Leadership.ByShard["n0"] = &leadership.Leadership{Term: 1, Version: version}
+	apply(statecache.CapacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	page := shard.Page{}
 	for i := range machines {
 		host := fmt.Sprintf("i-%06d", i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
-		if id := pageID(host, coarsestPageCut); i == machines-1 || id != pageID(fmt.Sprintf("i-%06d", i+1), coarsestPageCut) {
-			apply(machinePagePrefix+id, page)
+		if id := statecache.PageID(host, statecache.CoarsestPageCut); i == machines-1 || id != statecache.PageID(fmt.Sprintf("i-%06d", i+1), statecache.CoarsestPageCut) {
+			apply(statecache.MachinePagePrefix+id, page)
 			page = shard.Page{}
 		}
 	}
@@ -74,14 +77,14 @@
 				m.InlineRange.Place(k, fmt.Sprintf("i-%06d", i+k/2), 0)
 			}
 		}
-		apply(jobPrefix+m.Spec.UID, m)
+		apply(statecache.JobPrefix+m.Spec.UID, m)
 	}
 	for i := range waiting {
 		m := run(500_000+i, []string{"production", "standard"}[i%2])
-		apply(jobPrefix+m.Spec.UID, m)
+		apply(statecache.JobPrefix+m.Spec.UID, m)
 	}
-	for h := range c.testState().cache.machines {
-		s := c.testState().agents.of(h, c.testState().leadership.byShard["n0"])
+	for h := range c.testState().Cache.Machines {
+		s := c.testState().Agents.Of(h, c.testState().Leadership.ByShard["n0"])
 		s.Fenced, s.LastSeen, s.LastAnswered, s.Heartbeat = true, now, now, &api.Heartbeat{Host: h}
 	}
 	return c
@@ -94,7 +97,7 @@
 		c := sized(n, n/10)
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
-				c.testState().scheduler.plan(c.node.now())
+				c.testState().Scheduler.Plan(c.node.Now())
 			}
 		})
 	}
@@ -103,10 +106,10 @@
 // BenchmarkCheckin is the answer to one report in such a shard.
 func BenchmarkCheckin(b *testing.B) {
 	c := sized(800, 80)
-	s := c.testState().agents.byHost["i-000009"]
+	s := c.testState().Agents.ByHost["i-000009"]
 	for range b.N {
 		s.Heartbeat.Sequence++
-		c.testState().reconciler.commandsFor(s.Heartbeat, s, c.node.now())
+		c.testState().Reconciler.CommandsFor(s.Heartbeat, s, c.node.Now())
 	}
 }
 
@@ -114,11 +117,11 @@
 // the orders.
 func BenchmarkReport(b *testing.B) {
 	c := sized(800, 80)
-	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.testState().agents.byHost["i-000009"].Token()}
-	for _, pl := range c.testState().cache.placements[x.Host] {
+	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.testState().Agents.ByHost["i-000009"].Token()}
+	for _, pl := range c.testState().Cache.Placements[x.Host] {
 		x.Tasks = append(
 			x.Tasks,
-			api.TaskState{Task: pl.taskName(c.testState().cache.jobs[pl.uid]), Attempt: pl.placement.Attempt, Phase: api.Running},
+			api.TaskState{Task: pl.TaskName(c.testState().Cache.Jobs[pl.UID]), Attempt: pl.Placement.Attempt, Phase: api.Running},
 		)
 	}
 	b.ReportAllocs()
@@ -136,15 +139,15 @@
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, n/10)
 		var items []store.Item
-		for key, version := range c.testState().cache.versions {
+		for key, version := range c.testState().Cache.Versions {
 			var v any
 			switch {
-			case strings.HasPrefix(key, jobPrefix):
-				v = c.testState().cache.jobs[key[len(jobPrefix):]].record
-			case strings.HasPrefix(key, machinePagePrefix):
-				v = c.testState().cache.pages[key[len(machinePagePrefix):]].record
-			case strings.HasPrefix(key, capacityPrefix):
-				v = c.testState().cache.capacities[key[len(capacityPrefix):]].record
+			case strings.HasPrefix(key, statecache.JobPrefix):
+				v = c.testState().Cache.Jobs[key[len(statecache.JobPrefix):]].Record
+			case strings.HasPrefix(key, statecache.MachinePagePrefix):
+				v = c.testState().Cache.Pages[key[len(statecache.MachinePagePrefix):]].Record
+			case strings.HasPrefix(key, statecache.CapacityPrefix):
+				v = c.testState().Cache.Capacities[key[len(statecache.CapacityPrefix):]].Record
 			default:
 				continue
 			}
@@ -153,7 +156,7 @@
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				newReplica(c.node.log).reload(items, c.testState().cache.revision+1)
+				statecache.New(c.node.Log).Reload(items, c.testState().Cache.Revision+1)
 			}
 		})
 	}
@@ -164,25 +167,25 @@
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := sized(n, 0)
-		for _, j := range c.testState().cache.jobs {
-			j.record.Spec.Kind = api.Service
-			for _, p := range j.ranges[0].record.Placements {
+		for _, j := range c.testState().Cache.Jobs {
+			j.Record.Spec.Kind = api.Service
+			for _, p := range j.Ranges[0].Record.Placements {
 				p.PlacedS = -3600
 			}
-			for i := range j.ranges[0].record.Placements {
+			for i := range j.Ranges[0].Record.Placements {
 				if i%4 > 0 {
-					c.testState().cache.removePlacement(j.record.Spec.UID, 0, i, j.ranges[0].record.Placements[i])
+					c.testState().Cache.RemovePlacement(j.Record.Spec.UID, 0, i, j.Ranges[0].Record.Placements[i])
 				}
 			}
 		}
-		clear(c.testState().cache.loads)
+		clear(c.testState().Cache.Loads)
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
-				v := &scaleInView{autoscaler: c.testState().autoscaler, now: c.node.now()}
-				for host, m := range c.testState().cache.machines {
-					s := c.testState().agents.byHost[host]
+				v := &autoscaler.ScaleInView{Autoscaler: c.testState().Autoscaler, Now: c.node.Now()}
+				for host, m := range c.testState().Cache.Machines {
+					s := c.testState().Agents.ByHost[host]
 					s.UnderusedSince = time.Time{}
-					c.testState().autoscaler.considerScaleIn(host, m, s, v)
+					c.testState().Autoscaler.ConsiderScaleIn(host, m, s, v)
 				}
 			}
 		})
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -44,7 +44,7 @@
 	withdraw := func(s *sim) { // a zone is cut off when jobs there are cancelled
 		s.w.CancelS = 16 * time.Second
 		for _, n := range s.nodes {
-			if f := &n.c.node.settings.Facts.Workers; f.CancelS == 40 {
+			if f := &n.c.node.Settings.Facts.Workers; f.CancelS == 40 {
 				f.CancelS = 16
 			}
 		}
@@ -108,7 +108,7 @@
 	withdrawGang := func(s *sim) {
 		s.w.CancelS = 16 * time.Second
 		for _, n := range s.nodes {
-			if f := &n.c.node.settings.Facts.Workers; f.CancelS == 40 {
+			if f := &n.c.node.Settings.Facts.Workers; f.CancelS == 40 {
 				f.CancelS = 16
 			}
 		}
@@ -138,14 +138,14 @@
 		mutate func(c *Controller)
 		day    func(*sim)
 	}{
-		{"ran_twice", func(c *Controller) { c.node.settings.Facts.Workers.LeaseS = 4 }, cutGang},
-		{"wrong_place", func(c *Controller) { c.node.settings.Facts.Workers.LeaseS = 4 }, moveGang},
-		{"ran_cancelled", func(c *Controller) { c.node.settings.Facts.Workers.CancelS = 30 }, withdrawGang},
-		{"quota", func(c *Controller) { c.node.settings.Facts.Teams[0].GPUsMax = 9 }, crowdGangs},
-		{"ran_twice", func(c *Controller) { c.node.settings.Facts.Workers.LeaseS = 4 }, cut},
-		{"ran_twice", func(c *Controller) { c.node.settings.Facts.Workers.LeaseS = 4 }, hang},
-		{"ran_cancelled", func(c *Controller) { c.node.settings.Facts.Workers.CancelS = 30 }, withdraw},
-		{"quota", func(c *Controller) { c.node.settings.Facts.Teams[0].GPUsMax = 9 }, crowd},
+		{"ran_twice", func(c *Controller) { c.node.Settings.Facts.Workers.LeaseS = 4 }, cutGang},
+		{"wrong_place", func(c *Controller) { c.node.Settings.Facts.Workers.LeaseS = 4 }, moveGang},
+		{"ran_cancelled", func(c *Controller) { c.node.Settings.Facts.Workers.CancelS = 30 }, withdrawGang},
+		{"quota", func(c *Controller) { c.node.Settings.Facts.Teams[0].GPUsMax = 9 }, crowdGangs},
+		{"ran_twice", func(c *Controller) { c.node.Settings.Facts.Workers.LeaseS = 4 }, cut},
+		{"ran_twice", func(c *Controller) { c.node.Settings.Facts.Workers.LeaseS = 4 }, hang},
+		{"ran_cancelled", func(c *Controller) { c.node.Settings.Facts.Workers.CancelS = 30 }, withdraw},
+		{"quota", func(c *Controller) { c.node.Settings.Facts.Teams[0].GPUsMax = 9 }, crowd},
 	} {
 		for _, mutated := range []bool{false, true} {
 			s := warmSim()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,13 +13,17 @@
 	"sync"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
 	"violetturn/internal/config"
 	"violetturn/internal/features"
 	"violetturn/internal/httpwire"
+	"violetturn/internal/node"
+	"violetturn/internal/notify"
 	"violetturn/internal/peer"
 	"violetturn/internal/sched"
+	"violetturn/internal/state"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 	"violetturn/internal/worker"
@@ -58,7 +62,7 @@
 
 // Controller is one node of the service.
 type Controller struct {
-	node         *nodeInfo
+	node         *node.Info
 	runAsync     func(func()) // runs work aside
 	steppedClock bool         // time is advanced from outside: nothing may wait for it
 
@@ -70,16 +74,16 @@
 	server  *transport.Server // for users and workers
 	http    *transport.Client
 
-	wake            signal        // the decider has something to do
-	gangAccepted    signal        // a gang has been accepted
-	leaderlessShard signal        // a shard has no leader
+	wake            notify.Signal // the decider has something to do
+	gangAccepted    notify.Signal // a gang has been accepted
+	leaderlessShard notify.Signal // a shard has no leader
 	userSlots       chan struct{} // bounds user requests under way
 
 	readBarrier readBarriers
 	submissions submissionQueue
 	rentals     rentalState // only the autoscale loop uses it
 
-	guard guardedState
+	guard state.Guard
 }
 
 // readBarriers is the read of changes under way and the next one.
@@ -97,25 +101,6 @@
 	busy  bool
 }
 
-// leadership is a shard that this node owns.
-type leadership struct {
-	term                    uint64
-	version                 uint64    // version of the leader's key
-	predecessorAnswersUntil time.Time // latest time at which an earlier leader can have answered
-	releasing               bool      // being handed over: nothing is answered
-	successor               string    // a peer says that this node has taken it since: nothing is answered
-	capacityRecordedAt      time.Time // when its record was last brought up to date by itself
-	needsNewTerm            bool      // a worker has seen a higher term: take a new one
-}
-
-// commitStats counts transactions for the log's summary.
-type commitStats struct{ transactions, writes, conflicts, conflictedWrites, failed int }
-
-type capacityBackoff struct {
-	until time.Time
-	wait  time.Duration
-}
-
 // New makes a controller.
 func New(cfg *config.Settings, policy *config.Policy, on *features.Features, log *slog.Logger) (*Controller, error) {
 	h, err := transport.NewClient(responseLimits(cfg))
@@ -124,7 +109,7 @@
 	}
 	n := float64(cfg.Facts.Size)
 	c := newController(cfg, policy, log)
-	c.node.features = on
+	c.node.Features = on
 	c.http = h
 	low := cfg.LowestLimits()
 	c.store = store.New(
@@ -133,7 +118,7 @@
 		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.noteStoreAnswer,
 	)
 	c.cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
-	c.workers = worker.New(h, min(cfg.HeartbeatInterval(), heartbeatTimeout/2))
+	c.workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
 	c.peers = peer.New(h)
 	c.server = transport.NewServer(c.handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
 	// A peer's message holds a whole submission and a little more.
@@ -155,18 +140,18 @@
 // newController makes a controller without its outside systems.
 func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
 	c := &Controller{
-		node:            newNodeInfo(settings, policy, log),
+		node:            node.New(settings, policy, log),
 		runAsync:        func(f func()) { go f() },
-		wake:            newSignal(),
-		gangAccepted:    newSignal(),
-		leaderlessShard: newSignal(),
+		wake:            notify.NewSignal(),
+		gangAccepted:    notify.NewSignal(),
+		leaderlessShard: notify.NewSignal(),
 		userSlots:       make(chan struct{}, 128),
 		rentals: rentalState{
 			unanswered:   map[sched.Offer]cloud.RentalRequest{},
 			unknownSince: map[string]time.Time{},
 		},
 	}
-	c.guard.state = newControllerState(c.node, c.wake, controllerBudget{c})
+	c.guard.State = state.New(c.node, c.wake, controllerBudget{c})
 	return c
 }
 
@@ -181,8 +166,8 @@
 // Run serves until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	failed := make(chan error, 2)
-	go func() { failed <- c.server.Run(c.node.settings.ServeOn) }()
-	go func() { failed <- c.cluster.Run(c.node.settings.ClusterListen) }()
+	go func() { failed <- c.server.Run(c.node.Settings.ServeOn) }()
+	go func() { failed <- c.cluster.Run(c.node.Settings.ClusterListen) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -193,10 +178,10 @@
 	case err := <-failed:
 		cancel()
 		wg.Wait()
-		return fmt.Errorf("serving on %s and %s: %w", c.node.settings.ServeOn, c.node.settings.ClusterListen, err)
+		return fmt.Errorf("serving on %s and %s: %w", c.node.Settings.ServeOn, c.node.Settings.ClusterListen, err)
 	case <-ctx.Done():
 	}
-	c.node.log.Info("stopping")
+	c.node.Log.Info("stopping")
 	wg.Wait()
 	c.revokeLease()
 	stop, done := context.WithTimeout(context.Background(), 5*time.Second) // gnet looks twice a second whether it has ended
@@ -212,55 +197,55 @@
 // revokeLease ends the lease in an orderly shutdown, so that others take over at once.
 func (c *Controller) revokeLease() {
 	state := c.guard.Lock()
-	leaseID := state.leadership.leaseID
-	state.leadership.leaseID, state.leadership.leaseValidUntil = 0, time.Time{}
+	leaseID := state.Leadership.LeaseID
+	state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
 	c.guard.Unlock()
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := c.store.RevokeLease(ctx, leaseID); err != nil {
-			c.node.log.Info("lease not revoked", "err", err)
+			c.node.Log.Info("lease not revoked", "err", err)
 		}
 	}
 }
 
 // summaryLoop logs from time to time what this node uses and holds.
 func (c *Controller) summaryLoop(ctx context.Context) {
-	every := 4 * c.node.settings.WorkerLease()
+	every := 4 * c.node.Settings.WorkerLease()
 	var reqs, writes float64
 	for sleep(ctx, every) {
 		r, w := c.store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		state := c.guard.Lock()
-		c.node.log.Info(
+		c.node.Log.Info(
 			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
 			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(state.cache.jobs), "hosts", len(state.cache.machines), "shards", len(state.leadership.byShard), "heap_kb", mem.HeapAlloc>>10,
+			"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.ByShard), "heap_kb", mem.HeapAlloc>>10,
 		)
-		for _, what := range slices.Sorted(maps.Keys(state.stats.commits)) {
-			n := state.stats.commits[what]
-			c.node.log.Info(
-				"commits", "for", what, "transactions", n.transactions, "changes", n.writes, "conflicts", n.conflicts,
-				"conflicted_changes", n.conflictedWrites, "failed", n.failed,
+		for _, what := range slices.Sorted(maps.Keys(state.Stats.Commits)) {
+			n := state.Stats.Commits[what]
+			c.node.Log.Info(
+				"commits", "for", what, "transactions", n.Transactions, "changes", n.Writes, "conflicts", n.Conflicts,
+				"conflicted_changes", n.ConflictedWrites, "failed", n.Failed,
 			)
 		}
-		clear(state.stats.commits)
-		for uid := range state.scheduler.errorsSeen { // of jobs that are over
-			if state.cache.jobs[uid] == nil {
-				delete(state.scheduler.errorsSeen, uid)
-				delete(state.scheduler.retryAt, uid)
+		clear(state.Stats.Commits)
+		for uid := range state.Scheduler.ErrorsSeen { // of jobs that are over
+			if state.Cache.Jobs[uid] == nil {
+				delete(state.Scheduler.ErrorsSeen, uid)
+				delete(state.Scheduler.RetryAt, uid)
 			}
 		}
-		for uid := range state.scheduler.gangStates {
-			if state.cache.jobs[uid] == nil {
-				delete(state.scheduler.gangStates, uid)
-				delete(state.scheduler.gangsToRelease, uid)
+		for uid := range state.Scheduler.GangStates {
+			if state.Cache.Jobs[uid] == nil {
+				delete(state.Scheduler.GangStates, uid)
+				delete(state.Scheduler.GangsToRelease, uid)
 			}
 		}
-		for uid := range state.agents.runningGangs {
-			if state.cache.jobs[uid] == nil {
-				delete(state.agents.runningGangs, uid)
+		for uid := range state.Agents.RunningGangs {
+			if state.Cache.Jobs[uid] == nil {
+				delete(state.Agents.RunningGangs, uid)
 			}
 		}
 		c.guard.Unlock()
@@ -280,23 +265,13 @@
 	}
 }
 
-// mayAct reports whether this node may launch and commit as a leader.
-func (l *leadershipTable) mayAct(now time.Time) bool {
-	return l.cache.loaded && now.Before(l.leaseValidUntil)
-}
-
-// of returns the shard if this node owns it.
-func (l *leadershipTable) of(p string) *leadership {
-	o := l.byShard[p]
-	if o == nil || o.releasing || o.successor != "" || l.cache.leaders[p].version != o.version {
-		return nil
-	}
-	return o
-}
-
-// responseBusy answers what can't be taken now.
-var responseBusy = transport.Response{Status: 503, Body: []byte(`{"error":"try again"}`), RetryAfter: 1}
+// MeterLock records from now on how the state's lock is used. It is called before Run.
+func (c *Controller) MeterLock() { c.guard.Meter = state.NewLockMeter() }
 
-func jsonResponse(status int, v any) transport.Response {
-	return transport.Response{Status: status, Body: api.JSON(v)}
+// LockUses returns what was recorded since MeterLock or the last call, by function, the
+// longest in all first.
+func (c *Controller) LockUses() []state.LockUse {
+	c.guard.Lock()
+	defer c.guard.Unlock()
+	return c.guard.Meter.Take()
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/statecache"
 )
 
 // A job that needs a thousand machines has them all rented while the first boot. Its tasks
@@ -32,19 +33,19 @@
 // Machines that went lately stay known as gone however many went: a late copy of one's
 // report must not bring it back. All of them were once forgotten at a fixed number.
 func TestLatelyGoneMachinesAreRemembered(t *testing.T) {
-	m := newReplica(nil)
+	m := statecache.New(nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
-	const machines = 3 * minTerminated
+	const machines = 3 * statecache.MinTerminated
 	for i := range machines {
-		m.noteTerminated(name(i))
-		for back := range min(i, minTerminated/2) {
-			if back%97 == 0 && !m.terminated[name(i-back)] {
+		m.NoteTerminated(name(i))
+		for back := range min(i, statecache.MinTerminated/2) {
+			if back%97 == 0 && !m.Terminated[name(i-back)] {
 				t.Fatalf("of %d that went the %dth last is not remembered", i+1, back+1)
 			}
 		}
 	}
-	if len(m.terminated) > minTerminated {
-		t.Errorf("%d are remembered", len(m.terminated))
+	if len(m.Terminated) > statecache.MinTerminated {
+		t.Errorf("%d are remembered", len(m.Terminated))
 	}
 }
 
@@ -59,7 +60,7 @@
 	s.nodes[2].still = false
 	terminated := s.job(nil)
 	s.rounds(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
-		return s.nodes[2].c.testState().cache.loaded && s.nodes[2].c.testState().cache.revision >= s.nodes[0].c.testState().cache.revision && s.done(terminated)()
+		return s.nodes[2].c.testState().Cache.Loaded && s.nodes[2].c.testState().Cache.Revision >= s.nodes[0].c.testState().Cache.Revision && s.done(terminated)()
 	})
 	if n := s.running(id); n != 2 {
 		t.Errorf("%d of 2 replicas run", n)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -5,9 +5,12 @@
 	"testing"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
+	"violetturn/internal/capacity"
 	"violetturn/internal/job"
 	"violetturn/internal/sched"
+	"violetturn/internal/scheduler"
 	"violetturn/internal/simulator"
 )
 
@@ -72,7 +75,7 @@
 		s.rounds(t, 200, "done", s.done(id))
 		s.rounds(t, 40, "its records are gone", func() bool {
 			c := s.nodes[0].c
-			return c.testState().cache.jobs[id] == nil && len(c.testState().cache.taskRanges[id]) == 0
+			return c.testState().Cache.Jobs[id] == nil && len(c.testState().Cache.TaskRanges[id]) == 0
 		})
 	}
 }
@@ -83,7 +86,7 @@
 	s := warmSim()
 	s.w.GangWait = 25 * time.Second
 	for _, n := range s.nodes {
-		n.c.node.settings.Facts.Workers.GangWaitS = 25
+		n.c.node.Settings.Facts.Workers.GangWaitS = 25
 	}
 	other := s.gang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.rounds(t, 300, "done", s.done(other))
@@ -92,7 +95,7 @@
 	s.rounds(t, 40, "some have been launched", func() bool { return s.phases(id, api.Fetching) == 4 })
 	s.w.Cloud.Kill(s.holder(id).Host)
 	s.rounds(t, 100, "all run", func() bool { return s.phases(id, api.Running) == 4 })
-	if g := s.nodes[0].c.testState().cache.jobs[id].record.Gang; g.Attempt != 1 {
+	if g := s.nodes[0].c.testState().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
 		t.Fatalf("runs as attempt %d", g.Attempt)
 	}
 	s.rounds(t, 200, "done", s.done(id))
@@ -118,8 +121,8 @@
 			x.Partitioned = true
 		}
 		s.rounds(t, 400, how+": a later attempt runs", func() bool {
-			j := s.nodes[0].c.testState().cache.jobs[id]
-			return j != nil && j.record.Gang.Attempt > 1 && s.phases(id, api.Running) == 4
+			j := s.nodes[0].c.testState().Cache.Jobs[id]
+			return j != nil && j.Record.Gang.Attempt > 1 && s.phases(id, api.Running) == 4
 		})
 		s.rounds(t, 300, "done", s.done(id))
 	}
@@ -164,9 +167,9 @@
 	s.rounds(t, 300, "done", s.done(warm))
 	lease := func(withdraw bool) {
 		id := s.gang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
-		j := c.testState().cache.jobs[id]
+		j := c.testState().Cache.Jobs[id]
 		var host *sched.Host
-		for _, h := range c.testState().scheduler.schedulableHosts(c.node.now()) {
+		for _, h := range c.testState().Scheduler.SchedulableHosts(c.node.Now()) {
 			if h.Shard == "n0" {
 				host = h
 			}
@@ -175,7 +178,7 @@
 			t.Fatal("no machine of its own part")
 		}
 		c.guard.Lock()
-		tx, _, _ := c.testState().scheduler.gangTransaction(&gangClaim{uid: id, placements: []placement{{uid: id, host: host}}}, c.node.now())
+		tx, _, _ := c.testState().Scheduler.GangTransaction(&scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}, c.node.Now())
 		c.guard.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
@@ -183,19 +186,19 @@
 		if done, _, err := c.commit(t.Context(), "gangs", tx, 0); !done {
 			t.Fatal(err)
 		}
-		if p := j.gangPhase(); p != job.GangReserving {
+		if p := j.GangPhase(); p != job.GangReserving {
 			t.Fatalf("is %s", p)
 		}
 		if withdraw {
 			s.cancel(0, id)
 			c.updateGangs(t.Context())
-			if n := j.countPlaced(); n != 0 {
+			if n := j.CountPlaced(); n != 0 {
 				t.Fatalf("%d places are held after the cancellation", n)
 			}
 			return
 		}
-		s.rounds(t, 40, "released", func() bool { return j.countPlaced() == 0 })
-		if !c.testState().scheduler.hasReleasedClaims(id) {
+		s.rounds(t, 40, "released", func() bool { return j.CountPlaced() == 0 })
+		if !c.testState().Scheduler.HasReleasedClaims(id) {
 			t.Fatal("does not go before newer ones")
 		}
 		for _, x := range s.w.Cloud.Hosts {
@@ -237,12 +240,12 @@
 // What a newer worker says in words that this version doesn't have is read as the
 // safest: a task that runs, an end without success.
 func TestUnknownWords(t *testing.T) {
-	if exitReasonOf("melted") != job.ExitLost || api.KnownCause("melted") || api.KnownPhase("melting") {
+	if agent.ExitReasonOf("melted") != job.ExitLost || api.KnownCause("melted") || api.KnownPhase("melting") {
 		t.Fatal("an unknown word is taken for a known one")
 	}
 	for _, how := range []string{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
-		if g.TaskEnded(1, exitReasonOf(how), true); !g.Ended {
+		if g.TaskEnded(1, agent.ExitReasonOf(how), true); !g.Ended {
 			t.Fatalf("goes on after %s", how)
 		}
 	}
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -10,14 +10,15 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/peer"
+	"violetturn/internal/statecache"
 )
 
 // served returns the node that owns the machine of one of a job's tasks, and another.
 func (s *sim) served(t interface{ Fatalf(string, ...any) }, uid string) (owner, other int) {
 	for h := range s.hostsOf(uid) {
-		m := s.nodes[0].c.testState().cache.machines[h]
+		m := s.nodes[0].c.testState().Cache.Machines[h]
 		for i, n := range s.nodes {
-			if n.c.testState().leadership.of(m.Shard) != nil {
+			if n.c.testState().Leadership.Of(m.Shard) != nil {
 				return i, (i + 1) % len(s.nodes)
 			}
 		}
@@ -164,8 +165,8 @@
 		check := func() {
 			if len(s.w.Violations) > 0 {
 				t.Fatalf(
-					"lease %v, cancel_s %v, grace %v, unseen %v: %v", s.w.Lease, s.w.CancelS, s.nodes[0].c.node.settings.LeadershipGrace(),
-					s.nodes[0].c.node.settings.MaxStaleness(), s.w.Violations,
+					"lease %v, cancel_s %v, grace %v, unseen %v: %v", s.w.Lease, s.w.CancelS, s.nodes[0].c.node.Settings.LeadershipGrace(),
+					s.nodes[0].c.node.Settings.MaxStaleness(), s.w.Violations,
 				)
 			}
 		}
@@ -216,53 +217,53 @@
 		s.round()
 	}
 	c := s.nodes[1].c
-	before := c.testState().cache.revision
+	before := c.testState().Cache.Revision
 	s.cancel(1, id)
-	if v := c.testState().leadership.acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), id) {
+	if v := c.testState().Leadership.Acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), id) {
 		t.Errorf("what it confirmed is not told: %v", v)
 	}
 	if err := c.readNewest(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if v := c.testState().leadership.acknowledgement(c.testState().cache.revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
+	if v := c.testState().Leadership.Acknowledgement(c.testState().Cache.Revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
 		t.Errorf("told what the asker has read: %v", v)
 	}
-	for i := range maxCancellations {
-		c.testState().cache.noteCancellation("run-9", c.testState().cache.revision+uint64(i)+1)
+	for i := range statecache.MaxCancellations {
+		c.testState().Cache.NoteCancellation("run-9", c.testState().Cache.Revision+uint64(i)+1)
 	}
-	if c.testState().leadership.acknowledgement(before).GetComplete() {
+	if c.testState().Leadership.Acknowledgement(before).GetComplete() {
 		t.Error("it says that it told all, and has forgotten some")
 	}
 	s.start(1)
-	if s.nodes[1].c.testState().leadership.acknowledgement(before).GetComplete() {
+	if s.nodes[1].c.testState().Leadership.Acknowledgement(before).GetComplete() {
 		t.Error("it vouches before it has read what there is")
 	}
 	for range 4 {
 		s.round()
 	}
-	if s.nodes[1].c.testState().leadership.acknowledgement(before).GetComplete() {
+	if s.nodes[1].c.testState().Leadership.Acknowledgement(before).GetComplete() {
 		t.Error("it vouches for its earlier life")
 	}
-	if !s.nodes[1].c.testState().leadership.acknowledgement(s.nodes[1].c.testState().cache.revision).GetComplete() {
+	if !s.nodes[1].c.testState().Leadership.Acknowledgement(s.nodes[1].c.testState().Cache.Revision).GetComplete() {
 		t.Error("it never vouches again")
 	}
 
 	// A leader's time counts from the oldest of all its peers' answers, and one that
 	// does not know the question, or can't say, is as good as silent.
 	o := s.nodes[0].c
-	now := o.testState().node.now()
-	o.testState().leadership.noteAcknowledgement("n1", &peer.Vouch{Complete: true}, now)
-	if !o.testState().leadership.acknowledgedByAllUntil().IsZero() {
+	now := o.testState().Node.Now()
+	o.testState().Leadership.NoteAcknowledgement("n1", &peer.Vouch{Complete: true}, now)
+	if !o.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("one peer of two vouches for both")
 	}
-	o.testState().leadership.noteAcknowledgement("n2", &peer.Vouch{Complete: true}, now.Add(-time.Second))
-	o.testState().leadership.noteAcknowledgement("n2", nil, now)
-	o.testState().leadership.noteAcknowledgement("n2", &peer.Vouch{}, now)
-	if got := o.testState().leadership.acknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
+	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Vouch{Complete: true}, now.Add(-time.Second))
+	o.testState().Leadership.NoteAcknowledgement("n2", nil, now)
+	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Vouch{}, now)
+	if got := o.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("vouched until %v, not the oldest answer's %v", got, now.Add(-time.Second))
 	}
-	o.testState().node.settings.Facts.Size = 4
-	if !o.testState().leadership.acknowledgedByAllUntil().IsZero() {
+	o.testState().Node.Settings.Facts.Size = 4
+	if !o.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("a controller that can't be asked is vouched for")
 	}
 	old := &peer.Reply{StoreReached: true, Status: 404}
@@ -283,10 +284,10 @@
 	s.rounds(t, 40, "taken", func() bool { o := s.owner(home); return o != "" && o != home })
 	c := s.nodes[leader].c
 	c.askPeers(context.Background())
-	if o := c.testState().leadership.byShard[home]; o == nil || o.successor != s.owner(home) {
+	if o := c.testState().Leadership.ByShard[home]; o == nil || o.Successor != s.owner(home) {
 		t.Fatalf("it does not know: %+v", o)
 	}
-	for h, m := range c.testState().cache.machines {
+	for h, m := range c.testState().Cache.Machines {
 		if x := s.w.Cloud.Hosts[h]; m.Shard == home && x != nil && x.Up() {
 			r := x.Heartbeat()
 			r.Token = 0
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/capacity"
 	"violetturn/internal/config"
 )
 
@@ -18,7 +19,7 @@
 		s.round()
 	}
 	c := s.nodes[0].c
-	c.node.settings.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "l", WithinS: 10}}
+	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "l", WithinS: 10}}
 	run := &api.Job{
 		UID:      "run-1",
 		Class:    "l",
@@ -32,7 +33,7 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().capacity.arrivals["l"] = append(c.testState().capacity.arrivals["l"], arrival{c.node.now(), run, 40})
+		c.testState().Capacity.Arrivals["l"] = append(c.testState().Capacity.Arrivals["l"], capacity.Arrival{At: c.node.Now(), Spec: run, Tasks: 40})
 	}
 	for range 6 { // a sixteenth of a boot is eight rounds
 		s.round()
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -1,5 +1,3 @@
-//go:build !race
-
 package controller
 
 import (
@@ -33,7 +31,7 @@
 
 	l.nodes[2].up = false
 	l.play("takeover", 30*time.Second)
-	if own := l.nodes[0].c.testState().cache.leaders["n2"].record; own == nil || own.Node == "n2" {
+	if own := l.nodes[0].c.testState().Cache.Leaders["n2"].Record; own == nil || own.Node == "n2" {
 		t.Fatalf("the lost controller's part is owned by %v", own)
 	}
 	for i := range l.nodes {
--- a/internal/controller/idle_test.go
+++ b/internal/controller/idle_test.go
@@ -5,6 +5,7 @@
 
 	"pgregory.net/rapid"
 
+	"violetturn/internal/autoscaler"
 	"violetturn/internal/sched"
 )
 
@@ -68,8 +69,8 @@
 		for _, h := range hosts {
 			before = append(before, h.Free)
 		}
-		v := &scaleInView{hosts: hosts}
-		if got := v.fitElsewhere(from.Name, from.Zone, asks); got != want {
+		v := &autoscaler.ScaleInView{Hosts: hosts}
+		if got := v.FitElsewhere(from.Name, from.Zone, asks); got != want {
 			t.Fatalf("fits %t, on copies %t", got, want)
 		}
 		for i, h := range hosts {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -9,8 +9,10 @@
 	"violetturn/internal/api"
 	"violetturn/internal/config"
 	"violetturn/internal/job"
+	"violetturn/internal/scheduler"
 	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
+	"violetturn/internal/statecache"
 )
 
 // grown makes a world of the version in production under limits that let it write
@@ -65,7 +67,7 @@
 		return s.running(inside) == 120 && s.running(withdrawn) == 110 && s.running(chunked) == 450
 	})
 	large := 0
-	for _, it := range s.w.Store.Items(livePrefix) {
+	for _, it := range s.w.Store.Items(statecache.LivePrefix) {
 		if len(it.Value) > int(s.next.ValueKB*1024) {
 			large++
 		}
@@ -82,8 +84,8 @@
 	s.rounds(t, 900, "done", s.done(inside))
 	s.rounds(t, 900, "done", s.done(chunked))
 	s.rounds(t, 400, "no large record of a job is left", func() bool {
-		return !slices.ContainsFunc(s.w.Store.Items(livePrefix), func(it simulator.Item) bool {
-			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(jobPrefix)] != machinePagePrefix
+		return !slices.ContainsFunc(s.w.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
+			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(statecache.JobPrefix)] != statecache.MachinePagePrefix
 		})
 	})
 	if s.w.Store.TooLarge > 20 {
@@ -99,7 +101,7 @@
 	})
 	s.rounds(t, 100, "all run", func() bool { return s.running(id) == 120 })
 	s.upgrade()
-	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.testState().cache.jobs[id].record.Generation == 1 })
+	s.rounds(t, 200, "divided", func() bool { return s.nodes[0].c.testState().Cache.Jobs[id].Record.Generation == 1 })
 	for range 60 {
 		s.round()
 		if n := s.running(id); n != 120 {
@@ -121,9 +123,9 @@
 	s.fall()
 	s.cancel(0, id)
 	s.rounds(t, 400, "all machines have gone and are forgotten", func() bool {
-		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.testState().cache.machines) == 0
+		return len(s.w.Cloud.Hosts) == 0 && len(s.nodes[0].c.testState().Cache.Machines) == 0
 	})
-	s.rounds(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].c.testState().cache.pages) == 0 })
+	s.rounds(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].c.testState().Cache.Pages) == 0 })
 	again := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.rounds(t, 400, "done", s.done(again))
 	if s.w.Store.TooLarge > 3 {
@@ -135,27 +137,27 @@
 // one has taken over stays as the fine one says.
 func TestFinePageHidesCoarse(t *testing.T) {
 	s := newSim()
-	m := s.nodes[0].c.testState().cache
+	m := s.nodes[0].c.testState().Cache
 	page := func(id string, version uint64, hosts ...string) {
 		p := shard.Page{}
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.apply(machinePagePrefix+id, api.JSON(p), version)
+		m.Apply(statecache.MachinePagePrefix+id, api.JSON(p), version)
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
-	if m.machines["i-000231"].Shard != "i-00023-" || m.machines["i-000232"] != nil || m.machines["i-000247"] == nil ||
-		!m.terminated["i-000232"] {
-		t.Fatal(m.machines)
+	if m.Machines["i-000231"].Shard != "i-00023-" || m.Machines["i-000232"] != nil || m.Machines["i-000247"] == nil ||
+		!m.Terminated["i-000232"] {
+		t.Fatal(m.Machines)
 	}
 	page("i-0002-", 3, "i-000232", "i-000239", "i-000247")
-	if m.machines["i-000232"] != nil || m.machines["i-000239"] != nil || len(m.machines) != 2 {
-		t.Fatal("a late write brings machines back", m.machines)
+	if m.Machines["i-000232"] != nil || m.Machines["i-000239"] != nil || len(m.Machines) != 2 {
+		t.Fatal("a late write brings machines back", m.Machines)
 	}
-	m.apply(machinePagePrefix+"i-0002-", nil, 4)
-	if len(m.machines) != 1 || m.machines["i-000231"] == nil {
-		t.Fatal(m.machines)
+	m.Apply(statecache.MachinePagePrefix+"i-0002-", nil, 4)
+	if len(m.Machines) != 1 || m.Machines["i-000231"] == nil {
+		t.Fatal(m.Machines)
 	}
 }
 
@@ -192,25 +194,25 @@
 	m := &job.Record{RangeSize: 8}
 	m.Spec.Tasks, m.Spec.Spread = 8, true
 	c := (*job.TaskRange)(nil).Copy()
-	j := &liveJob{record: m, ranges: map[int]cached[job.TaskRange]{0: {record: c}}}
-	z := &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
+	j := &statecache.Job{Record: m, Ranges: map[int]statecache.Versioned[job.TaskRange]{0: {Record: c}}}
+	z := &scheduler.ZoneConstraint{Job: j, TasksByZone: map[int]map[string]int{}}
 	for range 4 {
-		z.add(0, "x")
+		z.Add(0, "x")
 	}
-	if z.allows(0, "x") {
+	if z.Allows(0, "x") {
 		t.Fatal("more than half in a zone")
 	}
 	m.Split(2)
-	z = &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
+	z = &scheduler.ZoneConstraint{Job: j, TasksByZone: map[int]map[string]int{}}
 	for _, chunk := range []int{0, 0, 1, 1} {
-		z.add(chunk, "x")
+		z.Add(chunk, "x")
 	}
 	for chunk := range 4 {
-		if z.allows(chunk, "x") || !z.allows(chunk, "y") {
-			t.Fatalf("chunk %d of the divided job: x %t, y %t", chunk, z.allows(chunk, "x"), z.allows(chunk, "y"))
+		if z.Allows(chunk, "x") || !z.Allows(chunk, "y") {
+			t.Fatalf("chunk %d of the divided job: x %t, y %t", chunk, z.Allows(chunk, "x"), z.Allows(chunk, "y"))
 		}
 	}
-	if !recordCoversTasks(j) {
+	if !statecache.RecordCoversTasks(j) {
 		t.Fatal("a late transaction could place by an old count")
 	}
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -19,6 +19,7 @@
 	"violetturn/internal/config"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/simulator"
+	"violetturn/internal/state"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -68,7 +69,7 @@
 	busy      map[string]time.Duration // by kind of work
 	allocated uint64
 	longest   time.Duration // of a single step
-	holds     map[string]*LockUse
+	holds     map[string]*state.LockUse
 }
 
 func newLoadSim(d *simulator.Deployment) *loadSim {
@@ -105,7 +106,7 @@
 			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
-		n.c.guard.meter = newLockMeter()
+		n.c.guard.Meter = state.NewLockMeter()
 	}
 	for i := range 3 {
 		l.nodes = append(l.nodes, &simNode{name: fmt.Sprintf("n%d", i)})
@@ -120,7 +121,7 @@
 func (l *loadSim) measure(work string, f func()) {
 	cost := l.costs[l.phase]
 	if cost == nil {
-		cost = &phaseCost{busy: map[string]time.Duration{}, holds: map[string]*LockUse{}}
+		cost = &phaseCost{busy: map[string]time.Duration{}, holds: map[string]*state.LockUse{}}
 		l.costs[l.phase] = cost
 	}
 	before := allocatedBytes()
@@ -146,8 +147,8 @@
 	}
 	ctx := context.Background()
 	l.measure("watch", func() {
-		if n.c.testState().cache.loaded {
-			_ = n.c.applyChanges(ctx, n.c.testState().cache.revision, 0) // refused in an outage
+		if n.c.testState().Cache.Loaded {
+			_ = n.c.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
 			n.c.requestHeartbeats(ctx)
 		} else {
 			_ = n.c.loadReplica(ctx)
@@ -297,10 +298,10 @@
 	if cost := l.costs[phase]; cost != nil {
 		cost.simulated += d
 		for _, n := range l.nodes {
-			for _, use := range n.c.guard.meter.take() {
+			for _, use := range n.c.guard.Meter.Take() {
 				sum := cost.holds[use.Function]
 				if sum == nil {
-					sum = &LockUse{Function: use.Function}
+					sum = &state.LockUse{Function: use.Function}
 					cost.holds[use.Function] = sum
 				}
 				sum.Holds += use.Holds
@@ -365,8 +366,8 @@
 }
 
 // mostHeld returns the functions that held a lock longest in all.
-func mostHeld(holds map[string]*LockUse, most int) []*LockUse {
-	uses := slices.SortedFunc(maps.Values(holds), func(a, b *LockUse) int { return cmp.Compare(b.Held, a.Held) })
+func mostHeld(holds map[string]*state.LockUse, most int) []*state.LockUse {
+	uses := slices.SortedFunc(maps.Values(holds), func(a, b *state.LockUse) int { return cmp.Compare(b.Held, a.Held) })
 	return uses[:min(most, len(uses))]
 }
 
--- a/internal/controller/lock_test.go
+++ b/internal/controller/lock_test.go
@@ -4,22 +4,24 @@
 	"strings"
 	"testing"
 	"time"
+
+	"violetturn/internal/state"
 )
 
 // A metered lock tells holds apart by the function that took it, deferred unlocks
 // included, and begins anew when it was read; without a meter it only locks.
 func TestLockMeter(t *testing.T) {
-	var l guardedState
+	var l state.Guard
 	if !lockPlainly(&l) {
 		t.Fatal("not locked")
 	}
-	l.meter = newLockMeter()
+	l.Meter = state.NewLockMeter()
 	for range 3 {
 		lockDeferred(&l)
 	}
 	lockPlainly(&l)
 	counts := map[string]int{}
-	for _, use := range l.meter.take() {
+	for _, use := range l.Meter.Take() {
 		counts[use.Function[strings.LastIndex(use.Function, ".")+1:]] = use.Holds
 		if use.Longest > use.Held || use.Held < 0 || use.Waited < 0 {
 			t.Errorf("%+v", use)
@@ -28,34 +30,34 @@
 	if counts["lockDeferred"] != 3 || counts["lockPlainly"] != 1 || len(counts) != 2 {
 		t.Errorf("holds by function: %v", counts)
 	}
-	if uses := l.meter.take(); len(uses) != 0 {
+	if uses := l.Meter.Take(); len(uses) != 0 {
 		t.Errorf("%v are left", uses)
 	}
 }
 
-func lockDeferred(l *guardedState) {
+func lockDeferred(l *state.Guard) {
 	l.Lock()
 	defer l.Unlock()
 }
 
-func lockPlainly(l *guardedState) (held bool) {
+func lockPlainly(l *state.Guard) (held bool) {
 	l.Lock()
-	held = !l.mutex.TryLock()
+	held = !l.Mutex.TryLock()
 	l.Unlock()
 	return held
 }
 
 // A lock that was taken before it was metered can be released: nothing is counted for it.
 func TestLockMeterBeginsWhileHeld(t *testing.T) {
-	var l guardedState
+	var l state.Guard
 	l.Lock()
-	l.meter = newLockMeter()
+	l.Meter = state.NewLockMeter()
 	l.Unlock()
-	if uses := l.meter.take(); len(uses) != 0 {
+	if uses := l.Meter.Take(); len(uses) != 0 {
 		t.Errorf("%v", uses)
 	}
 	lockPlainly(&l)
-	if uses := l.meter.take(); len(uses) != 1 || uses[0].Held > time.Hour {
+	if uses := l.Meter.Take(); len(uses) != 1 || uses[0].Held > time.Hour {
 		t.Errorf("%v", uses)
 	}
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -7,6 +7,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
@@ -14,40 +15,40 @@
 // without a record, each in one shard, by conditional writes of their pages.
 func (c *Controller) registerMachines(ctx context.Context) bool {
 	state := c.guard.Lock()
-	if len(state.agents.unregistered) == 0 {
+	if len(state.Agents.Unregistered) == 0 {
 		c.guard.Unlock()
 		return false
 	}
-	t := newTransaction()
+	t := statecache.NewTransaction()
 	pages := map[string]shard.Page{}
 	var names []string
 	size := 0 // bytes of the pages
 	count := map[string]int{}
-	for _, m := range state.cache.machines {
+	for _, m := range state.Cache.Machines {
 		count[m.Shard]++
 	}
-	for _, host := range slices.Sorted(maps.Keys(state.agents.unregistered)) {
-		m := state.agents.unregistered[host]
-		if state.cache.machines[host] != nil || state.cache.terminated[host] {
-			delete(state.agents.unregistered, host)
+	for _, host := range slices.Sorted(maps.Keys(state.Agents.Unregistered)) {
+		m := state.Agents.Unregistered[host]
+		if state.Cache.Machines[host] != nil || state.Cache.Terminated[host] {
+			delete(state.Agents.Unregistered, host)
 			continue
 		}
-		id := state.schema.pageFor(host)
+		id := state.Schema.PageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(c.node.Settings.Facts.State.ValueKB*1024) {
 				break
 			}
-			_, page = state.schema.openPage(t, host)
+			_, page = state.Schema.OpenPage(t, host)
 		}
 		m.Shard = c.shardFor(m.Zone, count)
-		m.RegisteredMS = c.node.now().UnixMilli()
+		m.RegisteredMS = c.node.Now().UnixMilli()
 		page[host] = &m
 		bytes := len(api.JSON(page))
-		if bytes > state.schema.maxPageBytes() {
-			c.node.log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
+		if bytes > state.Schema.MaxPageBytes() {
+			c.node.Log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
 			delete(page, host)
-			delete(state.agents.unregistered, host)
+			delete(state.Agents.Unregistered, host)
 			continue
 		}
 		if !open {
@@ -58,7 +59,7 @@
 		names = append(names, host)
 	}
 	for id, page := range pages {
-		t.put(machinePagePrefix+id, page)
+		t.Put(statecache.MachinePagePrefix+id, page)
 	}
 	c.guard.Unlock()
 	if len(names) == 0 {
@@ -68,23 +69,23 @@
 	state = c.guard.Lock()
 	defer c.guard.Unlock()
 	if done {
-		c.node.log.Info("machines registered", "hosts", names)
+		c.node.Log.Info("machines registered", "hosts", names)
 		for _, h := range names {
-			delete(state.agents.unregistered, h)
+			delete(state.Agents.Unregistered, h)
 		}
 	}
-	return (done || err == nil) && len(state.agents.unregistered) > 0
+	return (done || err == nil) && len(state.Agents.Unregistered) > 0
 }
 
 // shardFor chooses the shard for a machine: one whose home controller is in the
 // machine's zone, so that a zone cut off keeps its leader; of those the smallest.
 func (c *Controller) shardFor(site string, count map[string]int) string {
-	zone := map[string]string{c.node.settings.HostName: c.node.settings.Zone}
-	for _, m := range c.node.settings.Members {
+	zone := map[string]string{c.node.Settings.HostName: c.node.Settings.Zone}
+	for _, m := range c.node.Settings.Members {
 		zone[m.HostName] = m.Zone
 	}
 	best, bestN := "", 0
-	for _, p := range c.node.shards {
+	for _, p := range c.node.Shards {
 		n := count[p]
 		if zone[p] != site {
 			n += 1 << 20
@@ -99,59 +100,59 @@
 // deregisterMachines drops machines that are gone and empty from their pages: several
 // at once, now and then, since nothing waits for it.
 func (c *Controller) deregisterMachines(ctx context.Context) bool {
-	now := c.node.now()
+	now := c.node.Now()
 	state := c.guard.Lock()
-	if now.Sub(state.stats.deregisteredAt) < c.node.settings.WorkerLease()/4 {
+	if now.Sub(state.Stats.DeregisteredAt) < c.node.Settings.WorkerLease()/4 {
 		c.guard.Unlock()
 		return false
 	}
-	t := newTransaction()
+	t := statecache.NewTransaction()
 	pages := map[string]shard.Page{}
 	size := 0 // bytes of the pages
 	var names []string
-	for host, s := range state.agents.byHost {
-		m := state.cache.machines[host]
-		if !s.Terminated || m == nil || state.leadership.of(m.Shard) == nil || len(state.cache.placements[host]) > 0 {
+	for host, s := range state.Agents.ByHost {
+		m := state.Cache.Machines[host]
+		if !s.Terminated || m == nil || state.Leadership.Of(m.Shard) == nil || len(state.Cache.Placements[host]) > 0 {
 			continue
 		}
-		if _, in := state.cache.capacities[m.Shard].record.Free[host]; in {
+		if _, in := state.Cache.Capacities[m.Shard].Record.Free[host]; in {
 			continue // upkeep comes first: no stealing peer may still put a task there
 		}
-		id := state.schema.pageFor(host)
+		id := state.Schema.PageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= state.schema.maxChanges() || size > 48<<10-int(c.node.settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(c.node.Settings.Facts.State.ValueKB*1024) {
 				continue
 			}
-			_, page = state.schema.openPage(t, host)
+			_, page = state.Schema.OpenPage(t, host)
 			size += len(api.JSON(page))
 			pages[id] = page
 		}
-		state.leadership.require(t, m.Shard)
-		t.require(capacityPrefix+m.Shard, state.cache.capacities[m.Shard].version)
+		state.Leadership.Require(t, m.Shard)
+		t.Require(statecache.CapacityPrefix+m.Shard, state.Cache.Capacities[m.Shard].Version)
 		delete(page, host)
 		names = append(names, host)
 	}
 	for id, page := range pages {
-		state.schema.closePage(t, id, page)
+		state.Schema.ClosePage(t, id, page)
 	}
-	if len(names) == 0 && state.schema.upgraded() && state.schema.deleteObsoletePage(t) {
-		state.stats.deregisteredAt = now
+	if len(names) == 0 && state.Schema.Upgraded() && state.Schema.DeleteObsoletePage(t) {
+		state.Stats.DeregisteredAt = now
 	}
 	c.guard.Unlock()
-	if t.changes() == 0 {
+	if t.Changes() == 0 {
 		return false
 	}
 	done, _, _ := c.commit(ctx, "forgotten", t, store.PriorityDecision)
 	if done {
 		slices.Sort(names)
 		state = c.guard.Lock()
-		state.stats.deregisteredAt = now
+		state.Stats.DeregisteredAt = now
 		for _, h := range names {
-			state.agents.drop(h)
+			state.Agents.Drop(h)
 		}
 		c.guard.Unlock()
-		c.node.log.Info("machines deregistered", "hosts", names)
+		c.node.Log.Info("machines deregistered", "hosts", names)
 	}
 	return false
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -44,7 +44,7 @@
 	s.rounds(
 		t, 60, "machine returned and forgotten",
 		func() bool {
-			return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.testState().cache.machines[host] == nil
+			return s.w.Cloud.Hosts[host] == nil && s.nodes[0].c.testState().Cache.Machines[host] == nil
 		},
 	)
 	for range 20 {
@@ -53,7 +53,7 @@
 		}
 		s.round()
 		for _, n := range s.nodes {
-			if n.c.testState().cache.machines[host] != nil {
+			if n.c.testState().Cache.Machines[host] != nil {
 				t.Fatal("recorded again")
 			}
 		}
@@ -65,9 +65,9 @@
 func TestMachineOutlivesChangesOfOwner(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.testState().cache.machines) > 0 })
+	s.rounds(t, 20, "machine known", func() bool { return len(s.nodes[0].c.testState().Cache.Machines) > 0 })
 	home := 0
-	for _, m := range s.nodes[0].c.testState().cache.machines {
+	for _, m := range s.nodes[0].c.testState().Cache.Machines {
 		home = int(m.Shard[1] - '0')
 	}
 	s.w.Store.Refuse[s.nodes[home].name] = true // before the machine is up
@@ -94,10 +94,10 @@
 	for range 90 { // long enough for any boot
 		s.round()
 	}
-	home := int(s.nodes[0].c.testState().cache.machines[host].Shard[1] - '0')
+	home := int(s.nodes[0].c.testState().Cache.Machines[host].Shard[1] - '0')
 	s.w.Cloud.Hosts[host].Partitioned = true
 	s.w.Store.Refuse[s.nodes[home].name] = true
-	cfg := s.nodes[0].c.node.settings
+	cfg := s.nodes[0].c.node.Settings
 	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
 	s.rounds(t, int(bound/(500*time.Millisecond)), "machine returned", func() bool { return s.w.Cloud.Hosts[host] == nil })
 }
@@ -108,14 +108,14 @@
 	s := warmSim()
 	c := s.nodes[0].c
 	for i := range 60 {
-		c.testState().agents.unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
+		c.testState().Agents.Unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
 	}
 	before := s.w.Store.Writes
-	for len(c.testState().agents.unregistered) > 0 && s.w.Store.Writes < before+60 {
+	for len(c.testState().Agents.Unregistered) > 0 && s.w.Store.Writes < before+60 {
 		c.registerMachines(context.Background())
 	}
-	if n := s.w.Store.Writes - before; n > 6 || len(c.testState().cache.machines) < 60 {
-		t.Fatalf("%d changes for %d machines", n, len(c.testState().cache.machines))
+	if n := s.w.Store.Writes - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
+		t.Fatalf("%d changes for %d machines", n, len(c.testState().Cache.Machines))
 	}
 }
 
@@ -135,7 +135,7 @@
 		}
 		deaf.InboundLost = true
 		if handover {
-			s.start(int(s.nodes[0].c.testState().cache.machines[deaf.Host].Shard[1] - '0'))
+			s.start(int(s.nodes[0].c.testState().Cache.Machines[deaf.Host].Shard[1] - '0'))
 		}
 		elsewhere := func() bool {
 			on := s.hostsOf(id)
@@ -168,7 +168,7 @@
 	var copies [][]byte
 	for range 8 {
 		copies = append(copies, api.JSON(s.w.Cloud.Hosts[host].Heartbeat()))
-		s.deliver(int(s.nodes[0].c.testState().cache.machines[host].Shard[1]-'0'), copies[len(copies)-1])
+		s.deliver(int(s.nodes[0].c.testState().Cache.Machines[host].Shard[1]-'0'), copies[len(copies)-1])
 	}
 	s.w.Cloud.Kill(host)
 	again := func() {
@@ -186,14 +186,14 @@
 	if s.running(id) < 2 {
 		t.Fatalf("%d of 2 replicas run while copies of the lost machine's reports come in", s.running(id))
 	}
-	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.testState().cache.machines[host] == nil })
+	s.rounds(t, 60, "machine forgotten", func() bool { return s.nodes[0].c.testState().Cache.Machines[host] == nil })
 	for i := range s.nodes {
 		s.start(i)
 	}
 	for range 40 {
 		again()
 		for _, n := range s.nodes {
-			if n.c.testState().cache.machines[host] != nil {
+			if n.c.testState().Cache.Machines[host] != nil {
 				t.Fatal("a machine that is long gone is recorded again")
 			}
 		}
@@ -208,8 +208,8 @@
 func TestOtherNodesSendWorkersOn(t *testing.T) {
 	s := warmSim()
 	s.job(nil)
-	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.testState().cache.machines) > 0 && len(s.w.Cloud.Hosts) > 0 })
-	for h, m := range s.nodes[0].c.testState().cache.machines {
+	s.rounds(t, 40, "machine known", func() bool { return len(s.nodes[0].c.testState().Cache.Machines) > 0 && len(s.w.Cloud.Hosts) > 0 })
+	for h, m := range s.nodes[0].c.testState().Cache.Machines {
 		x := s.w.Cloud.Hosts[h]
 		for i, n := range s.nodes {
 			status, _, leader := s.deliver(i, api.JSON(x.Heartbeat()))
@@ -223,7 +223,7 @@
 		s.w.Store.Refuse["n0"] = true
 		s.round()
 	}
-	for h := range s.nodes[1].c.testState().cache.machines {
+	for h := range s.nodes[1].c.testState().Cache.Machines {
 		if x := s.w.Cloud.Hosts[h]; x != nil {
 			if status, _, _ := s.deliver(0, api.JSON(x.Heartbeat())); status == 200 {
 				t.Error("answers 200 long after its hold has ended")
@@ -243,26 +243,26 @@
 	for h := range s.hostsOf(id) {
 		host = h
 	}
-	home := int(s.nodes[0].c.testState().cache.machines[host].Shard[1] - '0')
+	home := int(s.nodes[0].c.testState().Cache.Machines[host].Shard[1] - '0')
 	c := s.nodes[home].c
 	for range 2 * int(s.w.Lease/time.Second) { // raises count again
 		s.round()
 	}
-	raises := c.testState().agents.byHost[host].TokenSequence
+	raises := c.testState().Agents.ByHost[host].TokenSequence
 	s.cancel(home, id)
 	s.step(home)
-	if s.running(id) != 0 || c.testState().agents.byHost[host].TokenSequence != raises {
-		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.testState().agents.byHost[host].TokenSequence-raises)
+	if s.running(id) != 0 || c.testState().Agents.ByHost[host].TokenSequence != raises {
+		t.Fatalf("stopped: %d run, %d raises", s.running(id), c.testState().Agents.ByHost[host].TokenSequence-raises)
 	}
 	s.rounds(t, 6, "machine empty", func() bool {
-		return len(c.testState().cache.placements[host]) == 0 && len(c.testState().agents.byHost[host].Heartbeat.Tasks) == 0
+		return len(c.testState().Cache.Placements[host]) == 0 && len(c.testState().Agents.ByHost[host].Heartbeat.Tasks) == 0
 	})
 	next := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	for range 2 {
 		s.step(0)
 		s.step(home)
 	}
-	if on := c.testState().cache.placements[host]; len(on) != 1 || c.testState().agents.byHost[host].TokenSequence != raises+1 {
-		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().agents.byHost[host].TokenSequence-raises)
+	if on := c.testState().Cache.Placements[host]; len(on) != 1 || c.testState().Agents.ByHost[host].TokenSequence != raises+1 {
+		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().Agents.ByHost[host].TokenSequence-raises)
 	}
 }
--- a/internal/controller/meet_users_test.go
+++ b/internal/controller/meet_users_test.go
@@ -197,7 +197,7 @@
 		s.w.Cloud.Full = true
 		if planted {
 			for _, n := range s.nodes {
-				n.c.node.settings.Facts.Teams[1].GPUsMax = 3
+				n.c.node.Settings.Facts.Teams[1].GPUsMax = 3
 			}
 		}
 		s.array(1, time.Second, nil)
@@ -225,9 +225,9 @@
 	for what, plant := range map[string]func(c *Controller){
 		"": func(*Controller) {},
 		"a team": func(c *Controller) {
-			c.node.settings.Facts.Teams = append(c.node.settings.Facts.Teams, config.Team{Name: "nobody"})
+			c.node.Settings.Facts.Teams = append(c.node.Settings.Facts.Teams, config.Team{Name: "nobody"})
 		},
-		"a large build": func(c *Controller) { c.testState().catalog.machineTypes[0].GPUs = 100 },
+		"a large build": func(c *Controller) { c.testState().Catalog.MachineTypes[0].GPUs = 100 },
 	} {
 		s := warmSim()
 		plant(s.nodes[1].c)
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -36,8 +36,8 @@
 	s.start(taker)
 	s.rounds(t, 10, "taken again", func() bool { return s.owner("n1") == s.nodes[taker].name })
 	c := s.nodes[taker].c
-	if got := c.testState().leadership.byShard["n1"].predecessorAnswersUntil.Sub(c.node.now()); got <= c.node.settings.LeadershipGrace()/2 {
-		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.node.settings.LeadershipGrace())
+	if got := c.testState().Leadership.ByShard["n1"].PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
+		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.node.Settings.LeadershipGrace())
 	}
 }
 
@@ -75,8 +75,8 @@
 func TestPartIsNotTakenFromALivingOwner(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[1].c
-	before := c.testState().leadership.byShard["n1"].term
-	old := c.testState().cache.leaders["n0"].version
+	before := c.testState().Leadership.ByShard["n1"].Term
+	old := c.testState().Cache.Leaders["n0"].Version
 	s.nodes[0].up = false
 	s.rounds(t, 40, "part of n0 taken", func() bool { o := s.owner("n0"); return o != "" })
 	taker := s.owner("n0")
@@ -86,7 +86,7 @@
 	}
 	s.round()
 	other.c.acquireShard(context.Background(), "n0", old) // it still looks at the old owner's key
-	if s.owner("n0") != taker || other.c.testState().leadership.byShard["n0"] != nil || c.testState().leadership.byShard["n1"].term != before {
+	if s.owner("n0") != taker || other.c.testState().Leadership.ByShard["n0"] != nil || c.testState().Leadership.ByShard["n1"].Term != before {
 		t.Fatal("the part changed hands")
 	}
 }
@@ -99,7 +99,7 @@
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 4 })
 	s.nodes[1].up = false
-	s.rounds(t, 40, "part of n1 without an owner", func() bool { return s.nodes[0].c.testState().cache.leaders["n1"].record == nil })
+	s.rounds(t, 40, "part of n1 without an owner", func() bool { return s.nodes[0].c.testState().Cache.Leaders["n1"].Record == nil })
 	for _, n := range s.nodes {
 		s.w.Store.Next[n.name] = simulator.Late // the take is on its way when its sender ends
 	}
@@ -139,17 +139,17 @@
 		t.Fatal(err)
 	}
 	var err error
-	if c.testState().leadership.leaseID, err = c.store.GrantLease(context.Background(), c.node.settings.ControllerLeaseTTL()); err != nil {
+	if c.testState().Leadership.LeaseID, err = c.store.GrantLease(context.Background(), c.node.Settings.ControllerLeaseTTL()); err != nil {
 		t.Fatal(err)
 	}
 	for len(c.leaderlessShard) > 0 {
 		<-c.leaderlessShard
 	}
-	old := c.testState().cache.leaders["n1"].version
-	s.nodes[0].c.acquireShard(context.Background(), "n0", s.nodes[0].c.testState().cache.leaders["n0"].version) // raises the term
+	old := c.testState().Cache.Leaders["n1"].Version
+	s.nodes[0].c.acquireShard(context.Background(), "n0", s.nodes[0].c.testState().Cache.Leaders["n0"].Version) // raises the term
 	c.acquireShard(context.Background(), "n1", old)
-	if c.testState().leadership.byShard["n1"] != nil || len(c.leaderlessShard) != 1 {
-		t.Fatalf("taken %t, to be tried again %d", c.testState().leadership.byShard["n1"] != nil, len(c.leaderlessShard))
+	if c.testState().Leadership.ByShard["n1"] != nil || len(c.leaderlessShard) != 1 {
+		t.Fatalf("taken %t, to be tried again %d", c.testState().Leadership.ByShard["n1"] != nil, len(c.leaderlessShard))
 	}
 }
 
@@ -216,9 +216,9 @@
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.rounds(t, 60, "replicas run", func() bool { return s.running(id) == 4 })
-	home := s.nodes[0].c.testState().cache.machines[s.w.Cloud.Names()[0]].Shard
+	home := s.nodes[0].c.testState().Cache.Machines[s.w.Cloud.Names()[0]].Shard
 	s.w.Store.Unreachable[home] = true
-	cfg := s.nodes[0].c.node.settings
+	cfg := s.nodes[0].c.node.Settings
 	s.rounds(
 		t,
 		int((cfg.ControllerLeaseTTL()+cfg.LeadershipGrace()+cfg.WorkerLeaseBound())/(500*time.Millisecond))+20,
@@ -228,7 +228,7 @@
 			if o == "" || o == home {
 				return false
 			}
-			for h, m := range s.nodes[int(o[1]-'0')].c.testState().cache.machines {
+			for h, m := range s.nodes[int(o[1]-'0')].c.testState().Cache.Machines {
 				if x := s.w.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
 					return false
 				}
@@ -242,7 +242,7 @@
 	}
 	for _, x := range s.w.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
-		r.Token = shard.FencingToken(s.nodes[cut].c.testState().leadership.byShard[home].term, 0)
+		r.Token = shard.FencingToken(s.nodes[cut].c.testState().Leadership.ByShard[home].Term, 0)
 		if status, _, _ := s.deliver(cut, api.JSON(r)); status == 200 {
 			t.Error("it answers reports beyond its grace")
 		}
@@ -261,14 +261,14 @@
 	c := s.nodes[0].c
 	s.step(0)
 	s.step(0)
-	if c.testState().leadership.rateSharers != 3 {
-		t.Fatalf("%d share before the others have registered", c.testState().leadership.rateSharers)
+	if c.testState().Leadership.RateSharers != 3 {
+		t.Fatalf("%d share before the others have registered", c.testState().Leadership.RateSharers)
 	}
-	s.rounds(t, 4, "all three share", func() bool { return c.testState().leadership.rateSharers == 3 })
+	s.rounds(t, 4, "all three share", func() bool { return c.testState().Leadership.RateSharers == 3 })
 	s.nodes[1].up, s.nodes[2].up = false, false
 	s.rounds(t, 20, "alone", func() bool {
-		return c.testState().leadership.rateSharers == 1 && c.writesPerSecond() == int(c.node.settings.LowestLimits().WriteRPS)
+		return c.testState().Leadership.RateSharers == 1 && c.writesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.start(2)
-	s.rounds(t, 20, "two share", func() bool { return c.testState().leadership.rateSharers == 2 })
+	s.rounds(t, 20, "two share", func() bool { return c.testState().Leadership.RateSharers == 2 })
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -2,31 +2,22 @@
 
 import (
 	"context"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"violetturn/internal/api"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/peer"
+	"violetturn/internal/respond"
 	"violetturn/internal/transport"
 )
 
-// reachability is what a node knows of the state service and of its peers' sight of
-// it. A node can't tell an outage from a refusal of itself alone; peers can.
-type reachability struct {
-	storeReachable bool            // our last request was served
-	since          time.Time       // since when that is so
-	peersAsked     bool            // the peers have been asked since
-	peers          map[string]bool // peers that answer, and whether they reach the state service
-}
-
 // noteStoreAnswer notes whether the state service served a request.
 func (c *Controller) noteStoreAnswer(ok bool) {
 	state := c.guard.Lock()
-	if state.reachability.storeReachable != ok {
-		state.reachability.storeReachable, state.reachability.since, state.reachability.peersAsked = ok, c.node.now(), false
-		c.node.log.Info("state service reachability", "reachable", ok)
+	if state.Reachability.StoreReachable != ok {
+		state.Reachability.StoreReachable, state.Reachability.Since, state.Reachability.PeersAsked = ok, c.node.Now(), false
+		c.node.Log.Info("state service reachability", "reachable", ok)
 	}
 	c.guard.Unlock()
 }
@@ -35,15 +26,15 @@
 func (c *Controller) storeReachable() bool {
 	state := c.guard.Lock()
 	defer c.guard.Unlock()
-	return state.reachability.storeReachable
+	return state.Reachability.StoreReachable
 }
 
 // peerLoop asks the peers for their sight of the state service while ours is
 // gone.
 func (c *Controller) peerLoop(ctx context.Context) {
-	for sleep(ctx, c.node.settings.ControllerLeaseTTL()/8) {
+	for sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8) {
 		state := c.guard.Lock()
-		lost := !state.reachability.storeReachable
+		lost := !state.Reachability.StoreReachable
 		c.guard.Unlock()
 		if !lost {
 			continue
@@ -55,11 +46,11 @@
 // askPeers asks every peer whether it reaches the state service, and what it has done
 // that this node can't see meanwhile.
 func (c *Controller) askPeers(ctx context.Context) {
-	for _, m := range c.node.settings.Members {
+	for _, m := range c.node.Settings.Members {
 		c.askPeer(ctx, m.HostName, m.Addr)
 	}
 	state := c.guard.Lock()
-	state.reachability.peersAsked = !state.reachability.storeReachable
+	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
 	c.guard.Unlock()
 }
 
@@ -68,11 +59,11 @@
 func (c *Controller) forwardingPeer() string {
 	state := c.guard.Lock()
 	defer c.guard.Unlock()
-	if state.reachability.storeReachable {
+	if state.Reachability.StoreReachable {
 		return ""
 	}
-	for _, m := range c.node.settings.Members {
-		if state.reachability.peers[m.HostName] {
+	for _, m := range c.node.Settings.Members {
+		if state.Reachability.Peers[m.HostName] {
 			return m.Addr
 		}
 	}
@@ -85,14 +76,14 @@
 	if addr := c.forwardingPeer(); addr != "" {
 		// A peer of the version before would call a new shape malformed, for good.
 		if r.GetKind() == peer.Request_KIND_SUBMIT && !c.acceptsKind(api.KindOf(r.GetBody())) {
-			return responseBusy
+			return respond.Busy
 		}
-		r.From = c.node.settings.HostName
+		r.From = c.node.Settings.HostName
 		a, err := c.peers.Ask(ctx, addr, r, userRequestTimeout*3/4)
 		if err == nil && a.GetStatus() != 0 {
 			return transport.Response{Status: int(a.GetStatus()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfter())}
 		}
-		return responseBusy // it may have been carried out: the user asks again
+		return respond.Busy // it may have been carried out: the user asks again
 	}
 	return c.serveLocally(ctx, r)
 }
@@ -129,7 +120,7 @@
 	select {
 	case c.userSlots <- struct{}{}:
 	default:
-		return answer(peerReply(responseBusy)), true
+		return answer(peerReply(respond.Busy)), true
 	}
 	go func() {
 		defer func() { <-c.userSlots }()
@@ -144,7 +135,7 @@
 func (c *Controller) canServe() bool {
 	state := c.guard.Lock()
 	defer c.guard.Unlock()
-	return state.cache.loaded && state.reachability.storeReachable
+	return state.Cache.Loaded && state.Reachability.StoreReachable
 }
 
 // servesForPeer reports whether a peer's request is to be carried out: it asks for more
@@ -160,7 +151,7 @@
 	a := &peer.Reply{StoreReached: c.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
 		state := c.guard.Lock()
-		a.Vouch = state.leadership.acknowledgement(r.GetSince())
+		a.Vouch = state.Leadership.Acknowledgement(r.GetSince())
 		c.guard.Unlock()
 	}
 	return a
@@ -171,3 +162,24 @@
 func peerReply(r transport.Response) *peer.Reply {
 	return &peer.Reply{StoreReached: true, Status: uint32(r.Status), Body: r.Body, RetryAfter: uint32(r.RetryAfter)}
 }
+
+// askPeer asks one peer what it sees of the state service and what it has done.
+func (c *Controller) askPeer(ctx context.Context, name, addr string) {
+	state := c.guard.Lock()
+	since, sent := state.Cache.Revision, c.node.Now()
+	c.guard.Unlock()
+	r, err := c.peers.Ask(
+		ctx,
+		addr,
+		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.node.Settings.HostName, Since: since},
+		c.node.Settings.ControllerLeaseTTL()/4,
+	)
+	state = c.guard.Lock()
+	defer c.guard.Unlock()
+	if err != nil {
+		delete(state.Reachability.Peers, name)
+		return
+	}
+	state.Reachability.Peers[name] = r.GetStoreReached()
+	state.Leadership.NoteAcknowledgement(name, r.GetVouch(), sent)
+}
--- /dev/null
+++ b/internal/controller/placements.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+
+	"violetturn/internal/capacity"
+	"violetturn/internal/sched"
+	"violetturn/internal/scheduler"
+	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
+	"violetturn/internal/store"
+)
+
+// placeTasks commits what one plan places: own placements, and claims on peers'
+// room by conditional write on their shards' capacity records; and with them the
+// marks of the tasks that have to leave for some. What comes together goes into
+// one transaction, so that a job whose tasks go to several shards is written once.
+func (c *Controller) placeTasks(ctx context.Context) bool {
+	state := c.guard.Lock()
+	var todo []capacity.Placement
+	var gangs []*scheduler.GangClaim
+	var marks []*statecache.PlacedTask
+	began := c.node.Now()
+	if state.Scheduler.HasPendingTasks() {
+		p := state.Scheduler.Plan(began)
+		state.Scheduler.RememberPlan(p, began)
+		todo, gangs, marks = p.Placements, p.Gangs, p.Stops
+	}
+	c.guard.Unlock()
+	for _, g := range gangs { // few, and what waits for them waits as a whole
+		c.commitGangClaim(ctx, g)
+	}
+	for tries := 0; len(todo) > 0 && tries < 3; {
+		if c.node.Now().Sub(began) > 4*c.node.Settings.DecisionInterval() {
+			// What came meanwhile may be more urgent than the rest of this plan: with
+			// few changes a second a long one took many seconds.
+			c.wake.Notify()
+			break
+		}
+		// Every placement in a shard changes its record. Looking at the newest
+		// one first costs a request, being beaten by a conflicting write costs all changes.
+		room := c.store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(c.node.Shards), c.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
+		if room < 3 || !c.mayActNow() || c.readNewest(ctx) != nil {
+			return false
+		}
+		state = c.guard.Lock()
+		t, rest, said, apart := state.Scheduler.PlacementTransaction(todo, room, c.node.Now())
+		c.guard.Unlock()
+		marks = append(marks, apart...)
+		if t == nil {
+			break
+		}
+		done, _, err := c.commit(ctx, "places", t, store.PriorityDecision)
+		switch {
+		case done:
+			todo, tries = rest, 0
+			for _, l := range said {
+				c.node.Log.Info("task placed", l...)
+			}
+			c.placeNewGangs(ctx)
+		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
+			tries++
+		default:
+			return false
+		}
+	}
+	c.stopTasks(ctx, marks)
+	c.reclaimQuota(ctx)
+	return false
+}
+
+// reclaimQuota takes back what shards hold of teams' limits and don't use, for teams
+// that had too little for a placement. A gang needs all of a limit at once, when the
+// shards hold too little yet to give their surplus back by themselves. Each shard's
+// record is written with its share, so that no placement there rests on the old one.
+func (c *Controller) reclaimQuota(ctx context.Context) {
+	state := c.guard.Lock()
+	now := c.node.Now()
+	t := statecache.NewTransaction()
+	cl := &capacity.Claims{Accounts: state.Capacity, ByShard: map[string]*capacity.Claim{}}
+	for _, team := range slices.Sorted(maps.Keys(state.Capacity.QuotaShortages)) {
+		delete(state.Capacity.QuotaShortages, team)
+		for _, p := range c.node.Shards {
+			held, _ := state.Capacity.QuotaShares(team, p)
+			x := state.Capacity.OpenClaim(p, now)
+			if x == nil || len(cl.ByShard) > 0 && len(cl.ByShard) >= state.Schema.TransactionLimits().TxnOps-1 {
+				continue
+			}
+			if use := shard.Unvec(x.QuotaUse[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
+				x.QuotaShares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
+				cl.ByShard[p] = x
+			}
+		}
+		if len(cl.ByShard) > 0 {
+			break // one team at a time
+		}
+	}
+	if len(cl.ByShard) > 0 {
+		cl.Write(t)
+	}
+	c.guard.Unlock()
+	if t.Changes() > 0 && c.mayActNow() {
+		if done, _, _ := c.commit(ctx, "shares", t, store.PriorityDecision); done {
+			c.wake.Notify()
+		}
+	}
+}
+
+// stopTasks marks tasks that have to leave for others that can't be placed in the same
+// transaction: a gang, whose room comes from several machines, or one whose victims are
+// recorded in more places than it takes. The room that is being left is kept for them
+// by the order of the plans.
+func (c *Controller) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
+	for len(marks) > 0 {
+		if c.store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !c.mayActNow() || c.readNewest(ctx) != nil {
+			return
+		}
+		state := c.guard.Lock()
+		e := state.Schema.NewRecordEditor()
+		var rest []*statecache.PlacedTask
+		var line []any
+		for i, v := range marks {
+			k := state.Cache.Jobs[v.UID]
+			if !state.Scheduler.CanStop(k, v) {
+				continue
+			}
+			if more := e.StopCost(k, v); more > 0 && e.IsFull(more, 0) {
+				rest = marks[i:]
+				break
+			}
+			e.StopTask(k, v)
+			line = append(line, "preempts", v.TaskName(k))
+		}
+		n := e.Changes
+		t := e.Transaction()
+		c.guard.Unlock()
+		if n == 0 || e.Outgrown {
+			return
+		}
+		if done, _, _ := c.commit(ctx, "marks", t, store.PriorityDecision); !done {
+			return // planned anew
+		}
+		c.node.Log.Info("tasks stopped for others", line...)
+		marks = rest
+	}
+}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -15,6 +15,7 @@
 	"violetturn/internal/job"
 	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -79,7 +80,7 @@
 type shapes map[string]string
 
 func (s shapes) read(key string, raw json.RawMessage) json.RawMessage {
-	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, jobPrefix) {
+	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, statecache.JobPrefix) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		if s[key] = m.Run.Kind; m.Run.Kind != api.Service {
@@ -91,7 +92,7 @@
 }
 
 func (s shapes) write(key string, raw json.RawMessage) json.RawMessage {
-	if was := s[key]; was != "" && strings.HasPrefix(key, jobPrefix) {
+	if was := s[key]; was != "" && strings.HasPrefix(key, statecache.JobPrefix) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		m.Run.Kind = was
@@ -105,19 +106,19 @@
 func asProduction(key string, raw json.RawMessage) (json.RawMessage, error) {
 	var v any
 	switch {
-	case strings.HasPrefix(key, jobPrefix):
+	case strings.HasPrefix(key, statecache.JobPrefix):
 		v = &prodMain{}
-	case strings.HasPrefix(key, taskRangePrefix):
+	case strings.HasPrefix(key, statecache.TaskRangePrefix):
 		v = &prodChunk{}
-	case strings.HasPrefix(key, capacityPrefix):
+	case strings.HasPrefix(key, statecache.CapacityPrefix):
 		v = &prodRecord{}
-	case strings.HasPrefix(key, leaderPrefix), strings.HasPrefix(key, nodePrefix):
+	case strings.HasPrefix(key, statecache.LeaderPrefix), strings.HasPrefix(key, statecache.NodePrefix):
 		v = &prodOwn{}
-	case strings.HasPrefix(key, machinePagePrefix):
+	case strings.HasPrefix(key, statecache.MachinePagePrefix):
 		v = &map[string]*prodMachine{}
-	case strings.HasPrefix(key, quotaPrefix):
+	case strings.HasPrefix(key, statecache.QuotaPrefix):
 		v = &prodUsage{}
-	case strings.HasPrefix(key, capabilityPrefix):
+	case strings.HasPrefix(key, statecache.CapabilityPrefix):
 		return nil, nil
 	default:
 		return raw, nil
@@ -234,7 +235,7 @@
 	for range 20 {
 		s.round()
 	}
-	items, _, err := s.nodes[0].c.store.List(context.Background(), livePrefix)
+	items, _, err := s.nodes[0].c.store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
 		t.Fatal(len(items), err)
 	}
@@ -243,10 +244,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.HasPrefix(it.Key, capabilityPrefix) {
+		if strings.HasPrefix(it.Key, statecache.CapabilityPrefix) {
 			continue // it knows no such records, and leaves them alone
 		}
-		if strings.HasPrefix(it.Key, nodePrefix) {
+		if strings.HasPrefix(it.Key, statecache.NodePrefix) {
 			var o shard.LeaderRecord
 			if err := json.Unmarshal(it.Value, &o); err != nil {
 				t.Fatal(err)
@@ -258,7 +259,7 @@
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
 		}
 	}
-	if s.nodes[0].c.testState().schema.upgraded() {
+	if s.nodes[0].c.testState().Schema.Upgraded() {
 		t.Error("upgraded with one of the version in production")
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -11,6 +11,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 )
 
 // Answers of reads and of own transactions come in any order, some late. However
@@ -18,7 +19,7 @@
 // write that came after the drop of its key once left a ghost for good.
 func TestReplicaWithLateAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newReplica(slog.New(slog.NewTextHandler(io.Discard, nil)))
+		m := statecache.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
 		type change struct {
 			key   string
 			drop  bool
@@ -29,26 +30,26 @@
 		revision := uint64(0)
 		take := func(c change) {
 			if c.drop {
-				m.apply(c.key, nil, c.stamp)
+				m.Apply(c.key, nil, c.stamp)
 			} else {
-				m.apply(c.key, api.JSON(shard.LeaderRecord{Term: c.stamp}), c.stamp)
+				m.Apply(c.key, api.JSON(shard.LeaderRecord{Term: c.stamp}), c.stamp)
 			}
 		}
 		var late []func()
 		read := func() func() {
-			since, until := m.revision, revision
+			since, until := m.Revision, revision
 			return func() {
 				for _, c := range log {
 					if c.stamp > since && c.stamp <= until {
 						take(c)
 					}
 				}
-				m.advance(until)
+				m.Advance(until)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				key := nodePrefix + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
+				key := statecache.NodePrefix + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
 				revision++
 				c := change{key, there[key] != 0 && rapid.Bool().Draw(t, "drop"), revision}
 				if log = append(log, c); c.drop {
@@ -75,8 +76,8 @@
 			f()
 		}
 		read()()
-		if !maps.Equal(m.versions, there) || len(m.nodes) != len(there) {
-			t.Fatalf("the replica has %v, the service %v", m.versions, there)
+		if !maps.Equal(m.Versions, there) || len(m.Nodes) != len(there) {
+			t.Fatalf("the replica has %v, the service %v", m.Versions, there)
 		}
 	})
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -9,6 +9,8 @@
 	"violetturn/internal/api"
 	"violetturn/internal/config"
 	"violetturn/internal/job"
+	"violetturn/internal/scheduler"
+	"violetturn/internal/statecache"
 )
 
 func TestQuietDay(t *testing.T) {
@@ -58,8 +60,8 @@
 func TestLargestBegins(t *testing.T) {
 	s := newSim()
 	for i := range s.nodes {
-		s.nodes[i].c.node.settings.Facts.Objectives = append(
-			s.nodes[i].c.node.settings.Facts.Objectives,
+		s.nodes[i].c.node.Settings.Facts.Objectives = append(
+			s.nodes[i].c.node.Settings.Facts.Objectives,
 			config.Objective{Kind: "finished", Class: "l", WithinS: 60, Share: 0.9},
 		)
 	}
@@ -92,11 +94,14 @@
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Tasks = 2 })
 	c := s.nodes[0].c
-	j := c.testState().cache.jobs[id]
+	j := c.testState().Cache.Jobs[id]
 	for e := 1; e < 40; e++ {
-		j.ranges[0] = cached[job.TaskRange]{&job.TaskRange{Errors: e, Placements: map[int]*job.Placement{}}, j.version, 0}
-		c.testState().scheduler.isBackingOff(&queueEntry{job: j, uid: id}, c.node.now())
-		if wait := c.testState().scheduler.retryAt[id].Sub(c.node.now()); wait > c.node.settings.WorkerLease() || wait <= 0 {
+		j.Ranges[0] = statecache.Versioned[job.TaskRange]{
+			Record:  &job.TaskRange{Errors: e, Placements: map[int]*job.Placement{}},
+			Version: j.Version,
+		}
+		c.testState().Scheduler.IsBackingOff(&scheduler.QueueEntry{Job: j, UID: id}, c.node.Now())
+		if wait := c.testState().Scheduler.RetryAt[id].Sub(c.node.Now()); wait > c.node.Settings.WorkerLease() || wait <= 0 {
 			t.Fatalf("waits %v after %d failures", wait, e)
 		}
 	}
@@ -109,7 +114,7 @@
 	s := warmSim()
 	s.w.Cloud.Full = true
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // its limit is 5
-	for range 2 * int(maxStartDelay/time.Second) {
+	for range 2 * int(scheduler.MaxStartDelay/time.Second) {
 		s.round()
 	}
 	s.w.Cloud.Full = false
@@ -124,7 +129,7 @@
 	c := warmSim().nodes[0].c
 	rapid.Check(t, func(t *rapid.T) {
 		type side struct {
-			q    *queueEntry
+			q    *scheduler.QueueEntry
 			run  *api.Job
 			over bool
 		}
@@ -133,9 +138,9 @@
 			n, _ := api.PriorityOf(priority)
 			within := rapid.Bool().Draw(t, "within")
 			run := &api.Job{Team: owner, Priority: priority}
-			return side{&queueEntry{job: &liveJob{record: &job.Record{Spec: *run}}, priority: n, withinGuarantee: within}, run, !within}
+			return side{&scheduler.QueueEntry{Job: &statecache.Job{Record: &job.Record{Spec: *run}}, Priority: n, WithinGuarantee: within}, run, !within}
 		}
-		stops := func(a, b side) bool { return c.testState().scheduler.mayPreempt(a.q, b.run, b.over) }
+		stops := func(a, b side) bool { return c.testState().Scheduler.MayPreempt(a.q, b.run, b.over) }
 		x, y, z := draw("x"), draw("y"), draw("z")
 		if stops(x, y) && stops(y, x) {
 			t.Fatalf("%+v and %+v stop each other", x, y)
@@ -143,13 +148,13 @@
 		if stops(x, y) && stops(y, z) && stops(z, x) {
 			t.Fatalf("%+v, %+v and %+v go round", x, y, z)
 		}
-		if x.over && y.over && x.q.priority < y.q.priority != stops(x, y) {
+		if x.over && y.over && x.q.Priority < y.q.Priority != stops(x, y) {
 			t.Fatalf("without guarantees %+v, %+v are not decided by rank", x, y)
 		}
 		if !x.over && y.over && !stops(x, y) {
 			t.Fatalf("%+v does not get its guarantee from %+v", x, y)
 		}
-		if own := draw("x"); x.q.priority < own.q.priority != stops(x, own) {
+		if own := draw("x"); x.q.Priority < own.q.Priority != stops(x, own) {
 			t.Fatalf("within a team %+v, %+v are not decided by rank", x, own)
 		}
 	})
--- a/internal/controller/seed_test.go
+++ b/internal/controller/seed_test.go
@@ -1,6 +1,8 @@
 package controller
 
-import "flag"
+import (
+	"flag"
+)
 
 // Generated inputs are the same every time; -rapid.seed draws others.
 func init() {
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -17,6 +17,7 @@
 	"violetturn/internal/httpwire"
 	"violetturn/internal/peer"
 	"violetturn/internal/simulator"
+	"violetturn/internal/state"
 )
 
 // sim joins controllers with the simulated services. It runs everything in one
@@ -159,10 +160,10 @@
 		s.adjust(n, cfg)
 	}
 	n.c = newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
-	n.c.node.random = rand.New(rand.NewPCG(uint64(i), 1))
+	n.c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
 	begin := s.w.Now
 	fast := float64(i) * 0.00025 // clocks run up to 0.05 per cent fast
-	n.c.node.now = func() time.Time {
+	n.c.node.Now = func() time.Time {
 		return s.w.Now.Add(time.Duration(float64(s.w.Now.Sub(begin)) * fast))
 	}
 	n.aside = nil
@@ -210,8 +211,8 @@
 	if !n.c.storeReachable() {
 		n.c.askPeers(ctx)
 	}
-	if n.c.testState().cache.loaded {
-		_ = n.c.applyChanges(ctx, n.c.testState().cache.revision, 0) // refused in an outage
+	if n.c.testState().Cache.Loaded {
+		_ = n.c.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
 	} else {
 		_ = n.c.loadReplica(ctx)
 	}
@@ -383,31 +384,31 @@
 func (s *sim) explain(uid string) string {
 	c := s.nodes[0].c
 	out := ""
-	if j := c.testState().cache.jobs[uid]; j != nil {
-		out = fmt.Sprintf("main %s", api.JSON(j.record))
-		for n, ch := range j.ranges {
-			out += fmt.Sprintf(" chunk %d %s", n, api.JSON(ch.record))
+	if j := c.testState().Cache.Jobs[uid]; j != nil {
+		out = fmt.Sprintf("main %s", api.JSON(j.Record))
+		for n, ch := range j.Ranges {
+			out += fmt.Sprintf(" chunk %d %s", n, api.JSON(ch.Record))
 		}
 	}
-	for t, u := range c.testState().cache.quotas {
-		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.record))
+	for t, u := range c.testState().Cache.Quotas {
+		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.Record))
 	}
-	for _, p := range c.node.shards {
-		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.testState().cache.capacities[p].record), api.JSON(c.testState().cache.leaders[p].record))
+	for _, p := range c.node.Shards {
+		out += fmt.Sprintf(" part %s %s own %s", p, api.JSON(c.testState().Cache.Capacities[p].Record), api.JSON(c.testState().Cache.Leaders[p].Record))
 	}
-	for h, m := range c.testState().cache.machines {
+	for h, m := range c.testState().Cache.Machines {
 		x := s.w.Cloud.Hosts[h]
 		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
 	}
 	for _, n := range s.nodes {
-		p := n.c.testState().scheduler.plan(n.c.node.now())
+		p := n.c.testState().Scheduler.Plan(n.c.node.Now())
 		out += fmt.Sprintf(
-			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.unmet), n.c.testState().catalog.capacityBackoffs,
-			n.c.rentals.unanswered, len(n.c.testState().catalog.machineTypes),
+			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.Unmet), n.c.testState().Catalog.CapacityBackoffs,
+			n.c.rentals.unanswered, len(n.c.testState().Catalog.MachineTypes),
 		)
 	}
 	return out
 }
 
 // testState returns the state of a controller that nothing else uses at the time.
-func (c *Controller) testState() *controllerState { return c.guard.state }
+func (c *Controller) testState() *state.State { return c.guard.State }
--- a/internal/controller/simjobs_test.go
+++ b/internal/controller/simjobs_test.go
@@ -71,7 +71,7 @@
 
 func (s *sim) owner(shard string) string {
 	for _, n := range s.nodes {
-		if n.up && n.c.testState().leadership.of(shard) != nil && n.c.testState().leadership.mayAct(n.c.node.now()) {
+		if n.up && n.c.testState().Leadership.Of(shard) != nil && n.c.testState().Leadership.MayAct(n.c.node.Now()) {
 			return n.name
 		}
 	}
--- /dev/null
+++ b/internal/controller/split.go
@@ -0,0 +1,99 @@
+package controller
+
+import (
+	"context"
+
+	"violetturn/internal/statecache"
+	"violetturn/internal/store"
+)
+
+// splitRecords takes the next step in dividing a job. It reports whether there is more.
+func (c *Controller) splitRecords(ctx context.Context) bool {
+	state := c.guard.Lock()
+	if !state.Schema.Upgraded() {
+		c.guard.Unlock()
+		return false
+	}
+	j := state.Splitter.NextToSplit()
+	if j == nil {
+		c.guard.Unlock()
+		return c.collectGarbage(ctx)
+	}
+	m, uid := j.Record, j.Record.Spec.UID
+	k := m.SplitSize(c.node.Settings.LowestLimits().ValueKB)
+	t := statecache.NewTransaction()
+	t.Require(statecache.JobPrefix+uid, j.Version)
+	over := false
+	switch {
+	case !m.Inline && k >= m.RangeSize:
+		// It can't be: a record of the smallest task range still is too large. It is told
+		// and left alone until it is over.
+		c.node.Log.Error("record can't be split further", "job", uid)
+		delete(state.Schema.SplitRequests, uid)
+		c.guard.Unlock()
+		return false
+	case !m.Inline && !m.Frozen:
+		x := m.Copy()
+		x.Frozen = true
+		t.Put(statecache.JobPrefix+uid, x)
+	default:
+		for n, ch := range j.Ranges {
+			if !state.Splitter.CopyRange(t, j, n, ch, k) {
+				break
+			}
+		}
+		if t.Changes() == 0 {
+			x := m.Copy()
+			x.Split(k)
+			t.Put(statecache.JobPrefix+uid, x)
+			over = true
+		}
+	}
+	c.guard.Unlock()
+	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
+	if done && over {
+		c.node.Log.Info("job records split", "job", uid, "range_size", k)
+		c.wake.Notify()
+	}
+	return done || err == nil
+}
+
+// collectGarbage drops records of task ranges that no longer count: of an earlier division of
+// their job, or of a job that is over. Nothing waits for it.
+func (c *Controller) collectGarbage(ctx context.Context) bool {
+	now := c.node.Now()
+	state := c.guard.Lock()
+	if now.Sub(state.Splitter.GarbageCollectedAt) < c.node.Settings.WorkerLease()/4 {
+		c.guard.Unlock()
+		return false
+	}
+	t := statecache.NewTransaction()
+	l := state.Schema.TransactionLimits()
+	for uid, recs := range state.Cache.TaskRanges {
+		j := state.Cache.Jobs[uid]
+		if j != nil && state.Leadership.Of(j.Record.Shard) == nil || j == nil && state.Leadership.Of(c.node.Shards[0]) == nil {
+			continue
+		}
+		for rec, ch := range recs {
+			if t.Changes() >= l.TxnOps || len(t.Preconditions)+2 > 4*l.TxnOps {
+				break
+			}
+			if j != nil && (rec.Generation >= j.Record.Generation && !j.Record.Inline || rec.Generation > j.Record.Generation) {
+				continue
+			}
+			if j == nil {
+				t.Require(statecache.JobPrefix+uid, 0)
+			}
+			key := statecache.TaskRangeKey(uid, rec.Generation, rec.Index)
+			t.Require(key, ch.Version)
+			t.Delete(key)
+		}
+	}
+	c.guard.Unlock()
+	if t.Changes() == 0 {
+		return false
+	}
+	_, _, _ = c.commit(ctx, "swept", t, store.PrioritySubmission)
+	state.Splitter.GarbageCollectedAt = now
+	return false
+}
--- a/internal/controller/watch.go
+++ b/internal/controller/store_sync.go
@@ -3,28 +3,57 @@
 import (
 	"context"
 	"errors"
+	"strings"
 	"time"
 
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
+// noteTooLarge notes that the state service refused a transaction for its size or count:
+// its limits have come down, further than was announced if it was made within those.
+// Nothing is made as large again. It reports whether a smaller form is left to try.
+func (c *Controller) noteTooLarge(err error, t *store.Txn) bool {
+	if !errors.Is(err, store.ErrTooLarge) {
+		return false
+	}
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	if !state.Schema.LimitsLowered {
+		state.Schema.LimitsLowered = true
+		c.store.LowerLimits()
+		c.node.Log.Info("state service limits lowered")
+		return true
+	}
+	// It was made within what was announced. Fewer changes are tried, down to what the
+	// longest step needs, and the jobs in it are divided.
+	state.Schema.AcceptedTxnOps = max(len(t.Ops)-1, 4)
+	for _, op := range t.Ops {
+		if uid, ok := strings.CutPrefix(op.Write, statecache.JobPrefix); ok && state.Cache.Jobs[uid] != nil {
+			state.Schema.SplitRequests[uid] = state.Cache.Jobs[uid].Record.Generation + 1
+		}
+	}
+	c.node.Log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
+	return true
+}
+
 // watchLoop keeps the replica up to date: the paper's state change callback.
 func (c *Controller) watchLoop(ctx context.Context) {
-	pause := c.node.settings.DecisionInterval()
+	pause := c.node.Settings.DecisionInterval()
 	for ctx.Err() == nil {
 		state := c.guard.Lock()
-		loaded, since := state.cache.loaded, state.cache.revision
+		loaded, since := state.Cache.Loaded, state.Cache.Revision
 		c.guard.Unlock()
 		if !loaded {
 			if err := c.loadReplica(ctx); err != nil {
-				c.node.log.Debug("replica not loaded", "err", err)
-				sleep(ctx, c.node.settings.ControllerLeaseTTL()/8)
+				c.node.Log.Debug("replica not loaded", "err", err)
+				sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8)
 			}
 			continue
 		}
-		err := c.applyChanges(ctx, since, c.node.settings.WorkerLease()/2)
+		err := c.applyChanges(ctx, since, c.node.Settings.WorkerLease()/2)
 		if err != nil {
-			sleep(ctx, c.node.settings.ControllerLeaseTTL()/8)
+			sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8)
 			continue
 		}
 		c.requestHeartbeats(ctx)
@@ -34,29 +63,29 @@
 
 // loadReplica reads all that lives.
 func (c *Controller) loadReplica(ctx context.Context) error {
-	sent := c.node.now()
-	items, revision, err := c.store.List(ctx, livePrefix)
+	sent := c.node.Now()
+	items, revision, err := c.store.List(ctx, statecache.LivePrefix)
 	if err != nil {
 		return err
 	}
 	state := c.guard.Lock()
-	state.cache.changesReadAt = sent
-	state.cache.reload(items, revision)
-	state.cache.loaded = true
+	state.Cache.ChangesReadAt = sent
+	state.Cache.Reload(items, revision)
+	state.Cache.Loaded = true
 	c.guard.Unlock()
-	c.node.log.Info("replica loaded", "keys", len(items), "revision", revision)
-	c.wake.notify()
+	c.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
+	c.wake.Notify()
 	c.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
 	return nil
 }
 
 // applyChanges applies the changes after a revision; it waits up to block for some.
 func (c *Controller) applyChanges(ctx context.Context, since uint64, block time.Duration) error {
-	sent := c.node.now()
-	log, revision, err := c.store.Changes(ctx, livePrefix, since, block)
+	sent := c.node.Now()
+	log, revision, err := c.store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		state := c.guard.Lock()
-		state.cache.loaded = false
+		state.Cache.Loaded = false
 		c.guard.Unlock()
 		return err
 	}
@@ -66,22 +95,22 @@
 	state := c.guard.Lock()
 	for _, e := range log {
 		if e.Drop != "" {
-			state.cache.apply(e.Drop, nil, e.Version)
+			state.Cache.Apply(e.Drop, nil, e.Version)
 		} else {
-			state.cache.apply(e.Write, e.Value, e.Version)
+			state.Cache.Apply(e.Write, e.Value, e.Version)
 		}
 	}
-	state.cache.advance(revision)
-	if sent.After(state.cache.changesReadAt) {
-		state.cache.changesReadAt = sent
+	state.Cache.Advance(revision)
+	if sent.After(state.Cache.ChangesReadAt) {
+		state.Cache.ChangesReadAt = sent
 	}
 	orphan := false
-	for _, p := range c.node.shards {
-		orphan = orphan || state.cache.leaders[p].record == nil
+	for _, p := range c.node.Shards {
+		orphan = orphan || state.Cache.Leaders[p].Record == nil
 	}
 	c.guard.Unlock()
 	if len(log) > 0 {
-		c.wake.notify()
+		c.wake.Notify()
 	}
 	if orphan {
 		c.wakeLeaseLoop()
@@ -101,7 +130,7 @@
 // read with users.
 func (c *Controller) readNewest(ctx context.Context) error {
 	state := c.guard.Lock()
-	loaded, since := state.cache.loaded, state.cache.revision
+	loaded, since := state.Cache.Loaded, state.Cache.Revision
 	c.guard.Unlock()
 	if !loaded {
 		return store.ErrRefused
@@ -147,17 +176,17 @@
 // part of the request budget; a lone question is not held up.
 func (c *Controller) runReadBarrier(ctx context.Context, b *readBarrier) {
 	c.readBarrier.Lock()
-	wait := c.node.settings.ReadInterval() - c.node.now().Sub(c.readBarrier.last)
+	wait := c.node.Settings.ReadInterval() - c.node.Now().Sub(c.readBarrier.last)
 	c.readBarrier.Unlock()
 	if wait > 0 && !c.steppedClock {
 		sleep(ctx, wait)
 	}
 	c.readBarrier.Lock()
 	c.readBarrier.next = nil
-	c.readBarrier.last = c.node.now()
+	c.readBarrier.last = c.node.Now()
 	c.readBarrier.Unlock()
 	state := c.guard.Lock()
-	loaded, since := state.cache.loaded, state.cache.revision
+	loaded, since := state.Cache.Loaded, state.Cache.Revision
 	c.guard.Unlock()
 	b.err = store.ErrRefused
 	if loaded {
@@ -179,30 +208,30 @@
 
 // commit sends a transaction and takes its outcome into the replica. done is
 // false when it surely did not commit or when that is not known.
-func (c *Controller) commit(ctx context.Context, what string, t *transaction, r store.Priority) (done bool, failed []string, err error) {
-	w := t.request()
+func (c *Controller) commit(ctx context.Context, what string, t *statecache.Transaction, r store.Priority) (done bool, failed []string, err error) {
+	w := t.Request()
 	revision, ok, failed, err := c.store.Multi(ctx, w, r)
 	state := c.guard.Lock()
-	n := state.stats.commits[what]
-	n.writes += len(w.Ops)
-	n.transactions++
+	n := state.Stats.Commits[what]
+	n.Writes += len(w.Ops)
+	n.Transactions++
 	if err != nil {
-		n.failed++
+		n.Failed++
 	} else if !ok {
-		n.conflicts++
-		n.conflictedWrites += len(w.Ops)
-		c.node.log.Debug("transaction conflict", "for", what, "keys", failed)
+		n.Conflicts++
+		n.ConflictedWrites += len(w.Ops)
+		c.node.Log.Debug("transaction conflict", "for", what, "keys", failed)
 	}
-	state.stats.commits[what] = n
+	state.Stats.Commits[what] = n
 	c.guard.Unlock()
 	if err == nil && ok {
 		state = c.guard.Lock()
-		state.cache.applyCommitted(t, revision)
+		state.Cache.ApplyCommitted(t, revision)
 		c.guard.Unlock()
 		return true, nil, nil
 	}
 	if err != nil {
-		c.node.log.Debug("commit failed", "err", err)
+		c.node.Log.Debug("commit failed", "err", err)
 		if c.noteTooLarge(err, w) {
 			return false, nil, nil // put together anew, smaller
 		}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -6,7 +6,8 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/sched"
+	"violetturn/internal/respond"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -23,44 +24,44 @@
 func (c *Controller) submit(ctx context.Context, body []byte) transport.Response {
 	r, err := api.ParseJob(body)
 	if err != nil {
-		refusal := jsonResponse(400, map[string]string{"error": err.Error()})
+		refusal := respond.JSON(400, map[string]string{"error": err.Error()})
 		if uid, ok := api.UIDOf(body); ok {
 			return c.stateOrRefusal(ctx, uid, refusal)
 		}
 		return refusal
 	}
 	state := c.guard.Lock()
-	undecided := len(state.catalog.machineTypes) == 0
-	_, live := state.cache.jobs[r.UID]
+	undecided := len(state.Catalog.MachineTypes) == 0
+	_, live := state.Cache.Jobs[r.UID]
 	c.guard.Unlock()
 	if undecided {
-		return c.stateOrRefusal(ctx, r.UID, responseBusy)
+		return c.stateOrRefusal(ctx, r.UID, respond.Busy)
 	}
 	state = c.guard.Lock()
-	why := state.catalog.rejectionReason(r)
+	why := state.Catalog.RejectionReason(r)
 	c.guard.Unlock()
 	if why != "" {
-		return c.stateOrRefusal(ctx, r.UID, jsonResponse(422, map[string]string{"error": why}))
+		return c.stateOrRefusal(ctx, r.UID, respond.JSON(422, map[string]string{"error": why}))
 	}
 	if live {
 		if s, found, err := c.jobState(ctx, r.UID); err != nil {
-			return responseBusy
+			return respond.Busy
 		} else if found {
-			return jsonResponse(200, s)
+			return respond.JSON(200, s)
 		}
 	}
 	if !c.storeReachable() || !c.acceptsKind(r.Kind) {
-		return responseBusy
+		return respond.Busy
 	}
-	m := &job.Record{Spec: *r, Shard: c.node.settings.HostName, AcceptedMS: c.node.now().UnixMilli()}
+	m := &job.Record{Spec: *r, Shard: c.node.Settings.HostName, AcceptedMS: c.node.Now().UnixMilli()}
 	size := len(api.JSON(m))
-	if size > state.schema.maxValueBytes() { // room for what is added later
-		return c.stateOrRefusal(ctx, r.UID, jsonResponse(400, map[string]string{"error": "submission too long"}))
+	if size > state.Schema.MaxValueBytes() { // room for what is added later
+		return c.stateOrRefusal(ctx, r.UID, respond.JSON(400, map[string]string{"error": "submission too long"}))
 	}
 	state = c.guard.Lock()
-	dense := state.schema.upgraded()
+	dense := state.Schema.Upgraded()
 	c.guard.Unlock()
-	m.ChooseLayout(c.node.settings.LowestLimits().ValueKB, size, dense)
+	m.ChooseLayout(c.node.Settings.LowestLimits().ValueKB, size, dense)
 	return c.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
 }
 
@@ -69,9 +70,9 @@
 	s, found, err := c.jobState(ctx, uid)
 	switch {
 	case err != nil:
-		return responseBusy
+		return respond.Busy
 	case found:
-		return jsonResponse(200, s)
+		return respond.JSON(200, s)
 	}
 	return refusal
 }
@@ -79,13 +80,13 @@
 // commitSubmission has a submission committed and gives its answer.
 func (c *Controller) commitSubmission(a *submission) transport.Response {
 	if !c.enqueue(a) {
-		return responseBusy
+		return respond.Busy
 	}
 	select {
 	case resp := <-a.response:
 		return resp
 	case <-a.ctx.Done():
-		return responseBusy
+		return respond.Busy
 	}
 }
 
@@ -94,18 +95,7 @@
 func (c *Controller) acceptsKind(shape string) bool {
 	state := c.guard.Lock()
 	defer c.guard.Unlock()
-	return shape != api.Gang || state.schema.upgraded()
-}
-
-func taskRequestOf(r *api.Job) sched.TaskRequest {
-	return sched.TaskRequest{
-		Need:         resourcesOf(r),
-		MachineTypes: r.MachineTypes,
-		Zone:         r.Zone,
-		Spot:         r.Spot,
-		Image:        r.Image,
-		Service:      r.Kind == api.Service,
-	}
+	return shape != api.Gang || state.Schema.Upgraded()
 }
 
 // enqueue adds a submission to the bounded line of those to be committed, and
@@ -131,7 +121,7 @@
 // they came together: half of what a transaction takes, so that one batch does
 // not use up the writes that decisions need.
 func (c *Controller) commitQueued() {
-	most := max(1, min(c.node.settings.LowestLimits().TxnOps, c.writesPerSecond())/2)
+	most := max(1, min(c.node.Settings.LowestLimits().TxnOps, c.writesPerSecond())/2)
 	var batch, rest []*submission
 	c.submissions.Lock()
 	for _, a := range c.submissions.queue {
@@ -171,12 +161,12 @@
 
 func (c *Controller) acceptBatch(ctx context.Context, batch []*submission) {
 	for len(batch) > 0 {
-		t := newTransaction()
+		t := statecache.NewTransaction()
 		for _, a := range batch {
 			uid := a.record.Spec.UID
-			t.require(jobPrefix+uid, 0)
-			t.require(finalStatePrefix+uid, 0)
-			t.put(jobPrefix+uid, a.record)
+			t.Require(statecache.JobPrefix+uid, 0)
+			t.Require(statecache.FinalStatePrefix+uid, 0)
+			t.Put(statecache.JobPrefix+uid, a.record)
 		}
 		priority := store.PrioritySubmission
 		if slices.ContainsFunc(batch, func(a *submission) bool { return a.record.Spec.Kind == api.Gang }) {
@@ -186,11 +176,11 @@
 		if done {
 			for _, a := range batch {
 				uid := a.record.Spec.UID
-				c.node.log.Info(
+				c.node.Log.Info(
 					"job accepted", "job", uid, "class", a.record.Spec.Class, "team", a.record.Spec.Team, "priority",
 					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
 				)
-				a.response <- jsonResponse(201, map[string]string{"uid": uid, "phase": api.Pending})
+				a.response <- respond.JSON(201, map[string]string{"uid": uid, "phase": api.Pending})
 			}
 			if priority == store.PriorityGang {
 				select {
@@ -198,26 +188,26 @@
 				default:
 				}
 			}
-			c.wake.notify()
+			c.wake.Notify()
 			return
 		}
 		var rest []*submission
 		for _, a := range batch {
 			uid := a.record.Spec.UID
-			if err == nil && !contains(failed, jobPrefix+uid) && !contains(failed, finalStatePrefix+uid) {
+			if err == nil && !contains(failed, statecache.JobPrefix+uid) && !contains(failed, statecache.FinalStatePrefix+uid) {
 				rest = append(rest, a)
 				continue
 			}
 			// Known already, or the outcome is in doubt: only reading settles it.
 			if s, found, kerr := c.jobState(a.ctx, uid); kerr == nil && found {
-				a.response <- jsonResponse(200, s)
+				a.response <- respond.JSON(200, s)
 			} else {
-				a.response <- responseBusy
+				a.response <- respond.Busy
 			}
 		}
 		if err == nil && len(rest) == len(batch) {
 			for _, a := range rest {
-				a.response <- responseBusy
+				a.response <- respond.Busy
 			}
 			return
 		}
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -140,7 +140,7 @@
 			}
 		},
 		"fall": func(t *rapid.T) { // the limits come down when all are new
-			if s.fell || slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.old || !n.up }) || !s.nodes[0].c.testState().schema.upgraded() {
+			if s.fell || slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.old || !n.up }) || !s.nodes[0].c.testState().Schema.Upgraded() {
 				t.Skip("not yet")
 			}
 			s.fell = true
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -8,6 +8,8 @@
 	"violetturn/internal/api"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/peer"
+	"violetturn/internal/respond"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/transport"
 )
@@ -17,14 +19,14 @@
 	path, _, _ := strings.Cut(req.Target, "?")
 	method := func(want string, f func(context.Context) transport.Response) (transport.Response, bool) {
 		if req.Method != want {
-			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
+			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
 		// Users wait their turn in a bounded line; beyond it they are told at
 		// once to come back.
 		select {
 		case c.userSlots <- struct{}{}:
 		default:
-			return responseBusy, true
+			return respond.Busy, true
 		}
 		go func() {
 			defer func() { <-c.userSlots }()
@@ -37,12 +39,12 @@
 	switch {
 	case path == "/checkin":
 		if req.Method != "POST" {
-			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
+			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
 		return c.handleHeartbeat(req), true
 	case path == "/healthz":
 		if req.Method != "GET" {
-			return jsonResponse(405, map[string]string{"error": "method not allowed"}), true
+			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
 		return c.health(), true
 	case path == "/v2/runs":
@@ -62,7 +64,7 @@
 			})
 		}
 	}
-	return jsonResponse(404, map[string]string{"error": "no such path"}), true
+	return respond.JSON(404, map[string]string{"error": "no such path"}), true
 }
 
 // userRequestTimeout bounds the work on one request: users wait 2 s for a poll and
@@ -76,16 +78,16 @@
 	// One that can't reach the state service stays in: a peer may serve for it,
 	// and in an outage of all, nodes taken out would stay out for long after it,
 	// since the balancer's pauses double.
-	if !state.cache.loaded && state.reachability.storeReachable {
-		return responseBusy
+	if !state.Cache.Loaded && state.Reachability.StoreReachable {
+		return respond.Busy
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !state.reachability.storeReachable && c.node.now().Sub(state.reachability.since) > c.node.settings.ControllerLeaseTTL()/2 && state.reachability.peersAsked &&
-		len(state.reachability.peers) == 0 {
-		return responseBusy
+	if !state.Reachability.StoreReachable && c.node.Now().Sub(state.Reachability.Since) > c.node.Settings.ControllerLeaseTTL()/2 && state.Reachability.PeersAsked &&
+		len(state.Reachability.Peers) == 0 {
+		return respond.Busy
 	}
-	return jsonResponse(200, map[string]string{"node": c.node.settings.HostName})
+	return respond.JSON(200, map[string]string{"node": c.node.Settings.HostName})
 }
 
 // jobState finds what is committed of a job: its state, or that it does not exist.
@@ -93,7 +95,7 @@
 // user something newer before the question was asked.
 func (c *Controller) jobState(ctx context.Context, uid string) (api.State, bool, error) {
 	state := c.guard.Lock()
-	p, over := state.finalStates.byJob[uid]
+	p, over := state.FinalStates.ByJob[uid]
 	c.guard.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
@@ -102,13 +104,13 @@
 		return api.State{}, false, err
 	}
 	state = c.guard.Lock()
-	if j := state.cache.jobs[uid]; j != nil {
-		s := j.userState(c.node.settings.ConfirmsCancelWhenEmpty())
+	if j := state.Cache.Jobs[uid]; j != nil {
+		s := j.UserState(c.node.Settings.ConfirmsCancelWhenEmpty())
 		c.guard.Unlock()
 		return s, true, nil
 	}
 	c.guard.Unlock()
-	it, found, err := c.store.Get(ctx, finalStatePrefix+uid, store.PrioritySubmission)
+	it, found, err := c.store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
 	}
@@ -116,71 +118,83 @@
 		return api.State{}, false, err
 	}
 	state = c.guard.Lock()
-	state.finalStates.remember(uid, p)
+	state.FinalStates.Remember(uid, p)
 	c.guard.Unlock()
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
 
 func (c *Controller) query(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
-		return jsonResponse(404, map[string]string{"error": "no such run"})
+		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
 	s, found, err := c.jobState(ctx, uid)
 	switch {
 	case err != nil:
-		return responseBusy
+		return respond.Busy
 	case !found:
-		return jsonResponse(404, map[string]string{"error": "no such run"})
+		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
-	return jsonResponse(200, s)
+	return respond.JSON(200, s)
 }
 
 // cancel commits the cancellation and then says so. Any node can do it: a start
 // is committed under a precondition on the same record.
 func (c *Controller) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
-		return jsonResponse(404, map[string]string{"error": "no such run"})
+		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
 	for range 4 {
 		s, found, err := c.jobState(ctx, uid)
 		switch {
 		case err != nil:
-			return responseBusy
+			return respond.Busy
 		case !found:
-			return jsonResponse(404, map[string]string{"error": "no such run"})
+			return respond.JSON(404, map[string]string{"error": "no such run"})
 		case s.Phase == api.Done || s.Phase == api.Cancelled:
-			return jsonResponse(200, map[string]string{"uid": uid, "phase": s.Phase})
+			return respond.JSON(200, map[string]string{"uid": uid, "phase": s.Phase})
 		}
 		state := c.guard.Lock()
-		j := state.cache.jobs[uid]
-		if j == nil || j.record.Cancelled {
+		j := state.Cache.Jobs[uid]
+		if j == nil || j.Record.Cancelled {
 			c.guard.Unlock()
 			continue
 		}
-		t := newTransaction()
-		t.require(jobPrefix+uid, j.version)
-		m := j.record.Copy()
+		t := statecache.NewTransaction()
+		t.Require(statecache.JobPrefix+uid, j.Version)
+		m := j.Record.Copy()
 		m.Cancelled = true
-		t.put(jobPrefix+uid, m)
-		if len(t.writes[jobPrefix+uid]) > state.schema.maxRecordBytes() {
-			state.schema.splitRequests[uid] = m.Generation + 1 // its tasks are divided first
+		t.Put(statecache.JobPrefix+uid, m)
+		if len(t.Writes[statecache.JobPrefix+uid]) > state.Schema.MaxRecordBytes() {
+			state.Schema.SplitRequests[uid] = m.Generation + 1 // its tasks are divided first
 			c.guard.Unlock()
-			c.wake.notify()
-			return responseBusy
+			c.wake.Notify()
+			return respond.Busy
 		}
 		c.guard.Unlock()
 		done, _, err := c.commit(ctx, "cancelled", t, store.PriorityDecision)
 		if err != nil {
-			return responseBusy
+			return respond.Busy
 		}
 		if done {
-			c.node.log.Info("job cancelled", "job", uid)
-			c.wake.notify()
-			if c.node.settings.ConfirmsCancelWhenEmpty() {
+			c.node.Log.Info("job cancelled", "job", uid)
+			c.wake.Notify()
+			if c.node.Settings.ConfirmsCancelWhenEmpty() {
 				continue // what is committed is told as it stands
 			}
-			return jsonResponse(200, map[string]string{"uid": uid, "phase": api.Cancelled})
+			return respond.JSON(200, map[string]string{"uid": uid, "phase": api.Cancelled})
 		}
 	}
-	return responseBusy
+	return respond.Busy
+}
+
+// handleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
+// reports go before all other work.
+func (c *Controller) handleHeartbeat(req *httpwire.Message) transport.Response {
+	r, err := api.ParseHeartbeat(req.Body)
+	if err != nil {
+		return respond.JSON(400, map[string]string{"error": err.Error()})
+	}
+	state := c.guard.Lock()
+	defer c.guard.Unlock()
+	return state.Reconciler.AnswerHeartbeat(r, c.node.Now())
 }
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -100,13 +100,13 @@
 	s := warmSim()
 	c := s.nodes[0].c
 	c.noteStoreAnswer(false)
-	s.w.Advance(c.node.settings.ControllerLeaseTTL())
-	c.testState().reachability.peersAsked = true
-	c.testState().reachability.peers["n1"] = false
+	s.w.Advance(c.node.Settings.ControllerLeaseTTL())
+	c.testState().Reachability.PeersAsked = true
+	c.testState().Reachability.Peers["n1"] = false
 	if r := c.health(); r.Status != 200 {
 		t.Errorf("in an outage that a peer sees too: %d", r.Status)
 	}
-	delete(c.testState().reachability.peers, "n1")
+	delete(c.testState().Reachability.Peers, "n1")
 	if r := c.health(); r.Status != 503 {
 		t.Errorf("alone: %d", r.Status)
 	}
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -14,6 +14,7 @@
 	"violetturn/internal/sched"
 	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
+	"violetturn/internal/statecache"
 )
 
 // lookEverywhere asks all nodes about a job, and repeats its submission, within one moment.
@@ -119,19 +120,19 @@
 // read back when it wrote them itself, with what the state service has of that version.
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
 	store := simulator.Client{S: s.w.Store}
-	for id, held := range n.c.testState().cache.capacities {
-		it, found, err := store.Get(context.Background(), capacityPrefix+id, 0)
-		if err != nil || !found || it.Version != held.version {
+	for id, held := range n.c.testState().Cache.Capacities {
+		it, found, err := store.Get(context.Background(), statecache.CapacityPrefix+id, 0)
+		if err != nil || !found || it.Version != held.Version {
 			continue // it has moved on, or can't be read now
 		}
 		var recorded shard.CapacityRecord
 		if err := json.Unmarshal(it.Value, &recorded); err != nil {
 			t.Fatal(err)
 		}
-		same := held.record.Term == recorded.Term && held.record.Leader == recorded.Leader
-		same = same && held.record.Released == recorded.Released && held.record.PredecessorInDoubt == recorded.PredecessorInDoubt
-		if !same || !maps.Equal(held.record.Free, recorded.Free) || !maps.Equal(held.record.QuotaUse, recorded.QuotaUse) {
-			t.Fatalf("%s holds %+v of part %s, recorded is %s", n.name, held.record, id, it.Value)
+		same := held.Record.Term == recorded.Term && held.Record.Leader == recorded.Leader
+		same = same && held.Record.Released == recorded.Released && held.Record.PredecessorInDoubt == recorded.PredecessorInDoubt
+		if !same || !maps.Equal(held.Record.Free, recorded.Free) || !maps.Equal(held.Record.QuotaUse, recorded.QuotaUse) {
+			t.Fatalf("%s holds %+v of part %s, recorded is %s", n.name, held.Record, id, it.Value)
 		}
 	}
 }
@@ -143,24 +144,24 @@
 	for _, n := range s.nodes {
 		c := n.c
 		s.checkPartRecords(t, n)
-		for h, kept := range c.testState().cache.loads {
-			delete(c.testState().cache.loads, h)
-			if now := c.testState().room.loadOf(h); !now.used.ApproxEqual(kept.used) || !now.stopping.ApproxEqual(kept.stopping) ||
-				now.services != kept.services ||
-				now.arrays != kept.arrays ||
-				!slices.EqualFunc(now.runningByPriority[:], kept.runningByPriority[:], sched.Resources.ApproxEqual) {
+		for h, kept := range c.testState().Cache.Loads {
+			delete(c.testState().Cache.Loads, h)
+			if now := c.testState().Room.LoadOf(h); !now.Used.ApproxEqual(kept.Used) || !now.Stopping.ApproxEqual(kept.Stopping) ||
+				now.Services != kept.Services ||
+				now.Arrays != kept.Arrays ||
+				!slices.EqualFunc(now.RunningByPriority[:], kept.RunningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("%s keeps %+v of %s, there is %+v", n.name, kept, h, now)
 			}
 		}
-		for uid, j := range c.testState().cache.jobs {
-			kept := j.pending
-			if j.pending = nil; kept != nil && !slices.Equal(kept, j.pendingTasks()) {
-				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.pendingTasks())
+		for uid, j := range c.testState().Cache.Jobs {
+			kept := j.Pending
+			if j.Pending = nil; kept != nil && !slices.Equal(kept, j.PendingTasks()) {
+				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.PendingTasks())
 			}
 		}
-		if kept := c.testState().cache.sortedMachines; kept != nil {
-			if c.testState().cache.sortedMachines = nil; !slices.Equal(kept, c.testState().cache.machineNames()) {
-				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.testState().cache.machineNames())
+		if kept := c.testState().Cache.SortedMachines; kept != nil {
+			if c.testState().Cache.SortedMachines = nil; !slices.Equal(kept, c.testState().Cache.MachineNames()) {
+				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.testState().Cache.MachineNames())
 			}
 		}
 	}
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -9,6 +9,7 @@
 	"violetturn/internal/features"
 	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
+	"violetturn/internal/statecache"
 	"violetturn/internal/zonehealth"
 )
 
@@ -81,10 +82,10 @@
 func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	withReaders, _ := z.drop()
-	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().leadership.of("n0") != nil })
+	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Of("n0") != nil })
 	c := z.nodes[owner].c
 	waiting := func() (tasks int) {
-		observations, _ := c.testState().zones.observeZones(c.node.now())
+		observations, _ := c.testState().Zones.ObserveZones(c.node.Now())
 		for _, d := range observations["x"]["n0"].Waiting {
 			tasks += d.Tasks
 		}
@@ -94,13 +95,13 @@
 		t.Fatalf("lost: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.testState().agents.byHost[x.Host].Terminated = true
+		c.testState().Agents.ByHost[x.Host].Terminated = true
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("gone: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.testState().agents.byHost[x.Host] = shard.NewAgent(c.testState().agents.byHost[x.Host].Term, c.node.now(), c.node.now())
+		c.testState().Agents.ByHost[x.Host] = shard.NewAgent(c.testState().Agents.ByHost[x.Host].Term, c.node.Now(), c.node.Now())
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("not heard of yet: room for %d tasks", n)
@@ -160,7 +161,7 @@
 func TestZoneWriterWakesLate(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	_, others := z.drop()
-	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().leadership.of("n0") != nil })
+	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Of("n0") != nil })
 	late := z.nodes[writer].c
 	old := z.state(writer)
 	z.nodes[writer].still = true
@@ -171,12 +172,12 @@
 
 	// It wakes: its replica is old, its lease long over by now. Even if it could act, the
 	// record has moved on.
-	stale := newTransaction()
-	stale.require(zonePrefix+"x", late.testState().cache.zones["x"].version)
-	stale.require(leaderPrefix+"n0", late.testState().leadership.byShard["n0"].version)
-	stale.put(zonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
+	stale := statecache.NewTransaction()
+	stale.Require(statecache.ZonePrefix+"x", late.testState().Cache.Zones["x"].Version)
+	stale.Require(statecache.LeaderPrefix+"n0", late.testState().Leadership.ByShard["n0"].Version)
+	stale.Put(statecache.ZonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
 	done, failed, _ := late.commit(t.Context(), "zones", stale, 0)
-	if done || !slices.Contains(failed, zonePrefix+"x") || !slices.Contains(failed, leaderPrefix+"n0") {
+	if done || !slices.Contains(failed, statecache.ZonePrefix+"x") || !slices.Contains(failed, statecache.LeaderPrefix+"n0") {
 		t.Errorf("a late write is taken: %t, failed %v", done, failed)
 	}
 	z.nodes[writer].still = false
@@ -235,7 +236,7 @@
 	cutAll(lost, true)
 	z.until(zonehealth.Down, 2, 60)
 	z.rounds(t, 60, "zone y is down", func() bool {
-		v := z.nodes[2].c.testState().cache.zones["y"].record
+		v := z.nodes[2].c.testState().Cache.Zones["y"].Record
 		return v != nil && v.State == zonehealth.Down
 	})
 	cutAll(lost, false)
@@ -256,7 +257,7 @@
 	for range 60 {
 		s.round()
 		for _, n := range s.nodes {
-			if v := n.c.testState().cache.zones["x"].record; v != nil && v.Restricts() {
+			if v := n.c.testState().Cache.Zones["x"].Record; v != nil && v.Restricts() {
 				t.Fatalf("the only zone is %s", v.State)
 			}
 		}
@@ -281,12 +282,12 @@
 // A controller that lacks the feature turns it off for all, and back on when it has it.
 func TestMixedFleet(t *testing.T) {
 	with := map[string]bool{"n0": true, "n1": true}
-	z := newZoneWorld(t, func(n *simNode) { n.c.node.features.ZoneRecovery.Enabled = with[n.name] })
+	z := newZoneWorld(t, func(n *simNode) { n.c.node.Features.ZoneRecovery.Enabled = with[n.name] })
 	_, others := z.in()
 	cutAll(others, true)
 	z.play(60)
 	for i, n := range z.nodes {
-		if n.c.testState().schema.featureEnabled(features.ZoneRecoveryName) || len(n.c.testState().cache.zones) > 0 {
+		if n.c.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) || len(n.c.testState().Cache.Zones) > 0 {
 			t.Fatalf("controller %d acts on a feature that another lacks", i)
 		}
 	}
@@ -295,13 +296,13 @@
 	with["n2"] = true
 	z.start(2)
 	z.rounds(t, 40, "all have it", func() bool {
-		return !slices.ContainsFunc(z.nodes, func(n *simNode) bool { return !n.c.testState().schema.featureEnabled(features.ZoneRecoveryName) })
+		return !slices.ContainsFunc(z.nodes, func(n *simNode) bool { return !n.c.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) })
 	})
 	z.drop()
 	with["n0"] = false
 	z.start(0)
-	z.rounds(t, 40, "it is off again", func() bool { return !z.nodes[1].c.testState().schema.featureEnabled(features.ZoneRecoveryName) })
-	if z.nodes[1].c.testState().zones.admission(z.w.Now) != nil {
+	z.rounds(t, 40, "it is off again", func() bool { return !z.nodes[1].c.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) })
+	if z.nodes[1].c.testState().Zones.Admission(z.w.Now) != nil {
 		t.Error("work is held back though the feature is off")
 	}
 }
@@ -309,10 +310,10 @@
 // A controller that has ended before it had the feature keeps it off: its mark lacks it.
 func TestDeadControllerWithoutFeature(t *testing.T) {
 	with := map[string]bool{"n0": true, "n1": true}
-	z := newZoneWorld(t, func(n *simNode) { n.c.node.features.ZoneRecovery.Enabled = with[n.name] })
+	z := newZoneWorld(t, func(n *simNode) { n.c.node.Features.ZoneRecovery.Enabled = with[n.name] })
 	z.nodes[2].up = false
 	z.play(60)
-	if z.nodes[1].c.testState().cache.nodes["n2"].record != nil || z.nodes[1].c.testState().schema.featureEnabled(features.ZoneRecoveryName) {
+	if z.nodes[1].c.testState().Cache.Nodes["n2"].Record != nil || z.nodes[1].c.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) {
 		t.Error("a feature is on that a controller which may come back lacks")
 	}
 }
@@ -369,8 +370,8 @@
 	writes := 0
 	last := uint64(0)
 	watch := func() {
-		if v := z.nodes[1].c.testState().cache.zones["x"]; v.version != last {
-			last = v.version
+		if v := z.nodes[1].c.testState().Cache.Zones["x"]; v.Version != last {
+			last = v.Version
 			writes++
 		}
 	}
@@ -387,10 +388,10 @@
 		watch()
 	}
 	took := z.w.Now.Sub(began)
-	if most := int(took / z.nodes[0].c.node.settings.HeartbeatInterval() / 4); writes > most || writes < 3 {
+	if most := int(took / z.nodes[0].c.node.Settings.HeartbeatInterval() / 4); writes > most || writes < 3 {
 		t.Errorf("%d writes in %v, at most %d", writes, took, most)
 	}
-	if v := z.nodes[1].c.testState().cache.zones["x"].record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
+	if v := z.nodes[1].c.testState().Cache.Zones["x"].Record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
 		t.Errorf("the record is left as %+v", *v)
 	}
 }
--- a/internal/controller/zoneplan_test.go
+++ b/internal/controller/zoneplan_test.go
@@ -5,19 +5,21 @@
 	"testing"
 	"time"
 
+	"violetturn/internal/schema"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 	"violetturn/internal/zonehealth"
 )
 
 // withZone switches zone recovery on everywhere and sets the record of zone x.
 func (c *Controller) withZone(r zonehealth.Record) {
-	c.node.features.ZoneRecovery.Enabled = true
-	for _, node := range c.node.shards {
-		c.testState().cache.capabilities[node] = cached[shard.CapabilityRecord]{
-			record: &shard.CapabilityRecord{SchemaVersion: schemaVersion, Features: c.node.features.Names()},
+	c.node.Features.ZoneRecovery.Enabled = true
+	for _, node := range c.node.Shards {
+		c.testState().Cache.Capabilities[node] = statecache.Versioned[shard.CapabilityRecord]{
+			Record: &shard.CapabilityRecord{SchemaVersion: schema.Version, Features: c.node.Features.Names()},
 		}
 	}
-	c.testState().cache.zones["x"] = cached[zonehealth.Record]{record: &r}
+	c.testState().Cache.Zones["x"] = statecache.Versioned[zonehealth.Record]{Record: &r}
 }
 
 // Arrays start again in place on a share of the machines that grows, and never on what the
@@ -40,12 +42,12 @@
 		{0, 0, zonehealth.Healthy, 0}, // nothing is held back there
 	} {
 		c := sized(machines, 0)
-		r := zonehealth.Record{State: x.state, SinceMS: c.node.now().UnixMilli(), FailedMS: 1, SlowStartShare: x.start, MachinesBefore: machines}
+		r := zonehealth.Record{State: x.state, SinceMS: c.node.Now().UnixMilli(), FailedMS: 1, SlowStartShare: x.start, MachinesBefore: machines}
 		r = r.WithObservation("n0", zonehealth.Observation{Up: machines})
 		waiting := []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: x.waiting}}
 		c.withZone(r.WithObservation("n1", zonehealth.Observation{Lost: 1, Waiting: waiting}))
-		names := c.testState().cache.machineNames()
-		open := c.testState().zones.admittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.now())
+		names := c.testState().Cache.MachineNames()
+		open := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
 		if len(open) != x.open {
 			t.Errorf("%+v: %d machines are open", x, len(open))
 		}
@@ -64,7 +66,7 @@
 		c := sized(256, 4) // with room for four tasks
 		r := zonehealth.Record{
 			State:          zonehealth.Recovering,
-			SinceMS:        c.node.now().Add(-time.Second).UnixMilli(),
+			SinceMS:        c.node.Now().Add(-time.Second).UnixMilli(),
 			SlowStartShare: 1,
 			MachinesBefore: 256,
 		}
@@ -73,10 +75,10 @@
 			zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}},
 		)
 		c.withZone(r)
-		for _, j := range c.testState().cache.jobs { // none is production
-			j.record.Spec.Priority = "standard"
+		for _, j := range c.testState().Cache.Jobs { // none is production
+			j.Record.Spec.Priority = "standard"
 		}
-		return len(c.testState().scheduler.plan(c.node.now()).placements)
+		return len(c.testState().Scheduler.Plan(c.node.Now()).Placements)
 	}
 	for _, x := range []struct{ waiting, places int }{{0, 4}, {3, 1}, {4, 0}, {9, 0}} {
 		if got := placed(x.waiting); got != x.places {
--- a/internal/controller/zonerecovery_test.go
+++ b/internal/controller/zonerecovery_test.go
@@ -34,7 +34,7 @@
 )
 
 // switchOn has a controller run with zone recovery.
-func switchOn(n *simNode) { n.c.node.features.ZoneRecovery.Enabled = true }
+func switchOn(n *simNode) { n.c.node.Features.ZoneRecovery.Enabled = true }
 
 func newZoneWorld(t testing.TB, started func(*simNode)) *zoneWorld {
 	t.Helper()
@@ -127,7 +127,7 @@
 
 // state returns the zone's state as a controller has it.
 func (z *zoneWorld) state(node int) zonehealth.Record {
-	if v := z.nodes[node].c.testState().cache.zones["x"].record; v != nil {
+	if v := z.nodes[node].c.testState().Cache.Zones["x"].Record; v != nil {
 		return *v
 	}
 	return zonehealth.Record{}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -1,62 +1,62 @@
 package controller
 
-import "violetturn/internal/recovery"
+import (
+	"context"
+	"maps"
+	"net/url"
+	"slices"
 
-// zoneConstraint follows where the tasks of a job are or will be, for jobs that are to
-// go together or be spread. A job of several task ranges is spread task range by
-// task range: task ranges are of even size, so that half of each is half of all.
-type zoneConstraint struct {
-	job         *liveJob
-	zone        string // of a job that goes together
-	tasksByZone map[int]map[string]int
-	admission   *jobAdmission // of zones that return, for work below production; nil: all are open
-}
+	"violetturn/internal/features"
+	"violetturn/internal/statecache"
+	"violetturn/internal/store"
+	"violetturn/internal/zonehealth"
+	"violetturn/internal/zonestate"
+)
 
-// zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
-func (sch *schedulerState) zoneConstraintOf(j *liveJob, admission *recovery.Admission) *zoneConstraint {
-	z := &zoneConstraint{job: j, zone: j.record.Zone, tasksByZone: map[int]map[string]int{}, admission: sch.zones.admissionOf(j, admission)}
-	if isGang(j) && j.countPlaced() == 0 {
-		z.zone = "" // nothing binds its next attempt
+// updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
+// changes nothing but zones' records, each on the version that it judged by and on this
+// node's leadership of a shard: one that wakes late, or was replaced, is refused.
+func (c *Controller) updateZones(ctx context.Context) bool {
+	now := c.node.Now()
+	state := c.guard.Lock()
+	if now.Sub(state.Zones.View.ObservedAt) < c.node.Settings.HeartbeatInterval() || !state.Schema.FeatureEnabled(features.ZoneRecoveryName) {
+		c.guard.Unlock()
+		return false
 	}
-	if j.record.Spec.Spread {
-		for n, ch := range j.ranges {
-			for _, p := range ch.record.Placements {
-				if h := sch.cache.machines[p.Host]; h != nil {
-					z.count(n, h.Zone)
-				}
-			}
+	observations, up := state.Zones.ObserveZones(now)
+	state.Zones.View = zonestate.View{ObservedAt: now, Observations: observations}
+	state.Zones.View.AdmittedMachines = state.Zones.AdmittedMachines(up, now)
+	t := statecache.NewTransaction()
+	changed := map[string]zonehealth.Record{}
+	for _, zone := range slices.Sorted(maps.Keys(state.Zones.View.Observations)) {
+		if next, ok := state.Zones.JudgeZone(zone, now); ok && t.Changes() < state.Schema.TransactionLimits().TxnOps {
+			id := url.PathEscape(zone)
+			t.Require(statecache.ZonePrefix+id, state.Cache.Zones[id].Version)
+			t.Put(statecache.ZonePrefix+id, next)
+			changed[zone] = next
 		}
 	}
-	return z
-}
-
-// add notes that a task of a task range goes to a zone.
-func (z *zoneConstraint) add(chunk int, zone string) {
-	z.count(chunk, zone)
-	z.admission.admit(zone)
-}
-
-// count notes that a task of a task range is in a zone.
-func (z *zoneConstraint) count(chunk int, zone string) {
-	if z.job.record.Spec.Together && z.zone == "" {
-		z.zone = zone
+	for p := range state.Leadership.ByShard {
+		state.Leadership.Require(t, p)
 	}
-	g, _ := z.job.record.SpreadGroup(chunk)
-	if z.tasksByZone[g] == nil {
-		z.tasksByZone[g] = map[string]int{}
+	c.guard.Unlock()
+	if len(changed) == 0 {
+		return false
+	}
+	if done, _, _ := c.commit(ctx, "zones", t, store.PriorityDecision); done {
+		c.logZoneChanges(changed)
+		c.wake.Notify()
 	}
-	z.tasksByZone[g][zone]++
+	return false
 }
 
-// allows reports whether a task of a task range may go to a zone.
-func (z *zoneConstraint) allows(chunk int, zone string) bool {
-	r := &z.job.record.Spec
-	if !z.admission.admits(zone) {
-		return false
-	}
-	if r.Together && z.zone != "" && z.zone != zone {
-		return false
+func (c *Controller) logZoneChanges(changed map[string]zonehealth.Record) {
+	for _, zone := range slices.Sorted(maps.Keys(changed)) {
+		r := changed[zone]
+		sum := r.Sum()
+		c.node.Log.Info(
+			"zone", "zone", zone, "state", r.State, "transitions", r.Transitions, "up", sum.Up, "lost", sum.Lost,
+			"unknown", sum.Unclear, "waiting", r.Waiting(), "slow_start_share", r.SlowStartShare,
+		)
 	}
-	g, n := z.job.record.SpreadGroup(chunk)
-	return !r.Spread || z.tasksByZone[g][zone] < (n+1)/2
 }
--- a/internal/controller/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,20 +1,22 @@
-package controller
+package reconcile
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/sched"
 	"violetturn/internal/shard"
+	"violetturn/internal/statecache"
 )
 
 // pendingLaunch is an attempt to be launched.
 type pendingLaunch struct {
 	key     string
-	attempt attemptID
+	attempt agent.AttemptID
 	need    sched.Resources
 }
 
@@ -26,13 +28,13 @@
 // a direct command: a worker has one report in flight, so a heartbeat shows what
 // became of the answers to those before, which a command's answer does not.
 type reconciliation struct {
-	reconciler *heartbeatReconciler
+	reconciler *Reconciler
 	heartbeat  *api.Heartbeat
 	agent      *shard.Agent
 	now        time.Time
 
-	reported      map[attemptID]*api.TaskState
-	desired       map[attemptID]bool // committed for the machine
+	reported      map[agent.AttemptID]*api.TaskState
+	desired       map[agent.AttemptID]bool // committed for the machine
 	launches      []pendingLaunch
 	stopping      bool // some task is on its way out
 	free          sched.Resources
@@ -40,19 +42,19 @@
 	commands      []api.Command
 }
 
-// commandsFor returns the commands for a worker that has just reported.
-func (rec *heartbeatReconciler) commandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
-	if !rec.leadership.mayAct(now) {
-		return rec.agents.stopCancelledTasks(r.Host)
+// CommandsFor returns the commands for a worker that has just reported.
+func (rec *Reconciler) CommandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
+	if !rec.leadership.MayAct(now) {
+		return rec.agents.StopCancelledTasks(r.Host)
 	}
 	// What runs on takes its room until a later heartbeat shows its end; what is
 	// stopped without saving leaves before the starts in the same answer.
-	size, machineType := rec.catalog.machineCapacity(r.MachineType)
-	x := &reconciliation{reconciler: rec, heartbeat: r, agent: s, now: now, reported: map[attemptID]*api.TaskState{}, desired: map[attemptID]bool{},
+	size, machineType := rec.catalog.MachineCapacity(r.MachineType)
+	x := &reconciliation{reconciler: rec, heartbeat: r, agent: s, now: now, reported: map[agent.AttemptID]*api.TaskState{}, desired: map[agent.AttemptID]bool{},
 		free: size, capacityKnown: machineType != nil, commands: []api.Command{}}
 	x.readHeartbeat()
-	for id, pl := range rec.cache.placements[r.Host] {
-		if j := rec.cache.jobs[pl.uid]; j != nil {
+	for id, pl := range rec.cache.Placements[r.Host] {
+		if j := rec.cache.Jobs[pl.UID]; j != nil {
 			x.reconcileTask(id, pl, j)
 		}
 	}
@@ -61,37 +63,24 @@
 	return x.commands
 }
 
-// stopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine: what
-// is committed may have changed where this node can't see it, but a cancelled job stays
-// cancelled, and its tasks have to go in time.
-func (reg *agentRegistry) stopCancelledTasks(host string) []api.Command {
-	commands := []api.Command{}
-	for _, pl := range reg.cache.placements[host] {
-		if j := reg.cache.jobs[pl.uid]; j != nil && j.isCancelled() {
-			commands = append(commands, reg.stopCommand(j, attemptOf(pl, j)))
-		}
-	}
-	return commands
-}
-
 // readHeartbeat lists the reported attempts.
 func (x *reconciliation) readHeartbeat() {
 	for i := range x.heartbeat.Tasks {
 		t := &x.heartbeat.Tasks[i]
 		if !api.KnownPhase(t.Phase) {
-			x.reconciler.node.log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
+			x.reconciler.node.Log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
-		x.reported[attemptID{task: t.Task, attempt: t.Attempt}] = t
+		x.reported[agent.AttemptID{Task: t.Task, Attempt: t.Attempt}] = t
 	}
 }
 
 // reconcileTask compares one committed task with what was reported of it.
-func (x *reconciliation) reconcileTask(id string, pl *placedTask, j *liveJob) {
-	a := attemptOf(pl, j)
+func (x *reconciliation) reconcileTask(id string, pl *statecache.PlacedTask, j *statecache.Job) {
+	a := agent.AttemptOf(pl, j)
 	x.desired[a] = true
-	stop := j.mustStop(pl.placement)
-	if !isGang(j) { // a gang is stopped as a whole, or else goes on
-		stop = stop || x.agent.Cordoned || x.reconciler.agents.interruptionIsDue(x.agent, j)
+	stop := j.MustStop(pl.Placement)
+	if !statecache.IsGang(j) { // a gang is stopped as a whole, or else goes on
+		stop = stop || x.agent.Cordoned || x.reconciler.agents.InterruptionIsDue(x.agent, j)
 	}
 	if state := x.reported[a]; state != nil {
 		delete(x.agent.PendingLaunches, id)
@@ -102,14 +91,14 @@
 }
 
 // reconcilePresent deals with a committed task that is on the machine.
-func (x *reconciliation) reconcilePresent(id string, pl *placedTask, j *liveJob, state *api.TaskState, stop bool) {
-	s, a := x.agent, attemptID{task: state.Task, attempt: state.Attempt}
+func (x *reconciliation) reconcilePresent(id string, pl *statecache.PlacedTask, j *statecache.Job, state *api.TaskState, stop bool) {
+	s, a := x.agent, agent.AttemptID{Task: state.Task, Attempt: state.Attempt}
 	_, released := s.EndedAttempts[id]
-	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.attempt {
-		s.FirstRuns[id] = shard.FirstRun{Attempt: a.attempt, At: x.now}
-		x.reconciler.node.log.Info("task running", "task", a.task, "attempt", a.attempt, "host", x.heartbeat.Host)
-		if isGang(j) {
-			x.reconciler.agents.runningGangs[pl.uid] = a.attempt
+	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.Attempt {
+		s.FirstRuns[id] = shard.FirstRun{Attempt: a.Attempt, At: x.now}
+		x.reconciler.node.Log.Info("task running", "task", a.Task, "attempt", a.Attempt, "host", x.heartbeat.Host)
+		if statecache.IsGang(j) {
+			x.reconciler.agents.RunningGangs[pl.UID] = a.Attempt
 		}
 	}
 	switch {
@@ -119,44 +108,44 @@
 		}
 	case stop || released:
 		x.stopping = true
-		if state.Phase == api.Saving || savesOnStop(j) {
-			x.free = x.free.Sub(resourcesOf(&j.record.Spec))
+		if state.Phase == api.Saving || statecache.SavesOnStop(j) {
+			x.free = x.free.Sub(statecache.ResourcesOf(&j.Record.Spec))
 		}
-		if state.Phase != api.Saving || j.isCancelled() {
-			x.commands = append(x.commands, x.reconciler.agents.stopCommand(j, a))
+		if state.Phase != api.Saving || j.IsCancelled() {
+			x.commands = append(x.commands, x.reconciler.agents.StopCommand(j, a))
 		}
 	default:
-		x.free = x.free.Sub(resourcesOf(&j.record.Spec))
+		x.free = x.free.Sub(statecache.ResourcesOf(&j.Record.Spec))
 	}
 }
 
 // noteEnd notes that a task has ended, and why.
-func (x *reconciliation) noteEnd(id string, pl *placedTask, j *liveJob, state *api.TaskState) {
-	spec := &j.record.Spec
+func (x *reconciliation) noteEnd(id string, pl *statecache.PlacedTask, j *statecache.Job, state *api.TaskState) {
+	spec := &j.Record.Spec
 	done := state.Cause == api.CauseDone
 	failed := state.Cause == api.CauseError || state.Cause == api.CauseUnknown
 	x.endAttempt(
 		id,
 		shard.EndedAttempt{
-			Attempt: pl.placement.Attempt,
+			Attempt: pl.Placement.Attempt,
 			Done:    done && spec.Kind != api.Service,
 			Failed:  failed,
-			Reason:  exitReasonOf(state.Cause),
+			Reason:  agent.ExitReasonOf(state.Cause),
 		},
 	)
-	if started := x.agent.FirstRuns[id]; done && started.Attempt == pl.placement.Attempt && spec.EstimateS > 0 {
-		x.reconciler.estimates.observeRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
+	if started := x.agent.FirstRuns[id]; done && started.Attempt == pl.Placement.Attempt && spec.EstimateS > 0 {
+		x.reconciler.estimates.ObserveRuntime(spec.Class, x.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
-	x.reconciler.agents.noteTaskEnd(x.heartbeat.Host, x.agent, j, pl, state)
+	x.reconciler.agents.NoteTaskEnd(x.heartbeat.Host, x.agent, j, pl, state)
 }
 
 // reconcileAbsent deals with a committed task that is not on the machine.
-func (x *reconciliation) reconcileAbsent(id string, pl *placedTask, j *liveJob, stop bool) {
-	s, try := x.agent, pl.placement.Attempt
+func (x *reconciliation) reconcileAbsent(id string, pl *statecache.PlacedTask, j *statecache.Job, stop bool) {
+	s, try := x.agent, pl.Placement.Attempt
 	_, released := s.EndedAttempts[id]
-	unheard := s.PendingLaunches[id].Attempt == try && s.PendingLaunches[id].Answers >= maxUnheardAnswers
+	unheard := s.PendingLaunches[id].Attempt == try && s.PendingLaunches[id].Answers >= agent.MaxUnheardAnswers
 	switch {
-	case !stop && !j.mayLaunch(pl.placement):
+	case !stop && !j.MayLaunch(pl.Placement):
 		// Held for a gang that is not complete: nothing is started yet.
 	case released:
 	case stop:
@@ -170,31 +159,31 @@
 		if !s.Unresponsive {
 			s.Unresponsive = true
 			s.RaiseToken(x.now)
-			x.reconciler.node.log.Info(
+			x.reconciler.node.Log.Info(
 				"worker ignores launches",
 				"host",
 				x.heartbeat.Host,
 				"task",
-				pl.taskName(j),
+				pl.TaskName(j),
 				"launches",
 				s.PendingLaunches[id].Answers,
 			)
 		}
 		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
-	case x.reconciler.zones.isHeldBack(x.heartbeat.Host, pl, j, x.now):
+	case x.reconciler.zones.IsHeldBack(x.heartbeat.Host, pl, j, x.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
 		// a zone's arrays anew would take the changes that the readers' placements need.
-	case !s.IsLeaseExpired(x.now, x.reconciler.node.settings.WorkerLeaseBound()):
-		x.launches = append(x.launches, pendingLaunch{id, attemptOf(pl, j), resourcesOf(&j.record.Spec)})
+	case !s.IsLeaseExpired(x.now, x.reconciler.node.Settings.WorkerLeaseBound()):
+		x.launches = append(x.launches, pendingLaunch{id, agent.AttemptOf(pl, j), statecache.ResourcesOf(&j.Record.Spec)})
 	}
 }
 
 // endAttempt notes that an attempt is over.
 func (x *reconciliation) endAttempt(id string, r shard.EndedAttempt) {
 	r.EndedAt = x.now
-	x.reconciler.agents.noteEnd(x.heartbeat.Host, x.agent, id, r)
-	x.reconciler.wake.notify()
+	x.reconciler.agents.NoteEnd(x.heartbeat.Host, x.agent, id, r)
+	x.reconciler.wake.Notify()
 }
 
 // removeUnwanted clears or stops what was reported and is not committed.
@@ -203,9 +192,9 @@
 		switch {
 		case x.desired[a]:
 		case state.Phase == api.Ended:
-			x.commands = append(x.commands, api.Command{Action: api.Clear, Task: a.task, Attempt: a.attempt})
+			x.commands = append(x.commands, api.Command{Action: api.Clear, Task: a.Task, Attempt: a.Attempt})
 		default:
-			x.commands = append(x.commands, api.Command{Action: api.Stop, Task: a.task, Attempt: a.attempt, GraceS: new(float64)})
+			x.commands = append(x.commands, api.Command{Action: api.Stop, Task: a.Task, Attempt: a.Attempt, GraceS: new(float64)})
 		}
 	}
 }
@@ -216,8 +205,8 @@
 	slices.SortFunc(x.launches, func(a, b pendingLaunch) int { return cmp.Compare(a.key, b.key) })
 	for _, st := range x.launches {
 		sent := x.agent.PendingLaunches[st.key]
-		if sent.Attempt != st.attempt.attempt {
-			sent = shard.PendingLaunch{Attempt: st.attempt.attempt}
+		if sent.Attempt != st.attempt.Attempt {
+			sent = shard.PendingLaunch{Attempt: st.attempt.Attempt}
 		}
 		if x.capacityKnown && !x.free.Fits(st.need) {
 			x.noteBlocked(st, sent)
@@ -226,7 +215,7 @@
 		x.free = x.free.Sub(st.need)
 		sent.Answers, sent.Blocked = sent.Answers+1, 0
 		x.agent.PendingLaunches[st.key] = sent
-		x.commands = append(x.commands, api.Command{Action: api.Launch, Task: st.attempt.task, Attempt: st.attempt.attempt})
+		x.commands = append(x.commands, api.Command{Action: api.Launch, Task: st.attempt.Task, Attempt: st.attempt.Attempt})
 	}
 }
 
@@ -236,7 +225,7 @@
 	if sent.Blocked++; x.stopping {
 		sent.Blocked = 0
 	}
-	if x.agent.PendingLaunches[st.key] = sent; sent.Blocked >= maxUnheardAnswers {
-		x.endAttempt(st.key, shard.EndedAttempt{Attempt: st.attempt.attempt, Reason: job.ExitRefused})
+	if x.agent.PendingLaunches[st.key] = sent; sent.Blocked >= agent.MaxUnheardAnswers {
+		x.endAttempt(st.key, shard.EndedAttempt{Attempt: st.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/controller/planner.go
+++ b/internal/scheduler/planner.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -6,53 +6,43 @@
 	"slices"
 	"time"
 
+	"violetturn/internal/capacity"
 	"violetturn/internal/config"
 	"violetturn/internal/recovery"
 	"violetturn/internal/sched"
+	"violetturn/internal/statecache"
+	"violetturn/internal/zonestate"
 )
 
-// placement is a task and the machine it is to go to.
-type placement struct {
-	uid        string
-	rangeIndex int
-	index      int
-	host       *sched.Host
-
-	victims []*placedTask // tasks that have to leave the machine for it
-}
-
 // placementOf puts a task of a job on a machine.
-func placementOf(uid string, t taskIndex, host *sched.Host) placement {
-	return placement{uid: uid, rangeIndex: t.rangeIndex, index: t.index, host: host}
+func placementOf(uid string, t statecache.TaskIndex, host *sched.Host) capacity.Placement {
+	return capacity.Placement{UID: uid, RangeIndex: t.RangeIndex, Index: t.Index, Host: host}
 }
 
-// plan is what this node would do now, seen from one state of the replica.
-type plan struct {
-	placements    []placement
-	gangs         []*gangClaim  // room for whole gangs
-	stops         []*placedTask // tasks that have to leave for gangs
-	unmet         []sched.UnmetDemand
-	allUnmet      []sched.UnmetDemand // what found no room at once, peers' jobs included
-	reservedHosts map[string]bool     // machines with room that waits for the rest of a gang's
-	remaining     []*sched.Host       // all machines with the room that is left after all that
+// Plan is what this node would do now, seen from one state of the replica.
+type Plan struct {
+	Placements    []capacity.Placement
+	Gangs         []*GangClaim             // room for whole gangs
+	Stops         []*statecache.PlacedTask // tasks that have to leave for gangs
+	Unmet         []sched.UnmetDemand
+	AllUnmet      []sched.UnmetDemand // what found no room at once, peers' jobs included
+	ReservedHosts map[string]bool     // machines with room that waits for the rest of a gang's
+	Remaining     []*sched.Host       // all machines with the room that is left after all that
 }
 
 // waitingJob is a job with tasks to place.
 type waitingJob struct {
-	entry   *queueEntry
+	entry   *QueueEntry
 	request sched.TaskRequest
-	tasks   []taskIndex
-	zones   *zoneConstraint
+	tasks   []statecache.TaskIndex
+	zones   *ZoneConstraint
 
-	deferred []taskIndex // of those that found no room, those that room is not sought for in this plan
+	deferred []statecache.TaskIndex // of those that found no room, those that room is not sought for in this plan
 
 	options  []*preemptOption // machines where it could take others' room, once searched
 	searched bool
 }
 
-// taskIndex is a task that is neither done nor placed.
-type taskIndex struct{ rangeIndex, index int }
-
 // coldStart is a placement on a machine without the image that misses its aim.
 type coldStart struct {
 	job   *waitingJob
@@ -63,11 +53,11 @@
 // room for, and seeks room for the rest among what is being left and what may be
 // preempted. What then still lacks room is to be rented for.
 type planner struct {
-	scheduler *schedulerState
+	scheduler *Scheduler
 	now       time.Time
-	plan      *plan
+	plan      *Plan
 	hosts     []*sched.Host // the machines that can take tasks
-	queue     []*queueEntry
+	queue     []*QueueEntry
 	smallest  sched.Resources // the smallest amounts that any waiting task asks for
 
 	jobs         []*waitingJob
@@ -86,59 +76,59 @@
 	openHosts  []*sched.Host // machines with room when all that is leaving has left
 	ranking    *sched.Ranking
 	preemption *preemption
-	swaps      []placement // with the tasks that have to leave for them
+	swaps      []capacity.Placement // with the tasks that have to leave for them
 }
 
-// plan places what can be placed, picks what to stop for what can't, and tells
+// Plan places what can be placed, picks what to stop for what can't, and tells
 // what then still lacks room.
-func (sch *schedulerState) plan(now time.Time) *plan {
+func (sch *Scheduler) Plan(now time.Time) *Plan {
 	began := time.Now()
-	defer func() { sch.planningTime += time.Since(began) }()
-	p := &planner{scheduler: sch, now: now, plan: &plan{reservedHosts: map[string]bool{}}, gangSearches: map[*waitingJob]*gangSearch{}}
-	if len(sch.catalog.machineTypes) == 0 || !sch.leadership.mayAct(now) {
+	defer func() { sch.PlanningTime += time.Since(began) }()
+	p := &planner{scheduler: sch, now: now, plan: &Plan{ReservedHosts: map[string]bool{}}, gangSearches: map[*waitingJob]*gangSearch{}}
+	if len(sch.catalog.MachineTypes) == 0 || !sch.leadership.MayAct(now) {
 		return p.plan
 	}
 	p.selectJobs()
 	p.placeJobs()
 	releaseStopping(p.hosts)
-	p.plan.remaining = p.hosts
+	p.plan.Remaining = p.hosts
 	if len(p.unplaced) > 0 || len(p.coldStarts) > 0 {
 		p.findOpenRoom()
 		p.replaceColdStarts()
 		for _, l := range p.unplaced {
 			p.findRoom(l)
 		}
-		p.plan.placements = append(p.plan.placements, p.swaps...)
+		p.plan.Placements = append(p.plan.Placements, p.swaps...)
 	}
 	return p.plan
 }
 
 // selectJobs lists the jobs with tasks to place, in the order in which they are served.
 func (p *planner) selectJobs() {
-	p.hosts = p.scheduler.schedulableHosts(p.now)
-	p.admission = p.scheduler.zones.admission(p.now)
+	p.hosts = p.scheduler.SchedulableHosts(p.now)
+	p.admission = p.scheduler.zones.Admission(p.now)
 	p.queue = p.scheduler.queue(p.now)
 	p.smallest = smallestRequest(p.queue)
 	p.hostsByShard = hostsWithRoom(p.hosts, p.smallest) // only those with room: work per task is bounded by them
-	p.chooser = sched.NewChooser(p.hostsByShard, p.scheduler.node.random)
+	p.chooser = sched.NewChooser(p.hostsByShard, p.scheduler.node.Random)
 	p.teamUse = map[string]sched.Resources{}
-	for _, team := range p.scheduler.node.settings.Facts.Teams {
+	for _, team := range p.scheduler.node.Settings.Facts.Teams {
 		if team.Limited() {
-			p.teamUse[team.Name] = p.scheduler.capacity.teamUse(team.Name)
+			p.teamUse[team.Name] = p.scheduler.capacity.TeamUse(team.Name)
 		}
 	}
 	for _, q := range p.queue {
-		r := &q.job.record.Spec
-		if q.led && p.scheduler.isBackingOff(q, p.now) || p.scheduler.schema.isBlocked(q.job) || len(q.job.pendingTasks()) == 0 {
+		r := &q.Job.Record.Spec
+		if q.led && p.scheduler.IsBackingOff(q, p.now) || p.scheduler.schema.IsBlocked(q.Job) || len(q.Job.PendingTasks()) == 0 {
 			continue
 		}
-		ask := taskRequestOf(r)
-		ask.FetchS = p.scheduler.catalog.fetchSeconds(r)
+		ask := statecache.TaskRequestOf(r)
+		ask.FetchS = p.scheduler.catalog.FetchSeconds(r)
 		// Fetches may be a third slower than told.
-		ask.PreferImage = p.scheduler.estimates.waitingSlack(r.Class, r, 1.5*ask.FetchS) < p.scheduler.node.settings.HeartbeatInterval().Seconds()
+		ask.PreferImage = p.scheduler.estimates.WaitingSlack(r.Class, r, 1.5*ask.FetchS) < p.scheduler.node.Settings.HeartbeatInterval().Seconds()
 		p.jobs = append(
 			p.jobs,
-			&waitingJob{entry: q, request: ask, zones: p.scheduler.zoneConstraintOf(q.job, p.admission), tasks: slices.Clone(q.job.pendingTasks())},
+			&waitingJob{entry: q, request: ask, zones: p.scheduler.zoneConstraintOf(q.Job, p.admission), tasks: slices.Clone(q.Job.PendingTasks())},
 		)
 	}
 }
@@ -160,7 +150,7 @@
 // reserveForProduction keeps room in zones that return for production tasks that wait for lost
 // machines, before the first work below production is placed.
 func (p *planner) reserveForProduction(jobs []*waitingJob) {
-	below := slices.ContainsFunc(jobs, func(l *waitingJob) bool { return l.entry.priority > productionPriority })
+	below := slices.ContainsFunc(jobs, func(l *waitingJob) bool { return l.entry.Priority > zonestate.ProductionPriority })
 	if below && !p.reserved {
 		p.reserved = true
 		p.admission.Reserve(p.hosts)
@@ -172,17 +162,17 @@
 // there is.
 func (p *planner) placeSameWeight(jobs []*waitingJob) {
 	for _, l := range jobs { // gangs first: what one task takes here may keep a whole one waiting
-		if isGang(l.entry.job) {
+		if statecache.IsGang(l.entry.Job) {
 			p.placeGang(l)
 		}
 	}
 	for _, l := range jobs {
-		if !isGang(l.entry.job) {
+		if !statecache.IsGang(l.entry.Job) {
 			p.placeTasks(l, !l.entry.starving)
 		}
 	}
 	for _, l := range jobs {
-		if !isGang(l.entry.job) {
+		if !statecache.IsGang(l.entry.Job) {
 			// Once only: what of a limited team lacks room counts as used, so that a
 			// second look would take the limit for reached and rent nothing.
 			if !l.entry.starving {
@@ -205,11 +195,11 @@
 // placeTasks puts what it can of a job's tasks on machines, those with its image only or
 // any, and leaves the rest.
 func (p *planner) placeTasks(l *waitingJob, warm bool) {
-	r := &l.entry.job.record.Spec
-	team, _ := p.scheduler.node.settings.Team(r.Team)
+	r := &l.entry.Job.Record.Spec
+	team, _ := p.scheduler.node.Settings.Team(r.Team)
 	ask := l.request
 	ask.RequireImage = warm
-	p.chooser.Begin(l.entry.job.record.Shard, &ask)
+	p.chooser.Begin(l.entry.Job.Record.Shard, &ask)
 	misses := map[int]bool{} // by task range
 	missed := false
 	rest := l.tasks[:0]
@@ -222,15 +212,15 @@
 			break // what is beyond the limit lacks no room
 		}
 		var h *sched.Host
-		if !misses[t.rangeIndex] || !r.Spread && !missed {
-			h = p.chooser.Next(func(zone string) bool { return l.zones.allows(t.rangeIndex, zone) })
+		if !misses[t.RangeIndex] || !r.Spread && !missed {
+			h = p.chooser.Next(func(zone string) bool { return l.zones.Allows(t.RangeIndex, zone) })
 		}
 		if h != nil {
 			p.teamUse[team.Name] = use
 			p.assign(l, t, h)
 			continue
 		}
-		misses[t.rangeIndex], missed = true, true
+		misses[t.RangeIndex], missed = true, true
 		if rest = append(rest, t); !warm {
 			p.teamUse[team.Name] = use
 		}
@@ -239,12 +229,12 @@
 }
 
 // assign places a task on a machine with room.
-func (p *planner) assign(l *waitingJob, t taskIndex, h *sched.Host) {
+func (p *planner) assign(l *waitingJob, t statecache.TaskIndex, h *sched.Host) {
 	h.Free = h.Free.Sub(l.request.Need)
 	if !h.Free.Fits(p.smallest) {
 		p.hostsByShard[h.Shard] = removeHost(p.hostsByShard[h.Shard], h)
 	}
-	l.zones.add(t.rangeIndex, h.Zone)
+	l.zones.Add(t.RangeIndex, h.Zone)
 	if l.request.Service {
 		h.Services++
 	} else {
@@ -254,14 +244,14 @@
 		return // its leader places it; its room is kept for it
 	}
 	if l.request.PreferImage && !h.Images[l.request.Image] {
-		p.coldStarts = append(p.coldStarts, coldStart{l, len(p.plan.placements)})
+		p.coldStarts = append(p.coldStarts, coldStart{l, len(p.plan.Placements)})
 	}
-	p.plan.placements = append(p.plan.placements, placementOf(l.entry.uid, t, h))
+	p.plan.Placements = append(p.plan.Placements, placementOf(l.entry.UID, t, h))
 }
 
 // placeGang finds machines for all of a gang's tasks, or notes what it found.
 func (p *planner) placeGang(l *waitingJob) {
-	if team, _ := p.scheduler.node.settings.Team(l.entry.job.record.Spec.Team); team.Limited() {
+	if team, _ := p.scheduler.node.Settings.Team(l.entry.Job.Record.Spec.Team); team.Limited() {
 		use := p.teamUse[team.Name].Add(l.request.Need.Scale(float64(len(l.tasks))))
 		if exceedsQuota(team, use) {
 			l.tasks = nil // what is beyond the limit lacks no room
@@ -270,12 +260,12 @@
 		p.teamUse[team.Name] = use
 	}
 	if p.provisioning == nil {
-		p.provisioning = p.scheduler.room.provisioningHosts(p.now, true)
+		p.provisioning = p.scheduler.room.ProvisioningHosts(p.now, true)
 	}
 	x := p.scheduler.findGangRoom(l, p.hostsByShard, p.hosts, p.provisioning, p.now)
 	if sched.CountUnassigned(x.hosts) == 0 {
 		if l.entry.led {
-			p.plan.gangs = append(p.plan.gangs, x.claim())
+			p.plan.Gangs = append(p.plan.Gangs, x.claim())
 		}
 		l.tasks = nil
 		return
@@ -285,7 +275,7 @@
 	}
 	for _, h := range x.hosts {
 		if h != nil && x.reserved {
-			p.plan.reservedHosts[h.Name] = true
+			p.plan.ReservedHosts[h.Name] = true
 		}
 	}
 	p.gangSearches[l] = x
@@ -304,18 +294,18 @@
 func (p *planner) preemptOptions(l *waitingJob) []*preemptOption {
 	if !l.searched {
 		l.searched = true
-		l.options = p.preemption.search(l.entry, &l.request, 2*l.entry.job.record.Spec.Tasks+16)
+		l.options = p.preemption.search(l.entry, &l.request, 2*l.entry.Job.Record.Spec.Tasks+16)
 	}
 	return l.options
 }
 
 // assignOverVictims puts a task of the job on a machine that victims leave.
-func (p *planner) assignOverVictims(l *waitingJob, chunk int, victims []*placedTask, h *sched.Host) {
+func (p *planner) assignOverVictims(l *waitingJob, chunk int, victims []*statecache.PlacedTask, h *sched.Host) {
 	for _, v := range victims {
-		h.Free = h.Free.Add(resourcesOf(&p.scheduler.cache.jobs[v.uid].record.Spec))
+		h.Free = h.Free.Add(statecache.ResourcesOf(&p.scheduler.cache.Jobs[v.UID].Record.Spec))
 	}
 	h.Free = h.Free.Sub(l.request.Need)
-	l.zones.add(chunk, h.Zone)
+	l.zones.Add(chunk, h.Zone)
 }
 
 // replaceColdStarts has a start that would miss its aim for want of its image rather take
@@ -323,25 +313,25 @@
 // have the room that was free.
 func (p *planner) replaceColdStarts() {
 	for _, x := range p.coldStarts {
-		place := &p.plan.placements[x.index]
+		place := &p.plan.Placements[x.index]
 		ask := x.job.request
 		ask.RequireImage = true
-		ask.ZoneAllowed = func(zone string) bool { return zone == place.host.Zone || x.job.zones.allows(place.rangeIndex, zone) }
+		ask.ZoneAllowed = func(zone string) bool { return zone == place.Host.Zone || x.job.zones.Allows(place.RangeIndex, zone) }
 		if victims, h := p.preemption.victims(p.preemptOptions(x.job), &ask, 2*ask.FetchS); victims != nil {
-			p.assignOverVictims(x.job, place.rangeIndex, victims, h)
-			place.host, place.victims = h, victims
+			p.assignOverVictims(x.job, place.RangeIndex, victims, h)
+			place.Host, place.Victims = h, victims
 		}
 	}
 }
 
 // unassignedTasks returns the tasks of a job that room is sought for: of a gang those that have
 // none yet, or all if what was found is not kept.
-func (p *planner) unassignedTasks(l *waitingJob) []taskIndex {
+func (p *planner) unassignedTasks(l *waitingJob) []statecache.TaskIndex {
 	search := p.gangSearches[l]
 	if search == nil {
 		return l.tasks
 	}
-	var tasks []taskIndex
+	var tasks []statecache.TaskIndex
 	for i, h := range search.hosts {
 		if h == nil || !search.reserved {
 			tasks = append(tasks, l.tasks[i])
@@ -355,19 +345,19 @@
 func (p *planner) findRoom(l *waitingJob) {
 	tasks := p.unassignedTasks(l)
 	if !l.entry.led {
-		p.plan.allUnmet = append(p.plan.allUnmet, sched.UnmetDemand{Request: l.request, Count: min(len(tasks), maxUnmet)})
+		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: l.request, Count: min(len(tasks), maxUnmet)})
 		return
 	}
 	gang := p.gangSearches[l] != nil
-	var left []taskIndex
-	var stops []*placedTask
+	var left []statecache.TaskIndex
+	var stops []*statecache.PlacedTask
 	p.ranking = sched.Rank(p.ranking, p.openHosts, &l.request)
 	for _, t := range tasks {
 		ask := l.request
-		ask.ZoneAllowed = func(zone string) bool { return l.zones.allows(t.rangeIndex, zone) }
+		ask.ZoneAllowed = func(zone string) bool { return l.zones.Allows(t.RangeIndex, zone) }
 		if h := p.ranking.Best(ask.ZoneAllowed); h != nil {
 			h.Free = h.Free.Sub(ask.Need)
-			l.zones.add(t.rangeIndex, h.Zone)
+			l.zones.Add(t.RangeIndex, h.Zone)
 			continue
 		}
 		victims, h := p.preemption.victims(p.preemptOptions(l), &ask, math.Inf(1))
@@ -378,16 +368,16 @@
 		if gang {
 			stops = append(stops, victims...)
 		} else {
-			swap := placementOf(l.entry.uid, t, h)
-			swap.victims = victims
+			swap := placementOf(l.entry.UID, t, h)
+			swap.Victims = victims
 			p.swaps = append(p.swaps, swap)
 		}
-		p.assignOverVictims(l, t.rangeIndex, victims, h)
+		p.assignOverVictims(l, t.RangeIndex, victims, h)
 		p.ranking.Add(h) // they may leave more than the task takes
 	}
 	p.openHosts = slices.DeleteFunc(p.openHosts, func(h *sched.Host) bool { return !h.Free.Fits(p.smallest) })
 	if len(left) == 0 {
-		p.plan.stops = append(p.plan.stops, stops...)
+		p.plan.Stops = append(p.plan.Stops, stops...)
 		return
 	}
 	if gang {
--- a/internal/controller/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,35 +1,37 @@
-package controller
+package scheduler
 
 import (
 	"slices"
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/estimate"
 	"violetturn/internal/job"
 	"violetturn/internal/sched"
+	"violetturn/internal/statecache"
 )
 
-// mayPreempt reports whether the job takes room from the other one, which PROTOCOL lets both a
+// MayPreempt reports whether the job takes room from the other one, which PROTOCOL lets both a
 // higher rank and a guarantee do. Between teams the guarantee decides first: what is
 // within one yields to no rank of another team that is beyond its own, or the one would
 // take back by its guarantee what the other took by its rank, again and again.
-func (sch *schedulerState) mayPreempt(q *queueEntry, v *api.Job, over bool) bool {
+func (sch *Scheduler) MayPreempt(q *QueueEntry, v *api.Job, over bool) bool {
 	priority, _ := api.PriorityOf(v.Priority)
-	own := v.Team == q.job.record.Spec.Team
-	if priority > q.priority {
-		return own || q.withinGuarantee || over
+	own := v.Team == q.Job.Record.Spec.Team
+	if priority > q.Priority {
+		return own || q.WithinGuarantee || over
 	}
-	return !own && q.withinGuarantee && over
+	return !own && q.WithinGuarantee && over
 }
 
 // preemption finds tasks to stop for others, within one plan. It looks over the machines
 // once for a kind of job, not for each job and each of its tasks.
 type preemption struct {
-	scheduler       *schedulerState
+	scheduler       *Scheduler
 	now             time.Time
 	hosts           []*sched.Host
 	beyondGuarantee map[string]bool // jobs beyond their teams' guarantees
-	taken           map[*placedTask]bool
+	taken           map[*statecache.PlacedTask]bool
 	victimsByKind   map[preemptorKind]*victimHosts
 	victimsOnHost   map[*sched.Host][]*victimHost // of all kinds
 }
@@ -51,7 +53,7 @@
 type victimHost struct {
 	host       *sched.Host
 	candidates []sched.Victim
-	tasks      []*placedTask // by the candidates' Ref
+	tasks      []*statecache.PlacedTask // by the candidates' Ref
 }
 
 // preemptOption is a victimHost as one job sees it: what it would take, which is worked
@@ -76,18 +78,18 @@
 }
 
 // newPreemption begins the search for tasks to stop within one plan.
-func (sch *schedulerState) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
-	p := &preemption{scheduler: sch, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*placedTask]bool{},
+func (sch *Scheduler) newPreemption(queue []*QueueEntry, hosts []*sched.Host, now time.Time) *preemption {
+	p := &preemption{scheduler: sch, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*statecache.PlacedTask]bool{},
 		victimsByKind: map[preemptorKind]*victimHosts{}, victimsOnHost: map[*sched.Host][]*victimHost{}}
 	for _, q := range queue {
-		p.beyondGuarantee[q.uid] = !q.withinGuarantee
+		p.beyondGuarantee[q.UID] = !q.WithinGuarantee
 	}
 	return p
 }
 
 // hostsFor finds the machines where a kind of job may stop tasks.
-func (p *preemption) hostsFor(q *queueEntry) *victimHosts {
-	kind := preemptorKind{q.priority, q.withinGuarantee, q.job.record.Spec.Team}
+func (p *preemption) hostsFor(q *QueueEntry) *victimHosts {
+	kind := preemptorKind{q.Priority, q.WithinGuarantee, q.Job.Record.Spec.Team}
 	found := p.victimsByKind[kind]
 	if found != nil {
 		return found
@@ -108,26 +110,26 @@
 
 // mayHoldVictims tells, from the sums by rank alone, whether a machine may hold tasks that
 // the job can stop: with a guarantee it may stop work of any rank.
-func (p *preemption) mayHoldVictims(q *queueEntry, h *sched.Host) bool {
-	staying := p.scheduler.room.loadOf(h.Name).runningByPriority[:]
-	return q.withinGuarantee || slices.ContainsFunc(
-		staying[min(q.priority+1, len(staying)):],
+func (p *preemption) mayHoldVictims(q *QueueEntry, h *sched.Host) bool {
+	staying := p.scheduler.room.LoadOf(h.Name).RunningByPriority[:]
+	return q.WithinGuarantee || slices.ContainsFunc(
+		staying[min(q.Priority+1, len(staying)):],
 		func(r sched.Resources) bool { return r != sched.Resources{} },
 	)
 }
 
 // victimsOn lists the tasks on a machine that the job may stop.
-func (p *preemption) victimsOn(q *queueEntry, h *sched.Host) *victimHost {
+func (p *preemption) victimsOn(q *QueueEntry, h *sched.Host) *victimHost {
 	v := &victimHost{host: h}
 	only := p.scheduler.newestOverplaced(h)
-	for id, pl := range p.scheduler.cache.placements[h.Name] {
-		j := p.scheduler.cache.jobs[pl.uid]
+	for id, pl := range p.scheduler.cache.Placements[h.Name] {
+		j := p.scheduler.cache.Jobs[pl.UID]
 		switch {
-		case j == nil, only != nil && only != pl, j.mustStop(pl.placement), p.taken[pl]:
-		case !p.scheduler.mayPreempt(q, &j.record.Spec, p.beyondGuarantee[pl.uid]), p.scheduler.agents.isCompleted(h.Name, id, pl):
+		case j == nil, only != nil && only != pl, j.MustStop(pl.Placement), p.taken[pl]:
+		case !p.scheduler.MayPreempt(q, &j.Record.Spec, p.beyondGuarantee[pl.UID]), p.scheduler.agents.IsCompleted(h.Name, id, pl):
 		default:
 			cost := p.scheduler.lostWork(h.Name, j, pl, p.now)
-			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: resourcesOf(&j.record.Spec), Cost: cost, Ref: len(v.tasks)})
+			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: statecache.ResourcesOf(&j.Record.Spec), Cost: cost, Ref: len(v.tasks)})
 			v.tasks = append(v.tasks, pl)
 		}
 	}
@@ -150,14 +152,14 @@
 
 // search returns machines where stopping tasks would make room for one of the job's, a
 // bounded number of them: first those that have its image, then any, from a random one on.
-func (p *preemption) search(q *queueEntry, a *sched.TaskRequest, most int) []*preemptOption {
+func (p *preemption) search(q *QueueEntry, a *sched.TaskRequest, most int) []*preemptOption {
 	hosts := p.hostsFor(q)
 	var found []*preemptOption
 	for _, from := range [][]*victimHost{hosts.withImage(a.Image), hosts.all} {
 		if len(from) == 0 {
 			continue
 		}
-		first := p.scheduler.node.random.IntN(len(from))
+		first := p.scheduler.node.Random.IntN(len(from))
 		warmFound := len(found) > 0 // those are not to come twice
 		for i := 0; i < len(from) && len(found) < most; i++ {
 			v := from[(first+i)%len(from)]
@@ -179,12 +181,12 @@
 
 // allowed narrows a machine's candidates to what the operators' policy lets the job stop;
 // nil if nothing is left.
-func (p *preemption) allowed(q *queueEntry, v *victimHost) *victimHost {
-	if p.scheduler.node.policy.RestrictsPreemption() {
+func (p *preemption) allowed(q *QueueEntry, v *victimHost) *victimHost {
+	if p.scheduler.node.Policy.RestrictsPreemption() {
 		forbidden := func(x sched.Victim) bool {
-			j := p.scheduler.cache.jobs[v.tasks[x.Ref].uid]
-			priority, _ := api.PriorityOf(j.record.Spec.Priority)
-			return !p.scheduler.node.policy.Preempt(q.variables, p.scheduler.policyVariables(j, priority, !p.beyondGuarantee[j.record.Spec.UID], p.now), x.Cost)
+			j := p.scheduler.cache.Jobs[v.tasks[x.Ref].UID]
+			priority, _ := api.PriorityOf(j.Record.Spec.Priority)
+			return !p.scheduler.node.Policy.Preempt(q.variables, p.scheduler.policyVariables(j, priority, !p.beyondGuarantee[j.Record.Spec.UID], p.now), x.Cost)
 		}
 		v = &victimHost{host: v.host, tasks: v.tasks, candidates: slices.DeleteFunc(slices.Clone(v.candidates), forbidden)}
 		p.victimsOnHost[v.host] = append(p.victimsOnHost[v.host], v)
@@ -199,20 +201,20 @@
 // placed than there is room for: some have completed and others have taken their
 // room, but the ends are not committed yet and only the leader knows which. The
 // newest is the one that is surely there. It returns nil where all are.
-func (sch *schedulerState) newestOverplaced(h *sched.Host) *placedTask {
-	if sch.leadership.of(h.Shard) != nil {
+func (sch *Scheduler) newestOverplaced(h *sched.Host) *statecache.PlacedTask {
+	if sch.leadership.Of(h.Shard) != nil {
 		return nil
 	}
 	used := h.Free
-	var newest *placedTask
+	var newest *statecache.PlacedTask
 	last := int64(0)
-	for _, pl := range sch.cache.placements[h.Name] {
-		j := sch.cache.jobs[pl.uid]
+	for _, pl := range sch.cache.Placements[h.Name] {
+		j := sch.cache.Jobs[pl.UID]
 		if j == nil {
 			continue
 		}
-		used = used.Add(resourcesOf(&j.record.Spec))
-		if at := j.record.AcceptedMS/1000 + pl.placement.PlacedS; newest == nil || at > last {
+		used = used.Add(statecache.ResourcesOf(&j.Record.Spec))
+		if at := j.Record.AcceptedMS/1000 + pl.Placement.PlacedS; newest == nil || at > last {
 			newest, last = pl, at
 		}
 	}
@@ -224,7 +226,7 @@
 
 // victims picks what to stop for a task: on one machine, losing least and no more
 // than most.
-func (p *preemption) victims(options []*preemptOption, a *sched.TaskRequest, most float64) ([]*placedTask, *sched.Host) {
+func (p *preemption) victims(options []*preemptOption, a *sched.TaskRequest, most float64) ([]*statecache.PlacedTask, *sched.Host) {
 	var best *preemptOption
 	bestCost := 0.0
 	for _, o := range options {
@@ -235,7 +237,7 @@
 		if !o.warm {
 			cost += a.FetchS // the task waits for its image there
 			if a.PreferImage {
-				cost += unlimitedSeconds // and misses its aim: any machine that has it is better
+				cost += estimate.UnlimitedSeconds // and misses its aim: any machine that has it is better
 			}
 		}
 		if take != nil && cost <= most && (best == nil || cost < bestCost) {
@@ -249,8 +251,8 @@
 }
 
 // claimVictims takes an option, so that its tasks are no candidates any more.
-func (p *preemption) claimVictims(o *preemptOption) []*placedTask {
-	var tasks []*placedTask
+func (p *preemption) claimVictims(o *preemptOption) []*statecache.PlacedTask {
+	var tasks []*statecache.PlacedTask
 	for _, v := range o.selected {
 		tasks = append(tasks, o.tasks[v.Ref])
 		p.taken[o.tasks[v.Ref]] = true
@@ -263,32 +265,32 @@
 
 // lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
 // went with its zone and has not started again.
-func (sch *schedulerState) lostWork(host string, j *liveJob, pl *placedTask, now time.Time) float64 {
-	s := sch.agents.byHost[host]
-	if s == nil || s.Heartbeat == nil || !sch.zones.isHeldBack(host, pl, j, now) {
-		return lostSeconds(j, pl.placement, now)
+func (sch *Scheduler) lostWork(host string, j *statecache.Job, pl *statecache.PlacedTask, now time.Time) float64 {
+	s := sch.agents.ByHost[host]
+	if s == nil || s.Heartbeat == nil || !sch.zones.IsHeldBack(host, pl, j, now) {
+		return lostSeconds(j, pl.Placement, now)
 	}
-	name := pl.taskName(j)
+	name := pl.TaskName(j)
 	there := slices.ContainsFunc(
 		s.Heartbeat.Tasks,
-		func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.placement.Attempt },
+		func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.Placement.Attempt },
 	)
 	if there {
-		return lostSeconds(j, pl.placement, now)
+		return lostSeconds(j, pl.Placement, now)
 	}
 	return 0
 }
 
 // lostSeconds estimates the work that stopping a task loses, in seconds.
-func lostSeconds(j *liveJob, p *job.Placement, now time.Time) float64 {
-	r := &j.record.Spec
-	run := max(float64(now.UnixMilli()-j.record.AcceptedMS)/1000-float64(p.PlacedS), 0)
+func lostSeconds(j *statecache.Job, p *job.Placement, now time.Time) float64 {
+	r := &j.Record.Spec
+	run := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(p.PlacedS), 0)
 	saved := r.CheckpointS > 0
 	if saved { // what it saves before it leaves is not lost
 		run = min(run, r.SaveS) + run/1000
 	}
 	switch {
-	case isGang(j): // all of its tasks stop with it, and start anew together
+	case statecache.IsGang(j): // all of its tasks stop with it, and start anew together
 		return float64(r.Tasks) * (run + r.SaveS + 1)
 	case saved:
 		return run
--- a/internal/controller/lock.go
+++ b/internal/state/guard.go
@@ -1,4 +1,4 @@
-package controller
+package state
 
 import (
 	"cmp"
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// guardedState is a controller's state behind its lock: nothing reaches the state but through
+// Guard is a controller's state behind its lock: nothing reaches the state but through
 // Lock, so that whoever has it holds the lock. No lock is held across I/O. With a meter it
 // records which functions hold the lock, for how long, and how long they waited to get it.
-type guardedState struct {
-	state  *controllerState
-	mutex  sync.Mutex
-	meter  *lockMeter // nil: nothing is recorded
+type Guard struct {
+	State  *State
+	Mutex  sync.Mutex
+	Meter  *lockMeter // nil: nothing is recorded
 	holder uintptr    // return address in the function that holds the lock
 	since  time.Time  // when it got the lock
 }
 
 // Lock takes the lock and returns the state, which is not to be used after Unlock.
-func (g *guardedState) Lock() *controllerState {
-	if g.meter == nil {
-		g.mutex.Lock()
-		return g.state
+func (g *Guard) Lock() *State {
+	if g.Meter == nil {
+		g.Mutex.Lock()
+		return g.State
 	}
 	asked := time.Now()
-	g.mutex.Lock()
+	g.Mutex.Lock()
 	g.since = time.Now()
 	g.holder = callerOf(2)
-	g.meter.waited(g.holder, g.since.Sub(asked))
-	return g.state
+	g.Meter.waited(g.holder, g.since.Sub(asked))
+	return g.State
 }
 
 // Unlock releases the lock.
-func (g *guardedState) Unlock() {
-	if g.meter != nil && !g.since.IsZero() {
-		g.meter.held(g.holder, time.Since(g.since))
+func (g *Guard) Unlock() {
+	if g.Meter != nil && !g.since.IsZero() {
+		g.Meter.held(g.holder, time.Since(g.since))
 		g.since = time.Time{}
 	}
-	g.mutex.Unlock()
+	g.Mutex.Unlock()
 }
 
 // callerOf returns the return address so many frames above its caller.
@@ -63,7 +63,7 @@
 	Waited   time.Duration // in all, before it got the lock
 }
 
-func newLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
+func NewLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
 
 func (m *lockMeter) use(holder uintptr) *LockUse {
 	use := m.byHolder[holder]
@@ -83,9 +83,9 @@
 	use.Longest = max(use.Longest, d)
 }
 
-// take returns what was recorded, by function, the longest in all first, and begins
+// Take returns what was recorded, by function, the longest in all first, and begins
 // anew.
-func (m *lockMeter) take() []LockUse {
+func (m *lockMeter) Take() []LockUse {
 	byFunction := map[string]*LockUse{}
 	for holder, use := range m.byHolder {
 		frame, _ := runtime.CallersFrames([]uintptr{holder}).Next()
@@ -109,14 +109,3 @@
 	})
 	return uses
 }
-
-// MeterLock records from now on how the state's lock is used. It is called before Run.
-func (c *Controller) MeterLock() { c.guard.meter = newLockMeter() }
-
-// LockUses returns what was recorded since MeterLock or the last call, by function, the
-// longest in all first.
-func (c *Controller) LockUses() []LockUse {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	return c.guard.meter.take()
-}
