--- a/internal/controller/zonegate.go
+++ b/internal/zonestate/admission.go
@@ -1,4 +1,4 @@
-package controller
+package zonestate
 
 import (
 	"net/url"
@@ -9,98 +9,99 @@
 	"violetturn/internal/features"
 	"violetturn/internal/recovery"
 	"violetturn/internal/sched"
+	"violetturn/internal/statecache"
 	"violetturn/internal/zonehealth"
 )
 
-// jobAdmission is what a job below production may take of zones that return. A nil one lets
+// JobAdmission is what a job below production may take of zones that return. A nil one lets
 // everything in.
-type jobAdmission struct {
+type JobAdmission struct {
 	admission    *recovery.Admission
 	machineShare float64 // of a machine that one of its tasks takes
 }
 
-func (g *jobAdmission) admits(zone string) bool {
+func (g *JobAdmission) Admits(zone string) bool {
 	return g == nil || g.admission.Admits(zone, g.machineShare)
 }
 
-func (g *jobAdmission) admit(zone string) {
+func (g *JobAdmission) Admit(zone string) {
 	if g != nil {
 		g.admission.Admit(zone, g.machineShare)
 	}
 }
 
-// trial returns an admission to try things on.
-func (g *jobAdmission) trial() *recovery.Admission {
+// Trial returns an admission to try things on.
+func (g *JobAdmission) Trial() *recovery.Admission {
 	if g == nil {
 		return nil
 	}
 	return g.admission.Copy()
 }
 
-// admissionOf returns the gate of a job; nil if nothing restricts it.
-func (zs *zoneState) admissionOf(j *liveJob, admission *recovery.Admission) *jobAdmission {
-	return zs.admissionOfSpec(&j.record.Spec, admission)
+// AdmissionOf returns the gate of a job; nil if nothing restricts it.
+func (zs *Zones) AdmissionOf(j *statecache.Job, admission *recovery.Admission) *JobAdmission {
+	return zs.AdmissionOfSpec(&j.Record.Spec, admission)
 }
 
-// admissionOfSpec is the same for a job that is only described.
-func (zs *zoneState) admissionOfSpec(spec *api.Job, admission *recovery.Admission) *jobAdmission {
+// AdmissionOfSpec is the same for a job that is only described.
+func (zs *Zones) AdmissionOfSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
 	if admission == nil {
 		return nil
 	}
-	if priority, _ := api.PriorityOf(spec.Priority); priority == productionPriority {
+	if priority, _ := api.PriorityOf(spec.Priority); priority == ProductionPriority {
 		return nil
 	}
-	size := resourcesOf(spec)
+	size := statecache.ResourcesOf(spec)
 	allowed := func(i int) bool {
-		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, zs.catalog.machineTypes[i].Name)
+		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, zs.catalog.MachineTypes[i].Name)
 	}
 	if !admission.Competes(size, allowed) {
 		return nil
 	}
-	return &jobAdmission{admission, recovery.MachineShare(size, zs.catalog.machineSizes())}
+	return &JobAdmission{admission, recovery.MachineShare(size, zs.catalog.MachineSizes())}
 }
 
-// admission returns what work below production may take of zones that are down or recovering;
+// Admission returns what work below production may take of zones that are down or recovering;
 // nil if none is, or the feature is off. It follows from what all controllers replicate, so
 // that all of them, whoever owns the machines, act alike.
-func (zs *zoneState) admission(now time.Time) *recovery.Admission {
-	if len(zs.cache.zones) == 0 || !zs.schema.featureEnabled(features.ZoneRecoveryName) {
+func (zs *Zones) Admission(now time.Time) *recovery.Admission {
+	if len(zs.cache.Zones) == 0 || !zs.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
 	limits := zs.zoneLimits()
 	zones := map[string]*recovery.Zone{}
-	for id := range zs.cache.zones {
-		r := zs.restrictedZone(zoneName(id), now)
+	for id := range zs.cache.Zones {
+		r := zs.RestrictedZone(ZoneName(id), now)
 		if r == nil {
 			continue
 		}
 		lasted := now.Sub(time.UnixMilli(r.SinceMS))
 		z := &recovery.Zone{SlowStartShare: r.AdmissionShare(now, limits), MachinesBefore: float64(r.MachinesBefore), ReservableShare: 1}
-		if r.State == zonehealth.Recovering && lasted.Seconds() >= zs.node.features.ZoneRecovery.ProgressAfter*zs.node.settings.WorkerLease().Seconds() {
-			z.ReservableShare = 1 - zs.node.features.ZoneRecovery.ProgressShare
+		if r.State == zonehealth.Recovering && lasted.Seconds() >= zs.node.Features.ZoneRecovery.ProgressAfter*zs.node.Settings.WorkerLease().Seconds() {
+			z.ReservableShare = 1 - zs.node.Features.ZoneRecovery.ProgressShare
 		}
-		z.Waiting = zs.waitingProduction(zoneName(id), r)
-		zones[zoneName(id)] = z
+		z.Waiting = zs.waitingProduction(ZoneName(id), r)
+		zones[ZoneName(id)] = z
 	}
 	if len(zones) == 0 {
 		return nil
 	}
 	zs.countAdmitted(zones)
-	return recovery.NewAdmission(zones, zs.protectedSizes(zones), zs.catalog.machineSizes())
+	return recovery.NewAdmission(zones, zs.protectedSizes(zones), zs.catalog.MachineSizes())
 }
 
 // waitingProduction returns the production tasks that wait for lost machines of a zone: of own shards
 // as last seen, of peers' as they told.
-func (zs *zoneState) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
+func (zs *Zones) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
 	var needs []zonehealth.Demand
-	own := zs.view.observations[zone]
+	own := zs.View.Observations[zone]
 	for p, s := range r.Observations {
-		if _, led := own[p]; !led || zs.leadership.of(p) == nil {
+		if _, led := own[p]; !led || zs.leadership.Of(p) == nil {
 			needs = append(needs, s.Waiting...)
 		}
 	}
 	for p, s := range own {
-		if zs.leadership.of(p) != nil {
+		if zs.leadership.Of(p) != nil {
 			needs = append(needs, s.Waiting...)
 		}
 	}
@@ -109,50 +110,50 @@
 
 // countAdmitted counts what work below production has taken of zones since they came back.
 // What was placed before and went on is not counted.
-func (zs *zoneState) countAdmitted(zones map[string]*recovery.Zone) {
-	types := zs.catalog.machineSizes()
-	for host, on := range zs.cache.placements {
-		m := zs.cache.machines[host]
+func (zs *Zones) countAdmitted(zones map[string]*recovery.Zone) {
+	types := zs.catalog.MachineSizes()
+	for host, on := range zs.cache.Placements {
+		m := zs.cache.Machines[host]
 		if m == nil || zones[m.Zone] == nil {
 			continue
 		}
-		since := zs.cache.zones[url.PathEscape(m.Zone)].record.SinceMS
+		since := zs.cache.Zones[url.PathEscape(m.Zone)].Record.SinceMS
 		for _, pl := range on {
-			j := zs.cache.jobs[pl.uid]
+			j := zs.cache.Jobs[pl.UID]
 			if j == nil {
 				continue
 			}
-			priority, _ := api.PriorityOf(j.record.Spec.Priority)
-			if priority != productionPriority && placedAtMS(j, pl) >= since {
-				zones[m.Zone].Taken += recovery.MachineShare(resourcesOf(&j.record.Spec), types)
+			priority, _ := api.PriorityOf(j.Record.Spec.Priority)
+			if priority != ProductionPriority && statecache.PlacedAtMS(j, pl) >= since {
+				zones[m.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&j.Record.Spec), types)
 			}
 		}
 	}
 }
 
-// isHeldBack reports whether a task below production that its machine no longer has, and that
+// IsHeldBack reports whether a task below production that its machine no longer has, and that
 // went when its zone went down, does not start again in place yet. All at once they would
 // fill the zone ahead of production work whose machines have not returned. A gang is one
 // whole: it ends and starts anew by its own rules.
-func (zs *zoneState) isHeldBack(host string, pl *placedTask, j *liveJob, now time.Time) bool {
-	m := zs.cache.machines[host]
-	if len(zs.cache.zones) == 0 || m == nil || isGang(j) {
+func (zs *Zones) IsHeldBack(host string, pl *statecache.PlacedTask, j *statecache.Job, now time.Time) bool {
+	m := zs.cache.Machines[host]
+	if len(zs.cache.Zones) == 0 || m == nil || statecache.IsGang(j) {
 		return false
 	}
-	priority, _ := api.PriorityOf(j.record.Spec.Priority)
-	r := zs.restrictedZone(m.Zone, now)
-	return r != nil && priority != productionPriority && placedAtMS(j, pl) < r.FailedMS && !zs.view.admittedMachines[host]
+	priority, _ := api.PriorityOf(j.Record.Spec.Priority)
+	r := zs.RestrictedZone(m.Zone, now)
+	return r != nil && priority != ProductionPriority && statecache.PlacedAtMS(j, pl) < r.FailedMS && !zs.View.AdmittedMachines[host]
 }
 
-// admittedMachines tells on which machines of returning zones tasks start again in place: as large
+// AdmittedMachines tells on which machines of returning zones tasks start again in place: as large
 // a share of those that are up as the slow start has come to, less what the production work
 // that waits there needs. They open in the order of their names, so that another leader has
 // the same.
-func (zs *zoneState) admittedMachines(up map[string][]string, now time.Time) map[string]bool {
+func (zs *Zones) AdmittedMachines(up map[string][]string, now time.Time) map[string]bool {
 	open := map[string]bool{}
-	types := zs.catalog.machineSizes()
+	types := zs.catalog.MachineSizes()
 	for zone, hosts := range up {
-		r := zs.restrictedZone(zone, now)
+		r := zs.RestrictedZone(zone, now)
 		if r == nil {
 			continue
 		}
@@ -171,11 +172,11 @@
 	return open
 }
 
-// restrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
+// RestrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
 // feature is off. It ends also if nobody can write that it does.
-func (zs *zoneState) restrictedZone(zone string, now time.Time) *zonehealth.Record {
-	r := zs.cache.zones[url.PathEscape(zone)].record
-	if r == nil || !r.Restricts() || !zs.schema.featureEnabled(features.ZoneRecoveryName) {
+func (zs *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
+	r := zs.cache.Zones[url.PathEscape(zone)].Record
+	if r == nil || !r.Restricts() || !zs.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
 	if now.Sub(time.UnixMilli(r.SinceMS)) >= zs.zoneLimits().Longest {
@@ -184,22 +185,17 @@
 	return r
 }
 
-// placedAtMS is when a task was placed, in milliseconds of the time of day.
-func placedAtMS(j *liveJob, pl *placedTask) int64 {
-	return j.record.AcceptedMS + pl.placement.PlacedS*1000
-}
-
 // protectedSizes returns the sizes of production tasks.
-func (zs *zoneState) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
+func (zs *Zones) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
 	var out []sched.Resources
 	note := func(size sched.Resources) {
 		if !slices.Contains(out, size) {
 			out = append(out, size)
 		}
 	}
-	for _, j := range zs.cache.jobs {
-		if priority, _ := api.PriorityOf(j.record.Spec.Priority); priority == productionPriority && !j.record.Cancelled {
-			note(resourcesOf(&j.record.Spec))
+	for _, j := range zs.cache.Jobs {
+		if priority, _ := api.PriorityOf(j.Record.Spec.Priority); priority == ProductionPriority && !j.Record.Cancelled {
+			note(statecache.ResourcesOf(&j.Record.Spec))
 		}
 	}
 	for _, z := range zones {
