--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -4,12 +4,12 @@
 	"context"
 )
 
-// probeWorkers asks workers whether they hear this node, each in a goroutine of its own that
+// probe asks workers whether they hear this node, each in a goroutine of its own that
 // ends with the answer or the client's deadline.
-func (c *Controller) probeWorkers(ctx context.Context, addresses []string) {
+func (c *commandSender) probe(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
-		c.runAsync(func() {
-			if _, err := c.workers.Status(ctx, addr); err != nil {
+		c.node.RunAsync(func() {
+			if _, err := c.services.workers.Status(ctx, addr); err != nil {
 				return
 			}
 			state := c.guard.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -62,28 +62,21 @@
 
 // Controller is one node of the service.
 type Controller struct {
-	node         *node.Info
-	runAsync     func(func()) // runs work aside
-	steppedClock bool         // time is advanced from outside: nothing may wait for it
-
-	store   stateService
-	cloud   cloudService
-	workers workerService
-	peers   peerService
-	cluster *transport.Server // for the peers
-	server  *transport.Server // for users and workers
-	http    *transport.Client
+	node     *node.Info
+	guard    *state.Guard
+	services *outsideServices
+	http     *transport.Client
 
-	wake            notify.Signal // the decider has something to do
-	gangAccepted    notify.Signal // a gang has been accepted
-	leaderlessShard notify.Signal // a shard has no leader
-	userSlots       chan struct{} // bounds user requests under way
+	sync      *storeSync
+	commands  *commandSender
+	election  *leaseKeeper
+	members   *peerMembership
+	frontend  *requestFrontend
+	decisions *decisionLoop
+	scaling   *scalingLoop
 
-	readBarrier readBarriers
-	submissions submissionQueue
-	rentals     rentalState // only the autoscale loop uses it
-
-	guard state.Guard
+	server  *transport.Server // for users and workers
+	cluster *transport.Server // for the peers
 }
 
 // readBarriers is the read of changes under way and the next one.
@@ -112,19 +105,19 @@
 	c.node.Features = on
 	c.http = h
 	low := cfg.LowestLimits()
-	c.store = store.New(
+	c.services.store = store.New(
 		h, cfg.External.State, cfg.ControllerLeaseTTL()/3,
 		store.Limits{RPS: cfg.Facts.State.RPS, WriteRPS: cfg.Facts.State.WriteRPS},
-		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.noteStoreAnswer,
+		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.sync.noteStoreAnswer,
 	)
-	c.cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
-	c.workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.peers = peer.New(h)
-	c.server = transport.NewServer(c.handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
+	c.services.cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
+	c.services.workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
+	c.services.peers = peer.New(h)
+	c.server = transport.NewServer(c.frontend.handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
 	// A peer's message holds a whole submission and a little more.
 	lim := httpwire.RequestLimits
 	lim.Body *= 2
-	c.cluster = transport.NewServer(c.handlePeer, lim, cfg.Facts.Limits.MaxSockets/16, 2*cfg.WorkerLease())
+	c.cluster = transport.NewServer(c.frontend.handlePeer, lim, cfg.Facts.Limits.MaxSockets/16, 2*cfg.WorkerLease())
 	return c, nil
 }
 
@@ -139,28 +132,189 @@
 
 // newController makes a controller without its outside systems.
 func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
-	c := &Controller{
-		node:            node.New(settings, policy, log),
-		runAsync:        func(f func()) { go f() },
-		wake:            notify.NewSignal(),
-		gangAccepted:    notify.NewSignal(),
-		leaderlessShard: notify.NewSignal(),
-		userSlots:       make(chan struct{}, 128),
-		rentals: rentalState{
-			unanswered:   map[sched.Offer]cloud.RentalRequest{},
-			unknownSince: map[string]time.Time{},
-		},
-	}
-	c.guard.State = state.New(c.node, c.wake, controllerBudget{c})
+	info := node.New(settings, policy, log)
+	services := &outsideServices{}
+	wake, gangAccepted := notify.NewSignal(), notify.NewSignal()
+	guard := state.NewGuard(state.New(info, wake, writeBudget{services}))
+	c := &Controller{node: info, guard: guard, services: services}
+	c.sync = newStoreSync(info, guard, services, wake)
+	c.commands = newCommandSender(info, guard, services)
+	c.election = newLeaseKeeper(info, guard, services, c.sync, c.commands)
+	c.members = newPeerMembership(info, guard, services)
+	c.frontend = newRequestFrontend(frontendDeps{
+		node: info, guard: guard, services: services, sync: c.sync, members: c.members, wake: wake, gangAccepted: gangAccepted,
+	})
+	c.decisions = newDecisionLoop(decisionDeps{
+		node: info, guard: guard, services: services, sync: c.sync, commands: c.commands, wake: wake, gangAccepted: gangAccepted,
+	})
+	c.scaling = newScalingLoop(scalingDeps{
+		node: info, guard: guard, services: services, commands: c.commands, decisions: c.decisions, wake: wake,
+	})
 	return c
 }
 
-// controllerBudget is the budget of changes of a controller's state service.
-type controllerBudget struct{ c *Controller }
+// outsideServices are the outside systems of a controller.
+type outsideServices struct {
+	store   stateService
+	cloud   cloudService
+	workers workerService
+	peers   peerService
+}
+
+// writeBudget is the budget of changes of a controller's state service.
+type writeBudget struct{ services *outsideServices }
 
 // Available returns how many changes may be sent now.
-func (b controllerBudget) Available() int {
-	return b.c.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
+func (b writeBudget) Available() int {
+	return b.services.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
+}
+
+// storeSync keeps the cache in step with the state service and commits transactions.
+type storeSync struct {
+	node     *node.Info
+	guard    *state.Guard
+	services *outsideServices
+	wake     notify.Signal
+
+	leaderlessShard notify.Signal // a shard has no leader
+	barriers        readBarriers
+}
+
+func newStoreSync(info *node.Info, guard *state.Guard, services *outsideServices, wake notify.Signal) *storeSync {
+	return &storeSync{node: info, guard: guard, services: services, wake: wake, leaderlessShard: notify.NewSignal()}
+}
+
+// commandSender sends commands directly to workers.
+type commandSender struct {
+	node     *node.Info
+	guard    *state.Guard
+	services *outsideServices
+}
+
+func newCommandSender(info *node.Info, guard *state.Guard, services *outsideServices) *commandSender {
+	return &commandSender{node: info, guard: guard, services: services}
+}
+
+// leaseKeeper keeps this controller's lease, and acquires and releases shards.
+type leaseKeeper struct {
+	node     *node.Info
+	guard    *state.Guard
+	services *outsideServices
+	sync     *storeSync
+	commands *commandSender
+}
+
+func newLeaseKeeper(
+	info *node.Info, guard *state.Guard, services *outsideServices, sync *storeSync, commands *commandSender,
+) *leaseKeeper {
+	return &leaseKeeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
+}
+
+// peerMembership asks peers what they see of the state service and what they have done.
+type peerMembership struct {
+	node     *node.Info
+	guard    *state.Guard
+	services *outsideServices
+}
+
+func newPeerMembership(info *node.Info, guard *state.Guard, services *outsideServices) *peerMembership {
+	return &peerMembership{node: info, guard: guard, services: services}
+}
+
+// requestFrontend answers users, workers and peers.
+type requestFrontend struct {
+	node         *node.Info
+	guard        *state.Guard
+	services     *outsideServices
+	sync         *storeSync
+	members      *peerMembership
+	wake         notify.Signal
+	gangAccepted notify.Signal // a gang has been accepted
+
+	userSlots   chan struct{} // bounds user requests under way
+	submissions submissionQueue
+}
+
+// maxUserRequests bounds the requests of users that are under way.
+const maxUserRequests = 128
+
+// frontendDeps is what a requestFrontend rests on.
+type frontendDeps struct {
+	node         *node.Info
+	guard        *state.Guard
+	services     *outsideServices
+	sync         *storeSync
+	members      *peerMembership
+	wake         notify.Signal
+	gangAccepted notify.Signal
+}
+
+func newRequestFrontend(d frontendDeps) *requestFrontend {
+	return &requestFrontend{
+		node: d.node, guard: d.guard, services: d.services, sync: d.sync, members: d.members,
+		wake: d.wake, gangAccepted: d.gangAccepted, userSlots: make(chan struct{}, maxUserRequests),
+	}
+}
+
+// decisionLoop commits what jobs and heartbeats call for.
+type decisionLoop struct {
+	node         *node.Info
+	guard        *state.Guard
+	services     *outsideServices
+	sync         *storeSync
+	commands     *commandSender
+	wake         notify.Signal // there is something to decide
+	gangAccepted notify.Signal // a gang has been accepted
+}
+
+// decisionDeps is what a decisionLoop rests on.
+type decisionDeps struct {
+	node         *node.Info
+	guard        *state.Guard
+	services     *outsideServices
+	sync         *storeSync
+	commands     *commandSender
+	wake         notify.Signal
+	gangAccepted notify.Signal
+}
+
+func newDecisionLoop(d decisionDeps) *decisionLoop {
+	return &decisionLoop{
+		node: d.node, guard: d.guard, services: d.services, sync: d.sync, commands: d.commands,
+		wake: d.wake, gangAccepted: d.gangAccepted,
+	}
+}
+
+// scalingLoop rents, lists and returns machines.
+type scalingLoop struct {
+	node      *node.Info
+	guard     *state.Guard
+	services  *outsideServices
+	commands  *commandSender
+	decisions *decisionLoop
+	wake      notify.Signal
+
+	rentals rentalState
+}
+
+// scalingDeps is what a scalingLoop rests on.
+type scalingDeps struct {
+	node      *node.Info
+	guard     *state.Guard
+	services  *outsideServices
+	commands  *commandSender
+	decisions *decisionLoop
+	wake      notify.Signal
+}
+
+func newScalingLoop(d scalingDeps) *scalingLoop {
+	return &scalingLoop{
+		node: d.node, guard: d.guard, services: d.services, commands: d.commands, decisions: d.decisions, wake: d.wake,
+		rentals: rentalState{
+			unanswered:   map[sched.Offer]cloud.RentalRequest{},
+			unknownSince: map[string]time.Time{},
+		},
+	}
 }
 
 // Run serves until ctx ends.
@@ -171,7 +325,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.leaseLoop, c.watchLoop, c.decideLoop, c.gangLoop, c.autoscaleLoop, c.peerLoop, c.summaryLoop} {
+	for _, f := range []func(context.Context){c.election.leaseLoop, c.watchLoop, c.decisions.decideLoop, c.decisions.gangLoop, c.scaling.autoscaleLoop, c.members.peerLoop, c.summaryLoop} {
 		wg.Go(func() { f(ctx) })
 	}
 	select {
@@ -183,7 +337,7 @@
 	}
 	c.node.Log.Info("stopping")
 	wg.Wait()
-	c.revokeLease()
+	c.election.revokeLease()
 	stop, done := context.WithTimeout(context.Background(), 5*time.Second) // gnet looks twice a second whether it has ended
 	defer done()
 	for _, s := range []*transport.Server{c.server, c.cluster} {
@@ -195,16 +349,16 @@
 }
 
 // revokeLease ends the lease in an orderly shutdown, so that others take over at once.
-func (c *Controller) revokeLease() {
-	state := c.guard.Lock()
+func (k *leaseKeeper) revokeLease() {
+	state := k.guard.Lock()
 	leaseID := state.Leadership.LeaseID
 	state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
-	c.guard.Unlock()
+	k.guard.Unlock()
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if err := c.store.RevokeLease(ctx, leaseID); err != nil {
-			c.node.Log.Info("lease not revoked", "err", err)
+		if err := k.services.store.RevokeLease(ctx, leaseID); err != nil {
+			k.node.Log.Info("lease not revoked", "err", err)
 		}
 	}
 }
@@ -214,7 +368,7 @@
 	every := 4 * c.node.Settings.WorkerLease()
 	var reqs, writes float64
 	for sleep(ctx, every) {
-		r, w := c.store.Used()
+		r, w := c.services.store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		state := c.guard.Lock()
@@ -266,12 +420,8 @@
 }
 
 // MeterLock records from now on how the state's lock is used. It is called before Run.
-func (c *Controller) MeterLock() { c.guard.Meter = state.NewLockMeter() }
+func (c *Controller) MeterLock() { c.guard.StartMeter() }
 
 // LockUses returns what was recorded since MeterLock or the last call, by function, the
 // longest in all first.
-func (c *Controller) LockUses() []state.LockUse {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	return c.guard.Meter.Take()
-}
+func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -19,76 +19,76 @@
 // It runs when something has changed and at least twice in a heartbeat interval, and
 // leaves some time between: what comes together is committed together, and a
 // slow processor has most of its time for reports.
-func (c *Controller) decideLoop(ctx context.Context) {
+func (d *decisionLoop) decideLoop(ctx context.Context) {
 	for {
-		t := time.NewTimer(c.node.Settings.HeartbeatInterval() / 2)
+		t := time.NewTimer(d.node.Settings.HeartbeatInterval() / 2)
 		select {
-		case <-c.wake:
+		case <-d.wake:
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
 			return
 		}
 		t.Stop()
-		c.decide(ctx)
-		state := c.guard.Lock()
+		d.decide(ctx)
+		state := d.guard.Lock()
 		spent := state.Scheduler.PlanningTime
 		state.Scheduler.PlanningTime = 0
-		c.guard.Unlock()
-		if !sleep(ctx, max(c.node.Settings.DecisionInterval(), 3*spent)) {
+		d.guard.Unlock()
+		if !sleep(ctx, max(d.node.Settings.DecisionInterval(), 3*spent)) {
 			return
 		}
 	}
 }
 
-func (c *Controller) decide(ctx context.Context) {
+func (d *decisionLoop) decide(ctx context.Context) {
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
-	if !c.mayActNow() || c.store.AwaitWrites(ctx, min(c.node.Settings.LowestLimits().TxnOps, c.writesPerSecond()), store.PriorityDecision) < 2 ||
-		c.readNewest(ctx) != nil {
+	if !d.sync.mayActNow() || d.services.store.AwaitWrites(ctx, min(d.node.Settings.LowestLimits().TxnOps, d.sync.writesPerSecond()), store.PriorityDecision) < 2 ||
+		d.sync.readNewest(ctx) != nil {
 		return
 	}
 	steps := []func(context.Context) bool{
-		c.updateZones, c.registerMachines, c.updateGangs, c.commitEnds, c.archiveJobs, c.placeTasks, c.refreshCapacityRecord,
-		c.deregisterMachines, c.splitRecords,
+		d.updateZones, d.registerMachines, d.updateGangs, d.commitEnds, d.archiveJobs, d.placeTasks, d.refreshCapacityRecord,
+		d.deregisterMachines, d.splitRecords,
 	}
 	for _, step := range steps {
 		for range 16 { // each step commits one transaction at a time
-			if !c.mayActNow() || ctx.Err() != nil {
+			if !d.sync.mayActNow() || ctx.Err() != nil {
 				return
 			}
 			more := step(ctx)
-			c.placeNewGangs(ctx)
+			d.placeNewGangs(ctx)
 			if !more {
 				break
 			}
 		}
 	}
-	c.requestHeartbeats(ctx)
+	d.commands.requestHeartbeats(ctx)
 }
 
 // writesPerSecond is this controller's share of the changes of a second.
-func (c *Controller) writesPerSecond() int {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
-	return max(2, int(c.node.Settings.LowestLimits().WriteRPS/float64(state.Leadership.RateSharers)))
+func (y *storeSync) writesPerSecond() int {
+	state := y.guard.Lock()
+	defer y.guard.Unlock()
+	return max(2, int(y.node.Settings.LowestLimits().WriteRPS/float64(state.Leadership.RateSharers)))
 }
 
-func (c *Controller) mayActNow() bool {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
-	return state.Leadership.MayAct(c.node.Now())
+func (y *storeSync) mayActNow() bool {
+	state := y.guard.Lock()
+	defer y.guard.Unlock()
+	return state.Leadership.MayAct(y.node.Now())
 }
 
 // refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
 // changed, at intervals: placements there write it anyway.
-func (c *Controller) refreshCapacityRecord(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
+func (d *decisionLoop) refreshCapacityRecord(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
 	for p, o := range state.Leadership.ByShard {
 		rec := state.Cache.Capacities[p]
 		if state.Leadership.Of(p) == nil || rec.Record == nil || len(state.Catalog.MachineTypes) == 0 ||
-			now.Sub(o.CapacityRecordedAt) < 6*c.node.Settings.DecisionInterval() {
+			now.Sub(o.CapacityRecordedAt) < 6*d.node.Settings.DecisionInterval() {
 			continue
 		}
 		free := shard.FreeCapacity{}
@@ -97,7 +97,7 @@
 		}
 		use := state.Capacity.QuotaUseOf(p)
 		shares := map[string]sched.Resources{}
-		for _, team := range c.node.Settings.Facts.Teams {
+		for _, team := range d.node.Settings.Facts.Teams {
 			held, others := state.Capacity.QuotaShares(team.Name, p)
 			if u := shard.Unvec(use[team.Name]); team.Limited() && sched.HoldsExcessQuota(capacity.QuotaLimitOf(team), others, held, u) {
 				if less, ok := sched.QuotaShare(capacity.QuotaLimitOf(team), others, u); ok {
@@ -117,7 +117,7 @@
 		// More room than the record says is news for peers only, and while own jobs wait
 		// for room they take it first: that is told less often, and so is another choice of
 		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && now.Sub(o.CapacityRecordedAt) < 24*c.node.Settings.DecisionInterval() && state.Scheduler.HasPendingTasks() &&
+		if len(shares) == 0 && now.Sub(o.CapacityRecordedAt) < 24*d.node.Settings.DecisionInterval() && state.Scheduler.HasPendingTasks() &&
 			capacity.StillOffered(free, rec.Record.Free) {
 			continue
 		}
@@ -132,10 +132,10 @@
 		state.Leadership.Require(t, p)
 		state.Capacity.PutCapacityRecord(t, p, free, use)
 		state.Capacity.PutQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
-		c.guard.Unlock()
-		done, _, _ := c.commit(ctx, "upkeep", t, store.PriorityDecision)
+		d.guard.Unlock()
+		done, _, _ := d.sync.commit(ctx, "upkeep", t, store.PriorityDecision)
 		return done
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	return false
 }
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -13,9 +13,9 @@
 
 // commitEnds commits ended attempts. The room they free shows in the shards'
 // records with the next write of those.
-func (c *Controller) commitEnds(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
+func (d *decisionLoop) commitEnds(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
 	e := state.Schema.NewRecordEditor()
 	for p := range state.Leadership.ByShard {
 		state.Leadership.Require(e.Txn, p)
@@ -58,22 +58,22 @@
 		e.Deletes[k] = true
 		if m.Complete() {
 			e.Archive(j, job.FinalState{Phase: api.Done, Done: r.Tasks})
-			c.node.Log.Info("job done", "job", k.UID)
+			d.node.Log.Info("job done", "job", k.UID)
 		}
 	}
 	n := e.Changes
 	t := e.Transaction()
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	done, _, err := c.commit(ctx, "ends", t, store.PriorityDecision)
+	done, _, err := d.sync.commit(ctx, "ends", t, store.PriorityDecision)
 	return more && (done || err == nil)
 }
 
 // archiveJobs moves cancelled jobs without tasks on machines to the past.
-func (c *Controller) archiveJobs(ctx context.Context) bool {
-	state := c.guard.Lock()
+func (d *decisionLoop) archiveJobs(ctx context.Context) bool {
+	state := d.guard.Lock()
 	e := state.Schema.NewRecordEditor()
 	for _, j := range state.Cache.Jobs {
 		over := j.Record.Cancelled || j.Record.Gang != nil && j.Record.Gang.Done
@@ -114,10 +114,10 @@
 	}
 	n := e.Changes
 	t := e.Transaction()
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	ok, _, _ := c.commit(ctx, "withdrawn", t, store.PriorityDecision)
+	ok, _, _ := d.sync.commit(ctx, "withdrawn", t, store.PriorityDecision)
 	return ok
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -12,11 +12,11 @@
 
 // updateGangs commits what became of gangs: ends of their tasks, which decide about all
 // of them, orderly stops, claims that are given up.
-func (c *Controller) updateGangs(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
+func (d *decisionLoop) updateGangs(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
 	if len(state.Cache.Gangs) == 0 {
-		c.guard.Unlock()
+		d.guard.Unlock()
 		return false
 	}
 	byJob := map[string][]agent.EndedTask{}
@@ -52,43 +52,43 @@
 	}
 	n := e.Changes
 	t := e.Transaction()
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	done, _, err := c.commit(ctx, "gang ends", t, store.PriorityGang)
+	done, _, err := d.sync.commit(ctx, "gang ends", t, store.PriorityGang)
 	if done {
 		for _, l := range said {
-			c.node.Log.Info("gang", l...)
+			d.node.Log.Info("gang", l...)
 		}
-		c.wake.Notify()
+		d.wake.Notify()
 	}
 	return more && (done || err == nil)
 }
 
 // commitGangClaim commits a gang's claim, in as many steps as it takes.
-func (c *Controller) commitGangClaim(ctx context.Context, g *scheduler.GangClaim) {
+func (d *decisionLoop) commitGangClaim(ctx context.Context, g *scheduler.GangClaim) {
 	for tries := 0; len(g.Placements) > 0 && tries < 3; {
-		if c.store.AwaitWrites(ctx, min(scheduler.GangClaimChanges, c.node.Settings.LowestLimits().TxnOps), store.PriorityGang) < 2 || !c.mayActNow() ||
-			c.readNewest(ctx) != nil {
+		if d.services.store.AwaitWrites(ctx, min(scheduler.GangClaimChanges, d.node.Settings.LowestLimits().TxnOps), store.PriorityGang) < 2 || !d.sync.mayActNow() ||
+			d.sync.readNewest(ctx) != nil {
 			return
 		}
-		state := c.guard.Lock()
-		t, rest, said := state.Scheduler.GangTransaction(g, c.node.Now())
-		c.guard.Unlock()
+		state := d.guard.Lock()
+		t, rest, said := state.Scheduler.GangTransaction(g, d.node.Now())
+		d.guard.Unlock()
 		if t == nil {
 			return
 		}
-		done, _, err := c.commit(ctx, "gangs", t, store.PriorityGang)
+		done, _, err := d.sync.commit(ctx, "gangs", t, store.PriorityGang)
 		switch {
 		case done:
 			g.Placements, tries = rest, 0
 			for _, l := range said {
-				c.node.Log.Info("task placed", l...)
+				d.node.Log.Info("task placed", l...)
 			}
-			state = c.guard.Lock()
+			state = d.guard.Lock()
 			state.Scheduler.GangStateOf(g.UID).Retry.Claimed()
-			c.guard.Unlock()
+			d.guard.Unlock()
 		case err == nil:
 			tries++
 		default:
@@ -99,11 +99,11 @@
 
 // gangLoop places gangs as they are accepted, beside the decisions that wait for their
 // changes. What both write at once is decided by the state service.
-func (c *Controller) gangLoop(ctx context.Context) {
+func (d *decisionLoop) gangLoop(ctx context.Context) {
 	for {
 		select {
-		case <-c.gangAccepted:
-			c.placeNewGangs(ctx)
+		case <-d.gangAccepted:
+			d.placeNewGangs(ctx)
 		case <-ctx.Done():
 			return
 		}
@@ -113,9 +113,9 @@
 // placeNewGangs places gangs that came while other decisions wait for their changes: all
 // tasks of one start with the last, so each second counts as often as it has tasks. One
 // that finds no room is not looked at again for a while out of turn.
-func (c *Controller) placeNewGangs(ctx context.Context) {
-	now := c.node.Now()
-	state := c.guard.Lock()
+func (d *decisionLoop) placeNewGangs(ctx context.Context) {
+	now := d.node.Now()
+	state := d.guard.Lock()
 	var claims []*scheduler.GangClaim
 	some := false
 	reserved := state.Scheduler.WritesReservedForGangs(now)
@@ -124,16 +124,16 @@
 		if j.Record.Cancelled || state.Leadership.Of(j.Record.Shard) == nil || len(j.PendingTasks()) == 0 {
 			continue
 		}
-		if g := state.Scheduler.GangStateOf(uid); now.Sub(g.LookedAt) > 8*c.node.Settings.DecisionInterval() {
+		if g := state.Scheduler.GangStateOf(uid); now.Sub(g.LookedAt) > 8*d.node.Settings.DecisionInterval() {
 			g.LookedAt, some = now, true
 		}
 	}
 	if some && state.Leadership.MayAct(now) {
 		claims = state.Scheduler.Plan(now).Gangs
 	}
-	c.guard.Unlock()
-	c.store.ReserveForGangs(reserved)
+	d.guard.Unlock()
+	d.services.store.ReserveForGangs(reserved)
 	for _, g := range claims {
-		c.commitGangClaim(ctx, g)
+		d.commitGangClaim(ctx, g)
 	}
 }
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -13,11 +13,11 @@
 
 // maintainLeaderships registers this node, takes shards without a leader and hands shards
 // back to their home controllers.
-func (c *Controller) maintainLeaderships(ctx context.Context) {
-	now := c.node.Now()
-	state := c.guard.Lock()
+func (k *leaseKeeper) maintainLeaderships(ctx context.Context) {
+	now := k.node.Now()
+	state := k.guard.Lock()
 	if !state.Cache.Loaded {
-		c.guard.Unlock()
+		k.guard.Unlock()
 		return
 	}
 	state.Agents.DropLostLeaderships()
@@ -26,32 +26,32 @@
 	registration := state.Leadership.Registration()
 	state.Leadership.NotePeersReachable(now)
 	tending := state.Leadership.PlanChanges(now, unreachable)
-	c.guard.Unlock()
+	k.guard.Unlock()
 	if sharersChanged {
-		c.store.SetControllers(sharers)
+		k.services.store.SetControllers(sharers)
 	}
-	c.probeWorkers(ctx, probes)
+	k.commands.probe(ctx, probes)
 	if registration != nil {
-		if _, _, err := c.commit(ctx, "node", registration, store.PriorityLease); errors.Is(err, store.ErrNoLease) {
+		if _, _, err := k.sync.commit(ctx, "node", registration, store.PriorityLease); errors.Is(err, store.ErrNoLease) {
 			return
 		}
 	}
 	for _, p := range tending.Release {
-		c.releaseShard(ctx, p)
+		k.releaseShard(ctx, p)
 	}
 	for _, p := range tending.Acquire {
-		c.acquireShard(ctx, p, tending.LeaderVersions[p])
+		k.acquireShard(ctx, p, tending.LeaderVersions[p])
 	}
 }
 
 // leaseLoop keeps this node's lease and with it the shards it owns.
-func (c *Controller) leaseLoop(ctx context.Context) {
+func (k *leaseKeeper) leaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		t := time.NewTimer(c.maintainLease(ctx))
+		t := time.NewTimer(k.maintainLease(ctx))
 		select {
 		case <-t.C:
-		case <-c.leaderlessShard: // its turn may be ours
-			sleep(ctx, c.node.Settings.ControllerLeaseTTL()/32)
+		case <-k.sync.leaderlessShard: // its turn may be ours
+			sleep(ctx, k.node.Settings.ControllerLeaseTTL()/32)
 		case <-ctx.Done():
 		}
 		t.Stop()
@@ -60,40 +60,40 @@
 
 // maintainLease makes or renews the lease and tends the shards. It tells how long to
 // wait before the next step.
-func (c *Controller) maintainLease(ctx context.Context) time.Duration {
-	ttl := c.node.Settings.ControllerLeaseTTL()
-	state := c.guard.Lock()
+func (k *leaseKeeper) maintainLease(ctx context.Context) time.Duration {
+	ttl := k.node.Settings.ControllerLeaseTTL()
+	state := k.guard.Lock()
 	leaseID := state.Leadership.LeaseID
-	c.guard.Unlock()
-	sent := c.node.Now()
+	k.guard.Unlock()
+	sent := k.node.Now()
 	var err error
 	if leaseID == 0 {
-		if leaseID, err = c.store.GrantLease(ctx, ttl); err == nil {
-			c.node.Log.Info("lease granted", "lease", leaseID)
-			state = c.guard.Lock()
+		if leaseID, err = k.services.store.GrantLease(ctx, ttl); err == nil {
+			k.node.Log.Info("lease granted", "lease", leaseID)
+			state = k.guard.Lock()
 			state.Leadership.LeaseID = leaseID
-			c.guard.Unlock()
+			k.guard.Unlock()
 		}
-	} else if err = c.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
-		c.node.Log.Info("lease lost", "lease", leaseID)
-		state = c.guard.Lock()
+	} else if err = k.services.store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
+		k.node.Log.Info("lease lost", "lease", leaseID)
+		state = k.guard.Lock()
 		state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
 		clear(state.Leadership.ByShard)
 		clear(state.Agents.ByHost)
 		clear(state.Cache.Loads)
-		c.guard.Unlock()
+		k.guard.Unlock()
 		return 0
 	}
 	if err == nil {
-		state = c.guard.Lock()
+		state = k.guard.Lock()
 		// Our clock may run slow against the service's: count a little less.
 		state.Leadership.LeaseValidUntil = sent.Add(ttl - ttl/256)
 		stale := state.Cache.Loaded && sent.Sub(state.Cache.ChangesReadAt) > ttl/4
-		c.guard.Unlock()
+		k.guard.Unlock()
 		if stale { // how long we may answer once we are cut off counts from the last read
-			_ = c.readNewest(ctx)
+			_ = k.sync.readNewest(ctx)
 		}
-		c.maintainLeaderships(ctx)
+		k.maintainLeaderships(ctx)
 		return ttl / 4
 	}
 	return ttl / 10
@@ -101,14 +101,14 @@
 
 // acquireShard takes a shard: its leader's key under our lease, and a term above all
 // that were ever given out, which is the shard's fencing token.
-func (c *Controller) acquireShard(ctx context.Context, p string, seen uint64) {
-	me := c.node.Settings.HostName
-	state := c.guard.Lock()
+func (k *leaseKeeper) acquireShard(ctx context.Context, p string, seen uint64) {
+	me := k.node.Settings.HostName
+	state := k.guard.Lock()
 	old, had := state.Cache.Leaders[p]
 	if old.Version != seen {
 		// Somebody took it since: with the newer version the precondition would hold,
 		// and the shard be taken from a living leader.
-		c.guard.Unlock()
+		k.guard.Unlock()
 		return
 	}
 	rec := state.Cache.Capacities[p]
@@ -118,7 +118,7 @@
 	t.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
 	t.Require(statecache.CapacityPrefix+p, rec.Version)
 	t.Put(statecache.TermKey, term)
-	t.Put(statecache.LeaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: c.node.Incarnation, Term: term})
+	t.Put(statecache.LeaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term})
 	t.Leases[statecache.LeaderPrefix+p] = state.Leadership.LeaseID
 	// An earlier life of this process has ended, and one that released the shard
 	// has stopped answering; any other may go on for its grace. So may one before
@@ -129,30 +129,30 @@
 		statecache.CapacityPrefix+p,
 		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: state.Capacity.QuotaUseOf(p)},
 	)
-	c.guard.Unlock()
-	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
+	k.guard.Unlock()
+	done, _, err := k.sync.commit(ctx, "part", t, store.PriorityLease)
 	if !done {
-		c.node.Log.Debug("shard not acquired", "shard", p, "err", err)
+		k.node.Log.Debug("shard not acquired", "shard", p, "err", err)
 		if err == nil {
 			// Overtaken, by another's take that raised the term as a rule: after
 			// the end of all they come at once, and leases run meanwhile.
-			c.wakeLeaseLoop()
+			k.sync.wakeLeaseLoop()
 		}
 		return
 	}
-	state = c.guard.Lock()
+	state = k.guard.Lock()
 	fences := state.Agents.BeginLeadership(p, term, clean, had)
-	c.guard.Unlock()
-	c.sendCommands(ctx, fences)
+	k.guard.Unlock()
+	k.commands.send(ctx, fences)
 }
 
 // releaseShard returns a shard back to its home controller in an orderly way: answers
 // stop first, then the release is committed.
-func (c *Controller) releaseShard(ctx context.Context, p string) {
-	state := c.guard.Lock()
+func (k *leaseKeeper) releaseShard(ctx context.Context, p string) {
+	state := k.guard.Lock()
 	o, rec := state.Leadership.ByShard[p], state.Cache.Capacities[p]
 	if o == nil || rec.Record == nil {
-		c.guard.Unlock()
+		k.guard.Unlock()
 		return
 	}
 	o.Releasing = true
@@ -163,12 +163,12 @@
 	r := *rec.Record
 	r.Released = true
 	t.Put(statecache.CapacityPrefix+p, r)
-	c.guard.Unlock()
-	done, _, err := c.commit(ctx, "part", t, store.PriorityLease)
-	state = c.guard.Lock()
-	defer c.guard.Unlock()
+	k.guard.Unlock()
+	done, _, err := k.sync.commit(ctx, "part", t, store.PriorityLease)
+	state = k.guard.Lock()
+	defer k.guard.Unlock()
 	if done {
-		c.node.Log.Info("shard released", "shard", p, "term", o.Term)
+		k.node.Log.Info("shard released", "shard", p, "term", o.Term)
 		state.Agents.DropLeadership(p)
 		return
 	}
@@ -178,20 +178,20 @@
 	}
 }
 
-// sendCommands sends prepared commands, each in a goroutine of its own that ends with the
+// send sends prepared commands, each in a goroutine of its own that ends with the
 // answer or the client's deadline.
-func (c *Controller) sendCommands(ctx context.Context, commands []agent.DirectCommand) {
+func (c *commandSender) send(ctx context.Context, commands []agent.DirectCommand) {
 	for _, command := range commands {
-		c.runAsync(func() { c.sendCommand(ctx, command) })
+		c.node.RunAsync(func() { c.sendOne(ctx, command) })
 	}
 }
 
-// sendCommand sends commands to a worker and takes in the heartbeat that it answers with. A
+// sendOne sends commands to a worker and takes in the heartbeat that it answers with. A
 // worker of another agent epoch refuses them and is asked once more with the epoch it named.
-func (c *Controller) sendCommand(ctx context.Context, command agent.DirectCommand) {
+func (c *commandSender) sendOne(ctx context.Context, command agent.DirectCommand) {
 	defer func() { <-command.Slots }()
 	for range 2 {
-		r, done, err := c.workers.SendCommands(ctx, command.Addr, command.Batch)
+		r, done, err := c.services.workers.SendCommands(ctx, command.Addr, command.Batch)
 		if err != nil {
 			c.node.Log.Debug("direct commands not answered", "host", command.Host, "err", err)
 			return
@@ -211,9 +211,9 @@
 // away. A direct command that stops tasks or raises the worker's token makes it
 // report; neither does harm whenever it is carried out. (One that only clears
 // ended tasks does not make it report.)
-func (c *Controller) requestHeartbeats(ctx context.Context) {
+func (c *commandSender) requestHeartbeats(ctx context.Context) {
 	state := c.guard.Lock()
 	commands := state.Agents.DueHeartbeatRequests(c.node.Now())
 	c.guard.Unlock()
-	c.sendCommands(ctx, commands)
+	c.send(ctx, commands)
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -101,12 +101,12 @@
 	}
 	l.sim.started = func(n *simNode) {
 		perNode := d.State.WriteRPS / float64(len(l.nodes))
-		n.c.store = &budgetedStore{
-			n.c.store.(*simulator.Client),
+		n.c.services.store = &budgetedStore{
+			n.c.services.store.(*simulator.Client),
 			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
-		n.c.guard.Meter = state.NewLockMeter()
+		n.c.guard.StartMeter()
 	}
 	for i := range 3 {
 		l.nodes = append(l.nodes, &simNode{name: fmt.Sprintf("n%d", i)})
@@ -148,16 +148,16 @@
 	ctx := context.Background()
 	l.measure("watch", func() {
 		if n.c.testState().Cache.Loaded {
-			_ = n.c.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
-			n.c.requestHeartbeats(ctx)
+			_ = n.c.sync.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
+			n.c.commands.requestHeartbeats(ctx)
 		} else {
-			_ = n.c.loadReplica(ctx)
+			_ = n.c.sync.load(ctx)
 		}
 	})
-	l.measure("lease", func() { n.c.maintainLease(ctx) })
-	l.measure("decide", func() { n.c.decide(ctx) })
+	l.measure("lease", func() { n.c.election.maintainLease(ctx) })
+	l.measure("decide", func() { n.c.decisions.decide(ctx) })
 	if l.w.Now.UnixMilli()%1000 == 0 {
-		l.measure("cloud", func() { n.c.autoscale(ctx) })
+		l.measure("cloud", func() { n.c.scaling.autoscale(ctx) })
 	}
 	aside := n.aside
 	n.aside = nil
@@ -180,7 +180,7 @@
 			panic(fmt.Sprint("request not parsed: ", err))
 		}
 		done := make(chan transport.Response, 1)
-		r, now := c.handle(req, func(r transport.Response) { done <- r })
+		r, now := c.frontend.handle(req, func(r transport.Response) { done <- r })
 		if !now {
 			r = <-done
 		}
@@ -298,7 +298,7 @@
 	if cost := l.costs[phase]; cost != nil {
 		cost.simulated += d
 		for _, n := range l.nodes {
-			for _, use := range n.c.guard.Meter.Take() {
+			for _, use := range n.c.guard.LockUses() {
 				sum := cost.holds[use.Function]
 				if sum == nil {
 					sum = &state.LockUse{Function: use.Function}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -13,10 +13,10 @@
 
 // registerMachines records machines that reported or were rented or listed
 // without a record, each in one shard, by conditional writes of their pages.
-func (c *Controller) registerMachines(ctx context.Context) bool {
-	state := c.guard.Lock()
+func (d *decisionLoop) registerMachines(ctx context.Context) bool {
+	state := d.guard.Lock()
 	if len(state.Agents.Unregistered) == 0 {
-		c.guard.Unlock()
+		d.guard.Unlock()
 		return false
 	}
 	t := statecache.NewTransaction()
@@ -36,17 +36,17 @@
 		id := state.Schema.PageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(c.node.Settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(d.node.Settings.Facts.State.ValueKB*1024) {
 				break
 			}
 			_, page = state.Schema.OpenPage(t, host)
 		}
-		m.Shard = c.shardFor(m.Zone, count)
-		m.RegisteredMS = c.node.Now().UnixMilli()
+		m.Shard = d.shardFor(m.Zone, count)
+		m.RegisteredMS = d.node.Now().UnixMilli()
 		page[host] = &m
 		bytes := len(api.JSON(page))
 		if bytes > state.Schema.MaxPageBytes() {
-			c.node.Log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
+			d.node.Log.Error("machine not registered", "host", host, "why", "its page is full", "bytes", bytes)
 			delete(page, host)
 			delete(state.Agents.Unregistered, host)
 			continue
@@ -61,15 +61,15 @@
 	for id, page := range pages {
 		t.Put(statecache.MachinePagePrefix+id, page)
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if len(names) == 0 {
 		return false
 	}
-	done, _, err := c.commit(ctx, "machines", t, store.PriorityDecision)
-	state = c.guard.Lock()
-	defer c.guard.Unlock()
+	done, _, err := d.sync.commit(ctx, "machines", t, store.PriorityDecision)
+	state = d.guard.Lock()
+	defer d.guard.Unlock()
 	if done {
-		c.node.Log.Info("machines registered", "hosts", names)
+		d.node.Log.Info("machines registered", "hosts", names)
 		for _, h := range names {
 			delete(state.Agents.Unregistered, h)
 		}
@@ -79,13 +79,13 @@
 
 // shardFor chooses the shard for a machine: one whose home controller is in the
 // machine's zone, so that a zone cut off keeps its leader; of those the smallest.
-func (c *Controller) shardFor(site string, count map[string]int) string {
-	zone := map[string]string{c.node.Settings.HostName: c.node.Settings.Zone}
-	for _, m := range c.node.Settings.Members {
+func (d *decisionLoop) shardFor(site string, count map[string]int) string {
+	zone := map[string]string{d.node.Settings.HostName: d.node.Settings.Zone}
+	for _, m := range d.node.Settings.Members {
 		zone[m.HostName] = m.Zone
 	}
 	best, bestN := "", 0
-	for _, p := range c.node.Shards {
+	for _, p := range d.node.Shards {
 		n := count[p]
 		if zone[p] != site {
 			n += 1 << 20
@@ -99,11 +99,11 @@
 
 // deregisterMachines drops machines that are gone and empty from their pages: several
 // at once, now and then, since nothing waits for it.
-func (c *Controller) deregisterMachines(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
-	if now.Sub(state.Stats.DeregisteredAt) < c.node.Settings.WorkerLease()/4 {
-		c.guard.Unlock()
+func (d *decisionLoop) deregisterMachines(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
+	if now.Sub(state.Stats.DeregisteredAt) < d.node.Settings.WorkerLease()/4 {
+		d.guard.Unlock()
 		return false
 	}
 	t := statecache.NewTransaction()
@@ -121,7 +121,7 @@
 		id := state.Schema.PageFor(host)
 		page, open := pages[id]
 		if !open {
-			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(c.node.Settings.Facts.State.ValueKB*1024) {
+			if len(pages) >= state.Schema.MaxChanges() || size > 48<<10-int(d.node.Settings.Facts.State.ValueKB*1024) {
 				continue
 			}
 			_, page = state.Schema.OpenPage(t, host)
@@ -139,20 +139,20 @@
 	if len(names) == 0 && state.Schema.Upgraded() && state.Schema.DeleteObsoletePage(t) {
 		state.Stats.DeregisteredAt = now
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if t.Changes() == 0 {
 		return false
 	}
-	done, _, _ := c.commit(ctx, "forgotten", t, store.PriorityDecision)
+	done, _, _ := d.sync.commit(ctx, "forgotten", t, store.PriorityDecision)
 	if done {
 		slices.Sort(names)
-		state = c.guard.Lock()
+		state = d.guard.Lock()
 		state.Stats.DeregisteredAt = now
 		for _, h := range names {
 			state.Agents.Drop(h)
 		}
-		c.guard.Unlock()
-		c.node.Log.Info("machines deregistered", "hosts", names)
+		d.guard.Unlock()
+		d.node.Log.Info("machines deregistered", "hosts", names)
 	}
 	return false
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -13,56 +13,56 @@
 )
 
 // noteStoreAnswer notes whether the state service served a request.
-func (c *Controller) noteStoreAnswer(ok bool) {
-	state := c.guard.Lock()
+func (y *storeSync) noteStoreAnswer(ok bool) {
+	state := y.guard.Lock()
 	if state.Reachability.StoreReachable != ok {
-		state.Reachability.StoreReachable, state.Reachability.Since, state.Reachability.PeersAsked = ok, c.node.Now(), false
-		c.node.Log.Info("state service reachability", "reachable", ok)
+		state.Reachability.StoreReachable, state.Reachability.Since, state.Reachability.PeersAsked = ok, y.node.Now(), false
+		y.node.Log.Info("state service reachability", "reachable", ok)
 	}
-	c.guard.Unlock()
+	y.guard.Unlock()
 }
 
 // storeReachable reports whether the state service served our last request.
-func (c *Controller) storeReachable() bool {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+func (y *storeSync) storeReachable() bool {
+	state := y.guard.Lock()
+	defer y.guard.Unlock()
 	return state.Reachability.StoreReachable
 }
 
 // peerLoop asks the peers for their sight of the state service while ours is
 // gone.
-func (c *Controller) peerLoop(ctx context.Context) {
-	for sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8) {
-		state := c.guard.Lock()
+func (pm *peerMembership) peerLoop(ctx context.Context) {
+	for sleep(ctx, pm.node.Settings.ControllerLeaseTTL()/8) {
+		state := pm.guard.Lock()
 		lost := !state.Reachability.StoreReachable
-		c.guard.Unlock()
+		pm.guard.Unlock()
 		if !lost {
 			continue
 		}
-		c.askPeers(ctx)
+		pm.askPeers(ctx)
 	}
 }
 
 // askPeers asks every peer whether it reaches the state service, and what it has done
 // that this node can't see meanwhile.
-func (c *Controller) askPeers(ctx context.Context) {
-	for _, m := range c.node.Settings.Members {
-		c.askPeer(ctx, m.HostName, m.Addr)
+func (pm *peerMembership) askPeers(ctx context.Context) {
+	for _, m := range pm.node.Settings.Members {
+		pm.askPeer(ctx, m.HostName, m.Addr)
 	}
-	state := c.guard.Lock()
+	state := pm.guard.Lock()
 	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
-	c.guard.Unlock()
+	pm.guard.Unlock()
 }
 
 // forwardingPeer names a peer that can serve users for us while we can't reach the
 // state service; "" when we can, or nobody else can.
-func (c *Controller) forwardingPeer() string {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+func (pm *peerMembership) forwardingPeer() string {
+	state := pm.guard.Lock()
+	defer pm.guard.Unlock()
 	if state.Reachability.StoreReachable {
 		return ""
 	}
-	for _, m := range c.node.Settings.Members {
+	for _, m := range pm.node.Settings.Members {
 		if state.Reachability.Peers[m.HostName] {
 			return m.Addr
 		}
@@ -72,37 +72,37 @@
 
 // serveOrForward answers a user's request here, or lets a peer do it when this node
 // can't reach the state service and the peer can.
-func (c *Controller) serveOrForward(ctx context.Context, r *peer.Request) transport.Response {
-	if addr := c.forwardingPeer(); addr != "" {
+func (rf *requestFrontend) serveOrForward(ctx context.Context, r *peer.Request) transport.Response {
+	if addr := rf.members.forwardingPeer(); addr != "" {
 		// A peer of the version before would call a new shape malformed, for good.
-		if r.GetKind() == peer.Request_KIND_SUBMIT && !c.acceptsKind(api.KindOf(r.GetBody())) {
+		if r.GetKind() == peer.Request_KIND_SUBMIT && !rf.acceptsKind(api.KindOf(r.GetBody())) {
 			return respond.Busy
 		}
-		r.From = c.node.Settings.HostName
-		a, err := c.peers.Ask(ctx, addr, r, userRequestTimeout*3/4)
+		r.From = rf.node.Settings.HostName
+		a, err := rf.services.peers.Ask(ctx, addr, r, userRequestTimeout*3/4)
 		if err == nil && a.GetStatus() != 0 {
 			return transport.Response{Status: int(a.GetStatus()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfter())}
 		}
 		return respond.Busy // it may have been carried out: the user asks again
 	}
-	return c.serveLocally(ctx, r)
+	return rf.serveLocally(ctx, r)
 }
 
-func (c *Controller) serveLocally(ctx context.Context, r *peer.Request) transport.Response {
+func (rf *requestFrontend) serveLocally(ctx context.Context, r *peer.Request) transport.Response {
 	switch r.GetKind() {
 	case peer.Request_KIND_SUBMIT:
-		return c.submit(ctx, r.GetBody())
+		return rf.submit(ctx, r.GetBody())
 	case peer.Request_KIND_QUERY:
-		return c.query(ctx, r.GetUid())
+		return rf.query(ctx, r.GetUid())
 	case peer.Request_KIND_CANCEL:
-		return c.cancel(ctx, r.GetUid())
+		return rf.cancel(ctx, r.GetUid())
 	}
 	return transport.Response{Status: 404}
 }
 
 // handlePeer answers other controllers. What comes from a peer is never passed
 // on to another.
-func (c *Controller) handlePeer(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
+func (rf *requestFrontend) handlePeer(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
 	var r peer.Request
 	if req.Method != "POST" || req.Target != peer.Path || proto.Unmarshal(req.Body, &r) != nil {
 		return transport.Response{Status: 400}, true
@@ -114,45 +114,45 @@
 		}
 		return transport.Response{Status: 200, Body: b}
 	}
-	if !c.servesForPeer(&r) {
-		return answer(c.peerStatus(&r)), true
+	if !rf.members.servesForPeer(&r) {
+		return answer(rf.members.peerStatus(&r)), true
 	}
 	select {
-	case c.userSlots <- struct{}{}:
+	case rf.userSlots <- struct{}{}:
 	default:
 		return answer(peerReply(respond.Busy)), true
 	}
 	go func() {
-		defer func() { <-c.userSlots }()
+		defer func() { <-rf.userSlots }()
 		ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout/2)
 		defer cancel()
-		later(answer(peerReply(c.serveLocally(ctx, &r))))
+		later(answer(peerReply(rf.serveLocally(ctx, &r))))
 	}()
 	return transport.Response{}, false
 }
 
 // canServe reports whether this node can serve users of its own and of peers.
-func (c *Controller) canServe() bool {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+func (pm *peerMembership) canServe() bool {
+	state := pm.guard.Lock()
+	defer pm.guard.Unlock()
 	return state.Cache.Loaded && state.Reachability.StoreReachable
 }
 
 // servesForPeer reports whether a peer's request is to be carried out: it asks for more
 // than our sight of the state service, and we can.
-func (c *Controller) servesForPeer(r *peer.Request) bool {
+func (pm *peerMembership) servesForPeer(r *peer.Request) bool {
 	k := r.GetKind()
-	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_VOUCH && c.canServe()
+	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_VOUCH && pm.canServe()
 }
 
 // peerStatus answers a peer what this node sees of the state service and, if asked, what
 // it has done.
-func (c *Controller) peerStatus(r *peer.Request) *peer.Reply {
-	a := &peer.Reply{StoreReached: c.canServe()}
+func (pm *peerMembership) peerStatus(r *peer.Request) *peer.Reply {
+	a := &peer.Reply{StoreReached: pm.canServe()}
 	if r.GetKind() == peer.Request_KIND_VOUCH {
-		state := c.guard.Lock()
+		state := pm.guard.Lock()
 		a.Vouch = state.Leadership.Acknowledgement(r.GetSince())
-		c.guard.Unlock()
+		pm.guard.Unlock()
 	}
 	return a
 }
@@ -164,18 +164,18 @@
 }
 
 // askPeer asks one peer what it sees of the state service and what it has done.
-func (c *Controller) askPeer(ctx context.Context, name, addr string) {
-	state := c.guard.Lock()
-	since, sent := state.Cache.Revision, c.node.Now()
-	c.guard.Unlock()
-	r, err := c.peers.Ask(
+func (pm *peerMembership) askPeer(ctx context.Context, name, addr string) {
+	state := pm.guard.Lock()
+	since, sent := state.Cache.Revision, pm.node.Now()
+	pm.guard.Unlock()
+	r, err := pm.services.peers.Ask(
 		ctx,
 		addr,
-		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: c.node.Settings.HostName, Since: since},
-		c.node.Settings.ControllerLeaseTTL()/4,
+		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: pm.node.Settings.HostName, Since: since},
+		pm.node.Settings.ControllerLeaseTTL()/4,
 	)
-	state = c.guard.Lock()
-	defer c.guard.Unlock()
+	state = pm.guard.Lock()
+	defer pm.guard.Unlock()
 	if err != nil {
 		delete(state.Reachability.Peers, name)
 		return
--- a/internal/controller/placements.go
+++ b/internal/controller/placements.go
@@ -17,57 +17,57 @@
 // room by conditional write on their shards' capacity records; and with them the
 // marks of the tasks that have to leave for some. What comes together goes into
 // one transaction, so that a job whose tasks go to several shards is written once.
-func (c *Controller) placeTasks(ctx context.Context) bool {
-	state := c.guard.Lock()
+func (d *decisionLoop) placeTasks(ctx context.Context) bool {
+	state := d.guard.Lock()
 	var todo []capacity.Placement
 	var gangs []*scheduler.GangClaim
 	var marks []*statecache.PlacedTask
-	began := c.node.Now()
+	began := d.node.Now()
 	if state.Scheduler.HasPendingTasks() {
 		p := state.Scheduler.Plan(began)
 		state.Scheduler.RememberPlan(p, began)
 		todo, gangs, marks = p.Placements, p.Gangs, p.Stops
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	for _, g := range gangs { // few, and what waits for them waits as a whole
-		c.commitGangClaim(ctx, g)
+		d.commitGangClaim(ctx, g)
 	}
 	for tries := 0; len(todo) > 0 && tries < 3; {
-		if c.node.Now().Sub(began) > 4*c.node.Settings.DecisionInterval() {
+		if d.node.Now().Sub(began) > 4*d.node.Settings.DecisionInterval() {
 			// What came meanwhile may be more urgent than the rest of this plan: with
 			// few changes a second a long one took many seconds.
-			c.wake.Notify()
+			d.wake.Notify()
 			break
 		}
 		// Every placement in a shard changes its record. Looking at the newest
 		// one first costs a request, being beaten by a conflicting write costs all changes.
-		room := c.store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(c.node.Shards), c.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
-		if room < 3 || !c.mayActNow() || c.readNewest(ctx) != nil {
+		room := d.services.store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(d.node.Shards), d.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
+		if room < 3 || !d.sync.mayActNow() || d.sync.readNewest(ctx) != nil {
 			return false
 		}
-		state = c.guard.Lock()
-		t, rest, said, apart := state.Scheduler.PlacementTransaction(todo, room, c.node.Now())
-		c.guard.Unlock()
+		state = d.guard.Lock()
+		t, rest, said, apart := state.Scheduler.PlacementTransaction(todo, room, d.node.Now())
+		d.guard.Unlock()
 		marks = append(marks, apart...)
 		if t == nil {
 			break
 		}
-		done, _, err := c.commit(ctx, "places", t, store.PriorityDecision)
+		done, _, err := d.sync.commit(ctx, "places", t, store.PriorityDecision)
 		switch {
 		case done:
 			todo, tries = rest, 0
 			for _, l := range said {
-				c.node.Log.Info("task placed", l...)
+				d.node.Log.Info("task placed", l...)
 			}
-			c.placeNewGangs(ctx)
+			d.placeNewGangs(ctx)
 		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
 			tries++
 		default:
 			return false
 		}
 	}
-	c.stopTasks(ctx, marks)
-	c.reclaimQuota(ctx)
+	d.stopTasks(ctx, marks)
+	d.reclaimQuota(ctx)
 	return false
 }
 
@@ -75,14 +75,14 @@
 // that had too little for a placement. A gang needs all of a limit at once, when the
 // shards hold too little yet to give their surplus back by themselves. Each shard's
 // record is written with its share, so that no placement there rests on the old one.
-func (c *Controller) reclaimQuota(ctx context.Context) {
-	state := c.guard.Lock()
-	now := c.node.Now()
+func (d *decisionLoop) reclaimQuota(ctx context.Context) {
+	state := d.guard.Lock()
+	now := d.node.Now()
 	t := statecache.NewTransaction()
 	cl := &capacity.Claims{Accounts: state.Capacity, ByShard: map[string]*capacity.Claim{}}
 	for _, team := range slices.Sorted(maps.Keys(state.Capacity.QuotaShortages)) {
 		delete(state.Capacity.QuotaShortages, team)
-		for _, p := range c.node.Shards {
+		for _, p := range d.node.Shards {
 			held, _ := state.Capacity.QuotaShares(team, p)
 			x := state.Capacity.OpenClaim(p, now)
 			if x == nil || len(cl.ByShard) > 0 && len(cl.ByShard) >= state.Schema.TransactionLimits().TxnOps-1 {
@@ -100,10 +100,10 @@
 	if len(cl.ByShard) > 0 {
 		cl.Write(t)
 	}
-	c.guard.Unlock()
-	if t.Changes() > 0 && c.mayActNow() {
-		if done, _, _ := c.commit(ctx, "shares", t, store.PriorityDecision); done {
-			c.wake.Notify()
+	d.guard.Unlock()
+	if t.Changes() > 0 && d.sync.mayActNow() {
+		if done, _, _ := d.sync.commit(ctx, "shares", t, store.PriorityDecision); done {
+			d.wake.Notify()
 		}
 	}
 }
@@ -112,12 +112,12 @@
 // transaction: a gang, whose room comes from several machines, or one whose victims are
 // recorded in more places than it takes. The room that is being left is kept for them
 // by the order of the plans.
-func (c *Controller) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
+func (d *decisionLoop) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
 	for len(marks) > 0 {
-		if c.store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !c.mayActNow() || c.readNewest(ctx) != nil {
+		if d.services.store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !d.sync.mayActNow() || d.sync.readNewest(ctx) != nil {
 			return
 		}
-		state := c.guard.Lock()
+		state := d.guard.Lock()
 		e := state.Schema.NewRecordEditor()
 		var rest []*statecache.PlacedTask
 		var line []any
@@ -135,14 +135,14 @@
 		}
 		n := e.Changes
 		t := e.Transaction()
-		c.guard.Unlock()
+		d.guard.Unlock()
 		if n == 0 || e.Outgrown {
 			return
 		}
-		if done, _, _ := c.commit(ctx, "marks", t, store.PriorityDecision); !done {
+		if done, _, _ := d.sync.commit(ctx, "marks", t, store.PriorityDecision); !done {
 			return // planned anew
 		}
-		c.node.Log.Info("tasks stopped for others", line...)
+		d.node.Log.Info("tasks stopped for others", line...)
 		marks = rest
 	}
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -235,7 +235,7 @@
 	for range 20 {
 		s.round()
 	}
-	items, _, err := s.nodes[0].c.store.List(context.Background(), statecache.LivePrefix)
+	items, _, err := s.nodes[0].c.services.store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
 		t.Fatal(len(items), err)
 	}
@@ -287,7 +287,7 @@
 		s.w.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.up && !n.old {
-				return n.c.submit(context.Background(), simulator.Submission(r)).Status
+				return n.c.frontend.submit(context.Background(), simulator.Submission(r)).Status
 			}
 		}
 		return 0
@@ -339,7 +339,7 @@
 	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.w.Now.UnixMilli()}
 	m.ChooseLayout(2, 300, false)
 	a := &submission{ctx: context.Background(), record: m, response: make(chan transport.Response, 1)}
-	s.nodes[0].c.acceptBatch(context.Background(), []*submission{a}) // without asking who may read it
+	s.nodes[0].c.frontend.acceptBatch(context.Background(), []*submission{a}) // without asking who may read it
 	for range 200 {
 		s.round()
 	}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -10,6 +10,7 @@
 	"math/rand/v2"
 	"os"
 	"slices"
+	"sync"
 	"time"
 
 	"violetturn/internal/api"
@@ -76,10 +77,10 @@
 	if l.s.refuse || l.s.alone[l.from] || l.s.alone[to] || !n.works() || l.s.parted(l.s.zone(l.from), l.s.zone(to)) {
 		return nil, errors.New("refused")
 	}
-	if !n.c.servesForPeer(r) {
-		return n.c.peerStatus(r), nil
+	if !n.c.members.servesForPeer(r) {
+		return n.c.members.peerStatus(r), nil
 	}
-	return peerReply(n.c.serveLocally(ctx, r)), nil
+	return peerReply(n.c.frontend.serveLocally(ctx, r)), nil
 }
 
 type simNode struct {
@@ -159,6 +160,7 @@
 	if s.adjust != nil {
 		s.adjust(n, cfg)
 	}
+	testStates.Delete(n.c)
 	n.c = newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
 	n.c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
 	begin := s.w.Now
@@ -167,9 +169,9 @@
 		return s.w.Now.Add(time.Duration(float64(s.w.Now.Sub(begin)) * fast))
 	}
 	n.aside = nil
-	n.c.steppedClock = true
+	n.c.node.SteppedClock = true
 	c := n.c
-	c.runAsync = func(f func()) {
+	c.node.RunAsync = func(f func()) {
 		if n.c == c {
 			n.aside = append(n.aside, f)
 		}
@@ -179,22 +181,22 @@
 		Node:            n.name,
 		PartitionedFrom: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Zone) },
 	}
-	c.peers = link{s, i}
-	c.store = &simulator.Client{
+	c.services.peers = link{s, i}
+	c.services.store = &simulator.Client{
 		S:             s.w.Store,
 		Node:          n.name,
-		OnServed:      c.noteStoreAnswer,
+		OnServed:      c.sync.noteStoreAnswer,
 		TxnOps:        cfg.Facts.State.TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
 	if !n.old { // it makes nothing larger than the coming limits but what the version before made
-		c.store.(*simulator.Client).TxnOps = cfg.LowestLimits().TxnOps
+		c.services.store.(*simulator.Client).TxnOps = cfg.LowestLimits().TxnOps
 	}
 	if n.old {
-		c.store = &productionStore{c.store, shapes{}}
+		c.services.store = &productionStore{c.services.store, shapes{}}
 	}
-	c.cloud = &simulator.CloudClient{C: s.w.Cloud, Node: n.name}
-	c.workers = n.direct
+	c.services.cloud = &simulator.CloudClient{C: s.w.Cloud, Node: n.name}
+	c.services.workers = n.direct
 	n.up, n.still = true, false
 	if s.started != nil {
 		s.started(n)
@@ -208,17 +210,17 @@
 		return
 	}
 	ctx := context.Background()
-	if !n.c.storeReachable() {
-		n.c.askPeers(ctx)
+	if !n.c.sync.storeReachable() {
+		n.c.members.askPeers(ctx)
 	}
 	if n.c.testState().Cache.Loaded {
-		_ = n.c.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
+		_ = n.c.sync.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
 	} else {
-		_ = n.c.loadReplica(ctx)
+		_ = n.c.sync.load(ctx)
 	}
-	n.c.maintainLease(ctx)
-	n.c.decide(ctx)
-	n.c.autoscale(ctx)
+	n.c.election.maintainLease(ctx)
+	n.c.decisions.decide(ctx)
+	n.c.scaling.autoscale(ctx)
 	aside := n.aside
 	n.aside = nil
 	for _, f := range aside {
@@ -288,7 +290,7 @@
 	if !n.works() {
 		return 0, api.CommandBatch{}, ""
 	}
-	r := n.c.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
+	r := n.c.frontend.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
 	o, leader, err := simulator.ParseHeartbeatResponse(r.Body)
 	if err != nil {
 		panic(err)
@@ -300,7 +302,7 @@
 	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Spec.Kind == api.Gang {
 		return // nothing new is asked of the version before
 	}
-	r := s.nodes[i].c.serveOrForward(
+	r := s.nodes[i].c.frontend.serveOrForward(
 		context.Background(),
 		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Spec)},
 	)
@@ -309,7 +311,7 @@
 
 func (s *sim) poll(i int, uid string) {
 	if s.nodes[i].works() {
-		r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
+		r := s.nodes[i].c.frontend.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
 		s.told(uid, r.Status, r.Body, false)
 	}
 }
@@ -319,7 +321,7 @@
 		return
 	}
 	s.w.Jobs[uid].CancelRequested = true
-	r := s.nodes[i].c.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+	r := s.nodes[i].c.frontend.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 	s.told(uid, r.Status, r.Body, false)
 }
 
@@ -404,11 +406,23 @@
 		p := n.c.testState().Scheduler.Plan(n.c.node.Now())
 		out += fmt.Sprintf(
 			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.Unmet), n.c.testState().Catalog.CapacityBackoffs,
-			n.c.rentals.unanswered, len(n.c.testState().Catalog.MachineTypes),
+			n.c.scaling.rentals.unanswered, len(n.c.testState().Catalog.MachineTypes),
 		)
 	}
 	return out
 }
 
-// testState returns the state of a controller that nothing else uses at the time.
-func (c *Controller) testState() *state.State { return c.guard.State }
+// testStates are the states of the controllers of tests.
+var testStates sync.Map // of *Controller to *state.State
+
+// testState returns the state of a controller, without its lock: in tests nothing else uses
+// it at the time.
+func (c *Controller) testState() *state.State {
+	if known, ok := testStates.Load(c); ok {
+		return known.(*state.State)
+	}
+	s := c.guard.Lock()
+	c.guard.Unlock()
+	testStates.Store(c, s)
+	return s
+}
--- a/internal/controller/split.go
+++ b/internal/controller/split.go
@@ -8,19 +8,19 @@
 )
 
 // splitRecords takes the next step in dividing a job. It reports whether there is more.
-func (c *Controller) splitRecords(ctx context.Context) bool {
-	state := c.guard.Lock()
+func (d *decisionLoop) splitRecords(ctx context.Context) bool {
+	state := d.guard.Lock()
 	if !state.Schema.Upgraded() {
-		c.guard.Unlock()
+		d.guard.Unlock()
 		return false
 	}
 	j := state.Splitter.NextToSplit()
 	if j == nil {
-		c.guard.Unlock()
-		return c.collectGarbage(ctx)
+		d.guard.Unlock()
+		return d.collectGarbage(ctx)
 	}
 	m, uid := j.Record, j.Record.Spec.UID
-	k := m.SplitSize(c.node.Settings.LowestLimits().ValueKB)
+	k := m.SplitSize(d.node.Settings.LowestLimits().ValueKB)
 	t := statecache.NewTransaction()
 	t.Require(statecache.JobPrefix+uid, j.Version)
 	over := false
@@ -28,9 +28,9 @@
 	case !m.Inline && k >= m.RangeSize:
 		// It can't be: a record of the smallest task range still is too large. It is told
 		// and left alone until it is over.
-		c.node.Log.Error("record can't be split further", "job", uid)
+		d.node.Log.Error("record can't be split further", "job", uid)
 		delete(state.Schema.SplitRequests, uid)
-		c.guard.Unlock()
+		d.guard.Unlock()
 		return false
 	case !m.Inline && !m.Frozen:
 		x := m.Copy()
@@ -49,29 +49,29 @@
 			over = true
 		}
 	}
-	c.guard.Unlock()
-	done, _, err := c.commit(ctx, "divided", t, store.PriorityDecision)
+	d.guard.Unlock()
+	done, _, err := d.sync.commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
-		c.node.Log.Info("job records split", "job", uid, "range_size", k)
-		c.wake.Notify()
+		d.node.Log.Info("job records split", "job", uid, "range_size", k)
+		d.wake.Notify()
 	}
 	return done || err == nil
 }
 
 // collectGarbage drops records of task ranges that no longer count: of an earlier division of
 // their job, or of a job that is over. Nothing waits for it.
-func (c *Controller) collectGarbage(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
-	if now.Sub(state.Splitter.GarbageCollectedAt) < c.node.Settings.WorkerLease()/4 {
-		c.guard.Unlock()
+func (d *decisionLoop) collectGarbage(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
+	if now.Sub(state.Splitter.GarbageCollectedAt) < d.node.Settings.WorkerLease()/4 {
+		d.guard.Unlock()
 		return false
 	}
 	t := statecache.NewTransaction()
 	l := state.Schema.TransactionLimits()
 	for uid, recs := range state.Cache.TaskRanges {
 		j := state.Cache.Jobs[uid]
-		if j != nil && state.Leadership.Of(j.Record.Shard) == nil || j == nil && state.Leadership.Of(c.node.Shards[0]) == nil {
+		if j != nil && state.Leadership.Of(j.Record.Shard) == nil || j == nil && state.Leadership.Of(d.node.Shards[0]) == nil {
 			continue
 		}
 		for rec, ch := range recs {
@@ -89,11 +89,11 @@
 			t.Delete(key)
 		}
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if t.Changes() == 0 {
 		return false
 	}
-	_, _, _ = c.commit(ctx, "swept", t, store.PrioritySubmission)
+	_, _, _ = d.sync.commit(ctx, "swept", t, store.PrioritySubmission)
 	state.Splitter.GarbageCollectedAt = now
 	return false
 }
--- a/internal/controller/store_sync.go
+++ b/internal/controller/store_sync.go
@@ -13,16 +13,16 @@
 // noteTooLarge notes that the state service refused a transaction for its size or count:
 // its limits have come down, further than was announced if it was made within those.
 // Nothing is made as large again. It reports whether a smaller form is left to try.
-func (c *Controller) noteTooLarge(err error, t *store.Txn) bool {
+func (y *storeSync) noteTooLarge(err error, t *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
 	}
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+	state := y.guard.Lock()
+	defer y.guard.Unlock()
 	if !state.Schema.LimitsLowered {
 		state.Schema.LimitsLowered = true
-		c.store.LowerLimits()
-		c.node.Log.Info("state service limits lowered")
+		y.services.store.LowerLimits()
+		y.node.Log.Info("state service limits lowered")
 		return true
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
@@ -33,7 +33,7 @@
 			state.Schema.SplitRequests[uid] = state.Cache.Jobs[uid].Record.Generation + 1
 		}
 	}
-	c.node.Log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
+	y.node.Log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
 	return true
 }
 
@@ -45,54 +45,54 @@
 		loaded, since := state.Cache.Loaded, state.Cache.Revision
 		c.guard.Unlock()
 		if !loaded {
-			if err := c.loadReplica(ctx); err != nil {
+			if err := c.sync.load(ctx); err != nil {
 				c.node.Log.Debug("replica not loaded", "err", err)
 				sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8)
 			}
 			continue
 		}
-		err := c.applyChanges(ctx, since, c.node.Settings.WorkerLease()/2)
+		err := c.sync.applyChanges(ctx, since, c.node.Settings.WorkerLease()/2)
 		if err != nil {
 			sleep(ctx, c.node.Settings.ControllerLeaseTTL()/8)
 			continue
 		}
-		c.requestHeartbeats(ctx)
+		c.commands.requestHeartbeats(ctx)
 		sleep(ctx, pause)
 	}
 }
 
-// loadReplica reads all that lives.
-func (c *Controller) loadReplica(ctx context.Context) error {
-	sent := c.node.Now()
-	items, revision, err := c.store.List(ctx, statecache.LivePrefix)
+// load reads all that lives.
+func (y *storeSync) load(ctx context.Context) error {
+	sent := y.node.Now()
+	items, revision, err := y.services.store.List(ctx, statecache.LivePrefix)
 	if err != nil {
 		return err
 	}
-	state := c.guard.Lock()
+	state := y.guard.Lock()
 	state.Cache.ChangesReadAt = sent
 	state.Cache.Reload(items, revision)
 	state.Cache.Loaded = true
-	c.guard.Unlock()
-	c.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
-	c.wake.Notify()
-	c.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
+	y.guard.Unlock()
+	y.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
+	y.wake.Notify()
+	y.wakeLeaseLoop() // after a restart ours wait to be taken, and leases run
 	return nil
 }
 
 // applyChanges applies the changes after a revision; it waits up to block for some.
-func (c *Controller) applyChanges(ctx context.Context, since uint64, block time.Duration) error {
-	sent := c.node.Now()
-	log, revision, err := c.store.Changes(ctx, statecache.LivePrefix, since, block)
+func (y *storeSync) applyChanges(ctx context.Context, since uint64, block time.Duration) error {
+	sent := y.node.Now()
+	log, revision, err := y.services.store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
-		state := c.guard.Lock()
+		state := y.guard.Lock()
 		state.Cache.Loaded = false
-		c.guard.Unlock()
+		y.guard.Unlock()
 		return err
 	}
 	if err != nil {
 		return err
 	}
-	state := c.guard.Lock()
+	state := y.guard.Lock()
 	for _, e := range log {
 		if e.Drop != "" {
 			state.Cache.Apply(e.Drop, nil, e.Version)
@@ -105,37 +105,37 @@
 		state.Cache.ChangesReadAt = sent
 	}
 	orphan := false
-	for _, p := range c.node.Shards {
+	for _, p := range y.node.Shards {
 		orphan = orphan || state.Cache.Leaders[p].Record == nil
 	}
-	c.guard.Unlock()
+	y.guard.Unlock()
 	if len(log) > 0 {
-		c.wake.Notify()
+		y.wake.Notify()
 	}
 	if orphan {
-		c.wakeLeaseLoop()
+		y.wakeLeaseLoop()
 	}
 	return nil
 }
 
 // wakeLeaseLoop has the shards tended now, not with the next renewal of the lease.
-func (c *Controller) wakeLeaseLoop() {
+func (y *storeSync) wakeLeaseLoop() {
 	select {
-	case c.leaderlessShard <- struct{}{}:
+	case y.leaderlessShard <- struct{}{}:
 	default:
 	}
 }
 
 // readNewest brings the replica up to now for a decision, which need not share its
 // read with users.
-func (c *Controller) readNewest(ctx context.Context) error {
-	state := c.guard.Lock()
+func (y *storeSync) readNewest(ctx context.Context) error {
+	state := y.guard.Lock()
 	loaded, since := state.Cache.Loaded, state.Cache.Revision
-	c.guard.Unlock()
+	y.guard.Unlock()
 	if !loaded {
 		return store.ErrRefused
 	}
-	return c.applyChanges(ctx, since, 0)
+	return y.applyChanges(ctx, since, 0)
 }
 
 // readBarrier is one read of the changes and those who wait for it.
@@ -146,20 +146,20 @@
 
 // awaitReadBarrier returns once the replica is at least as new as the call. One read serves
 // all that asked before it was sent; the first of them does it.
-func (c *Controller) awaitReadBarrier(ctx context.Context) error {
-	if !c.storeReachable() {
+func (y *storeSync) awaitReadBarrier(ctx context.Context) error {
+	if !y.storeReachable() {
 		return store.ErrRefused // known not to answer: who asks is told at once
 	}
-	c.readBarrier.Lock()
-	if c.readBarrier.next == nil {
-		c.readBarrier.next = &readBarrier{done: make(chan struct{})}
+	y.barriers.Lock()
+	if y.barriers.next == nil {
+		y.barriers.next = &readBarrier{done: make(chan struct{})}
 	}
-	b := c.readBarrier.next
-	lead := !c.readBarrier.reading
-	c.readBarrier.reading = true
-	c.readBarrier.Unlock()
+	b := y.barriers.next
+	lead := !y.barriers.reading
+	y.barriers.reading = true
+	y.barriers.Unlock()
 	if lead {
-		c.runReadBarrier(ctx, b)
+		y.runReadBarrier(ctx, b)
 	}
 	select {
 	case <-b.done:
@@ -174,44 +174,44 @@
 //
 // Reads are a little apart, so that the polls of hundreds of users take a fixed
 // part of the request budget; a lone question is not held up.
-func (c *Controller) runReadBarrier(ctx context.Context, b *readBarrier) {
-	c.readBarrier.Lock()
-	wait := c.node.Settings.ReadInterval() - c.node.Now().Sub(c.readBarrier.last)
-	c.readBarrier.Unlock()
-	if wait > 0 && !c.steppedClock {
+func (y *storeSync) runReadBarrier(ctx context.Context, b *readBarrier) {
+	y.barriers.Lock()
+	wait := y.node.Settings.ReadInterval() - y.node.Now().Sub(y.barriers.last)
+	y.barriers.Unlock()
+	if wait > 0 && !y.node.SteppedClock {
 		sleep(ctx, wait)
 	}
-	c.readBarrier.Lock()
-	c.readBarrier.next = nil
-	c.readBarrier.last = c.node.Now()
-	c.readBarrier.Unlock()
-	state := c.guard.Lock()
+	y.barriers.Lock()
+	y.barriers.next = nil
+	y.barriers.last = y.node.Now()
+	y.barriers.Unlock()
+	state := y.guard.Lock()
 	loaded, since := state.Cache.Loaded, state.Cache.Revision
-	c.guard.Unlock()
+	y.guard.Unlock()
 	b.err = store.ErrRefused
 	if loaded {
-		b.err = c.applyChanges(ctx, since, 0)
+		b.err = y.applyChanges(ctx, since, 0)
 	}
 	close(b.done)
-	c.readBarrier.Lock()
-	next := c.readBarrier.next
-	c.readBarrier.reading = next != nil
-	c.readBarrier.Unlock()
+	y.barriers.Lock()
+	next := y.barriers.next
+	y.barriers.reading = next != nil
+	y.barriers.Unlock()
 	if next != nil {
-		c.runAsync(func() {
+		y.node.RunAsync(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
 			defer cancel()
-			c.runReadBarrier(ctx, next)
+			y.runReadBarrier(ctx, next)
 		})
 	}
 }
 
 // commit sends a transaction and takes its outcome into the replica. done is
 // false when it surely did not commit or when that is not known.
-func (c *Controller) commit(ctx context.Context, what string, t *statecache.Transaction, r store.Priority) (done bool, failed []string, err error) {
+func (y *storeSync) commit(ctx context.Context, what string, t *statecache.Transaction, r store.Priority) (done bool, failed []string, err error) {
 	w := t.Request()
-	revision, ok, failed, err := c.store.Multi(ctx, w, r)
-	state := c.guard.Lock()
+	revision, ok, failed, err := y.services.store.Multi(ctx, w, r)
+	state := y.guard.Lock()
 	n := state.Stats.Commits[what]
 	n.Writes += len(w.Ops)
 	n.Transactions++
@@ -220,23 +220,23 @@
 	} else if !ok {
 		n.Conflicts++
 		n.ConflictedWrites += len(w.Ops)
-		c.node.Log.Debug("transaction conflict", "for", what, "keys", failed)
+		y.node.Log.Debug("transaction conflict", "for", what, "keys", failed)
 	}
 	state.Stats.Commits[what] = n
-	c.guard.Unlock()
+	y.guard.Unlock()
 	if err == nil && ok {
-		state = c.guard.Lock()
+		state = y.guard.Lock()
 		state.Cache.ApplyCommitted(t, revision)
-		c.guard.Unlock()
+		y.guard.Unlock()
 		return true, nil, nil
 	}
 	if err != nil {
-		c.node.Log.Debug("commit failed", "err", err)
-		if c.noteTooLarge(err, w) {
+		y.node.Log.Debug("commit failed", "err", err)
+		if y.noteTooLarge(err, w) {
 			return false, nil, nil // put together anew, smaller
 		}
 	}
 	// Refused, beaten by a conflicting write or in doubt: what it wrote shows in the log of changes.
-	_ = c.awaitReadBarrier(ctx)
+	_ = y.awaitReadBarrier(ctx)
 	return false, failed, err
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -21,53 +21,53 @@
 
 // submit accepts a job, or tells its user why not. A known job is answered with its state,
 // whatever the repetition looks like.
-func (c *Controller) submit(ctx context.Context, body []byte) transport.Response {
+func (rf *requestFrontend) submit(ctx context.Context, body []byte) transport.Response {
 	r, err := api.ParseJob(body)
 	if err != nil {
 		refusal := respond.JSON(400, map[string]string{"error": err.Error()})
 		if uid, ok := api.UIDOf(body); ok {
-			return c.stateOrRefusal(ctx, uid, refusal)
+			return rf.stateOrRefusal(ctx, uid, refusal)
 		}
 		return refusal
 	}
-	state := c.guard.Lock()
+	state := rf.guard.Lock()
 	undecided := len(state.Catalog.MachineTypes) == 0
 	_, live := state.Cache.Jobs[r.UID]
-	c.guard.Unlock()
+	rf.guard.Unlock()
 	if undecided {
-		return c.stateOrRefusal(ctx, r.UID, respond.Busy)
+		return rf.stateOrRefusal(ctx, r.UID, respond.Busy)
 	}
-	state = c.guard.Lock()
+	state = rf.guard.Lock()
 	why := state.Catalog.RejectionReason(r)
-	c.guard.Unlock()
+	rf.guard.Unlock()
 	if why != "" {
-		return c.stateOrRefusal(ctx, r.UID, respond.JSON(422, map[string]string{"error": why}))
+		return rf.stateOrRefusal(ctx, r.UID, respond.JSON(422, map[string]string{"error": why}))
 	}
 	if live {
-		if s, found, err := c.jobState(ctx, r.UID); err != nil {
+		if s, found, err := rf.jobState(ctx, r.UID); err != nil {
 			return respond.Busy
 		} else if found {
 			return respond.JSON(200, s)
 		}
 	}
-	if !c.storeReachable() || !c.acceptsKind(r.Kind) {
+	if !rf.sync.storeReachable() || !rf.acceptsKind(r.Kind) {
 		return respond.Busy
 	}
-	m := &job.Record{Spec: *r, Shard: c.node.Settings.HostName, AcceptedMS: c.node.Now().UnixMilli()}
+	m := &job.Record{Spec: *r, Shard: rf.node.Settings.HostName, AcceptedMS: rf.node.Now().UnixMilli()}
 	size := len(api.JSON(m))
 	if size > state.Schema.MaxValueBytes() { // room for what is added later
-		return c.stateOrRefusal(ctx, r.UID, respond.JSON(400, map[string]string{"error": "submission too long"}))
+		return rf.stateOrRefusal(ctx, r.UID, respond.JSON(400, map[string]string{"error": "submission too long"}))
 	}
-	state = c.guard.Lock()
+	state = rf.guard.Lock()
 	dense := state.Schema.Upgraded()
-	c.guard.Unlock()
-	m.ChooseLayout(c.node.Settings.LowestLimits().ValueKB, size, dense)
-	return c.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
+	rf.guard.Unlock()
+	m.ChooseLayout(rf.node.Settings.LowestLimits().ValueKB, size, dense)
+	return rf.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
 }
 
 // stateOrRefusal answers with the state of a job that is known, or else with a refusal.
-func (c *Controller) stateOrRefusal(ctx context.Context, uid string, refusal transport.Response) transport.Response {
-	s, found, err := c.jobState(ctx, uid)
+func (rf *requestFrontend) stateOrRefusal(ctx context.Context, uid string, refusal transport.Response) transport.Response {
+	s, found, err := rf.jobState(ctx, uid)
 	switch {
 	case err != nil:
 		return respond.Busy
@@ -78,8 +78,8 @@
 }
 
 // commitSubmission has a submission committed and gives its answer.
-func (c *Controller) commitSubmission(a *submission) transport.Response {
-	if !c.enqueue(a) {
+func (rf *requestFrontend) commitSubmission(a *submission) transport.Response {
+	if !rf.enqueue(a) {
 		return respond.Busy
 	}
 	select {
@@ -92,27 +92,27 @@
 
 // acceptsKind reports whether a job of that shape can be kept safely: a controller of the
 // version before would place an gang task by task.
-func (c *Controller) acceptsKind(shape string) bool {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+func (rf *requestFrontend) acceptsKind(shape string) bool {
+	state := rf.guard.Lock()
+	defer rf.guard.Unlock()
 	return shape != api.Gang || state.Schema.Upgraded()
 }
 
 // enqueue adds a submission to the bounded line of those to be committed, and
 // sees to it that somebody commits them; false when the line is full.
-func (c *Controller) enqueue(a *submission) bool {
+func (rf *requestFrontend) enqueue(a *submission) bool {
 	const most = 64
-	c.submissions.Lock()
-	if len(c.submissions.queue) >= most {
-		c.submissions.Unlock()
+	rf.submissions.Lock()
+	if len(rf.submissions.queue) >= most {
+		rf.submissions.Unlock()
 		return false
 	}
-	c.submissions.queue = append(c.submissions.queue, a)
-	lead := !c.submissions.busy
-	c.submissions.busy = true
-	c.submissions.Unlock()
+	rf.submissions.queue = append(rf.submissions.queue, a)
+	lead := !rf.submissions.busy
+	rf.submissions.busy = true
+	rf.submissions.Unlock()
 	if lead {
-		c.commitQueued()
+		rf.commitQueued()
 	}
 	return true
 }
@@ -120,11 +120,11 @@
 // commitQueued commits the submissions in line, several in one transaction when
 // they came together: half of what a transaction takes, so that one batch does
 // not use up the writes that decisions need.
-func (c *Controller) commitQueued() {
-	most := max(1, min(c.node.Settings.LowestLimits().TxnOps, c.writesPerSecond())/2)
+func (rf *requestFrontend) commitQueued() {
+	most := max(1, min(rf.node.Settings.LowestLimits().TxnOps, rf.sync.writesPerSecond())/2)
 	var batch, rest []*submission
-	c.submissions.Lock()
-	for _, a := range c.submissions.queue {
+	rf.submissions.Lock()
+	for _, a := range rf.submissions.queue {
 		if a.ctx.Err() != nil {
 			continue // its user was told to come back, and may be asking elsewhere
 		}
@@ -134,19 +134,19 @@
 			rest = append(rest, a)
 		}
 	}
-	c.submissions.queue = rest
-	c.submissions.Unlock()
+	rf.submissions.queue = rest
+	rf.submissions.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
 	if len(batch) > 0 {
-		c.acceptBatch(ctx, batch)
+		rf.acceptBatch(ctx, batch)
 	}
 	cancel()
-	c.submissions.Lock()
-	more := len(c.submissions.queue) > 0
-	c.submissions.busy = more
-	c.submissions.Unlock()
+	rf.submissions.Lock()
+	more := len(rf.submissions.queue) > 0
+	rf.submissions.busy = more
+	rf.submissions.Unlock()
 	if more {
-		c.runAsync(c.commitQueued)
+		rf.node.RunAsync(rf.commitQueued)
 	}
 }
 
@@ -159,7 +159,7 @@
 	return false
 }
 
-func (c *Controller) acceptBatch(ctx context.Context, batch []*submission) {
+func (rf *requestFrontend) acceptBatch(ctx context.Context, batch []*submission) {
 	for len(batch) > 0 {
 		t := statecache.NewTransaction()
 		for _, a := range batch {
@@ -172,11 +172,11 @@
 		if slices.ContainsFunc(batch, func(a *submission) bool { return a.record.Spec.Kind == api.Gang }) {
 			priority = store.PriorityGang
 		}
-		done, failed, err := c.commit(ctx, "accepted", t, priority)
+		done, failed, err := rf.sync.commit(ctx, "accepted", t, priority)
 		if done {
 			for _, a := range batch {
 				uid := a.record.Spec.UID
-				c.node.Log.Info(
+				rf.node.Log.Info(
 					"job accepted", "job", uid, "class", a.record.Spec.Class, "team", a.record.Spec.Team, "priority",
 					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
 				)
@@ -184,11 +184,11 @@
 			}
 			if priority == store.PriorityGang {
 				select {
-				case c.gangAccepted <- struct{}{}:
+				case rf.gangAccepted <- struct{}{}:
 				default:
 				}
 			}
-			c.wake.Notify()
+			rf.wake.Notify()
 			return
 		}
 		var rest []*submission
@@ -199,7 +199,7 @@
 				continue
 			}
 			// Known already, or the outcome is in doubt: only reading settles it.
-			if s, found, kerr := c.jobState(a.ctx, uid); kerr == nil && found {
+			if s, found, kerr := rf.jobState(a.ctx, uid); kerr == nil && found {
 				a.response <- respond.JSON(200, s)
 			} else {
 				a.response <- respond.Busy
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -15,7 +15,7 @@
 )
 
 // handle routes a request. It runs in the event loop.
-func (c *Controller) handle(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
+func (rf *requestFrontend) handle(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	method := func(want string, f func(context.Context) transport.Response) (transport.Response, bool) {
 		if req.Method != want {
@@ -24,12 +24,12 @@
 		// Users wait their turn in a bounded line; beyond it they are told at
 		// once to come back.
 		select {
-		case c.userSlots <- struct{}{}:
+		case rf.userSlots <- struct{}{}:
 		default:
 			return respond.Busy, true
 		}
 		go func() {
-			defer func() { <-c.userSlots }()
+			defer func() { <-rf.userSlots }()
 			ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
 			defer cancel()
 			later(f(ctx))
@@ -41,26 +41,26 @@
 		if req.Method != "POST" {
 			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
-		return c.handleHeartbeat(req), true
+		return rf.handleHeartbeat(req), true
 	case path == "/healthz":
 		if req.Method != "GET" {
 			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
-		return c.health(), true
+		return rf.health(), true
 	case path == "/v2/runs":
 		return method("POST", func(ctx context.Context) transport.Response {
-			return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
+			return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
 		})
 	}
 	if id, ok := strings.CutPrefix(path, "/v2/runs/"); ok {
 		if uid, ok := strings.CutSuffix(id, "/cancel"); ok {
 			return method("POST", func(ctx context.Context) transport.Response {
-				return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+				return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 			})
 		}
 		if !strings.Contains(id, "/") {
 			return method("GET", func(ctx context.Context) transport.Response {
-				return c.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
+				return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
 			})
 		}
 	}
@@ -71,9 +71,9 @@
 // 5 s for a submission (PROTOCOL), and are answered before that.
 const userRequestTimeout = 1800 * time.Millisecond
 
-func (c *Controller) health() transport.Response {
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
+func (rf *requestFrontend) health() transport.Response {
+	state := rf.guard.Lock()
+	defer rf.guard.Unlock()
 	// A node that has just started is not ready before it has read what lives.
 	// One that can't reach the state service stays in: a peer may serve for it,
 	// and in an outage of all, nodes taken out would stay out for long after it,
@@ -83,51 +83,51 @@
 	}
 	// But one that reaches neither the state service nor any peer is cut off
 	// itself: it can say nothing to its users and lets them go.
-	if !state.Reachability.StoreReachable && c.node.Now().Sub(state.Reachability.Since) > c.node.Settings.ControllerLeaseTTL()/2 && state.Reachability.PeersAsked &&
+	if !state.Reachability.StoreReachable && rf.node.Now().Sub(state.Reachability.Since) > rf.node.Settings.ControllerLeaseTTL()/2 && state.Reachability.PeersAsked &&
 		len(state.Reachability.Peers) == 0 {
 		return respond.Busy
 	}
-	return respond.JSON(200, map[string]string{"node": c.node.Settings.HostName})
+	return respond.JSON(200, map[string]string{"node": rf.node.Settings.HostName})
 }
 
 // jobState finds what is committed of a job: its state, or that it does not exist.
 // The replica is brought up to now first, so no other node can have told the
 // user something newer before the question was asked.
-func (c *Controller) jobState(ctx context.Context, uid string) (api.State, bool, error) {
-	state := c.guard.Lock()
+func (rf *requestFrontend) jobState(ctx context.Context, uid string) (api.State, bool, error) {
+	state := rf.guard.Lock()
 	p, over := state.FinalStates.ByJob[uid]
-	c.guard.Unlock()
+	rf.guard.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 	}
-	if err := c.awaitReadBarrier(ctx); err != nil {
+	if err := rf.sync.awaitReadBarrier(ctx); err != nil {
 		return api.State{}, false, err
 	}
-	state = c.guard.Lock()
+	state = rf.guard.Lock()
 	if j := state.Cache.Jobs[uid]; j != nil {
-		s := j.UserState(c.node.Settings.ConfirmsCancelWhenEmpty())
-		c.guard.Unlock()
+		s := j.UserState(rf.node.Settings.ConfirmsCancelWhenEmpty())
+		rf.guard.Unlock()
 		return s, true, nil
 	}
-	c.guard.Unlock()
-	it, found, err := c.store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
+	rf.guard.Unlock()
+	it, found, err := rf.services.store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
 	}
 	if err := unmarshal(it.Value, &p); err != nil {
 		return api.State{}, false, err
 	}
-	state = c.guard.Lock()
+	state = rf.guard.Lock()
 	state.FinalStates.Remember(uid, p)
-	c.guard.Unlock()
+	rf.guard.Unlock()
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
 
-func (c *Controller) query(ctx context.Context, uid string) transport.Response {
+func (rf *requestFrontend) query(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
-	s, found, err := c.jobState(ctx, uid)
+	s, found, err := rf.jobState(ctx, uid)
 	switch {
 	case err != nil:
 		return respond.Busy
@@ -139,12 +139,12 @@
 
 // cancel commits the cancellation and then says so. Any node can do it: a start
 // is committed under a precondition on the same record.
-func (c *Controller) cancel(ctx context.Context, uid string) transport.Response {
+func (rf *requestFrontend) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
 	for range 4 {
-		s, found, err := c.jobState(ctx, uid)
+		s, found, err := rf.jobState(ctx, uid)
 		switch {
 		case err != nil:
 			return respond.Busy
@@ -153,10 +153,10 @@
 		case s.Phase == api.Done || s.Phase == api.Cancelled:
 			return respond.JSON(200, map[string]string{"uid": uid, "phase": s.Phase})
 		}
-		state := c.guard.Lock()
+		state := rf.guard.Lock()
 		j := state.Cache.Jobs[uid]
 		if j == nil || j.Record.Cancelled {
-			c.guard.Unlock()
+			rf.guard.Unlock()
 			continue
 		}
 		t := statecache.NewTransaction()
@@ -166,19 +166,19 @@
 		t.Put(statecache.JobPrefix+uid, m)
 		if len(t.Writes[statecache.JobPrefix+uid]) > state.Schema.MaxRecordBytes() {
 			state.Schema.SplitRequests[uid] = m.Generation + 1 // its tasks are divided first
-			c.guard.Unlock()
-			c.wake.Notify()
+			rf.guard.Unlock()
+			rf.wake.Notify()
 			return respond.Busy
 		}
-		c.guard.Unlock()
-		done, _, err := c.commit(ctx, "cancelled", t, store.PriorityDecision)
+		rf.guard.Unlock()
+		done, _, err := rf.sync.commit(ctx, "cancelled", t, store.PriorityDecision)
 		if err != nil {
 			return respond.Busy
 		}
 		if done {
-			c.node.Log.Info("job cancelled", "job", uid)
-			c.wake.Notify()
-			if c.node.Settings.ConfirmsCancelWhenEmpty() {
+			rf.node.Log.Info("job cancelled", "job", uid)
+			rf.wake.Notify()
+			if rf.node.Settings.ConfirmsCancelWhenEmpty() {
 				continue // what is committed is told as it stands
 			}
 			return respond.JSON(200, map[string]string{"uid": uid, "phase": api.Cancelled})
@@ -189,12 +189,12 @@
 
 // handleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
 // reports go before all other work.
-func (c *Controller) handleHeartbeat(req *httpwire.Message) transport.Response {
+func (rf *requestFrontend) handleHeartbeat(req *httpwire.Message) transport.Response {
 	r, err := api.ParseHeartbeat(req.Body)
 	if err != nil {
 		return respond.JSON(400, map[string]string{"error": err.Error()})
 	}
-	state := c.guard.Lock()
-	defer c.guard.Unlock()
-	return state.Reconciler.AnswerHeartbeat(r, c.node.Now())
+	state := rf.guard.Lock()
+	defer rf.guard.Unlock()
+	return state.Reconciler.AnswerHeartbeat(r, rf.node.Now())
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -16,11 +16,11 @@
 // updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
 // changes nothing but zones' records, each on the version that it judged by and on this
 // node's leadership of a shard: one that wakes late, or was replaced, is refused.
-func (c *Controller) updateZones(ctx context.Context) bool {
-	now := c.node.Now()
-	state := c.guard.Lock()
-	if now.Sub(state.Zones.View.ObservedAt) < c.node.Settings.HeartbeatInterval() || !state.Schema.FeatureEnabled(features.ZoneRecoveryName) {
-		c.guard.Unlock()
+func (d *decisionLoop) updateZones(ctx context.Context) bool {
+	now := d.node.Now()
+	state := d.guard.Lock()
+	if now.Sub(state.Zones.View.ObservedAt) < d.node.Settings.HeartbeatInterval() || !state.Schema.FeatureEnabled(features.ZoneRecoveryName) {
+		d.guard.Unlock()
 		return false
 	}
 	observations, up := state.Zones.ObserveZones(now)
@@ -39,22 +39,22 @@
 	for p := range state.Leadership.ByShard {
 		state.Leadership.Require(t, p)
 	}
-	c.guard.Unlock()
+	d.guard.Unlock()
 	if len(changed) == 0 {
 		return false
 	}
-	if done, _, _ := c.commit(ctx, "zones", t, store.PriorityDecision); done {
-		c.logZoneChanges(changed)
-		c.wake.Notify()
+	if done, _, _ := d.sync.commit(ctx, "zones", t, store.PriorityDecision); done {
+		d.logZoneChanges(changed)
+		d.wake.Notify()
 	}
 	return false
 }
 
-func (c *Controller) logZoneChanges(changed map[string]zonehealth.Record) {
+func (d *decisionLoop) logZoneChanges(changed map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[zone]
 		sum := r.Sum()
-		c.node.Log.Info(
+		d.node.Log.Info(
 			"zone", "zone", zone, "state", r.State, "transitions", r.Transitions, "up", sum.Up, "lost", sum.Lost,
 			"unknown", sum.Unclear, "waiting", r.Waiting(), "slow_start_share", r.SlowStartShare,
 		)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,8 +21,12 @@
 	Random      *rand.Rand
 	Shards      []string // all shards, by the name of their home controller, sorted
 	Incarnation uint64   // this life of the process
+
+	RunAsync     func(func()) // runs work in a goroutine of its own
+	SteppedClock bool         // time is advanced from outside: nothing may wait for it
 }
 
+// New makes the info of a process that starts now, with a random incarnation.
 func New(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Info {
 	n := &Info{
 		Settings:    settings,
@@ -33,6 +37,7 @@
 		Random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Incarnation: rand.Uint64() >> 12,
 		Shards:      []string{settings.HostName},
+		RunAsync:    func(f func()) { go f() },
 	}
 	for _, m := range settings.Members {
 		n.Shards = append(n.Shards, m.HostName)
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -12,34 +12,48 @@
 // Lock, so that whoever has it holds the lock. No lock is held across I/O. With a meter it
 // records which functions hold the lock, for how long, and how long they waited to get it.
 type Guard struct {
-	State  *State
-	Mutex  sync.Mutex
-	Meter  *lockMeter // nil: nothing is recorded
+	state  *State
+	mutex  sync.Mutex
+	meter  *lockMeter // nil: nothing is recorded
 	holder uintptr    // return address in the function that holds the lock
 	since  time.Time  // when it got the lock
 }
 
+// NewGuard puts a state behind a lock.
+func NewGuard(state *State) *Guard { return &Guard{state: state} }
+
+// StartMeter records from now on how the lock is used. It is called before the state is.
+func (g *Guard) StartMeter() { g.meter = newLockMeter() }
+
+// LockUses returns what was recorded since StartMeter or the last call, by function, the
+// longest in all first.
+func (g *Guard) LockUses() []LockUse {
+	g.Lock()
+	defer g.Unlock()
+	return g.meter.take()
+}
+
 // Lock takes the lock and returns the state, which is not to be used after Unlock.
 func (g *Guard) Lock() *State {
-	if g.Meter == nil {
-		g.Mutex.Lock()
-		return g.State
+	if g.meter == nil {
+		g.mutex.Lock()
+		return g.state
 	}
 	asked := time.Now()
-	g.Mutex.Lock()
+	g.mutex.Lock()
 	g.since = time.Now()
 	g.holder = callerOf(2)
-	g.Meter.waited(g.holder, g.since.Sub(asked))
-	return g.State
+	g.meter.waited(g.holder, g.since.Sub(asked))
+	return g.state
 }
 
 // Unlock releases the lock.
 func (g *Guard) Unlock() {
-	if g.Meter != nil && !g.since.IsZero() {
-		g.Meter.held(g.holder, time.Since(g.since))
+	if g.meter != nil && !g.since.IsZero() {
+		g.meter.held(g.holder, time.Since(g.since))
 		g.since = time.Time{}
 	}
-	g.Mutex.Unlock()
+	g.mutex.Unlock()
 }
 
 // callerOf returns the return address so many frames above its caller.
@@ -63,7 +77,7 @@
 	Waited   time.Duration // in all, before it got the lock
 }
 
-func NewLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
+func newLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
 
 func (m *lockMeter) use(holder uintptr) *LockUse {
 	use := m.byHolder[holder]
@@ -85,7 +99,7 @@
 
 // Take returns what was recorded, by function, the longest in all first, and begins
 // anew.
-func (m *lockMeter) Take() []LockUse {
+func (m *lockMeter) take() []LockUse {
 	byFunction := map[string]*LockUse{}
 	for holder, use := range m.byHolder {
 		frame, _ := runtime.CallersFrames([]uintptr{holder}).Next()
