--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -127,7 +127,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		x.Sequence++
-		if r := c.frontend.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
+		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
 			b.Fatal(r.Status)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,86 +14,47 @@
 	"time"
 
 	"violetturn/internal/agent"
-	"violetturn/internal/api"
 	"violetturn/internal/cloud"
+	"violetturn/internal/commands"
 	"violetturn/internal/config"
+	"violetturn/internal/decisions"
+	"violetturn/internal/election"
+	"violetturn/internal/external"
 	"violetturn/internal/features"
+	"violetturn/internal/frontend"
 	"violetturn/internal/httpwire"
+	"violetturn/internal/membership"
 	"violetturn/internal/node"
 	"violetturn/internal/notify"
 	"violetturn/internal/peer"
-	"violetturn/internal/sched"
+	"violetturn/internal/scaling"
 	"violetturn/internal/state"
 	"violetturn/internal/store"
+	"violetturn/internal/storesync"
+	"violetturn/internal/timing"
 	"violetturn/internal/transport"
 	"violetturn/internal/worker"
 )
 
-// The outside systems, as the controller uses them.
-type (
-	stateService interface {
-		Get(ctx context.Context, key string, r store.Priority) (it store.Item, found bool, err error)
-		List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
-		Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error)
-		Multi(ctx context.Context, t *store.Txn, r store.Priority) (revision uint64, ok bool, failed []string, err error)
-		AwaitWrites(ctx context.Context, n int, r store.Priority) int
-		SetControllers(controllers int)
-		ReserveForGangs(changes float64)
-		LowerLimits()
-		Used() (requests, writes float64)
-		GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-		RenewLease(ctx context.Context, leaseID uint64) error
-		RevokeLease(ctx context.Context, leaseID uint64) error
-	}
-	cloudService interface {
-		MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
-		Rent(ctx context.Context, r cloud.RentalRequest) ([]string, error)
-		Return(ctx context.Context, hosts []string) error
-		Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
-	}
-	workerService interface {
-		SendCommands(ctx context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error)
-		Status(ctx context.Context, addr string) (*api.Heartbeat, error)
-	}
-	peerService interface {
-		Ask(ctx context.Context, addr string, r *peer.Request, deadline time.Duration) (*peer.Reply, error)
-	}
-)
-
 // Controller is one node of the service.
 type Controller struct {
 	node     *node.Info
 	guard    *state.Guard
-	services *outsideServices
+	services *external.Services
 	http     *transport.Client
 
-	sync      *storeSync
-	commands  *commandSender
-	election  *leaseKeeper
-	members   *peerMembership
-	frontend  *requestFrontend
-	decisions *decisionLoop
-	scaling   *scalingLoop
+	sync      *storesync.Sync
+	commands  *commands.Sender
+	election  *election.Keeper
+	members   *membership.Membership
+	frontend  *frontend.Frontend
+	decisions *decisions.Loop
+	scaling   *scaling.Loop
 
 	server  *transport.Server // for users and workers
 	cluster *transport.Server // for the peers
 }
 
-// readBarriers is the read of changes under way and the next one.
-type readBarriers struct {
-	sync.Mutex
-	last    time.Time    // when the last read was sent
-	next    *readBarrier // those who asked after the read under way was sent
-	reading bool
-}
-
-// submissionQueue is the submissions to be committed.
-type submissionQueue struct {
-	sync.Mutex
-	queue []*submission
-	busy  bool
-}
-
 // New makes a controller.
 func New(cfg *config.Settings, policy *config.Policy, on *features.Features, log *slog.Logger) (*Controller, error) {
 	h, err := transport.NewClient(responseLimits(cfg))
@@ -105,19 +66,19 @@
 	c.node.Features = on
 	c.http = h
 	low := cfg.LowestLimits()
-	c.services.store = store.New(
+	c.services.Store = store.New(
 		h, cfg.External.State, cfg.ControllerLeaseTTL()/3,
 		store.Limits{RPS: cfg.Facts.State.RPS, WriteRPS: cfg.Facts.State.WriteRPS},
-		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.sync.noteStoreAnswer,
+		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.sync.NoteStoreAnswer,
 	)
-	c.services.cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
-	c.services.workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.services.peers = peer.New(h)
-	c.server = transport.NewServer(c.frontend.handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
+	c.services.Cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
+	c.services.Workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
+	c.services.Peers = peer.New(h)
+	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
 	// A peer's message holds a whole submission and a little more.
 	lim := httpwire.RequestLimits
 	lim.Body *= 2
-	c.cluster = transport.NewServer(c.frontend.handlePeer, lim, cfg.Facts.Limits.MaxSockets/16, 2*cfg.WorkerLease())
+	c.cluster = transport.NewServer(c.frontend.HandlePeer, lim, cfg.Facts.Limits.MaxSockets/16, 2*cfg.WorkerLease())
 	return c, nil
 }
 
@@ -133,188 +94,32 @@
 // newController makes a controller without its outside systems.
 func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
 	info := node.New(settings, policy, log)
-	services := &outsideServices{}
+	services := &external.Services{}
 	wake, gangAccepted := notify.NewSignal(), notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, writeBudget{services}))
 	c := &Controller{node: info, guard: guard, services: services}
-	c.sync = newStoreSync(info, guard, services, wake)
-	c.commands = newCommandSender(info, guard, services)
-	c.election = newLeaseKeeper(info, guard, services, c.sync, c.commands)
-	c.members = newPeerMembership(info, guard, services)
-	c.frontend = newRequestFrontend(frontendDeps{
-		node: info, guard: guard, services: services, sync: c.sync, members: c.members, wake: wake, gangAccepted: gangAccepted,
+	c.sync = storesync.New(info, guard, services, wake)
+	c.commands = commands.NewSender(info, guard, services)
+	c.election = election.NewKeeper(info, guard, services, c.sync, c.commands)
+	c.members = membership.New(info, guard, services)
+	c.frontend = frontend.New(frontend.Deps{
+		Node: info, Guard: guard, Services: services, Sync: c.sync, Members: c.members, Wake: wake, GangAccepted: gangAccepted,
 	})
-	c.decisions = newDecisionLoop(decisionDeps{
-		node: info, guard: guard, services: services, sync: c.sync, commands: c.commands, wake: wake, gangAccepted: gangAccepted,
+	c.decisions = decisions.New(decisions.Deps{
+		Node: info, Guard: guard, Services: services, Sync: c.sync, Commands: c.commands, Wake: wake, GangAccepted: gangAccepted,
 	})
-	c.scaling = newScalingLoop(scalingDeps{
-		node: info, guard: guard, services: services, commands: c.commands, decisions: c.decisions, wake: wake,
+	c.scaling = scaling.New(scaling.Deps{
+		Node: info, Guard: guard, Services: services, Commands: c.commands, Decisions: c.decisions, Wake: wake,
 	})
 	return c
 }
 
-// outsideServices are the outside systems of a controller.
-type outsideServices struct {
-	store   stateService
-	cloud   cloudService
-	workers workerService
-	peers   peerService
-}
-
 // writeBudget is the budget of changes of a controller's state service.
-type writeBudget struct{ services *outsideServices }
+type writeBudget struct{ services *external.Services }
 
 // Available returns how many changes may be sent now.
 func (b writeBudget) Available() int {
-	return b.services.store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
-}
-
-// storeSync keeps the cache in step with the state service and commits transactions.
-type storeSync struct {
-	node     *node.Info
-	guard    *state.Guard
-	services *outsideServices
-	wake     notify.Signal
-
-	leaderlessShard notify.Signal // a shard has no leader
-	barriers        readBarriers
-}
-
-func newStoreSync(info *node.Info, guard *state.Guard, services *outsideServices, wake notify.Signal) *storeSync {
-	return &storeSync{node: info, guard: guard, services: services, wake: wake, leaderlessShard: notify.NewSignal()}
-}
-
-// commandSender sends commands directly to workers.
-type commandSender struct {
-	node     *node.Info
-	guard    *state.Guard
-	services *outsideServices
-}
-
-func newCommandSender(info *node.Info, guard *state.Guard, services *outsideServices) *commandSender {
-	return &commandSender{node: info, guard: guard, services: services}
-}
-
-// leaseKeeper keeps this controller's lease, and acquires and releases shards.
-type leaseKeeper struct {
-	node     *node.Info
-	guard    *state.Guard
-	services *outsideServices
-	sync     *storeSync
-	commands *commandSender
-}
-
-func newLeaseKeeper(
-	info *node.Info, guard *state.Guard, services *outsideServices, sync *storeSync, commands *commandSender,
-) *leaseKeeper {
-	return &leaseKeeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
-}
-
-// peerMembership asks peers what they see of the state service and what they have done.
-type peerMembership struct {
-	node     *node.Info
-	guard    *state.Guard
-	services *outsideServices
-}
-
-func newPeerMembership(info *node.Info, guard *state.Guard, services *outsideServices) *peerMembership {
-	return &peerMembership{node: info, guard: guard, services: services}
-}
-
-// requestFrontend answers users, workers and peers.
-type requestFrontend struct {
-	node         *node.Info
-	guard        *state.Guard
-	services     *outsideServices
-	sync         *storeSync
-	members      *peerMembership
-	wake         notify.Signal
-	gangAccepted notify.Signal // a gang has been accepted
-
-	userSlots   chan struct{} // bounds user requests under way
-	submissions submissionQueue
-}
-
-// maxUserRequests bounds the requests of users that are under way.
-const maxUserRequests = 128
-
-// frontendDeps is what a requestFrontend rests on.
-type frontendDeps struct {
-	node         *node.Info
-	guard        *state.Guard
-	services     *outsideServices
-	sync         *storeSync
-	members      *peerMembership
-	wake         notify.Signal
-	gangAccepted notify.Signal
-}
-
-func newRequestFrontend(d frontendDeps) *requestFrontend {
-	return &requestFrontend{
-		node: d.node, guard: d.guard, services: d.services, sync: d.sync, members: d.members,
-		wake: d.wake, gangAccepted: d.gangAccepted, userSlots: make(chan struct{}, maxUserRequests),
-	}
-}
-
-// decisionLoop commits what jobs and heartbeats call for.
-type decisionLoop struct {
-	node         *node.Info
-	guard        *state.Guard
-	services     *outsideServices
-	sync         *storeSync
-	commands     *commandSender
-	wake         notify.Signal // there is something to decide
-	gangAccepted notify.Signal // a gang has been accepted
-}
-
-// decisionDeps is what a decisionLoop rests on.
-type decisionDeps struct {
-	node         *node.Info
-	guard        *state.Guard
-	services     *outsideServices
-	sync         *storeSync
-	commands     *commandSender
-	wake         notify.Signal
-	gangAccepted notify.Signal
-}
-
-func newDecisionLoop(d decisionDeps) *decisionLoop {
-	return &decisionLoop{
-		node: d.node, guard: d.guard, services: d.services, sync: d.sync, commands: d.commands,
-		wake: d.wake, gangAccepted: d.gangAccepted,
-	}
-}
-
-// scalingLoop rents, lists and returns machines.
-type scalingLoop struct {
-	node      *node.Info
-	guard     *state.Guard
-	services  *outsideServices
-	commands  *commandSender
-	decisions *decisionLoop
-	wake      notify.Signal
-
-	rentals rentalState
-}
-
-// scalingDeps is what a scalingLoop rests on.
-type scalingDeps struct {
-	node      *node.Info
-	guard     *state.Guard
-	services  *outsideServices
-	commands  *commandSender
-	decisions *decisionLoop
-	wake      notify.Signal
-}
-
-func newScalingLoop(d scalingDeps) *scalingLoop {
-	return &scalingLoop{
-		node: d.node, guard: d.guard, services: d.services, commands: d.commands, decisions: d.decisions, wake: d.wake,
-		rentals: rentalState{
-			unanswered:   map[sched.Offer]cloud.RentalRequest{},
-			unknownSince: map[string]time.Time{},
-		},
-	}
+	return b.services.Store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
 }
 
 // Run serves until ctx ends.
@@ -325,7 +130,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.election.leaseLoop, c.watchLoop, c.decisions.decideLoop, c.decisions.gangLoop, c.scaling.autoscaleLoop, c.members.peerLoop, c.summaryLoop} {
+	for _, f := range []func(context.Context){c.election.LeaseLoop, c.watchLoop, c.decisions.DecideLoop, c.decisions.GangLoop, c.scaling.AutoscaleLoop, c.members.PeerLoop, c.summaryLoop} {
 		wg.Go(func() { f(ctx) })
 	}
 	select {
@@ -337,7 +142,7 @@
 	}
 	c.node.Log.Info("stopping")
 	wg.Wait()
-	c.election.revokeLease()
+	c.election.RevokeLease()
 	stop, done := context.WithTimeout(context.Background(), 5*time.Second) // gnet looks twice a second whether it has ended
 	defer done()
 	for _, s := range []*transport.Server{c.server, c.cluster} {
@@ -348,27 +153,12 @@
 	return c.http.Close()
 }
 
-// revokeLease ends the lease in an orderly shutdown, so that others take over at once.
-func (k *leaseKeeper) revokeLease() {
-	state := k.guard.Lock()
-	leaseID := state.Leadership.LeaseID
-	state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
-	k.guard.Unlock()
-	if leaseID != 0 {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		if err := k.services.store.RevokeLease(ctx, leaseID); err != nil {
-			k.node.Log.Info("lease not revoked", "err", err)
-		}
-	}
-}
-
 // summaryLoop logs from time to time what this node uses and holds.
 func (c *Controller) summaryLoop(ctx context.Context) {
 	every := 4 * c.node.Settings.WorkerLease()
 	var reqs, writes float64
-	for sleep(ctx, every) {
-		r, w := c.services.store.Used()
+	for timing.Sleep(ctx, every) {
+		r, w := c.services.Store.Used()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
 		state := c.guard.Lock()
@@ -407,18 +197,6 @@
 	}
 }
 
-// sleep waits, or tells that ctx has ended.
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // MeterLock records from now on how the state's lock is used. It is called before Run.
 func (c *Controller) MeterLock() { c.guard.StartMeter() }
 
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -183,7 +183,7 @@
 		if tx == nil {
 			t.Fatal("nothing claimed")
 		}
-		if done, _, err := c.sync.commit(t.Context(), "gangs", tx, 0); !done {
+		if done, _, err := c.sync.Commit(t.Context(), "gangs", tx, 0); !done {
 			t.Fatal(err)
 		}
 		if p := j.GangPhase(); p != job.GangReserving {
@@ -191,7 +191,7 @@
 		}
 		if withdraw {
 			s.cancel(0, id)
-			c.decisions.updateGangs(t.Context())
+			c.decisions.UpdateGangs(t.Context())
 			if n := j.CountPlaced(); n != 0 {
 				t.Fatalf("%d places are held after the cancellation", n)
 			}
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -222,7 +222,7 @@
 	if v := c.testState().Leadership.Acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), id) {
 		t.Errorf("what it confirmed is not told: %v", v)
 	}
-	if err := c.sync.readNewest(context.Background()); err != nil {
+	if err := c.sync.ReadNewest(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if v := c.testState().Leadership.Acknowledgement(c.testState().Cache.Revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
@@ -283,7 +283,7 @@
 	s.w.Store.Refuse[home] = true
 	s.rounds(t, 40, "taken", func() bool { o := s.owner(home); return o != "" && o != home })
 	c := s.nodes[leader].c
-	c.members.askPeers(context.Background())
+	c.members.AskPeers(context.Background())
 	if o := c.testState().Leadership.ByShard[home]; o == nil || o.Successor != s.owner(home) {
 		t.Fatalf("it does not know: %+v", o)
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -101,8 +101,8 @@
 	}
 	l.sim.started = func(n *simNode) {
 		perNode := d.State.WriteRPS / float64(len(l.nodes))
-		n.c.services.store = &budgetedStore{
-			n.c.services.store.(*simulator.Client),
+		n.c.services.Store = &budgetedStore{
+			n.c.services.Store.(*simulator.Client),
 			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
 			func() time.Time { return l.w.Now },
 		}
@@ -148,16 +148,16 @@
 	ctx := context.Background()
 	l.measure("watch", func() {
 		if n.c.testState().Cache.Loaded {
-			_ = n.c.sync.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
-			n.c.commands.requestHeartbeats(ctx)
+			_ = n.c.sync.ApplyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
+			n.c.commands.RequestHeartbeats(ctx)
 		} else {
-			_ = n.c.sync.load(ctx)
+			_ = n.c.sync.Load(ctx)
 		}
 	})
-	l.measure("lease", func() { n.c.election.maintainLease(ctx) })
-	l.measure("decide", func() { n.c.decisions.decide(ctx) })
+	l.measure("lease", func() { n.c.election.MaintainLease(ctx) })
+	l.measure("decide", func() { n.c.decisions.Decide(ctx) })
 	if l.w.Now.UnixMilli()%1000 == 0 {
-		l.measure("cloud", func() { n.c.scaling.autoscale(ctx) })
+		l.measure("cloud", func() { n.c.scaling.Autoscale(ctx) })
 	}
 	aside := n.aside
 	n.aside = nil
@@ -180,7 +180,7 @@
 			panic(fmt.Sprint("request not parsed: ", err))
 		}
 		done := make(chan transport.Response, 1)
-		r, now := c.frontend.handle(req, func(r transport.Response) { done <- r })
+		r, now := c.frontend.Handle(req, func(r transport.Response) { done <- r })
 		if !now {
 			r = <-done
 		}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -112,7 +112,7 @@
 	}
 	before := s.w.Store.Writes
 	for len(c.testState().Agents.Unregistered) > 0 && s.w.Store.Writes < before+60 {
-		c.decisions.registerMachines(context.Background())
+		c.decisions.RegisterMachines(context.Background())
 	}
 	if n := s.w.Store.Writes - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
 		t.Fatalf("%d changes for %d machines", n, len(c.testState().Cache.Machines))
--- a/internal/controller/meet_test.go
+++ b/internal/controller/meet_test.go
@@ -37,7 +37,7 @@
 				return false
 			}
 			for _, n := range s.nodes {
-				if j.Accepted && n.c.frontend.query(t.Context(), id).Status != 200 {
+				if j.Accepted && n.c.frontend.Query(t.Context(), id).Status != 200 {
 					return false
 				}
 			}
@@ -293,7 +293,7 @@
 // stall has every node's next transaction wait for something.
 func (s *sim) stall(f func(node int)) {
 	for i, n := range s.nodes {
-		n.c.services.store.(*simulator.Client).BeforeCommit = func() { f(i) }
+		n.c.services.Store.(*simulator.Client).BeforeCommit = func() { f(i) }
 	}
 }
 
--- a/internal/controller/meet_users_test.go
+++ b/internal/controller/meet_users_test.go
@@ -248,11 +248,11 @@
 	s.pass(t, 6)
 	r := s.w.Jobs[id].Spec
 	r.Image = strings.Repeat("x", 4000)
-	if got := s.nodes[1].c.frontend.submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
+	if got := s.nodes[1].c.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
 		t.Errorf("answered %d", got.Status)
 	}
 	r.UID = "run-999999"
-	if got := s.nodes[1].c.frontend.submit(t.Context(), simulator.Submission(&r)); got.Status != 400 {
+	if got := s.nodes[1].c.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 400 {
 		t.Errorf("one that nobody knows is answered %d", got.Status)
 	}
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -85,7 +85,7 @@
 		other = s.nodes[2]
 	}
 	s.round()
-	other.c.election.acquireShard(context.Background(), "n0", old) // it still looks at the old owner's key
+	other.c.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old owner's key
 	if s.owner("n0") != taker || other.c.testState().Leadership.ByShard["n0"] != nil || c.testState().Leadership.ByShard["n1"].Term != before {
 		t.Fatal("the part changed hands")
 	}
@@ -135,21 +135,21 @@
 	s := warmSim()
 	s.start(1)
 	c := s.nodes[1].c
-	if err := c.sync.load(context.Background()); err != nil {
+	if err := c.sync.Load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if c.testState().Leadership.LeaseID, err = c.services.store.GrantLease(context.Background(), c.node.Settings.ControllerLeaseTTL()); err != nil {
+	if c.testState().Leadership.LeaseID, err = c.services.Store.GrantLease(context.Background(), c.node.Settings.ControllerLeaseTTL()); err != nil {
 		t.Fatal(err)
 	}
-	for len(c.sync.leaderlessShard) > 0 {
-		<-c.sync.leaderlessShard
+	for len(c.sync.LeaderlessShard) > 0 {
+		<-c.sync.LeaderlessShard
 	}
 	old := c.testState().Cache.Leaders["n1"].Version
-	s.nodes[0].c.election.acquireShard(context.Background(), "n0", s.nodes[0].c.testState().Cache.Leaders["n0"].Version) // raises the term
-	c.election.acquireShard(context.Background(), "n1", old)
-	if c.testState().Leadership.ByShard["n1"] != nil || len(c.sync.leaderlessShard) != 1 {
-		t.Fatalf("taken %t, to be tried again %d", c.testState().Leadership.ByShard["n1"] != nil, len(c.sync.leaderlessShard))
+	s.nodes[0].c.election.AcquireShard(context.Background(), "n0", s.nodes[0].c.testState().Cache.Leaders["n0"].Version) // raises the term
+	c.election.AcquireShard(context.Background(), "n1", old)
+	if c.testState().Leadership.ByShard["n1"] != nil || len(c.sync.LeaderlessShard) != 1 {
+		t.Fatalf("taken %t, to be tried again %d", c.testState().Leadership.ByShard["n1"] != nil, len(c.sync.LeaderlessShard))
 	}
 }
 
@@ -267,7 +267,7 @@
 	s.rounds(t, 4, "all three share", func() bool { return c.testState().Leadership.RateSharers == 3 })
 	s.nodes[1].up, s.nodes[2].up = false, false
 	s.rounds(t, 20, "alone", func() bool {
-		return c.testState().Leadership.RateSharers == 1 && c.sync.writesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
+		return c.testState().Leadership.RateSharers == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.start(2)
 	s.rounds(t, 20, "two share", func() bool { return c.testState().Leadership.RateSharers == 2 })
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"violetturn/internal/api"
+	"violetturn/internal/external"
+	"violetturn/internal/frontend"
 	"violetturn/internal/job"
 	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
@@ -133,12 +135,12 @@
 // in production: it sees no fields, and no kinds of records, that this doesn't know,
 // and writes none.
 type productionStore struct {
-	stateService
+	external.StateService
 	shapes shapes
 }
 
 func (p *productionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
-	items, revision, err := p.stateService.List(ctx, prefix)
+	items, revision, err := p.StateService.List(ctx, prefix)
 	var out []store.Item
 	for _, it := range items {
 		if it.Value = p.shapes.read(it.Key, it.Value); it.Value != nil {
@@ -149,7 +151,7 @@
 }
 
 func (p *productionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
-	log, revision, err := p.stateService.Changes(ctx, prefix, since, block)
+	log, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, e := range log {
 		if e.Drop == "" {
@@ -177,7 +179,7 @@
 		}
 		u.Ops = append(u.Ops, op)
 	}
-	return p.stateService.Multi(ctx, u, r)
+	return p.StateService.Multi(ctx, u, r)
 }
 
 // same reports whether two records say the same.
@@ -235,7 +237,7 @@
 	for range 20 {
 		s.round()
 	}
-	items, _, err := s.nodes[0].c.services.store.List(context.Background(), statecache.LivePrefix)
+	items, _, err := s.nodes[0].c.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
 		t.Fatal(len(items), err)
 	}
@@ -287,7 +289,7 @@
 		s.w.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.up && !n.old {
-				return n.c.frontend.submit(context.Background(), simulator.Submission(r)).Status
+				return n.c.frontend.Submit(context.Background(), simulator.Submission(r)).Status
 			}
 		}
 		return 0
@@ -338,8 +340,8 @@
 	s.w.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, Done: map[int]bool{}}
 	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.w.Now.UnixMilli()}
 	m.ChooseLayout(2, 300, false)
-	a := &submission{ctx: context.Background(), record: m, response: make(chan transport.Response, 1)}
-	s.nodes[0].c.frontend.acceptBatch(context.Background(), []*submission{a}) // without asking who may read it
+	a := &frontend.Submission{Ctx: context.Background(), Record: m, Response: make(chan transport.Response, 1)}
+	s.nodes[0].c.frontend.AcceptBatch(context.Background(), []*frontend.Submission{a}) // without asking who may read it
 	for range 200 {
 		s.round()
 	}
--- a/internal/controller/sim_test.go
+++ b/internal/controller/sim_test.go
@@ -15,6 +15,7 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/config"
+	"violetturn/internal/frontend"
 	"violetturn/internal/httpwire"
 	"violetturn/internal/peer"
 	"violetturn/internal/simulator"
@@ -77,10 +78,10 @@
 	if l.s.refuse || l.s.alone[l.from] || l.s.alone[to] || !n.works() || l.s.parted(l.s.zone(l.from), l.s.zone(to)) {
 		return nil, errors.New("refused")
 	}
-	if !n.c.members.servesForPeer(r) {
-		return n.c.members.peerStatus(r), nil
+	if !n.c.members.ServesForPeer(r) {
+		return n.c.members.PeerStatus(r), nil
 	}
-	return peerReply(n.c.frontend.serveLocally(ctx, r)), nil
+	return frontend.PeerReply(n.c.frontend.ServeLocally(ctx, r)), nil
 }
 
 type simNode struct {
@@ -181,22 +182,22 @@
 		Node:            n.name,
 		PartitionedFrom: func(x *simulator.Worker) bool { return s.parted(s.zone(i), x.Zone) },
 	}
-	c.services.peers = link{s, i}
-	c.services.store = &simulator.Client{
+	c.services.Peers = link{s, i}
+	c.services.Store = &simulator.Client{
 		S:             s.w.Store,
 		Node:          n.name,
-		OnServed:      c.sync.noteStoreAnswer,
+		OnServed:      c.sync.NoteStoreAnswer,
 		TxnOps:        cfg.Facts.State.TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
 	if !n.old { // it makes nothing larger than the coming limits but what the version before made
-		c.services.store.(*simulator.Client).TxnOps = cfg.LowestLimits().TxnOps
+		c.services.Store.(*simulator.Client).TxnOps = cfg.LowestLimits().TxnOps
 	}
 	if n.old {
-		c.services.store = &productionStore{c.services.store, shapes{}}
+		c.services.Store = &productionStore{c.services.Store, shapes{}}
 	}
-	c.services.cloud = &simulator.CloudClient{C: s.w.Cloud, Node: n.name}
-	c.services.workers = n.direct
+	c.services.Cloud = &simulator.CloudClient{C: s.w.Cloud, Node: n.name}
+	c.services.Workers = n.direct
 	n.up, n.still = true, false
 	if s.started != nil {
 		s.started(n)
@@ -210,17 +211,17 @@
 		return
 	}
 	ctx := context.Background()
-	if !n.c.sync.storeReachable() {
-		n.c.members.askPeers(ctx)
+	if !n.c.sync.StoreReachable() {
+		n.c.members.AskPeers(ctx)
 	}
 	if n.c.testState().Cache.Loaded {
-		_ = n.c.sync.applyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
+		_ = n.c.sync.ApplyChanges(ctx, n.c.testState().Cache.Revision, 0) // refused in an outage
 	} else {
-		_ = n.c.sync.load(ctx)
+		_ = n.c.sync.Load(ctx)
 	}
-	n.c.election.maintainLease(ctx)
-	n.c.decisions.decide(ctx)
-	n.c.scaling.autoscale(ctx)
+	n.c.election.MaintainLease(ctx)
+	n.c.decisions.Decide(ctx)
+	n.c.scaling.Autoscale(ctx)
 	aside := n.aside
 	n.aside = nil
 	for _, f := range aside {
@@ -290,7 +291,7 @@
 	if !n.works() {
 		return 0, api.CommandBatch{}, ""
 	}
-	r := n.c.frontend.handleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
+	r := n.c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: body})
 	o, leader, err := simulator.ParseHeartbeatResponse(r.Body)
 	if err != nil {
 		panic(err)
@@ -302,7 +303,7 @@
 	if !s.nodes[i].works() || s.nodes[i].old && s.w.Jobs[uid].Spec.Kind == api.Gang {
 		return // nothing new is asked of the version before
 	}
-	r := s.nodes[i].c.frontend.serveOrForward(
+	r := s.nodes[i].c.frontend.ServeOrForward(
 		context.Background(),
 		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.w.Jobs[uid].Spec)},
 	)
@@ -311,7 +312,7 @@
 
 func (s *sim) poll(i int, uid string) {
 	if s.nodes[i].works() {
-		r := s.nodes[i].c.frontend.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
+		r := s.nodes[i].c.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
 		s.told(uid, r.Status, r.Body, false)
 	}
 }
@@ -321,7 +322,7 @@
 		return
 	}
 	s.w.Jobs[uid].CancelRequested = true
-	r := s.nodes[i].c.frontend.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+	r := s.nodes[i].c.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 	s.told(uid, r.Status, r.Body, false)
 }
 
@@ -406,7 +407,7 @@
 		p := n.c.testState().Scheduler.Plan(n.c.node.Now())
 		out += fmt.Sprintf(
 			" %s: unmet %d refused %v in doubt %v flavors %d", n.name, len(p.Unmet), n.c.testState().Catalog.CapacityBackoffs,
-			n.c.scaling.rentals.unanswered, len(n.c.testState().Catalog.MachineTypes),
+			n.c.scaling.Rentals.Unanswered, len(n.c.testState().Catalog.MachineTypes),
 		)
 	}
 	return out
--- a/internal/controller/trouble_test.go
+++ b/internal/controller/trouble_test.go
@@ -243,9 +243,9 @@
 		"unlink": func(_ *rapid.T) { s.refuse = !s.refuse },
 		"stall": func(t *rapid.T) { // stands still before a transaction, and then acts on what it believed
 			n, rounds := s.nodes[node(t)], rapid.IntRange(1, 30).Draw(t, "rounds")
-			client, ok := n.c.services.store.(*simulator.Client)
+			client, ok := n.c.services.Store.(*simulator.Client)
 			if !ok {
-				client = n.c.services.store.(*productionStore).stateService.(*simulator.Client)
+				client = n.c.services.Store.(*productionStore).StateService.(*simulator.Client)
 			}
 			client.BeforeCommit = func() {
 				c := n.c
@@ -337,7 +337,7 @@
 		}
 		for _, id := range s.uids {
 			for i, n := range s.nodes { // a job that nobody answers for is forgotten
-				r := n.c.frontend.query(context.Background(), id)
+				r := n.c.frontend.Query(context.Background(), id)
 				if s.told(id, r.Status, r.Body, false); s.w.Jobs[id].Accepted && r.Status != 200 {
 					t.Fatalf("%s: node %d answers %d after all troubles", id, i, r.Status)
 				}
--- a/internal/controller/users_test.go
+++ b/internal/controller/users_test.go
@@ -32,7 +32,7 @@
 		change(r)
 		return simulator.Submission(r)
 	}
-	if r := c.frontend.submit(ctx, body(func(*api.Job) {})); r.Status != 503 || r.RetryAfter == 0 {
+	if r := c.frontend.Submit(ctx, body(func(*api.Job) {})); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("before the machine types are known: %d", r.Status)
 	}
 	for range 10 {
@@ -55,15 +55,15 @@
 		{"again, now malformed", 200, func(r *api.Job) { r.Kind = "gang" }},
 		{"again, now impossible", 200, func(r *api.Job) { r.Team = "z" }},
 	} {
-		if r := c.frontend.submit(ctx, body(x.change)); r.Status != x.status {
+		if r := c.frontend.Submit(ctx, body(x.change)); r.Status != x.status {
 			t.Errorf("%s: %d %s", x.what, r.Status, r.Body)
 		}
 	}
-	if r := s.nodes[1].c.frontend.query(ctx, "run-000999"); r.Status != 404 {
+	if r := s.nodes[1].c.frontend.Query(ctx, "run-000999"); r.Status != 404 {
 		t.Errorf("unknown job: %d", r.Status)
 	}
 	s.w.Store.Down = true
-	if r := s.nodes[1].c.frontend.query(ctx, "run-000999"); r.Status != 503 {
+	if r := s.nodes[1].c.frontend.Query(ctx, "run-000999"); r.Status != 503 {
 		t.Errorf("unknown job in an outage: %d, which only the store can tell", r.Status)
 	}
 }
@@ -73,22 +73,22 @@
 func TestHealthInOutage(t *testing.T) {
 	s := newSim()
 	c := s.nodes[0].c
-	if r := c.frontend.health(); r.Status != 503 {
+	if r := c.frontend.Health(); r.Status != 503 {
 		t.Errorf("before it has loaded: %d", r.Status)
 	}
-	c.sync.noteStoreAnswer(false)
-	if r := c.frontend.health(); r.Status != 200 {
+	c.sync.NoteStoreAnswer(false)
+	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("started in an outage: %d", r.Status)
 	}
-	if r := c.frontend.submit(
+	if r := c.frontend.Submit(
 		context.Background(),
 		simulator.Submission(&api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Array, Priority: "idle", Tasks: 1, Image: "i"}),
 	); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("a submission in an outage: %d, to come back after %d s", r.Status, r.RetryAfter)
 	}
 	s.step(0)
-	c.sync.noteStoreAnswer(true)
-	if r := c.frontend.health(); r.Status != 200 {
+	c.sync.NoteStoreAnswer(true)
+	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("loaded: %d", r.Status)
 	}
 }
@@ -99,15 +99,15 @@
 func TestIsolatedNodeLetsUsersGo(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[0].c
-	c.sync.noteStoreAnswer(false)
+	c.sync.NoteStoreAnswer(false)
 	s.w.Advance(c.node.Settings.ControllerLeaseTTL())
 	c.testState().Reachability.PeersAsked = true
 	c.testState().Reachability.Peers["n1"] = false
-	if r := c.frontend.health(); r.Status != 200 {
+	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("in an outage that a peer sees too: %d", r.Status)
 	}
 	delete(c.testState().Reachability.Peers, "n1")
-	if r := c.frontend.health(); r.Status != 503 {
+	if r := c.frontend.Health(); r.Status != 503 {
 		t.Errorf("alone: %d", r.Status)
 	}
 }
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -53,7 +53,7 @@
 			&m,
 		) // made above
 		change(m)
-		r := n.c.frontend.serveOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(m)})
+		r := n.c.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(m)})
 		if s.w.Jobs[uid] != nil {
 			s.told(uid, r.Status, r.Body, true)
 		}
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -176,7 +176,7 @@
 	stale.Require(statecache.ZonePrefix+"x", late.testState().Cache.Zones["x"].Version)
 	stale.Require(statecache.LeaderPrefix+"n0", late.testState().Leadership.ByShard["n0"].Version)
 	stale.Put(statecache.ZonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
-	done, failed, _ := late.sync.commit(t.Context(), "zones", stale, 0)
+	done, failed, _ := late.sync.Commit(t.Context(), "zones", stale, 0)
 	if done || !slices.Contains(failed, statecache.ZonePrefix+"x") || !slices.Contains(failed, statecache.LeaderPrefix+"n0") {
 		t.Errorf("a late write is taken: %t, failed %v", done, failed)
 	}
--- a/internal/controller/decide.go
+++ b/internal/decisions/decide.go
@@ -1,25 +1,58 @@
-package controller
+package decisions
 
 import (
 	"context"
-	"encoding/json"
 	"maps"
 	"time"
 
 	"violetturn/internal/capacity"
+	"violetturn/internal/commands"
+	"violetturn/internal/external"
+	"violetturn/internal/node"
+	"violetturn/internal/notify"
 	"violetturn/internal/sched"
 	"violetturn/internal/shard"
+	"violetturn/internal/state"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
+	"violetturn/internal/storesync"
+	"violetturn/internal/timing"
 )
 
-func unmarshal(raw json.RawMessage, v any) error { return json.Unmarshal(raw, v) }
+// Loop commits what jobs and heartbeats call for.
+type Loop struct {
+	node         *node.Info
+	guard        *state.Guard
+	services     *external.Services
+	sync         *storesync.Sync
+	commands     *commands.Sender
+	wake         notify.Signal // there is something to decide
+	gangAccepted notify.Signal // a gang has been accepted
+}
+
+// Deps is what a decisionLoop rests on.
+type Deps struct {
+	Node         *node.Info
+	Guard        *state.Guard
+	Services     *external.Services
+	Sync         *storesync.Sync
+	Commands     *commands.Sender
+	Wake         notify.Signal
+	GangAccepted notify.Signal
+}
+
+func New(d Deps) *Loop {
+	return &Loop{
+		node: d.Node, guard: d.Guard, services: d.Services, sync: d.Sync, commands: d.Commands,
+		wake: d.Wake, gangAccepted: d.GangAccepted,
+	}
+}
 
-// decideLoop commits what reports and jobs call for, one transaction at a time.
+// DecideLoop commits what reports and jobs call for, one transaction at a time.
 // It runs when something has changed and at least twice in a heartbeat interval, and
 // leaves some time between: what comes together is committed together, and a
 // slow processor has most of its time for reports.
-func (d *decisionLoop) decideLoop(ctx context.Context) {
+func (d *Loop) DecideLoop(ctx context.Context) {
 	for {
 		t := time.NewTimer(d.node.Settings.HeartbeatInterval() / 2)
 		select {
@@ -30,31 +63,31 @@
 			return
 		}
 		t.Stop()
-		d.decide(ctx)
+		d.Decide(ctx)
 		state := d.guard.Lock()
 		spent := state.Scheduler.PlanningTime
 		state.Scheduler.PlanningTime = 0
 		d.guard.Unlock()
-		if !sleep(ctx, max(d.node.Settings.DecisionInterval(), 3*spent)) {
+		if !timing.Sleep(ctx, max(d.node.Settings.DecisionInterval(), 3*spent)) {
 			return
 		}
 	}
 }
 
-func (d *decisionLoop) decide(ctx context.Context) {
+func (d *Loop) Decide(ctx context.Context) {
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
-	if !d.sync.mayActNow() || d.services.store.AwaitWrites(ctx, min(d.node.Settings.LowestLimits().TxnOps, d.sync.writesPerSecond()), store.PriorityDecision) < 2 ||
-		d.sync.readNewest(ctx) != nil {
+	if !d.sync.MayActNow() || d.services.Store.AwaitWrites(ctx, min(d.node.Settings.LowestLimits().TxnOps, d.sync.WritesPerSecond()), store.PriorityDecision) < 2 ||
+		d.sync.ReadNewest(ctx) != nil {
 		return
 	}
 	steps := []func(context.Context) bool{
-		d.updateZones, d.registerMachines, d.updateGangs, d.commitEnds, d.archiveJobs, d.placeTasks, d.refreshCapacityRecord,
+		d.updateZones, d.RegisterMachines, d.UpdateGangs, d.commitEnds, d.archiveJobs, d.placeTasks, d.refreshCapacityRecord,
 		d.deregisterMachines, d.splitRecords,
 	}
 	for _, step := range steps {
 		for range 16 { // each step commits one transaction at a time
-			if !d.sync.mayActNow() || ctx.Err() != nil {
+			if !d.sync.MayActNow() || ctx.Err() != nil {
 				return
 			}
 			more := step(ctx)
@@ -64,25 +97,12 @@
 			}
 		}
 	}
-	d.commands.requestHeartbeats(ctx)
-}
-
-// writesPerSecond is this controller's share of the changes of a second.
-func (y *storeSync) writesPerSecond() int {
-	state := y.guard.Lock()
-	defer y.guard.Unlock()
-	return max(2, int(y.node.Settings.LowestLimits().WriteRPS/float64(state.Leadership.RateSharers)))
-}
-
-func (y *storeSync) mayActNow() bool {
-	state := y.guard.Lock()
-	defer y.guard.Unlock()
-	return state.Leadership.MayAct(y.node.Now())
+	d.commands.RequestHeartbeats(ctx)
 }
 
 // refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
 // changed, at intervals: placements there write it anyway.
-func (d *decisionLoop) refreshCapacityRecord(ctx context.Context) bool {
+func (d *Loop) refreshCapacityRecord(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	for p, o := range state.Leadership.ByShard {
@@ -133,7 +153,7 @@
 		state.Capacity.PutCapacityRecord(t, p, free, use)
 		state.Capacity.PutQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
 		d.guard.Unlock()
-		done, _, _ := d.sync.commit(ctx, "upkeep", t, store.PriorityDecision)
+		done, _, _ := d.sync.Commit(ctx, "upkeep", t, store.PriorityDecision)
 		return done
 	}
 	d.guard.Unlock()
--- a/internal/controller/ends.go
+++ b/internal/decisions/ends.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 // commitEnds commits ended attempts. The room they free shows in the shards'
 // records with the next write of those.
-func (d *decisionLoop) commitEnds(ctx context.Context) bool {
+func (d *Loop) commitEnds(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	e := state.Schema.NewRecordEditor()
@@ -67,12 +67,12 @@
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	done, _, err := d.sync.commit(ctx, "ends", t, store.PriorityDecision)
+	done, _, err := d.sync.Commit(ctx, "ends", t, store.PriorityDecision)
 	return more && (done || err == nil)
 }
 
 // archiveJobs moves cancelled jobs without tasks on machines to the past.
-func (d *decisionLoop) archiveJobs(ctx context.Context) bool {
+func (d *Loop) archiveJobs(ctx context.Context) bool {
 	state := d.guard.Lock()
 	e := state.Schema.NewRecordEditor()
 	for _, j := range state.Cache.Jobs {
@@ -118,6 +118,6 @@
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	ok, _, _ := d.sync.commit(ctx, "withdrawn", t, store.PriorityDecision)
+	ok, _, _ := d.sync.Commit(ctx, "withdrawn", t, store.PriorityDecision)
 	return ok
 }
--- a/internal/controller/gangs.go
+++ b/internal/decisions/gangs.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"violetturn/internal/store"
 )
 
-// updateGangs commits what became of gangs: ends of their tasks, which decide about all
+// UpdateGangs commits what became of gangs: ends of their tasks, which decide about all
 // of them, orderly stops, claims that are given up.
-func (d *decisionLoop) updateGangs(ctx context.Context) bool {
+func (d *Loop) UpdateGangs(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	if len(state.Cache.Gangs) == 0 {
@@ -56,7 +56,7 @@
 	if n == 0 || e.Outgrown {
 		return e.Outgrown
 	}
-	done, _, err := d.sync.commit(ctx, "gang ends", t, store.PriorityGang)
+	done, _, err := d.sync.Commit(ctx, "gang ends", t, store.PriorityGang)
 	if done {
 		for _, l := range said {
 			d.node.Log.Info("gang", l...)
@@ -67,10 +67,10 @@
 }
 
 // commitGangClaim commits a gang's claim, in as many steps as it takes.
-func (d *decisionLoop) commitGangClaim(ctx context.Context, g *scheduler.GangClaim) {
+func (d *Loop) commitGangClaim(ctx context.Context, g *scheduler.GangClaim) {
 	for tries := 0; len(g.Placements) > 0 && tries < 3; {
-		if d.services.store.AwaitWrites(ctx, min(scheduler.GangClaimChanges, d.node.Settings.LowestLimits().TxnOps), store.PriorityGang) < 2 || !d.sync.mayActNow() ||
-			d.sync.readNewest(ctx) != nil {
+		if d.services.Store.AwaitWrites(ctx, min(scheduler.GangClaimChanges, d.node.Settings.LowestLimits().TxnOps), store.PriorityGang) < 2 || !d.sync.MayActNow() ||
+			d.sync.ReadNewest(ctx) != nil {
 			return
 		}
 		state := d.guard.Lock()
@@ -79,7 +79,7 @@
 		if t == nil {
 			return
 		}
-		done, _, err := d.sync.commit(ctx, "gangs", t, store.PriorityGang)
+		done, _, err := d.sync.Commit(ctx, "gangs", t, store.PriorityGang)
 		switch {
 		case done:
 			g.Placements, tries = rest, 0
@@ -97,9 +97,9 @@
 	}
 }
 
-// gangLoop places gangs as they are accepted, beside the decisions that wait for their
+// GangLoop places gangs as they are accepted, beside the decisions that wait for their
 // changes. What both write at once is decided by the state service.
-func (d *decisionLoop) gangLoop(ctx context.Context) {
+func (d *Loop) GangLoop(ctx context.Context) {
 	for {
 		select {
 		case <-d.gangAccepted:
@@ -113,7 +113,7 @@
 // placeNewGangs places gangs that came while other decisions wait for their changes: all
 // tasks of one start with the last, so each second counts as often as it has tasks. One
 // that finds no room is not looked at again for a while out of turn.
-func (d *decisionLoop) placeNewGangs(ctx context.Context) {
+func (d *Loop) placeNewGangs(ctx context.Context) {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	var claims []*scheduler.GangClaim
@@ -132,7 +132,7 @@
 		claims = state.Scheduler.Plan(now).Gangs
 	}
 	d.guard.Unlock()
-	d.services.store.ReserveForGangs(reserved)
+	d.services.Store.ReserveForGangs(reserved)
 	for _, g := range claims {
 		d.commitGangClaim(ctx, g)
 	}
--- a/internal/controller/machines.go
+++ b/internal/decisions/machines.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"violetturn/internal/store"
 )
 
-// registerMachines records machines that reported or were rented or listed
+// RegisterMachines records machines that reported or were rented or listed
 // without a record, each in one shard, by conditional writes of their pages.
-func (d *decisionLoop) registerMachines(ctx context.Context) bool {
+func (d *Loop) RegisterMachines(ctx context.Context) bool {
 	state := d.guard.Lock()
 	if len(state.Agents.Unregistered) == 0 {
 		d.guard.Unlock()
@@ -65,7 +65,7 @@
 	if len(names) == 0 {
 		return false
 	}
-	done, _, err := d.sync.commit(ctx, "machines", t, store.PriorityDecision)
+	done, _, err := d.sync.Commit(ctx, "machines", t, store.PriorityDecision)
 	state = d.guard.Lock()
 	defer d.guard.Unlock()
 	if done {
@@ -79,7 +79,7 @@
 
 // shardFor chooses the shard for a machine: one whose home controller is in the
 // machine's zone, so that a zone cut off keeps its leader; of those the smallest.
-func (d *decisionLoop) shardFor(site string, count map[string]int) string {
+func (d *Loop) shardFor(site string, count map[string]int) string {
 	zone := map[string]string{d.node.Settings.HostName: d.node.Settings.Zone}
 	for _, m := range d.node.Settings.Members {
 		zone[m.HostName] = m.Zone
@@ -99,7 +99,7 @@
 
 // deregisterMachines drops machines that are gone and empty from their pages: several
 // at once, now and then, since nothing waits for it.
-func (d *decisionLoop) deregisterMachines(ctx context.Context) bool {
+func (d *Loop) deregisterMachines(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	if now.Sub(state.Stats.DeregisteredAt) < d.node.Settings.WorkerLease()/4 {
@@ -143,7 +143,7 @@
 	if t.Changes() == 0 {
 		return false
 	}
-	done, _, _ := d.sync.commit(ctx, "forgotten", t, store.PriorityDecision)
+	done, _, _ := d.sync.Commit(ctx, "forgotten", t, store.PriorityDecision)
 	if done {
 		slices.Sort(names)
 		state = d.guard.Lock()
--- a/internal/controller/placements.go
+++ b/internal/decisions/placements.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 // room by conditional write on their shards' capacity records; and with them the
 // marks of the tasks that have to leave for some. What comes together goes into
 // one transaction, so that a job whose tasks go to several shards is written once.
-func (d *decisionLoop) placeTasks(ctx context.Context) bool {
+func (d *Loop) placeTasks(ctx context.Context) bool {
 	state := d.guard.Lock()
 	var todo []capacity.Placement
 	var gangs []*scheduler.GangClaim
@@ -41,8 +41,8 @@
 		}
 		// Every placement in a shard changes its record. Looking at the newest
 		// one first costs a request, being beaten by a conflicting write costs all changes.
-		room := d.services.store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(d.node.Shards), d.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
-		if room < 3 || !d.sync.mayActNow() || d.sync.readNewest(ctx) != nil {
+		room := d.services.Store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(d.node.Shards), d.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
+		if room < 3 || !d.sync.MayActNow() || d.sync.ReadNewest(ctx) != nil {
 			return false
 		}
 		state = d.guard.Lock()
@@ -52,7 +52,7 @@
 		if t == nil {
 			break
 		}
-		done, _, err := d.sync.commit(ctx, "places", t, store.PriorityDecision)
+		done, _, err := d.sync.Commit(ctx, "places", t, store.PriorityDecision)
 		switch {
 		case done:
 			todo, tries = rest, 0
@@ -75,7 +75,7 @@
 // that had too little for a placement. A gang needs all of a limit at once, when the
 // shards hold too little yet to give their surplus back by themselves. Each shard's
 // record is written with its share, so that no placement there rests on the old one.
-func (d *decisionLoop) reclaimQuota(ctx context.Context) {
+func (d *Loop) reclaimQuota(ctx context.Context) {
 	state := d.guard.Lock()
 	now := d.node.Now()
 	t := statecache.NewTransaction()
@@ -101,8 +101,8 @@
 		cl.Write(t)
 	}
 	d.guard.Unlock()
-	if t.Changes() > 0 && d.sync.mayActNow() {
-		if done, _, _ := d.sync.commit(ctx, "shares", t, store.PriorityDecision); done {
+	if t.Changes() > 0 && d.sync.MayActNow() {
+		if done, _, _ := d.sync.Commit(ctx, "shares", t, store.PriorityDecision); done {
 			d.wake.Notify()
 		}
 	}
@@ -112,9 +112,9 @@
 // transaction: a gang, whose room comes from several machines, or one whose victims are
 // recorded in more places than it takes. The room that is being left is kept for them
 // by the order of the plans.
-func (d *decisionLoop) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
+func (d *Loop) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
 	for len(marks) > 0 {
-		if d.services.store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !d.sync.mayActNow() || d.sync.readNewest(ctx) != nil {
+		if d.services.Store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !d.sync.MayActNow() || d.sync.ReadNewest(ctx) != nil {
 			return
 		}
 		state := d.guard.Lock()
@@ -139,7 +139,7 @@
 		if n == 0 || e.Outgrown {
 			return
 		}
-		if done, _, _ := d.sync.commit(ctx, "marks", t, store.PriorityDecision); !done {
+		if done, _, _ := d.sync.Commit(ctx, "marks", t, store.PriorityDecision); !done {
 			return // planned anew
 		}
 		d.node.Log.Info("tasks stopped for others", line...)
--- a/internal/controller/split.go
+++ b/internal/decisions/split.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 )
 
 // splitRecords takes the next step in dividing a job. It reports whether there is more.
-func (d *decisionLoop) splitRecords(ctx context.Context) bool {
+func (d *Loop) splitRecords(ctx context.Context) bool {
 	state := d.guard.Lock()
 	if !state.Schema.Upgraded() {
 		d.guard.Unlock()
@@ -50,7 +50,7 @@
 		}
 	}
 	d.guard.Unlock()
-	done, _, err := d.sync.commit(ctx, "divided", t, store.PriorityDecision)
+	done, _, err := d.sync.Commit(ctx, "divided", t, store.PriorityDecision)
 	if done && over {
 		d.node.Log.Info("job records split", "job", uid, "range_size", k)
 		d.wake.Notify()
@@ -60,7 +60,7 @@
 
 // collectGarbage drops records of task ranges that no longer count: of an earlier division of
 // their job, or of a job that is over. Nothing waits for it.
-func (d *decisionLoop) collectGarbage(ctx context.Context) bool {
+func (d *Loop) collectGarbage(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	if now.Sub(state.Splitter.GarbageCollectedAt) < d.node.Settings.WorkerLease()/4 {
@@ -93,7 +93,7 @@
 	if t.Changes() == 0 {
 		return false
 	}
-	_, _, _ = d.sync.commit(ctx, "swept", t, store.PrioritySubmission)
+	_, _, _ = d.sync.Commit(ctx, "swept", t, store.PrioritySubmission)
 	state.Splitter.GarbageCollectedAt = now
 	return false
 }
--- a/internal/controller/zones.go
+++ b/internal/decisions/zones.go
@@ -1,4 +1,4 @@
-package controller
+package decisions
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 // updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
 // changes nothing but zones' records, each on the version that it judged by and on this
 // node's leadership of a shard: one that wakes late, or was replaced, is refused.
-func (d *decisionLoop) updateZones(ctx context.Context) bool {
+func (d *Loop) updateZones(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
 	if now.Sub(state.Zones.View.ObservedAt) < d.node.Settings.HeartbeatInterval() || !state.Schema.FeatureEnabled(features.ZoneRecoveryName) {
@@ -43,14 +43,14 @@
 	if len(changed) == 0 {
 		return false
 	}
-	if done, _, _ := d.sync.commit(ctx, "zones", t, store.PriorityDecision); done {
+	if done, _, _ := d.sync.Commit(ctx, "zones", t, store.PriorityDecision); done {
 		d.logZoneChanges(changed)
 		d.wake.Notify()
 	}
 	return false
 }
 
-func (d *decisionLoop) logZoneChanges(changed map[string]zonehealth.Record) {
+func (d *Loop) logZoneChanges(changed map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
 		r := changed[zone]
 		sum := r.Sum()
--- a/internal/controller/submissions.go
+++ b/internal/frontend/submissions.go
@@ -1,27 +1,36 @@
-package controller
+package frontend
 
 import (
 	"context"
 	"slices"
+	"sync"
 
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/respond"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
+	"violetturn/internal/timing"
 	"violetturn/internal/transport"
 )
 
-// submission is a submission on its way to the store.
-type submission struct {
-	ctx      context.Context
-	record   *job.Record
-	response chan transport.Response
+// submissionQueue is the submissions to be committed.
+type submissionQueue struct {
+	sync.Mutex
+	queue []*Submission
+	busy  bool
 }
 
-// submit accepts a job, or tells its user why not. A known job is answered with its state,
+// Submission is a submission on its way to the store.
+type Submission struct {
+	Ctx      context.Context
+	Record   *job.Record
+	Response chan transport.Response
+}
+
+// Submit accepts a job, or tells its user why not. A known job is answered with its state,
 // whatever the repetition looks like.
-func (rf *requestFrontend) submit(ctx context.Context, body []byte) transport.Response {
+func (rf *Frontend) Submit(ctx context.Context, body []byte) transport.Response {
 	r, err := api.ParseJob(body)
 	if err != nil {
 		refusal := respond.JSON(400, map[string]string{"error": err.Error()})
@@ -50,7 +59,7 @@
 			return respond.JSON(200, s)
 		}
 	}
-	if !rf.sync.storeReachable() || !rf.acceptsKind(r.Kind) {
+	if !rf.sync.StoreReachable() || !rf.acceptsKind(r.Kind) {
 		return respond.Busy
 	}
 	m := &job.Record{Spec: *r, Shard: rf.node.Settings.HostName, AcceptedMS: rf.node.Now().UnixMilli()}
@@ -62,11 +71,11 @@
 	dense := state.Schema.Upgraded()
 	rf.guard.Unlock()
 	m.ChooseLayout(rf.node.Settings.LowestLimits().ValueKB, size, dense)
-	return rf.commitSubmission(&submission{ctx: ctx, record: m, response: make(chan transport.Response, 1)})
+	return rf.commitSubmission(&Submission{Ctx: ctx, Record: m, Response: make(chan transport.Response, 1)})
 }
 
 // stateOrRefusal answers with the state of a job that is known, or else with a refusal.
-func (rf *requestFrontend) stateOrRefusal(ctx context.Context, uid string, refusal transport.Response) transport.Response {
+func (rf *Frontend) stateOrRefusal(ctx context.Context, uid string, refusal transport.Response) transport.Response {
 	s, found, err := rf.jobState(ctx, uid)
 	switch {
 	case err != nil:
@@ -78,21 +87,21 @@
 }
 
 // commitSubmission has a submission committed and gives its answer.
-func (rf *requestFrontend) commitSubmission(a *submission) transport.Response {
+func (rf *Frontend) commitSubmission(a *Submission) transport.Response {
 	if !rf.enqueue(a) {
 		return respond.Busy
 	}
 	select {
-	case resp := <-a.response:
+	case resp := <-a.Response:
 		return resp
-	case <-a.ctx.Done():
+	case <-a.Ctx.Done():
 		return respond.Busy
 	}
 }
 
 // acceptsKind reports whether a job of that shape can be kept safely: a controller of the
 // version before would place an gang task by task.
-func (rf *requestFrontend) acceptsKind(shape string) bool {
+func (rf *Frontend) acceptsKind(shape string) bool {
 	state := rf.guard.Lock()
 	defer rf.guard.Unlock()
 	return shape != api.Gang || state.Schema.Upgraded()
@@ -100,7 +109,7 @@
 
 // enqueue adds a submission to the bounded line of those to be committed, and
 // sees to it that somebody commits them; false when the line is full.
-func (rf *requestFrontend) enqueue(a *submission) bool {
+func (rf *Frontend) enqueue(a *Submission) bool {
 	const most = 64
 	rf.submissions.Lock()
 	if len(rf.submissions.queue) >= most {
@@ -120,12 +129,12 @@
 // commitQueued commits the submissions in line, several in one transaction when
 // they came together: half of what a transaction takes, so that one batch does
 // not use up the writes that decisions need.
-func (rf *requestFrontend) commitQueued() {
-	most := max(1, min(rf.node.Settings.LowestLimits().TxnOps, rf.sync.writesPerSecond())/2)
-	var batch, rest []*submission
+func (rf *Frontend) commitQueued() {
+	most := max(1, min(rf.node.Settings.LowestLimits().TxnOps, rf.sync.WritesPerSecond())/2)
+	var batch, rest []*Submission
 	rf.submissions.Lock()
 	for _, a := range rf.submissions.queue {
-		if a.ctx.Err() != nil {
+		if a.Ctx.Err() != nil {
 			continue // its user was told to come back, and may be asking elsewhere
 		}
 		if len(batch) < most && !containsUID(batch, a) {
@@ -136,9 +145,9 @@
 	}
 	rf.submissions.queue = rest
 	rf.submissions.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout)
 	if len(batch) > 0 {
-		rf.acceptBatch(ctx, batch)
+		rf.AcceptBatch(ctx, batch)
 	}
 	cancel()
 	rf.submissions.Lock()
@@ -150,37 +159,37 @@
 	}
 }
 
-func containsUID(batch []*submission, a *submission) bool {
+func containsUID(batch []*Submission, a *Submission) bool {
 	for _, b := range batch {
-		if b.record.Spec.UID == a.record.Spec.UID {
+		if b.Record.Spec.UID == a.Record.Spec.UID {
 			return true
 		}
 	}
 	return false
 }
 
-func (rf *requestFrontend) acceptBatch(ctx context.Context, batch []*submission) {
+func (rf *Frontend) AcceptBatch(ctx context.Context, batch []*Submission) {
 	for len(batch) > 0 {
 		t := statecache.NewTransaction()
 		for _, a := range batch {
-			uid := a.record.Spec.UID
+			uid := a.Record.Spec.UID
 			t.Require(statecache.JobPrefix+uid, 0)
 			t.Require(statecache.FinalStatePrefix+uid, 0)
-			t.Put(statecache.JobPrefix+uid, a.record)
+			t.Put(statecache.JobPrefix+uid, a.Record)
 		}
 		priority := store.PrioritySubmission
-		if slices.ContainsFunc(batch, func(a *submission) bool { return a.record.Spec.Kind == api.Gang }) {
+		if slices.ContainsFunc(batch, func(a *Submission) bool { return a.Record.Spec.Kind == api.Gang }) {
 			priority = store.PriorityGang
 		}
-		done, failed, err := rf.sync.commit(ctx, "accepted", t, priority)
+		done, failed, err := rf.sync.Commit(ctx, "accepted", t, priority)
 		if done {
 			for _, a := range batch {
-				uid := a.record.Spec.UID
+				uid := a.Record.Spec.UID
 				rf.node.Log.Info(
-					"job accepted", "job", uid, "class", a.record.Spec.Class, "team", a.record.Spec.Team, "priority",
-					a.record.Spec.Priority, "tasks", a.record.Spec.Tasks,
+					"job accepted", "job", uid, "class", a.Record.Spec.Class, "team", a.Record.Spec.Team, "priority",
+					a.Record.Spec.Priority, "tasks", a.Record.Spec.Tasks,
 				)
-				a.response <- respond.JSON(201, map[string]string{"uid": uid, "phase": api.Pending})
+				a.Response <- respond.JSON(201, map[string]string{"uid": uid, "phase": api.Pending})
 			}
 			if priority == store.PriorityGang {
 				select {
@@ -191,23 +200,23 @@
 			rf.wake.Notify()
 			return
 		}
-		var rest []*submission
+		var rest []*Submission
 		for _, a := range batch {
-			uid := a.record.Spec.UID
+			uid := a.Record.Spec.UID
 			if err == nil && !contains(failed, statecache.JobPrefix+uid) && !contains(failed, statecache.FinalStatePrefix+uid) {
 				rest = append(rest, a)
 				continue
 			}
 			// Known already, or the outcome is in doubt: only reading settles it.
-			if s, found, kerr := rf.jobState(a.ctx, uid); kerr == nil && found {
-				a.response <- respond.JSON(200, s)
+			if s, found, kerr := rf.jobState(a.Ctx, uid); kerr == nil && found {
+				a.Response <- respond.JSON(200, s)
 			} else {
-				a.response <- respond.Busy
+				a.Response <- respond.Busy
 			}
 		}
 		if err == nil && len(rest) == len(batch) {
 			for _, a := range rest {
-				a.response <- respond.Busy
+				a.Response <- respond.Busy
 			}
 			return
 		}
--- a/internal/controller/users.go
+++ b/internal/frontend/users.go
@@ -1,9 +1,9 @@
-package controller
+package frontend
 
 import (
 	"context"
+	"encoding/json"
 	"strings"
-	"time"
 
 	"violetturn/internal/api"
 	"violetturn/internal/httpwire"
@@ -11,11 +11,14 @@
 	"violetturn/internal/respond"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
+	"violetturn/internal/timing"
 	"violetturn/internal/transport"
 )
 
-// handle routes a request. It runs in the event loop.
-func (rf *requestFrontend) handle(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
+func unmarshal(raw json.RawMessage, v any) error { return json.Unmarshal(raw, v) }
+
+// Handle routes a request. It runs in the event loop.
+func (rf *Frontend) Handle(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	method := func(want string, f func(context.Context) transport.Response) (transport.Response, bool) {
 		if req.Method != want {
@@ -30,7 +33,7 @@
 		}
 		go func() {
 			defer func() { <-rf.userSlots }()
-			ctx, cancel := context.WithTimeout(context.Background(), userRequestTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout)
 			defer cancel()
 			later(f(ctx))
 		}()
@@ -41,37 +44,33 @@
 		if req.Method != "POST" {
 			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
-		return rf.handleHeartbeat(req), true
+		return rf.HandleHeartbeat(req), true
 	case path == "/healthz":
 		if req.Method != "GET" {
 			return respond.JSON(405, map[string]string{"error": "method not allowed"}), true
 		}
-		return rf.health(), true
+		return rf.Health(), true
 	case path == "/v2/runs":
 		return method("POST", func(ctx context.Context) transport.Response {
-			return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
+			return rf.ServeOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: req.Body})
 		})
 	}
 	if id, ok := strings.CutPrefix(path, "/v2/runs/"); ok {
 		if uid, ok := strings.CutSuffix(id, "/cancel"); ok {
 			return method("POST", func(ctx context.Context) transport.Response {
-				return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+				return rf.ServeOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 			})
 		}
 		if !strings.Contains(id, "/") {
 			return method("GET", func(ctx context.Context) transport.Response {
-				return rf.serveOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
+				return rf.ServeOrForward(ctx, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id})
 			})
 		}
 	}
 	return respond.JSON(404, map[string]string{"error": "no such path"}), true
 }
 
-// userRequestTimeout bounds the work on one request: users wait 2 s for a poll and
-// 5 s for a submission (PROTOCOL), and are answered before that.
-const userRequestTimeout = 1800 * time.Millisecond
-
-func (rf *requestFrontend) health() transport.Response {
+func (rf *Frontend) Health() transport.Response {
 	state := rf.guard.Lock()
 	defer rf.guard.Unlock()
 	// A node that has just started is not ready before it has read what lives.
@@ -93,14 +92,14 @@
 // jobState finds what is committed of a job: its state, or that it does not exist.
 // The replica is brought up to now first, so no other node can have told the
 // user something newer before the question was asked.
-func (rf *requestFrontend) jobState(ctx context.Context, uid string) (api.State, bool, error) {
+func (rf *Frontend) jobState(ctx context.Context, uid string) (api.State, bool, error) {
 	state := rf.guard.Lock()
 	p, over := state.FinalStates.ByJob[uid]
 	rf.guard.Unlock()
 	if over { // final, whatever else happened
 		return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 	}
-	if err := rf.sync.awaitReadBarrier(ctx); err != nil {
+	if err := rf.sync.AwaitReadBarrier(ctx); err != nil {
 		return api.State{}, false, err
 	}
 	state = rf.guard.Lock()
@@ -110,7 +109,7 @@
 		return s, true, nil
 	}
 	rf.guard.Unlock()
-	it, found, err := rf.services.store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
+	it, found, err := rf.services.Store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
 	}
@@ -123,7 +122,7 @@
 	return api.State{UID: uid, Phase: p.Phase, Done: p.Done}, true, nil
 }
 
-func (rf *requestFrontend) query(ctx context.Context, uid string) transport.Response {
+func (rf *Frontend) Query(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
@@ -139,7 +138,7 @@
 
 // cancel commits the cancellation and then says so. Any node can do it: a start
 // is committed under a precondition on the same record.
-func (rf *requestFrontend) cancel(ctx context.Context, uid string) transport.Response {
+func (rf *Frontend) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return respond.JSON(404, map[string]string{"error": "no such run"})
 	}
@@ -171,7 +170,7 @@
 			return respond.Busy
 		}
 		rf.guard.Unlock()
-		done, _, err := rf.sync.commit(ctx, "cancelled", t, store.PriorityDecision)
+		done, _, err := rf.sync.Commit(ctx, "cancelled", t, store.PriorityDecision)
 		if err != nil {
 			return respond.Busy
 		}
@@ -187,9 +186,9 @@
 	return respond.Busy
 }
 
-// handleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
+// HandleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
 // reports go before all other work.
-func (rf *requestFrontend) handleHeartbeat(req *httpwire.Message) transport.Response {
+func (rf *Frontend) HandleHeartbeat(req *httpwire.Message) transport.Response {
 	r, err := api.ParseHeartbeat(req.Body)
 	if err != nil {
 		return respond.JSON(400, map[string]string{"error": err.Error()})
--- /dev/null
+++ b/internal/respond/doc.go
@@ -0,0 +1,2 @@
+// Package respond builds the HTTP answers that several packages give.
+package respond
--- a/internal/controller/autoscale.go
+++ b/internal/scaling/autoscale.go
@@ -1,4 +1,4 @@
-package controller
+package scaling
 
 import (
 	"context"
@@ -11,18 +11,19 @@
 	"violetturn/internal/cloud"
 	"violetturn/internal/config"
 	"violetturn/internal/sched"
+	"violetturn/internal/timing"
 )
 
 // scaleIn decides which machines go back and returns them.
-func (l *scalingLoop) scaleIn(ctx context.Context) {
+func (l *Loop) scaleIn(ctx context.Context) {
 	state := l.guard.Lock()
 	back, fences := state.Autoscaler.MachinesToReturn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.send(ctx, fences)
+	l.commands.Send(ctx, fences)
 	if len(back) == 0 {
 		return
 	}
-	if err := l.services.cloud.Return(ctx, back); err != nil {
+	if err := l.services.Cloud.Return(ctx, back); err != nil {
 		l.node.Log.Info("machines not returned", "hosts", back, "err", err)
 		return
 	}
@@ -40,28 +41,19 @@
 	l.wake.Notify()
 }
 
-// autoscaleLoop rents, lists and returns machines.
-func (l *scalingLoop) autoscaleLoop(ctx context.Context) {
+// AutoscaleLoop rents, lists and returns machines.
+func (l *Loop) AutoscaleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.autoscale(ctx)
-		sleep(ctx, l.node.Settings.AutoscaleInterval())
+		l.Autoscale(ctx)
+		timing.Sleep(ctx, l.node.Settings.AutoscaleInterval())
 	}
 }
 
-// rentalState is what the cloud's rounds remember; only they use it.
-type rentalState struct {
-	typesReadAt, listReadAt time.Time
-	listing                 cloud.Listing                       // the list, as far as it has been read
-	unanswered              map[sched.Offer]cloud.RentalRequest // rentals without an answer, repeated under their names
-	requests                int                                 // names given to rental requests so far
-	unknownSince            map[string]time.Time                // listed machines without a record, since when
-}
-
-func (l *scalingLoop) autoscale(ctx context.Context) {
+func (l *Loop) Autoscale(ctx context.Context) {
 	now := l.node.Now()
-	r := &l.rentals
+	r := &l.Rentals
 	if r.typesReadAt.IsZero() || now.Sub(r.typesReadAt) > l.node.Settings.WorkerLease()*2 {
-		if f, err := l.services.cloud.MachineTypes(ctx); err == nil {
+		if f, err := l.services.Cloud.MachineTypes(ctx); err == nil {
 			r.typesReadAt = now
 			state := l.guard.Lock()
 			state.Catalog.MachineTypes = f
@@ -75,7 +67,7 @@
 	headroom := state.Autoscaler.DueHeadroom(now)
 	l.guard.Unlock()
 	for range 6 { // a refusal is followed at once by the next best offer
-		if !l.scaleOut(ctx, r.unanswered, headroom) {
+		if !l.scaleOut(ctx, r.Unanswered, headroom) {
 			break
 		}
 	}
@@ -85,8 +77,8 @@
 
 // readMachineList reads what a round may read of the cloud's list, if it is time for one. A fleet
 // of some thousand machines takes several rounds.
-func (l *scalingLoop) readMachineList(ctx context.Context, now time.Time) {
-	r := &l.rentals
+func (l *Loop) readMachineList(ctx context.Context, now time.Time) {
+	r := &l.Rentals
 	lag := time.Duration(l.node.Settings.Facts.Cloud.ListLagS * float64(time.Second))
 	if r.listing.Active() && now.Sub(r.listing.Began) > 4*max(lag, l.node.Settings.HeartbeatInterval()) {
 		r.listing.Abandon() // the cloud did not answer meanwhile
@@ -94,7 +86,7 @@
 	if !r.listing.Active() && now.Sub(r.listReadAt) <= max(lag, l.node.Settings.HeartbeatInterval()) {
 		return
 	}
-	hosts, complete, err := r.listing.Read(ctx, l.services.cloud, now, config.CloudCallsPerRound)
+	hosts, complete, err := r.listing.Read(ctx, l.services.Cloud, now, config.CloudCallsPerRound)
 	if err != nil {
 		l.node.Log.Debug("list of machines not read", "err", err)
 	}
@@ -108,7 +100,7 @@
 
 // scaleOut rents what rentOrders tells. It reports whether an offer was refused, so that
 // another may do.
-func (l *scalingLoop) scaleOut(ctx context.Context, inDoubt map[sched.Offer]cloud.RentalRequest, headroom []autoscaler.HeadroomRequest) (again bool) {
+func (l *Loop) scaleOut(ctx context.Context, inDoubt map[sched.Offer]cloud.RentalRequest, headroom []autoscaler.HeadroomRequest) (again bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
 	orders := state.Autoscaler.RentalOrders(now, headroom)
@@ -124,26 +116,26 @@
 		}
 		again = again || refused
 	}
-	l.decisions.registerMachines(ctx)
+	l.decisions.RegisterMachines(ctx)
 	return again
 }
 
 // rentMachines rents the machines of one order, in as many requests as a round may take: one
 // request returns 50 machines at most. It reports whether the cloud gave less than was asked
 // for; an error is a request in doubt, which is repeated under its name.
-func (l *scalingLoop) rentMachines(
+func (l *Loop) rentMachines(
 	ctx context.Context, o sched.RentalOrder, inDoubt map[sched.Offer]cloud.RentalRequest, by autoscaler.RentingShard,
 ) (refused bool, err error) {
 	for wanted, calls := o.Count, 0; wanted > 0 && calls < config.CloudCallsPerRound && !refused; calls++ {
 		r, unanswered := inDoubt[o.Offer]
 		if !unanswered {
-			l.rentals.requests++
+			l.Rentals.requests++
 			// Part, term and count: no other node or life ever uses this name.
-			name := fmt.Sprintf("%s-%d-%d", by.Shard, by.Term, l.rentals.requests)
+			name := fmt.Sprintf("%s-%d-%d", by.Shard, by.Term, l.Rentals.requests)
 			r = cloud.RentalRequest{Name: name, MachineType: o.Offer.MachineType, Zone: o.Offer.Zone, Spot: o.Offer.Spot}
 			r.Count = min(wanted, cloud.MaxRental)
 		}
-		hosts, err := l.services.cloud.Rent(ctx, r)
+		hosts, err := l.services.Cloud.Rent(ctx, r)
 		state := l.guard.Lock()
 		refused = state.Autoscaler.NoteRental(r, hosts, err, by.Shard, by.At)
 		l.guard.Unlock()
--- /dev/null
+++ b/internal/zonestate/doc.go
@@ -0,0 +1,4 @@
+// Package zonestate observes the zones of the shards that this controller leads, judges their
+// health, and says which work may take room of zones that are down or recovering (off unless
+// the feature is on). The lock of internal/state guards it.
+package zonestate
