--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the linters, whose versions are fixed in tools/lint.mod. What they find must be
+# Runs the linters, whose versions are fixed in tools/ratchet.mod. What they find must be
 # exactly what tools/lint-exceptions.txt lists, as lines of FILE RULE COUNT, and that list
 # may only shrink: for no rule may it count more than an earlier version in the history did.
 #
@@ -14,9 +14,9 @@
 # found prints what the linters find.
 found() {
   {
-    go tool -modfile=tools/lint.mod revive -config tools/revive.toml -formatter unix ./cmd/... ./internal/... |
+    go tool -modfile=tools/ratchet.mod revive -config tools/revive.toml -formatter unix ./cmd/... ./internal/... |
       sed -nE 's/^([^:]+):[0-9]+(:[0-9]+)?: \[([a-z-]+)\].*/\1 \3/p'
-    { go tool -modfile=tools/lint.mod staticcheck -checks all ./cmd/... ./internal/... || true; } |
+    { go tool -modfile=tools/ratchet.mod staticcheck -checks all ./cmd/... ./internal/... || true; } |
       sed -E 's/^([^:]+):[0-9]+(:[0-9]+)?: .*\(([A-Z]+[0-9]+|compile)\)$/\1 \3/'
   } | sort | uniq -c | awk '{print $2, $3, $1}'
 }
