--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,9 +6,39 @@
 	"net"
 )
 
-// check tells the first thing that is wrong with the settings.
+// FieldError says what is wrong with one setting.
+type FieldError struct {
+	Field  string // its path, as in "facts.state.rps"
+	Reason string
+}
+
+// Error implements error; it is one line.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
+
+// refuse returns the error of a setting.
+func refuse(field, reason string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(reason, args...)}
+}
+
+// Reasons that several settings share.
+const (
+	reasonMissing     = "missing"
+	reasonNotUnique   = "missing or not unique"
+	reasonNotPositive = "must be a number above 0"
+	reasonNegative    = "must be a number of at least 0"
+)
+
+// amount is a number of the settings with its path.
+type amount struct {
+	field string
+	value float64
+}
+
+// check returns the first thing that is wrong with the settings. It fills in what the coming
+// limits leave out.
 func (s *Settings) check() error {
-	for _, step := range []func() error{s.checkNames, s.checkAmounts, s.checkLimits, s.checkNextLimits, s.checkWorkers, s.checkTeams} {
+	steps := []func() error{s.checkNames, s.checkAmounts, s.checkLimits, s.checkNextLimits, s.checkWorkers, s.checkTeams}
+	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
 		}
@@ -16,33 +46,57 @@
 	return nil
 }
 
-// checkNames checks what names and addresses controllers.
+// checkNames checks what names and addresses controllers and outside systems.
 func (s *Settings) checkNames() error {
-	for _, f := range []struct{ name, v string }{{"host_name", s.HostName}, {"site", s.Zone}} {
-		if f.v == "" {
-			return fmt.Errorf("%s: missing", f.name)
-		}
+	if s.HostName == "" {
+		return refuse("host_name", reasonMissing)
+	}
+	if s.Zone == "" {
+		return refuse("site", reasonMissing)
+	}
+	if err := s.checkMembers(); err != nil {
+		return err
+	}
+	if err := s.checkAddresses(); err != nil {
+		return err
+	}
+	if n := s.Facts.Size; n != len(s.Members)+1 {
+		return refuse("facts.size", "%d, but members name %d controllers with this one", n, len(s.Members)+1)
+	}
+	if len(s.Facts.Zones) == 0 {
+		return refuse("facts.zones", reasonMissing)
 	}
-	addrs := []struct{ name, v string }{{"serve_on", s.ServeOn}, {"cluster_listen", s.ClusterListen},
-		{"external.cloud", s.External.Cloud}, {"external.state", s.External.State}}
+	return nil
+}
+
+// checkMembers checks that every controller has a name of its own.
+func (s *Settings) checkMembers() error {
 	seen := map[string]bool{s.HostName: true}
 	for i, m := range s.Members {
 		if m.HostName == "" || seen[m.HostName] {
-			return fmt.Errorf("members[%d].host_name: missing or not unique", i)
+			return refuse(fmt.Sprintf("members[%d].host_name", i), reasonNotUnique)
 		}
 		seen[m.HostName] = true
-		addrs = append(addrs, struct{ name, v string }{fmt.Sprintf("members[%d].addr", i), m.Addr})
 	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a.v); err != nil {
-			return fmt.Errorf("%s: %q is not host:port", a.name, a.v)
-		}
+	return nil
+}
+
+// checkAddresses checks that all addresses are of the form host:port.
+func (s *Settings) checkAddresses() error {
+	type address struct{ field, value string }
+	addresses := []address{
+		{"serve_on", s.ServeOn},
+		{"cluster_listen", s.ClusterListen},
+		{"external.cloud", s.External.Cloud},
+		{"external.state", s.External.State},
 	}
-	if n := s.Facts.Size; n != len(s.Members)+1 {
-		return fmt.Errorf("facts.size: %d, but members name %d controllers with this one", n, len(s.Members)+1)
+	for i, m := range s.Members {
+		addresses = append(addresses, address{fmt.Sprintf("members[%d].addr", i), m.Addr})
 	}
-	if len(s.Facts.Zones) == 0 {
-		return fmt.Errorf("facts.zones: missing")
+	for _, a := range addresses {
+		if _, _, err := net.SplitHostPort(a.value); err != nil {
+			return refuse(a.field, "%q is not host:port", a.value)
+		}
 	}
 	return nil
 }
@@ -50,10 +104,7 @@
 // checkAmounts checks the numbers that have to be above zero.
 func (s *Settings) checkAmounts() error {
 	f := &s.Facts
-	for _, p := range []struct {
-		name string
-		v    float64
-	}{
+	for _, a := range []amount{
 		{"facts.workers.report_s", f.Workers.ReportS},
 		{"facts.workers.lease_s", f.Workers.LeaseS},
 		{"facts.workers.cancel_s", f.Workers.CancelS},
@@ -65,8 +116,8 @@
 		{"facts.machine_limits.memory_mb", f.Limits.MemoryMB},
 		{"facts.machine_limits.max_sockets", float64(f.Limits.MaxSockets)},
 	} {
-		if !positive(p.v) {
-			return fmt.Errorf("%s: must be a number above 0", p.name)
+		if !positive(a.value) {
+			return refuse(a.field, reasonNotPositive)
 		}
 	}
 	return nil
@@ -85,85 +136,89 @@
 	}
 	l := &s.Facts.Limits
 	if !nonNegative(l.Cores) {
-		return fmt.Errorf("facts.machine_limits.cores: must be a number of at least 0")
+		return refuse("facts.machine_limits.cores", reasonNegative)
 	}
 	if l.MemoryMB < minMemoryMB {
-		return fmt.Errorf("facts.machine_limits.memory_mb: %g, the service needs at least %d", l.MemoryMB, minMemoryMB)
+		return refuse("facts.machine_limits.memory_mb", "%g, the service needs at least %d", l.MemoryMB, minMemoryMB)
+	}
+	if need := max(minSockets, socketsPerMember*len(s.Members)); l.MaxSockets < need {
+		return refuse("facts.machine_limits.max_sockets",
+			"%d, the service needs at least %d with so many controllers", l.MaxSockets, need)
+	}
+	return nil
+}
+
+// check checks that the service can work under the limits, of which field is the path.
+func (l *StateLimits) check(field string) error {
+	if l.TxnOps < minTxnOps {
+		return refuse(field+".txn_ops", "%d, the service needs at least %d changes in one transaction", l.TxnOps, minTxnOps)
 	}
-	// A sixteenth of the sockets takes the other controllers' connections.
-	if need := max(minSockets, 16*len(s.Members)); l.MaxSockets < need {
-		return fmt.Errorf(
-			"facts.machine_limits.max_sockets: %d, the service needs at least %d with so many controllers",
-			l.MaxSockets, need,
-		)
+	if l.ValueKB < minValueKB {
+		return refuse(field+".value_kb", "%g, the service needs values of at least %d KiB", l.ValueKB, minValueKB)
 	}
 	return nil
 }
 
-// checkNextLimits checks the coming limits of the state service. A limit that is not named
-// stays as it is; one that is named has to be one that the service can work under.
+// checkNextLimits checks the coming limits of the state service. A limit that is not named stays
+// as it is; one that is named has to be one that the service can work under.
 func (s *Settings) checkNextLimits() error {
+	const field = "facts.state.next"
 	now, next := &s.Facts.State.StateLimits, s.Facts.State.Next
 	if next == nil {
 		return nil
 	}
-	for _, p := range []struct {
-		name string
-		v    *float64
-		now  float64
-	}{{"rps", &next.RPS, now.RPS}, {"write_rps", &next.WriteRPS, now.WriteRPS}, {"value_kb", &next.ValueKB, now.ValueKB}} {
-		if !hasSetting(s.document, "facts", "state", "next", p.name) {
-			*p.v = p.now
-		} else if !positive(*p.v) {
-			return fmt.Errorf("facts.state.next.%s: must be a number above 0", p.name)
+	for _, limit := range []struct {
+		name  string
+		value *float64
+		now   float64
+	}{
+		{"rps", &next.RPS, now.RPS},
+		{"write_rps", &next.WriteRPS, now.WriteRPS},
+		{"value_kb", &next.ValueKB, now.ValueKB},
+	} {
+		if !s.names("facts", "state", "next", limit.name) {
+			*limit.value = limit.now
+		} else if !positive(*limit.value) {
+			return refuse(field+"."+limit.name, reasonNotPositive)
 		}
 	}
-	if !hasSetting(s.document, "facts", "state", "next", "txn_ops") {
+	if !s.names("facts", "state", "next", "txn_ops") {
 		next.TxnOps = now.TxnOps
 	}
-	return next.check("facts.state.next")
+	return next.check(field)
 }
 
 // checkWorkers checks the workers' times.
 func (s *Settings) checkWorkers() error {
 	w := &s.Facts.Workers
-	for _, p := range []struct {
-		name string
-		v    float64
-	}{{"facts.workers.gang_wait_s", w.GangWaitS}, {"facts.workers.gang_peer_s", w.GangPeerS}} {
-		if !nonNegative(p.v) {
-			return fmt.Errorf("%s: must be a number of at least 0", p.name)
+	for _, a := range []amount{
+		{"facts.workers.gang_wait_s", w.GangWaitS},
+		{"facts.workers.gang_peer_s", w.GangPeerS},
+	} {
+		if !nonNegative(a.value) {
+			return refuse(a.field, reasonNegative)
 		}
 	}
 	if w.ReportS >= w.LeaseS {
-		return fmt.Errorf("facts.workers.lease_s: must be longer than report_s")
+		return refuse("facts.workers.lease_s", "must be longer than report_s")
 	}
 	return nil
 }
 
 // checkTeams checks the teams' names and amounts.
 func (s *Settings) checkTeams() error {
-	teams := map[string]bool{}
+	seen := map[string]bool{}
 	for i, t := range s.Facts.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("facts.teams[%d].name: missing or not unique", i)
+		field := fmt.Sprintf("facts.teams[%d]", i)
+		if t.Name == "" || seen[t.Name] {
+			return refuse(field+".name", reasonNotUnique)
 		}
-		teams[t.Name] = true
+		seen[t.Name] = true
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 			if !nonNegative(v) {
-				return fmt.Errorf("facts.teams[%d]: amounts must be numbers of at least 0", i)
+				return refuse(field, "amounts must be numbers of at least 0")
 			}
 		}
 	}
 	return nil
 }
-
-func (l *StateLimits) check(name string) error {
-	if l.TxnOps < minTxnOps {
-		return fmt.Errorf("%s.txn_ops: %d, the service needs at least %d changes in one transaction", name, l.TxnOps, minTxnOps)
-	}
-	if l.ValueKB < minValueKB {
-		return fmt.Errorf("%s.value_kb: %g, the service needs values of at least %d KiB", name, l.ValueKB, minValueKB)
-	}
-	return nil
-}
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,5 +1,10 @@
-// Package features reads the file that switches new behaviour on. What it leaves out stays
-// off, or at its documented default; what it names and nobody knows is refused.
+// Package features reads the file that switches new behaviour on. What it leaves out stays off,
+// or at its documented default. What it names and nobody knows is refused, unlike in the
+// settings: the operators write this file, and a switch that is misspelt would do nothing.
+//
+// The file is read once, at the start; Features are never changed afterwards, so any goroutine
+// may use them without a lock. Load refuses a file with one line that names the file, the
+// setting and the reason.
 package features
 
 import (
@@ -13,22 +18,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ZoneRecoveryName is how controllers tell each other that they have ZoneRecovery on.
+// ZoneRecoveryName is the name of ZoneRecovery in the file, and how controllers tell each other
+// that they have it on.
 const ZoneRecoveryName = "zone_recovery"
 
-// ZoneRecovery has production work run again first when a zone returns. Times are ratios to
-// the workers' lease.
+// ZoneRecovery makes production work run again first when a zone returns. Shares are from 0 to 1,
+// and times are in leases of the workers.
 type ZoneRecovery struct {
 	Enabled       bool    `toml:"enabled"`
 	SuspectShare  float64 `toml:"suspect_share"`  // of a zone's machines lost: it is suspected
 	DownShare     float64 `toml:"down_share"`     // of them lost: it is down, once confirmed
-	Confirm       float64 `toml:"confirm"`        // leases for which that has to last
-	FirstShare    float64 `toml:"first_share"`    // of the zone that lower work may take when it returns
+	Confirm       float64 `toml:"confirm"`        // time for which that has to last
+	FirstShare    float64 `toml:"first_share"`    // of the zone that work of lower priority may take when it returns
 	LeastShare    float64 `toml:"least_share"`    // the same after failures in a row, each of which halves it
-	DoubleEvery   float64 `toml:"double_every"`   // leases after which the share doubles
-	ProgressAfter float64 `toml:"progress_after"` // leases after which some machines are reserved no longer
-	ProgressShare float64 `toml:"progress_share"` // of the zone's machines
-	Longest       float64 `toml:"longest"`        // leases that a state lasts at most
+	DoubleEvery   float64 `toml:"double_every"`   // time after which the share doubles
+	ProgressAfter float64 `toml:"progress_after"` // time after which some machines are reserved no longer
+	ProgressShare float64 `toml:"progress_share"` // of the zone's machines, for which that holds
+	Longest       float64 `toml:"longest"`        // time that a state lasts at most
 }
 
 // Features is what is switched on.
@@ -76,14 +82,17 @@
 	return f, nil
 }
 
-// Parse reads and checks features.
+// Parse reads and checks features. Its errors name the setting and the reason in one line.
 func Parse(raw []byte) (*Features, error) {
 	f := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := decoder.Decode(f); err != nil {
 		return nil, describe(err)
 	}
-	return f, f.ZoneRecovery.check()
+	if err := f.ZoneRecovery.check(); err != nil {
+		return nil, err
+	}
+	return f, nil
 }
 
 // describe puts an error of the decoder into one line.
@@ -100,34 +109,49 @@
 	return fmt.Errorf("not valid: %w", err)
 }
 
-// check tells the first setting that is out of range.
+// SettingError says what is wrong with one setting.
+type SettingError struct {
+	Setting string // its path, as in "zone_recovery.confirm"
+	Reason  string
+}
+
+// Error implements error; it is one line.
+func (e *SettingError) Error() string { return e.Setting + ": " + e.Reason }
+
+// check returns the first setting that is out of range.
 func (z *ZoneRecovery) check() error {
+	const share, unbounded = 1, math.MaxFloat64
 	for _, x := range []struct {
-		name       string
-		value      float64
-		over, most float64 // it has to be above the one and at most the other
+		name    string
+		value   float64
+		largest float64 // it has to be above 0 and at most this
 	}{
-		{"suspect_share", z.SuspectShare, 0, 1},
-		{"down_share", z.DownShare, 0, 1},
-		{"confirm", z.Confirm, 0, math.MaxFloat64},
-		{"first_share", z.FirstShare, 0, 1},
-		{"least_share", z.LeastShare, 0, 1},
-		{"double_every", z.DoubleEvery, 0, math.MaxFloat64},
-		{"progress_after", z.ProgressAfter, 0, math.MaxFloat64},
-		{"progress_share", z.ProgressShare, 0, 1},
-		{"longest", z.Longest, 0, math.MaxFloat64},
+		{"suspect_share", z.SuspectShare, share},
+		{"down_share", z.DownShare, share},
+		{"confirm", z.Confirm, unbounded},
+		{"first_share", z.FirstShare, share},
+		{"least_share", z.LeastShare, share},
+		{"double_every", z.DoubleEvery, unbounded},
+		{"progress_after", z.ProgressAfter, unbounded},
+		{"progress_share", z.ProgressShare, share},
+		{"longest", z.Longest, unbounded},
 	} {
-		if !(x.value > x.over && x.value <= x.most) { // so that no number that isn't one passes
-			return fmt.Errorf("zone_recovery.%s: %g is out of range", x.name, x.value)
+		if !(x.value > 0 && x.value <= x.largest) { // in this form NaN is refused too
+			return refuse(x.name, fmt.Sprintf("%g is out of range", x.value))
 		}
 	}
 	switch {
 	case z.SuspectShare > z.DownShare:
-		return errors.New("zone_recovery.suspect_share: more than down_share")
+		return refuse("suspect_share", "more than down_share")
 	case z.LeastShare > z.FirstShare:
-		return errors.New("zone_recovery.least_share: more than first_share")
+		return refuse("least_share", "more than first_share")
 	case z.ProgressAfter > z.Longest:
-		return errors.New("zone_recovery.progress_after: more than longest")
+		return refuse("progress_after", "more than longest")
 	}
 	return nil
 }
+
+// refuse returns the error of a setting of zone recovery.
+func refuse(name, reason string) error {
+	return &SettingError{Setting: ZoneRecoveryName + "." + name, Reason: reason}
+}
