--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -237,7 +237,8 @@
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
 			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.Ended {
-				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s", name, attempt, t.attempt, t.index, x.Host)
+				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s",
+					name, attempt, t.attempt, t.index, x.Host)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/simulator/rules_test.go
@@ -0,0 +1,78 @@
+package simulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"violetturn/internal/api"
+)
+
+// What users are told of a job is checked against what they were told before.
+func TestCheckAnswer(t *testing.T) {
+	for _, x := range []struct {
+		name       string
+		job        *Job
+		status     int
+		phase      string
+		submission bool
+		rule       Rule // that is broken; "": none
+	}{
+		{"accepted", &Job{}, 201, "pending", true, ""},
+		{"unknown to its user", nil, 200, "pending", false, RuleInvented},
+		{"unknown", nil, 404, "", false, ""},
+		{"refused", &Job{}, 422, "", true, ""},
+		{"accepted and unknown", &Job{Accepted: true}, 404, "", false, RuleForgotten},
+		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleForgotten},
+		{"accepted, the service is down", &Job{Accepted: true}, 503, "", true, ""},
+		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.Done, false, RuleNotDone},
+		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.Done, false, ""},
+		{"done and pending", &Job{FinalPhase: api.Done}, 200, "pending", false, RuleWentBack},
+		{"cancelled by nobody", &Job{}, 200, api.Cancelled, false, RuleWentBack},
+		{"cancelled", &Job{CancelRequested: true}, 200, api.Cancelled, false, ""},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			w := newTestWorld()
+			if x.job != nil {
+				w.Jobs["run-000001"] = x.job
+			}
+			w.CheckAnswer("run-000001", x.status, x.phase, x.submission)
+			switch {
+			case x.rule == "" && len(w.Violations) > 0:
+				t.Error(w.Violations)
+			case x.rule != "" && (len(w.Violations) != 1 || !strings.HasPrefix(w.Violations[0], string(x.rule)+" at")):
+				t.Errorf("%s is not broken: %v", x.rule, w.Violations)
+			}
+		})
+	}
+}
+
+// Tasks that start are checked against their team's limit and the places that their job
+// allows, and those of a cancelled job against the time in which they have to end.
+func TestTaskRules(t *testing.T) {
+	for _, x := range []struct {
+		name   string
+		change func(w *World, j *Job)
+		rule   Rule
+	}{
+		{"allowed", func(*World, *Job) {}, ""},
+		{"team at its limit", func(w *World, _ *Job) { w.TeamGPULimits["a"] = 1 }, RuleQuota},
+		{"another zone", func(_ *World, j *Job) { j.Spec.Zone = "y" }, RuleWrongPlace},
+		{"spread", func(_ *World, j *Job) { j.Spec.Spread = true }, RuleWrongPlace},
+		{"cancelled", func(w *World, j *Job) { j.CancelConfirmed = w.Now.Add(-w.CancelS) }, RuleRanCancelled},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			w := newTestWorld()
+			j, _ := launchTestGang(t, w)
+			x.change(w, j)
+			pass(w, 2*time.Second)
+			broken := ""
+			if len(w.Violations) > 0 {
+				broken, _, _ = strings.Cut(w.Violations[0], " at ")
+			}
+			if broken != string(x.rule) {
+				t.Errorf("broken: %v", w.Violations)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulator/state_service_test.go
@@ -0,0 +1,133 @@
+package simulator
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"testing"
+	"time"
+
+	"violetturn/internal/store"
+)
+
+// newTestWorld returns a world with one machine type and short times.
+func newTestWorld() *World {
+	w := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
+	w.Zones = []string{"x"}
+	w.Lease, w.CancelS = 10*time.Second, 40*time.Second
+	w.GangWait, w.GangPeer = 5*time.Second, 2*time.Second
+	return w
+}
+
+// newTestClient returns a node's client of a world's state service.
+func newTestClient(w *World) *Client {
+	return &Client{S: w.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
+}
+
+// write returns a transaction that writes keys.
+func write(keys ...string) *store.Txn {
+	t := &store.Txn{}
+	for _, key := range keys {
+		t.Ops = append(t.Ops, store.Op{Write: key, Value: json.RawMessage("1")})
+	}
+	return t
+}
+
+// A fault of a transaction applies to the next one only: what it does, and when.
+func TestTransactionFaults(t *testing.T) {
+	for _, x := range []struct {
+		fault                   Fault
+		err                     error
+		atOnce, afterDeliveries int // keys that there are
+	}{
+		{None, nil, 1, 1},
+		{LoseBefore, store.ErrUnknown, 0, 0},
+		{LoseAfter, store.ErrUnknown, 1, 1},
+		{Late, store.ErrUnknown, 0, 1},
+	} {
+		t.Run(x.fault.String(), func(t *testing.T) {
+			w := newTestWorld()
+			c := newTestClient(w)
+			w.Store.Next["n0"] = x.fault
+			if _, _, _, err := c.Multi(context.Background(), write("a"), 0); !errors.Is(err, x.err) {
+				t.Errorf("error %v", err)
+			}
+			if n := len(w.Store.Items("")); n != x.atOnce {
+				t.Errorf("%d keys at once", n)
+			}
+			w.Store.DeliverLate()
+			if n := len(w.Store.Items("")); n != x.afterDeliveries {
+				t.Errorf("%d keys after all deliveries", n)
+			}
+			if _, ok, _, err := c.Multi(context.Background(), write("b"), 0); !ok || err != nil {
+				t.Errorf("the next transaction: %t, %v", ok, err)
+			}
+		})
+	}
+}
+
+// A transaction is committed only if all its preconditions hold, and then as a whole.
+func TestPreconditions(t *testing.T) {
+	w := newTestWorld()
+	c := newTestClient(w)
+	revision, _, _, _ := c.Multi(context.Background(), write("a", "b"), 0)
+	stale := write("a")
+	stale.Preconditions = []store.Precondition{{Key: "a", Version: revision}, {Key: "b"}}
+	_, ok, failed, err := c.Multi(context.Background(), stale, 0)
+	if ok || err != nil || len(failed) != 1 || failed[0] != "b" {
+		t.Errorf("committed %t, failed %v, %v", ok, failed, err)
+	}
+	changes, now, err := c.Changes(context.Background(), "", 0, 0)
+	if err != nil || now != revision || len(changes) != 2 {
+		t.Errorf("revision %d, changes %v, %v", now, changes, err)
+	}
+}
+
+// Keys end with their lease, which keeps its full time during an outage. Leases that end at
+// once end in the order in which they were granted.
+func TestLeases(t *testing.T) {
+	w := newTestWorld()
+	c := newTestClient(w)
+	for _, key := range []string{"c", "b", "a"} {
+		id, err := c.GrantLease(context.Background(), time.Second)
+		if err != nil {
+			t.Fatal(err)
+		}
+		txn := write(key)
+		txn.Ops[0].Lease = &id
+		if _, ok, _, err := c.Multi(context.Background(), txn, 0); !ok {
+			t.Fatal(err)
+		}
+	}
+	since := w.Store.revision
+	w.Store.Down = true
+	w.Advance(5 * time.Second)
+	w.Store.Down = false
+	w.Advance(900 * time.Millisecond)
+	if n := len(w.Store.Items("")); n != 3 {
+		t.Fatalf("%d of 3 keys are left before the leases end", n)
+	}
+	w.Advance(100 * time.Millisecond)
+	changes, _, err := c.Changes(context.Background(), "", since, 0)
+	if err != nil || len(changes) != 3 || changes[0].Drop != "c" || changes[1].Drop != "b" || changes[2].Drop != "a" {
+		t.Errorf("%v, %v", changes, err)
+	}
+	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrNoLease) {
+		t.Errorf("an ended lease is renewed: %v", err)
+	}
+}
+
+// A watch that falls behind by more changes than are kept is told so.
+func TestExpiredHistory(t *testing.T) {
+	w := newTestWorld()
+	c := newTestClient(w)
+	revision, _, _, _ := c.Multi(context.Background(), write("a"), 0)
+	w.Store.ExpireHistory()
+	if _, _, err := c.Changes(context.Background(), "", revision, 0); !errors.Is(err, store.ErrTooOld) {
+		t.Errorf("changes since %d: %v", revision, err)
+	}
+	if _, _, err := c.Changes(context.Background(), "", w.Store.revision-1, 0); err != nil {
+		t.Errorf("the last change: %v", err)
+	}
+}
