--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -64,12 +64,18 @@
 }
 
 func newCluster(b testing.TB, d *simulator.Deployment) *cluster {
-	c := &cluster{b: b, d: d, server: simulator.NewServer(d.World(time.Now())), rnd: rand.New(rand.NewPCG(1, 1)), stop: make(chan struct{}),
+	b.Helper()
+	return &cluster{
+		b:      b,
+		d:      d,
+		server: simulator.NewServer(d.World(time.Now())),
+		rnd:    rand.New(rand.NewPCG(1, 1)),
+		stop:   make(chan struct{}),
 		client: &http.Client{
 			Timeout:   5 * time.Second,
 			Transport: &http.Transport{MaxIdleConnsPerHost: 3000, MaxIdleConns: 0, IdleConnTimeout: time.Minute},
-		}}
-	return c
+		},
+	}
 }
 
 // settings writes the settings file of each controller.
@@ -310,7 +316,9 @@
 		case status == 200:
 			x.HandleResponse(o, sent, session)
 		case status == 421 && leader != "":
-			fmt.Sscanf(leader, "n%d", &x.Node)
+			if _, err := fmt.Sscanf(leader, "n%d", &x.Node); err != nil {
+				c.b.Error(err)
+			}
 		default:
 			x.Node = (node + 1) % processNodes
 		}
--- a/cmd/violetturn/profile_test.go
+++ b/cmd/violetturn/profile_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if _, err := startProfile(filepath.Join(dir, "none"), c); err == nil {
+	if _, err = startProfile(filepath.Join(dir, "none"), c); err == nil {
 		t.Fatal("a folder that isn't there")
 	}
 	end, err := startProfile(dir, c)
--- /dev/null
+++ b/internal/api/command.go
@@ -0,0 +1,24 @@
+package api
+
+// Actions of commands to workers.
+const (
+	Launch = "launch" // start a task
+	Stop   = "halt"   // stop a task, which saves its progress within the grace
+	Clear  = "clear"  // remove an ended task
+)
+
+// Command is one command to a worker.
+type Command struct {
+	Action  string   `json:"verb"`
+	Task    string   `json:"piece"` // its name, see TaskName
+	Attempt uint64   `json:"try"`
+	GraceS  *float64 `json:"leewayS,omitempty"` // of a stop, in seconds
+}
+
+// CommandBatch is what a worker is told: in the answer to a heartbeat, or directly at /commands,
+// then with the agent epoch that it is meant for.
+type CommandBatch struct {
+	Token      uint64    `json:"baton"` // the leader's fencing token
+	AgentEpoch uint64    `json:"tenure,omitempty"`
+	Commands   []Command `json:"orders"`
+}
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -2,34 +2,31 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"strconv"
 	"strings"
 )
 
-// Task states in reports.
+// Phases of tasks in heartbeats.
 const (
-	Fetching  = "pulling"
+	Fetching  = "pulling"   // waits for its image
 	Gathering = "gathering" // of a gang: waits for the other tasks of its attempt
-	Saving    = "saving"
-	Ended     = "ended"
+	Saving    = "saving"    // was told to stop and saves
+	Ended     = "ended"     // see its cause
 )
 
 // Causes of a task's end.
 const (
-	CauseDone           = "done"
-	CauseStopped        = "stopped"
-	CauseError          = "error"
-	CauseNoRoom         = "no_room"
-	CauseBusy           = "busy"
-	CauseUnknown        = "unknown"
-	CausePeerLost       = "mates_gone" // of a gang: another task of it is gone
+	CauseDone           = "done"       // completed
+	CauseStopped        = "stopped"    // by command
+	CauseError          = "error"      // failed
+	CauseNoRoom         = "no_room"    // start refused: not enough free resources
+	CauseBusy           = "busy"       // start refused: the machine has another attempt of the task
+	CauseUnknown        = "unknown"    // start refused: no such job or task
+	CausePeerLost       = "mates_gone" // of a gang: another task of it has ended
 	CauseGangIncomplete = "alone"      // of a gang: it was not complete in time
 )
 
-// KnownPhase and KnownCause report whether PROTOCOL, as this version knows it, has such
-// a word. What it does not have is read as a task that runs, and as an end without
-// success that is nobody's fault.
+// KnownPhase reports whether PROTOCOL, as this version knows it, has such a phase of tasks. One
+// that it does not have is read as a task that runs.
 func KnownPhase(s string) bool {
 	switch s {
 	case Fetching, Gathering, Running, Saving, Ended:
@@ -38,7 +35,8 @@
 	return false
 }
 
-// KnownCause is said of causes of an end.
+// KnownCause reports whether PROTOCOL, as this version knows it, has such a cause of an end. One
+// that it does not have is read as an end without success that is nobody's fault.
 func KnownCause(s string) bool {
 	switch s {
 	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
@@ -49,72 +47,46 @@
 
 // TaskState is one task in a heartbeat.
 type TaskState struct {
-	Task    string `json:"piece"`
+	Task    string `json:"piece"` // its name, see TaskName
 	Attempt uint64 `json:"try"`
 	Phase   string `json:"phase"`
-	Cause   string `json:"cause"`
-	Saved   bool   `json:"saved"`
+	Cause   string `json:"cause"` // of the end; "" before it
+	Saved   bool   `json:"saved"` // its progress was saved when it was stopped
 }
 
 // Heartbeat is a worker's heartbeat.
 type Heartbeat struct {
 	Host        string      `json:"host"`
-	Addr        string      `json:"addr"`
+	Addr        string      `json:"addr"` // host:port for direct commands
 	MachineType string      `json:"build"`
 	Zone        string      `json:"site"`
 	Spot        bool        `json:"loaners"`
-	AgentEpoch  uint64      `json:"tenure"`
-	Sequence    uint64      `json:"tick"`
-	Token       uint64      `json:"baton"`
-	SpotNoticeS *float64    `json:"recallS"`
-	Tasks       []TaskState `json:"pieces"`
+	AgentEpoch  uint64      `json:"tenure"`  // from 1, one more each time the worker's lease expires
+	Sequence    uint64      `json:"tick"`    // one more with every message of the worker
+	Token       uint64      `json:"baton"`   // the highest fencing token that the worker has seen
+	SpotNoticeS *float64    `json:"recallS"` // seconds until the cloud takes the machine away; nil: it doesn't
+	Tasks       []TaskState `json:"pieces"`  // all on the machine, ended ones until they are cleared
 }
 
-// Newer reports whether c was made after the heartbeat (agent revision, tick).
-func (c *Heartbeat) Newer(agentEpoch, tick uint64) bool {
-	return c.AgentEpoch > agentEpoch || c.AgentEpoch == agentEpoch && c.Sequence > tick
+// Newer reports whether the heartbeat was made after the one of an agent epoch and sequence.
+func (h *Heartbeat) Newer(agentEpoch, sequence uint64) bool {
+	return h.AgentEpoch > agentEpoch || h.AgentEpoch == agentEpoch && h.Sequence > sequence
 }
 
-// ParseHeartbeat reads a heartbeat.
-func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var c Heartbeat
-	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, err
-	}
-	if c.Host == "" || c.AgentEpoch == 0 || len(c.Host) > 100 || strings.ContainsAny(c.Host, " /?&#%") {
-		return nil, errors.New("host or tenure missing")
-	}
-	return &c, nil
-}
-
-// Command is one command to a worker.
-type Command struct {
-	Action  string   `json:"verb"`
-	Task    string   `json:"piece"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"leewayS,omitempty"`
-}
-
-// Verbs of orders.
 const (
-	Launch = "launch"
-	Stop   = "halt"
-	Clear  = "clear"
+	maxHostLength = 100
+	// notInHost are the characters that a machine's name can't have: names stand in keys and paths.
+	notInHost = " /?&#%"
 )
 
-// CommandBatch answers a heartbeat, or goes to /commands (then with a agent revision).
-type CommandBatch struct {
-	Token      uint64    `json:"baton"`
-	AgentEpoch uint64    `json:"tenure,omitempty"`
-	Commands   []Command `json:"orders"`
-}
-
-// TaskName names task i of a job.
-func TaskName(uid string, i int) string { return uid + "/" + strconv.Itoa(i) }
-
-// SplitTaskName takes a task's name apart.
-func SplitTaskName(s string) (uid string, i int, ok bool) {
-	uid, n, ok := strings.Cut(s, "/")
-	i, err := strconv.Atoi(n)
-	return uid, i, ok && err == nil && i >= 0 && i < MaxTasks
+// ParseHeartbeat reads a heartbeat. Its error is a RequestError with StatusBadRequest.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var h Heartbeat
+	if err := json.Unmarshal(body, &h); err != nil {
+		return nil, Refuse(StatusBadRequest, "%v", err)
+	}
+	if h.AgentEpoch == 0 || h.Host == "" || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, notInHost) {
+		return nil, Refuse(StatusBadRequest, "host or tenure missing")
+	}
+	return &h, nil
 }
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -1,38 +1,33 @@
-// Package api holds the JSON of PROTOCOL: what users submit and workers report.
-// It is strict about what it takes: a field that is missing, of a wrong type
-// or out of range is an error, unknown fields are not.
 package api
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
-	"math"
 	"strings"
 )
 
-// Shapes of jobs.
+// Kinds of jobs.
 const (
-	Array   = "sweep"
-	Service = "daemon"
-	Gang    = "ensemble" // a gang: all tasks at the same time or none
+	Array   = "sweep"    // tasks that run and complete independently
+	Service = "daemon"   // tasks that run until the job is cancelled
+	Gang    = "ensemble" // all tasks at the same time or none
 )
 
 // Phases of jobs.
 const (
-	Pending   = "pending"
+	Pending   = "pending" // no task runs
 	Running   = "running"
-	Done      = "done"
-	Cancelled = "withdrawn"
+	Done      = "done"      // all tasks are done; final
+	Cancelled = "withdrawn" // final
 )
 
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
 
-// priorities from the most to the least important.
+// priorities maps the names of priorities to their order, from the most important one.
 var priorities = map[string]int{"production": 0, "urgent": 1, "standard": 2, "idle": 3}
 
-// PriorityOf returns the place of a rank: 0 is the most important.
+// PriorityOf returns the place of a priority in their order: 0 is the most important. It reports
+// whether there is such a priority.
 func PriorityOf(priority string) (int, bool) {
 	n, ok := priorities[priority]
 	return n, ok
@@ -41,164 +36,137 @@
 // Job is a submission. Its JSON names are also those of the job's record.
 type Job struct {
 	UID          string   `json:"uid"`
-	Class        string   `json:"lane"`
+	Class        string   `json:"lane"` // the class of jobs that objectives are set for
 	Team         string   `json:"owner"`
 	Kind         string   `json:"shape"`
 	Priority     string   `json:"rank"`
-	Tasks        int      `json:"pieces"`
-	CPUs         float64  `json:"cpus"`
-	GPUs         float64  `json:"gpus"`
-	MemGB        float64  `json:"memGb"`
-	Image        string   `json:"bundle"`
-	ImageGB      float64  `json:"sizeGb"`
-	MachineTypes []string `json:"builds"` // nil: any
-	Zone         string   `json:"site,omitempty"`
-	Together     bool     `json:"together,omitempty"`
-	Spread       bool     `json:"scatter,omitempty"`
-	Spot         bool     `json:"loaners,omitempty"`
-	EstimateS    float64  `json:"guessS,omitempty"`
-	CheckpointS  float64  `json:"bookmarkS,omitempty"`
-	SaveS        float64  `json:"stowS,omitempty"`
-	DeadlineS    *float64 `json:"dueS,omitempty"`
+	Tasks        int      `json:"pieces"`              // number of them
+	CPUs         float64  `json:"cpus"`                // of one task
+	GPUs         float64  `json:"gpus"`                // of one task
+	MemGB        float64  `json:"memGb"`               // of one task
+	Image        string   `json:"bundle"`              // that a machine must have
+	ImageGB      float64  `json:"sizeGb"`              // its size
+	MachineTypes []string `json:"builds"`              // those allowed; nil: any
+	Zone         string   `json:"site,omitempty"`      // the one allowed; "": any
+	Together     bool     `json:"together,omitempty"`  // all tasks in the same zone
+	Spread       bool     `json:"scatter,omitempty"`   // at most half of the tasks in one zone
+	Spot         bool     `json:"loaners,omitempty"`   // spot machines are allowed
+	EstimateS    float64  `json:"guessS,omitempty"`    // the user's estimate of a task's run time; 0 for services
+	CheckpointS  float64  `json:"bookmarkS,omitempty"` // between two checkpoints; 0: the task never saves
+	SaveS        float64  `json:"stowS,omitempty"`     // that a task needs to save when it is stopped
+	DeadlineS    *float64 `json:"dueS,omitempty"`      // from the submission; nil: none
 }
 
-// ValidUID reports whether a job id has the form of PROTOCOL.
-func ValidUID(s string) bool {
-	d, ok := strings.CutPrefix(s, "run-")
-	if !ok || len(d) == 0 || len(d) > 20 {
-		return false
-	}
-	for i := range len(d) {
-		if d[i] < '0' || d[i] > '9' {
-			return false
-		}
-	}
-	return true
+// State is what users are told of a job. Done and Running count tasks.
+type State struct {
+	UID     string `json:"uid"`
+	Phase   string `json:"phase"`
+	Done    int    `json:"done"`
+	Running int    `json:"running"`
 }
 
-// UIDOf reads only the id of a submission, if it has a usable one. A known id
-// is answered with its state before the rest is judged.
-func UIDOf(body []byte) (string, bool) {
-	var m map[string]json.RawMessage
-	var uid string
-	if json.Unmarshal(body, &m) != nil || json.Unmarshal(m["uid"], &uid) != nil {
-		return "", false
+// ParseJob reads a submission. Its error is a RequestError with StatusBadRequest.
+func ParseJob(body []byte) (*Job, error) {
+	r, ok := newFieldReader(body)
+	if !ok {
+		return nil, Refuse(StatusBadRequest, "not a JSON object")
 	}
-	return uid, ValidUID(uid)
-}
-
-// KindOf reads only the shape of a submission, "" if it can't be read.
-func KindOf(body []byte) string {
-	var m struct {
-		Shape string `json:"shape"`
+	j := &Job{}
+	r.readIdentity(j)
+	r.readResources(j)
+	r.readPlacement(j)
+	r.readTimes(j)
+	if r.err != nil {
+		return nil, r.err
 	}
-	_ = json.Unmarshal(body, &m) // what can't be read has no shape
-	return m.Shape
+	return j, nil
 }
 
-type jsonFields struct {
-	values map[string]json.RawMessage
-	err    error
+// readIdentity reads what a job is.
+func (r *fieldReader) readIdentity(j *Job) {
+	r.text("uid", &j.UID)
+	r.check("uid", ValidUID(j.UID))
+	r.text("lane", &j.Class)
+	r.text("owner", &j.Team)
+	r.text("shape", &j.Kind)
+	r.check("shape", j.Kind == Array || j.Kind == Service || j.Kind == Gang)
+	r.text("rank", &j.Priority)
+	_, known := PriorityOf(j.Priority)
+	r.check("rank", known)
+	r.read("pieces", &j.Tasks)
+	r.check("pieces", j.Tasks >= 1 && j.Tasks <= MaxTasks)
 }
 
-func (f *jsonFields) get(name string, nullable bool, v any) {
-	if f.err != nil {
-		return
-	}
-	raw, ok := f.values[name]
-	if !ok || string(raw) == "null" {
-		if !nullable {
-			f.err = fmt.Errorf("%s: missing", name)
-		}
-		return
-	}
-	if err := json.Unmarshal(raw, v); err != nil {
-		f.err = fmt.Errorf("%s: wrong type", name)
-	}
+// readResources reads what each task of a job needs.
+func (r *fieldReader) readResources(j *Job) {
+	r.amount("cpus", &j.CPUs)
+	r.amount("gpus", &j.GPUs)
+	r.amount("memGb", &j.MemGB)
+	r.text("bundle", &j.Image)
+	r.amount("sizeGb", &j.ImageGB)
 }
 
-func (f *jsonFields) check(name string, ok bool) {
-	if f.err == nil && !ok {
-		f.err = fmt.Errorf("%s: invalid", name)
+// readPlacement reads where the tasks of a job may run.
+func (r *fieldReader) readPlacement(j *Job) {
+	j.MachineTypes = r.texts("builds")
+	var zone *string
+	r.readNullable("site", &zone)
+	if zone != nil {
+		j.Zone = *zone
+		r.check("site", j.Zone != "")
 	}
+	r.read("together", &j.Together)
+	r.read("scatter", &j.Spread)
+	r.read("loaners", &j.Spot)
 }
 
-func (f *jsonFields) text(name string, v *string) {
-	f.get(name, false, v)
-	f.check(name, *v != "")
+// readTimes reads the times of a job, in seconds.
+func (r *fieldReader) readTimes(j *Job) {
+	r.amount("guessS", &j.EstimateS)
+	r.amount("bookmarkS", &j.CheckpointS)
+	r.amount("stowS", &j.SaveS)
+	r.readNullable("dueS", &j.DeadlineS)
+	if j.DeadlineS != nil {
+		r.check("dueS", *j.DeadlineS >= 0)
+	}
 }
 
-func (f *jsonFields) amount(name string, v *float64) {
-	f.get(name, false, v)
-	f.check(name, *v >= 0 && !math.IsInf(*v, 0))
-}
+// Bounds of a job's ID: its prefix and the number of digits after it.
+const (
+	uidPrefix    = "run-"
+	maxUIDDigits = 20
+)
 
-// ParseJob reads a submission.
-func ParseJob(body []byte) (*Job, error) {
-	f := &jsonFields{}
-	if err := json.Unmarshal(body, &f.values); err != nil || f.values == nil {
-		return nil, errors.New("not a JSON object")
-	}
-	r := &Job{}
-	f.text("uid", &r.UID)
-	f.check("uid", ValidUID(r.UID))
-	f.text("lane", &r.Class)
-	f.text("owner", &r.Team)
-	f.text("shape", &r.Kind)
-	f.check("shape", r.Kind == Array || r.Kind == Service || r.Kind == Gang)
-	f.text("rank", &r.Priority)
-	_, ok := priorities[r.Priority]
-	f.check("rank", ok)
-	f.get("pieces", false, &r.Tasks)
-	f.check("pieces", r.Tasks >= 1 && r.Tasks <= MaxTasks)
-	f.amount("cpus", &r.CPUs)
-	f.amount("gpus", &r.GPUs)
-	f.amount("memGb", &r.MemGB)
-	f.text("bundle", &r.Image)
-	f.amount("sizeGb", &r.ImageGB)
-	var machineTypes []*string
-	f.get("builds", true, &machineTypes)
-	if machineTypes != nil {
-		r.MachineTypes = []string{}
+// ValidUID reports whether a job ID has the form of PROTOCOL.
+func ValidUID(s string) bool {
+	digits, ok := strings.CutPrefix(s, uidPrefix)
+	if !ok || digits == "" || len(digits) > maxUIDDigits {
+		return false
 	}
-	for _, b := range machineTypes {
-		f.check("builds", b != nil)
-		if f.err == nil {
-			r.MachineTypes = append(r.MachineTypes, *b)
+	for i := range len(digits) {
+		if digits[i] < '0' || digits[i] > '9' {
+			return false
 		}
 	}
-	var zone *string
-	f.get("site", true, &zone)
-	if zone != nil {
-		r.Zone = *zone
-		f.check("site", r.Zone != "")
-	}
-	f.get("together", false, &r.Together)
-	f.get("scatter", false, &r.Spread)
-	f.get("loaners", false, &r.Spot)
-	f.amount("guessS", &r.EstimateS)
-	f.amount("bookmarkS", &r.CheckpointS)
-	f.amount("stowS", &r.SaveS)
-	f.get("dueS", true, &r.DeadlineS)
-	if r.DeadlineS != nil {
-		f.check("dueS", *r.DeadlineS >= 0)
-	}
-	return r, f.err
+	return true
 }
 
-// State is what users are told of a job.
-type State struct {
-	UID     string `json:"uid"`
-	Phase   string `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+// UIDOf reads only the ID of a submission and reports whether it has a valid one. A known ID is
+// answered with its state before the rest is judged.
+func UIDOf(body []byte) (string, bool) {
+	var fields map[string]json.RawMessage
+	var uid string
+	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["uid"], &uid) != nil {
+		return "", false
+	}
+	return uid, ValidUID(uid)
 }
 
-// JSON encodes a value that is known to encode.
-func JSON(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(fmt.Sprintf("api: %v", err)) // no type of ours can fail to encode
+// KindOf reads only the kind of a submission; it returns "" if that can't be read.
+func KindOf(body []byte) string {
+	var m struct {
+		Kind string `json:"shape"`
 	}
-	return b
+	_ = json.Unmarshal(body, &m) // what can't be read has no kind
+	return m.Kind
 }
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -73,7 +73,7 @@
 		"headroom": `headroom = "deviation +"`,
 		"idle_s":   `idle_s = "'long'"`,
 	} {
-		if _, err := ParsePolicy([]byte(src)); err == nil || !strings.HasPrefix(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+		if _, err = ParsePolicy([]byte(src)); err == nil || !strings.HasPrefix(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", src, err)
 		}
 	}
--- a/internal/httpwire/parser.go
+++ b/internal/httpwire/parser.go
@@ -102,12 +102,10 @@
 		return false, p.readChunk()
 	case inTrailers:
 		return p.readTrailer()
-	default: // until the stream ends
-		if len(p.buf) > p.limits.Body {
-			p.err = ErrTooLarge
-		}
-		return false, true
+	case untilClose:
+		return p.readUntilClose()
 	}
+	panic("httpwire: no such stage")
 }
 
 // readStart reads a start line.
@@ -205,6 +203,14 @@
 	return false, p.err != nil
 }
 
+// readUntilClose checks the size of a body that runs until the stream ends, which End tells.
+func (p *Parser) readUntilClose() (whole, more bool) {
+	if len(p.buf) > p.limits.Body {
+		p.err = ErrTooLarge
+	}
+	return false, true
+}
+
 // line consumes the next line and returns it without its end, or returns false when it is not
 // whole or in error. A bare line feed is refused: accepting it where another hop does not is
 // how requests are smuggled.
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -23,11 +23,12 @@
 		t.Error(item, found, err)
 	}
 	f.service.set("/keys/a/c", 404, `{"epoch":431}`)
-	if _, found, err := f.client.Get(ctx, "a/c", PriorityDecision); found || err != nil {
+	if _, found, err = f.client.Get(ctx, "a/c", PriorityDecision); found || err != nil {
 		t.Error(found, err)
 	}
 	f.service.set("/keys", 200, `{"rows":[{"k":"c/1","v":1,"stamp":2}],"truncated":false,"epoch":431}`)
-	if items, revision, err := f.client.List(ctx, "c/"); err != nil || revision != 431 || len(items) != 1 {
+	items, revision, err := f.client.List(ctx, "c/")
+	if err != nil || revision != 431 || len(items) != 1 {
 		t.Error(items, revision, err)
 	}
 	f.service.set("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -85,5 +85,9 @@
 
 // connectionOf returns the connection that an element of the table holds.
 func connectionOf(e *list.Element) *serverConn {
-	return e.Value.(*serverConn) // nothing else is put in
+	sc, ok := e.Value.(*serverConn)
+	if !ok {
+		panic("transport: the connection table holds something else")
+	}
+	return sc
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/server_test.go
@@ -51,16 +51,16 @@
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := c.Close(); err != nil {
-			t.Error(err)
+		if closeErr := c.Close(); closeErr != nil {
+			t.Error(closeErr)
 		}
 	}()
 	ctx := context.Background()
 	for range 5 {
 		for _, target := range []string{"/now", "/later"} {
-			m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
-			if err != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
-				t.Fatalf("%s: %+v %v", target, m, err)
+			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
+			if doErr != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
+				t.Fatalf("%s: %+v %v", target, m, doErr)
 			}
 		}
 	}
@@ -86,13 +86,12 @@
 	defer func() { _ = l.Close() }()
 	go func() {
 		for {
-			c, err := l.Accept()
-			if err != nil {
+			accepted, acceptErr := l.Accept()
+			if acceptErr != nil {
 				return
 			}
-			b := make([]byte, 10)
-			_, _ = c.Read(b)
-			_ = c.Close()
+			_, _ = accepted.Read(make([]byte, 10))
+			_ = accepted.Close()
 		}
 	}()
 	c, err := NewClient(httpwire.ResponseLimits)
