--- /dev/null
+++ b/internal/peer/client_test.go
@@ -0,0 +1,98 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"violetturn/internal/httpwire"
+	"violetturn/internal/transport"
+)
+
+// scriptedPeer is a controller that gives one answer, and notes the last request.
+type scriptedPeer struct {
+	t            *testing.T
+	status       int
+	body         []byte
+	method, path string
+	request      *Request
+}
+
+// ServeHTTP implements http.Handler.
+func (s *scriptedPeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.method, s.path, s.request = r.Method, r.URL.Path, &Request{}
+	encoded, err := io.ReadAll(r.Body)
+	if err != nil {
+		s.t.Error(err)
+	}
+	if err := proto.Unmarshal(encoded, s.request); err != nil {
+		s.t.Error(err)
+	}
+	w.WriteHeader(s.status)
+	_, _ = w.Write(s.body) // the client notices what is missing
+}
+
+// newClient starts a scripted peer and returns a client and the server.
+func newClient(t *testing.T, peer *scriptedPeer) (*Client, *httptest.Server) {
+	t.Helper()
+	server := httptest.NewServer(peer)
+	t.Cleanup(server.Close)
+	h, err := transport.NewClient(httpwire.ResponseLimits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if closeErr := h.Close(); closeErr != nil {
+			t.Error(closeErr)
+		}
+	})
+	return New(h), server
+}
+
+// question is what the tests ask.
+func question() *Request { return &Request{Kind: Request_KIND_QUERY, From: "n0", Uid: "run-1"} }
+
+// A question reaches the peer as it was asked, and its reply comes back.
+func TestAsk(t *testing.T) {
+	want := &Reply{StoreReached: true, Status: 200, Body: []byte("b"), RetryAfter: 3}
+	encoded, err := proto.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer := &scriptedPeer{t: t, status: 200, body: encoded}
+	client, server := newClient(t, peer)
+	got, err := client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+	if err != nil || !proto.Equal(want, got) {
+		t.Error(got, err)
+	}
+	if peer.method != "POST" || peer.path != Path || !proto.Equal(question(), peer.request) {
+		t.Errorf("%s %s %v", peer.method, peer.path, peer.request)
+	}
+}
+
+// Another status than 200, an answer that is no reply and no answer at all are errors.
+func TestAskInVain(t *testing.T) {
+	peer := &scriptedPeer{t: t, status: 404}
+	client, server := newClient(t, peer)
+	ask := func() (*Reply, error) {
+		return client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+	}
+	var refused *StatusError
+	if reply, err := ask(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
+		t.Error(reply, err)
+	}
+	peer.status, peer.body = 200, []byte{0xff}
+	if reply, err := ask(); err == nil || reply != nil {
+		t.Error("taken for a reply:", reply)
+	}
+	server.Close()
+	if reply, err := ask(); err == nil || reply != nil {
+		t.Error("a peer that is not there answers:", reply)
+	}
+}
