--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -49,11 +49,12 @@
 	files     []string
 	features  string
 	processes []*exec.Cmd
-	uids      []string
+	uids      []string   // of all jobs
 	readers   []string   // of them, the services in zone x
 	history   []startInX // guarded by the server's lock
 }
 
+// newZoneCluster starts the controllers, workers and services of a zone cluster.
 func newZoneCluster(t *testing.T) *zoneCluster {
 	t.Helper()
 	z := &zoneCluster{t: t, cluster: newCluster(t, loopbackDeployment()), processes: make([]*exec.Cmd, processNodes)}
@@ -66,7 +67,7 @@
 	if err := os.WriteFile(z.features, []byte("[zone_recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	z.files = z.settings(dir)
+	z.files = z.writeSettings(dir)
 	z.server.With(func(w *simulator.World) {
 		w.ListLag = time.Second
 		w.OnTaskStarted = func(x *simulator.Worker, uid string) {
@@ -80,7 +81,7 @@
 	}
 	t.Cleanup(z.end)
 	z.every(50*time.Millisecond, z.server.Tick)
-	z.workers()
+	z.playWorkers()
 	return z
 }
 
@@ -99,6 +100,7 @@
 	return n
 }
 
+// start starts a controller, which logs into a file of its own.
 func (z *zoneCluster) start(i int) {
 	z.t.Helper()
 	name := filepath.Join(filepath.Dir(z.program), fmt.Sprintf("n%d.log", i))
@@ -145,27 +147,27 @@
 }
 
 // submit submits a job until a controller accepts it.
-func (z *zoneCluster) submit(change func(r *api.Job), runTime time.Duration) string {
+func (z *zoneCluster) submit(change func(*api.Job), runTime time.Duration) string {
 	z.t.Helper()
-	run := api.Job{
+	job := api.Job{
 		UID: fmt.Sprintf("run-%06d", len(z.uids)), Class: "array", Team: "a", Kind: api.Array, Priority: "idle", Tasks: loopbackTasks,
 		CPUs: 4, GPUs: 1, MemGB: 29, Image: "array", ImageGB: 1, Zone: "x",
 	}
-	change(&run)
-	z.uids = append(z.uids, run.UID)
+	change(&job)
+	z.uids = append(z.uids, job.UID)
 	z.server.With(func(w *simulator.World) {
-		w.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
+		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, Done: map[int]bool{}}
 	})
-	z.wait(run.UID+" is accepted", func() bool {
-		status, body := z.send(z.random(processNodes), "POST", "/v2/runs", simulator.Submission(&run))
-		z.told(run.UID, status, body, true)
+	z.wait(job.UID+" is accepted", func() bool {
+		status, body := z.send(z.randomBelow(processNodes), "POST", "/v2/runs", simulator.Submission(&job))
+		z.checkAnswer(job.UID, status, body, true)
 		return status == 200 || status == 201
 	})
-	return run.UID
+	return job.UID
 }
 
-// told has the world check what a user was told.
-func (z *zoneCluster) told(uid string, status int, body []byte, submission bool) (phase string) {
+// checkAnswer has the world check what a user was told, and returns the phase.
+func (z *zoneCluster) checkAnswer(uid string, status int, body []byte, submission bool) (phase string) {
 	var a struct {
 		Phase string `json:"phase"`
 	}
@@ -220,16 +222,17 @@
 	return withReaders, others
 }
 
-func (z *zoneCluster) cut(machines []*simulator.Worker, cut bool) {
+// partition cuts machines off from the network, or ends that.
+func (z *zoneCluster) partition(machines []*simulator.Worker, cutOff bool) {
 	z.server.With(func(*simulator.World) {
 		for _, x := range machines {
-			x.Partitioned = cut
+			x.Partitioned = cutOff
 		}
 	})
 }
 
-// lose has machines end for good.
-func (z *zoneCluster) lose(machines []*simulator.Worker) {
+// terminate has machines end for good.
+func (z *zoneCluster) terminate(machines []*simulator.Worker) {
 	z.server.With(func(w *simulator.World) {
 		for _, x := range machines {
 			w.Cloud.Kill(x.Host)
@@ -295,8 +298,8 @@
 	z.flaps()
 	for _, uid := range arrays {
 		z.wait(uid+" is done", func() bool {
-			status, body := z.send(z.random(processNodes), "GET", "/v2/runs/"+uid, nil)
-			return z.told(uid, status, body, false) == api.Done
+			status, body := z.send(z.randomBelow(processNodes), "GET", "/v2/runs/"+uid, nil)
+			return z.checkAnswer(uid, status, body, false) == api.Done
 		})
 	}
 	z.server.With(func(w *simulator.World) {
@@ -309,8 +312,8 @@
 // fill has readers and arrays run in zone x, and readers elsewhere. It returns the arrays.
 func (z *zoneCluster) fill() (arrays []string) {
 	service := func(zone string, tasks int) func(*api.Job) {
-		return func(r *api.Job) {
-			r.Class, r.Kind, r.Priority, r.Tasks, r.Zone, r.Image = "service", api.Service, "production", tasks, zone, "reader"
+		return func(j *api.Job) {
+			j.Class, j.Kind, j.Priority, j.Tasks, j.Zone, j.Image = "service", api.Service, "production", tasks, zone, "reader"
 		}
 	}
 	z.submit(service("y", 6), 0)
@@ -330,14 +333,14 @@
 func (z *zoneCluster) partReturns() {
 	withReaders, others := z.machines()
 	z.kill(0)
-	z.cut(withReaders, true)
-	z.cut(others, true)
+	z.partition(withReaders, true)
+	z.partition(others, true)
 	z.wait("the zone is down", z.zoneIs("down"))
 	z.waitEmpty(append(withReaders, others...))
 	const returning = 5
-	z.lose(append(withReaders, others[returning:]...))
+	z.terminate(append(withReaders, others[returning:]...))
 	returned := z.now()
-	z.cut(others[:returning], false)
+	z.partition(others[:returning], false)
 	z.start(0)
 	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
 	z.checkReadersFirst("part returned", returned, returning)
@@ -361,13 +364,13 @@
 func (z *zoneCluster) flaps() {
 	withReaders, others := z.machines()
 	all := append(withReaders, others...)
-	z.cut(all, true)
+	z.partition(all, true)
 	z.wait("the zone is down again", z.zoneIs("down"))
-	z.cut(all, false)
+	z.partition(all, false)
 	z.wait("the zone returns", func() bool { return !z.zoneIs("down")() })
-	z.cut(all, true)
+	z.partition(all, true)
 	z.waitEmpty(all)
-	z.cut(all, false)
+	z.partition(all, false)
 	z.server.With(func(w *simulator.World) { w.Cloud.Full = false })
 	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
 }
