--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -208,9 +208,9 @@
 	})
 }
 
-// What a controller vouches for holds for nothing it may have done before it could
+// What a controller acknowledges holds for nothing it may have done before it could
 // tell: right after its start, beyond what it keeps, or asked by who has read more.
-func TestVouching(t *testing.T) {
+func TestAcknowledgement(t *testing.T) {
 	s := warmSim()
 	id := s.job(func(r *api.Job, _ *time.Duration) { r.Kind = api.Service })
 	for range 30 {
@@ -236,38 +236,38 @@
 	}
 	s.start(1)
 	if s.nodes[1].c.testState().Leadership.Acknowledgement(before).GetComplete() {
-		t.Error("it vouches before it has read what there is")
+		t.Error("it acknowledges before it has read what there is")
 	}
 	for range 4 {
 		s.round()
 	}
 	if s.nodes[1].c.testState().Leadership.Acknowledgement(before).GetComplete() {
-		t.Error("it vouches for its earlier life")
+		t.Error("it acknowledges for its earlier life")
 	}
 	if !s.nodes[1].c.testState().Leadership.Acknowledgement(s.nodes[1].c.testState().Cache.Revision).GetComplete() {
-		t.Error("it never vouches again")
+		t.Error("it never acknowledges again")
 	}
 
 	// A leader's time counts from the oldest of all its peers' answers, and one that
 	// does not know the question, or can't say, is as good as silent.
 	o := s.nodes[0].c
 	now := o.testState().Node.Now()
-	o.testState().Leadership.NoteAcknowledgement("n1", &peer.Vouch{Complete: true}, now)
+	o.testState().Leadership.NoteAcknowledgement("n1", &peer.Acknowledgement{Complete: true}, now)
 	if !o.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
-		t.Error("one peer of two vouches for both")
+		t.Error("one peer of two acknowledges for both")
 	}
-	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Vouch{Complete: true}, now.Add(-time.Second))
+	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{Complete: true}, now.Add(-time.Second))
 	o.testState().Leadership.NoteAcknowledgement("n2", nil, now)
-	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Vouch{}, now)
+	o.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{}, now)
 	if got := o.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
-		t.Errorf("vouched until %v, not the oldest answer's %v", got, now.Add(-time.Second))
+		t.Errorf("acknowledged until %v, not the oldest answer's %v", got, now.Add(-time.Second))
 	}
 	o.testState().Node.Settings.Facts.Size = 4
 	if !o.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
-		t.Error("a controller that can't be asked is vouched for")
+		t.Error("a controller that can't be asked counts as acknowledging")
 	}
 	old := &peer.Reply{StoreReached: true, Status: 404}
-	if old.GetVouch().GetComplete() {
+	if old.GetAcknowledgement().GetComplete() {
 		t.Error("the version in production vouches")
 	}
 }
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -196,16 +196,16 @@
 // peerMessages are the messages between controllers.
 func peerMessages() []golden {
 	return []golden{
-		{"peer.Request", &peer.Request{Kind: peer.Request_KIND_VOUCH, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9}},
+		{"peer.Request", &peer.Request{Kind: peer.Request_KIND_ACKNOWLEDGE, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9}},
 		{"peer.Reply", &peer.Reply{
 			StoreReached: true,
 			Status:       200,
 			Body:         []byte("b"),
 			RetryAfter:   3,
-			Vouch: &peer.Vouch{
-				Complete:  true,
-				Cancelled: []string{"run-1"},
-				Tenancies: []*peer.Tenancy{{Part: "n0", Owner: "n1", Term: 6}},
+			Acknowledgement: &peer.Acknowledgement{
+				Complete:     true,
+				Cancelled:    []string{"run-1"},
+				ShardLeaders: []*peer.ShardLeader{{Shard: "n0", Leader: "n1", Term: 6}},
 			},
 		}},
 	}
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -51,8 +51,8 @@
 		{"peer.Request query", &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: "run-1"}},
 		{"peer.Request cancel", &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: "run-1"}},
 		{"peer.Reply without acknowledgement", &peer.Reply{StoreReached: true, Status: 404}},
-		{"peer.Vouch", &peer.Vouch{Complete: true}},
-		{"peer.Tenancy", &peer.Tenancy{Part: "n0", Owner: "n1", Term: 6}},
+		{"peer.Vouch", &peer.Acknowledgement{Complete: true}},
+		{"peer.Tenancy", &peer.ShardLeader{Shard: "n0", Leader: "n1", Term: 6}},
 	}
 }
 
@@ -88,5 +88,5 @@
 	"peer request submit":        peer.Request_KIND_SUBMIT,
 	"peer request query":         peer.Request_KIND_QUERY,
 	"peer request cancel":        peer.Request_KIND_CANCEL,
-	"peer request acknowledging": peer.Request_KIND_VOUCH,
+	"peer request acknowledging": peer.Request_KIND_ACKNOWLEDGE,
 }
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -7,8 +7,8 @@
 )
 
 // Acknowledgement says what this node has done after a revision, up to now.
-func (l *Table) Acknowledgement(since uint64) *peer.Vouch {
-	v := &peer.Vouch{Complete: l.cache.Loaded && since >= l.cache.CancellationsCompleteFrom}
+func (l *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
+	v := &peer.Acknowledgement{Complete: l.cache.Loaded && since >= l.cache.CancellationsCompleteFrom}
 	if !v.Complete {
 		return v
 	}
@@ -19,11 +19,11 @@
 	}
 	for _, p := range l.node.Shards {
 		if rec, own := l.cache.Capacities[p].Record, l.cache.Leaders[p].Record; rec != nil {
-			t := &peer.Tenancy{Part: p, Owner: rec.Leader, Term: rec.Term}
+			t := &peer.ShardLeader{Shard: p, Leader: rec.Leader, Term: rec.Term}
 			if own != nil && own.Term > t.Term {
-				t.Owner, t.Term = own.Node, own.Term
+				t.Leader, t.Term = own.Node, own.Term
 			}
-			v.Tenancies = append(v.Tenancies, t)
+			v.ShardLeaders = append(v.ShardLeaders, t)
 		}
 	}
 	return v
@@ -31,17 +31,17 @@
 
 // NoteAcknowledgement takes in what a peer answers for, asked at the given time with the given
 // revision.
-func (l *Table) NoteAcknowledgement(node string, v *peer.Vouch, sent time.Time) {
+func (l *Table) NoteAcknowledgement(node string, v *peer.Acknowledgement, sent time.Time) {
 	if !v.GetComplete() || !l.cache.Loaded {
 		return
 	}
 	for _, uid := range v.GetCancelled() {
 		l.cache.NoteCancelledByPeer(uid)
 	}
-	for _, t := range v.GetTenancies() {
-		if o := l.ByShard[t.GetPart()]; o != nil && t.GetTerm() > o.Term && o.Successor == "" {
-			l.node.Log.Info("shard acquired by a peer", "shard", t.GetPart(), "leader", t.GetOwner(), "term", t.GetTerm())
-			o.Successor = t.GetOwner()
+	for _, t := range v.GetShardLeaders() {
+		if o := l.ByShard[t.GetShard()]; o != nil && t.GetTerm() > o.Term && o.Successor == "" {
+			l.node.Log.Info("shard acquired by a peer", "shard", t.GetShard(), "leader", t.GetLeader(), "term", t.GetTerm())
+			o.Successor = t.GetLeader()
 		}
 	}
 	if sent.After(l.acknowledgedUntil[node]) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -73,16 +73,16 @@
 // than our sight of the state service, and we can.
 func (pm *Membership) ServesForPeer(r *peer.Request) bool {
 	k := r.GetKind()
-	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_VOUCH && pm.canServe()
+	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_ACKNOWLEDGE && pm.canServe()
 }
 
 // PeerStatus answers a peer what this node sees of the state service and, if asked, what
 // it has done.
 func (pm *Membership) PeerStatus(r *peer.Request) *peer.Reply {
 	a := &peer.Reply{StoreReached: pm.canServe()}
-	if r.GetKind() == peer.Request_KIND_VOUCH {
+	if r.GetKind() == peer.Request_KIND_ACKNOWLEDGE {
 		state := pm.guard.Lock()
-		a.Vouch = state.Leadership.Acknowledgement(r.GetSince())
+		a.Acknowledgement = state.Leadership.Acknowledgement(r.GetSince())
 		pm.guard.Unlock()
 	}
 	return a
@@ -96,7 +96,7 @@
 	r, err := pm.services.Peers.Ask(
 		ctx,
 		addr,
-		&peer.Request{Kind: peer.Request_KIND_VOUCH, From: pm.node.Settings.HostName, Since: since},
+		&peer.Request{Kind: peer.Request_KIND_ACKNOWLEDGE, From: pm.node.Settings.HostName, Since: since},
 		pm.node.Settings.ControllerLeaseTTL()/4,
 	)
 	state = pm.guard.Lock()
@@ -106,5 +106,5 @@
 		return
 	}
 	state.Reachability.Peers[name] = r.GetStoreReached()
-	state.Leadership.NoteAcknowledgement(name, r.GetVouch(), sent)
+	state.Leadership.NoteAcknowledgement(name, r.GetAcknowledgement(), sent)
 }
