--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -66,11 +66,15 @@
 	c.node.Features = on
 	c.http = h
 	low := cfg.LowestLimits()
-	c.services.Store = store.New(
-		h, cfg.External.State, cfg.ControllerLeaseTTL()/3,
-		store.Limits{RPS: cfg.Facts.State.RPS, WriteRPS: cfg.Facts.State.WriteRPS},
-		store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS}, cfg.Facts.Size, c.sync.NoteStoreAnswer,
-	)
+	c.services.Store = store.New(store.Options{
+		HTTP:        h,
+		Addr:        cfg.External.State,
+		Deadline:    cfg.ControllerLeaseTTL() / 3,
+		Limits:      store.Limits{RPS: cfg.Facts.State.RPS, WriteRPS: cfg.Facts.State.WriteRPS},
+		Next:        store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS},
+		Controllers: cfg.Facts.Size,
+		OnAnswer:    c.sync.NoteStoreAnswer,
+	})
 	c.services.Cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
 	c.services.Workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
 	c.services.Peers = peer.New(h)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -41,11 +41,11 @@
 	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
-func (b *budgetedStore) Multi(ctx context.Context, t *store.Txn, r store.Priority) (uint64, bool, []string, error) {
+func (b *budgetedStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	if _, ok := b.budget.Take(b.now(), float64(len(t.Ops)), 0); !ok {
-		return 0, false, nil, store.ErrRefused
+		return store.CommitResult{}, store.ErrRefused
 	}
-	return b.Client.Multi(ctx, t, r)
+	return b.Client.Commit(ctx, t, r)
 }
 
 // loadSim plays a deployment at its size, and measures what its controllers do.
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -164,7 +164,7 @@
 	return out, revision, err
 }
 
-func (p *productionStore) Multi(ctx context.Context, t *store.Txn, r store.Priority) (uint64, bool, []string, error) {
+func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
 		if op.Drop == "" {
@@ -179,7 +179,7 @@
 		}
 		u.Ops = append(u.Ops, op)
 	}
-	return p.StateService.Multi(ctx, u, r)
+	return p.StateService.Commit(ctx, u, r)
 }
 
 // same reports whether two records say the same.
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -16,7 +16,7 @@
 		Get(ctx context.Context, key string, r store.Priority) (it store.Item, found bool, err error)
 		List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
 		Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error)
-		Multi(ctx context.Context, t *store.Txn, r store.Priority) (revision uint64, ok bool, failed []string, err error)
+		Commit(ctx context.Context, t *store.Txn, p store.Priority) (store.CommitResult, error)
 		AwaitWrites(ctx context.Context, n int, r store.Priority) int
 		SetControllers(controllers int)
 		ReserveForGangs(changes float64)
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -164,7 +164,7 @@
 		return
 	}
 	s.mu.Lock()
-	revision, committed, failed, err := s.w.Store.apply(&t)
+	result, err := s.w.Store.apply(&t)
 	s.announce()
 	s.mu.Unlock()
 	switch {
@@ -172,10 +172,10 @@
 		writeJSON(out, http.StatusBadRequest, errorResponse{"no such lease"})
 	case err != nil:
 		writeJSON(out, http.StatusBadRequest, errorResponse{err.Error()})
-	case !committed:
-		writeJSON(out, http.StatusConflict, conflictResponse{failed, revision})
+	case !result.Committed:
+		writeJSON(out, http.StatusConflict, conflictResponse{result.Conflicts, result.Revision})
 	default:
-		writeJSON(out, http.StatusOK, revisionResponse{revision})
+		writeJSON(out, http.StatusOK, revisionResponse{result.Revision})
 	}
 }
 
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -59,26 +59,26 @@
 	return c.S.changes(prefix, since)
 }
 
-// Multi commits a transaction, subject to the fault set for the node's next one.
-func (c *Client) Multi(_ context.Context, t *store.Txn, _ store.Priority) (uint64, bool, []string, error) {
+// Commit commits a transaction, subject to the fault set for the node's next one.
+func (c *Client) Commit(_ context.Context, t *store.Txn, _ store.Priority) (store.CommitResult, error) {
 	if stall := c.BeforeCommit; stall != nil {
 		c.BeforeCommit = nil
 		stall()
 	}
 	if err := c.checkAvailable(); err != nil {
-		return 0, false, nil, err
+		return store.CommitResult{}, err
 	}
 	c.S.Writes += len(t.Ops)
 	c.checkSize(t)
 	switch c.S.takeNext(c.Node) {
 	case LoseBefore:
-		return 0, false, nil, store.ErrUnknown
+		return store.CommitResult{}, store.ErrUnknown
 	case Late:
 		c.S.late = append(c.S.late, t)
-		return 0, false, nil, store.ErrUnknown
+		return store.CommitResult{}, store.ErrUnknown
 	case LoseAfter:
-		_, _, _, _ = c.S.apply(t) // the response is lost
-		return 0, false, nil, store.ErrUnknown
+		_, _ = c.S.apply(t) // the response is lost
+		return store.CommitResult{}, store.ErrUnknown
 	}
 	return c.S.apply(t)
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -103,37 +103,37 @@
 	late := s.late
 	s.late = nil
 	for _, t := range late {
-		_, _, _, _ = s.apply(t) // nobody hears the response
+		_, _ = s.apply(t) // nobody hears the response
 	}
 }
 
-// apply carries out a transaction. It returns the revision, whether the transaction was
-// committed, and the keys whose preconditions failed.
+// apply carries out a transaction and returns its outcome.
 //
 // It returns store.ErrTooLarge and store.ErrNoLease for transactions that are refused.
-func (s *Store) apply(t *store.Txn) (revision uint64, committed bool, failed []string, err error) {
+func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
 		s.TooLarge++
-		return 0, false, nil, store.ErrTooLarge
+		return store.CommitResult{}, store.ErrTooLarge
 	}
 	for _, op := range t.Ops {
 		if op.Lease != nil && s.leases[*op.Lease] == nil {
-			return 0, false, nil, store.ErrNoLease
+			return store.CommitResult{}, store.ErrNoLease
 		}
 	}
+	var conflicts []string
 	for _, g := range t.Preconditions {
 		if s.keys[g.Key].version != g.Version {
-			failed = append(failed, g.Key)
+			conflicts = append(conflicts, g.Key)
 		}
 	}
-	if failed != nil {
-		return s.revision, false, failed, nil
+	if conflicts != nil {
+		return store.CommitResult{Revision: s.revision, Conflicts: conflicts}, nil
 	}
 	s.revision++
 	for _, op := range t.Ops {
 		s.applyOp(op)
 	}
-	return s.revision, true, nil, nil
+	return store.CommitResult{Committed: true, Revision: s.revision}, nil
 }
 
 // applyOp carries out one change of a transaction, at the current revision.
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -50,7 +50,7 @@
 			w := newTestWorld()
 			c := newTestClient(w)
 			w.Store.Next["n0"] = x.fault
-			if _, _, _, err := c.Multi(context.Background(), write("a"), 0); !errors.Is(err, x.err) {
+			if _, err := c.Commit(context.Background(), write("a"), 0); !errors.Is(err, x.err) {
 				t.Errorf("error %v", err)
 			}
 			if n := len(w.Store.Items("")); n != x.atOnce {
@@ -60,8 +60,8 @@
 			if n := len(w.Store.Items("")); n != x.afterDeliveries {
 				t.Errorf("%d keys after all deliveries", n)
 			}
-			if _, ok, _, err := c.Multi(context.Background(), write("b"), 0); !ok || err != nil {
-				t.Errorf("the next transaction: %t, %v", ok, err)
+			if result, err := c.Commit(context.Background(), write("b"), 0); !result.Committed || err != nil {
+				t.Errorf("the next transaction: %+v, %v", result, err)
 			}
 		})
 	}
@@ -71,15 +71,15 @@
 func TestPreconditions(t *testing.T) {
 	w := newTestWorld()
 	c := newTestClient(w)
-	revision, _, _, _ := c.Multi(context.Background(), write("a", "b"), 0)
+	first, _ := c.Commit(context.Background(), write("a", "b"), 0) // a failure shows below
 	stale := write("a")
-	stale.Preconditions = []store.Precondition{{Key: "a", Version: revision}, {Key: "b"}}
-	_, ok, failed, err := c.Multi(context.Background(), stale, 0)
-	if ok || err != nil || len(failed) != 1 || failed[0] != "b" {
-		t.Errorf("committed %t, failed %v, %v", ok, failed, err)
+	stale.Preconditions = []store.Precondition{{Key: "a", Version: first.Revision}, {Key: "b"}}
+	result, err := c.Commit(context.Background(), stale, 0)
+	if result.Committed || err != nil || len(result.Conflicts) != 1 || result.Conflicts[0] != "b" {
+		t.Errorf("%+v, %v", result, err)
 	}
 	changes, now, err := c.Changes(context.Background(), "", 0, 0)
-	if err != nil || now != revision || len(changes) != 2 {
+	if err != nil || now != first.Revision || len(changes) != 2 {
 		t.Errorf("revision %d, changes %v, %v", now, changes, err)
 	}
 }
@@ -96,7 +96,7 @@
 		}
 		txn := write(key)
 		txn.Ops[0].Lease = &id
-		if _, ok, _, err := c.Multi(context.Background(), txn, 0); !ok {
+		if result, err := c.Commit(context.Background(), txn, 0); !result.Committed {
 			t.Fatal(err)
 		}
 	}
@@ -122,10 +122,10 @@
 func TestExpiredHistory(t *testing.T) {
 	w := newTestWorld()
 	c := newTestClient(w)
-	revision, _, _, _ := c.Multi(context.Background(), write("a"), 0)
+	result, _ := c.Commit(context.Background(), write("a"), 0) // a failure shows below
 	w.Store.ExpireHistory()
-	if _, _, err := c.Changes(context.Background(), "", revision, 0); !errors.Is(err, store.ErrTooOld) {
-		t.Errorf("changes since %d: %v", revision, err)
+	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrTooOld) {
+		t.Errorf("changes since %d: %v", result.Revision, err)
 	}
 	if _, _, err := c.Changes(context.Background(), "", w.Store.revision-1, 0); err != nil {
 		t.Errorf("the last change: %v", err)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -52,8 +52,8 @@
 	writeRefusals []time.Time // of changes, the last ones
 }
 
-// newClient makes a client.
-func newClient(o Options) *Client {
+// New makes a client.
+func New(o Options) *Client {
 	requests, writes, burst := o.Limits.rateShare(o.Controllers)
 	return &Client{
 		http:        o.HTTP,
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -83,7 +83,7 @@
 			t.Error(err)
 		}
 	})
-	f.client = newClient(Options{
+	f.client = New(Options{
 		HTTP:        client,
 		Addr:        addr,
 		Deadline:    time.Minute,
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -40,23 +40,23 @@
 // false when it surely did not commit or when that is not known.
 func (y *Sync) Commit(ctx context.Context, what string, t *statecache.Transaction, r store.Priority) (done bool, failed []string, err error) {
 	w := t.Request()
-	revision, ok, failed, err := y.services.Store.Multi(ctx, w, r)
+	result, err := y.services.Store.Commit(ctx, w, r)
 	state := y.guard.Lock()
 	n := state.Stats.Commits[what]
 	n.Writes += len(w.Ops)
 	n.Transactions++
 	if err != nil {
 		n.Failed++
-	} else if !ok {
+	} else if !result.Committed {
 		n.Conflicts++
 		n.ConflictedWrites += len(w.Ops)
-		y.node.Log.Debug("transaction conflict", "for", what, "keys", failed)
+		y.node.Log.Debug("transaction conflict", "for", what, "keys", result.Conflicts)
 	}
 	state.Stats.Commits[what] = n
 	y.guard.Unlock()
-	if err == nil && ok {
+	if err == nil && result.Committed {
 		state = y.guard.Lock()
-		state.Cache.ApplyCommitted(t, revision)
+		state.Cache.ApplyCommitted(t, result.Revision)
 		y.guard.Unlock()
 		return true, nil, nil
 	}
@@ -68,5 +68,5 @@
 	}
 	// Refused, beaten by a conflicting write or in doubt: what it wrote shows in the log of changes.
 	_ = y.AwaitReadBarrier(ctx)
-	return false, failed, err
+	return false, result.Conflicts, err
 }
