--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -168,9 +168,9 @@
 // StopCommand is the order that stops a task, with time to save if it can and is worth it.
 func (reg *Registry) StopCommand(j *statecache.Job, a AttemptID) api.Command {
 	leeway := 0.0
-	if statecache.SavesOnStop(j) {
+	if j.SavesOnStop() {
 		leeway = j.Record.Spec.SaveS * 2
-		if statecache.IsGang(j) {
+		if j.IsGang() {
 			leeway += reg.node.Settings.GangPeerTimeout().Seconds() // each waits for all others' saves
 		}
 	}
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -30,7 +30,7 @@
 // NoteEnd notes that an attempt is over.
 func (reg *Registry) NoteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
 	s.EndedAttempts[id] = r
-	delete(reg.cache.Loads, host)
+	reg.cache.InvalidateLoad(host)
 }
 
 // EndedTasks looks over the machines of own shards and collects the attempts that
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	need := 2*j.Record.Spec.SaveS + 2*reg.node.Settings.HeartbeatInterval().Seconds()
-	if statecache.IsGang(j) {
+	if j.IsGang() {
 		need += reg.node.Settings.GangPeerTimeout().Seconds() // to tell all of them
 	}
 	return *s.Heartbeat.SpotNoticeS <= need
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -12,7 +12,7 @@
 // Drop drops a machine's session.
 func (reg *Registry) Drop(host string) {
 	delete(reg.ByHost, host)
-	delete(reg.cache.Loads, host)
+	reg.cache.InvalidateLoad(host)
 }
 
 // Of returns the session of a machine of an own shard.
@@ -21,7 +21,7 @@
 	if s == nil || s.Term != o.Term {
 		s = shard.NewAgent(o.Term, reg.node.Now(), o.PredecessorAnswersUntil)
 		reg.ByHost[host] = s
-		delete(reg.cache.Loads, host)
+		reg.cache.InvalidateLoad(host)
 	}
 	return s
 }
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -119,7 +119,7 @@
 			if j == nil || j.Record.Spec.Class != class {
 				continue
 			}
-			ran := now.Sub(time.UnixMilli(statecache.PlacedAtMS(j, pl)))
+			ran := now.Sub(time.UnixMilli(j.PlacedAtMS(pl)))
 			if (ran + boot).Seconds() > as.estimates.EstimatedRuntime(&j.Record.Spec) {
 				grow--
 			}
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -12,7 +12,7 @@
 // PutCapacityRecord writes a shard's capacity record.
 func (acc *Accounts) PutCapacityRecord(t *statecache.Transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
 	rec := acc.cache.Capacities[p]
-	t.Require(statecache.CapacityPrefix+p, rec.Version)
+	t.Require(statecache.CapacityKey(p), rec.Version)
 	r := shard.CapacityRecord{
 		Term:               rec.Record.Term,
 		Leader:             rec.Record.Leader,
@@ -29,7 +29,7 @@
 			"the capacity record is full; left out are those that peers are least likely to use",
 		)
 	}
-	t.PutCapacity(statecache.CapacityPrefix+p, &r)
+	t.PutCapacity(statecache.CapacityKey(p), &r)
 }
 
 // StillOffered reports whether every machine that is offered has the room that it is offered
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -86,21 +86,20 @@
 	teams := map[string]shard.QuotaRecord{}
 	for p, byTeam := range shares {
 		for name, r := range byTeam {
-			id := statecache.QuotaID(name)
-			u, ok := teams[id]
+			u, ok := teams[name]
 			if !ok {
 				u = shard.QuotaRecord{Held: map[string][3]float64{}}
-				if old := acc.cache.Quotas[id].Record; old != nil {
+				if old := acc.cache.Quotas[statecache.QuotaID(name)].Record; old != nil {
 					maps.Copy(u.Held, old.Held)
 				}
-				teams[id] = u
+				teams[name] = u
 			}
 			u.Held[p] = shard.Vec(r)
 		}
 	}
-	for id, u := range teams {
-		t.Require(statecache.QuotaPrefix+id, acc.cache.Quotas[id].Version)
-		t.Put(statecache.QuotaPrefix+id, u)
+	for name, u := range teams {
+		t.Require(statecache.QuotaKey(name), acc.cache.Quotas[statecache.QuotaID(name)].Version)
+		t.Put(statecache.QuotaKey(name), u)
 	}
 }
 
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -16,7 +16,7 @@
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (places, the jobs' records, Releases) drops it.
 func (mr *Room) LoadOf(host string) *statecache.MachineLoad {
-	l := mr.cache.Loads[host]
+	l := mr.cache.Load(host)
 	if l != nil {
 		return l
 	}
@@ -46,7 +46,7 @@
 			l.RunningByPriority[priority] = l.RunningByPriority[priority].Add(n)
 		}
 	}
-	mr.cache.Loads[host] = l
+	mr.cache.KeepLoad(host, l)
 	return l
 }
 
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -45,15 +45,15 @@
 		version++
 		c.testState().Cache.Apply(key, api.JSON(v), version)
 	}
-	apply(statecache.LeaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.node.Incarnation, Term: 1})
+	apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: c.node.Incarnation, Term: 1})
 	c.testState().Leadership.ByShard["n0"] = &leadership.Leadership{Term: 1, Version: version}
-	apply(statecache.CapacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
+	apply(statecache.CapacityKey("n0"), shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	page := shard.Page{}
 	for i := range machines {
 		host := fmt.Sprintf("i-%06d", i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
 		if id := statecache.PageID(host, statecache.CoarsestPageCut); i == machines-1 || id != statecache.PageID(fmt.Sprintf("i-%06d", i+1), statecache.CoarsestPageCut) {
-			apply(statecache.MachinePagePrefix+id, page)
+			apply(statecache.MachinePageKey(id), page)
 			page = shard.Page{}
 		}
 	}
@@ -77,11 +77,11 @@
 				m.InlineRange.Place(k, fmt.Sprintf("i-%06d", i+k/2), 0)
 			}
 		}
-		apply(statecache.JobPrefix+m.Spec.UID, m)
+		apply(statecache.JobKey(m.Spec.UID), m)
 	}
 	for i := range waiting {
 		m := run(500_000+i, []string{"production", "standard"}[i%2])
-		apply(statecache.JobPrefix+m.Spec.UID, m)
+		apply(statecache.JobKey(m.Spec.UID), m)
 	}
 	for h := range c.testState().Cache.Machines {
 		s := c.testState().Agents.Of(h, c.testState().Leadership.ByShard["n0"])
@@ -142,12 +142,12 @@
 		for key, version := range c.testState().Cache.Versions {
 			var v any
 			switch {
-			case strings.HasPrefix(key, statecache.JobPrefix):
-				v = c.testState().Cache.Jobs[key[len(statecache.JobPrefix):]].Record
-			case strings.HasPrefix(key, statecache.MachinePagePrefix):
-				v = c.testState().Cache.Pages[key[len(statecache.MachinePagePrefix):]].Record
-			case strings.HasPrefix(key, statecache.CapacityPrefix):
-				v = c.testState().Cache.Capacities[key[len(statecache.CapacityPrefix):]].Record
+			case strings.HasPrefix(key, statecache.JobKey("")):
+				v = c.testState().Cache.Jobs[key[len(statecache.JobKey("")):]].Record
+			case strings.HasPrefix(key, statecache.MachinePageKey("")):
+				v = c.testState().Cache.Pages[key[len(statecache.MachinePageKey("")):]].Record
+			case strings.HasPrefix(key, statecache.CapacityKey("")):
+				v = c.testState().Cache.Capacities[key[len(statecache.CapacityKey("")):]].Record
 			default:
 				continue
 			}
@@ -156,7 +156,7 @@
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				statecache.New(c.node.Log).Reload(items, c.testState().Cache.Revision+1)
+				statecache.New(c.node.Log).Reload(items, c.testState().Cache.Revision+1, c.node.Now())
 			}
 		})
 	}
@@ -178,7 +178,7 @@
 				}
 			}
 		}
-		clear(c.testState().Cache.Loads)
+		c.testState().Cache.InvalidateLoads()
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
 				v := &autoscaler.ScaleInView{Autoscaler: c.testState().Autoscaler, Now: c.node.Now()}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -85,7 +85,7 @@
 	s.rounds(t, 900, "done", s.done(chunked))
 	s.rounds(t, 400, "no large record of a job is left", func() bool {
 		return !slices.ContainsFunc(s.w.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
-			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(statecache.JobPrefix)] != statecache.MachinePagePrefix
+			return len(it.Value) > int(s.next.ValueKB*1024) && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
 	if s.w.Store.TooLarge > 20 {
@@ -143,7 +143,7 @@
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.Apply(statecache.MachinePagePrefix+id, api.JSON(p), version)
+		m.Apply(statecache.MachinePageKey(id), api.JSON(p), version)
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
@@ -155,7 +155,7 @@
 	if m.Machines["i-000232"] != nil || m.Machines["i-000239"] != nil || len(m.Machines) != 2 {
 		t.Fatal("a late write brings machines back", m.Machines)
 	}
-	m.Apply(statecache.MachinePagePrefix+"i-0002-", nil, 4)
+	m.Apply(statecache.MachinePageKey("i-0002-"), nil, 4)
 	if len(m.Machines) != 1 || m.Machines["i-000231"] == nil {
 		t.Fatal(m.Machines)
 	}
@@ -212,7 +212,7 @@
 			t.Fatalf("chunk %d of the divided job: x %t, y %t", chunk, z.Allows(chunk, "x"), z.Allows(chunk, "y"))
 		}
 	}
-	if !statecache.RecordCoversTasks(j) {
+	if !j.RecordCoversTasks() {
 		t.Fatal("a late transaction could place by an old count")
 	}
 }
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -82,7 +82,7 @@
 type shapes map[string]string
 
 func (s shapes) read(key string, raw json.RawMessage) json.RawMessage {
-	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, statecache.JobPrefix) {
+	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, statecache.JobKey("")) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		if s[key] = m.Run.Kind; m.Run.Kind != api.Service {
@@ -94,7 +94,7 @@
 }
 
 func (s shapes) write(key string, raw json.RawMessage) json.RawMessage {
-	if was := s[key]; was != "" && strings.HasPrefix(key, statecache.JobPrefix) {
+	if was := s[key]; was != "" && strings.HasPrefix(key, statecache.JobKey("")) {
 		var m prodMain
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		m.Run.Kind = was
@@ -108,19 +108,19 @@
 func asProduction(key string, raw json.RawMessage) (json.RawMessage, error) {
 	var v any
 	switch {
-	case strings.HasPrefix(key, statecache.JobPrefix):
+	case strings.HasPrefix(key, statecache.JobKey("")):
 		v = &prodMain{}
-	case strings.HasPrefix(key, statecache.TaskRangePrefix):
+	case strings.HasPrefix(key, taskRangePrefix):
 		v = &prodChunk{}
-	case strings.HasPrefix(key, statecache.CapacityPrefix):
+	case strings.HasPrefix(key, statecache.CapacityKey("")):
 		v = &prodRecord{}
-	case strings.HasPrefix(key, statecache.LeaderPrefix), strings.HasPrefix(key, statecache.NodePrefix):
+	case strings.HasPrefix(key, statecache.LeaderKey("")), strings.HasPrefix(key, statecache.NodeKey("")):
 		v = &prodOwn{}
-	case strings.HasPrefix(key, statecache.MachinePagePrefix):
+	case strings.HasPrefix(key, statecache.MachinePageKey("")):
 		v = &map[string]*prodMachine{}
-	case strings.HasPrefix(key, statecache.QuotaPrefix):
+	case strings.HasPrefix(key, statecache.QuotaKey("")):
 		v = &prodUsage{}
-	case strings.HasPrefix(key, statecache.CapabilityPrefix):
+	case strings.HasPrefix(key, statecache.CapabilityKey("")):
 		return nil, nil
 	default:
 		return raw, nil
@@ -246,10 +246,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.HasPrefix(it.Key, statecache.CapabilityPrefix) {
+		if strings.HasPrefix(it.Key, statecache.CapabilityKey("")) {
 			continue // it knows no such records, and leaves them alone
 		}
-		if strings.HasPrefix(it.Key, statecache.NodePrefix) {
+		if strings.HasPrefix(it.Key, statecache.NodeKey("")) {
 			var o shard.LeaderRecord
 			if err := json.Unmarshal(it.Value, &o); err != nil {
 				t.Fatal(err)
@@ -349,3 +349,6 @@
 		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.w.Violations)
 	}
 }
+
+// taskRangePrefix is the prefix of the keys of task ranges.
+const taskRangePrefix = statecache.LivePrefix + "t/"
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -49,7 +49,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				key := statecache.NodePrefix + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))
+				key := statecache.NodeKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
 				revision++
 				c := change{key, there[key] != 0 && rapid.Bool().Draw(t, "drop"), revision}
 				if log = append(log, c); c.drop {
--- a/internal/controller/worldchecks_test.go
+++ b/internal/controller/worldchecks_test.go
@@ -121,7 +121,7 @@
 func (s *sim) checkPartRecords(t *rapid.T, n *simNode) {
 	store := simulator.Client{S: s.w.Store}
 	for id, held := range n.c.testState().Cache.Capacities {
-		it, found, err := store.Get(context.Background(), statecache.CapacityPrefix+id, 0)
+		it, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
 		if err != nil || !found || it.Version != held.Version {
 			continue // it has moved on, or can't be read now
 		}
@@ -144,8 +144,9 @@
 	for _, n := range s.nodes {
 		c := n.c
 		s.checkPartRecords(t, n)
-		for h, kept := range c.testState().Cache.Loads {
-			delete(c.testState().Cache.Loads, h)
+		for _, h := range c.testState().Cache.KeptLoads() {
+			kept := c.testState().Cache.Load(h)
+			c.testState().Cache.InvalidateLoad(h)
 			if now := c.testState().Room.LoadOf(h); !now.Used.ApproxEqual(kept.Used) || !now.Stopping.ApproxEqual(kept.Stopping) ||
 				now.Services != kept.Services ||
 				now.Arrays != kept.Arrays ||
@@ -154,15 +155,13 @@
 			}
 		}
 		for uid, j := range c.testState().Cache.Jobs {
-			kept := j.Pending
-			if j.Pending = nil; kept != nil && !slices.Equal(kept, j.PendingTasks()) {
-				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, j.PendingTasks())
+			if kept, found := j.PendingTasks(), j.FindPending(); !slices.Equal(kept, found) {
+				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, found)
 			}
 		}
-		if kept := c.testState().Cache.SortedMachines; kept != nil {
-			if c.testState().Cache.SortedMachines = nil; !slices.Equal(kept, c.testState().Cache.MachineNames()) {
-				t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, c.testState().Cache.MachineNames())
-			}
+		names := slices.Sorted(maps.Keys(c.testState().Cache.Machines))
+		if kept := c.testState().Cache.MachineNames(); !slices.Equal(kept, names) {
+			t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, names)
 		}
 	}
 }
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -173,11 +173,11 @@
 	// It wakes: its replica is old, its lease long over by now. Even if it could act, the
 	// record has moved on.
 	stale := statecache.NewTransaction()
-	stale.Require(statecache.ZonePrefix+"x", late.testState().Cache.Zones["x"].Version)
-	stale.Require(statecache.LeaderPrefix+"n0", late.testState().Leadership.ByShard["n0"].Version)
-	stale.Put(statecache.ZonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
+	stale.Require(statecache.ZoneKey("x"), late.testState().Cache.Zones["x"].Version)
+	stale.Require(statecache.LeaderKey("n0"), late.testState().Leadership.ByShard["n0"].Version)
+	stale.Put(statecache.ZoneKey("x"), zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
 	done, failed, _ := late.sync.Commit(t.Context(), "zones", stale, 0)
-	if done || !slices.Contains(failed, statecache.ZonePrefix+"x") || !slices.Contains(failed, statecache.LeaderPrefix+"n0") {
+	if done || !slices.Contains(failed, statecache.ZoneKey("x")) || !slices.Contains(failed, statecache.LeaderKey("n0")) {
 		t.Errorf("a late write is taken: %t, failed %v", done, failed)
 	}
 	z.nodes[writer].still = false
--- a/internal/decisions/machines.go
+++ b/internal/decisions/machines.go
@@ -59,7 +59,7 @@
 		names = append(names, host)
 	}
 	for id, page := range pages {
-		t.Put(statecache.MachinePagePrefix+id, page)
+		t.Put(statecache.MachinePageKey(id), page)
 	}
 	d.guard.Unlock()
 	if len(names) == 0 {
@@ -129,7 +129,7 @@
 			pages[id] = page
 		}
 		state.Leadership.Require(t, m.Shard)
-		t.Require(statecache.CapacityPrefix+m.Shard, state.Cache.Capacities[m.Shard].Version)
+		t.Require(statecache.CapacityKey(m.Shard), state.Cache.Capacities[m.Shard].Version)
 		delete(page, host)
 		names = append(names, host)
 	}
--- a/internal/decisions/split.go
+++ b/internal/decisions/split.go
@@ -22,7 +22,7 @@
 	m, uid := j.Record, j.Record.Spec.UID
 	k := m.SplitSize(d.node.Settings.LowestLimits().ValueKB)
 	t := statecache.NewTransaction()
-	t.Require(statecache.JobPrefix+uid, j.Version)
+	t.Require(statecache.JobKey(uid), j.Version)
 	over := false
 	switch {
 	case !m.Inline && k >= m.RangeSize:
@@ -35,7 +35,7 @@
 	case !m.Inline && !m.Frozen:
 		x := m.Copy()
 		x.Frozen = true
-		t.Put(statecache.JobPrefix+uid, x)
+		t.Put(statecache.JobKey(uid), x)
 	default:
 		for n, ch := range j.Ranges {
 			if !state.Splitter.CopyRange(t, j, n, ch, k) {
@@ -45,7 +45,7 @@
 		if t.Changes() == 0 {
 			x := m.Copy()
 			x.Split(k)
-			t.Put(statecache.JobPrefix+uid, x)
+			t.Put(statecache.JobKey(uid), x)
 			over = true
 		}
 	}
@@ -75,14 +75,14 @@
 			continue
 		}
 		for rec, ch := range recs {
-			if t.Changes() >= l.TxnOps || len(t.Preconditions)+2 > 4*l.TxnOps {
+			if t.Changes() >= l.TxnOps || t.Preconditions()+2 > 4*l.TxnOps {
 				break
 			}
 			if j != nil && (rec.Generation >= j.Record.Generation && !j.Record.Inline || rec.Generation > j.Record.Generation) {
 				continue
 			}
 			if j == nil {
-				t.Require(statecache.JobPrefix+uid, 0)
+				t.Require(statecache.JobKey(uid), 0)
 			}
 			key := statecache.TaskRangeKey(uid, rec.Generation, rec.Index)
 			t.Require(key, ch.Version)
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"maps"
-	"net/url"
 	"slices"
 
 	"violetturn/internal/features"
@@ -30,9 +29,8 @@
 	changed := map[string]zonehealth.Record{}
 	for _, zone := range slices.Sorted(maps.Keys(state.Zones.View.Observations)) {
 		if next, ok := state.Zones.JudgeZone(zone, now); ok && t.Changes() < state.Schema.TransactionLimits().TxnOps {
-			id := url.PathEscape(zone)
-			t.Require(statecache.ZonePrefix+id, state.Cache.Zones[id].Version)
-			t.Put(statecache.ZonePrefix+id, next)
+			t.Require(statecache.ZoneKey(zone), state.Cache.Zones[statecache.ZoneID(zone)].Version)
+			t.Put(statecache.ZoneKey(zone), next)
 			changed[zone] = next
 		}
 	}
--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -80,7 +80,7 @@
 		state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
 		clear(state.Leadership.ByShard)
 		clear(state.Agents.ByHost)
-		clear(state.Cache.Loads)
+		state.Cache.InvalidateLoads()
 		k.guard.Unlock()
 		return 0
 	}
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -57,19 +57,18 @@
 	rec := state.Cache.Capacities[p]
 	term := state.Cache.Term + 1
 	t := statecache.NewTransaction()
-	t.Require(statecache.LeaderPrefix+p, old.Version)
+	t.Require(statecache.LeaderKey(p), old.Version)
 	t.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
-	t.Require(statecache.CapacityPrefix+p, rec.Version)
+	t.Require(statecache.CapacityKey(p), rec.Version)
 	t.Put(statecache.TermKey, term)
-	t.Put(statecache.LeaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term})
-	t.Leases[statecache.LeaderPrefix+p] = state.Leadership.LeaseID
+	t.PutWithLease(statecache.LeaderKey(p), shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term}, state.Leadership.LeaseID)
 	// An earlier life of this process has ended, and one that released the shard
 	// has stopped answering; any other may go on for its grace. So may one before
 	// those, if they did not live to see its grace out: the doubt stays with the
 	// record, or a quick restart of ours would forget it.
 	clean := rec.Record == nil || (rec.Record.Leader == me || rec.Record.Released) && !rec.Record.PredecessorInDoubt
 	t.Put(
-		statecache.CapacityPrefix+p,
+		statecache.CapacityKey(p),
 		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: state.Capacity.QuotaUseOf(p)},
 	)
 	k.guard.Unlock()
@@ -100,12 +99,12 @@
 	}
 	o.Releasing = true
 	t := statecache.NewTransaction()
-	t.Require(statecache.LeaderPrefix+p, o.Version)
-	t.Require(statecache.CapacityPrefix+p, rec.Version)
-	t.Delete(statecache.LeaderPrefix + p)
+	t.Require(statecache.LeaderKey(p), o.Version)
+	t.Require(statecache.CapacityKey(p), rec.Version)
+	t.Delete(statecache.LeaderKey(p))
 	r := *rec.Record
 	r.Released = true
-	t.Put(statecache.CapacityPrefix+p, r)
+	t.Put(statecache.CapacityKey(p), r)
 	k.guard.Unlock()
 	done, _, err := k.sync.Commit(ctx, "part", t, store.PriorityLease)
 	state = k.guard.Lock()
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -173,9 +173,9 @@
 		t := statecache.NewTransaction()
 		for _, a := range batch {
 			uid := a.Record.Spec.UID
-			t.Require(statecache.JobPrefix+uid, 0)
-			t.Require(statecache.FinalStatePrefix+uid, 0)
-			t.Put(statecache.JobPrefix+uid, a.Record)
+			t.Require(statecache.JobKey(uid), 0)
+			t.Require(statecache.FinalStateKey(uid), 0)
+			t.Put(statecache.JobKey(uid), a.Record)
 		}
 		priority := store.PrioritySubmission
 		if slices.ContainsFunc(batch, func(a *Submission) bool { return a.Record.Spec.Kind == api.Gang }) {
@@ -203,7 +203,7 @@
 		var rest []*Submission
 		for _, a := range batch {
 			uid := a.Record.Spec.UID
-			if err == nil && !contains(failed, statecache.JobPrefix+uid) && !contains(failed, statecache.FinalStatePrefix+uid) {
+			if err == nil && !contains(failed, statecache.JobKey(uid)) && !contains(failed, statecache.FinalStateKey(uid)) {
 				rest = append(rest, a)
 				continue
 			}
--- a/internal/frontend/users.go
+++ b/internal/frontend/users.go
@@ -109,7 +109,7 @@
 		return s, true, nil
 	}
 	rf.guard.Unlock()
-	it, found, err := rf.services.Store.Get(ctx, statecache.FinalStatePrefix+uid, store.PrioritySubmission)
+	it, found, err := rf.services.Store.Get(ctx, statecache.FinalStateKey(uid), store.PrioritySubmission)
 	if err != nil || !found {
 		return api.State{}, false, err
 	}
@@ -159,11 +159,11 @@
 			continue
 		}
 		t := statecache.NewTransaction()
-		t.Require(statecache.JobPrefix+uid, j.Version)
+		t.Require(statecache.JobKey(uid), j.Version)
 		m := j.Record.Copy()
 		m.Cancelled = true
-		t.Put(statecache.JobPrefix+uid, m)
-		if len(t.Writes[statecache.JobPrefix+uid]) > state.Schema.MaxRecordBytes() {
+		t.Put(statecache.JobKey(uid), m)
+		if t.Size(statecache.JobKey(uid)) > state.Schema.MaxRecordBytes() {
 			state.Schema.SplitRequests[uid] = m.Generation + 1 // its tasks are divided first
 			rf.guard.Unlock()
 			rf.wake.Notify()
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -8,15 +8,11 @@
 
 // Acknowledgement says what this node has done after a revision, up to now.
 func (l *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
-	v := &peer.Acknowledgement{Complete: l.cache.Loaded && since >= l.cache.CancellationsCompleteFrom}
-	if !v.Complete {
-		return v
-	}
-	for _, x := range l.cache.Cancellations {
-		if x.Version > since {
-			v.Cancelled = append(v.Cancelled, x.UID)
-		}
+	cancelled, complete := l.cache.CancelledSince(since)
+	if !l.cache.Loaded || !complete {
+		return &peer.Acknowledgement{}
 	}
+	v := &peer.Acknowledgement{Complete: true, Cancelled: cancelled}
 	for _, p := range l.node.Shards {
 		if rec, own := l.cache.Capacities[p].Record, l.cache.Leaders[p].Record; rec != nil {
 			t := &peer.ShardLeader{Shard: p, Leader: rec.Leader, Term: rec.Term}
--- a/internal/leadership/changes.go
+++ b/internal/leadership/changes.go
@@ -21,10 +21,9 @@
 		return nil
 	}
 	t := statecache.NewTransaction()
-	t.Put(statecache.NodePrefix+me, self)
-	t.Leases[statecache.NodePrefix+me] = l.LeaseID
+	t.PutWithLease(statecache.NodeKey(me), self, l.LeaseID)
 	if !marked {
-		t.Put(statecache.CapabilityPrefix+me, shard.CapabilityRecord{SchemaVersion: schema.Version, Features: self.Features})
+		t.Put(statecache.CapabilityKey(me), shard.CapabilityRecord{SchemaVersion: schema.Version, Features: self.Features})
 	}
 	return t
 }
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -33,7 +33,7 @@
 	if o == nil {
 		return false
 	}
-	t.Require(statecache.LeaderPrefix+p, o.Version)
+	t.Require(statecache.LeaderKey(p), o.Version)
 	return true
 }
 
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -79,7 +79,7 @@
 	a := agent.AttemptOf(pl, j)
 	x.desired[a] = true
 	stop := j.MustStop(pl.Placement)
-	if !statecache.IsGang(j) { // a gang is stopped as a whole, or else goes on
+	if !j.IsGang() { // a gang is stopped as a whole, or else goes on
 		stop = stop || x.agent.Cordoned || x.reconciler.agents.InterruptionIsDue(x.agent, j)
 	}
 	if state := x.reported[a]; state != nil {
@@ -97,7 +97,7 @@
 	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.Attempt {
 		s.FirstRuns[id] = shard.FirstRun{Attempt: a.Attempt, At: x.now}
 		x.reconciler.node.Log.Info("task running", "task", a.Task, "attempt", a.Attempt, "host", x.heartbeat.Host)
-		if statecache.IsGang(j) {
+		if j.IsGang() {
 			x.reconciler.agents.RunningGangs[pl.UID] = a.Attempt
 		}
 	}
@@ -108,7 +108,7 @@
 		}
 	case stop || released:
 		x.stopping = true
-		if state.Phase == api.Saving || statecache.SavesOnStop(j) {
+		if state.Phase == api.Saving || j.SavesOnStop() {
 			x.free = x.free.Sub(statecache.ResourcesOf(&j.Record.Spec))
 		}
 		if state.Phase != api.Saving || j.IsCancelled() {
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -39,7 +39,7 @@
 // EndedGangAttempts returns the ends of gangs' tasks on machines of own shards.
 func (sch *Scheduler) EndedGangAttempts(now time.Time) map[schema.RangeID][]agent.EndedTask {
 	all := sch.agents.EndedTasks(now)
-	maps.DeleteFunc(all, func(k schema.RangeID, _ []agent.EndedTask) bool { return !statecache.IsGang(sch.cache.Jobs[k.UID]) })
+	maps.DeleteFunc(all, func(k schema.RangeID, _ []agent.EndedTask) bool { return !sch.cache.Jobs[k.UID].IsGang() })
 	return all
 }
 
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -45,7 +45,7 @@
 func (sch *Scheduler) addPlacement(e *schema.Editor, j *statecache.Job, x capacity.Placement, now time.Time) []any {
 	r := &j.Record.Spec
 	sch.leadership.Require(e.Txn, j.Record.Shard)
-	e.Txn.Require(statecache.JobPrefix+r.UID, j.Version)
+	e.Txn.Require(statecache.JobKey(r.UID), j.Version)
 	ch := e.TaskRange(j, x.RangeIndex)
 	if r.Together && j.Record.Zone == "" {
 		e.Record(j).Zone = x.Host.Zone
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -162,17 +162,17 @@
 // there is.
 func (p *planner) placeSameWeight(jobs []*waitingJob) {
 	for _, l := range jobs { // gangs first: what one task takes here may keep a whole one waiting
-		if statecache.IsGang(l.entry.Job) {
+		if l.entry.Job.IsGang() {
 			p.placeGang(l)
 		}
 	}
 	for _, l := range jobs {
-		if !statecache.IsGang(l.entry.Job) {
+		if !l.entry.Job.IsGang() {
 			p.placeTasks(l, !l.entry.starving)
 		}
 	}
 	for _, l := range jobs {
-		if !statecache.IsGang(l.entry.Job) {
+		if !l.entry.Job.IsGang() {
 			// Once only: what of a limited team lacks room counts as used, so that a
 			// second look would take the limit for reached and rent nothing.
 			if !l.entry.starving {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -290,7 +290,7 @@
 		run = min(run, r.SaveS) + run/1000
 	}
 	switch {
-	case statecache.IsGang(j): // all of its tasks stop with it, and start anew together
+	case j.IsGang(): // all of its tasks stop with it, and start anew together
 		return float64(r.Tasks) * (run + r.SaveS + 1)
 	case saved:
 		return run
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -123,7 +123,7 @@
 	if age < min(sch.estimates.DeadlineSeconds(&j.Record.Spec), (MaxStartDelay/2).Seconds()) || len(j.Record.FinishedRanges) > 0 {
 		return false
 	}
-	if statecache.IsGang(j) { // what it holds or did before is no beginning
+	if j.IsGang() { // what it holds or did before is no beginning
 		return j.Record.Gang == nil || !j.Record.Gang.Launched || j.Record.Gang.Ended
 	}
 	for _, ch := range j.Ranges {
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -19,7 +19,7 @@
 // zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
 func (sch *Scheduler) zoneConstraintOf(j *statecache.Job, admission *recovery.Admission) *ZoneConstraint {
 	z := &ZoneConstraint{Job: j, zone: j.Record.Zone, TasksByZone: map[int]map[string]int{}, admission: sch.zones.AdmissionOf(j, admission)}
-	if statecache.IsGang(j) && j.CountPlaced() == 0 {
+	if j.IsGang() && j.CountPlaced() == 0 {
 		z.zone = "" // nothing binds its next attempt
 	}
 	if j.Record.Spec.Spread {
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -1,8 +1,6 @@
 package schema
 
 import (
-	"strings"
-
 	"violetturn/internal/job"
 	"violetturn/internal/statecache"
 )
@@ -52,7 +50,7 @@
 	if m == nil {
 		m = j.Record.Copy()
 		e.Records[uid], e.jobs[uid] = m, j
-		e.Txn.Require(statecache.JobPrefix+uid, j.Version)
+		e.Txn.Require(statecache.JobKey(uid), j.Version)
 		e.Changes++
 	}
 	return m
@@ -67,8 +65,8 @@
 		e.ranges[id], e.jobs[id.UID] = ch, j
 		// The main record's version covers a gang's tasks and those of a job that is
 		// being divided, wherever they are recorded.
-		e.Txn.Require(statecache.JobPrefix+id.UID, j.Version)
-		if j.Record.Inline || statecache.RecordCoversTasks(j) {
+		e.Txn.Require(statecache.JobKey(id.UID), j.Version)
+		if j.Record.Inline || j.RecordCoversTasks() {
 			e.Record(j)
 		}
 		if !j.Record.Inline {
@@ -89,7 +87,7 @@
 	if !j.Record.Inline {
 		k++
 	}
-	if (j.Record.Inline || statecache.RecordCoversTasks(j)) && e.Records[uid] == nil {
+	if (j.Record.Inline || j.RecordCoversTasks()) && e.Records[uid] == nil {
 		k++
 	}
 	return k
@@ -98,7 +96,7 @@
 // DeleteRange drops a task range's record of a job that is over.
 func (e *Editor) DeleteRange(j *statecache.Job, n int) {
 	uid := j.Record.Spec.UID
-	e.Txn.Require(statecache.JobPrefix+uid, j.Version)
+	e.Txn.Require(statecache.JobKey(uid), j.Version)
 	e.Txn.Require(j.RangeRecord(n))
 	e.Txn.Delete(statecache.TaskRangeKey(uid, j.Record.Generation, n))
 	e.Changes++
@@ -109,9 +107,9 @@
 	uid := j.Record.Spec.UID
 	e.Record(j)
 	e.Records[uid] = nil
-	e.Txn.Delete(statecache.JobPrefix + uid)
-	e.Txn.Require(statecache.FinalStatePrefix+uid, 0)
-	e.Txn.Put(statecache.FinalStatePrefix+uid, p)
+	e.Txn.Delete(statecache.JobKey(uid))
+	e.Txn.Require(statecache.FinalStateKey(uid), 0)
+	e.Txn.Put(statecache.FinalStateKey(uid), p)
 	e.Changes++
 }
 
@@ -132,13 +130,13 @@
 	}
 	for uid, m := range e.Records {
 		if m != nil {
-			e.Txn.Put(statecache.JobPrefix+uid, m)
+			e.Txn.Put(statecache.JobKey(uid), m)
 		}
 	}
 	most := e.schema.MaxRecordBytes()
 	for uid, j := range e.jobs {
-		for _, k := range e.Txn.Order {
-			if len(e.Txn.Writes[k]) > most && (k == statecache.JobPrefix+uid || strings.HasPrefix(k, statecache.TaskRangePrefix+uid+"/")) {
+		for _, key := range e.Txn.Keys() {
+			if e.Txn.Size(key) > most && statecache.IsRecordOf(uid, key) {
 				e.schema.SplitRequests[uid] = j.Record.Generation + 1 // divided before it is changed again
 				e.Outgrown = true
 			}
@@ -160,13 +158,13 @@
 			size += 768
 		}
 	}
-	return e.Changes+more+others > e.MaxChanges || len(e.Txn.Preconditions)+2*more+others > guards*f.TxnOps ||
+	return e.Changes+more+others > e.MaxChanges || e.Txn.Preconditions()+2*more+others > guards*f.TxnOps ||
 		size+each*float64(e.Changes+more)+f.ValueKB*1024*float64(min(others, 2)) > bytes
 }
 
 // StopTask marks a task to leave its machine; of a gang all tasks leave, and save together.
 func (e *Editor) StopTask(j *statecache.Job, v *statecache.PlacedTask) {
-	if statecache.IsGang(j) {
+	if j.IsGang() {
 		e.Record(j).Gang.Stopping = true
 		return
 	}
@@ -176,7 +174,7 @@
 // StopCost is how many changes that adds.
 func (e *Editor) StopCost(j *statecache.Job, v *statecache.PlacedTask) int {
 	switch {
-	case !statecache.IsGang(j):
+	case !j.IsGang():
 		return e.RangeCost(j, v.RangeIndex)
 	case e.Records[j.Record.Spec.UID] != nil:
 		return 0
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -159,7 +159,7 @@
 // then on it alone counts for them.
 func (s *State) OpenPage(t *statecache.Transaction, host string) (string, shard.Page) {
 	id := s.PageFor(host)
-	t.Require(statecache.MachinePagePrefix+id, s.cache.Pages[id].Version)
+	t.Require(statecache.MachinePageKey(id), s.cache.Pages[id].Version)
 	page := shard.Page{}
 	if old := s.cache.Pages[id].Record; old != nil {
 		maps.Copy(page, *old)
@@ -169,7 +169,7 @@
 		return id, page
 	}
 	if above := s.cache.Pages[statecache.PageID(host, statecache.CoarsestPageCut)]; above.Record != nil {
-		t.Require(statecache.MachinePagePrefix+statecache.PageID(host, statecache.CoarsestPageCut), above.Version)
+		t.Require(statecache.MachinePageKey(statecache.PageID(host, statecache.CoarsestPageCut)), above.Version)
 		for h, m := range *above.Record {
 			if statecache.PageID(h, 1) == id {
 				page[h] = m
@@ -187,18 +187,18 @@
 		if len(id) > 2 {
 			key := id[:len(id)-2] + "-"
 			if above := s.cache.Pages[key]; above.Record != nil && key != id {
-				t.Require(statecache.MachinePagePrefix+key, above.Version)
+				t.Require(statecache.MachinePageKey(key), above.Version)
 				for h := range *above.Record {
 					hides = hides || statecache.PageID(h, 1) == id
 				}
 			}
 		}
 		if !hides {
-			t.Delete(statecache.MachinePagePrefix + id)
+			t.Delete(statecache.MachinePageKey(id))
 			return
 		}
 	}
-	t.Put(statecache.MachinePagePrefix+id, page)
+	t.Put(statecache.MachinePageKey(id), page)
 }
 
 // DeleteObsoletePage adds to a transaction the drop of a page that says nothing more: a coarse
@@ -212,15 +212,15 @@
 		}
 		if len(*p.Record) == 0 && len(id) > 2 {
 			above := id[:len(id)-2] + "-"
-			t.Require(statecache.MachinePagePrefix+above, 0)
+			t.Require(statecache.MachinePageKey(above), 0)
 			over = s.cache.Pages[above].Record == nil
 		}
 		if over {
-			t.Require(statecache.MachinePagePrefix+id, p.Version)
-			t.Delete(statecache.MachinePagePrefix + id)
+			t.Require(statecache.MachinePageKey(id), p.Version)
+			t.Delete(statecache.MachinePageKey(id))
 			return true
 		}
-		clear(t.Preconditions)
+		t.ClearPreconditions()
 	}
 	return false
 }
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -75,7 +75,7 @@
 			continue // copied from what there is
 		}
 		l := sp.schema.TransactionLimits()
-		if t.Changes() >= l.TxnOps || len(t.Preconditions) >= 4*l.TxnOps-1 {
+		if t.Changes() >= l.TxnOps || t.Preconditions() >= 4*l.TxnOps-1 {
 			return false
 		}
 		t.Require(key, version)
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -1,6 +1,6 @@
 package statecache
 
-// TaskIndex is a task that is neither done nor placed.
+// TaskIndex is a task of a job, by its range and its place there.
 type TaskIndex struct{ RangeIndex, Index int }
 
 // maxPendingTasks is how many tasks of one job are looked at at once: what some sixteen thousand
@@ -8,37 +8,43 @@
 // some of these are placed.
 const maxPendingTasks = 1 << 15
 
-// PendingTasks returns the job's tasks that are neither done nor placed, at most mostPending.
-// Plans ask for those of all jobs, so they are kept until the job changes. Who
-// changes the list copies it.
+// PendingTasks returns the job's tasks that are neither done nor placed, at most
+// maxPendingTasks; all of a gang. Plans ask for those of all jobs, so they are kept until the
+// job changes. Who changes the list copies it.
 func (j *Job) PendingTasks() []TaskIndex {
-	most := maxPendingTasks
-	if j.Pending != nil {
-		return j.Pending
+	if j.pending == nil {
+		j.pending = j.FindPending()
 	}
-	j.Pending = []TaskIndex{}
-	m := j.Record
-	if m.Frozen {
-		return j.Pending
+	return j.pending
+}
+
+// FindPending works PendingTasks out anew. It is never nil.
+func (j *Job) FindPending() []TaskIndex {
+	pending := []TaskIndex{}
+	record, most := j.Record, maxPendingTasks
+	if record.Frozen {
+		return pending
 	}
-	if IsGang(j) {
-		if most = m.Spec.Tasks; !m.Gang.AcceptsPlacements() && (m.Gang.Done || j.CountPlaced() > 0) {
-			return j.Pending // all of the attempt has to be over first
+	if j.IsGang() {
+		if !record.Gang.AcceptsPlacements() && (record.Gang.Done || j.CountPlaced() > 0) {
+			return pending // all of the attempt has to be over first
 		}
+		most = record.Spec.Tasks
 	}
-	for n := range m.RangeCount() {
-		if m.RangeFinished(n) {
+	for index := range record.RangeCount() {
+		if record.RangeFinished(index) {
 			continue
 		}
-		ch := j.Ranges[n].Record
-		for i, done := range ch.DoneFlags(m.RangeLen(n)) {
-			if done || ch.PlacementOf(i) != nil {
+		tasks := j.Ranges[index].Record
+		for i, done := range tasks.DoneFlags(record.RangeLen(index)) {
+			if done || tasks.PlacementOf(i) != nil {
 				continue
 			}
-			if j.Pending = append(j.Pending, TaskIndex{n, i}); len(j.Pending) == most {
-				return j.Pending
+			pending = append(pending, TaskIndex{RangeIndex: index, Index: i})
+			if len(pending) == most {
+				return pending
 			}
 		}
 	}
-	return j.Pending
+	return pending
 }
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -8,89 +8,115 @@
 	"violetturn/internal/store"
 )
 
-// Transaction collects a transaction with what to tell the replica when it commits.
+// Transaction collects the preconditions and changes of one compare-and-swap, in the order
+// in which they are made. Use NewTransaction.
 type Transaction struct {
-	Preconditions map[string]uint64
-	Writes        map[string]json.RawMessage
-	Leases        map[string]uint64
+	preconditions map[string]uint64
+	writes        map[string]json.RawMessage
+	leases        map[string]uint64 // of writes that are attached to one
 	deletes       map[string]bool
-	Order         []string
+	order         []string // keys of writes and deletes
 
-	capacities map[string]*shard.CapacityRecord // of the writes, those of shards' free room
+	capacities map[string]*shard.CapacityRecord // of the writes, the capacity records as they were given
 }
 
+// NewTransaction makes an empty transaction.
 func NewTransaction() *Transaction {
 	return &Transaction{
-		Preconditions: map[string]uint64{},
-		Writes:        map[string]json.RawMessage{},
-		Leases:        map[string]uint64{},
+		preconditions: map[string]uint64{},
+		writes:        map[string]json.RawMessage{},
+		leases:        map[string]uint64{},
 		deletes:       map[string]bool{},
 		capacities:    map[string]*shard.CapacityRecord{},
 	}
 }
 
-func (t *Transaction) Put(key string, v any) {
-	if _, ok := t.Writes[key]; !ok {
-		t.Order = append(t.Order, key)
+// Require adds the precondition that a key has a version; 0: that it does not exist.
+func (t *Transaction) Require(key string, version uint64) { t.preconditions[key] = version }
+
+// Preconditions returns how many preconditions there are.
+func (t *Transaction) Preconditions() int { return len(t.preconditions) }
+
+// ClearPreconditions drops all preconditions.
+func (t *Transaction) ClearPreconditions() { clear(t.preconditions) }
+
+// Put writes a record.
+func (t *Transaction) Put(key string, record any) {
+	if _, ok := t.writes[key]; !ok {
+		t.order = append(t.order, key)
 	}
-	t.Writes[key] = api.JSON(v)
+	t.writes[key] = api.JSON(record)
+}
+
+// PutWithLease writes a record that is dropped when a lease ends.
+func (t *Transaction) PutWithLease(key string, record any, leaseID uint64) {
+	t.Put(key, record)
+	t.leases[key] = leaseID
 }
 
 // PutCapacity writes a shard's capacity record, which nobody changes from now on.
-func (t *Transaction) PutCapacity(key string, r *shard.CapacityRecord) {
-	t.Put(key, r)
-	t.capacities[key] = r
+func (t *Transaction) PutCapacity(key string, record *shard.CapacityRecord) {
+	t.Put(key, record)
+	t.capacities[key] = record
 }
 
+// Delete drops a record, also one that was to be written.
 func (t *Transaction) Delete(key string) {
 	if !t.deletes[key] {
-		t.Order = append(t.Order, key)
+		t.order = append(t.order, key)
 	}
 	t.deletes[key] = true
-	delete(t.Writes, key)
+	delete(t.writes, key)
 }
 
-// Changes is the number of changes so far.
+// Changes returns how many writes and deletes there are.
 func (t *Transaction) Changes() int {
 	n := 0
-	for _, k := range t.Order {
-		if t.deletes[k] || t.Writes[k] != nil {
+	for _, key := range t.order {
+		if t.deletes[key] || t.writes[key] != nil {
 			n++
 		}
 	}
 	return n
 }
 
+// Size returns the bytes of the record to be written under a key; 0 if none is.
+func (t *Transaction) Size(key string) int { return len(t.writes[key]) }
+
+// Keys returns the keys of the changes, in order. A key may come twice.
+func (t *Transaction) Keys() []string { return t.order }
+
+// Request returns the transaction as the state service takes it.
 func (t *Transaction) Request() *store.Txn {
-	w := &store.Txn{Preconditions: []store.Precondition{}, Ops: []store.Op{}}
-	for k, s := range t.Preconditions {
-		w.Preconditions = append(w.Preconditions, store.Precondition{Key: k, Version: s})
+	request := &store.Txn{Preconditions: []store.Precondition{}, Ops: []store.Op{}}
+	for key, version := range t.preconditions {
+		request.Preconditions = append(request.Preconditions, store.Precondition{Key: key, Version: version})
 	}
 	seen := map[string]bool{}
-	for _, k := range t.Order {
-		if seen[k] {
+	for _, key := range t.order {
+		if seen[key] {
 			continue
 		}
-		seen[k] = true
-		if t.deletes[k] {
-			w.Ops = append(w.Ops, store.Op{Drop: k})
-		} else if v := t.Writes[k]; v != nil {
-			op := store.Op{Write: k, Value: v}
-			if p, ok := t.Leases[k]; ok {
-				op.Lease = &p
-			}
-			w.Ops = append(w.Ops, op)
+		seen[key] = true
+		if op, ok := t.operation(key); ok {
+			request.Ops = append(request.Ops, op)
 		}
 	}
-	return w
+	return request
 }
 
-// ApplyCommitted takes a committed transaction into the replica.
-func (m *Cache) ApplyCommitted(t *Transaction, revision uint64) {
-	for k, v := range t.Writes {
-		m.applyRecord(k, v, revision, t.capacities[k])
+// operation returns the change of a key; ok is false if there is none.
+func (t *Transaction) operation(key string) (op store.Op, ok bool) {
+	if t.deletes[key] {
+		return store.Op{Drop: key}, true
+	}
+	value := t.writes[key]
+	if value == nil {
+		return store.Op{}, false
 	}
-	for k := range t.deletes {
-		m.Apply(k, nil, revision)
+	op = store.Op{Write: key, Value: value}
+	if leaseID, ok := t.leases[key]; ok {
+		op.Lease = &leaseID
 	}
+	return op, true
 }
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"strings"
 
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
@@ -28,7 +27,7 @@
 	// longest step needs, and the jobs in it are divided.
 	state.Schema.AcceptedTxnOps = max(len(t.Ops)-1, 4)
 	for _, op := range t.Ops {
-		if uid, ok := strings.CutPrefix(op.Write, statecache.JobPrefix); ok && state.Cache.Jobs[uid] != nil {
+		if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
 			state.Schema.SplitRequests[uid] = state.Cache.Jobs[uid].Record.Generation + 1
 		}
 	}
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -49,9 +49,7 @@
 		return err
 	}
 	state := y.guard.Lock()
-	state.Cache.ChangesReadAt = sent
-	state.Cache.Reload(items, revision)
-	state.Cache.Loaded = true
+	state.Cache.Reload(items, revision, sent)
 	y.guard.Unlock()
 	y.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	y.wake.Notify()
@@ -65,7 +63,7 @@
 	log, revision, err := y.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		state := y.guard.Lock()
-		state.Cache.Loaded = false
+		state.Cache.Unload()
 		y.guard.Unlock()
 		return err
 	}
@@ -73,17 +71,7 @@
 		return err
 	}
 	state := y.guard.Lock()
-	for _, e := range log {
-		if e.Drop != "" {
-			state.Cache.Apply(e.Drop, nil, e.Version)
-		} else {
-			state.Cache.Apply(e.Write, e.Value, e.Version)
-		}
-	}
-	state.Cache.Advance(revision)
-	if sent.After(state.Cache.ChangesReadAt) {
-		state.Cache.ChangesReadAt = sent
-	}
+	state.Cache.ApplyChanges(log, revision, sent)
 	orphan := false
 	for _, p := range y.node.Shards {
 		orphan = orphan || state.Cache.Leaders[p].Record == nil
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -1,7 +1,6 @@
 package zonestate
 
 import (
-	"net/url"
 	"slices"
 	"time"
 
@@ -71,7 +70,7 @@
 	limits := zs.zoneLimits()
 	zones := map[string]*recovery.Zone{}
 	for id := range zs.cache.Zones {
-		r := zs.RestrictedZone(ZoneName(id), now)
+		r := zs.RestrictedZone(statecache.ZoneOfID(id), now)
 		if r == nil {
 			continue
 		}
@@ -80,8 +79,8 @@
 		if r.State == zonehealth.Recovering && lasted.Seconds() >= zs.node.Features.ZoneRecovery.ProgressAfter*zs.node.Settings.WorkerLease().Seconds() {
 			z.ReservableShare = 1 - zs.node.Features.ZoneRecovery.ProgressShare
 		}
-		z.Waiting = zs.waitingProduction(ZoneName(id), r)
-		zones[ZoneName(id)] = z
+		z.Waiting = zs.waitingProduction(statecache.ZoneOfID(id), r)
+		zones[statecache.ZoneOfID(id)] = z
 	}
 	if len(zones) == 0 {
 		return nil
@@ -117,14 +116,14 @@
 		if m == nil || zones[m.Zone] == nil {
 			continue
 		}
-		since := zs.cache.Zones[url.PathEscape(m.Zone)].Record.SinceMS
+		since := zs.cache.Zones[statecache.ZoneID(m.Zone)].Record.SinceMS
 		for _, pl := range on {
 			j := zs.cache.Jobs[pl.UID]
 			if j == nil {
 				continue
 			}
 			priority, _ := api.PriorityOf(j.Record.Spec.Priority)
-			if priority != ProductionPriority && statecache.PlacedAtMS(j, pl) >= since {
+			if priority != ProductionPriority && j.PlacedAtMS(pl) >= since {
 				zones[m.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&j.Record.Spec), types)
 			}
 		}
@@ -137,12 +136,12 @@
 // whole: it ends and starts anew by its own rules.
 func (zs *Zones) IsHeldBack(host string, pl *statecache.PlacedTask, j *statecache.Job, now time.Time) bool {
 	m := zs.cache.Machines[host]
-	if len(zs.cache.Zones) == 0 || m == nil || statecache.IsGang(j) {
+	if len(zs.cache.Zones) == 0 || m == nil || j.IsGang() {
 		return false
 	}
 	priority, _ := api.PriorityOf(j.Record.Spec.Priority)
 	r := zs.RestrictedZone(m.Zone, now)
-	return r != nil && priority != ProductionPriority && statecache.PlacedAtMS(j, pl) < r.FailedMS && !zs.View.AdmittedMachines[host]
+	return r != nil && priority != ProductionPriority && j.PlacedAtMS(pl) < r.FailedMS && !zs.View.AdmittedMachines[host]
 }
 
 // AdmittedMachines tells on which machines of returning zones tasks start again in place: as large
@@ -175,7 +174,7 @@
 // RestrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
 // feature is off. It ends also if nobody can write that it does.
 func (zs *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
-	r := zs.cache.Zones[url.PathEscape(zone)].Record
+	r := zs.cache.Zones[statecache.ZoneID(zone)].Record
 	if r == nil || !r.Restricts() || !zs.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -1,7 +1,6 @@
 package zonestate
 
 import (
-	"net/url"
 	"slices"
 	"time"
 
@@ -41,7 +40,7 @@
 func (zs *Zones) JudgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := zs.zoneLimits()
 	var was zonehealth.Record
-	if v := zs.cache.Zones[url.PathEscape(zone)].Record; v != nil {
+	if v := zs.cache.Zones[statecache.ZoneID(zone)].Record; v != nil {
 		was = *v
 	}
 	owns, seen := false, was
@@ -175,12 +174,3 @@
 func demandOf(spec *api.Job) zonehealth.Demand {
 	return zonehealth.Demand{Need: shard.Vec(statecache.ResourcesOf(spec)), Spot: spec.Spot}
 }
-
-// ZoneName returns the zone of a record's key.
-func ZoneName(id string) string {
-	name, err := url.PathUnescape(id)
-	if err != nil {
-		return id
-	}
-	return name
-}
