--- a/internal/agent/machine_list.go
+++ b/internal/agent/machine_list.go
@@ -15,8 +15,8 @@
 	in := map[string]bool{}
 	reg.Provisioning = map[string]bool{}
 	for _, h := range l {
-		in[h.UID] = h.Phase != "failed"
-		if h.Phase == "starting" {
+		in[h.UID] = h.Phase != cloud.MachineFailed
+		if h.Phase == cloud.MachineStarting {
 			reg.Provisioning[h.UID] = true
 		}
 		m := reg.cache.Machines[h.UID]
@@ -24,7 +24,7 @@
 			// Perhaps just rented by a peer, or just returned and still listed.
 			if first, ok := seen[h.UID]; !ok {
 				seen[h.UID] = now
-			} else if now.Sub(first) > 4*lag && h.Phase != "failed" {
+			} else if now.Sub(first) > 4*lag && h.Phase != cloud.MachineFailed {
 				reg.NoteUnregistered(h.UID, shard.Machine{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Addr: h.Addr})
 			}
 			continue
@@ -36,7 +36,7 @@
 		if o := reg.leadership.Of(m.Shard); o != nil {
 			s := reg.Of(h.UID, o)
 			s.MissingFromLists = 0
-			if h.Phase == "failed" && !s.Cordoned {
+			if h.Phase == cloud.MachineFailed && !s.Cordoned {
 				reg.node.Log.Info("machine failed", "host", h.UID)
 				s.Cordoned, s.MissingFromLists = true, 2
 			}
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -14,15 +14,28 @@
 	Zones       []string `json:"sites"`       // those that have it
 }
 
+// MachinePhase is a phase of a rented machine. Its value is the wire's word.
+type MachinePhase string
+
+// Phases of rented machines.
+const (
+	MachineStarting MachinePhase = "starting"
+	MachineRunning  MachinePhase = "running"
+	MachineFailed   MachinePhase = "failed" // stopped on its own; listed until it is returned
+)
+
+// String returns the wire's word.
+func (p MachinePhase) String() string { return string(p) }
+
 // Host is a rented machine as the cloud lists it.
 type Host struct {
-	UID         string  `json:"uid"`
-	Addr        string  `json:"addr"` // host:port of its worker
-	MachineType string  `json:"build"`
-	Zone        string  `json:"site"`
-	Spot        bool    `json:"loaners"`
-	Phase       string  `json:"phase"`
-	AgeS        float64 `json:"heldS"` // seconds since the rental
+	UID         string       `json:"uid"`
+	Addr        string       `json:"addr"` // host:port of its worker
+	MachineType string       `json:"build"`
+	Zone        string       `json:"site"`
+	Spot        bool         `json:"loaners"`
+	Phase       MachinePhase `json:"phase"`
+	AgeS        float64      `json:"heldS"` // seconds since the rental
 }
 
 // RentalRequest asks for machines.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -59,12 +59,24 @@
 // Limited reports whether the team has a limit.
 func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
+// ObjectiveKind says what an objective is about. Its value is the word of the settings.
+type ObjectiveKind string
+
+// Kinds of objectives that the controller knows; it ignores others.
+const (
+	ObjectiveWait     ObjectiveKind = "wait"     // jobs start within the time
+	ObjectiveFinished ObjectiveKind = "finished" // jobs are done within the time
+)
+
+// String returns the word of the settings.
+func (k ObjectiveKind) String() string { return string(k) }
+
 // Objective restates one aim on starting and finishing of the jobs of a class.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"` // of the jobs, 0 to 1
+	Kind    ObjectiveKind `toml:"kind"`
+	Class   string        `toml:"class"`
+	WithinS float64       `toml:"within_s"`
+	Share   float64       `toml:"share"` // of the jobs, 0 to 1
 }
 
 // WorkerTimes are the times that workers keep, in seconds.
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -19,7 +19,7 @@
 		s.round()
 	}
 	c := s.nodes[0].c
-	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "l", WithinS: 10}}
+	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "l", WithinS: 10}}
 	run := &api.Job{
 		UID:      "run-1",
 		Class:    "l",
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -94,7 +94,7 @@
 	}
 	l.sim.adjust = func(_ *simNode, cfg *config.Settings) {
 		cfg.Facts.Workers.ReportS = d.HeartbeatS
-		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "service", WithinS: 12, Share: 0.9}}
+		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
 			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPUs/2, d.TeamGPUs
 		}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -62,7 +62,7 @@
 	for i := range s.nodes {
 		s.nodes[i].c.node.Settings.Facts.Objectives = append(
 			s.nodes[i].c.node.Settings.Facts.Objectives,
-			config.Objective{Kind: "finished", Class: "l", WithinS: 60, Share: 0.9},
+			config.Objective{Kind: config.ObjectiveFinished, Class: "l", WithinS: 60, Share: 0.9},
 		)
 	}
 	for range 10 {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"violetturn/internal/api"
+	"violetturn/internal/config"
 	"violetturn/internal/node"
 )
 
@@ -36,7 +37,7 @@
 		w = *r.DeadlineS
 	}
 	for _, o := range e.node.Settings.Facts.Objectives {
-		if o.Kind == "finished" && o.Class == r.Class && r.Kind != api.Service {
+		if o.Kind == config.ObjectiveFinished && o.Class == r.Class && r.Kind != api.Service {
 			w = min(w, o.WithinS)
 		}
 	}
@@ -58,9 +59,9 @@
 			continue
 		}
 		switch o.Kind {
-		case "wait":
+		case config.ObjectiveWait:
 			s = min(s, o.WithinS-fetch)
-		case "finished":
+		case config.ObjectiveFinished:
 			s = min(s, o.WithinS-fetch-r.EstimateS)
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -120,9 +120,9 @@
 
 // listedAt returns the machine as the cloud lists it for a time at which it existed.
 func (x *Worker) listedAt(at time.Time) cloud.Host {
-	phase := "running"
+	phase := cloud.MachineRunning
 	if x.upAt.After(at) {
-		phase = "starting"
+		phase = cloud.MachineStarting
 	}
 	return cloud.Host{
 		UID:         x.Host,
