--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -15,7 +15,7 @@
 func (reg *Registry) BeginLeadership(p string, term uint64, clean, hadLeader bool) []DirectCommand {
 	now := reg.node.Now()
 	v := reg.cache.Leaders[p]
-	if v.Record == nil || v.Record.Term != term || reg.leadership.LeaseID == 0 {
+	if v.Record == nil || v.Record.Term != term || reg.leadership.LeaseID() == 0 {
 		return nil
 	}
 	reg.DropLeadership(p)
@@ -23,7 +23,7 @@
 	if !clean {
 		o.PredecessorAnswersUntil = now.Add(reg.node.Settings.LeadershipGrace())
 	}
-	reg.leadership.ByShard[p] = o
+	reg.leadership.Begin(p, o)
 	reg.node.Log.Info("shard acquired", "shard", p, "term", term, "had_leader", hadLeader, "clean", clean)
 	var fences []DirectCommand
 	for host, m := range reg.cache.Machines {
@@ -41,7 +41,12 @@
 
 // DropLeadership forgets a shard that is no longer ours.
 func (reg *Registry) DropLeadership(p string) {
-	delete(reg.leadership.ByShard, p)
+	reg.leadership.End(p)
+	reg.dropAgentsOf(p)
+}
+
+// dropAgentsOf drops the agents of a shard, and of machines without a record.
+func (reg *Registry) dropAgentsOf(p string) {
 	for host := range reg.ByHost {
 		if m := reg.cache.Machines[host]; m == nil || m.Shard == p {
 			reg.Drop(host)
@@ -106,7 +111,7 @@
 	for host := range reg.HeartbeatRequests {
 		m := reg.cache.Machines[host]
 		s := reg.ByHost[host]
-		if m == nil || reg.leadership.Of(m.Shard) == nil || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
+		if m == nil || !reg.leadership.Leads(m.Shard) || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
 			s.Unresponsive {
 			delete(reg.HeartbeatRequests, host)
 			continue
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -39,7 +39,7 @@
 	chunks := map[schema.RangeID][]EndedTask{}
 	bound := reg.node.Settings.WorkerLeaseBound()
 	for host, m := range reg.cache.Machines {
-		o := reg.leadership.Of(m.Shard)
+		o := reg.leadership.InForce(m.Shard)
 		if o == nil || reg.cache.Capacities[m.Shard].Record == nil {
 			continue
 		}
--- a/internal/agent/machine_list.go
+++ b/internal/agent/machine_list.go
@@ -33,7 +33,7 @@
 		if m.Addr == "" {
 			m.Addr = h.Addr
 		}
-		if o := reg.leadership.Of(m.Shard); o != nil {
+		if o := reg.leadership.InForce(m.Shard); o != nil {
 			s := reg.Of(h.UID, o)
 			s.MissingFromLists = 0
 			if h.Phase == cloud.MachineFailed && !s.Cordoned {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -66,14 +66,16 @@
 	}
 }
 
-// DropLostLeaderships forgets the shards that the replica shows as somebody else's.
+// DropLostLeaderships ends the leaderships that the replica shows as another's, and drops the
+// agents of their shards.
 func (reg *Registry) DropLostLeaderships() {
-	for p, o := range reg.leadership.ByShard {
-		v, ok := reg.cache.Leaders[p]
-		ours := ok && v.Record.Incarnation == reg.node.Incarnation && v.Record.Node == reg.node.Settings.HostName
-		if !ours && (!ok || v.Version > o.Version) {
-			reg.node.Log.Info("shard lost", "shard", p, "term", o.Term)
-			reg.DropLeadership(p)
-		}
+	for _, shard := range reg.leadership.EndLost() {
+		reg.dropAgentsOf(shard)
 	}
 }
+
+// DropAll drops all agents, as after the loss of the lease.
+func (reg *Registry) DropAll() {
+	clear(reg.ByHost)
+	clear(reg.cache.Loads)
+}
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -1,36 +1,18 @@
 package agent
 
-import (
-	"time"
-
-	"violetturn/internal/leadership"
-)
+import "time"
 
 // CheckWorkerContact judges whether workers reach this node, and reports whether it should leave
 // its shards to others: only when another is heard, or it may as well be the workers,
 // and their shards would go round. It returns the addresses of workers to be asked whether
 // they hear this node.
 func (reg *Registry) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
-	h := &reg.leadership.Contact
-	if h.Unreachable {
+	if reg.leadership.WorkersUnreachable() {
 		probes = reg.probeTargets()
-	} else if round := reg.node.Settings.HeartbeatInterval() * 5 / 4; now.Sub(h.LastHeard) <= round { // who reports at all has done so in that time
-		h.SilentSteps = 0
-	} else if h.SilentSteps++; h.SilentSteps >= leadership.MinSilent {
-		if h.HearsWorkers = false; reg.countExpectedAgents(now) >= leadership.MinSilent {
-			h.Unreachable = true
-			reg.node.Log.Info("no heartbeat reaches this controller", "last_heard", h.LastHeard)
-		}
-	}
-	if !h.Unreachable {
-		return false, probes
-	}
-	for _, x := range reg.node.Shards {
-		if n := reg.cache.Nodes[x].Record; x != reg.node.Settings.HostName && n != nil && n.HearsWorkers {
-			return true, probes
-		}
+	} else {
+		reg.leadership.CheckSilence(now, func() int { return reg.countExpectedAgents(now) })
 	}
-	return false, probes
+	return reg.leadership.WorkersUnreachable() && reg.leadership.PeerHearsWorkers(), probes
 }
 
 // countExpectedAgents counts the machines of own shards that should be heard: those that were,
@@ -38,10 +20,10 @@
 func (reg *Registry) countExpectedAgents(now time.Time) int {
 	n := 0
 	for host, m := range reg.cache.Machines {
-		if reg.leadership.Of(m.Shard) == nil {
+		if !reg.leadership.Leads(m.Shard) {
 			continue
 		}
-		s := reg.Of(host, reg.leadership.ByShard[m.Shard])
+		s := reg.Of(host, reg.leadership.InForce(m.Shard))
 		if !s.Terminated && !s.LeaseExpired &&
 			(s.Fenced || len(reg.cache.Placements[host]) > 0 && now.Sub(s.CreatedAt) > reg.node.Settings.HeartbeatInterval()) {
 			n++
@@ -63,7 +45,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		reg.leadership.Contact = leadership.WorkerContact{LastHeard: reg.node.Now()}
+		reg.leadership.ResetWorkerContact(reg.node.Now())
 	}
 	return addresses
 }
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -27,7 +27,7 @@
 		as.scaleInCheckedAt = now
 	}
 	for host, m := range as.cache.Machines {
-		o := as.leadership.Of(m.Shard)
+		o := as.leadership.InForce(m.Shard)
 		rec := as.cache.Capacities[m.Shard].Record
 		if o == nil || rec == nil {
 			continue
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -15,7 +15,7 @@
 // now whether there is enough of it: one node does it for all. After there was enough, that
 // may wait a little, against a boot, unless more is wanted by now.
 func (as *Autoscaler) DueHeadroom(now time.Time) []HeadroomRequest {
-	if as.leadership.Of(as.node.Shards[0]) == nil {
+	if !as.leadership.Leads(as.node.Shards[0]) {
 		return nil
 	}
 	wants := as.headroom(now)
@@ -70,7 +70,7 @@
 // and its term; "" if it owns none.
 func (as *Autoscaler) RentingShard() (name string, term uint64) {
 	for _, x := range as.node.Shards {
-		if o := as.leadership.Of(x); o != nil && (name == "" || x == as.node.Settings.HostName) {
+		if o := as.leadership.InForce(x); o != nil && (name == "" || x == as.node.Settings.HostName) {
 			name, term = x, o.Term
 		}
 	}
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -20,7 +20,7 @@
 		Free:               free,
 		QuotaUse:           use,
 	}
-	if o := acc.leadership.Of(p); o != nil && acc.node.Now().After(o.PredecessorAnswersUntil) {
+	if o := acc.leadership.InForce(p); o != nil && acc.node.Now().After(o.PredecessorAnswersUntil) {
 		r.PredecessorInDoubt = false // the grace of whoever came before us is over
 	}
 	if n := acc.TrimCapacity(r.Free, use, acc.node.Now()); n > 0 {
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	x := &Claim{free: shard.FreeCapacity{}, QuotaShares: map[string]sched.Resources{}}
-	if acc.leadership.Of(p) != nil {
+	if acc.leadership.Leads(p) {
 		for h, r := range acc.room.FreeInShard(p, now) {
 			x.free[h] = shard.Vec(r)
 		}
@@ -49,7 +49,7 @@
 // ok is called.
 func (x *Claims) TryClaim(pl Placement, now time.Time) (j *statecache.Job, cost int, ok func()) {
 	j = x.Accounts.cache.Jobs[pl.UID]
-	if j == nil || j.Record.Cancelled || j.Record.RangeFinished(pl.RangeIndex) || x.Accounts.leadership.Of(j.Record.Shard) == nil || x.Accounts.schema.IsBlocked(j) {
+	if j == nil || j.Record.Cancelled || j.Record.RangeFinished(pl.RangeIndex) || !x.Accounts.leadership.Leads(j.Record.Shard) || x.Accounts.schema.IsBlocked(j) {
 		return nil, 0, nil
 	}
 	old := j.Ranges[pl.RangeIndex].Record
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -27,7 +27,7 @@
 	}
 	tasks := map[sched.Resources]float64{}
 	for _, j := range acc.cache.Jobs {
-		if !j.Record.Cancelled && acc.leadership.Of(j.Record.Shard) == nil {
+		if !j.Record.Cancelled && !acc.leadership.Leads(j.Record.Shard) {
 			tasks[statecache.ResourcesOf(&j.Record.Spec)] += float64(len(j.PendingTasks()))
 		}
 	}
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -129,7 +129,7 @@
 func (mr *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var out []*sched.Host
 	for host, m := range mr.cache.Machines {
-		if !all && mr.leadership.Of(m.RentedFor) == nil || len(mr.cache.Placements[host]) > 0 {
+		if !all && !mr.leadership.Leads(m.RentedFor) || len(mr.cache.Placements[host]) > 0 {
 			continue
 		}
 		cp, f := mr.catalog.MachineCapacity(m.MachineType)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -28,7 +28,9 @@
 	c := newController(cfg, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	now := time.Unix(1_800_000_000, 0)
 	c.node.Now = func() time.Time { return now }
-	c.testState().Cache.Loaded, c.testState().Leadership.LeaseID, c.testState().Leadership.LeaseValidUntil, c.testState().Cache.ChangesReadAt = true, 1, now.Add(time.Hour), now
+	c.testState().Cache.Loaded, c.testState().Cache.ChangesReadAt = true, now
+	c.testState().Leadership.BeginLease(1)
+	c.testState().Leadership.ExtendLease(now.Add(time.Hour))
 	c.testState().Catalog.MachineTypes = []cloud.MachineType{{
 		Name:        "m",
 		CPUs:        16,
@@ -46,7 +48,7 @@
 		c.testState().Cache.Apply(key, api.JSON(v), version)
 	}
 	apply(statecache.LeaderPrefix+"n0", shard.LeaderRecord{Node: "n0", Incarnation: c.node.Incarnation, Term: 1})
-	c.testState().Leadership.ByShard["n0"] = &leadership.Leadership{Term: 1, Version: version}
+	c.testState().Leadership.Begin("n0", &leadership.Leadership{Term: 1, Version: version})
 	apply(statecache.CapacityPrefix+"n0", shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	page := shard.Page{}
 	for i := range machines {
@@ -84,7 +86,7 @@
 		apply(statecache.JobPrefix+m.Spec.UID, m)
 	}
 	for h := range c.testState().Cache.Machines {
-		s := c.testState().Agents.Of(h, c.testState().Leadership.ByShard["n0"])
+		s := c.testState().Agents.Of(h, c.testState().Leadership.Known("n0"))
 		s.Fenced, s.LastSeen, s.LastAnswered, s.Heartbeat = true, now, now, &api.Heartbeat{Host: h}
 	}
 	return c
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -169,7 +169,7 @@
 		c.node.Log.Info(
 			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
 			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.ByShard), "heap_kb", mem.HeapAlloc>>10,
+			"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.KnownShards()), "heap_kb", mem.HeapAlloc>>10,
 		)
 		for _, what := range slices.Sorted(maps.Keys(state.Stats.Commits)) {
 			n := state.Stats.Commits[what]
--- a/internal/controller/gap_test.go
+++ b/internal/controller/gap_test.go
@@ -18,7 +18,7 @@
 	for h := range s.hostsOf(uid) {
 		m := s.nodes[0].c.testState().Cache.Machines[h]
 		for i, n := range s.nodes {
-			if n.c.testState().Leadership.Of(m.Shard) != nil {
+			if n.c.testState().Leadership.Leads(m.Shard) {
 				return i, (i + 1) % len(s.nodes)
 			}
 		}
@@ -284,7 +284,7 @@
 	s.rounds(t, 40, "taken", func() bool { o := s.owner(home); return o != "" && o != home })
 	c := s.nodes[leader].c
 	c.members.AskPeers(context.Background())
-	if o := c.testState().Leadership.ByShard[home]; o == nil || o.Successor != s.owner(home) {
+	if o := c.testState().Leadership.Known(home); o == nil || o.Successor() != s.owner(home) {
 		t.Fatalf("it does not know: %+v", o)
 	}
 	for h, m := range c.testState().Cache.Machines {
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -36,7 +36,7 @@
 	s.start(taker)
 	s.rounds(t, 10, "taken again", func() bool { return s.owner("n1") == s.nodes[taker].name })
 	c := s.nodes[taker].c
-	if got := c.testState().Leadership.ByShard["n1"].PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
+	if got := c.testState().Leadership.Known("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
 		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.node.Settings.LeadershipGrace())
 	}
 }
@@ -75,7 +75,7 @@
 func TestPartIsNotTakenFromALivingOwner(t *testing.T) {
 	s := warmSim()
 	c := s.nodes[1].c
-	before := c.testState().Leadership.ByShard["n1"].Term
+	before := c.testState().Leadership.Known("n1").Term
 	old := c.testState().Cache.Leaders["n0"].Version
 	s.nodes[0].up = false
 	s.rounds(t, 40, "part of n0 taken", func() bool { o := s.owner("n0"); return o != "" })
@@ -86,7 +86,7 @@
 	}
 	s.round()
 	other.c.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old owner's key
-	if s.owner("n0") != taker || other.c.testState().Leadership.ByShard["n0"] != nil || c.testState().Leadership.ByShard["n1"].Term != before {
+	if s.owner("n0") != taker || other.c.testState().Leadership.Known("n0") != nil || c.testState().Leadership.Known("n1").Term != before {
 		t.Fatal("the part changed hands")
 	}
 }
@@ -138,18 +138,19 @@
 	if err := c.sync.Load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	var err error
-	if c.testState().Leadership.LeaseID, err = c.services.Store.GrantLease(context.Background(), c.node.Settings.ControllerLeaseTTL()); err != nil {
+	leaseID, err := c.services.Store.GrantLease(context.Background(), c.node.Settings.ControllerLeaseTTL())
+	if err != nil {
 		t.Fatal(err)
 	}
+	c.testState().Leadership.BeginLease(leaseID)
 	for len(c.sync.LeaderlessShard) > 0 {
 		<-c.sync.LeaderlessShard
 	}
 	old := c.testState().Cache.Leaders["n1"].Version
 	s.nodes[0].c.election.AcquireShard(context.Background(), "n0", s.nodes[0].c.testState().Cache.Leaders["n0"].Version) // raises the term
 	c.election.AcquireShard(context.Background(), "n1", old)
-	if c.testState().Leadership.ByShard["n1"] != nil || len(c.sync.LeaderlessShard) != 1 {
-		t.Fatalf("taken %t, to be tried again %d", c.testState().Leadership.ByShard["n1"] != nil, len(c.sync.LeaderlessShard))
+	if c.testState().Leadership.Known("n1") != nil || len(c.sync.LeaderlessShard) != 1 {
+		t.Fatalf("taken %t, to be tried again %d", c.testState().Leadership.Known("n1") != nil, len(c.sync.LeaderlessShard))
 	}
 }
 
@@ -242,7 +243,7 @@
 	}
 	for _, x := range s.w.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
-		r.Token = shard.FencingToken(s.nodes[cut].c.testState().Leadership.ByShard[home].Term, 0)
+		r.Token = shard.FencingToken(s.nodes[cut].c.testState().Leadership.Known(home).Term, 0)
 		if status, _, _ := s.deliver(cut, api.JSON(r)); status == 200 {
 			t.Error("it answers reports beyond its grace")
 		}
@@ -261,14 +262,14 @@
 	c := s.nodes[0].c
 	s.step(0)
 	s.step(0)
-	if c.testState().Leadership.RateSharers != 3 {
-		t.Fatalf("%d share before the others have registered", c.testState().Leadership.RateSharers)
+	if c.testState().Leadership.RateSharers() != 3 {
+		t.Fatalf("%d share before the others have registered", c.testState().Leadership.RateSharers())
 	}
-	s.rounds(t, 4, "all three share", func() bool { return c.testState().Leadership.RateSharers == 3 })
+	s.rounds(t, 4, "all three share", func() bool { return c.testState().Leadership.RateSharers() == 3 })
 	s.nodes[1].up, s.nodes[2].up = false, false
 	s.rounds(t, 20, "alone", func() bool {
-		return c.testState().Leadership.RateSharers == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
+		return c.testState().Leadership.RateSharers() == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.start(2)
-	s.rounds(t, 20, "two share", func() bool { return c.testState().Leadership.RateSharers == 2 })
+	s.rounds(t, 20, "two share", func() bool { return c.testState().Leadership.RateSharers() == 2 })
 }
--- a/internal/controller/simjobs_test.go
+++ b/internal/controller/simjobs_test.go
@@ -71,7 +71,7 @@
 
 func (s *sim) owner(shard string) string {
 	for _, n := range s.nodes {
-		if n.up && n.c.testState().Leadership.Of(shard) != nil && n.c.testState().Leadership.MayAct(n.c.node.Now()) {
+		if n.up && n.c.testState().Leadership.Leads(shard) && n.c.testState().Leadership.MayAct(n.c.node.Now()) {
 			return n.name
 		}
 	}
--- a/internal/controller/zonecases_test.go
+++ b/internal/controller/zonecases_test.go
@@ -82,7 +82,7 @@
 func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	withReaders, _ := z.drop()
-	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Of("n0") != nil })
+	owner := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Leads("n0") })
 	c := z.nodes[owner].c
 	waiting := func() (tasks int) {
 		observations, _ := c.testState().Zones.ObserveZones(c.node.Now())
@@ -161,7 +161,7 @@
 func TestZoneWriterWakesLate(t *testing.T) {
 	z := newZoneWorld(t, switchOn)
 	_, others := z.drop()
-	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Of("n0") != nil })
+	writer := slices.IndexFunc(z.nodes, func(n *simNode) bool { return n.c.testState().Leadership.Leads("n0") })
 	late := z.nodes[writer].c
 	old := z.state(writer)
 	z.nodes[writer].still = true
@@ -174,7 +174,7 @@
 	// record has moved on.
 	stale := statecache.NewTransaction()
 	stale.Require(statecache.ZonePrefix+"x", late.testState().Cache.Zones["x"].Version)
-	stale.Require(statecache.LeaderPrefix+"n0", late.testState().Leadership.ByShard["n0"].Version)
+	stale.Require(statecache.LeaderPrefix+"n0", late.testState().Leadership.Known("n0").Version)
 	stale.Put(statecache.ZonePrefix+"x", zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
 	done, failed, _ := late.sync.Commit(t.Context(), "zones", stale, 0)
 	if done || !slices.Contains(failed, statecache.ZonePrefix+"x") || !slices.Contains(failed, statecache.LeaderPrefix+"n0") {
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -105,10 +105,11 @@
 func (d *Loop) refreshCapacityRecord(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
-	for p, o := range state.Leadership.ByShard {
+	for _, p := range state.Leadership.KnownShards() {
 		rec := state.Cache.Capacities[p]
-		if state.Leadership.Of(p) == nil || rec.Record == nil || len(state.Catalog.MachineTypes) == 0 ||
-			now.Sub(o.CapacityRecordedAt) < 6*d.node.Settings.DecisionInterval() {
+		o := state.Leadership.InForce(p)
+		if o == nil || rec.Record == nil || len(state.Catalog.MachineTypes) == 0 ||
+			o.CapacityRecordAge(now) < 6*d.node.Settings.DecisionInterval() {
 			continue
 		}
 		free := shard.FreeCapacity{}
@@ -137,7 +138,7 @@
 		// More room than the record says is news for peers only, and while own jobs wait
 		// for room they take it first: that is told less often, and so is another choice of
 		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && now.Sub(o.CapacityRecordedAt) < 24*d.node.Settings.DecisionInterval() && state.Scheduler.HasPendingTasks() &&
+		if len(shares) == 0 && o.CapacityRecordAge(now) < 24*d.node.Settings.DecisionInterval() && state.Scheduler.HasPendingTasks() &&
 			capacity.StillOffered(free, rec.Record.Free) {
 			continue
 		}
@@ -147,7 +148,7 @@
 			}
 			delete(shares, name)
 		}
-		o.CapacityRecordedAt = now
+		o.NoteCapacityRecorded(now)
 		t := statecache.NewTransaction()
 		state.Leadership.Require(t, p)
 		state.Capacity.PutCapacityRecord(t, p, free, use)
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -17,9 +17,7 @@
 	now := d.node.Now()
 	state := d.guard.Lock()
 	e := state.Schema.NewRecordEditor()
-	for p := range state.Leadership.ByShard {
-		state.Leadership.Require(e.Txn, p)
-	}
+	state.Leadership.RequireAll(e.Txn)
 	chunks := state.Agents.EndedTasks(now)
 	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b schema.RangeID) int { // jobs that may be complete first
 		if a.UID != b.UID {
@@ -77,7 +75,7 @@
 	e := state.Schema.NewRecordEditor()
 	for _, j := range state.Cache.Jobs {
 		over := j.Record.Cancelled || j.Record.Gang != nil && j.Record.Gang.Done
-		if !over || state.Leadership.Of(j.Record.Shard) == nil || e.IsFull(2, 0) {
+		if !over || !state.Leadership.Leads(j.Record.Shard) || e.IsFull(2, 0) {
 			continue
 		}
 		on, done := 0, j.Record.FinishedTasks()
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -24,9 +24,7 @@
 		byJob[k.UID] = append(byJob[k.UID], ends...)
 	}
 	e := state.Schema.NewRecordEditor()
-	for p := range state.Leadership.ByShard {
-		state.Leadership.Require(e.Txn, p)
-	}
+	state.Leadership.RequireAll(e.Txn)
 	more := false
 	var said [][]any
 	for _, uid := range slices.Sorted(maps.Keys(state.Cache.Gangs)) {
@@ -121,7 +119,7 @@
 	reserved := state.Scheduler.WritesReservedForGangs(now)
 	for uid := range state.Cache.Gangs {
 		j := state.Cache.Jobs[uid]
-		if j.Record.Cancelled || state.Leadership.Of(j.Record.Shard) == nil || len(j.PendingTasks()) == 0 {
+		if j.Record.Cancelled || !state.Leadership.Leads(j.Record.Shard) || len(j.PendingTasks()) == 0 {
 			continue
 		}
 		if g := state.Scheduler.GangStateOf(uid); now.Sub(g.LookedAt) > 8*d.node.Settings.DecisionInterval() {
--- a/internal/decisions/machines.go
+++ b/internal/decisions/machines.go
@@ -112,7 +112,7 @@
 	var names []string
 	for host, s := range state.Agents.ByHost {
 		m := state.Cache.Machines[host]
-		if !s.Terminated || m == nil || state.Leadership.Of(m.Shard) == nil || len(state.Cache.Placements[host]) > 0 {
+		if !s.Terminated || m == nil || !state.Leadership.Leads(m.Shard) || len(state.Cache.Placements[host]) > 0 {
 			continue
 		}
 		if _, in := state.Cache.Capacities[m.Shard].Record.Free[host]; in {
--- a/internal/decisions/split.go
+++ b/internal/decisions/split.go
@@ -71,7 +71,7 @@
 	l := state.Schema.TransactionLimits()
 	for uid, recs := range state.Cache.TaskRanges {
 		j := state.Cache.Jobs[uid]
-		if j != nil && state.Leadership.Of(j.Record.Shard) == nil || j == nil && state.Leadership.Of(d.node.Shards[0]) == nil {
+		if j != nil && !state.Leadership.Leads(j.Record.Shard) || j == nil && !state.Leadership.Leads(d.node.Shards[0]) {
 			continue
 		}
 		for rec, ch := range recs {
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -36,9 +36,7 @@
 			changed[zone] = next
 		}
 	}
-	for p := range state.Leadership.ByShard {
-		state.Leadership.Require(t, p)
-	}
+	state.Leadership.RequireAll(t)
 	d.guard.Unlock()
 	if len(changed) == 0 {
 		return false
--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -7,6 +7,7 @@
 
 	"violetturn/internal/commands"
 	"violetturn/internal/external"
+	"violetturn/internal/logkey"
 	"violetturn/internal/node"
 	"violetturn/internal/state"
 	"violetturn/internal/store"
@@ -14,7 +15,19 @@
 	"violetturn/internal/timing"
 )
 
-// Keeper keeps this controller's lease, and acquires and releases shards.
+// Intervals of the lease's loop, as parts of the lease's time.
+const (
+	stepsPerLease   = 4   // steps while the state service answers
+	retriesPerLease = 10  // steps while it doesn't
+	turnsPerLease   = 32  // pauses before a step for a shard that has become leaderless
+	clockMargin     = 256 // part of the lease that is not counted on, as our clock may run slow against the service's
+)
+
+// revokeTimeout bounds how long a shutdown waits for the end of the lease.
+const revokeTimeout = time.Second
+
+// Keeper keeps this controller's lease, and acquires and releases shards. One goroutine uses it;
+// what it knows is in the guarded state.
 type Keeper struct {
 	node     *node.Info
 	guard    *state.Guard
@@ -23,78 +36,105 @@
 	commands *commands.Sender
 }
 
+// NewKeeper makes a keeper that has no lease yet.
 func NewKeeper(
 	info *node.Info, guard *state.Guard, services *external.Services, sync *storesync.Sync, commands *commands.Sender,
 ) *Keeper {
 	return &Keeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
 }
 
-// RevokeLease ends the lease in an orderly shutdown, so that others take over at once.
-func (k *Keeper) RevokeLease() {
-	state := k.guard.Lock()
-	leaseID := state.Leadership.LeaseID
-	state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
-	k.guard.Unlock()
-	if leaseID != 0 {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		if err := k.services.Store.RevokeLease(ctx, leaseID); err != nil {
-			k.node.Log.Info("lease not revoked", "err", err)
-		}
-	}
-}
-
-// LeaseLoop keeps this node's lease and with it the shards it owns.
+// LeaseLoop keeps this node's lease and with it the shards that it leads, until ctx is done.
 func (k *Keeper) LeaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		t := time.NewTimer(k.MaintainLease(ctx))
+		timer := time.NewTimer(k.MaintainLease(ctx))
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-k.sync.LeaderlessShard: // its turn may be ours
-			timing.Sleep(ctx, k.node.Settings.ControllerLeaseTTL()/32)
+			timing.Sleep(ctx, k.node.Settings.ControllerLeaseTTL()/turnsPerLease)
 		case <-ctx.Done():
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
-// MaintainLease makes or renews the lease and tends the shards. It tells how long to
-// wait before the next step.
+// MaintainLease takes one step: it has the lease granted or renews it, and then acquires and
+// releases shards. It returns how long to wait before the next step.
 func (k *Keeper) MaintainLease(ctx context.Context) time.Duration {
 	ttl := k.node.Settings.ControllerLeaseTTL()
+	sent := k.node.Now()
+	err := k.keepLease(ctx, ttl)
+	if errors.Is(err, store.ErrNoLease) {
+		return 0
+	}
+	if err != nil {
+		return ttl / retriesPerLease
+	}
+	if k.extendLease(sent, ttl) { // how long we may answer once we are cut off counts from the last read
+		_ = k.sync.ReadNewest(ctx)
+	}
+	k.maintainLeaderships(ctx)
+	return ttl / stepsPerLease
+}
+
+// keepLease renews the lease, or has one granted if there is none. It returns store.ErrNoLease if
+// the lease was lost.
+func (k *Keeper) keepLease(ctx context.Context, ttl time.Duration) error {
 	state := k.guard.Lock()
-	leaseID := state.Leadership.LeaseID
+	leaseID := state.Leadership.LeaseID()
 	k.guard.Unlock()
-	sent := k.node.Now()
-	var err error
 	if leaseID == 0 {
-		if leaseID, err = k.services.Store.GrantLease(ctx, ttl); err == nil {
-			k.node.Log.Info("lease granted", "lease", leaseID)
-			state = k.guard.Lock()
-			state.Leadership.LeaseID = leaseID
-			k.guard.Unlock()
-		}
-	} else if err = k.services.Store.RenewLease(ctx, leaseID); errors.Is(err, store.ErrNoLease) {
-		k.node.Log.Info("lease lost", "lease", leaseID)
-		state = k.guard.Lock()
-		state.Leadership.LeaseID, state.Leadership.LeaseValidUntil = 0, time.Time{}
-		clear(state.Leadership.ByShard)
-		clear(state.Agents.ByHost)
-		clear(state.Cache.Loads)
-		k.guard.Unlock()
-		return 0
+		return k.grantLease(ctx, ttl)
 	}
-	if err == nil {
-		state = k.guard.Lock()
-		// Our clock may run slow against the service's: count a little less.
-		state.Leadership.LeaseValidUntil = sent.Add(ttl - ttl/256)
-		stale := state.Cache.Loaded && sent.Sub(state.Cache.ChangesReadAt) > ttl/4
-		k.guard.Unlock()
-		if stale { // how long we may answer once we are cut off counts from the last read
-			_ = k.sync.ReadNewest(ctx)
-		}
-		k.maintainLeaderships(ctx)
-		return ttl / 4
+	err := k.services.Store.RenewLease(ctx, leaseID)
+	if errors.Is(err, store.ErrNoLease) {
+		k.loseLease(leaseID)
+	}
+	return err
+}
+
+// grantLease has a lease granted. Its errors are never store.ErrNoLease.
+func (k *Keeper) grantLease(ctx context.Context, ttl time.Duration) error {
+	leaseID, err := k.services.Store.GrantLease(ctx, ttl)
+	if err != nil {
+		return err
+	}
+	k.node.Log.Info("lease granted", logkey.Lease(leaseID))
+	state := k.guard.Lock()
+	state.Leadership.BeginLease(leaseID)
+	k.guard.Unlock()
+	return nil
+}
+
+// loseLease drops all that this node held under a lease that has ended: others may lead its shards
+// already.
+func (k *Keeper) loseLease(leaseID uint64) {
+	k.node.Log.Info("lease lost", logkey.Lease(leaseID))
+	state := k.guard.Lock()
+	state.Leadership.LoseLease()
+	state.Agents.DropAll()
+	k.guard.Unlock()
+}
+
+// extendLease notes that the lease was granted or renewed by a request that was sent at the given
+// time. It reports whether the replica is to be brought up to date.
+func (k *Keeper) extendLease(sent time.Time, ttl time.Duration) (stale bool) {
+	state := k.guard.Lock()
+	defer k.guard.Unlock()
+	state.Leadership.ExtendLease(sent.Add(ttl - ttl/clockMargin))
+	return state.Cache.Loaded && sent.Sub(state.Cache.ChangesReadAt) > ttl/stepsPerLease
+}
+
+// RevokeLease ends the lease in an orderly shutdown, so that others take over at once.
+func (k *Keeper) RevokeLease() {
+	state := k.guard.Lock()
+	leaseID := state.Leadership.RevokeLease()
+	k.guard.Unlock()
+	if leaseID == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
+	defer cancel()
+	if err := k.services.Store.RevokeLease(ctx, leaseID); err != nil {
+		k.node.Log.Info("lease not revoked", logkey.Err(err))
 	}
-	return ttl / 10
 }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -4,119 +4,186 @@
 	"context"
 	"errors"
 
+	"violetturn/internal/leadership"
+	"violetturn/internal/logkey"
 	"violetturn/internal/shard"
+	"violetturn/internal/state"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
-// maintainLeaderships registers this node, takes shards without a leader and hands shards
-// back to their home controllers.
+// What the commits of this package are for, in the log's summary.
+const (
+	commitNode  = "node"
+	commitShard = "part"
+)
+
+// maintainLeaderships registers this node, acquires shards without a leader and releases shards
+// to their home controllers.
 func (k *Keeper) maintainLeaderships(ctx context.Context) {
-	now := k.node.Now()
-	state := k.guard.Lock()
-	if !state.Cache.Loaded {
-		k.guard.Unlock()
+	step, ok := k.planStep()
+	if !ok {
 		return
 	}
-	state.Agents.DropLostLeaderships()
-	sharers, sharersChanged := state.Leadership.UpdateRateSharing(now)
-	unreachable, probes := state.Agents.CheckWorkerContact(now)
-	registration := state.Leadership.Registration()
-	state.Leadership.NotePeersReachable(now)
-	tending := state.Leadership.PlanChanges(now, unreachable)
-	k.guard.Unlock()
-	if sharersChanged {
-		k.services.Store.SetControllers(sharers)
+	if step.sharersChanged {
+		k.services.Store.SetControllers(step.sharers)
 	}
-	k.commands.Probe(ctx, probes)
-	if registration != nil {
-		if _, _, err := k.sync.Commit(ctx, "node", registration, store.PriorityLease); errors.Is(err, store.ErrNoLease) {
+	k.commands.Probe(ctx, step.probes)
+	if step.registration != nil {
+		_, _, err := k.sync.Commit(ctx, commitNode, step.registration, store.PriorityLease)
+		if errors.Is(err, store.ErrNoLease) {
 			return
 		}
 	}
-	for _, p := range tending.Release {
-		k.releaseShard(ctx, p)
+	for _, shard := range step.changes.Release {
+		k.releaseShard(ctx, shard)
 	}
-	for _, p := range tending.Acquire {
-		k.AcquireShard(ctx, p, tending.LeaderVersions[p])
+	for _, acquisition := range step.changes.Acquire {
+		k.AcquireShard(ctx, acquisition.Shard, acquisition.LeaderVersion)
 	}
 }
 
-// AcquireShard takes a shard: its leader's key under our lease, and a term above all
-// that were ever given out, which is the shard's fencing token.
-func (k *Keeper) AcquireShard(ctx context.Context, p string, seen uint64) {
-	me := k.node.Settings.HostName
+// leadershipStep is what a step of the lease does besides keeping it.
+type leadershipStep struct {
+	sharers        int // controllers that share the state service's rates
+	sharersChanged bool
+	probes         []string                // addresses of workers to be asked whether they hear this node
+	registration   *statecache.Transaction // nil: this node's records are right
+	changes        leadership.Changes
+}
+
+// planStep decides what to do under the lock. ok is false while the replica is not whole.
+func (k *Keeper) planStep() (step leadershipStep, ok bool) {
+	now := k.node.Now()
 	state := k.guard.Lock()
-	old, had := state.Cache.Leaders[p]
-	if old.Version != seen {
-		// Somebody took it since: with the newer version the precondition would hold,
+	defer k.guard.Unlock()
+	if !state.Cache.Loaded {
+		return step, false
+	}
+	state.Agents.DropLostLeaderships()
+	step.sharersChanged = state.Leadership.UpdateRateSharers(now)
+	step.sharers = state.Leadership.RateSharers()
+	leave, probes := state.Agents.CheckWorkerContact(now)
+	step.probes = probes
+	step.registration = state.Leadership.Registration()
+	state.Leadership.NotePeersReachable(now)
+	step.changes = state.Leadership.PlanChanges(now, leave)
+	return step, true
+}
+
+// acquisition is the transaction that acquires a shard, and what begins with it.
+type acquisition struct {
+	txn       *statecache.Transaction
+	term      uint64
+	clean     bool // no earlier leader can still be answering workers
+	hadLeader bool
+}
+
+// AcquireShard acquires a shard: its leader's key under our lease, and a term above all
+// that were ever given out, which is the shard's fencing token. leaderVersion is the version of
+// the leader's key, or 0, that the decision rests on.
+func (k *Keeper) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
+	state := k.guard.Lock()
+	if state.Cache.Leaders[shard].Version != leaderVersion {
+		// Somebody acquired it since: with the newer version the precondition would hold,
 		// and the shard be taken from a living leader.
 		k.guard.Unlock()
 		return
 	}
-	rec := state.Cache.Capacities[p]
-	term := state.Cache.Term + 1
-	t := statecache.NewTransaction()
-	t.Require(statecache.LeaderPrefix+p, old.Version)
-	t.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
-	t.Require(statecache.CapacityPrefix+p, rec.Version)
-	t.Put(statecache.TermKey, term)
-	t.Put(statecache.LeaderPrefix+p, shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term})
-	t.Leases[statecache.LeaderPrefix+p] = state.Leadership.LeaseID
-	// An earlier life of this process has ended, and one that released the shard
-	// has stopped answering; any other may go on for its grace. So may one before
-	// those, if they did not live to see its grace out: the doubt stays with the
-	// record, or a quick restart of ours would forget it.
-	clean := rec.Record == nil || (rec.Record.Leader == me || rec.Record.Released) && !rec.Record.PredecessorInDoubt
-	t.Put(
-		statecache.CapacityPrefix+p,
-		shard.CapacityRecord{Term: term, Leader: me, PredecessorInDoubt: !clean, Free: shard.FreeCapacity{}, QuotaUse: state.Capacity.QuotaUseOf(p)},
-	)
+	acquisition := k.prepareAcquisition(state, shard)
 	k.guard.Unlock()
-	done, _, err := k.sync.Commit(ctx, "part", t, store.PriorityLease)
+	done, _, err := k.sync.Commit(ctx, commitShard, acquisition.txn, store.PriorityLease)
 	if !done {
-		k.node.Log.Debug("shard not acquired", "shard", p, "err", err)
+		k.node.Log.Debug("shard not acquired", logkey.Shard(shard), logkey.Err(err))
 		if err == nil {
-			// Overtaken, by another's take that raised the term as a rule: after
+			// Overtaken, by another's acquisition that raised the term as a rule: after
 			// the end of all they come at once, and leases run meanwhile.
 			k.sync.WakeLeaseLoop()
 		}
 		return
 	}
 	state = k.guard.Lock()
-	fences := state.Agents.BeginLeadership(p, term, clean, had)
+	fences := state.Agents.BeginLeadership(shard, acquisition.term, acquisition.clean, acquisition.hadLeader)
 	k.guard.Unlock()
 	k.commands.Send(ctx, fences)
 }
 
-// releaseShard returns a shard back to its home controller in an orderly way: answers
+// prepareAcquisition puts together the transaction that acquires a shard.
+func (k *Keeper) prepareAcquisition(state *state.State, name string) acquisition {
+	me := k.node.Settings.HostName
+	leader, hadLeader := state.Cache.Leaders[name]
+	capacity := state.Cache.Capacities[name]
+	term := state.Cache.Term + 1
+	clean := stoppedAnswering(capacity.Record, me)
+	txn := statecache.NewTransaction()
+	txn.Require(statecache.LeaderPrefix+name, leader.Version)
+	txn.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
+	txn.Require(statecache.CapacityPrefix+name, capacity.Version)
+	txn.Put(statecache.TermKey, term)
+	txn.Put(statecache.LeaderPrefix+name, shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term})
+	txn.Leases[statecache.LeaderPrefix+name] = state.Leadership.LeaseID()
+	txn.Put(statecache.CapacityPrefix+name, shard.CapacityRecord{
+		Term:               term,
+		Leader:             me,
+		PredecessorInDoubt: !clean,
+		Free:               shard.FreeCapacity{},
+		QuotaUse:           state.Capacity.QuotaUseOf(name),
+	})
+	return acquisition{txn: txn, term: term, clean: clean, hadLeader: hadLeader}
+}
+
+// stoppedAnswering reports whether all earlier leaders of a shard have surely stopped answering
+// its workers, as its capacity record tells. It guards against a new leader that counts a
+// worker's lease as over while an earlier one still renews it.
+//
+// An earlier life of this process has ended, and a leader that released the shard
+// has stopped answering; any other may go on for its grace. So may one before
+// those, if they did not live to see its grace out: the doubt stays with the
+// record, or a quick restart of ours would drop it.
+func stoppedAnswering(capacity *shard.CapacityRecord, me string) bool {
+	if capacity == nil {
+		return true // it was never led
+	}
+	return (capacity.Leader == me || capacity.Released) && !capacity.PredecessorInDoubt
+}
+
+// releaseShard releases a shard to its home controller in an orderly way: answers
 // stop first, then the release is committed.
-func (k *Keeper) releaseShard(ctx context.Context, p string) {
+func (k *Keeper) releaseShard(ctx context.Context, shard string) {
 	state := k.guard.Lock()
-	o, rec := state.Leadership.ByShard[p], state.Cache.Capacities[p]
-	if o == nil || rec.Record == nil {
-		k.guard.Unlock()
+	released, txn := prepareRelease(state, shard)
+	k.guard.Unlock()
+	if released == nil {
 		return
 	}
-	o.Releasing = true
-	t := statecache.NewTransaction()
-	t.Require(statecache.LeaderPrefix+p, o.Version)
-	t.Require(statecache.CapacityPrefix+p, rec.Version)
-	t.Delete(statecache.LeaderPrefix + p)
-	r := *rec.Record
-	r.Released = true
-	t.Put(statecache.CapacityPrefix+p, r)
-	k.guard.Unlock()
-	done, _, err := k.sync.Commit(ctx, "part", t, store.PriorityLease)
+	done, _, err := k.sync.Commit(ctx, commitShard, txn, store.PriorityLease)
 	state = k.guard.Lock()
 	defer k.guard.Unlock()
 	if done {
-		k.node.Log.Info("shard released", "shard", p, "term", o.Term)
-		state.Agents.DropLeadership(p)
+		k.node.Log.Info("shard released", logkey.Shard(shard), logkey.Term(released.Term))
+		state.Agents.DropLeadership(shard)
 		return
 	}
-	// In doubt it stays unanswered until the replica shows who owns it.
+	// In doubt it stays unanswered until the replica shows who leads it.
 	if !errors.Is(err, store.ErrUnknown) {
-		o.Releasing = false
+		released.CancelRelease()
+	}
+}
+
+// prepareRelease stops the answers to a shard's workers and puts together the transaction that
+// releases the shard. It returns nil if there is nothing to release.
+func prepareRelease(state *state.State, shard string) (*leadership.Leadership, *statecache.Transaction) {
+	leadership, capacity := state.Leadership.Known(shard), state.Cache.Capacities[shard]
+	if leadership == nil || capacity.Record == nil {
+		return nil, nil
 	}
+	leadership.BeginRelease()
+	record := *capacity.Record
+	record.Released = true
+	txn := statecache.NewTransaction()
+	txn.Require(statecache.LeaderPrefix+shard, leadership.Version)
+	txn.Require(statecache.CapacityPrefix+shard, capacity.Version)
+	txn.Delete(statecache.LeaderPrefix + shard)
+	txn.Put(statecache.CapacityPrefix+shard, record)
+	return leadership, txn
 }
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -3,87 +3,101 @@
 import (
 	"time"
 
+	"violetturn/internal/logkey"
 	"violetturn/internal/peer"
 )
 
-// Acknowledgement says what this node has done after a revision, up to now.
-func (l *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
-	v := &peer.Acknowledgement{Complete: l.cache.Loaded && since >= l.cache.CancellationsCompleteFrom}
-	if !v.Complete {
-		return v
+// A leader that has lost the state service doesn't see which jobs are cancelled, nor
+// whether it was replaced. Left to itself it may answer its workers for a bounded time
+// only (LeadershipGrace, MaxStaleness). But only controllers confirm cancellations and acquire
+// shards, and each of them knows what it did itself: one that acknowledges all that at some
+// moment has, until that moment, done nothing that the leader doesn't know. So the leader's
+// time counts from the oldest of the newest acknowledgements of all configured controllers,
+// each from when it was asked for. One that does not answer, does not know all that it may have
+// done (it has only just started), or is of a version that doesn't know the question, counts
+// as silent: the time runs out as before. docs/design.md has the argument.
+
+// Acknowledgement tells a peer what this node has done after a revision, up to now: the
+// cancellations that it knows of and the shards that were acquired. It is not complete if this
+// node can't know all since that revision.
+func (t *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
+	acknowledgement := &peer.Acknowledgement{Complete: t.cache.Loaded && since >= t.cache.CancellationsCompleteFrom}
+	if !acknowledgement.Complete {
+		return acknowledgement
 	}
-	for _, x := range l.cache.Cancellations {
-		if x.Version > since {
-			v.Cancelled = append(v.Cancelled, x.UID)
+	for _, cancellation := range t.cache.Cancellations {
+		if cancellation.Version > since {
+			acknowledgement.Cancelled = append(acknowledgement.Cancelled, cancellation.UID)
 		}
 	}
-	for _, p := range l.node.Shards {
-		if rec, own := l.cache.Capacities[p].Record, l.cache.Leaders[p].Record; rec != nil {
-			t := &peer.ShardLeader{Shard: p, Leader: rec.Leader, Term: rec.Term}
-			if own != nil && own.Term > t.Term {
-				t.Leader, t.Term = own.Node, own.Term
-			}
-			v.ShardLeaders = append(v.ShardLeaders, t)
+	for _, shard := range t.node.Shards {
+		if newest := t.newestLeader(shard); newest != nil {
+			acknowledgement.ShardLeaders = append(acknowledgement.ShardLeaders, newest)
 		}
 	}
-	return v
+	return acknowledgement
+}
+
+// newestLeader returns the leader of a shard with the highest term that this node knows of, nil
+// if the shard was never led.
+func (t *Table) newestLeader(shard string) *peer.ShardLeader {
+	capacity, leader := t.cache.Capacities[shard].Record, t.cache.Leaders[shard].Record
+	if capacity == nil {
+		return nil
+	}
+	newest := &peer.ShardLeader{Shard: shard, Leader: capacity.Leader, Term: capacity.Term}
+	if leader != nil && leader.Term > newest.Term {
+		newest.Leader, newest.Term = leader.Node, leader.Term
+	}
+	return newest
 }
 
-// NoteAcknowledgement takes in what a peer answers for, asked at the given time with the given
-// revision.
-func (l *Table) NoteAcknowledgement(node string, v *peer.Acknowledgement, sent time.Time) {
-	if !v.GetComplete() || !l.cache.Loaded {
+// NoteAcknowledgement takes in what a peer acknowledges. It was asked for at the given time,
+// with the revision of the replica then. One that is not complete says nothing.
+func (t *Table) NoteAcknowledgement(node string, acknowledgement *peer.Acknowledgement, asked time.Time) {
+	if !acknowledgement.GetComplete() || !t.cache.Loaded {
 		return
 	}
-	for _, uid := range v.GetCancelled() {
-		l.cache.NoteCancelledByPeer(uid)
+	for _, uid := range acknowledgement.GetCancelled() {
+		t.cache.NoteCancelledByPeer(uid)
 	}
-	for _, t := range v.GetShardLeaders() {
-		if o := l.ByShard[t.GetShard()]; o != nil && t.GetTerm() > o.Term && o.Successor == "" {
-			l.node.Log.Info("shard acquired by a peer", "shard", t.GetShard(), "leader", t.GetLeader(), "term", t.GetTerm())
-			o.Successor = t.GetLeader()
-		}
+	for _, leader := range acknowledgement.GetShardLeaders() {
+		t.noteSuccessor(leader)
 	}
-	if sent.After(l.acknowledgedUntil[node]) {
-		l.acknowledgedUntil[node] = sent
+	if asked.After(t.acknowledgedUntil[node]) {
+		t.acknowledgedUntil[node] = asked
+	}
+}
+
+// noteSuccessor notes that a peer has acquired a shard of ours, if its term shows that.
+func (t *Table) noteSuccessor(leader *peer.ShardLeader) {
+	shard := leader.GetShard()
+	leadership := t.byShard[shard]
+	if leadership == nil || leader.GetTerm() <= leadership.Term || leadership.successor != "" {
+		return
 	}
+	t.node.Log.Info("shard acquired by a peer",
+		logkey.Shard(shard), logkey.Leader(leader.GetLeader()), logkey.Term(leader.GetTerm()))
+	leadership.successor = leader.GetLeader()
 }
 
-// AcknowledgedByAllUntil is the moment up to which all controllers that could have called a job
-// off, or taken a shard, have answered for themselves.
-func (l *Table) AcknowledgedByAllUntil() time.Time {
-	if len(l.node.Settings.Members)+1 < l.node.Settings.Facts.Size {
+// AcknowledgedByAllUntil returns the moment up to which all controllers that could have
+// confirmed a cancellation or acquired a shard have acknowledged what they did; the zero time if
+// some have not, or can't be asked.
+func (t *Table) AcknowledgedByAllUntil() time.Time {
+	settings := t.node.Settings
+	if len(settings.Members)+1 < settings.Facts.Size {
 		return time.Time{} // there are some that we can't ask
 	}
-	until := l.node.Now()
-	for _, m := range l.node.Settings.Members {
-		at, ok := l.acknowledgedUntil[m.HostName]
-		if !ok {
+	until := t.node.Now()
+	for _, member := range settings.Members {
+		acknowledged, found := t.acknowledgedUntil[member.HostName]
+		if !found {
 			return time.Time{}
 		}
-		if at.Before(until) {
-			until = at
+		if acknowledged.Before(until) {
+			until = acknowledged
 		}
 	}
 	return until
 }
-
-// MayAnswerHeartbeats reports whether this node may still answer heartbeats for what it owned when it
-// last could reach the state service: no longer after its lease than a new leader allows
-// for, and no longer after it last knew of all cancellations than leaves a lease of
-// cancel_s.
-func (l *Table) MayAnswerHeartbeats(now time.Time) bool {
-	if !l.cache.Loaded || l.LeaseID == 0 {
-		return false
-	}
-	v := l.AcknowledgedByAllUntil()
-	return now.Before(latest(l.LeaseValidUntil, v).Add(l.node.Settings.LeadershipGrace())) &&
-		now.Before(latest(l.cache.ChangesReadAt, v).Add(l.node.Settings.MaxStaleness()))
-}
-
-func latest(a, b time.Time) time.Time {
-	if b.After(a) {
-		return b
-	}
-	return a
-}
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -6,83 +6,58 @@
 	"violetturn/internal/node"
 	"violetturn/internal/respond"
 	"violetturn/internal/schema"
+	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 	"violetturn/internal/transport"
 )
 
-// Leadership is a shard that this node owns.
-type Leadership struct {
-	Term                    uint64
-	Version                 uint64    // version of the leader's key
-	PredecessorAnswersUntil time.Time // latest time at which an earlier leader can have answered
-	Releasing               bool      // being handed over: nothing is answered
-	Successor               string    // a peer says that this node has taken it since: nothing is answered
-	CapacityRecordedAt      time.Time // when its record was last brought up to date by itself
-	NeedsNewTerm            bool      // a worker has seen a higher term: take a new one
-}
-
-// MayAct reports whether this node may launch and commit as a leader.
-func (l *Table) MayAct(now time.Time) bool {
-	return l.cache.Loaded && now.Before(l.LeaseValidUntil)
-}
-
-// Require makes a transaction conditional on this node's leadership of a shard: a leader
-// that was superseded commits nothing more.
-func (l *Table) Require(t *statecache.Transaction, p string) bool {
-	o := l.Of(p)
-	if o == nil {
-		return false
-	}
-	t.Require(statecache.LeaderPrefix+p, o.Version)
-	return true
-}
-
-// Table is which shards this controller leads, and what it knows of its peers' claims.
+// Table keeps which shards this controller leads, the lease that it leads them under, and what
+// it knows of its peers. The lock of internal/state guards it.
+//
+// There is at most one leadership a shard, and none while there is no lease that was granted.
 type Table struct {
 	node   *node.Info
 	cache  *statecache.Cache
 	schema *schema.State
 
-	ByShard            map[string]*Leadership
-	LeaseID            uint64               // of the state service; 0: none
-	LeaseValidUntil    time.Time            // the lease surely lasts until then
-	acknowledgedUntil  map[string]time.Time // by peer: up to when it has answered for what it did
+	byShard            map[string]*Leadership
+	lease              lease
+	contact            workerContact
+	acknowledgedUntil  map[string]time.Time // by peer: up to when it has told what it did
 	leaderlessSince    map[string]time.Time // shards without a leader, since when
 	peerReachableSince map[string]time.Time // living controllers that workers reach, since when
 	peerAbsentSince    map[string]time.Time // controllers that have not registered, since when
-	RateSharers        int                  // controllers that share the state service's rates
-	Contact            WorkerContact
+	rateSharers        int                  // controllers that share the state service's rates
 }
 
+// NewTable makes the table of a controller that leads nothing and has no lease. Until the
+// others' absence shows, all configured controllers share the state service's rates.
 func NewTable(node *node.Info, cache *statecache.Cache, schema *schema.State) *Table {
 	return &Table{
 		node: node, cache: cache, schema: schema,
-		ByShard:            map[string]*Leadership{},
+		byShard:            map[string]*Leadership{},
 		acknowledgedUntil:  map[string]time.Time{},
 		leaderlessSince:    map[string]time.Time{},
 		peerReachableSince: map[string]time.Time{},
 		peerAbsentSince:    map[string]time.Time{},
-		RateSharers:        node.Settings.Facts.Size,
-	}
-}
-
-// Of returns the shard if this node owns it.
-func (l *Table) Of(p string) *Leadership {
-	o := l.ByShard[p]
-	if o == nil || o.Releasing || o.Successor != "" || l.cache.Leaders[p].Version != o.Version {
-		return nil
+		rateSharers:        node.Settings.Facts.Size,
 	}
-	return o
 }
 
 // Redirect answers a worker whose shard this node may not answer for. It does so at once: a
 // 200 that the worker has to drop would hold it here while its lease runs out.
-func (l *Table) Redirect(shard string) transport.Response {
-	if led := l.ByShard[shard]; led != nil && led.Successor != "" && led.Successor != l.node.Settings.HostName {
-		return respond.JSON(421, map[string]string{"steward": led.Successor})
+func (t *Table) Redirect(shard string) transport.Response {
+	me := t.node.Settings.HostName
+	if known := t.byShard[shard]; known != nil && known.successor != "" && known.successor != me {
+		return respond.Misdirected(known.successor)
 	}
-	if own := l.cache.Leaders[shard]; own.Record != nil && own.Record.Node != l.node.Settings.HostName {
-		return respond.JSON(421, map[string]string{"steward": own.Record.Node})
+	if leader := t.cache.Leaders[shard].Record; leader != nil && leader.Node != me {
+		return respond.Misdirected(leader.Node)
 	}
-	return respond.JSON(421, struct{}{})
+	return respond.Misdirected("")
+}
+
+// isOwnLife reports whether a record of a leader or node was made by this life of this process.
+func (t *Table) isOwnLife(record *shard.LeaderRecord) bool {
+	return record.Node == t.node.Settings.HostName && record.Incarnation == t.node.Incarnation
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -24,7 +24,7 @@
 		}
 		return respond.Busy
 	}
-	o := rec.leadership.Of(m.Shard)
+	o := rec.leadership.InForce(m.Shard)
 	if o == nil || !rec.leadership.MayAnswerHeartbeats(now) {
 		return rec.leadership.Redirect(m.Shard)
 	}
@@ -36,9 +36,9 @@
 		// It has seen a token above ours, so it drops what we say. When the term
 		// record knows it, somebody else has taken the shard.
 		if shard.TokenTerm(r.Token) <= rec.cache.Term {
-			o.NeedsNewTerm = true
+			o.RequestNewTerm()
 		}
-		return respond.JSON(421, struct{}{})
+		return respond.Misdirected("")
 	}
 	if m.Addr != r.Addr && r.Addr != "" {
 		m.Addr = r.Addr // the record may have been made before the address was known
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -23,7 +23,7 @@
 	// completes the task range.
 	own := 0
 	for _, p := range ch.Placements {
-		if m := sch.cache.Machines[p.Host]; m != nil && sch.leadership.Of(m.Shard) != nil {
+		if m := sch.cache.Machines[p.Host]; m != nil && sch.leadership.Leads(m.Shard) {
 			own++
 		}
 	}
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -65,7 +65,7 @@
 		}
 		// It is called done from now on, though not all of its records are gone yet.
 	}
-	led := sch.leadership.Of(m.Shard) != nil
+	led := sch.leadership.Leads(m.Shard)
 	drop := false // claims that are given up: nothing of them was ever started
 	switch j.Record.Gang.Phase(j.CountPlaced()) {
 	case job.GangReserving:
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -23,7 +23,7 @@
 		if own == nil || rec == nil {
 			continue
 		}
-		if sch.leadership.Of(p) != nil {
+		if sch.leadership.Leads(p) {
 			shards[p] = view{own: true}
 		} else if own.Node != sch.node.Settings.HostName {
 			shards[p] = view{free: rec.Free}
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -22,7 +22,7 @@
 // HasPendingTasks reports whether a job of an own shard has tasks to place.
 func (sch *Scheduler) HasPendingTasks() bool {
 	for _, j := range sch.cache.Jobs {
-		if !j.Record.Cancelled && len(j.PendingTasks()) > 0 && sch.leadership.Of(j.Record.Shard) != nil {
+		if !j.Record.Cancelled && len(j.PendingTasks()) > 0 && sch.leadership.Leads(j.Record.Shard) {
 			return true
 		}
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -202,7 +202,7 @@
 // room, but the ends are not committed yet and only the leader knows which. The
 // newest is the one that is surely there. It returns nil where all are.
 func (sch *Scheduler) newestOverplaced(h *sched.Host) *statecache.PlacedTask {
-	if sch.leadership.Of(h.Shard) != nil {
+	if sch.leadership.Leads(h.Shard) {
 		return nil
 	}
 	used := h.Free
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -90,7 +90,7 @@
 					UID:             r.UID,
 					Priority:        priority,
 					WithinGuarantee: within,
-					led:             sch.leadership.Of(j.Record.Shard) != nil,
+					led:             sch.leadership.Leads(j.Record.Shard),
 					variables:       w,
 					weight:          sch.node.Policy.Weight(w),
 					starving:        sch.starving(j, w.Age),
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -46,7 +46,7 @@
 		return j
 	}
 	for _, j := range sp.cache.Jobs {
-		if sp.leadership.Of(j.Record.Shard) == nil {
+		if !sp.leadership.Leads(j.Record.Shard) {
 			continue
 		}
 		if j.Record.Frozen {
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -32,7 +32,7 @@
 func (y *Sync) WritesPerSecond() int {
 	state := y.guard.Lock()
 	defer y.guard.Unlock()
-	return max(2, int(y.node.Settings.LowestLimits().WriteRPS/float64(state.Leadership.RateSharers)))
+	return max(2, int(y.node.Settings.LowestLimits().WriteRPS/float64(state.Leadership.RateSharers())))
 }
 
 func (y *Sync) MayActNow() bool {
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -96,12 +96,12 @@
 	var needs []zonehealth.Demand
 	own := zs.View.Observations[zone]
 	for p, s := range r.Observations {
-		if _, led := own[p]; !led || zs.leadership.Of(p) == nil {
+		if _, led := own[p]; !led || !zs.leadership.Leads(p) {
 			needs = append(needs, s.Waiting...)
 		}
 	}
 	for p, s := range own {
-		if zs.leadership.Of(p) != nil {
+		if zs.leadership.Leads(p) {
 			needs = append(needs, s.Waiting...)
 		}
 	}
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -65,7 +65,7 @@
 // hasOutsideObserver reports whether this node can say that a zone is down, not itself cut off: it hears
 // workers now, and it or a peer at home in another zone hears some of another zone.
 func (zs *Zones) hasOutsideObserver(zone string, now time.Time) bool {
-	if zs.leadership.Contact.Unreachable || now.Sub(zs.leadership.Contact.LastHeard) > 2*zs.node.Settings.HeartbeatInterval() {
+	if !zs.leadership.WorkerHeardSince(now.Add(-2 * zs.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, observations := range zs.View.Observations {
@@ -91,8 +91,8 @@
 	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
 	for _, zone := range zs.node.Settings.Facts.Zones {
 		out[zone] = map[string]zonehealth.Observation{}
-		for p := range zs.leadership.ByShard {
-			if zs.leadership.Of(p) != nil {
+		for _, p := range zs.leadership.KnownShards() {
+			if zs.leadership.Leads(p) {
 				out[zone][p] = zonehealth.Observation{Refused: zs.catalog.CloudRefuses(zone, now)}
 			}
 		}
@@ -100,7 +100,7 @@
 	waiting := map[string]map[string]map[zonehealth.Demand]int{}
 	for host, m := range zs.cache.Machines {
 		s, seen := zs.agents.ByHost[host], out[m.Zone]
-		if seen == nil || s == nil || zs.leadership.Of(m.Shard) == nil {
+		if seen == nil || s == nil || !zs.leadership.Leads(m.Shard) {
 			continue
 		}
 		observation := seen[m.Shard]
