--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,101 +10,118 @@
 	"violetturn/internal/timing"
 )
 
-// Membership asks peers what they see of the state service and what they have done.
+// Parts of the lease's time.
+const (
+	askingRoundsPerLease = 8 // rounds of asking the peers while the state service is out of reach
+	askDeadlinesPerLease = 4 // waits for one peer's answer
+)
+
+// Membership asks the peers what they see of the state service and what they have done, and
+// answers the same. What it learns is in the guarded state. Its methods may be called from any
+// goroutine.
 type Membership struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
 }
 
+// New makes the membership of a controller that has asked nobody yet.
 func New(info *node.Info, guard *state.Guard, services *external.Services) *Membership {
 	return &Membership{node: info, guard: guard, services: services}
 }
 
-// PeerLoop asks the peers for their sight of the state service while ours is
-// gone.
-func (pm *Membership) PeerLoop(ctx context.Context) {
-	for timing.Sleep(ctx, pm.node.Settings.ControllerLeaseTTL()/8) {
-		state := pm.guard.Lock()
-		lost := !state.Reachability.StoreReachable
-		pm.guard.Unlock()
-		if !lost {
-			continue
+// PeerLoop asks the peers while the state service is out of reach, until ctx is done.
+func (m *Membership) PeerLoop(ctx context.Context) {
+	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/askingRoundsPerLease) {
+		if !m.storeReachable() {
+			m.AskPeers(ctx)
 		}
-		pm.AskPeers(ctx)
 	}
 }
 
 // AskPeers asks every peer whether it reaches the state service, and what it has done
 // that this node can't see meanwhile.
-func (pm *Membership) AskPeers(ctx context.Context) {
-	for _, m := range pm.node.Settings.Members {
-		pm.askPeer(ctx, m.HostName, m.Addr)
+func (m *Membership) AskPeers(ctx context.Context) {
+	for _, member := range m.node.Settings.Members {
+		m.askPeer(ctx, member.HostName, member.Addr)
 	}
-	state := pm.guard.Lock()
+	state := m.guard.Lock()
 	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
-	pm.guard.Unlock()
+	m.guard.Unlock()
+}
+
+// askPeer asks one peer what it sees of the state service and what it has done since the
+// revision that this node has read up to.
+func (m *Membership) askPeer(ctx context.Context, name, addr string) {
+	state := m.guard.Lock()
+	request := &peer.Request{
+		Kind:  peer.Request_KIND_ACKNOWLEDGE,
+		From:  m.node.Settings.HostName,
+		Since: state.Cache.Revision,
+	}
+	asked := m.node.Now()
+	m.guard.Unlock()
+	deadline := m.node.Settings.ControllerLeaseTTL() / askDeadlinesPerLease
+	reply, err := m.services.Peers.Ask(ctx, addr, request, deadline)
+	state = m.guard.Lock()
+	defer m.guard.Unlock()
+	if err != nil {
+		delete(state.Reachability.Peers, name)
+		return
+	}
+	state.Reachability.Peers[name] = reply.GetStoreReached()
+	state.Leadership.NoteAcknowledgement(name, reply.GetAcknowledgement(), asked)
 }
 
-// ForwardingPeer names a peer that can serve users for us while we can't reach the
-// state service; "" when we can, or nobody else can.
-func (pm *Membership) ForwardingPeer() string {
-	state := pm.guard.Lock()
-	defer pm.guard.Unlock()
+// ForwardingPeer returns the address of a peer that can serve users for us while we can't reach
+// the state service; "" when we can, or nobody else can.
+func (m *Membership) ForwardingPeer() string {
+	state := m.guard.Lock()
+	defer m.guard.Unlock()
 	if state.Reachability.StoreReachable {
 		return ""
 	}
-	for _, m := range pm.node.Settings.Members {
-		if state.Reachability.Peers[m.HostName] {
-			return m.Addr
+	for _, member := range m.node.Settings.Members {
+		if state.Reachability.Peers[member.HostName] {
+			return member.Addr
 		}
 	}
 	return ""
 }
 
-// canServe reports whether this node can serve users of its own and of peers.
-func (pm *Membership) canServe() bool {
-	state := pm.guard.Lock()
-	defer pm.guard.Unlock()
-	return state.Cache.Loaded && state.Reachability.StoreReachable
-}
-
 // ServesForPeer reports whether a peer's request is to be carried out: it asks for more
-// than our sight of the state service, and we can.
-func (pm *Membership) ServesForPeer(r *peer.Request) bool {
-	k := r.GetKind()
-	return k != peer.Request_KIND_HEALTH && k != peer.Request_KIND_ACKNOWLEDGE && pm.canServe()
+// than what we see of the state service and have done, and we can serve it.
+func (m *Membership) ServesForPeer(request *peer.Request) bool {
+	switch request.GetKind() {
+	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
+		return false
+	}
+	return m.canServe()
 }
 
 // PeerStatus answers a peer what this node sees of the state service and, if asked, what
 // it has done.
-func (pm *Membership) PeerStatus(r *peer.Request) *peer.Reply {
-	a := &peer.Reply{StoreReached: pm.canServe()}
-	if r.GetKind() == peer.Request_KIND_ACKNOWLEDGE {
-		state := pm.guard.Lock()
-		a.Acknowledgement = state.Leadership.Acknowledgement(r.GetSince())
-		pm.guard.Unlock()
+func (m *Membership) PeerStatus(request *peer.Request) *peer.Reply {
+	reply := &peer.Reply{StoreReached: m.canServe()}
+	if request.GetKind() == peer.Request_KIND_ACKNOWLEDGE {
+		state := m.guard.Lock()
+		reply.Acknowledgement = state.Leadership.Acknowledgement(request.GetSince())
+		m.guard.Unlock()
 	}
-	return a
+	return reply
 }
 
-// askPeer asks one peer what it sees of the state service and what it has done.
-func (pm *Membership) askPeer(ctx context.Context, name, addr string) {
-	state := pm.guard.Lock()
-	since, sent := state.Cache.Revision, pm.node.Now()
-	pm.guard.Unlock()
-	r, err := pm.services.Peers.Ask(
-		ctx,
-		addr,
-		&peer.Request{Kind: peer.Request_KIND_ACKNOWLEDGE, From: pm.node.Settings.HostName, Since: since},
-		pm.node.Settings.ControllerLeaseTTL()/4,
-	)
-	state = pm.guard.Lock()
-	defer pm.guard.Unlock()
-	if err != nil {
-		delete(state.Reachability.Peers, name)
-		return
-	}
-	state.Reachability.Peers[name] = r.GetStoreReached()
-	state.Leadership.NoteAcknowledgement(name, r.GetAcknowledgement(), sent)
+// canServe reports whether this node can serve users, its own and those of peers: it reaches the
+// state service and its replica is whole.
+func (m *Membership) canServe() bool {
+	state := m.guard.Lock()
+	defer m.guard.Unlock()
+	return state.Cache.Loaded && state.Reachability.StoreReachable
+}
+
+// storeReachable reports whether the state service served our last request.
+func (m *Membership) storeReachable() bool {
+	state := m.guard.Lock()
+	defer m.guard.Unlock()
+	return state.Reachability.StoreReachable
 }
