--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,6 +13,7 @@
 	"violetturn/internal/schema"
 	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
+	"violetturn/internal/store"
 )
 
 // fixture is the table of node n0 of a cluster of n0, n1 and n2. Its lease is valid, and its
@@ -51,7 +53,7 @@
 	if leader == "n0" {
 		record.Incarnation = f.node.Incarnation
 	}
-	version := f.record(statecache.LeaderPrefix+name, record)
+	version := f.record(statecache.LeaderKey(name), record)
 	if leader == "n0" {
 		f.Begin(name, &Leadership{Term: 1, Version: version})
 	}
@@ -59,7 +61,7 @@
 
 // live registers a node that workers reach.
 func (f *fixture) live(name string) {
-	f.record(statecache.NodePrefix+name, shard.LeaderRecord{Node: name})
+	f.record(statecache.NodeKey(name), shard.LeaderRecord{Node: name})
 }
 
 func TestLeads(t *testing.T) {
@@ -83,7 +85,9 @@
 			c.change(f)
 			txn := statecache.NewTransaction()
 			f.RequireAll(txn)
-			_, required := txn.Preconditions[statecache.LeaderPrefix+"n1"]
+			required := slices.ContainsFunc(txn.Request().Preconditions, func(p store.Precondition) bool {
+				return p.Key == statecache.LeaderKey("n1")
+			})
 			if got := f.Leads("n1"); got != c.want || required != c.want {
 				t.Errorf("leads %t, required of commits %t, want %t", got, required, c.want)
 			}
