--- a/tools/plants_test.go
+++ b/tools/plants_test.go
@@ -141,6 +141,14 @@
 			name: "a controller that knows the simulator", pkg: "controller", linter: "depguard", text: "internal/simulator",
 			declarations: "import _ \"violetturn/internal/simulator\"\n",
 		},
+		{
+			name: "a cache that knows the scheduler", pkg: "statecache", linter: "depguard", text: "internal/scheduler",
+			declarations: "import _ \"violetturn/internal/scheduler\"\n",
+		},
+		{
+			name: "a scheduler that reads files", pkg: "scheduler", linter: "depguard", text: "no files",
+			declarations: "import _ \"os\"\n",
+		},
 		{
 			name: "the simulator alone", pkg: "simulator",
 			declarations: "// X is a number.\nconst X = 1\n",
