--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -13,67 +13,75 @@
 	"violetturn/internal/transport"
 )
 
+const (
+	// forwardTimeout bounds how long a peer is waited for that serves a user for this node. The
+	// user is answered within timing.UserRequestTimeout either way.
+	forwardTimeout = timing.UserRequestTimeout * 3 / 4
+	// peerRequestTimeout bounds the work on a user's request that a peer forwarded: less than the
+	// peer waits for.
+	peerRequestTimeout = timing.UserRequestTimeout / 2
+)
+
 // ServeOrForward answers a user's request here, or lets a peer do it when this node
 // can't reach the state service and the peer can.
-func (rf *Frontend) ServeOrForward(ctx context.Context, r *peer.Request) transport.Response {
-	if addr := rf.members.ForwardingPeer(); addr != "" {
-		// A peer of the version before would call a new shape malformed, for good.
-		if r.GetKind() == peer.Request_KIND_SUBMIT && !rf.acceptsKind(api.KindOf(r.GetBody())) {
-			return respond.Busy
-		}
-		r.From = rf.node.Settings.HostName
-		a, err := rf.services.Peers.Ask(ctx, addr, r, timing.UserRequestTimeout*3/4)
-		if err == nil && a.GetStatus() != 0 {
-			return transport.Response{Status: int(a.GetStatus()), Body: a.GetBody(), RetryAfter: int(a.GetRetryAfter())}
-		}
+func (f *Frontend) ServeOrForward(ctx context.Context, r *peer.Request) transport.Response {
+	addr := f.members.ForwardingPeer()
+	if addr == "" {
+		return f.ServeLocally(ctx, r)
+	}
+	// A peer of the version before would refuse a new kind as malformed, and its user would not
+	// come back.
+	if r.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.KindOf(r.GetBody())) {
+		return respond.Busy
+	}
+	r.From = f.node.Settings.HostName
+	reply, err := f.services.Peers.Ask(ctx, addr, r, forwardTimeout)
+	if err != nil || reply.GetStatus() == 0 {
 		return respond.Busy // it may have been carried out: the user asks again
 	}
-	return rf.ServeLocally(ctx, r)
+	return transport.Response{Status: int(reply.GetStatus()), Body: reply.GetBody(), RetryAfter: int(reply.GetRetryAfter())}
 }
 
-func (rf *Frontend) ServeLocally(ctx context.Context, r *peer.Request) transport.Response {
+// ServeLocally answers a user's request here.
+func (f *Frontend) ServeLocally(ctx context.Context, r *peer.Request) transport.Response {
 	switch r.GetKind() {
 	case peer.Request_KIND_SUBMIT:
-		return rf.Submit(ctx, r.GetBody())
+		return f.Submit(ctx, r.GetBody())
 	case peer.Request_KIND_QUERY:
-		return rf.Query(ctx, r.GetUid())
+		return f.Query(ctx, r.GetUid())
 	case peer.Request_KIND_CANCEL:
-		return rf.cancel(ctx, r.GetUid())
+		return f.cancel(ctx, r.GetUid())
+	case peer.Request_KIND_UNSPECIFIED, peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE: // no users' requests
 	}
-	return transport.Response{Status: 404}
+	return transport.Response{Status: api.StatusNotFound}
 }
 
-// HandlePeer answers other controllers. What comes from a peer is never passed
-// on to another.
-func (rf *Frontend) HandlePeer(req *httpwire.Message, later func(transport.Response)) (transport.Response, bool) {
+// HandlePeer answers other controllers. It is a transport.Handler of the port for peers. What
+// comes from a peer is never forwarded to another.
+func (f *Frontend) HandlePeer(req *httpwire.Message, later func(transport.Response)) (response transport.Response, answered bool) {
 	var r peer.Request
-	if req.Method != "POST" || req.Target != peer.Path || proto.Unmarshal(req.Body, &r) != nil {
-		return transport.Response{Status: 400}, true
+	if req.Method != methodPost || req.Target != peer.Path || proto.Unmarshal(req.Body, &r) != nil {
+		return transport.Response{Status: api.StatusBadRequest}, true
 	}
-	answer := func(a *peer.Reply) transport.Response {
-		b, err := proto.Marshal(a)
-		if err != nil {
-			return transport.Response{Status: 500}
-		}
-		return transport.Response{Status: 200, Body: b}
+	if !f.members.ServesForPeer(&r) {
+		return encodeReply(f.members.PeerStatus(&r)), true
 	}
-	if !rf.members.ServesForPeer(&r) {
-		return answer(rf.members.PeerStatus(&r)), true
+	serve := func(ctx context.Context) { later(encodeReply(PeerReply(f.ServeLocally(ctx, &r)))) }
+	if !f.startRequest(peerRequestTimeout, serve) {
+		return encodeReply(PeerReply(respond.Busy)), true
 	}
-	select {
-	case rf.userSlots <- struct{}{}:
-	default:
-		return answer(PeerReply(respond.Busy)), true
-	}
-	go func() {
-		defer func() { <-rf.userSlots }()
-		ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout/2)
-		defer cancel()
-		later(answer(PeerReply(rf.ServeLocally(ctx, &r))))
-	}()
 	return transport.Response{}, false
 }
 
+// encodeReply makes the response that carries a reply to a peer.
+func encodeReply(reply *peer.Reply) transport.Response {
+	body, err := proto.Marshal(reply)
+	if err != nil {
+		return transport.Response{Status: statusInternalError}
+	}
+	return transport.Response{Status: statusOK, Body: body}
+}
+
 // PeerReply wraps what a user is to be told, by a node that reached the state
 // service.
 func PeerReply(r transport.Response) *peer.Reply {
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -102,80 +102,84 @@
 	return simulator.Submission(j)
 }
 
+// Bodies that several requests are answered with.
+const (
+	busy       = `{"error":"try again"}`
+	notAllowed = `{"error":"method not allowed"}`
+	noPath     = `{"error":"no such path"}`
+	noJob      = `{"error":"no such run"}`
+)
+
+// responseCases are requests in the order in which one node gets them.
+var responseCases = []struct {
+	name           string
+	before         func(*testing.T, *testNode) // nil: nothing happens before
+	method, target string
+	body           []byte
+	status         int
+	response       string
+	retryAfter     int
+}{
+	{"health before loading", nil, "GET", "/healthz", nil, 503, busy, 1},
+	{"submission before loading", nil, "POST", "/v2/runs", submission(func(*api.Job) {}), 503, busy, 1},
+	{"query before loading", nil, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
+	{"health", func(t *testing.T, n *testNode) { t.Helper(); n.load(t) }, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
+	{"health with a query string", nil, "GET", "/healthz?x=1", nil, 200, `{"node":"n0"}`, 0},
+	{"health by another method", nil, "POST", "/healthz", nil, 405, notAllowed, 0},
+	{"heartbeat by another method", nil, "GET", "/checkin", nil, 405, notAllowed, 0},
+	{"heartbeat without a host", nil, "POST", "/checkin", []byte(`{}`), 400, `{"error":"host or tenure missing"}`, 0},
+	{"heartbeat that is no JSON", nil, "POST", "/checkin", []byte(`{`), 400, `{"error":"unexpected end of JSON input"}`, 0},
+	{"unknown path", nil, "GET", "/v2", nil, 404, noPath, 0},
+	{"unknown path below a job", nil, "GET", "/v2/runs/run-000100/log", nil, 404, noPath, 0},
+	{"submission by another method", nil, "GET", "/v2/runs", nil, 405, notAllowed, 0},
+	{"query by another method", nil, "DELETE", "/v2/runs/run-000100", nil, 405, notAllowed, 0},
+	{"cancellation by another method", nil, "GET", "/v2/runs/run-000100/cancel", nil, 405, notAllowed, 0},
+	{"submission that is no object", nil, "POST", "/v2/runs", []byte(`[]`), 400, `{"error":"not a JSON object"}`, 0},
+	{
+		"malformed submission", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
+		400, `{"error":"shape: invalid"}`, 0,
+	},
+	{
+		"submission of an unknown team", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Team = "z" }),
+		422, `{"error":"unknown team"}`, 0,
+	},
+	{
+		"submission longer than a record", nil, "POST", "/v2/runs",
+		submission(func(j *api.Job) { j.Image = strings.Repeat("x", 4000) }), 400, `{"error":"submission too long"}`, 0,
+	},
+	{"gang before all read its form", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = api.Gang }), 503, busy, 1},
+	{"query of an unknown job", nil, "GET", "/v2/runs/run-000100", nil, 404, noJob, 0},
+	{"query of no job's name", nil, "GET", "/v2/runs/.", nil, 404, noJob, 0},
+	{"cancellation of an unknown job", nil, "POST", "/v2/runs/run-000100/cancel", nil, 404, noJob, 0},
+	{"cancellation of no job's name", nil, "POST", "/v2/runs/a/b/cancel", nil, 404, noJob, 0},
+	{"submission", nil, "POST", "/v2/runs", submission(func(*api.Job) {}), 201, `{"phase":"pending","uid":"run-000100"}`, 0},
+	{
+		"submission repeated", nil, "POST", "/v2/runs", submission(func(*api.Job) {}),
+		200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
+	},
+	{
+		"submission repeated malformed", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
+		200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
+	},
+	{"query", nil, "GET", "/v2/runs/run-000100", nil, 200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0},
+	{"cancellation", nil, "POST", "/v2/runs/run-000100/cancel", nil, 200, `{"phase":"withdrawn","uid":"run-000100"}`, 0},
+	{"cancellation repeated", nil, "POST", "/v2/runs/run-000100/cancel", nil, 200, `{"phase":"withdrawn","uid":"run-000100"}`, 0},
+	{
+		"query of a cancelled job", nil, "GET", "/v2/runs/run-000100", nil,
+		200, `{"uid":"run-000100","phase":"withdrawn","done":0,"running":0}`, 0,
+	},
+	{"query in an outage", func(_ *testing.T, n *testNode) { n.store.Down = true }, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
+	{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
+}
+
 // Users' programs read the responses: each is the same, byte for byte, whatever the types that it
 // is made from.
 func TestResponseBodies(t *testing.T) {
-	const (
-		busy       = `{"error":"try again"}`
-		notAllowed = `{"error":"method not allowed"}`
-		noPath     = `{"error":"no such path"}`
-		noJob      = `{"error":"no such run"}`
-	)
 	n := newTestNode(t)
-	unchanged := func(*api.Job) {}
-	for _, x := range []struct {
-		name           string
-		before         func()
-		method, target string
-		body           []byte
-		status         int
-		response       string
-		retryAfter     int
-	}{
-		{"health before loading", nil, "GET", "/healthz", nil, 503, busy, 1},
-		{"submission before loading", nil, "POST", "/v2/runs", submission(unchanged), 503, busy, 1},
-		{"query before loading", nil, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
-		{"health", func() { n.load(t) }, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
-		{"health with a query string", nil, "GET", "/healthz?x=1", nil, 200, `{"node":"n0"}`, 0},
-		{"health by another method", nil, "POST", "/healthz", nil, 405, notAllowed, 0},
-		{"heartbeat by another method", nil, "GET", "/checkin", nil, 405, notAllowed, 0},
-		{"heartbeat without a host", nil, "POST", "/checkin", []byte(`{}`), 400, `{"error":"host or tenure missing"}`, 0},
-		{"heartbeat that is no JSON", nil, "POST", "/checkin", []byte(`{`), 400, `{"error":"unexpected end of JSON input"}`, 0},
-		{"unknown path", nil, "GET", "/v2", nil, 404, noPath, 0},
-		{"unknown path below a job", nil, "GET", "/v2/runs/run-000100/log", nil, 404, noPath, 0},
-		{"submission by another method", nil, "GET", "/v2/runs", nil, 405, notAllowed, 0},
-		{"query by another method", nil, "DELETE", "/v2/runs/run-000100", nil, 405, notAllowed, 0},
-		{"cancellation by another method", nil, "GET", "/v2/runs/run-000100/cancel", nil, 405, notAllowed, 0},
-		{"submission that is no object", nil, "POST", "/v2/runs", []byte(`[]`), 400, `{"error":"not a JSON object"}`, 0},
-		{
-			"malformed submission", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
-			400, `{"error":"shape: invalid"}`, 0,
-		},
-		{
-			"submission of an unknown team", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Team = "z" }),
-			422, `{"error":"unknown team"}`, 0,
-		},
-		{
-			"submission longer than a record", nil, "POST", "/v2/runs",
-			submission(func(j *api.Job) { j.Image = strings.Repeat("x", 4000) }), 400, `{"error":"submission too long"}`, 0,
-		},
-		{"gang before all read its form", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = api.Gang }), 503, busy, 1},
-		{"query of an unknown job", nil, "GET", "/v2/runs/run-000100", nil, 404, noJob, 0},
-		{"query of no job's name", nil, "GET", "/v2/runs/.", nil, 404, noJob, 0},
-		{"cancellation of an unknown job", nil, "POST", "/v2/runs/run-000100/cancel", nil, 404, noJob, 0},
-		{"cancellation of no job's name", nil, "POST", "/v2/runs/a/b/cancel", nil, 404, noJob, 0},
-		{"submission", nil, "POST", "/v2/runs", submission(unchanged), 201, `{"phase":"pending","uid":"run-000100"}`, 0},
-		{
-			"submission repeated", nil, "POST", "/v2/runs", submission(unchanged),
-			200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
-		},
-		{
-			"submission repeated malformed", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
-			200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
-		},
-		{"query", nil, "GET", "/v2/runs/run-000100", nil, 200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0},
-		{"cancellation", nil, "POST", "/v2/runs/run-000100/cancel", nil, 200, `{"phase":"withdrawn","uid":"run-000100"}`, 0},
-		{"cancellation repeated", nil, "POST", "/v2/runs/run-000100/cancel", nil, 200, `{"phase":"withdrawn","uid":"run-000100"}`, 0},
-		{
-			"query of a cancelled job", nil, "GET", "/v2/runs/run-000100", nil,
-			200, `{"uid":"run-000100","phase":"withdrawn","done":0,"running":0}`, 0,
-		},
-		{"query in an outage", func() { n.store.Down = true }, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
-		{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
-	} {
+	for _, x := range responseCases {
 		t.Run(x.name, func(t *testing.T) {
 			if x.before != nil {
-				x.before()
+				x.before(t, n)
 			}
 			got := n.ask(t, x.method, x.target, x.body)
 			if got.Status != x.status || string(got.Body) != x.response || got.RetryAfter != x.retryAfter {
