--- /dev/null
+++ b/internal/controller/benchmarks_test.go
@@ -0,0 +1,116 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"violetturn/internal/api"
+	"violetturn/internal/autoscaler"
+	"violetturn/internal/httpwire"
+	"violetturn/internal/statecache"
+	"violetturn/internal/store"
+)
+
+// BenchmarkPlan is one decision's plan on a shard as the grown deployments have
+// them; locks are held for as long.
+func BenchmarkPlan(b *testing.B) {
+	for _, n := range []int{50, 900, 2700} {
+		c := newSizedController(n, n/10)
+		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
+			for range b.N {
+				c.testState().Scheduler.Plan(c.node.Now())
+			}
+		})
+	}
+}
+
+// BenchmarkCheckin is the response to one heartbeat in such a shard.
+func BenchmarkHeartbeat(b *testing.B) {
+	c := newSizedController(800, 80)
+	s := c.testState().Agents.ByHost["i-000009"]
+	for range b.N {
+		s.Heartbeat.Sequence++
+		c.testState().Reconciler.CommandsFor(s.Heartbeat, s, c.node.Now())
+	}
+}
+
+// BenchmarkReport is one heartbeat from its body to the response's: its JSON, the judgement,
+// the commands.
+func BenchmarkHeartbeatRequest(b *testing.B) {
+	c := newSizedController(800, 80)
+	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.testState().Agents.ByHost["i-000009"].Token()}
+	for _, pl := range c.testState().Cache.Placements[x.Host] {
+		x.Tasks = append(
+			x.Tasks,
+			api.TaskState{Task: pl.TaskName(c.testState().Cache.Jobs[pl.UID]), Attempt: pl.Placement.Attempt, Phase: api.Running},
+		)
+	}
+	b.ReportAllocs()
+	for range b.N {
+		x.Sequence++
+		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
+			b.Fatal(r.Status)
+		}
+	}
+}
+
+// BenchmarkLoad is what a start, or a return after changes were missed, takes in: all
+// records of a fleet.
+func BenchmarkLoad(b *testing.B) {
+	for _, n := range []int{50, 900, 2700} {
+		c := newSizedController(n, n/10)
+		var items []store.Item
+		for key, version := range c.testState().Cache.Versions {
+			var v any
+			switch {
+			case strings.HasPrefix(key, statecache.JobPrefix):
+				v = c.testState().Cache.Jobs[key[len(statecache.JobPrefix):]].Record
+			case strings.HasPrefix(key, statecache.MachinePagePrefix):
+				v = c.testState().Cache.Pages[key[len(statecache.MachinePagePrefix):]].Record
+			case strings.HasPrefix(key, statecache.CapacityPrefix):
+				v = c.testState().Cache.Capacities[key[len(statecache.CapacityPrefix):]].Record
+			default:
+				continue
+			}
+			items = append(items, store.Item{Key: key, Value: api.JSON(v), Version: version})
+		}
+		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
+			b.ReportAllocs()
+			for range b.N {
+				statecache.New(c.node.Log).Reload(items, c.testState().Cache.Revision+1)
+			}
+		})
+	}
+}
+
+// BenchmarkJudge is a round of judging which machines go back, where every second one has
+// one replica that may fit elsewhere.
+func BenchmarkScaleIn(b *testing.B) {
+	for _, n := range []int{50, 900, 2700} {
+		c := newSizedController(n, 0)
+		for _, j := range c.testState().Cache.Jobs {
+			j.Record.Spec.Kind = api.Service
+			for _, p := range j.Ranges[0].Record.Placements {
+				p.PlacedS = -3600
+			}
+			for i := range j.Ranges[0].Record.Placements {
+				if i%4 > 0 {
+					c.testState().Cache.RemovePlacement(j.Record.Spec.UID, 0, i, j.Ranges[0].Record.Placements[i])
+				}
+			}
+		}
+		clear(c.testState().Cache.Loads)
+		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
+			for range b.N {
+				v := &autoscaler.ScaleInView{Autoscaler: c.testState().Autoscaler, Now: c.node.Now()}
+				for host, m := range c.testState().Cache.Machines {
+					s := c.testState().Agents.ByHost[host]
+					s.UnderusedSince = time.Time{}
+					c.testState().Autoscaler.ConsiderScaleIn(host, m, s, v)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/cluster_network_test.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"violetturn/internal/frontend"
+	"violetturn/internal/peer"
+)
+
+// networkFaults are the faults of the network between controllers, zones and services.
+type networkFaults struct {
+	isolated         map[int]bool // controllers that can't reach their peers
+	partitionedZone  string       // a zone that nothing outside it can reach; "": none
+	zonesPartitioned bool         // the zones can't reach each other
+	peersRefused     bool         // connections between controllers are refused
+}
+
+// partitioned reports whether a zone and another can't reach each other.
+func (f *networkFaults) partitioned(a, b string) bool {
+	return a != b && (f.zonesPartitioned || f.partitionedZone == a || f.partitionedZone == b)
+}
+
+// zoneOf returns the zone of a node.
+func (s *testCluster) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
+
+// partitionZone partitions a zone from all else, also from the state service and the cloud;
+// "" ends that.
+func (s *testCluster) partitionZone(zone string) {
+	s.partitionedZone = zone
+	for i, n := range s.nodes {
+		unreachable := s.zoneOf(i) == zone
+		s.world.Store.Unreachable[n.name], s.world.Cloud.Unreachable[n.name] = unreachable, unreachable
+	}
+}
+
+// errPeerUnreachable is what a controller gets of a peer that it can't reach.
+var errPeerUnreachable = errors.New("peer unreachable")
+
+// peerLink is the connection of a controller to its peers.
+type peerLink struct {
+	cluster *testCluster
+	from    int
+}
+
+// Ask sends a request to a peer, which serves it at once.
+func (l peerLink) Ask(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
+	to := slices.IndexFunc(l.cluster.nodes, func(n *testNode) bool { return n.name == addr })
+	n := l.cluster.nodes[to]
+	if !n.serves() || !l.cluster.connected(l.from, to) {
+		return nil, errPeerUnreachable
+	}
+	if !n.controller.members.ServesForPeer(r) {
+		return n.controller.members.PeerStatus(r), nil
+	}
+	return frontend.PeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
+}
+
+// connected reports whether two controllers can reach each other.
+func (s *testCluster) connected(a, b int) bool {
+	return !s.peersRefused && !s.isolated[a] && !s.isolated[b] && !s.partitioned(s.zoneOf(a), s.zoneOf(b))
+}
+
+// beforeCommits runs f before the next transaction of each node.
+func (s *testCluster) beforeCommits(f func(node int)) {
+	for i, n := range s.nodes {
+		n.storeClient.BeforeCommit = func() { f(i) }
+	}
+}
--- /dev/null
+++ b/internal/controller/cluster_users_test.go
@@ -0,0 +1,177 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"violetturn/internal/api"
+	"violetturn/internal/peer"
+	"violetturn/internal/simulator"
+)
+
+// submit submits a job, again perhaps, through a node.
+func (s *testCluster) submit(i int, uid string) {
+	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.world.Jobs[uid].Spec.Kind == api.Gang {
+		return // the version in production does not know gangs
+	}
+	r := s.nodes[i].controller.frontend.ServeOrForward(
+		context.Background(),
+		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.world.Jobs[uid].Spec)},
+	)
+	s.checkResponse(uid, r.Status, r.Body, true)
+}
+
+// poll asks a node for the state of a job.
+func (s *testCluster) poll(i int, uid string) {
+	if s.nodes[i].serves() {
+		r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
+		s.checkResponse(uid, r.Status, r.Body, false)
+	}
+}
+
+// cancel cancels a job through a node.
+func (s *testCluster) cancel(i int, uid string) {
+	if !s.nodes[i].serves() {
+		return
+	}
+	s.world.Jobs[uid].CancelRequested = true
+	r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
+	s.checkResponse(uid, r.Status, r.Body, false)
+}
+
+// checkResponse checks what a user was told of a job.
+func (s *testCluster) checkResponse(uid string, status int, body []byte, submission bool) {
+	var state struct {
+		Phase string `json:"phase"`
+	}
+	_ = json.Unmarshal(body, &state) // a response without a phase has none
+	s.world.CheckResponse(uid, status, state.Phase, submission)
+}
+
+// queryEverywhere asks all nodes about a job, and repeats its submission, within one moment.
+func (s *testCluster) queryEverywhere(uid string) {
+	for i := range s.nodes {
+		s.poll(i, uid)
+		s.submit(i, uid)
+	}
+	for i := range s.nodes {
+		s.poll(i, uid)
+	}
+}
+
+// fataler is what a checker needs of a test.
+type fataler interface {
+	Fatalf(format string, args ...any)
+}
+
+// invalidSubmissions are changes to a submission after which a service must refuse it.
+var invalidSubmissions = []struct {
+	name   string
+	status int
+	change func(fields map[string]json.RawMessage)
+}{
+	{"no priority", 400, func(fields map[string]json.RawMessage) { delete(fields, "rank") }},
+	{"no tasks", 400, func(fields map[string]json.RawMessage) { fields["pieces"] = json.RawMessage("0") }},
+	{"more GPUs than a machine has", 422, func(fields map[string]json.RawMessage) { fields["gpus"] = json.RawMessage("99") }},
+	{"unknown team", 422, func(fields map[string]json.RawMessage) { fields["owner"] = json.RawMessage(`"nobody"`) }},
+}
+
+// submitInvalid submits invalid jobs through a node: new ones, which it must refuse, and a
+// known one, which is answered with its state.
+func (s *testCluster) submitInvalid(t fataler, i int) {
+	n := s.nodes[i]
+	if !n.serves() {
+		return
+	}
+	for _, x := range invalidSubmissions {
+		if got := s.submitChanged(n, "run-990000", x.change); got != x.status && got != 503 {
+			t.Fatalf("%s: answered %d, not %d", x.name, got, x.status)
+		}
+		if len(s.jobIDs) > 0 { // one that some user was told of
+			s.submitChanged(n, s.jobIDs[len(s.jobIDs)-1], x.change)
+		}
+	}
+}
+
+// submitChanged submits a small job with a changed body through a node, and returns the
+// status of the response.
+func (s *testCluster) submitChanged(n *testNode, uid string, change func(fields map[string]json.RawMessage)) int {
+	body := simulator.Submission(&api.Job{
+		UID:      uid,
+		Class:    "l",
+		Team:     "b",
+		Kind:     api.Array,
+		Priority: "idle",
+		Tasks:    1,
+		CPUs:     1,
+		GPUs:     1,
+		MemGB:    1,
+		Image:    "i",
+	})
+	var fields map[string]json.RawMessage
+	_ = json.Unmarshal(body, &fields) // it was made above
+	change(fields)
+	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(fields)}
+	r := n.controller.frontend.ServeOrForward(context.Background(), request)
+	if s.world.Jobs[uid] != nil {
+		s.checkResponse(uid, r.Status, r.Body, true)
+	}
+	return r.Status
+}
+
+// submitJob submits a job of team b to the first controller, with what change changes, also of
+// the run time of its tasks.
+func (s *testCluster) submitJob(change func(*api.Job, *time.Duration)) string {
+	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
+	r := &api.Job{
+		UID: id, Class: "l", Team: "b", Kind: api.Array, Priority: "standard", Tasks: 2, CPUs: 1, GPUs: 1,
+		MemGB: 4, Image: "img", ImageGB: 1,
+	}
+	d := 5 * time.Second
+	if change != nil {
+		change(r, &d)
+	}
+	s.world.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, Done: map[int]bool{}}
+	s.jobIDs = append(s.jobIDs, id)
+	s.submit(0, id)
+	return id
+}
+
+// submitService submits a service.
+func (s *testCluster) submitService(tasks int, change func(*api.Job)) string {
+	return s.submitJob(func(r *api.Job, _ *time.Duration) {
+		r.Kind, r.Tasks = api.Service, tasks
+		if change != nil {
+			change(r)
+		}
+	})
+}
+
+// submitArray submits an array whose tasks run so long.
+func (s *testCluster) submitArray(tasks int, run time.Duration, change func(*api.Job)) string {
+	return s.submitJob(func(r *api.Job, d *time.Duration) {
+		r.Tasks, *d = tasks, run
+		if change != nil {
+			change(r)
+		}
+	})
+}
+
+// submitGang submits a gang of four tasks, and fails if it is not accepted.
+func (s *testCluster) submitGang(t *testing.T, change func(*api.Job, *time.Duration)) string {
+	t.Helper()
+	id := s.submitJob(func(r *api.Job, d *time.Duration) {
+		r.Kind, r.Tasks, r.GPUs, r.CPUs, r.MemGB = api.Gang, 4, 1, 1, 4
+		*d = 30 * time.Second
+		if change != nil {
+			change(r, d)
+		}
+	})
+	if !s.world.Jobs[id].Accepted {
+		t.Fatal("not accepted")
+	}
+	return id
+}
--- /dev/null
+++ b/internal/controller/load_scenario_test.go
@@ -0,0 +1,305 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"violetturn/internal/api"
+	"violetturn/internal/config"
+	"violetturn/internal/httpwire"
+	"violetturn/internal/simulator"
+	"violetturn/internal/state"
+	"violetturn/internal/store"
+	"violetturn/internal/transport"
+)
+
+// loadStep is the time between two steps of each controller.
+const loadStep = 500 * time.Millisecond
+
+// pollEvery is how often a user asks for the state of a job (PROTOCOL).
+const pollEvery = 5 * time.Second
+
+// loadScenario plays a deployment at its size, and measures what its controllers do.
+type loadScenario struct {
+	*testCluster
+	deployment    *simulator.Deployment
+	random        *rand.Rand
+	phase         string
+	nextHeartbeat map[string]time.Time // by machine, of its next heartbeat
+	lastSummary   map[string]string    // by machine, what its last heartbeat said
+	pollAt        map[string]time.Time // by unfinished job
+	endAt         map[string]time.Time // by service, when its user cancels it
+	dueJobs       map[*simulator.Class]float64
+	resubmissions []string // refused, to be repeated
+	costs         map[string]*phaseCost
+}
+
+// newLoadScenario returns a deployment whose controllers have just started.
+func newLoadScenario(d *simulator.Deployment) *loadScenario {
+	w := d.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	l := &loadScenario{
+		deployment:    d,
+		random:        rand.New(rand.NewPCG(1, 1)),
+		nextHeartbeat: map[string]time.Time{},
+		lastSummary:   map[string]string{},
+		pollAt:        map[string]time.Time{},
+		endAt:         map[string]time.Time{},
+		dueJobs:       map[*simulator.Class]float64{},
+		costs:         map[string]*phaseCost{},
+	}
+	l.testCluster = &testCluster{
+		world:            w,
+		stateLimits:      d.State,
+		nextStateLimits:  d.State,
+		pendingResponses: map[string]*pendingResponse{},
+		networkFaults:    networkFaults{isolated: map[int]bool{}},
+		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+	l.adjustSettings = func(_ *testNode, cfg *config.Settings) {
+		cfg.Facts.Workers.ReportS = d.HeartbeatS
+		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
+		for i := range cfg.Facts.Teams {
+			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPUs/2, d.TeamGPUs
+		}
+	}
+	l.onStart = func(n *testNode) {
+		perNode := d.State.WriteRPS / float64(len(l.nodes))
+		n.controller.services.Store = &budgetedStore{
+			n.storeClient,
+			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
+			func() time.Time { return l.world.Now },
+		}
+		n.controller.guard.StartMeter()
+	}
+	for i := range 3 {
+		l.nodes = append(l.nodes, &testNode{name: fmt.Sprintf("n%d", i)})
+	}
+	for i := range l.nodes {
+		l.startNode(i)
+	}
+	return l
+}
+
+// measureStep lets a controller do what its loops would.
+func (l *loadScenario) measureStep(i int) {
+	n := l.nodes[i]
+	if !n.serves() {
+		return
+	}
+	ctx := context.Background()
+	l.measure("watch", func() {
+		if n.controller.testState().Cache.Loaded {
+			_ = n.controller.sync.ApplyChanges(ctx, n.controller.testState().Cache.Revision, 0) // refused in an outage
+			n.controller.commands.RequestHeartbeats(ctx)
+		} else {
+			_ = n.controller.sync.Load(ctx)
+		}
+	})
+	l.measure("lease", func() { n.controller.election.MaintainLease(ctx) })
+	l.measure("decide", func() { n.controller.decisions.Decide(ctx) })
+	if l.world.Now.UnixMilli()%1000 == 0 {
+		l.measure("cloud", func() { n.controller.scaling.Autoscale(ctx) })
+	}
+	aside := n.async
+	n.async = nil
+	l.measure("commands", func() {
+		for _, f := range aside {
+			f()
+		}
+	})
+}
+
+// request sends an HTTP request to a controller, with the parsing that belongs to it.
+func (l *loadScenario) request(work string, to int, method, target string, body []byte) (status int, answer []byte) {
+	c := l.nodes[to].controller
+	raw := httpwire.AppendRequest(nil, method, target, "controller", body)
+	l.measure(work, func() {
+		p := httpwire.NewParser(false, httpwire.RequestLimits)
+		p.Feed(raw)
+		req, err := p.Next()
+		if err != nil || req == nil {
+			panic(fmt.Sprint("request not parsed: ", err))
+		}
+		done := make(chan transport.Response, 1)
+		r, now := c.frontend.Handle(req, func(r transport.Response) { done <- r })
+		if !now {
+			r = <-done
+		}
+		answer = httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, false)
+		status, answer = r.Status, r.Body
+	})
+	return status, answer
+}
+
+// sendHeartbeats has each worker send a heartbeat that is due or has something new.
+func (l *loadScenario) sendHeartbeats() {
+	for _, host := range l.world.Cloud.HostNames() {
+		x := l.world.Cloud.Hosts[host]
+		if !x.Up() {
+			continue
+		}
+		state := x.Summary()
+		if l.world.Now.Before(l.nextHeartbeat[host]) && state == l.lastSummary[host] {
+			continue
+		}
+		l.lastSummary[host] = state
+		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
+		l.nextHeartbeat[host] = l.world.Now.Add(time.Duration(interval * float64(time.Second)))
+		to := x.Node
+		if !l.nodes[to].serves() {
+			x.Node = (to + 1) % len(l.nodes)
+			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+			continue
+		}
+		sent := sentHeartbeat{x, to, l.world.Now, x.AgentEpoch}
+		status, body := l.request("heartbeat", to, "POST", "/checkin", api.JSON(x.Heartbeat()))
+		commands, leader, err := simulator.ParseHeartbeatResponse(body)
+		if err != nil {
+			panic(err)
+		}
+		l.handleHeartbeatResponse(sent, heartbeatResponse{status, commands, leader})
+		if status != 200 {
+			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+		}
+	}
+}
+
+// runUsers lets users submit jobs, ask for them and cancel the services whose time has come.
+func (l *loadScenario) runUsers() {
+	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
+		l.dueJobs[class] += class.PerSecond * loadStep.Seconds()
+		for ; l.dueJobs[class] >= 1; l.dueJobs[class]-- {
+			l.newJob(class)
+		}
+	}
+	repeat := l.resubmissions
+	l.resubmissions = nil
+	for _, uid := range repeat {
+		l.submitFrom(uid)
+	}
+	for _, uid := range l.jobIDs {
+		at, unfinished := l.pollAt[uid]
+		if !unfinished || l.world.Now.Before(at) {
+			continue
+		}
+		l.pollAt[uid] = l.world.Now.Add(pollEvery)
+		to := l.anyNode()
+		if end, service := l.endAt[uid]; service && l.world.Now.After(end) {
+			l.world.Jobs[uid].CancelRequested = true
+			status, body := l.request("user", to, "POST", "/v2/runs/"+uid+"/cancel", nil)
+			l.checkResponse(uid, status, body, false)
+		} else {
+			status, body := l.request("user", to, "GET", "/v2/runs/"+uid, nil)
+			l.checkResponse(uid, status, body, false)
+		}
+		if l.world.Jobs[uid].FinalPhase != "" {
+			delete(l.pollAt, uid)
+		}
+	}
+}
+
+// anyNode draws a controller that serves.
+func (l *loadScenario) anyNode() int {
+	for {
+		if i := l.random.IntN(len(l.nodes)); l.nodes[i].serves() {
+			return i
+		}
+	}
+}
+
+// newJob submits a new job of a class.
+func (l *loadScenario) newJob(class *simulator.Class) {
+	run, runTime := class.NewJob(len(l.jobIDs), l.random)
+	if class.Service {
+		l.endAt[run.UID] = l.world.Now.Add(runTime)
+	}
+	l.world.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
+	l.jobIDs = append(l.jobIDs, run.UID)
+	l.submitFrom(run.UID)
+}
+
+// submitFrom submits a job through any controller. One that is refused is submitted again.
+func (l *loadScenario) submitFrom(uid string) {
+	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.world.Jobs[uid].Spec))
+	l.checkResponse(uid, status, body, true)
+	if status == 200 || status == 201 {
+		l.pollAt[uid] = l.world.Now.Add(pollEvery)
+	} else {
+		l.resubmissions = append(l.resubmissions, uid)
+	}
+}
+
+// play lets everybody go on for a while.
+func (l *loadScenario) play(phase string, d time.Duration) {
+	l.phase = phase
+	for end := l.world.Now.Add(d); l.world.Now.Before(end); {
+		for i := range l.nodes {
+			l.measureStep(i)
+		}
+		l.sendHeartbeats()
+		l.runUsers()
+		l.world.Advance(loadStep)
+	}
+	if cost := l.costs[phase]; cost != nil {
+		cost.simulated += d
+		for _, n := range l.nodes {
+			for _, use := range n.controller.guard.LockUses() {
+				sum := cost.lockUses[use.Function]
+				if sum == nil {
+					sum = &state.LockUse{Function: use.Function}
+					cost.lockUses[use.Function] = sum
+				}
+				sum.Holds += use.Holds
+				sum.Held += use.Held
+				sum.Longest = max(sum.Longest, use.Longest)
+			}
+		}
+	}
+}
+
+// playPhases plays the phases in which controllers do most: the fill, a steady load, a lost
+// controller and its return, an outage of the state service, the last controller left.
+func (l *loadScenario) playPhases() {
+	l.phase = "fill"
+	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
+		for range class.Initial {
+			l.newJob(class)
+		}
+	}
+	l.play("fill", 90*time.Second)
+	l.play("steady", 90*time.Second)
+	l.nodes[2].running = false
+	l.play("takeover", 25*time.Second)
+	l.startNode(2)
+	l.play("start", 25*time.Second)
+	l.world.Store.Down = true
+	l.play("outage", 15*time.Second)
+	l.world.Store.Down = false
+	l.play("return", 25*time.Second)
+	l.nodes[1].running, l.nodes[2].running = false, false
+	l.play("last", 40*time.Second)
+}
+
+// budgetedStore keeps to a share of the changes of a second, as the real client does.
+type budgetedStore struct {
+	*simulator.StoreClient
+	budget *transport.TokenBucket
+	now    func() time.Time
+}
+
+// AwaitWrites returns how many of n changes the budget allows now.
+func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
+	return min(n, int(b.budget.Available(b.now(), 0)))
+}
+
+// Commit commits a transaction if the budget allows it, and else returns store.ErrRefused.
+func (b *budgetedStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
+	if _, ok := b.budget.Take(b.now(), float64(len(t.Ops)), 0); !ok {
+		return store.CommitResult{}, store.ErrRefused
+	}
+	return b.StoreClient.Commit(ctx, t, r)
+}
--- /dev/null
+++ b/internal/controller/lowered_limits_test.go
@@ -0,0 +1,163 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"violetturn/internal/api"
+	"violetturn/internal/config"
+	"violetturn/internal/job"
+	"violetturn/internal/scheduler"
+	"violetturn/internal/simulator"
+	"violetturn/internal/statecache"
+)
+
+// newClusterInProduction returns a cluster of the version in production under limits that let it write
+// large records, and the coming ones far smaller.
+func newClusterInProduction(t *testing.T) *testCluster {
+	t.Helper()
+	s := newTestCluster()
+	s.setStateLimits(16, 20, 2, 4)
+	for i := range s.nodes {
+		s.nodes[i].inProduction = true
+		s.startNode(i)
+	}
+	s.runFor(10)
+	return s
+}
+
+// setStateLimits sets the state service's limits, today's and the coming ones, for controllers
+// that are started from now on.
+func (s *testCluster) setStateLimits(kb float64, ops int, nextKB float64, nextOps int) {
+	s.stateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: kb, TxnOps: ops}
+	s.nextStateLimits = config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: nextKB, TxnOps: nextOps}
+}
+
+// upgradeNodes brings all controllers back new, one after the other.
+func (s *testCluster) upgradeNodes() {
+	for i, n := range s.nodes {
+		n.inProduction = false
+		s.startNode(i)
+		s.runFor(6)
+	}
+}
+
+// lowerStateLimits has the state service keep to its next limits.
+func (s *testCluster) lowerStateLimits() {
+	s.world.Store.MaxOps, s.world.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
+}
+
+// Jobs that the version in production recorded for large values run on, are cancelled
+// and done when the limits come down the moment after the last controller is new: their
+// records are split, and no transaction is sent in a refused form for ever.
+func TestLimitsFallOnLargeRecords(t *testing.T) {
+	s := newClusterInProduction(t)
+	small := func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.05, 0.05 }
+	inline := s.submitJob(func(r *api.Job, d *time.Duration) { small(r); r.Tasks, *d = 120, time.Minute })
+	inRanges := s.submitJob(func(r *api.Job, d *time.Duration) { small(r); r.Tasks, *d = 450, 90*time.Second })
+	cancelled := s.submitJob(func(r *api.Job, _ *time.Duration) { small(r); r.Tasks, r.Kind = 110, api.Service })
+	s.runUntil(t, 200, "all run", func() bool {
+		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
+	})
+	large := 0
+	for _, it := range s.world.Store.Items(statecache.LivePrefix) {
+		if len(it.Value) > int(s.nextStateLimits.ValueKB*1024) {
+			large++
+		}
+	}
+	if large < 3 {
+		t.Fatalf("%d records are larger than the coming limit", large)
+	}
+	s.upgradeNodes()
+	s.lowerStateLimits()
+	s.runUntil(t, 60, "cancelled", func() bool {
+		s.cancel(1, cancelled)
+		return s.world.Jobs[cancelled].FinalPhase == api.Cancelled
+	})
+	s.runUntil(t, 900, "done", s.isDone(inline))
+	s.runUntil(t, 900, "done", s.isDone(inRanges))
+	s.runUntil(t, 400, "no large record of a job is left", func() bool {
+		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
+			return len(it.Value) > int(s.nextStateLimits.ValueKB*1024) && it.Key[:len(statecache.JobPrefix)] != statecache.MachinePagePrefix
+		})
+	})
+	if s.world.Store.TooLarge > 20 {
+		t.Fatalf("%d transactions were refused for their size", s.world.Store.TooLarge)
+	}
+}
+
+// While the limits are still today's, large records are split in the background.
+func TestLargeRecordsAreSplitBeforehand(t *testing.T) {
+	s := newClusterInProduction(t)
+	id := s.submitJob(func(r *api.Job, _ *time.Duration) {
+		r.GPUs, r.CPUs, r.MemGB, r.Tasks, r.Kind = 0, 0.05, 0.05, 120, api.Service
+	})
+	s.runUntil(t, 100, "all run", func() bool { return s.runningTasks(id) == 120 })
+	s.upgradeNodes()
+	s.runUntil(t, 200, "split", func() bool { return s.nodes[0].controller.testState().Cache.Jobs[id].Record.Generation == 1 })
+	for range 60 {
+		s.runRound()
+		if n := s.runningTasks(id); n != 120 {
+			t.Fatalf("%d of its tasks run", n)
+		}
+	}
+	if s.lowerStateLimits(); s.world.Store.TooLarge > 0 {
+		t.Fatal("something was refused for its size")
+	}
+}
+
+// A shard whose room no longer fits its record is used as a whole by its leader: peers
+// see the machines with most room only.
+func TestTrimmedShardServesAllItsMachines(t *testing.T) {
+	s := newTestCluster()
+	s.setStateLimits(1, 8, 1, 4)
+	for i := range s.nodes {
+		s.startNode(i)
+	}
+	s.runFor(10)
+	for k := range 3 {
+		s.submitJob(func(r *api.Job, _ *time.Duration) {
+			r.Kind, r.Tasks, r.Zone, r.CPUs, r.Image = api.Service, 120, "x", 0.5+0.001*float64(k), fmt.Sprint(k)
+		})
+	}
+	n := 0
+	s.runUntil(t, 400, "all run", func() bool {
+		n = 0
+		for _, id := range s.jobIDs {
+			n += s.runningTasks(id)
+		}
+		return n == 360
+	})
+}
+
+// A spread job that is split keeps half of its tasks out of each zone: its smaller
+// task ranges may each have all of their tasks in one, so they are counted together. Counted
+// apart they once let too many into a zone.
+func TestSplitJobStaysSpread(t *testing.T) {
+	m := &job.Record{RangeSize: 8}
+	m.Spec.Tasks, m.Spec.Spread = 8, true
+	c := (*job.TaskRange)(nil).Copy()
+	j := &statecache.Job{Record: m, Ranges: map[int]statecache.Versioned[job.TaskRange]{0: {Record: c}}}
+	z := &scheduler.ZoneConstraint{Job: j, TasksByZone: map[int]map[string]int{}}
+	for range 4 {
+		z.Add(0, "x")
+	}
+	if z.Allows(0, "x") {
+		t.Fatal("more than half in a zone")
+	}
+	m.Split(2)
+	z = &scheduler.ZoneConstraint{Job: j, TasksByZone: map[int]map[string]int{}}
+	for _, taskRange := range []int{0, 0, 1, 1} {
+		z.Add(taskRange, "x")
+	}
+	for taskRange := range 4 {
+		if z.Allows(taskRange, "x") || !z.Allows(taskRange, "y") {
+			t.Fatalf("task range %d of the split job: x %t, y %t", taskRange, z.Allows(taskRange, "x"), z.Allows(taskRange, "y"))
+		}
+	}
+	if !statecache.RecordCoversTasks(j) {
+		t.Fatal("a late transaction could place by an old count")
+	}
+}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,9 +13,9 @@
 // Cloud rents machines.
 type Cloud struct {
 	ServiceFaults
-	Full  bool // it has no capacity
-	Hosts map[string]*Worker
-	Pages int // of the list that were read so far
+	NoCapacity bool // it refuses rentals
+	Hosts      map[string]*Worker
+	Pages      int // of the list that were read so far
 
 	w           *World
 	order       []*Worker           // Hosts in the order of their names; nil: to be sorted anew
@@ -40,8 +40,8 @@
 	return c.order
 }
 
-// Names returns the names of the machines there are, in order.
-func (c *Cloud) Names() []string {
+// HostNames returns the names of the machines there are, in order.
+func (c *Cloud) HostNames() []string {
 	out := make([]string, 0, len(c.Hosts))
 	for _, x := range c.Workers() {
 		out = append(out, x.Host)
@@ -69,8 +69,8 @@
 	return out
 }
 
-// Kill ends a machine without notice, as the cloud does with a spot one.
-func (c *Cloud) Kill(host string) {
+// Terminate ends a machine without notice, as the cloud does with a spot one.
+func (c *Cloud) Terminate(host string) {
 	if x := c.Hosts[host]; x != nil {
 		x.terminatedAt = c.w.Now
 		c.terminated = append(c.terminated, x)
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -116,7 +116,7 @@
 	w.MachineType = d.MachineType
 	w.MachineType.Boot, w.MachineType.Fetch = d.Boot, d.Fetch
 	w.Zones = []string{"x", "y", "z"}
-	w.Lease, w.CancelS = seconds(d.LeaseS), seconds(d.CancelS)
+	w.Lease, w.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
 	w.ListLag = listLag
 	return w
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -7,23 +7,23 @@
 
 // Faults of single requests.
 const (
-	None       Fault = iota // the request is served
-	LoseBefore              // it never arrives
-	LoseAfter               // it is carried out, and its response is lost
-	Late                    // it is carried out when DeliverLate is called, and its response is lost
+	NoFault      Fault = iota // the request is served
+	RequestLost               // it never arrives
+	ResponseLost              // it is carried out, and its response is lost
+	Delayed                   // it is carried out when DeliverDelayed is called, and its response is lost
 )
 
 // String returns the name of the fault.
 func (f Fault) String() string {
 	switch f {
-	case None:
+	case NoFault:
 		return "none"
-	case LoseBefore:
+	case RequestLost:
 		return "request lost"
-	case LoseAfter:
+	case ResponseLost:
 		return "response lost"
-	case Late:
-		return "delivered late"
+	case Delayed:
+		return "delayed"
 	}
 	return fmt.Sprintf("Fault(%d)", int(f))
 }
@@ -32,18 +32,18 @@
 type ServiceFaults struct {
 	Down        bool             // it serves nobody
 	Unreachable map[string]bool  // nodes whose requests do not arrive
-	Next        map[string]Fault // what happens to a node's next change
+	NextFault   map[string]Fault // what happens to a node's next change
 }
 
 // newServiceFaults returns no faults.
 func newServiceFaults() ServiceFaults {
-	return ServiceFaults{Unreachable: map[string]bool{}, Next: map[string]Fault{}}
+	return ServiceFaults{Unreachable: map[string]bool{}, NextFault: map[string]Fault{}}
 }
 
 // takeNext returns the fault set for a node's next change, and clears it.
-func (s *ServiceFaults) takeNext(node string) Fault {
-	f := s.Next[node]
-	delete(s.Next, node)
+func (s *ServiceFaults) takeNextFault(node string) Fault {
+	f := s.NextFault[node]
+	delete(s.NextFault, node)
 	return f
 }
 
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -28,7 +28,7 @@
 // Cloud returns the handler of requests to the cloud. Machines get addresses of the loopback
 // network, one each, at the given port.
 func (s *Server) Cloud(port int) http.Handler {
-	c := &cloudHandler{s: s, client: CloudClient{C: s.w.Cloud}, port: port}
+	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.w.Cloud}, port: port}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", c.machineTypes)
 	mux.HandleFunc("POST /rentals", c.rent)
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -42,7 +42,7 @@
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	Refuse map[string]bool // nodes that get 503
+	Refused map[string]bool // nodes that get 503
 
 	w           *World
 	revision    uint64
@@ -50,7 +50,7 @@
 	log         []store.Change
 	leases      map[uint64]*lease
 	lastLeaseID uint64
-	late        []*store.Txn // of the fault Late, until DeliverLate
+	delayed     []*store.Txn // of the fault Delayed, until DeliverDelayed
 }
 
 // storedValue is the value of a key.
@@ -64,7 +64,7 @@
 func newStore(w *World) *Store {
 	return &Store{
 		ServiceFaults: newServiceFaults(),
-		Refuse:        map[string]bool{},
+		Refused:       map[string]bool{},
 		w:             w,
 		keys:          map[string]storedValue{},
 		leases:        map[uint64]*lease{},
@@ -98,10 +98,10 @@
 	return out
 }
 
-// DeliverLate carries out the transactions of the fault Late.
-func (s *Store) DeliverLate() {
-	late := s.late
-	s.late = nil
+// DeliverDelayed carries out the transactions of the fault Delayed.
+func (s *Store) DeliverDelayed() {
+	late := s.delayed
+	s.delayed = nil
 	for _, t := range late {
 		_, _ = s.apply(t) // nobody hears the response
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -22,7 +22,7 @@
 	MachineType   MachineType
 	Zones         []string
 	Lease         time.Duration      // of a worker
-	CancelS       time.Duration      // after which no task of a cancelled job may run
+	CancelTimeout time.Duration      // after which no task of a cancelled job may run
 	GangWait      time.Duration      // how long a gang's task waits for the others to start
 	GangPeer      time.Duration      // after which a gang's tasks notice that one is lost
 	TeamGPULimits map[string]float64 // accelerators of a team's tasks at most; none: no limit
@@ -45,15 +45,15 @@
 	Cloud *Cloud
 	Jobs  map[string]*Job
 
-	Violations []string // rules broken
-	LateStarts int      // tasks that began to fetch after their user was told that the job is cancelled
+	Violations []Violation // rules broken, in order
+	LateStarts int         // tasks that began to fetch after their user was told that the job is cancelled
 }
 
 // Job is a job as its user sees it.
 type Job struct {
 	Spec            api.Job
 	RunTime         time.Duration // of a task
-	Step            time.Duration // by how much longer each next task runs
+	RunTimeStep     time.Duration // by how much longer each next task runs
 	Accepted        bool          // a user was told that it is accepted
 	FinalPhase      string        // last phase told, if it was done or cancelled
 	CancelRequested bool          // a user asked for its cancellation
