--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -11,6 +11,7 @@
 	"violetturn/internal/statecache"
 )
 
+// Backoff is how long an offer that was refused is left alone.
 type Backoff struct {
 	until time.Time
 	wait  time.Duration
@@ -101,6 +102,7 @@
 	return out
 }
 
+// PriceOf returns what a machine of the type costs, as a spot machine or not.
 func PriceOf(f *cloud.MachineType, spot bool) float64 {
 	if spot {
 		return f.SpotPrice
@@ -108,6 +110,7 @@
 	return f.Price
 }
 
+// OfferKey names an offer by machine type, zone and whether it is spot.
 func OfferKey(o sched.Offer) string { return fmt.Sprintf("%s/%s/%t", o.MachineType, o.Zone, o.Spot) }
 
 // BackOff keeps an offer from being asked for again at once, ever longer: what
@@ -132,6 +135,7 @@
 	CapacityBackoffs map[string]Backoff // by offer, when it may be asked for again
 }
 
+// New returns a catalog without machine types, until the cloud has told of them.
 func New(node *node.Info) *Catalog {
 	return &Catalog{node: node, CapacityBackoffs: map[string]Backoff{}}
 }
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -36,6 +36,7 @@
 	order []string // oldest first
 }
 
+// New returns an empty cache.
 func New(node *node.Info) *Cache {
 	return &Cache{node: node, ByJob: map[string]job.FinalState{}}
 }
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -5,6 +5,7 @@
 	"violetturn/internal/statecache"
 )
 
+// RangeID names a task range by its job and its index there.
 type RangeID struct {
 	UID   string
 	Index int
@@ -23,6 +24,7 @@
 	Outgrown   bool // some record outgrew a value: nothing of this is to be committed
 }
 
+// NewRecordEditor returns an editor without changes, which takes as many as the budget holds now.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
 		schema:     s,
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -26,6 +26,7 @@
 	SplitRequests  map[string]int // jobs with a record that outgrew a value: their generation then, from 1 on
 }
 
+// New returns the state of a node that has been refused nothing yet.
 func New(node *node.Info, cache *statecache.Cache, budget WriteBudget) *State {
 	return &State{node: node, cache: cache, budget: budget, SplitRequests: map[string]int{}}
 }
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -94,8 +94,7 @@
 	splitAt, GarbageCollectedAt time.Time
 }
 
-func New(
-	node *node.Info, cache *statecache.Cache, schema *schema.State, leadership *leadership.Table,
-) *Splitter {
+// New returns a splitter of the shards that leadership has this node lead.
+func New(node *node.Info, cache *statecache.Cache, schema *schema.State, leadership *leadership.Table) *Splitter {
 	return &Splitter{node: node, cache: cache, schema: schema, leadership: leadership}
 }
