--- a/internal/decisions/split.go
+++ b/internal/decisions/split.go
@@ -29,7 +29,7 @@
 		// It can't be: a record of the smallest task range still is too large. It is told
 		// and left alone until it is over.
 		d.node.Log.Error("record can't be split further", "job", uid)
-		delete(state.Schema.SplitRequests, uid)
+		state.Schema.WithdrawSplit(uid)
 		d.guard.Unlock()
 		return false
 	case !m.Inline && !m.Frozen:
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -64,7 +64,7 @@
 	record.Cancelled = true
 	t.Put(key, record)
 	if t.Size(key) > state.Schema.MaxRecordBytes() {
-		state.Schema.SplitRequests[uid] = record.Generation + 1
+		state.Schema.RequestSplit(j)
 		return nil, true
 	}
 	return t, false
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -5,181 +5,212 @@
 	"violetturn/internal/statecache"
 )
 
-// RangeID names a task range by its job and its index there.
+// The state service's limits of one transaction beside those of the settings (PROTOCOL): four
+// preconditions for each change, and 64 KiB, of which a quarter is left for what the sums
+// below miss.
+const (
+	preconditionsPerChange = 4
+	maxTransactionBytes    = 48 << 10
+)
+
+// Bytes that a transaction takes, by what is in it, rounded up.
+const (
+	changeBytes    = 512 // of a change and its precondition, the record aside
+	inlineJobBytes = 768 // of a main record that holds its task range
+	placementBytes = 64
+)
+
+// RangeID names a task range of a job, of its present generation.
 type RangeID struct {
 	UID   string
 	Index int
 }
 
-// Editor collects changes of jobs' records for one transaction.
+// Editor collects changes of jobs' records for one transaction. Records are copied when they
+// are first asked for; what is done to the copies is written by Transaction. Use
+// State.NewRecordEditor.
 type Editor struct {
-	schema     *State
 	Txn        *statecache.Transaction
-	jobs       map[string]*statecache.Job
-	Records    map[string]*job.Record
-	ranges     map[RangeID]*job.TaskRange
-	Deletes    map[RangeID]bool
-	Changes    int  // changes so far
-	MaxChanges int  // changes at most
+	Records    map[string]*job.Record // the copies, by job; nil: the job is archived
+	Deletes    map[RangeID]bool       // task ranges whose records are dropped
+	Changes    int                    // so far
+	MaxChanges int
 	Outgrown   bool // some record outgrew a value: nothing of this is to be committed
+
+	schema *State
+	jobs   map[string]*statecache.Job
+	ranges map[RangeID]*job.TaskRange
 }
 
-// NewRecordEditor returns an editor without changes, which takes as many as the budget holds now.
+// NewRecordEditor makes an editor for a transaction of as many changes as may be sent now.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
-		schema:     s,
 		Txn:        statecache.NewTransaction(),
-		jobs:       map[string]*statecache.Job{},
 		Records:    map[string]*job.Record{},
-		ranges:     map[RangeID]*job.TaskRange{},
 		Deletes:    map[RangeID]bool{},
 		MaxChanges: s.MaxChanges(),
+		schema:     s,
+		jobs:       map[string]*statecache.Job{},
+		ranges:     map[RangeID]*job.TaskRange{},
 	}
 }
 
-// MaxChanges is how many changes a transaction may have now: what the budget holds, so
-// that one of many changes does not keep others waiting for as long as it takes
-// to earn them, and at least as many as one step needs.
-func (s *State) MaxChanges() int {
-	const step = 4
-	return min(s.TransactionLimits().TxnOps, max(step, s.budget.Available()))
-}
-
 // Record returns a copy of the job's main record to be changed.
 func (e *Editor) Record(j *statecache.Job) *job.Record {
 	uid := j.Record.Spec.UID
-	m := e.Records[uid]
-	if m == nil {
-		m = j.Record.Copy()
-		e.Records[uid], e.jobs[uid] = m, j
+	record := e.Records[uid]
+	if record == nil {
+		record = j.Record.Copy()
+		e.Records[uid], e.jobs[uid] = record, j
 		e.Txn.Require(statecache.JobKey(uid), j.Version)
 		e.Changes++
 	}
-	return m
+	return record
 }
 
 // TaskRange returns a copy of a task range to be changed.
-func (e *Editor) TaskRange(j *statecache.Job, n int) *job.TaskRange {
-	id := RangeID{UID: j.Record.Spec.UID, Index: n}
-	ch := e.ranges[id]
-	if ch == nil {
-		ch = j.Ranges[n].Record.Copy()
-		e.ranges[id], e.jobs[id.UID] = ch, j
-		// The main record's version covers a gang's tasks and those of a job that is
-		// being divided, wherever they are recorded.
-		e.Txn.Require(statecache.JobKey(id.UID), j.Version)
-		if j.Record.Inline || j.RecordCoversTasks() {
-			e.Record(j)
-		}
-		if !j.Record.Inline {
-			e.Txn.Require(j.RangeRecord(n))
-			e.Changes++
-		}
+func (e *Editor) TaskRange(j *statecache.Job, index int) *job.TaskRange {
+	id := RangeID{UID: j.Record.Spec.UID, Index: index}
+	if tasks := e.ranges[id]; tasks != nil {
+		return tasks
+	}
+	tasks := j.Ranges[index].Record.Copy()
+	e.ranges[id], e.jobs[id.UID] = tasks, j
+	// The main record's version covers a gang's tasks and those of a job that is being
+	// split, wherever they are recorded.
+	e.Txn.Require(statecache.JobKey(id.UID), j.Version)
+	if j.Record.Inline || j.RecordCoversTasks() {
+		e.Record(j)
+	}
+	if !j.Record.Inline {
+		e.Txn.Require(j.RangeRecord(index))
+		e.Changes++
 	}
-	return ch
+	return tasks
 }
 
-// RangeCost is how many changes opening a task range adds.
-func (e *Editor) RangeCost(j *statecache.Job, n int) int {
+// RangeCost returns how many changes TaskRange would add.
+func (e *Editor) RangeCost(j *statecache.Job, index int) int {
 	uid := j.Record.Spec.UID
-	if e.ranges[RangeID{UID: uid, Index: n}] != nil {
+	if e.ranges[RangeID{UID: uid, Index: index}] != nil {
 		return 0
 	}
-	k := 0
+	cost := 0
 	if !j.Record.Inline {
-		k++
+		cost++
 	}
 	if (j.Record.Inline || j.RecordCoversTasks()) && e.Records[uid] == nil {
-		k++
+		cost++
 	}
-	return k
+	return cost
 }
 
-// DeleteRange drops a task range's record of a job that is over.
-func (e *Editor) DeleteRange(j *statecache.Job, n int) {
+// DeleteRange drops the record of a task range of a job that is over.
+func (e *Editor) DeleteRange(j *statecache.Job, index int) {
 	uid := j.Record.Spec.UID
 	e.Txn.Require(statecache.JobKey(uid), j.Version)
-	e.Txn.Require(j.RangeRecord(n))
-	e.Txn.Delete(statecache.TaskRangeKey(uid, j.Record.Generation, n))
+	e.Txn.Require(j.RangeRecord(index))
+	e.Txn.Delete(statecache.TaskRangeKey(uid, j.Record.Generation, index))
 	e.Changes++
 }
 
-// Archive moves a job to the past.
-func (e *Editor) Archive(j *statecache.Job, p job.FinalState) {
+// Archive drops a job's main record and writes how the job ended.
+func (e *Editor) Archive(j *statecache.Job, final job.FinalState) {
 	uid := j.Record.Spec.UID
 	e.Record(j)
 	e.Records[uid] = nil
 	e.Txn.Delete(statecache.JobKey(uid))
 	e.Txn.Require(statecache.FinalStateKey(uid), 0)
-	e.Txn.Put(statecache.FinalStateKey(uid), p)
+	e.Txn.Put(statecache.FinalStateKey(uid), final)
 	e.Changes++
 }
 
-// Transaction puts the changes into the transaction.
-func (e *Editor) Transaction() *statecache.Transaction {
-	for id, ch := range e.ranges {
-		j, m := e.jobs[id.UID], e.Records[id.UID]
-		switch {
-		case j.Record.Inline:
-			if m != nil { // not moved to the past
-				m.InlineRange = ch
-			}
-		case e.Deletes[id]:
-			e.Txn.Delete(statecache.TaskRangeKey(id.UID, j.Record.Generation, id.Index))
-		default:
-			e.Txn.Put(statecache.TaskRangeKey(id.UID, j.Record.Generation, id.Index), ch)
-		}
+// StopTask has a task leave its machine; of a gang all tasks leave, and save together.
+func (e *Editor) StopTask(j *statecache.Job, task *statecache.PlacedTask) {
+	if j.IsGang() {
+		e.Record(j).Gang.Stopping = true
+		return
 	}
-	for uid, m := range e.Records {
-		if m != nil {
-			e.Txn.Put(statecache.JobKey(uid), m)
-		}
+	e.TaskRange(j, task.RangeIndex).Placements[task.Index].Stopping = true
+}
+
+// StopCost returns how many changes StopTask would add.
+func (e *Editor) StopCost(j *statecache.Job, task *statecache.PlacedTask) int {
+	if !j.IsGang() {
+		return e.RangeCost(j, task.RangeIndex)
 	}
-	most := e.schema.MaxRecordBytes()
-	for uid, j := range e.jobs {
-		for _, key := range e.Txn.Keys() {
-			if e.Txn.Size(key) > most && statecache.IsRecordOf(uid, key) {
-				e.schema.SplitRequests[uid] = j.Record.Generation + 1 // divided before it is changed again
-				e.Outgrown = true
-			}
-		}
+	if e.Records[j.Record.Spec.UID] != nil {
+		return 0
 	}
-	return e.Txn
+	return 1
 }
 
-// IsFull reports whether more changes, besides so many others, would pass the
-// limits of a transaction.
+// IsFull reports whether so many more changes, besides so many of other records, would pass
+// the limits of a transaction.
 func (e *Editor) IsFull(more, others int) bool {
-	const guards, bytes = 4, 48 << 10 // of PROTOCOL's 4 preconditions for each change and 64 KiB
-	f := e.schema.TransactionLimits()
-	each := 512.0 // bytes of a change and its guard, records aside
+	limits := e.schema.TransactionLimits()
+	if e.Changes+more+others > e.MaxChanges {
+		return true
+	}
+	if e.Txn.Preconditions()+2*more+others > preconditionsPerChange*limits.TxnOps {
+		return true
+	}
+	const largeRecords = 2 // at most so many of the other records fill a value
+	size := e.rangeBytes() + changeBytes*float64(e.Changes+more)
+	return size+limits.ValueKB*bytesPerKB*float64(min(others, largeRecords)) > maxTransactionBytes
+}
+
+// rangeBytes returns about how many bytes the task ranges take.
+func (e *Editor) rangeBytes() float64 {
 	size := 0.0
-	for id, ch := range e.ranges {
-		size += float64(64*len(ch.Placements) + len(ch.DoneBits))
+	for id, tasks := range e.ranges {
+		size += float64(placementBytes*len(tasks.Placements) + len(tasks.DoneBits))
 		if e.jobs[id.UID].Record.Inline {
-			size += 768
+			size += inlineJobBytes
 		}
 	}
-	return e.Changes+more+others > e.MaxChanges || e.Txn.Preconditions()+2*more+others > guards*f.TxnOps ||
-		size+each*float64(e.Changes+more)+f.ValueKB*1024*float64(min(others, 2)) > bytes
+	return size
 }
 
-// StopTask marks a task to leave its machine; of a gang all tasks leave, and save together.
-func (e *Editor) StopTask(j *statecache.Job, v *statecache.PlacedTask) {
-	if j.IsGang() {
-		e.Record(j).Gang.Stopping = true
-		return
+// Transaction writes the copies and returns the transaction. It sets Outgrown, and has the
+// job's records split, if one is larger than a value may be.
+func (e *Editor) Transaction() *statecache.Transaction {
+	e.putRanges()
+	for uid, record := range e.Records {
+		if record != nil {
+			e.Txn.Put(statecache.JobKey(uid), record)
+		}
 	}
-	e.TaskRange(j, v.RangeIndex).Placements[v.Index].Stopping = true
+	e.checkSizes()
+	return e.Txn
 }
 
-// StopCost is how many changes that adds.
-func (e *Editor) StopCost(j *statecache.Job, v *statecache.PlacedTask) int {
-	switch {
-	case !j.IsGang():
-		return e.RangeCost(j, v.RangeIndex)
-	case e.Records[j.Record.Spec.UID] != nil:
-		return 0
+// putRanges writes the task ranges, those of jobs that keep them inside into the main record.
+func (e *Editor) putRanges() {
+	for id, tasks := range e.ranges {
+		j, record := e.jobs[id.UID], e.Records[id.UID]
+		key := statecache.TaskRangeKey(id.UID, j.Record.Generation, id.Index)
+		switch {
+		case j.Record.Inline && record != nil:
+			record.InlineRange = tasks
+		case j.Record.Inline: // archived
+		case e.Deletes[id]:
+			e.Txn.Delete(key)
+		default:
+			e.Txn.Put(key, tasks)
+		}
+	}
+}
+
+// checkSizes looks for records that are larger than a value may be.
+func (e *Editor) checkSizes() {
+	most := e.schema.MaxRecordBytes()
+	for uid, j := range e.jobs {
+		for _, key := range e.Txn.Keys() {
+			if e.Txn.Size(key) > most && statecache.IsRecordOf(uid, key) {
+				e.schema.RequestSplit(j)
+				e.Outgrown = true
+			}
+		}
 	}
-	return 1
 }
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -1,8 +1,6 @@
 package splitter
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"violetturn/internal/job"
@@ -37,13 +35,8 @@
 	now := sp.node.Now()
 	paced := now.Sub(sp.splitAt) < 8*sp.node.Settings.DecisionInterval()
 	var other *statecache.Job
-	for _, uid := range slices.Sorted(maps.Keys(sp.schema.SplitRequests)) {
-		j := sp.cache.Jobs[uid]
-		if j == nil || sp.schema.SplitRequests[uid] != j.Record.Generation+1 {
-			delete(sp.schema.SplitRequests, uid)
-			continue
-		}
-		return j
+	if requested := sp.schema.SplitRequests(); len(requested) > 0 {
+		return sp.cache.Jobs[requested[0]]
 	}
 	for _, j := range sp.cache.Jobs {
 		if !sp.leadership.Leads(j.Record.Shard) {
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -17,18 +17,17 @@
 	}
 	state := y.guard.Lock()
 	defer y.guard.Unlock()
-	if !state.Schema.LimitsLowered {
-		state.Schema.LimitsLowered = true
+	if state.Schema.LowerLimits() {
 		y.services.Store.LowerLimits()
 		y.node.Log.Info("state service limits lowered")
 		return true
 	}
 	// It was made within what was announced. Fewer changes are tried, down to what the
 	// longest step needs, and the jobs in it are divided.
-	state.Schema.AcceptedTxnOps = max(len(t.Ops)-1, 4)
+	state.Schema.AcceptFewer(len(t.Ops))
 	for _, op := range t.Ops {
 		if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
-			state.Schema.SplitRequests[uid] = state.Cache.Jobs[uid].Record.Generation + 1
+			state.Schema.RequestSplit(state.Cache.Jobs[uid])
 		}
 	}
 	y.node.Log.Error("state service accepts less than announced", "changes", len(t.Ops), "err", err)
