--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -6,7 +6,6 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/leadership"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 )
 
@@ -69,7 +68,7 @@
 // false if the worker has seen this term, was asked a moment ago, or no slot is free.
 func (reg *Registry) Fence(host string) (command DirectCommand, ok bool) {
 	s := reg.ByHost[host]
-	if s == nil || s.Fenced || reg.node.Now().Sub(s.LastCommandAt) < reg.node.Settings.HeartbeatInterval() {
+	if s == nil || s.Fenced() || reg.node.Now().Sub(s.LastCommandAt) < reg.node.Settings.HeartbeatInterval() {
 		return DirectCommand{}, false
 	}
 	return reg.prepareCommand(host, reg.fenceSlots, api.CommandBatch{AgentEpoch: 1, Commands: []api.Command{}})
@@ -111,8 +110,7 @@
 	for host := range reg.HeartbeatRequests {
 		m := reg.cache.Machines[host]
 		s := reg.ByHost[host]
-		if m == nil || !reg.leadership.Leads(m.Shard) || s == nil || !s.Fenced || s.Heartbeat == nil || s.LeaseExpired || s.Terminated ||
-			s.Unresponsive {
+		if m == nil || !reg.leadership.Leads(m.Shard) || s == nil || s.State != Responsive || s.LeaseExpired || s.Terminated {
 			delete(reg.HeartbeatRequests, host)
 			continue
 		}
@@ -141,7 +139,7 @@
 // immediateCommands returns the orders that need not wait for the worker's next heartbeat: they
 // may be carried out at any later time, and reports whether there are stops among
 // them, and whether there are starts, which have to wait.
-func (reg *Registry) immediateCommands(host string, s *shard.Agent) (out []api.Command, stop, start bool) {
+func (reg *Registry) immediateCommands(host string, s *Agent) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
 	listed := map[AttemptID]string{}
 	for _, p := range s.Heartbeat.Tasks {
@@ -183,14 +181,14 @@
 }
 
 // AcceptHeartbeat takes in a heartbeat and looks at what it says.
-func (reg *Registry) AcceptHeartbeat(host string, s *shard.Agent, r *api.Heartbeat) bool {
-	old, deaf := s.Heartbeat, s.Unresponsive
+func (reg *Registry) AcceptHeartbeat(host string, s *Agent, r *api.Heartbeat) bool {
+	old, wasUnresponsive := s.Heartbeat, s.Unresponsive()
 	if !s.Accept(r, reg.node.Now()) {
 		return false
 	}
 	reg.leadership.NoteWorkerHeard(reg.node.Now())
 	s.LastSeen = reg.node.Now()
-	if s.Unresponsive && !deaf {
+	if s.Unresponsive() && !wasUnresponsive {
 		reg.node.Log.Info(
 			"worker unresponsive",
 			"host",
@@ -199,8 +197,8 @@
 			"its lease expired although it was answered: no tasks until it obeys a command",
 		)
 	}
-	if old == nil || deaf != s.Unresponsive || old.AgentEpoch != r.AgentEpoch || (old.SpotNoticeS == nil) != (r.SpotNoticeS == nil) ||
-		!slices.Equal(old.Tasks, r.Tasks) {
+	if old == nil || wasUnresponsive != s.Unresponsive() || old.AgentEpoch != r.AgentEpoch ||
+		(old.SpotNoticeS == nil) != (r.SpotNoticeS == nil) || !slices.Equal(old.Tasks, r.Tasks) {
 		reg.wake.Notify()
 	}
 	return true
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -5,4 +5,16 @@
 // A worker's tasks count as over only if its heartbeat, made under this leader's term, shows
 // it, or if its lease has surely expired. The package does no I/O; it prepares commands that
 // internal/commands sends. The lock of internal/state guards it.
+//
+// Registry holds an Agent for each worker: the view of one worker under the present term, a
+// value without a clock or a lock of its own.
+//
+// Invariants of an Agent:
+//   - a heartbeat that is no newer than an earlier one, or was made under an older term, changes
+//     nothing that is believed of the worker;
+//   - an agent that has seen the term has a heartbeat, and never becomes unfenced again: a new
+//     term begins a new Agent;
+//   - its token only rises;
+//   - a terminated machine stays terminated, a cordoned one stays cordoned;
+//   - the decision that an attempt has ended is never reversed.
 package agent
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -5,14 +5,13 @@
 	"time"
 
 	"violetturn/internal/schema"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 )
 
 // EndedTask is an attempt that is over.
 type EndedTask struct {
 	Task *statecache.PlacedTask
-	End  shard.EndedAttempt
+	End  EndedAttempt
 }
 
 // IsCompleted reports whether a placed task has completed, though that need not be
@@ -28,7 +27,7 @@
 }
 
 // NoteEnd notes that an attempt is over.
-func (reg *Registry) NoteEnd(host string, s *shard.Agent, id string, r shard.EndedAttempt) {
+func (reg *Registry) NoteEnd(host string, s *Agent, id string, r EndedAttempt) {
 	s.EndedAttempts[id] = r
 	reg.cache.InvalidateLoad(host)
 }
@@ -48,31 +47,26 @@
 		// Entries of tasks that are no longer there do no harm, for a later
 		// attempt has another number: they go when there are too many.
 		if len(s.FirstRuns) > len(on) {
-			maps.DeleteFunc(s.FirstRuns, func(id string, _ shard.FirstRun) bool { return on[id] == nil })
+			maps.DeleteFunc(s.FirstRuns, func(id string, _ FirstRun) bool { return on[id] == nil })
 		}
 		if len(s.PendingLaunches) > len(on) {
-			maps.DeleteFunc(s.PendingLaunches, func(id string, _ shard.PendingLaunch) bool { return on[id] == nil })
+			maps.DeleteFunc(s.PendingLaunches, func(id string, _ PendingLaunch) bool { return on[id] == nil })
 		}
 		for id, r := range s.EndedAttempts {
 			if pl := on[id]; pl == nil || pl.Placement.Attempt != r.Attempt {
 				delete(s.EndedAttempts, id) // committed
 			}
 		}
-		dead := s.IsLeaseExpired(now, bound)
-		if dead && !s.LeaseExpired {
-			s.LeaseExpired = true
-			if len(on) > 0 {
-				reg.node.Log.Info("worker lease expired", "host", host, "tasks", len(on), "terminated", s.Terminated)
-			}
-		} else if !dead {
-			s.LeaseExpired = false
+		dead, newly := s.UpdateLease(now, bound)
+		if newly && len(on) > 0 {
+			reg.node.Log.Info("worker lease expired", "host", host, "tasks", len(on), "terminated", s.Terminated)
 		}
 		if len(s.EndedAttempts) == 0 && !dead {
 			continue
 		}
 		for id, pl := range on {
 			if _, ok := s.EndedAttempts[id]; !ok && dead {
-				reg.NoteEnd(host, s, id, shard.EndedAttempt{Attempt: pl.Placement.Attempt, EndedAt: now})
+				reg.NoteEnd(host, s, id, EndedAttempt{Attempt: pl.Placement.Attempt, EndedAt: now})
 			}
 			if r, ok := s.EndedAttempts[id]; ok && reg.cache.Jobs[pl.UID] != nil {
 				k := schema.RangeID{UID: pl.UID, Index: pl.RangeIndex}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -8,33 +8,15 @@
 	"violetturn/internal/statecache"
 )
 
-// MayIntroduceTerm reports whether a worker that has not heard of this node's term yet is to be
-// told of it. One that was answered and reports as before does not hear: our answers renew
-// no lease there, and to count them would keep its tasks waiting for ever.
-func (reg *Registry) MayIntroduceTerm(s *shard.Agent, now time.Time) bool {
-	if s.UnheardAnswers >= MaxUnheardAnswers {
-		if s.IsLeaseExpired(now, reg.node.Settings.WorkerLeaseBound()) {
-			s.UnheardAnswers = 0 // nothing runs there any more: it may try again
-		}
-		return false
-	}
-	// A worker's own reports come in rounds. Copies of old ones come at once, and
-	// many may have been kept for a new leader: counted as answers that the worker
-	// did not hear, they would have it refused while it lives.
-	if now.Sub(s.UnheardAt) >= reg.node.Settings.HeartbeatInterval()/2 {
-		s.UnheardAnswers++
-		s.UnheardAt = now
-	}
-	return true
+// MayIntroduceTerm reports whether a worker that has not seen this term yet is to be answered,
+// and counts the answer.
+func (reg *Registry) MayIntroduceTerm(a *Agent, now time.Time) bool {
+	return a.MayIntroduceTerm(now, reg.node.Settings.WorkerLeaseBound(), reg.node.Settings.HeartbeatInterval())
 }
 
 // HeartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
 const HeartbeatTimeout = 4 * time.Second
 
-// MaxUnheardAnswers is how often in a row a worker may show that it did not hear an
-// answer before it counts as deaf: answers get lost now and then.
-const MaxUnheardAnswers = 3
-
 // NoteUnregistered notes a machine that has no record, to be recorded in a part of its
 // zone. One whose record was dropped is gone, and names are never used again:
 // what a cut held back, or a list that lags, must not bring it back as a ghost
@@ -53,7 +35,7 @@
 
 // InterruptionIsDue reports whether the cloud takes the machine away so soon that the task
 // has to leave now; until then it runs on, for it may complete.
-func (reg *Registry) InterruptionIsDue(s *shard.Agent, j *statecache.Job) bool {
+func (reg *Registry) InterruptionIsDue(s *Agent, j *statecache.Job) bool {
 	if s.Heartbeat == nil || s.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
@@ -65,7 +47,7 @@
 }
 
 // NoteTaskEnd notes what a task's end says of the machine and of its job.
-func (reg *Registry) NoteTaskEnd(host string, s *shard.Agent, j *statecache.Job, _ *statecache.PlacedTask, l *api.TaskState) {
+func (reg *Registry) NoteTaskEnd(host string, s *Agent, j *statecache.Job, _ *statecache.PlacedTask, l *api.TaskState) {
 	uid := j.Record.Spec.UID
 	if !api.KnownCause(l.Cause) {
 		reg.node.Log.Error("unknown exit cause reported", "host", host, "cause", l.Cause)
--- a/internal/agent/machine_state.go
+++ b/internal/agent/machine_state.go
@@ -17,16 +17,16 @@
 )
 
 // ObservedState returns what a leader sees of a machine.
-func (reg *Registry) ObservedState(host string, m *shard.Machine, s *shard.Agent, now time.Time) MachineState {
+func (reg *Registry) ObservedState(host string, m *shard.Machine, s *Agent, now time.Time) MachineState {
 	patience := 2 * reg.node.Settings.HeartbeatInterval() // who reports at all has done so
 	switch {
 	case s.Terminated, s.Cordoned && now.Sub(s.LastSeen) > patience:
 		return MachineIgnored
-	case s.Fenced && s.Unresponsive:
+	case s.Fenced() && s.Unresponsive():
 		return MachineLost
-	case s.Fenced && now.Sub(s.LastSeen) <= patience:
+	case s.Fenced() && now.Sub(s.LastSeen) <= patience:
 		return MachineUp
-	case s.Fenced:
+	case s.Fenced():
 		return MachineLost
 	}
 	// Never heard under this term. One that has tasks was up before.
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -9,17 +9,17 @@
 	"violetturn/internal/statecache"
 )
 
-// Drop drops a machine's session.
+// Drop removes the view of a machine's worker.
 func (reg *Registry) Drop(host string) {
 	delete(reg.ByHost, host)
 	reg.cache.InvalidateLoad(host)
 }
 
-// Of returns the session of a machine of an own shard.
-func (reg *Registry) Of(host string, o *leadership.Leadership) *shard.Agent {
+// Of returns the view of the worker of a machine of an own shard, a new one under a new term.
+func (reg *Registry) Of(host string, o *leadership.Leadership) *Agent {
 	s := reg.ByHost[host]
 	if s == nil || s.Term != o.Term {
-		s = shard.NewAgent(o.Term, reg.node.Now(), o.PredecessorAnswersUntil)
+		s = New(o.Term, reg.node.Now(), o.PredecessorAnswersUntil)
 		reg.ByHost[host] = s
 		reg.cache.InvalidateLoad(host)
 	}
@@ -34,7 +34,7 @@
 	catalog    *catalog.Catalog
 	wake       notify.Signal
 
-	ByHost                map[string]*shard.Agent
+	ByHost                map[string]*Agent
 	Unregistered          map[string]shard.Machine // machines without a record, to be registered
 	ListedByCloud         map[string]bool          // machines in the cloud's newest list
 	Provisioning          map[string]bool          // those that it shows as starting
@@ -57,7 +57,7 @@
 	sockets := d.Node.Settings.Facts.Limits.MaxSockets
 	return &Registry{
 		node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, wake: d.Wake,
-		ByHost:                map[string]*shard.Agent{},
+		ByHost:                map[string]*Agent{},
 		Unregistered:          map[string]shard.Machine{},
 		HeartbeatRequests:     map[string]bool{},
 		RunningGangs:          map[string]uint64{},
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -25,7 +25,7 @@
 		}
 		s := reg.Of(host, reg.leadership.InForce(m.Shard))
 		if !s.Terminated && !s.LeaseExpired &&
-			(s.Fenced || len(reg.cache.Placements[host]) > 0 && now.Sub(s.CreatedAt) > reg.node.Settings.HeartbeatInterval()) {
+			(s.Fenced() || len(reg.cache.Placements[host]) > 0 && now.Sub(s.CreatedAt) > reg.node.Settings.HeartbeatInterval()) {
 			n++
 		}
 	}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -38,7 +38,7 @@
 		}
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is taken, for the list is late.
-		if !s.Fenced && !as.agents.Provisioning[host] {
+		if !s.Fenced() && !as.agents.Provisioning[host] {
 			if command, ok := as.agents.Fence(host); ok {
 				fences = append(fences, command)
 			}
@@ -128,7 +128,7 @@
 }
 
 // ConsiderScaleIn decides whether a machine is to be returned.
-func (as *Autoscaler) ConsiderScaleIn(host string, m *shard.Machine, s *shard.Agent, view *ScaleInView) {
+func (as *Autoscaler) ConsiderScaleIn(host string, m *shard.Machine, s *agent.Agent, view *ScaleInView) {
 	now := view.Now
 	_, f := as.catalog.MachineCapacity(m.MachineType)
 	if f == nil || s.Cordoned {
@@ -140,7 +140,7 @@
 		as.node.Log.Info("machine cordoned", "host", host, "why", why)
 		as.wake.Notify()
 	}
-	if !s.Fenced {
+	if !s.Fenced() {
 		// It has had time to boot, and since this owner took the shard time to
 		// answer a fence: what an earlier leader waited says nothing of a machine
 		// that came up under it, but one that was lost under it must not be given
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -89,7 +89,7 @@
 // isSchedulable reports whether a machine of an own shard can take tasks.
 func (mr *Room) isSchedulable(host string, now time.Time) bool {
 	s := mr.agents.ByHost[host]
-	return s != nil && s.Fenced && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive && s.Heartbeat.SpotNoticeS == nil &&
+	return s != nil && s.Fenced() && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive() && s.Heartbeat.SpotNoticeS == nil &&
 		!now.Before(s.AvoidUntil) &&
 		now.Sub(s.LastSeen) < 3*mr.node.Settings.HeartbeatInterval()
 }
@@ -140,7 +140,7 @@
 		if _, up := rec.Free[host]; up {
 			continue
 		}
-		if s := mr.agents.ByHost[host]; s != nil && s.Fenced {
+		if s := mr.agents.ByHost[host]; s != nil && s.Fenced() {
 			continue
 		}
 		if float64(now.UnixMilli()-m.RegisteredMS)/1000 > 2*f.BootS {
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/cloud"
 	"violetturn/internal/config"
@@ -137,6 +138,6 @@
 func (s *largeShard) hearMachines() {
 	for h := range s.testState().Cache.Machines {
 		a := s.testState().Agents.Of(h, s.testState().Leadership.Known("n0"))
-		a.Fenced, a.LastSeen, a.LastAnswered, a.Heartbeat = true, s.clock, s.clock, &api.Heartbeat{Host: h}
+		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: h}
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
-	"violetturn/internal/shard"
 	"violetturn/internal/simulator"
 	"violetturn/internal/zonehealth"
 )
@@ -97,7 +97,7 @@
 		t.Errorf("gone: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.testState().Agents.ByHost[x.Host] = shard.NewAgent(c.testState().Agents.ByHost[x.Host].Term, c.node.Now(), c.node.Now())
+		c.testState().Agents.ByHost[x.Host] = agent.New(c.testState().Agents.ByHost[x.Host].Term, c.node.Now(), c.node.Now())
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("not heard of yet: room for %d tasks", n)
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -43,7 +43,7 @@
 	if m.Addr != r.Addr && r.Addr != "" {
 		m.Addr = r.Addr // the record may have been made before the address was known
 	}
-	s.LastHeartbeat = [2]uint64{r.AgentEpoch, r.Sequence}
+	s.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: r.AgentEpoch, Sequence: r.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(r.Token) < o.Term {
 		if !rec.agents.MayIntroduceTerm(s, now) {
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -9,7 +9,6 @@
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/sched"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 )
 
@@ -30,7 +29,7 @@
 type reconciliation struct {
 	reconciler *Reconciler
 	heartbeat  *api.Heartbeat
-	agent      *shard.Agent
+	agent      *agent.Agent
 	now        time.Time
 
 	reported      map[agent.AttemptID]*api.TaskState
@@ -43,7 +42,7 @@
 }
 
 // CommandsFor returns the commands for a worker that has just reported.
-func (rec *Reconciler) CommandsFor(r *api.Heartbeat, s *shard.Agent, now time.Time) []api.Command {
+func (rec *Reconciler) CommandsFor(r *api.Heartbeat, s *agent.Agent, now time.Time) []api.Command {
 	if !rec.leadership.MayAct(now) {
 		return rec.agents.StopCancelledTasks(r.Host)
 	}
@@ -95,7 +94,7 @@
 	s, a := x.agent, agent.AttemptID{Task: state.Task, Attempt: state.Attempt}
 	_, released := s.EndedAttempts[id]
 	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.Attempt {
-		s.FirstRuns[id] = shard.FirstRun{Attempt: a.Attempt, At: x.now}
+		s.FirstRuns[id] = agent.FirstRun{Attempt: a.Attempt, At: x.now}
 		x.reconciler.node.Log.Info("task running", "task", a.Task, "attempt", a.Attempt, "host", x.heartbeat.Host)
 		if j.IsGang() {
 			x.reconciler.agents.RunningGangs[pl.UID] = a.Attempt
@@ -126,7 +125,7 @@
 	failed := state.Cause == api.CauseError || state.Cause == api.CauseUnknown
 	x.endAttempt(
 		id,
-		shard.EndedAttempt{
+		agent.EndedAttempt{
 			Attempt: pl.Placement.Attempt,
 			Done:    done && spec.Kind != api.Service,
 			Failed:  failed,
@@ -151,14 +150,13 @@
 	case stop:
 		// Never launched, or gone with an earlier session: this heartbeat was
 		// made after any answer of ours that launched it, and no later one will.
-		x.endAttempt(id, shard.EndedAttempt{Attempt: try})
-	case s.Unresponsive || unheard:
+		x.endAttempt(id, agent.EndedAttempt{Attempt: try})
+	case s.Unresponsive() || unheard:
 		// It is not there, and no answer given so far will start it: this
 		// report was made after the worker took in or gave up on each of
 		// them. A worker that does not hear must not keep its tasks waiting.
-		if !s.Unresponsive {
-			s.Unresponsive = true
-			s.RaiseToken(x.now)
+		if !s.Unresponsive() {
+			s.BecomeUnresponsive(x.now)
 			x.reconciler.node.Log.Info(
 				"worker ignores launches",
 				"host",
@@ -169,7 +167,7 @@
 				s.PendingLaunches[id].Answers,
 			)
 		}
-		x.endAttempt(id, shard.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
+		x.endAttempt(id, agent.EndedAttempt{Attempt: try, Reason: job.ExitRefused})
 	case x.reconciler.zones.IsHeldBack(x.heartbeat.Host, pl, j, x.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
@@ -180,7 +178,7 @@
 }
 
 // endAttempt notes that an attempt is over.
-func (x *reconciliation) endAttempt(id string, r shard.EndedAttempt) {
+func (x *reconciliation) endAttempt(id string, r agent.EndedAttempt) {
 	r.EndedAt = x.now
 	x.reconciler.agents.NoteEnd(x.heartbeat.Host, x.agent, id, r)
 	x.reconciler.wake.Notify()
@@ -206,7 +204,7 @@
 	for _, st := range x.launches {
 		sent := x.agent.PendingLaunches[st.key]
 		if sent.Attempt != st.attempt.Attempt {
-			sent = shard.PendingLaunch{Attempt: st.attempt.Attempt}
+			sent = agent.PendingLaunch{Attempt: st.attempt.Attempt}
 		}
 		if x.capacityKnown && !x.free.Fits(st.need) {
 			x.noteBlocked(st, sent)
@@ -221,11 +219,11 @@
 
 // noteBlocked counts that a start had no room. A peer may have taken the room of a task that had
 // completed, whose end was not committed yet, when its room was another's already.
-func (x *reconciliation) noteBlocked(st pendingLaunch, sent shard.PendingLaunch) {
+func (x *reconciliation) noteBlocked(st pendingLaunch, sent agent.PendingLaunch) {
 	if sent.Blocked++; x.stopping {
 		sent.Blocked = 0
 	}
 	if x.agent.PendingLaunches[st.key] = sent; sent.Blocked >= agent.MaxUnheardAnswers {
-		x.endAttempt(st.key, shard.EndedAttempt{Attempt: st.attempt.Attempt, Reason: job.ExitRefused})
+		x.endAttempt(st.key, agent.EndedAttempt{Attempt: st.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
