--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -40,7 +40,8 @@
 // the commands.
 func BenchmarkHeartbeatRequest(b *testing.B) {
 	c := newSizedController(800, 80)
-	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: c.testState().Agents.ByHost["i-000009"].Token()}
+	token := c.testState().Agents.ByHost["i-000009"].Token()
+	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: token}
 	for _, pl := range c.testState().Cache.Placements[x.Host] {
 		x.Tasks = append(
 			x.Tasks,
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -28,9 +28,7 @@
 	fault(s, leader, other)
 	for range rounds(s.world.CancelTimeout) + 20 {
 		s.runRound()
-		if len(s.world.Violations) > 0 {
-			t.Fatalf("%v", s.world.Violations)
-		}
+		s.checkViolations(t)
 	}
 	if n := s.runningTasks(cancelled); n > 0 {
 		t.Fatalf("%d cancelled tasks run on", n)
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -192,6 +192,9 @@
 // failureRecorder keeps what a checker would fail with.
 type failureRecorder []string
 
+// Helper does nothing.
+func (r *failureRecorder) Helper() {}
+
 // Fatalf records a failure.
 func (r *failureRecorder) Fatalf(format string, args ...any) {
 	*r = append(*r, fmt.Sprintf(format, args...))
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -23,6 +23,14 @@
 // maxRecoveryRounds is after how many rounds without faults everything must be as it should.
 const maxRecoveryRounds = 1200
 
+// checkViolations fails if a rule is broken.
+func (s *testCluster) checkViolations(t fataler) {
+	t.Helper()
+	if len(s.world.Violations) > 0 {
+		t.Fatalf("%v", s.world.Violations)
+	}
+}
+
 // checkRecovery ends all faults. From then on nothing waits for long while there is room,
 // every job is known at every node, what was cancelled is gone in time, and all else is
 // done or runs. The world checks the rules at each step.
@@ -130,7 +138,7 @@
 // version.
 func (s *testCluster) checkCapacityRecords(t *rapid.T, n *testNode) {
 	store := simulator.StoreClient{Store: s.world.Store}
-	for id, cached := range n.controller.testState().Cache.Capacities {
+	for id, cached := range n.state().Cache.Capacities {
 		it, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
 		if err != nil || !found || it.Version != cached.Version {
 			continue // it has moved on, or can't be read now
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -74,7 +74,7 @@
 // leaderOf returns the name of the node that leads a shard and may act, "" if none does.
 func (s *testCluster) leaderOf(shard string) string {
 	for _, n := range s.nodes {
-		if n.running && n.controller.testState().Leadership.Leads(shard) && n.controller.testState().Leadership.MayAct(n.controller.node.Now()) {
+		if n.running && n.state().Leadership.Leads(shard) && n.state().Leadership.MayAct(n.controller.node.Now()) {
 			return n.name
 		}
 	}
@@ -88,16 +88,17 @@
 
 // homeOf returns the node after which a machine's shard is named.
 func (s *testCluster) homeOf(host string) int {
-	return s.nodeOf(s.nodes[0].controller.testState().Cache.Machines[host].Shard)
+	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
 
 // leaderOfJob returns the node that leads the shard of a machine with a running task of a
 // job, and another node.
 func (s *testCluster) leaderOfJob(t fataler, uid string) (leader, other int) {
+	t.Helper()
 	for h := range s.runningTasksByHost(uid) {
-		m := s.nodes[0].controller.testState().Cache.Machines[h]
+		m := s.nodes[0].state().Cache.Machines[h]
 		for i, n := range s.nodes {
-			if n.controller.testState().Leadership.Leads(m.Shard) {
+			if n.state().Leadership.Leads(m.Shard) {
 				return i, (i + 1) % len(s.nodes)
 			}
 		}
@@ -108,29 +109,29 @@
 
 // describeJob returns what the first controller knows of a job.
 func (s *testCluster) describeJob(uid string) string {
-	c := s.nodes[0].controller
+	cache := s.nodes[0].state().Cache
 	out := ""
-	if j := c.testState().Cache.Jobs[uid]; j != nil {
+	if j := cache.Jobs[uid]; j != nil {
 		out = fmt.Sprintf("job %s", api.JSON(j.Record))
 		for n, r := range j.Ranges {
 			out += fmt.Sprintf(" range %d %s", n, api.JSON(r.Record))
 		}
 	}
-	for t, u := range c.testState().Cache.Quotas {
+	for t, u := range cache.Quotas {
 		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.Record))
 	}
-	for _, id := range c.node.Shards {
-		out += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(c.testState().Cache.Capacities[id].Record), api.JSON(c.testState().Cache.Leaders[id].Record))
+	for _, id := range s.nodes[0].controller.node.Shards {
+		out += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(cache.Capacities[id].Record), api.JSON(cache.Leaders[id].Record))
 	}
-	for h, m := range c.testState().Cache.Machines {
+	for h, m := range cache.Machines {
 		x := s.world.Cloud.Hosts[h]
 		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
 	}
 	for _, n := range s.nodes {
-		p := n.controller.testState().Scheduler.Plan(n.controller.node.Now())
+		p := n.state().Scheduler.Plan(n.controller.node.Now())
 		out += fmt.Sprintf(
-			" %s: unmet %d no capacity %v unanswered %v machine types %d", n.name, len(p.Unmet), n.controller.testState().Catalog.CapacityBackoffs,
-			n.controller.scaling.Rentals.Unanswered, len(n.controller.testState().Catalog.MachineTypes),
+			" %s: unmet %d no capacity %v unanswered %v machine types %d", n.name, len(p.Unmet), n.state().Catalog.CapacityBackoffs,
+			n.controller.scaling.Rentals.Unanswered, len(n.state().Catalog.MachineTypes),
 		)
 	}
 	return out
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -7,7 +7,6 @@
 	"log/slog"
 	"math/rand/v2"
 	"os"
-	"sync"
 	"testing"
 	"time"
 
@@ -47,18 +46,18 @@
 	onStart        func(*testNode)                   // hears of each controller that was started; may be nil
 }
 
-// testStates are the states of the controllers of tests.
-var testStates sync.Map // of *Controller to *state.State
+// testStates are the states of the controllers of tests, which run one after the other.
+var testStates = map[*Controller]*state.State{}
 
 // testState returns the state of a controller, without its lock: in tests nothing else uses
 // it at the time.
 func (c *Controller) testState() *state.State {
-	if known, ok := testStates.Load(c); ok {
-		return known.(*state.State)
+	if known := testStates[c]; known != nil {
+		return known
 	}
 	s := c.guard.Lock()
 	c.guard.Unlock()
-	testStates.Store(c, s)
+	testStates[c] = s
 	return s
 }
 
@@ -74,6 +73,9 @@
 	paused       bool // it does nothing, while its clock runs on
 }
 
+// state returns the state of the node's controller.
+func (n *testNode) state() *state.State { return n.controller.testState() }
+
 // serves reports whether the node acts and answers requests.
 func (n *testNode) serves() bool { return n.running && !n.paused }
 
@@ -139,7 +141,7 @@
 func (s *testCluster) startNode(i int) {
 	n := s.nodes[i]
 	cfg := s.settingsOf(i)
-	testStates.Delete(n.controller)
+	delete(testStates, n.controller)
 	c := newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
 	n.controller = c
 	c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
@@ -223,8 +225,8 @@
 	if !n.controller.sync.StoreReachable() {
 		n.controller.members.AskPeers(ctx)
 	}
-	if n.controller.testState().Cache.Loaded {
-		_ = n.controller.sync.ApplyChanges(ctx, n.controller.testState().Cache.Revision, 0) // refused in an outage
+	if n.state().Cache.Loaded {
+		_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
 	} else {
 		_ = n.controller.sync.Load(ctx)
 	}
@@ -261,9 +263,7 @@
 	t.Helper()
 	for range count {
 		s.runRound()
-		if len(s.world.Violations) > 0 {
-			t.Fatalf("%v", s.world.Violations)
-		}
+		s.checkViolations(t)
 	}
 }
 
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -64,6 +64,7 @@
 
 // fataler is what a checker needs of a test.
 type fataler interface {
+	Helper()
 	Fatalf(format string, args ...any)
 }
 
@@ -82,6 +83,7 @@
 // submitInvalid submits invalid jobs through a node: new ones, which it must refuse, and a
 // known one, which is answered with its state.
 func (s *testCluster) submitInvalid(t fataler, i int) {
+	t.Helper()
 	n := s.nodes[i]
 	if !n.serves() {
 		return
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -70,9 +70,7 @@
 			t.Fatalf("shard of %s has no leader", n.name)
 		}
 	}
-	if len(s.world.Violations) > 0 {
-		t.Fatal(s.world.Violations)
-	}
+	s.checkViolations(t)
 }
 
 // A controller that loses the state service, but not its workers, lets them go
@@ -81,7 +79,7 @@
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	home := s.nodes[0].controller.testState().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
+	home := s.nodes[0].state().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
 	s.world.Store.Unreachable[home] = true
 	cfg := s.nodes[0].controller.node.Settings
 	s.runUntil(
@@ -93,7 +91,7 @@
 			if o == "" || o == home {
 				return false
 			}
-			for h, m := range s.nodes[s.nodeOf(o)].controller.testState().Cache.Machines {
+			for h, m := range s.nodes[s.nodeOf(o)].state().Cache.Machines {
 				if x := s.world.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
 					return false
 				}
@@ -107,7 +105,7 @@
 	}
 	for _, x := range s.world.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
-		r.Token = shard.FencingToken(s.nodes[partitioned].controller.testState().Leadership.Known(home).Term, 0)
+		r.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Known(home).Term, 0)
 		if s.deliverHeartbeat(partitioned, api.JSON(r)).status == 200 {
 			t.Error("it answers heartbeats beyond its grace")
 		}
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -114,19 +114,17 @@
 	if s.runningTasks(id) < 2 {
 		t.Fatalf("%d of 2 replicas run while copies of the lost machine's heartbeats come in", s.runningTasks(id))
 	}
-	s.runUntil(t, 60, "machine deregistered", func() bool { return s.nodes[0].controller.testState().Cache.Machines[host] == nil })
+	s.runUntil(t, 60, "machine deregistered", func() bool { return s.nodes[0].state().Cache.Machines[host] == nil })
 	for i := range s.nodes {
 		s.startNode(i)
 	}
 	for range 40 {
 		again()
 		for _, n := range s.nodes {
-			if n.controller.testState().Cache.Machines[host] != nil {
+			if n.state().Cache.Machines[host] != nil {
 				t.Fatal("a machine that was terminated long ago is registered again")
 			}
 		}
 	}
-	if len(s.world.Violations) > 0 {
-		t.Fatal(s.world.Violations)
-	}
+	s.checkViolations(t)
 }
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -70,7 +70,7 @@
 			return false
 		}
 	}
-	return s.nodes[0].controller.testState().Schema.Upgraded()
+	return s.nodes[0].state().Schema.Upgraded()
 }
 
 // cancelDuringStoreOutage has the state service refuse one controller alone, another confirm
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -87,9 +87,7 @@
 
 // checkInvariants checks the rules, and the state that controllers derive.
 func (s *testCluster) checkInvariants(t *rapid.T) {
-	if len(s.world.Violations) > 0 {
-		t.Fatalf("%v", s.world.Violations)
-	}
+	s.checkViolations(t)
 	s.checkDerivedState(t)
 }
 
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -33,7 +33,7 @@
 
 	l.nodes[2].running = false
 	l.play("takeover", 30*time.Second)
-	if own := l.nodes[0].controller.testState().Cache.Leaders["n2"].Record; own == nil || own.Node == "n2" {
+	if own := l.nodes[0].state().Cache.Leaders["n2"].Record; own == nil || own.Node == "n2" {
 		t.Fatalf("the lost controller's shard is led by %v", own)
 	}
 	for i := range l.nodes {
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -54,7 +54,7 @@
 	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.Fetching) == 4 })
 	s.world.Cloud.Terminate(s.workerOf(id).Host)
 	s.runUntil(t, 100, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
-	if g := s.nodes[0].controller.testState().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
+	if g := s.nodes[0].state().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
 		t.Fatalf("runs as attempt %d", g.Attempt)
 	}
 	s.runUntil(t, 200, "done", s.isDone(id))
@@ -78,7 +78,7 @@
 			x.Partitioned = true
 		}
 		s.runUntil(t, 400, how+": a later attempt runs", func() bool {
-			j := s.nodes[0].controller.testState().Cache.Jobs[id]
+			j := s.nodes[0].state().Cache.Jobs[id]
 			return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.Running) == 4
 		})
 		s.runUntil(t, 300, "done", s.isDone(id))
@@ -133,7 +133,8 @@
 			t.Fatal("no machine of its own shard")
 		}
 		c.guard.Lock()
-		tx, _, _ := c.testState().Scheduler.GangTransaction(&scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}, c.node.Now())
+		claim := &scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}
+		tx, _, _ := c.testState().Scheduler.GangTransaction(claim, c.node.Now())
 		c.guard.Unlock()
 		if tx == nil {
 			t.Fatal("nothing claimed")
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -77,13 +77,6 @@
 	}
 }
 
-// checkViolations fails if a rule is broken.
-func (s *testCluster) checkViolations(t fataler) {
-	if len(s.world.Violations) > 0 {
-		t.Fatalf("%v", s.world.Violations)
-	}
-}
-
 // checkOutcome checks that a job is known at every node, has no tasks if it was cancelled,
 // and is done if it was accepted and is no service.
 func (s *testCluster) checkOutcome(t *rapid.T, id string) {
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -156,9 +156,9 @@
 func TestMachineOutlivesLeaderChanges(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 20, "machine known", func() bool { return len(s.nodes[0].controller.testState().Cache.Machines) > 0 })
+	s.runUntil(t, 20, "machine known", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
 	home := 0
-	for host := range s.nodes[0].controller.testState().Cache.Machines {
+	for host := range s.nodes[0].state().Cache.Machines {
 		home = s.homeOf(host)
 	}
 	s.world.Store.Refused[s.nodes[home].name] = true // before the machine is up
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -92,8 +92,8 @@
 	}
 	ctx := context.Background()
 	l.measure("watch", func() {
-		if n.controller.testState().Cache.Loaded {
-			_ = n.controller.sync.ApplyChanges(ctx, n.controller.testState().Cache.Revision, 0) // refused in an outage
+		if n.state().Cache.Loaded {
+			_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
 			n.controller.commands.RequestHeartbeats(ctx)
 		} else {
 			_ = n.controller.sync.Load(ctx)
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -96,7 +96,7 @@
 	})
 	s.runUntil(t, 100, "all run", func() bool { return s.runningTasks(id) == 120 })
 	s.upgradeNodes()
-	s.runUntil(t, 200, "split", func() bool { return s.nodes[0].controller.testState().Cache.Jobs[id].Record.Generation == 1 })
+	s.runUntil(t, 200, "split", func() bool { return s.nodes[0].state().Cache.Jobs[id].Record.Generation == 1 })
 	for range 60 {
 		s.runRound()
 		if n := s.runningTasks(id); n != 120 {
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -22,7 +22,7 @@
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
-			return s.world.Cloud.Hosts[host] == nil && s.nodes[0].controller.testState().Cache.Machines[host] == nil
+			return s.world.Cloud.Hosts[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
 		},
 	)
 	for range 20 {
@@ -31,7 +31,7 @@
 		}
 		s.runRound()
 		for _, n := range s.nodes {
-			if n.controller.testState().Cache.Machines[host] != nil {
+			if n.state().Cache.Machines[host] != nil {
 				t.Fatal("registered again")
 			}
 		}
@@ -84,9 +84,9 @@
 	s.lowerStateLimits()
 	s.cancel(0, id)
 	s.runUntil(t, 400, "all machines are terminated and deregistered", func() bool {
-		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].controller.testState().Cache.Machines) == 0
+		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
-	s.runUntil(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].controller.testState().Cache.Pages) == 0 })
+	s.runUntil(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
 	again := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.runUntil(t, 400, "done", s.isDone(again))
 	if s.world.Store.TooLarge > 3 {
@@ -98,7 +98,7 @@
 // one has taken over stays as the fine one says.
 func TestFinePageHidesCoarse(t *testing.T) {
 	s := newTestCluster()
-	m := s.nodes[0].controller.testState().Cache
+	m := s.nodes[0].state().Cache
 	page := func(id string, version uint64, hosts ...string) {
 		p := shard.Page{}
 		for _, h := range hosts {
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -109,7 +109,8 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals["l"] = append(c.testState().Capacity.Arrivals["l"], capacity.Arrival{At: c.node.Now(), Spec: run, Tasks: 40})
+		arrivals := c.testState().Capacity.Arrivals
+		arrivals["l"] = append(arrivals["l"], capacity.Arrival{At: c.node.Now(), Spec: run, Tasks: 40})
 	}
 	s.runFor(6) // a sixteenth of a boot is eight rounds
 	if n := len(s.world.Cloud.Hosts); n < 150 {
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -16,7 +16,7 @@
 	s := newReadyCluster()
 	id := s.submitService(2, nil)
 	s.runFor(30)
-	before := s.nodes[1].controller.testState().Cache.Revision
+	before := s.nodes[1].state().Cache.Revision
 	s.cancel(1, id)
 	checkOwnAcknowledgements(t, s.nodes[1].controller, before, id)
 	s.startNode(1)
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -47,7 +47,8 @@
 			n, _ := api.PriorityOf(priority)
 			within := rapid.Bool().Draw(t, "within")
 			run := &api.Job{Team: team, Priority: priority}
-			return side{&scheduler.QueueEntry{Job: &statecache.Job{Record: &job.Record{Spec: *run}}, Priority: n, WithinGuarantee: within}, run, !within}
+			record := &statecache.Job{Record: &job.Record{Spec: *run}}
+			return side{&scheduler.QueueEntry{Job: record, Priority: n, WithinGuarantee: within}, run, !within}
 		}
 		stops := func(a, b side) bool { return c.testState().Scheduler.MayPreempt(a.q, b.run, b.over) }
 		x, y, z := draw("x"), draw("y"), draw("z")
@@ -93,9 +94,7 @@
 			s.sendHeartbeat(s.world.Cloud.Hosts[h], f)
 		}
 		s.world.Advance(roundInterval)
-		if len(s.world.Violations) > 0 {
-			t.Fatalf("%v", s.world.Violations)
-		}
+		s.checkViolations(t)
 	}
 	for _, id := range urgent {
 		if !s.isDone(id)() {
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -46,9 +46,9 @@
 	s := newReadyCluster()
 	s.submitJob(nil)
 	s.runUntil(t, 40, "machine known", func() bool {
-		return len(s.nodes[0].controller.testState().Cache.Machines) > 0 && len(s.world.Cloud.Hosts) > 0
+		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.world.Cloud.Hosts) > 0
 	})
-	for h, m := range s.nodes[0].controller.testState().Cache.Machines {
+	for h, m := range s.nodes[0].state().Cache.Machines {
 		x := s.world.Cloud.Hosts[h]
 		for i, n := range s.nodes {
 			got := s.deliverHeartbeat(i, api.JSON(x.Heartbeat()))
@@ -62,7 +62,7 @@
 		s.world.Store.Refused["n0"] = true
 		s.runRound()
 	}
-	for h := range s.nodes[1].controller.testState().Cache.Machines {
+	for h := range s.nodes[1].state().Cache.Machines {
 		if x := s.world.Cloud.Hosts[h]; x != nil {
 			if s.deliverHeartbeat(0, api.JSON(x.Heartbeat())).status == 200 {
 				t.Error("answers 200 long after its lease has ended")
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -53,7 +53,7 @@
 	}
 	s.runRound()
 	other.controller.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old leader's key
-	if s.leaderOf("n0") != successor || other.controller.testState().Leadership.Known("n0") != nil || c.testState().Leadership.Known("n1").Term != before {
+	if s.leaderOf("n0") != successor || other.state().Leadership.Known("n0") != nil || c.testState().Leadership.Known("n1").Term != before {
 		t.Fatal("the shard changed its leader")
 	}
 }
@@ -66,7 +66,7 @@
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	s.nodes[1].running = false
-	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].controller.testState().Cache.Leaders["n1"].Record == nil })
+	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].state().Cache.Leaders["n1"].Record == nil })
 	for _, n := range s.nodes {
 		s.world.Store.NextFault[n.name] = simulator.Delayed // the acquisition is on its way when its sender ends
 	}
@@ -90,9 +90,7 @@
 			t.Fatal("a replica was lost")
 		}
 	}
-	if len(s.world.Violations) > 0 {
-		t.Fatal(s.world.Violations)
-	}
+	s.checkViolations(t)
 }
 
 // An acquisition that conflicted with another, which raised the term, is tried again at
@@ -114,7 +112,8 @@
 		<-c.sync.LeaderlessShard
 	}
 	old := c.testState().Cache.Leaders["n1"].Version
-	s.nodes[0].controller.election.AcquireShard(context.Background(), "n0", s.nodes[0].controller.testState().Cache.Leaders["n0"].Version) // raises the term
+	first := s.nodes[0]
+	first.controller.election.AcquireShard(context.Background(), "n0", first.state().Cache.Leaders["n0"].Version) // raises the term
 	c.election.AcquireShard(context.Background(), "n1", old)
 	if c.testState().Leadership.Known("n1") != nil || len(c.sync.LeaderlessShard) != 1 {
 		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Known("n1") != nil, len(c.sync.LeaderlessShard))
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -60,8 +60,8 @@
 	s.nodes[2].paused = false
 	terminated := s.submitJob(nil)
 	s.runUntil(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
-		current := s.nodes[0].controller.testState().Cache.Revision
-		return s.nodes[2].controller.testState().Cache.Loaded && s.nodes[2].controller.testState().Cache.Revision >= current && s.isDone(terminated)()
+		current := s.nodes[0].state().Cache.Revision
+		return s.nodes[2].state().Cache.Loaded && s.nodes[2].state().Cache.Revision >= current && s.isDone(terminated)()
 	})
 	if n := s.runningTasks(id); n != 2 {
 		t.Errorf("%d of 2 replicas run", n)
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -42,7 +42,13 @@
 		{0, 0, zonehealth.Healthy, 0}, // nothing is held back there
 	} {
 		c := newSizedController(machines, 0)
-		r := zonehealth.Record{State: x.state, SinceMS: c.node.Now().UnixMilli(), FailedMS: 1, SlowStartShare: x.start, MachinesBefore: machines}
+		r := zonehealth.Record{
+			State:          x.state,
+			SinceMS:        c.node.Now().UnixMilli(),
+			FailedMS:       1,
+			SlowStartShare: x.start,
+			MachinesBefore: machines,
+		}
 		r = r.WithObservation("n0", zonehealth.Observation{Up: machines})
 		waiting := []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: x.waiting}}
 		c.setZoneRecord(r.WithObservation("n1", zonehealth.Observation{Lost: 1, Waiting: waiting}))
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -47,7 +47,7 @@
 func TestZoneWriterWakesLate(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	_, others := z.loseZone()
-	writer := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.controller.testState().Leadership.Leads("n0") })
+	writer := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.state().Leadership.Leads("n0") })
 	late := z.nodes[writer].controller
 	old := z.zoneRecord(writer)
 	z.nodes[writer].paused = true
@@ -88,7 +88,7 @@
 	for range 60 {
 		s.runRound()
 		for _, n := range s.nodes {
-			if v := n.controller.testState().Cache.Zones["x"].Record; v != nil && v.Restricts() {
+			if v := n.state().Cache.Zones["x"].Record; v != nil && v.Restricts() {
 				t.Fatalf("the only zone is %s", v.State)
 			}
 		}
@@ -107,7 +107,7 @@
 	setPartitioned(others, true)
 	z.runChecked(60)
 	for i, n := range z.nodes {
-		if n.controller.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) || len(n.controller.testState().Cache.Zones) > 0 {
+		if n.state().Schema.FeatureEnabled(features.ZoneRecoveryName) || len(n.state().Cache.Zones) > 0 {
 			t.Fatalf("controller %d acts on a feature that another lacks", i)
 		}
 	}
@@ -117,16 +117,16 @@
 	z.startNode(2)
 	z.runUntil(t, 40, "all have it", func() bool {
 		return !slices.ContainsFunc(z.nodes, func(n *testNode) bool {
-			return !n.controller.testState().Schema.FeatureEnabled(features.ZoneRecoveryName)
+			return !n.state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 		})
 	})
 	z.loseZone()
 	with["n0"] = false
 	z.startNode(0)
 	z.runUntil(t, 40, "it is off again", func() bool {
-		return !z.nodes[1].controller.testState().Schema.FeatureEnabled(features.ZoneRecoveryName)
+		return !z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 	})
-	if z.nodes[1].controller.testState().Zones.Admission(z.world.Now) != nil {
+	if z.nodes[1].state().Zones.Admission(z.world.Now) != nil {
 		t.Error("work is held back though the feature is off")
 	}
 }
@@ -137,7 +137,7 @@
 	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = with[n.name] })
 	z.nodes[2].running = false
 	z.runChecked(60)
-	if z.nodes[1].controller.testState().Cache.Nodes["n2"].Record != nil || z.nodes[1].controller.testState().Schema.FeatureEnabled(features.ZoneRecoveryName) {
+	if z.nodes[1].state().Cache.Nodes["n2"].Record != nil || z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName) {
 		t.Error("a feature is on that a controller which may come back lacks")
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -78,7 +78,7 @@
 func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	withReaders, _ := z.loseZone()
-	leader := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.controller.testState().Leadership.Leads("n0") })
+	leader := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.state().Leadership.Leads("n0") })
 	c := z.nodes[leader].controller
 	waiting := func() (tasks int) {
 		observations, _ := c.testState().Zones.ObserveZones(c.node.Now())
@@ -169,7 +169,7 @@
 	setPartitioned(lost, true)
 	z.runUntilZone(zonehealth.Down, 2, 60)
 	z.runUntil(t, 60, "zone y is down", func() bool {
-		v := z.nodes[2].controller.testState().Cache.Zones["y"].Record
+		v := z.nodes[2].state().Cache.Zones["y"].Record
 		return v != nil && v.State == zonehealth.Down
 	})
 	setPartitioned(lost, false)
@@ -228,7 +228,7 @@
 	writes := 0
 	last := uint64(0)
 	watch := func() {
-		if v := z.nodes[1].controller.testState().Cache.Zones["x"]; v.Version != last {
+		if v := z.nodes[1].state().Cache.Zones["x"]; v.Version != last {
 			last = v.Version
 			writes++
 		}
@@ -249,7 +249,7 @@
 	if most := int(took / z.nodes[0].controller.node.Settings.HeartbeatInterval() / 4); writes > most || writes < 3 {
 		t.Errorf("%d writes in %v, at most %d", writes, took, most)
 	}
-	if v := z.nodes[1].controller.testState().Cache.Zones["x"].Record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
+	if v := z.nodes[1].state().Cache.Zones["x"].Record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
 		t.Errorf("the record is left as %+v", *v)
 	}
 }
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -134,7 +134,7 @@
 
 // zoneRecord returns the record of zone x as a controller has it.
 func (z *zoneScenario) zoneRecord(node int) zonehealth.Record {
-	if v := z.nodes[node].controller.testState().Cache.Zones["x"].Record; v != nil {
+	if v := z.nodes[node].state().Cache.Zones["x"].Record; v != nil {
 		return *v
 	}
 	return zonehealth.Record{}
