--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,7 +15,8 @@
 	"violetturn/internal/zonestate"
 )
 
-// Autoscaler is what the autoscaler remembers between rounds.
+// Autoscaler decides what to rent and what to return, and remembers between rounds when it last
+// looked. The lock of internal/state guards it.
 type Autoscaler struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -25,16 +26,16 @@
 	room       *capacity.Room
 	estimates  *estimate.Estimates
 	zones      *zonestate.Zones
-	capacity   *capacity.Accounts
+	accounts   *capacity.Accounts
 	scheduler  *scheduler.Scheduler
 	wake       notify.Signal
 
-	sufficientHeadroom sufficientHeadroom
-	scaleInCheckedAt   time.Time // when machines were last looked over for scale-in
-	migratedAt         time.Time // when replicas were last migrated to save a machine
+	sufficient sufficientHeadroom
+	reviewedAt time.Time // when machines were last reviewed for scale-in
+	migratedAt time.Time // when replicas were last migrated to save a machine
 }
 
-// Deps is what an autoscaler rests on.
+// Deps is what an autoscaler reads.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -49,9 +50,28 @@
 	Wake       notify.Signal
 }
 
+// New returns an autoscaler that has not looked yet.
 func New(d Deps) *Autoscaler {
 	return &Autoscaler{
-		node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents, room: d.Room,
-		estimates: d.Estimates, zones: d.Zones, capacity: d.Capacity, scheduler: d.Scheduler, wake: d.Wake,
+		node:       d.Node,
+		cache:      d.Cache,
+		leadership: d.Leadership,
+		catalog:    d.Catalog,
+		agents:     d.Agents,
+		room:       d.Room,
+		estimates:  d.Estimates,
+		zones:      d.Zones,
+		accounts:   d.Capacity,
+		scheduler:  d.Scheduler,
+		wake:       d.Wake,
 	}
 }
+
+// shareOfBoot is the share of a boot for which expensive looks may be put off.
+const shareOfBoot = 16
+
+// isLookDue reports whether a look that may wait a little, compared with the time that a machine
+// takes to boot, is due again.
+func (a *Autoscaler) isLookDue(last, now time.Time) bool {
+	return now.Sub(last) >= a.catalog.ShortestBoot()/shareOfBoot
+}
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -8,12 +8,13 @@
 	"violetturn/internal/capacity"
 	"violetturn/internal/config"
 	"violetturn/internal/estimate"
+	"violetturn/internal/recovery"
 	"violetturn/internal/sched"
 	"violetturn/internal/statecache"
 )
 
 // HeadroomRequest is room to be kept for a class of jobs, by zone if they are spread, and the
-// rank of the work it is kept for.
+// priority of the work that it is kept for.
 type HeadroomRequest struct {
 	class    string
 	priority int
@@ -21,132 +22,172 @@
 }
 
 // tasks counts the tasks that room is kept for.
-func (w *HeadroomRequest) tasks() int {
-	n := 0
-	for _, u := range w.requests {
-		n += u.Count
+func (h *HeadroomRequest) tasks() int {
+	count := 0
+	for i := range h.requests {
+		count += h.requests[i].Count
 	}
-	return n
+	return count
+}
+
+// classDemand is what came lately of a class of jobs.
+type classDemand struct {
+	class        string
+	arrivals     []capacity.Arrival // all that are remembered, the oldest first
+	newest       *api.Job           // nil: none came lately
+	sumOfSquares float64            // of the numbers of tasks of those that came lately
+}
+
+// newClassDemand sums up what came of a class in the last few boots.
+func newClassDemand(class string, arrivals []capacity.Arrival, boot time.Duration, now time.Time) classDemand {
+	demand := classDemand{class: class, arrivals: arrivals}
+	for _, arrival := range arrivals {
+		if now.Sub(arrival.At) < capacity.ArrivalWindows*boot {
+			demand.sumOfSquares += arrival.Tasks * arrival.Tasks
+			demand.newest = arrival.Spec
+		}
+	}
+	return demand
+}
+
+// fluctuation returns by how many tasks what comes during a boot fluctuates.
+func (d *classDemand) fluctuation() float64 {
+	return math.Sqrt(d.sumOfSquares / capacity.ArrivalWindows)
 }
 
 // headroom returns which tasks to keep room for that have not come yet: of classes
 // whose jobs can't wait for a machine to boot, as many as arrivals fluctuate by
 // while one does. What ends in that time makes room for the average.
-func (as *Autoscaler) headroom(now time.Time) []HeadroomRequest {
-	boot := as.catalog.ShortestBoot()
+func (a *Autoscaler) headroom(now time.Time) []HeadroomRequest {
+	boot := a.catalog.ShortestBoot()
 	if boot == 0 {
 		return nil
 	}
-	startup := boot.Seconds()
-	admission := as.zones.Admission(now)
-	var out []HeadroomRequest
-	for class, l := range as.capacity.Arrivals {
-		squares := 0.0
-		var last *api.Job
-		for _, a := range l {
-			if age := now.Sub(a.At); age < capacity.ArrivalWindows*boot {
-				squares += a.Tasks * a.Tasks
-				last = a.Spec
-			}
-		}
-		if last == nil {
+	admission := a.zones.Admission(now)
+	var requests []HeadroomRequest
+	for class, arrivals := range a.accounts.Arrivals().ByClass() {
+		demand := newClassDemand(class, arrivals, boot, now)
+		if demand.newest == nil {
 			continue
 		}
-		priority, _ := api.PriorityOf(last.Priority)
-		slack := as.estimates.WaitingSlack(class, last, as.catalog.FetchSeconds(last))
-		w := config.JobVariables{
-			Class:    class,
-			Team:     last.Team,
-			Kind:     last.Kind,
-			Priority: priority,
-			Slack:    min(slack, estimate.UnlimitedSeconds),
-			Tasks:    last.Tasks,
-			GPUs:     last.GPUs,
-			CPUs:     last.CPUs,
-		}
-		keep := as.node.Policy.Headroom(w, math.Sqrt(squares/capacity.ArrivalWindows), startup, min(slack, estimate.UnlimitedSeconds))
+		keep := a.policyHeadroom(&demand, boot)
 		if keep == 0 {
 			continue
 		}
-		n := int(math.Ceil(max(keep, as.growth(class, l, boot, capacity.ArrivalWindows*boot, now))))
-		ask := statecache.TaskRequestOf(last)
-		if gate := as.zones.AdmissionOfSpec(last, admission); gate != nil {
-			ask.ZoneAllowed = gate.Admits // no headroom below production in a zone that is closed to it
-		}
-		if !last.Spread {
-			out = append(out, HeadroomRequest{class, priority, []sched.UnmetDemand{{Request: ask, Count: n}}})
-			continue
-		}
-		zones := as.node.Settings.Facts.Zones
-		byZone := HeadroomRequest{class: class, priority: priority}
-		for _, zone := range zones { // each zone takes its share of a spread job
-			if ask.Zone == "" || ask.Zone == zone {
-				a := ask
-				a.Zone = zone
-				byZone.requests = append(byZone.requests, sched.UnmetDemand{Request: a, Count: (n + len(zones) - 1) / len(zones)})
-			}
+		tasks := int(math.Ceil(max(keep, a.growth(&demand, boot, now))))
+		requests = append(requests, a.newHeadroomRequest(class, demand.newest, tasks, admission))
+	}
+	return requests
+}
+
+// policyHeadroom returns for how many tasks of a class the policy keeps room; 0 for none.
+func (a *Autoscaler) policyHeadroom(demand *classDemand, boot time.Duration) float64 {
+	spec := demand.newest
+	priority, _ := api.PriorityOf(spec.Priority)
+	slack := min(a.estimates.WaitingSlack(demand.class, spec, a.catalog.FetchSeconds(spec)), estimate.UnlimitedSeconds)
+	variables := config.JobVariables{
+		Class:    demand.class,
+		Team:     spec.Team,
+		Kind:     spec.Kind,
+		Priority: priority,
+		Slack:    slack,
+		Tasks:    spec.Tasks,
+		GPUs:     spec.GPUs,
+		CPUs:     spec.CPUs,
+	}
+	return a.node.Policy.Headroom(variables, demand.fluctuation(), boot.Seconds(), slack)
+}
+
+// newHeadroomRequest asks for room for tasks like those of a job, but not in a zone that is closed
+// to work below production. Each zone takes its share of a spread job.
+func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, admission *recovery.Admission) HeadroomRequest {
+	priority, _ := api.PriorityOf(spec.Priority)
+	headroom := HeadroomRequest{class: class, priority: priority}
+	request := statecache.TaskRequestOf(spec)
+	if allowed := a.zones.AdmissionOfSpec(spec, admission); allowed != nil {
+		request.ZoneAllowed = allowed.Admits
+	}
+	if !spec.Spread {
+		headroom.requests = []sched.UnmetDemand{{Request: request, Count: tasks}}
+		return headroom
+	}
+	zones := a.node.Settings.Facts.Zones
+	for _, zone := range zones {
+		if request.Zone == "" || request.Zone == zone {
+			inZone := request
+			inZone.Zone = zone
+			share := (tasks + len(zones) - 1) / len(zones)
+			headroom.requests = append(headroom.requests, sched.UnmetDemand{Request: inZone, Count: share})
 		}
-		out = append(out, byZone)
 	}
-	return out
+	return headroom
 }
 
-// growth is by how much a class's arrays will outgrow the room that their running
+// minJobsForRate is from how many jobs on their rate says something.
+const minJobsForRate = 8
+
+// growth returns by how many tasks a class's arrays will outgrow the room that their running
 // tasks leave while a machine boots: at the start of a day, or when more come
 // than before, whoever waits for them to find no room rents a boot too late. The
 // rate is that of the newer half of what was seen, so that what came at once in
 // the beginning does not count.
-func (as *Autoscaler) growth(class string, l []capacity.Arrival, boot, window time.Duration, now time.Time) float64 {
-	if len(l) == 0 || l[len(l)-1].Spec.Kind != api.Array {
+func (a *Autoscaler) growth(demand *classDemand, boot time.Duration, now time.Time) float64 {
+	arrivals := demand.arrivals
+	if len(arrivals) == 0 || arrivals[len(arrivals)-1].Spec.Kind != api.Array {
 		return 0
 	}
-	half := min(now.Sub(l[0].At), window) / 2
+	half := min(now.Sub(arrivals[0].At), capacity.ArrivalWindows*boot) / 2
 	jobs, tasks := 0, 0.0
-	for _, a := range l {
-		if now.Sub(a.At) < half {
+	for _, arrival := range arrivals {
+		if now.Sub(arrival.At) < half {
 			jobs++
-			tasks += a.Tasks
+			tasks += arrival.Tasks
 		}
 	}
-	const few = 8 // jobs from which on a rate says something
-	if jobs < few || half < boot/8 {
+	if jobs < minJobsForRate || half < boot/8 {
 		return 0
 	}
-	grow := tasks / half.Seconds() * boot.Seconds()
-	for _, on := range as.cache.Placements {
-		for _, pl := range on {
-			j := as.cache.Jobs[pl.UID]
-			if j == nil || j.Record.Spec.Class != class {
+	expected := tasks / half.Seconds() * boot.Seconds()
+	return max(expected-float64(a.countEnding(demand.class, boot, now)), 0)
+}
+
+// countEnding counts the running tasks of a class that are expected to end while a machine boots.
+func (a *Autoscaler) countEnding(class string, boot time.Duration, now time.Time) int {
+	ending := 0
+	for _, tasks := range a.cache.Placements {
+		for _, task := range tasks {
+			job := a.cache.Jobs[task.UID]
+			if job == nil || job.Record.Spec.Class != class {
 				continue
 			}
-			ran := now.Sub(time.UnixMilli(j.PlacedAtMS(pl)))
-			if (ran + boot).Seconds() > as.estimates.EstimatedRuntime(&j.Record.Spec) {
-				grow--
+			ran := now.Sub(time.UnixMilli(job.PlacedAtMS(task)))
+			if (ran + boot).Seconds() > a.estimates.EstimatedRuntime(&job.Record.Spec) {
+				ending++
 			}
 		}
 	}
-	return max(grow, 0)
+	return ending
 }
 
 // headroomMachines returns the idle machines that belong to the headroom: what is to be
-// kept room for takes them after it has filled the others.
-func (as *Autoscaler) headroomMachines(left []*sched.Host, now time.Time) map[string]bool {
-	out := map[string]bool{}
-	for _, w := range as.headroom(now) {
-		room := as.room.WithPreemptibleRoom(left, w.priority)
-		for _, u := range w.requests {
-			ranking := sched.Rank(nil, room, &u.Request)
-			for range u.Count {
-				h := ranking.Best(nil)
-				if h == nil {
+// kept room for takes them after it has filled the others. It uses up the machines' room.
+func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
+	machines := map[string]bool{}
+	for _, headroom := range a.headroom(now) {
+		room := a.room.WithPreemptibleRoom(hosts, headroom.priority)
+		for _, demand := range headroom.requests {
+			ranking := sched.Rank(nil, room, &demand.Request)
+			for range demand.Count {
+				host := ranking.Best(nil)
+				if host == nil {
 					break
 				}
-				h.Free = h.Free.Sub(u.Request.Need)
-				if h.Services+h.Arrays == 0 {
-					out[h.Name] = true
+				host.Free = host.Free.Sub(demand.Request.Need)
+				if host.Services+host.Arrays == 0 {
+					machines[host.Name] = true
 				}
 			}
 		}
 	}
-	return out
+	return machines
 }
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -1,6 +1,8 @@
 package capacity
 
 import (
+	"time"
+
 	"violetturn/internal/catalog"
 	"violetturn/internal/leadership"
 	"violetturn/internal/node"
@@ -9,41 +11,8 @@
 	"violetturn/internal/statecache"
 )
 
-// PutCapacityRecord writes a shard's capacity record.
-func (acc *Accounts) PutCapacityRecord(t *statecache.Transaction, p string, free shard.FreeCapacity, use map[string][3]float64) {
-	rec := acc.cache.Capacities[p]
-	t.Require(statecache.CapacityKey(p), rec.Version)
-	r := shard.CapacityRecord{
-		Term:               rec.Record.Term,
-		Leader:             rec.Record.Leader,
-		PredecessorInDoubt: rec.Record.PredecessorInDoubt,
-		Free:               free,
-		QuotaUse:           use,
-	}
-	if o := acc.leadership.InForce(p); o != nil && acc.node.Now().After(o.PredecessorAnswersUntil) {
-		r.PredecessorInDoubt = false // the grace of whoever came before us is over
-	}
-	if n := acc.TrimCapacity(r.Free, use, acc.node.Now()); n > 0 {
-		acc.node.Log.Info(
-			"machines not offered to peers", "shard", p, "machines", n, "why",
-			"the capacity record is full; left out are those that peers are least likely to use",
-		)
-	}
-	t.PutCapacity(statecache.CapacityKey(p), &r)
-}
-
-// StillOffered reports whether every machine that is offered has the room that it is offered
-// with.
-func StillOffered(now, offered shard.FreeCapacity) bool {
-	for h, v := range offered {
-		if r, ok := now[h]; !ok || !shard.Unvec(r).Fits(shard.Unvec(v)) {
-			return false
-		}
-	}
-	return true
-}
-
-// Accounts is what shards offer and what teams use of their limits.
+// Accounts is what shards offer to peers and what teams use of their limits. The lock of
+// internal/state guards it.
 type Accounts struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -52,12 +21,12 @@
 	catalog    *catalog.Catalog
 	room       *Room
 
-	Arrivals       map[string][]Arrival // by class, the recent ones
-	demand         peerDemand
-	QuotaShortages map[string]bool // teams whose limit left too little for a placement
+	arrivals       *Arrivals
+	demand         expectedDemand
+	quotaShortages map[string]bool // teams whose limit left too little for a placement
 }
 
-// AccountDeps is what capacityAccounts rest on.
+// AccountDeps is what accounts read.
 type AccountDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -67,9 +36,56 @@
 	Room       *Room
 }
 
+// NewAccounts returns accounts that have seen no job arrive.
 func NewAccounts(d AccountDeps) *Accounts {
 	return &Accounts{
-		node: d.Node, cache: d.Cache, schema: d.Schema, leadership: d.Leadership, catalog: d.Catalog, room: d.Room,
-		Arrivals: map[string][]Arrival{}, QuotaShortages: map[string]bool{},
+		node:           d.Node,
+		cache:          d.Cache,
+		schema:         d.Schema,
+		leadership:     d.Leadership,
+		catalog:        d.Catalog,
+		room:           d.Room,
+		arrivals:       newArrivals(d.Node, d.Catalog),
+		quotaShortages: map[string]bool{},
+	}
+}
+
+// Arrivals returns the jobs that came lately.
+func (a *Accounts) Arrivals() *Arrivals { return a.arrivals }
+
+// putCapacityRecord adds the write of a shard's capacity record to a transaction, on the version
+// that is known.
+func (a *Accounts) putCapacityRecord(
+	t *statecache.Transaction, shardName string, free shard.FreeCapacity, use map[string][3]float64,
+) {
+	before := a.cache.Capacities[shardName]
+	t.Require(statecache.CapacityKey(shardName), before.Version)
+	record := shard.CapacityRecord{
+		Term:               before.Record.Term,
+		Leader:             before.Record.Leader,
+		PredecessorInDoubt: before.Record.PredecessorInDoubt,
+		Free:               free,
+		QuotaUse:           use,
+	}
+	if led := a.leadership.InForce(shardName); led != nil && a.node.Now().After(led.PredecessorAnswersUntil) {
+		record.PredecessorInDoubt = false // the grace of the leader before has ended
+	}
+	if left := a.trimCapacity(record.Free, use, a.node.Now()); left > 0 {
+		const why = "the capacity record is full; left out are those that peers are least likely to use"
+		a.node.Log.Info("machines not offered to peers", "shard", shardName, "machines", left, "why", why)
+	}
+	t.PutCapacity(statecache.CapacityKey(shardName), &record)
+}
+
+// quotaUseBytes is what a team's use takes of a capacity record, at most.
+const quotaUseBytes = 128
+
+// trimCapacity leaves out of a shard's free room what does not fit its record beside what
+// teams use, and returns how many machines that are.
+func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
+	size := a.schema.MaxValueBytes() - quotaUseBytes*len(use)
+	if free.FitsIn(size) {
+		return 0
 	}
+	return free.TrimTo(size, a.expectedPeerDemand(now))
 }
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -9,113 +9,173 @@
 	"violetturn/internal/statecache"
 )
 
-// Claim is what a transaction takes of a shard's room.
-type Claim struct {
-	free        shard.FreeCapacity
-	QuotaUse    map[string][3]float64
-	QuotaShares map[string]sched.Resources
+// Placement is a task and the machine that it is to be placed on.
+type Placement struct {
+	UID        string
+	RangeIndex int
+	Index      int // within the task range
+	Host       *sched.Host
+
+	Victims []*statecache.PlacedTask // tasks that have to leave the machine for it
 }
 
-// OpenClaim opens a shard for placements: an own one with its room as it is, a
-// peer's as its record says.
-func (acc *Accounts) OpenClaim(p string, now time.Time) *Claim {
-	rec := acc.cache.Capacities[p]
-	if rec.Record == nil || acc.cache.Leaders[p].Record == nil {
+// shardClaim is what a transaction leaves of a shard's room, and what it changes of quotas.
+type shardClaim struct {
+	free   shard.FreeCapacity
+	use    map[string][3]float64      // by limited team
+	shares map[string]sched.Resources // that the transaction changes, by team
+}
+
+// openClaim opens a shard for placements: an own one with its room as it is, a
+// peer's as its record says; nil if it has no leader.
+func (a *Accounts) openClaim(shardName string, now time.Time) *shardClaim {
+	record := a.cache.Capacities[shardName].Record
+	if record == nil || a.cache.Leaders[shardName].Record == nil {
 		return nil
 	}
-	x := &Claim{free: shard.FreeCapacity{}, QuotaShares: map[string]sched.Resources{}}
-	if acc.leadership.Leads(p) {
-		for h, r := range acc.room.FreeInShard(p, now) {
-			x.free[h] = shard.Vec(r)
-		}
-		x.QuotaUse = acc.QuotaUseOf(p)
-		return x
+	claim := &shardClaim{shares: map[string]sched.Resources{}}
+	if a.leadership.Leads(shardName) {
+		claim.free = a.freeCapacity(shardName, now)
+		claim.use = a.QuotaUseOf(shardName)
+		return claim
 	}
-	maps.Copy(x.free, rec.Record.Free)
-	x.QuotaUse = map[string][3]float64{}
-	maps.Copy(x.QuotaUse, rec.Record.QuotaUse)
-	return x
+	claim.free = shard.FreeCapacity{}
+	maps.Copy(claim.free, record.Free)
+	claim.use = map[string][3]float64{}
+	maps.Copy(claim.use, record.QuotaUse)
+	return claim
 }
 
-// Claims are the shards that a transaction takes room of.
+// Claims are the shards that a transaction claims room of. It lives for one transaction.
 type Claims struct {
-	Accounts     *Accounts
-	ByShard      map[string]*Claim
-	OtherChanges int // changes of other records than jobs'
+	accounts *Accounts
+	byShard  map[string]*shardClaim
+	changes  int // of capacity and quota records
 }
 
-// TryClaim checks one placement against what there is now and claims its room; cost
-// is how many changes it adds besides the jobs' own. Nothing is claimed before
-// ok is called.
-func (x *Claims) TryClaim(pl Placement, now time.Time) (j *statecache.Job, cost int, ok func()) {
-	j = x.Accounts.cache.Jobs[pl.UID]
-	if j == nil || j.Record.Cancelled || j.Record.RangeFinished(pl.RangeIndex) || !x.Accounts.leadership.Leads(j.Record.Shard) || x.Accounts.schema.IsBlocked(j) {
-		return nil, 0, nil
-	}
-	old := j.Ranges[pl.RangeIndex].Record
-	if old.PlacementOf(pl.Index) != nil || old.Done(pl.Index) {
-		return nil, 0, nil
-	}
-	p := pl.Host.Shard
-	cl, open := x.ByShard[p], true
-	if cl == nil {
-		if cl, open = x.Accounts.OpenClaim(p, now), false; cl == nil {
-			return nil, 0, nil
-		}
-		cost++
-	}
-	r := &j.Record.Spec
-	n := statecache.ResourcesOf(r)
-	f, in := cl.free[pl.Host.Name]
-	fits := len(pl.Victims) == 0
-	if fits && (!in || !shard.Unvec(f).Fits(n)) {
-		return nil, 0, nil // the record has moved on
-	}
-	use := shard.Unvec(cl.QuotaUse[r.Team]).Add(n)
-	share, grown, within := x.Accounts.quotaShareFor(r.Team, p, use, cl.QuotaShares, x.ByShard)
-	if !within {
-		x.Accounts.QuotaShortages[r.Team] = true
-		return nil, 0, nil // the team's limit
-	}
-	if grown {
-		cost++
-	}
-	return j, cost, func() {
-		if !open {
-			x.ByShard[p] = cl
-			x.OtherChanges++
-		}
-		if team, _ := x.Accounts.node.Settings.Team(r.Team); team.Limited() {
-			cl.QuotaUse[r.Team] = shard.Vec(use)
-			if grown {
-				cl.QuotaShares[r.Team] = share
-				x.OtherChanges++
-			}
+// NewClaims returns the claims of a transaction, none yet.
+func (a *Accounts) NewClaims() *Claims {
+	return &Claims{accounts: a, byShard: map[string]*shardClaim{}}
+}
+
+// Changes returns how many changes of capacity and quota records the claims make.
+func (c *Claims) Changes() int { return c.changes }
+
+// PendingClaim is a placement that was checked against what there is. Nothing is claimed before
+// Apply is called.
+type PendingClaim struct {
+	claims   *Claims
+	job      *statecache.Job
+	host     string
+	need     sched.Resources
+	replaces bool // tasks leave for it, so that what is free there is not known before they have
+
+	shard     string
+	claim     *shardClaim
+	opened    bool // the shard was not among the claims before
+	quota     quotaGrant
+	quotaUse  sched.Resources // of the team in the shard, with the task
+	available sched.Resources
+}
+
+// Job returns the job of the placement.
+func (p *PendingClaim) Job() *statecache.Job { return p.job }
+
+// Changes returns how many changes of capacity and quota records the claim adds.
+func (p *PendingClaim) Changes() int {
+	changes := 0
+	if p.opened {
+		changes++
+	}
+	if p.quota.grows {
+		changes++
+	}
+	return changes
+}
+
+// Check checks a placement against what there is now, and returns nil if its job or the room no
+// longer allow it: a plan may be older than the state.
+func (c *Claims) Check(placement Placement, now time.Time) *PendingClaim {
+	a := c.accounts
+	job := a.placeableJob(placement)
+	if job == nil {
+		return nil
+	}
+	pending := &PendingClaim{
+		claims:   c,
+		job:      job,
+		host:     placement.Host.Name,
+		need:     statecache.ResourcesOf(&job.Record.Spec),
+		replaces: len(placement.Victims) > 0,
+		shard:    placement.Host.Shard,
+		claim:    c.byShard[placement.Host.Shard],
+	}
+	if pending.claim == nil {
+		pending.claim, pending.opened = a.openClaim(pending.shard, now), true
+		if pending.claim == nil {
+			return nil
 		}
-		if fits {
-			cl.free[pl.Host.Name] = shard.Vec(shard.Unvec(f).Sub(n))
-		} else {
-			delete(cl.free, pl.Host.Name) // its leader tells what is free when the others have left
+	}
+	if !pending.replaces {
+		free, offered := pending.claim.free[pending.host]
+		pending.available = shard.Unvec(free)
+		if !offered || !pending.available.Fits(pending.need) {
+			return nil
 		}
 	}
+	team := job.Record.Spec.Team
+	pending.quotaUse = shard.Unvec(pending.claim.use[team]).Add(pending.need)
+	pending.quota = c.quotaGrantFor(team, pending.shard, pending.quotaUse, pending.claim.shares)
+	if !pending.quota.granted {
+		a.quotaShortages[team] = true
+		return nil
+	}
+	return pending
 }
 
-// Write writes the shards' capacity records and shares.
-func (x *Claims) Write(t *statecache.Transaction) {
-	shares := map[string]map[string]sched.Resources{}
-	for p, cl := range x.ByShard {
-		x.Accounts.PutCapacityRecord(t, p, cl.free, cl.QuotaUse)
-		shares[p] = cl.QuotaShares
+// placeableJob returns the job of a placement if this controller may place that task now.
+func (a *Accounts) placeableJob(placement Placement) *statecache.Job {
+	job := a.cache.Jobs[placement.UID]
+	if job == nil || job.Record.Cancelled || job.Record.RangeFinished(placement.RangeIndex) {
+		return nil
+	}
+	if !a.leadership.Leads(job.Record.Shard) || a.schema.IsBlocked(job) {
+		return nil
 	}
-	x.Accounts.PutQuotaShares(t, shares)
+	taskRange := job.Ranges[placement.RangeIndex].Record
+	if taskRange.PlacementOf(placement.Index) != nil || taskRange.Done(placement.Index) {
+		return nil
+	}
+	return job
 }
 
-// Placement is a task and the machine it is to go to.
-type Placement struct {
-	UID        string
-	RangeIndex int
-	Index      int
-	Host       *sched.Host
+// Apply claims the room.
+func (p *PendingClaim) Apply() {
+	if p.opened {
+		p.claims.byShard[p.shard] = p.claim
+		p.claims.changes++
+	}
+	name := p.job.Record.Spec.Team
+	if team, _ := p.claims.accounts.node.Settings.Team(name); team.Limited() {
+		p.claim.use[name] = shard.Vec(p.quotaUse)
+		if p.quota.grows {
+			p.claim.shares[name] = p.quota.share
+			p.claims.changes++
+		}
+	}
+	if p.replaces {
+		delete(p.claim.free, p.host) // its leader offers what is free when the others have left
+	} else {
+		p.claim.free[p.host] = shard.Vec(p.available.Sub(p.need))
+	}
+}
 
-	Victims []*statecache.PlacedTask // tasks that have to leave the machine for it
+// Write adds the shards' capacity records and shares to a transaction.
+func (c *Claims) Write(t *statecache.Transaction) {
+	shares := map[string]map[string]sched.Resources{}
+	for name, claim := range c.byShard {
+		c.accounts.putCapacityRecord(t, name, claim.free, claim.use)
+		shares[name] = claim.shares
+	}
+	c.accounts.putQuotaShares(t, shares)
 }
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -2,6 +2,8 @@
 
 import (
 	"maps"
+	"slices"
+	"time"
 
 	"violetturn/internal/config"
 	"violetturn/internal/sched"
@@ -9,113 +11,172 @@
 	"violetturn/internal/statecache"
 )
 
-// quotaShareFor reports whether a team may use so much in a shard, by the share of its
+// HeldQuota is what shards hold of a team's limit.
+type HeldQuota struct {
+	Held   sched.Resources // by the shard in question
+	Others sched.Resources // by all others together
+}
+
+// QuotaShares returns what a shard holds of a team's limit, and what the others hold.
+func (a *Accounts) QuotaShares(team, shardName string) HeldQuota {
+	var quota HeldQuota
+	record := a.cache.Quotas[statecache.QuotaID(team)].Record
+	if record == nil {
+		return quota
+	}
+	for name, held := range record.Held {
+		if name == shardName {
+			quota.Held = shard.Unvec(held)
+		} else {
+			quota.Others = quota.Others.Add(shard.Unvec(held))
+		}
+	}
+	return quota
+}
+
+// QuotaLimitOf returns a team's limit; 0 of a resource is no limit.
+func QuotaLimitOf(team config.Team) sched.Resources {
+	return sched.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+}
+
+// quotaGrant is whether a team may use so much in a shard.
+type quotaGrant struct {
+	granted bool
+	grows   bool            // only with a larger share than the shard holds
+	share   sched.Resources // that share
+}
+
+// quotaGrantFor decides whether a team may use so much in a shard, by the share of its
 // limit that the shard holds, or will hold after growing it; with other shards'
-// growth in the same transaction.
-func (acc *Accounts) quotaShareFor(
-	team, p string, use sched.Resources, grown map[string]sched.Resources, claims map[string]*Claim,
-) (sched.Resources, bool, bool) {
-	x, _ := acc.node.Settings.Team(team)
-	if !x.Limited() {
-		return sched.Resources{}, false, true
+// growth in the same transaction. grown are the shares of this shard that the transaction has
+// changed so far.
+func (c *Claims) quotaGrantFor(teamName, shardName string, use sched.Resources, grown map[string]sched.Resources) quotaGrant {
+	a := c.accounts
+	team, _ := a.node.Settings.Team(teamName)
+	if !team.Limited() {
+		return quotaGrant{granted: true}
 	}
-	held, others := acc.QuotaShares(team, p)
-	for q, cl := range claims {
-		if g, ok := cl.QuotaShares[team]; ok && q != p {
-			was, _ := acc.QuotaShares(team, q)
-			others = others.Add(g).Sub(was)
+	quota := a.QuotaShares(teamName, shardName)
+	for other, claim := range c.byShard {
+		if share, ok := claim.shares[teamName]; ok && other != shardName {
+			before := a.QuotaShares(teamName, other).Held
+			quota.Others = quota.Others.Add(share).Sub(before)
 		}
 	}
-	if g, ok := grown[team]; ok {
-		held = g
+	if share, ok := grown[teamName]; ok {
+		quota.Held = share
 	}
-	if sched.WithinQuota(QuotaLimitOf(x), held, use) {
-		return held, false, true
+	limit := QuotaLimitOf(team)
+	if sched.WithinQuota(limit, quota.Held, use) {
+		return quotaGrant{granted: true}
 	}
-	more, ok := sched.QuotaShare(QuotaLimitOf(x), others, use)
-	return more, true, ok
+	share, ok := sched.QuotaShare(limit, quota.Others, use)
+	return quotaGrant{granted: ok, grows: true, share: share}
 }
 
-// QuotaUseOf sums what limited teams' tasks hold in a shard, ended ones that are not
+// QuotaUseOf sums what limited teams' tasks use in a shard, ended ones that are not
 // yet committed as such included: another leader might start them anew.
-func (acc *Accounts) QuotaUseOf(p string) map[string][3]float64 {
-	sum := map[string]sched.Resources{}
-	if !acc.node.Settings.HasTeamLimits() {
-		return map[string][3]float64{}
+func (a *Accounts) QuotaUseOf(shardName string) map[string][3]float64 {
+	use := map[string][3]float64{}
+	if !a.node.Settings.HasTeamLimits() {
+		return use
 	}
-	for host, on := range acc.cache.Placements {
-		if m := acc.cache.Machines[host]; m == nil || m.Shard != p {
+	sum := map[string]sched.Resources{}
+	for host, tasks := range a.cache.Placements {
+		if machine := a.cache.Machines[host]; machine == nil || machine.Shard != shardName {
 			continue
 		}
-		for _, pl := range on {
-			if j := acc.cache.Jobs[pl.UID]; j != nil {
-				sum[j.Record.Spec.Team] = sum[j.Record.Spec.Team].Add(statecache.ResourcesOf(&j.Record.Spec))
+		for _, task := range tasks {
+			if job := a.cache.Jobs[task.UID]; job != nil {
+				team := job.Record.Spec.Team
+				sum[team] = sum[team].Add(statecache.ResourcesOf(&job.Record.Spec))
 			}
 		}
 	}
-	use := map[string][3]float64{}
-	for _, t := range acc.node.Settings.Facts.Teams {
-		if r, ok := sum[t.Name]; ok && t.Limited() {
-			use[t.Name] = shard.Vec(r)
+	for _, team := range a.node.Settings.Facts.Teams {
+		if used, ok := sum[team.Name]; ok && team.Limited() {
+			use[team.Name] = shard.Vec(used)
 		}
 	}
 	return use
 }
 
-func QuotaLimitOf(t config.Team) sched.Resources {
-	return sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
-}
-
-// QuotaShares returns what a shard holds of a team's limit, and what the others hold.
-func (acc *Accounts) QuotaShares(team, p string) (held, others sched.Resources) {
-	if u := acc.cache.Quotas[statecache.QuotaID(team)].Record; u != nil {
-		for q, v := range u.Held {
-			if q == p {
-				held = shard.Unvec(v)
-			} else {
-				others = others.Add(shard.Unvec(v))
+// putQuotaShares adds to a transaction what shards hold of teams' limits from now on, by shard
+// and team. It goes only with writes of those shards' capacity records.
+func (a *Accounts) putQuotaShares(t *statecache.Transaction, shares map[string]map[string]sched.Resources) {
+	records := map[string]shard.QuotaRecord{}
+	for shardName, byTeam := range shares {
+		for team, share := range byTeam {
+			record, ok := records[team]
+			if !ok {
+				record = shard.QuotaRecord{Held: map[string][3]float64{}}
+				if before := a.cache.Quotas[statecache.QuotaID(team)].Record; before != nil {
+					maps.Copy(record.Held, before.Held)
+				}
+				records[team] = record
 			}
+			record.Held[shardName] = shard.Vec(share)
 		}
 	}
-	return held, others
+	for team, record := range records {
+		t.Require(statecache.QuotaKey(team), a.cache.Quotas[statecache.QuotaID(team)].Version)
+		t.Put(statecache.QuotaKey(team), record)
+	}
 }
 
-// PutQuotaShares writes what shards hold of teams' limits from now on. It goes only
-// with writes of those shards' capacity records.
-func (acc *Accounts) PutQuotaShares(t *statecache.Transaction, shares map[string]map[string]sched.Resources) {
-	teams := map[string]shard.QuotaRecord{}
-	for p, byTeam := range shares {
-		for name, r := range byTeam {
-			u, ok := teams[name]
-			if !ok {
-				u = shard.QuotaRecord{Held: map[string][3]float64{}}
-				if old := acc.cache.Quotas[statecache.QuotaID(name)].Record; old != nil {
-					maps.Copy(u.Held, old.Held)
-				}
-				teams[name] = u
-			}
-			u.Held[p] = shard.Vec(r)
+// ReclaimTransaction returns a transaction that takes back what shards hold of a team's limit and
+// don't use, for a team that had too little for a placement; nil if there is nothing. A gang needs
+// all of a limit at once, when the shards hold too little yet to return their surplus by
+// themselves. Each shard's record is written with its share, so that no placement there rests on
+// the old one.
+func (a *Accounts) ReclaimTransaction(now time.Time) *statecache.Transaction {
+	claims := a.NewClaims()
+	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
+		delete(a.quotaShortages, team)
+		a.reclaimShares(claims, team, now)
+		if len(claims.byShard) > 0 {
+			break // one team at a time
 		}
 	}
-	for name, u := range teams {
-		t.Require(statecache.QuotaKey(name), acc.cache.Quotas[statecache.QuotaID(name)].Version)
-		t.Put(statecache.QuotaKey(name), u)
+	if len(claims.byShard) == 0 {
+		return nil
+	}
+	t := statecache.NewTransaction()
+	claims.Write(t)
+	return t
+}
+
+// reclaimShares claims the shards that hold more of a team's limit than is used there, as many
+// as a transaction takes beside the team's record.
+func (a *Accounts) reclaimShares(claims *Claims, team string, now time.Time) {
+	for _, name := range a.node.Shards {
+		held := a.QuotaShares(team, name).Held
+		claim := a.openClaim(name, now)
+		full := len(claims.byShard) > 0 && len(claims.byShard) >= a.schema.TransactionLimits().TxnOps-1
+		if claim == nil || full {
+			continue
+		}
+		use := shard.Unvec(claim.use[team])
+		if !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
+			claim.shares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
+			claims.byShard[name] = claim
+		}
 	}
 }
 
-// CountsAgainstQuota reports whether what a gang's tasks use counts against a limit: the place of one
-// on a machine that says nothing may still be taken, done or not, so its record is kept
+// CountsAgainstQuota reports whether what a gang's tasks use counts against a limit: the room of one
+// on a machine whose worker does not answer may still be used, done or not, so its record is kept
 // until all have been heard of.
-func (acc *Accounts) CountsAgainstQuota(j *statecache.Job) bool {
-	team, _ := acc.node.Settings.Team(j.Record.Spec.Team)
+func (a *Accounts) CountsAgainstQuota(job *statecache.Job) bool {
+	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
 	return team.Limited()
 }
 
-// TeamUse is what a team's tasks hold in all, by the shards' capacity records.
-func (acc *Accounts) TeamUse(name string) sched.Resources {
-	var r sched.Resources
-	for _, p := range acc.cache.Capacities {
-		r = r.Add(shard.Unvec(p.Record.QuotaUse[name]))
+// TeamUse returns what a team's tasks use in all, by the shards' capacity records.
+func (a *Accounts) TeamUse(team string) sched.Resources {
+	var use sched.Resources
+	for _, capacity := range a.cache.Capacities {
+		use = use.Add(shard.Unvec(capacity.Record.QuotaUse[team]))
 	}
-	return r
+	return use
 }
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -12,166 +12,180 @@
 	"violetturn/internal/statecache"
 )
 
+// Room is what is placed on machines and what room they have left. It keeps nothing itself: what
+// is worked out stands in the cache of internal/statecache. The lock of internal/state guards it.
+type Room struct {
+	node       *node.Info
+	cache      *statecache.Cache
+	leadership *leadership.Table
+	catalog    *catalog.Catalog
+	agents     *agent.Registry
+}
+
+// RoomDeps is what a room reads.
+type RoomDeps struct {
+	Node       *node.Info
+	Cache      *statecache.Cache
+	Leadership *leadership.Table
+	Catalog    *catalog.Catalog
+	Agents     *agent.Registry
+}
+
+// NewRoom returns the room of the machines in a cache.
+func NewRoom(d RoomDeps) *Room {
+	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
+}
+
 // LoadOf returns what is placed on a machine. A plan asks for that of all machines,
 // so it is worked out only when something has changed there: whoever changes what
-// it rests on (places, the jobs' records, Releases) drops it.
-func (mr *Room) LoadOf(host string) *statecache.MachineLoad {
-	l := mr.cache.Load(host)
-	if l != nil {
-		return l
+// it rests on (placements, the jobs' records, ended attempts) drops it.
+func (r *Room) LoadOf(host string) *statecache.MachineLoad {
+	load := r.cache.Load(host)
+	if load != nil {
+		return load
 	}
-	l = &statecache.MachineLoad{}
-	for id, pl := range mr.cache.Placements[host] {
-		j := mr.cache.Jobs[pl.UID]
-		if j != nil {
-			l.LastPlacedMS = max(l.LastPlacedMS, j.Record.AcceptedMS+pl.Placement.PlacedS*1000)
+	load = &statecache.MachineLoad{}
+	for id, task := range r.cache.Placements[host] {
+		job := r.cache.Jobs[task.UID]
+		if job != nil {
+			load.LastPlacedMS = max(load.LastPlacedMS, job.Record.AcceptedMS+task.Placement.PlacedS*1000)
 		}
-		if mr.agents.IsCompleted(host, id, pl) {
+		if r.agents.IsCompleted(host, id, task) {
 			continue
 		}
-		if j == nil {
-			l.Arrays++
+		if job == nil {
+			load.Arrays++
 			continue
 		}
-		n := statecache.ResourcesOf(&j.Record.Spec)
-		l.Used = l.Used.Add(n)
-		if j.Record.Spec.Kind == api.Service {
-			l.Services++
+		need := statecache.ResourcesOf(&job.Record.Spec)
+		load.Used = load.Used.Add(need)
+		if job.Record.Spec.Kind == api.Service {
+			load.Services++
 		} else {
-			l.Arrays++
+			load.Arrays++
 		}
-		if j.MustStop(pl.Placement) {
-			l.Stopping = l.Stopping.Add(n)
-		} else if priority, _ := api.PriorityOf(j.Record.Spec.Priority); priority < len(l.RunningByPriority) {
-			l.RunningByPriority[priority] = l.RunningByPriority[priority].Add(n)
+		if job.MustStop(task.Placement) {
+			load.Stopping = load.Stopping.Add(need)
+		} else if priority, _ := api.PriorityOf(job.Record.Spec.Priority); priority < len(load.RunningByPriority) {
+			load.RunningByPriority[priority] = load.RunningByPriority[priority].Add(need)
 		}
 	}
-	mr.cache.KeepLoad(host, l)
-	return l
+	r.cache.KeepLoad(host, load)
+	return load
 }
 
-// UnfinishedTasks counts the tasks on a machine that are not over.
-func (mr *Room) UnfinishedTasks(host string) int {
-	l := mr.LoadOf(host)
-	return l.Services + l.Arrays
+// UnfinishedTasks counts the tasks on a machine that have not ended.
+func (r *Room) UnfinishedTasks(host string) int {
+	load := r.LoadOf(host)
+	return load.Services + load.Arrays
 }
 
-// StartDelay estimates how long a start on a machine waits for the worker's next heartbeat:
-// one whose token was raised a moment ago can't be made to report by another raise. On a
-// peer's machine that is so if a task was placed there.
-func (mr *Room) StartDelay(host string, l *statecache.MachineLoad, now time.Time) float64 {
-	raised := time.UnixMilli(l.LastPlacedMS)
-	if s := mr.agents.ByHost[host]; s != nil {
-		raised = s.LastTokenChange()
+// StartDelay estimates how many seconds a start on a machine waits for the worker's next
+// heartbeat: one whose token was raised a moment ago can't be made to send one by another raise.
+// On a peer's machine that is so if a task was placed there.
+func (r *Room) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
+	raised := time.UnixMilli(load.LastPlacedMS)
+	if worker := r.agents.ByHost[host]; worker != nil {
+		raised = worker.LastTokenChange()
 	}
-	if now.Sub(raised) < mr.node.Settings.WorkerLease()/2 {
-		return mr.node.Settings.HeartbeatInterval().Seconds() / 2
+	if now.Sub(raised) < r.node.Settings.WorkerLease()/2 {
+		return r.node.Settings.HeartbeatInterval().Seconds() / 2
 	}
 	return 0
 }
 
-// WithPreemptibleRoom returns copies of the machines with the room of tasks of a lower rank
+// WithPreemptibleRoom returns copies of the machines with the room of tasks of a lower priority
 // added to what is free: that need not be kept, it can be taken when needed.
-func (mr *Room) WithPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
-	room := make([]sched.Host, len(hosts))
+func (r *Room) WithPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
+	copies := make([]sched.Host, len(hosts)) // one allocation for all
 	out := make([]*sched.Host, len(hosts))
-	for i, h := range hosts {
-		room[i] = *h
-		l := mr.LoadOf(h.Name)
-		for r := priority + 1; r < len(l.RunningByPriority); r++ {
-			room[i].Free = room[i].Free.Add(l.RunningByPriority[r])
+	for i, host := range hosts {
+		copies[i] = *host
+		load := r.LoadOf(host.Name)
+		for lower := priority + 1; lower < len(load.RunningByPriority); lower++ {
+			copies[i].Free = copies[i].Free.Add(load.RunningByPriority[lower])
 		}
-		out[i] = &room[i]
+		out[i] = &copies[i]
 	}
 	return out
 }
 
+// maxMissedHeartbeats is after how many heartbeat intervals without one a machine gets no tasks.
+const maxMissedHeartbeats = 3
+
 // isSchedulable reports whether a machine of an own shard can take tasks.
-func (mr *Room) isSchedulable(host string, now time.Time) bool {
-	s := mr.agents.ByHost[host]
-	return s != nil && s.Fenced() && !s.Terminated && !s.LeaseExpired && !s.Cordoned && !s.Unresponsive() && s.Heartbeat.SpotNoticeS == nil &&
-		!now.Before(s.AvoidUntil) &&
-		now.Sub(s.LastSeen) < 3*mr.node.Settings.HeartbeatInterval()
+func (r *Room) isSchedulable(host string, now time.Time) bool {
+	worker := r.agents.ByHost[host]
+	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
+		return false
+	}
+	return worker.Heartbeat.SpotNoticeS == nil && !now.Before(worker.AvoidUntil) &&
+		now.Sub(worker.LastSeen) < maxMissedHeartbeats*r.node.Settings.HeartbeatInterval()
 }
 
-// FreeInShard computes the free room of the usable machines of an own shard from the
-// committed placements, less those that are over. A machine without any is left
-// out.
-func (mr *Room) FreeInShard(p string, now time.Time) map[string]sched.Resources {
+// freeInShard computes the free room of the usable machines of an own shard from the
+// committed placements, less those that have ended. A machine without any is left out.
+func (r *Room) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
-	for _, host := range mr.cache.MachineNames() {
-		if mr.cache.Machines[host].Shard != p {
+	for _, host := range r.cache.MachineNames() {
+		if r.cache.Machines[host].Shard != shardName {
 			continue
 		}
-		if r, _, ok := mr.FreeOnMachine(host, now); ok {
-			free[host] = r
+		if room, _, ok := r.FreeOnMachine(host, now); ok {
+			free[host] = room
 		}
 	}
 	return free
 }
 
+// minFree is the least of a resource that counts as free: sums of decimal fractions are not exact.
+const minFree = 1e-6
+
 // FreeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
 // false if it has none or can't take tasks.
-func (mr *Room) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
-	if !mr.isSchedulable(host, now) {
+func (r *Room) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+	if !r.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
-	size, f := mr.catalog.MachineCapacity(mr.cache.Machines[host].MachineType)
-	if f == nil {
+	size, machineType := r.catalog.MachineCapacity(r.cache.Machines[host].MachineType)
+	if machineType == nil {
 		return sched.Resources{}, size, false
 	}
-	free = size.Sub(mr.LoadOf(host).Used)
-	return free, size, free.CPUs > 1e-6 && free.MemGB > 1e-6
+	free = size.Sub(r.LoadOf(host).Used)
+	return free, size, free.CPUs > minFree && free.MemGB > minFree
 }
 
 // ProvisioningHosts lists the machines that have not come up yet: those rented for this
-// node's shards, or all.
-func (mr *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
-	var out []*sched.Host
-	for host, m := range mr.cache.Machines {
-		if !all && !mr.leadership.Leads(m.RentedFor) || len(mr.cache.Placements[host]) > 0 {
+// controller's shards, or all.
+func (r *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
+	var hosts []*sched.Host
+	for name, machine := range r.cache.Machines {
+		if !all && !r.leadership.Leads(machine.RentedFor) || len(r.cache.Placements[name]) > 0 {
 			continue
 		}
-		cp, f := mr.catalog.MachineCapacity(m.MachineType)
-		rec := mr.cache.Capacities[m.Shard].Record
-		if f == nil || rec == nil {
+		size, machineType := r.catalog.MachineCapacity(machine.MachineType)
+		record := r.cache.Capacities[machine.Shard].Record
+		if machineType == nil || record == nil {
 			continue
 		}
-		if _, up := rec.Free[host]; up {
+		if _, up := record.Free[name]; up {
 			continue
 		}
-		if s := mr.agents.ByHost[host]; s != nil && s.Fenced() {
+		if worker := r.agents.ByHost[name]; worker != nil && worker.Fenced() {
 			continue
 		}
-		if float64(now.UnixMilli()-m.RegisteredMS)/1000 > 2*f.BootS {
+		if float64(now.UnixMilli()-machine.RegisteredMS)/1000 > 2*machineType.BootS {
 			continue // late: it may never come
 		}
-		out = append(
-			out,
-			&sched.Host{Name: host, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Cap: cp, Free: cp},
-		)
+		hosts = append(hosts, &sched.Host{
+			Name:        name,
+			Shard:       machine.Shard,
+			MachineType: machine.MachineType,
+			Zone:        machine.Zone,
+			Spot:        machine.Spot,
+			Cap:         size,
+			Free:        size,
+		})
 	}
-	return out
-}
-
-// Room is what is placed on machines and what room they have left.
-type Room struct {
-	node       *node.Info
-	cache      *statecache.Cache
-	leadership *leadership.Table
-	catalog    *catalog.Catalog
-	agents     *agent.Registry
-}
-
-// RoomDeps is what a machineRoom rests on.
-type RoomDeps struct {
-	Node       *node.Info
-	Cache      *statecache.Cache
-	Leadership *leadership.Table
-	Catalog    *catalog.Catalog
-	Agents     *agent.Registry
-}
-
-func NewRoom(d RoomDeps) *Room {
-	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
+	return hosts
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -179,18 +179,7 @@
 			)
 		}
 		clear(state.Stats.Commits)
-		for uid := range state.Scheduler.ErrorsSeen { // of jobs that are over
-			if state.Cache.Jobs[uid] == nil {
-				delete(state.Scheduler.ErrorsSeen, uid)
-				delete(state.Scheduler.RetryAt, uid)
-			}
-		}
-		for uid := range state.Scheduler.GangStates {
-			if state.Cache.Jobs[uid] == nil {
-				delete(state.Scheduler.GangStates, uid)
-				delete(state.Scheduler.GangsToRelease, uid)
-			}
-		}
+		state.Scheduler.DropFinishedJobs()
 		for uid := range state.Agents.RunningGangs {
 			if state.Cache.Jobs[uid] == nil {
 				delete(state.Agents.RunningGangs, uid)
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -2,18 +2,13 @@
 
 import (
 	"context"
-	"maps"
 	"time"
 
-	"violetturn/internal/capacity"
 	"violetturn/internal/commands"
 	"violetturn/internal/external"
 	"violetturn/internal/node"
 	"violetturn/internal/notify"
-	"violetturn/internal/sched"
-	"violetturn/internal/shard"
 	"violetturn/internal/state"
-	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/storesync"
 	"violetturn/internal/timing"
@@ -65,8 +60,7 @@
 		t.Stop()
 		d.Decide(ctx)
 		state := d.guard.Lock()
-		spent := state.Scheduler.PlanningTime
-		state.Scheduler.PlanningTime = 0
+		spent := state.Scheduler.ResetPlanningTime()
 		d.guard.Unlock()
 		if !timing.Sleep(ctx, max(d.node.Settings.DecisionInterval(), 3*spent)) {
 			return
@@ -103,60 +97,12 @@
 // refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
 // changed, at intervals: placements there write it anyway.
 func (d *Loop) refreshCapacityRecord(ctx context.Context) bool {
-	now := d.node.Now()
 	state := d.guard.Lock()
-	for _, p := range state.Leadership.KnownShards() {
-		rec := state.Cache.Capacities[p]
-		o := state.Leadership.InForce(p)
-		if o == nil || rec.Record == nil || len(state.Catalog.MachineTypes) == 0 ||
-			o.CapacityRecordAge(now) < 6*d.node.Settings.DecisionInterval() {
-			continue
-		}
-		free := shard.FreeCapacity{}
-		for h, r := range state.Room.FreeInShard(p, now) {
-			free[h] = shard.Vec(r)
-		}
-		use := state.Capacity.QuotaUseOf(p)
-		shares := map[string]sched.Resources{}
-		for _, team := range d.node.Settings.Facts.Teams {
-			held, others := state.Capacity.QuotaShares(team.Name, p)
-			if u := shard.Unvec(use[team.Name]); team.Limited() && sched.HoldsExcessQuota(capacity.QuotaLimitOf(team), others, held, u) {
-				if less, ok := sched.QuotaShare(capacity.QuotaLimitOf(team), others, u); ok {
-					shares[team.Name] = less
-				}
-			}
-		}
-		out := free
-		if len(rec.Record.Free) < len(free) { // as it would be recorded
-			out = maps.Clone(free)
-			state.Capacity.TrimCapacity(out, use, now)
-		}
-		if maps.Equal(out, rec.Record.Free) && maps.Equal(use, rec.Record.QuotaUse) && len(shares) == 0 &&
-			(!rec.Record.PredecessorInDoubt || !now.After(o.PredecessorAnswersUntil)) {
-			continue
-		}
-		// More room than the record says is news for peers only, and while own jobs wait
-		// for room they take it first: that is told less often, and so is another choice of
-		// machines where not all can be named. Less is told at once.
-		if len(shares) == 0 && o.CapacityRecordAge(now) < 24*d.node.Settings.DecisionInterval() && state.Scheduler.HasPendingTasks() &&
-			capacity.StillOffered(free, rec.Record.Free) {
-			continue
-		}
-		for name := range shares { // the record and as many teams' as a transaction takes
-			if len(shares) < state.Schema.TransactionLimits().TxnOps {
-				break
-			}
-			delete(shares, name)
-		}
-		o.NoteCapacityRecorded(now)
-		t := statecache.NewTransaction()
-		state.Leadership.Require(t, p)
-		state.Capacity.PutCapacityRecord(t, p, free, use)
-		state.Capacity.PutQuotaShares(t, map[string]map[string]sched.Resources{p: shares})
-		d.guard.Unlock()
-		done, _, _ := d.sync.Commit(ctx, "upkeep", t, store.PriorityDecision)
-		return done
-	}
+	t := state.Capacity.RefreshTransaction(d.node.Now(), state.Scheduler.HasPendingTasks)
 	d.guard.Unlock()
-	return false
+	if t == nil {
+		return false
+	}
+	done, _, _ := d.sync.Commit(ctx, "upkeep", t, store.PriorityDecision)
+	return done
 }
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -72,20 +72,18 @@
 			return
 		}
 		state := d.guard.Lock()
-		t, rest, said := state.Scheduler.GangTransaction(g, d.node.Now())
+		result := state.Scheduler.GangTransaction(g, d.node.Now())
 		d.guard.Unlock()
-		if t == nil {
+		if result.Transaction == nil {
 			return
 		}
-		done, _, err := d.sync.Commit(ctx, "gangs", t, store.PriorityGang)
+		done, _, err := d.sync.Commit(ctx, "gangs", result.Transaction, store.PriorityGang)
 		switch {
 		case done:
-			g.Placements, tries = rest, 0
-			for _, l := range said {
-				d.node.Log.Info("task placed", l...)
-			}
+			g.Placements, tries = result.Remaining, 0
+			d.logPlaced(ctx, result.Placed)
 			state = d.guard.Lock()
-			state.Scheduler.GangStateOf(g.UID).Retry.Claimed()
+			state.Scheduler.NoteGangClaimed(g.UID)
 			d.guard.Unlock()
 		case err == nil:
 			tries++
@@ -122,8 +120,8 @@
 		if j.Record.Cancelled || !state.Leadership.Leads(j.Record.Shard) || len(j.PendingTasks()) == 0 {
 			continue
 		}
-		if g := state.Scheduler.GangStateOf(uid); now.Sub(g.LookedAt) > 8*d.node.Settings.DecisionInterval() {
-			g.LookedAt, some = now, true
+		if state.Scheduler.LookOutOfTurn(uid, now, 8*d.node.Settings.DecisionInterval()) {
+			some = true
 		}
 	}
 	if some && state.Leadership.MayAct(now) {
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
+	"log/slog"
 
 	"violetturn/internal/capacity"
-	"violetturn/internal/sched"
 	"violetturn/internal/scheduler"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
@@ -46,19 +43,17 @@
 			return false
 		}
 		state = d.guard.Lock()
-		t, rest, said, apart := state.Scheduler.PlacementTransaction(todo, room, d.node.Now())
+		result := state.Scheduler.PlacementTransaction(todo, room, d.node.Now())
 		d.guard.Unlock()
-		marks = append(marks, apart...)
-		if t == nil {
+		marks = append(marks, result.StopAlone...)
+		if result.Transaction == nil {
 			break
 		}
-		done, _, err := d.sync.Commit(ctx, "places", t, store.PriorityDecision)
+		done, _, err := d.sync.Commit(ctx, "places", result.Transaction, store.PriorityDecision)
 		switch {
 		case done:
-			todo, tries = rest, 0
-			for _, l := range said {
-				d.node.Log.Info("task placed", l...)
-			}
+			todo, tries = result.Remaining, 0
+			d.logPlaced(ctx, result.Placed)
 			d.placeNewGangs(ctx)
 		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
 			tries++
@@ -71,40 +66,24 @@
 	return false
 }
 
+// logPlaced logs the tasks that a committed transaction placed.
+func (d *Loop) logPlaced(ctx context.Context, placed []scheduler.PlacementLog) {
+	for i := range placed {
+		d.node.Log.LogAttrs(ctx, slog.LevelInfo, "task placed", placed[i].Attrs()...)
+	}
+}
+
 // reclaimQuota takes back what shards hold of teams' limits and don't use, for teams
-// that had too little for a placement. A gang needs all of a limit at once, when the
-// shards hold too little yet to give their surplus back by themselves. Each shard's
-// record is written with its share, so that no placement there rests on the old one.
+// that had too little for a placement.
 func (d *Loop) reclaimQuota(ctx context.Context) {
 	state := d.guard.Lock()
-	now := d.node.Now()
-	t := statecache.NewTransaction()
-	cl := &capacity.Claims{Accounts: state.Capacity, ByShard: map[string]*capacity.Claim{}}
-	for _, team := range slices.Sorted(maps.Keys(state.Capacity.QuotaShortages)) {
-		delete(state.Capacity.QuotaShortages, team)
-		for _, p := range d.node.Shards {
-			held, _ := state.Capacity.QuotaShares(team, p)
-			x := state.Capacity.OpenClaim(p, now)
-			if x == nil || len(cl.ByShard) > 0 && len(cl.ByShard) >= state.Schema.TransactionLimits().TxnOps-1 {
-				continue
-			}
-			if use := shard.Unvec(x.QuotaUse[team]); !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
-				x.QuotaShares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
-				cl.ByShard[p] = x
-			}
-		}
-		if len(cl.ByShard) > 0 {
-			break // one team at a time
-		}
-	}
-	if len(cl.ByShard) > 0 {
-		cl.Write(t)
-	}
+	t := state.Capacity.ReclaimTransaction(d.node.Now())
 	d.guard.Unlock()
-	if t.Changes() > 0 && d.sync.MayActNow() {
-		if done, _, _ := d.sync.Commit(ctx, "shares", t, store.PriorityDecision); done {
-			d.wake.Notify()
-		}
+	if t == nil || !d.sync.MayActNow() {
+		return
+	}
+	if done, _, _ := d.sync.Commit(ctx, "shares", t, store.PriorityDecision); done {
+		d.wake.Notify()
 	}
 }
 
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -5,11 +5,9 @@
 	"maps"
 	"slices"
 
-	"violetturn/internal/features"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
-	"violetturn/internal/zonestate"
 )
 
 // updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
@@ -18,17 +16,15 @@
 func (d *Loop) updateZones(ctx context.Context) bool {
 	now := d.node.Now()
 	state := d.guard.Lock()
-	if now.Sub(state.Zones.View.ObservedAt) < d.node.Settings.HeartbeatInterval() || !state.Schema.FeatureEnabled(features.ZoneRecoveryName) {
+	if !state.Zones.ObservationIsDue(now) {
 		d.guard.Unlock()
 		return false
 	}
-	observations, up := state.Zones.ObserveZones(now)
-	state.Zones.View = zonestate.View{ObservedAt: now, Observations: observations}
-	state.Zones.View.AdmittedMachines = state.Zones.AdmittedMachines(up, now)
+	state.Zones.Update(now)
 	t := statecache.NewTransaction()
 	changed := map[string]zonehealth.Record{}
-	for _, zone := range slices.Sorted(maps.Keys(state.Zones.View.Observations)) {
-		if next, ok := state.Zones.JudgeZone(zone, now); ok && t.Changes() < state.Schema.TransactionLimits().TxnOps {
+	for _, zone := range state.Zones.Observed() {
+		if next, ok := state.Zones.Judge(zone, now); ok && t.Changes() < state.Schema.TransactionLimits().TxnOps {
 			t.Require(statecache.ZoneKey(zone), state.Cache.Zones[statecache.ZoneID(zone)].Version)
 			t.Put(statecache.ZoneKey(zone), next)
 			changed[zone] = next
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -8,76 +8,91 @@
 	"violetturn/internal/node"
 )
 
-// ObserveRuntime learns how long tasks of a class run against their owners' estimates,
-// which are often mostly too high or mostly too low.
+// UnlimitedSeconds stands for a time without end: a deadline or a slack where there is none.
+const UnlimitedSeconds = 1e9
+
+// maxClasses bounds the classes that are remembered: users may name classes at will.
+const maxClasses = 64
+
+// Bounds of a single observation, and the weight that a new one has against those before.
+const (
+	minBias        = 0.1
+	maxBias        = 10
+	newBiasWeight  = 0.1
+	pastBiasWeight = 1 - newBiasWeight
+)
+
+// Estimates is how long tasks run and how long jobs may wait and take. The lock of
+// internal/state guards it.
+type Estimates struct {
+	node        *node.Info
+	runtimeBias map[string]float64 // by class, run times divided by their users' estimates
+}
+
+// New returns estimates that have observed no task.
+func New(node *node.Info) *Estimates {
+	return &Estimates{node: node, runtimeBias: map[string]float64{}}
+}
+
+// ObserveRuntime learns from a task's run time divided by its user's estimate. The estimates of a
+// class are often mostly too high or mostly too low.
 func (e *Estimates) ObserveRuntime(class string, ratio float64) {
-	const lanes = 64
-	if _, ok := e.runtimeBias[class]; !ok && len(e.runtimeBias) >= lanes {
+	past, known := e.runtimeBias[class]
+	if !known && len(e.runtimeBias) >= maxClasses {
 		clear(e.runtimeBias)
 	}
-	ratio = min(max(ratio, 0.1), 10)
-	if old, ok := e.runtimeBias[class]; ok {
-		ratio = math.Exp(0.9*math.Log(old) + 0.1*math.Log(ratio))
+	ratio = min(max(ratio, minBias), maxBias)
+	if known {
+		ratio = math.Exp(pastBiasWeight*math.Log(past) + newBiasWeight*math.Log(ratio))
 	}
 	e.runtimeBias[class] = ratio
 }
 
-// EstimatedRuntime estimates how long a task of the job runs, image apart.
-func (e *Estimates) EstimatedRuntime(r *api.Job) float64 {
-	if b, ok := e.runtimeBias[r.Class]; ok {
-		return r.EstimateS * b
+// EstimatedRuntime returns how many seconds a task of the job is expected to run, once it has its
+// image.
+func (e *Estimates) EstimatedRuntime(spec *api.Job) float64 {
+	if bias, known := e.runtimeBias[spec.Class]; known {
+		return spec.EstimateS * bias
 	}
-	return r.EstimateS
+	return spec.EstimateS
 }
 
-// DeadlineSeconds is when a job should be complete, in seconds from its submission.
-func (e *Estimates) DeadlineSeconds(r *api.Job) float64 {
-	w := float64(UnlimitedSeconds)
-	if r.DeadlineS != nil {
-		w = *r.DeadlineS
+// DeadlineSeconds returns when a job should be complete, in seconds from its submission;
+// UnlimitedSeconds if nothing asks for it.
+func (e *Estimates) DeadlineSeconds(spec *api.Job) float64 {
+	deadline := float64(UnlimitedSeconds)
+	if spec.DeadlineS != nil {
+		deadline = *spec.DeadlineS
 	}
-	for _, o := range e.node.Settings.Facts.Objectives {
-		if o.Kind == config.ObjectiveFinished && o.Class == r.Class && r.Kind != api.Service {
-			w = min(w, o.WithinS)
+	for _, objective := range e.node.Settings.Facts.Objectives {
+		if objective.Kind == config.ObjectiveFinished && objective.Class == spec.Class && spec.Kind != api.Service {
+			deadline = min(deadline, objective.WithinS)
 		}
 	}
-	return w
+	return deadline
 }
 
-// UnlimitedSeconds stands for a slack without end in expressions.
-const UnlimitedSeconds = 1e9
-
-// WaitingSlack is how long a job of the class can wait before it misses its aim, when
-// fetching its image takes so many seconds.
-func (e *Estimates) WaitingSlack(class string, r *api.Job, fetch float64) float64 {
-	s := math.Inf(1)
-	if r.DeadlineS != nil {
-		s = *r.DeadlineS - r.EstimateS - fetch
+// WaitingSlack returns how many seconds a job of the class can wait before it misses its
+// deadline or an objective, when fetching its image takes so many seconds; infinity if it has
+// none.
+func (e *Estimates) WaitingSlack(class string, spec *api.Job, fetchSeconds float64) float64 {
+	slack := math.Inf(1)
+	if spec.DeadlineS != nil {
+		slack = *spec.DeadlineS - spec.EstimateS - fetchSeconds
 	}
-	for _, o := range e.node.Settings.Facts.Objectives {
-		if o.Class != class {
+	for _, objective := range e.node.Settings.Facts.Objectives {
+		if objective.Class != class {
 			continue
 		}
-		switch o.Kind {
+		switch objective.Kind {
 		case config.ObjectiveWait:
-			s = min(s, o.WithinS-fetch)
+			slack = min(slack, objective.WithinS-fetchSeconds)
 		case config.ObjectiveFinished:
-			s = min(s, o.WithinS-fetch-r.EstimateS)
+			slack = min(slack, objective.WithinS-fetchSeconds-spec.EstimateS)
 		}
 	}
-	if team, ok := e.node.Settings.Team(r.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
-		s = min(s, 2*e.node.Settings.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
+	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
+		slack = min(slack, 2*e.node.Settings.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
 	}
-	return s
-}
-
-func New(node *node.Info) *Estimates {
-	return &Estimates{node: node, runtimeBias: map[string]float64{}}
-}
-
-// Estimates is how long tasks run and how long jobs may take.
-type Estimates struct {
-	node *node.Info
-
-	runtimeBias map[string]float64 // by class, run times against estimates
+	return slack
 }
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -54,7 +54,7 @@
 func (f *Frontend) checkSpec(spec *api.Job) (live bool, err error) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	if len(state.Catalog.MachineTypes) == 0 {
+	if !state.Catalog.IsKnown() {
 		return false, errBusy
 	}
 	if reason := state.Catalog.RejectionReason(spec); reason != "" {
--- a/internal/scaling/autoscale.go
+++ b/internal/scaling/autoscale.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"violetturn/internal/autoscaler"
-	"violetturn/internal/catalog"
 	"violetturn/internal/cloud"
 	"violetturn/internal/config"
 	"violetturn/internal/sched"
@@ -17,9 +16,10 @@
 // scaleIn decides which machines go back and returns them.
 func (l *Loop) scaleIn(ctx context.Context) {
 	state := l.guard.Lock()
-	back, fences := state.Autoscaler.MachinesToReturn(l.node.Now())
+	decided := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.Send(ctx, fences)
+	l.commands.Send(ctx, decided.Fences)
+	back := decided.Return
 	if len(back) == 0 {
 		return
 	}
@@ -33,7 +33,7 @@
 			s.Terminated = true
 		}
 		if m := state.Cache.Machines[h]; m != nil { // what was refused may be had again
-			delete(state.Catalog.CapacityBackoffs, catalog.OfferKey(sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}))
+			state.Catalog.ClearBackoff(&sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot})
 		}
 	}
 	l.guard.Unlock()
@@ -56,7 +56,7 @@
 		if f, err := l.services.Cloud.MachineTypes(ctx); err == nil {
 			r.typesReadAt = now
 			state := l.guard.Lock()
-			state.Catalog.MachineTypes = f
+			state.Catalog.SetMachineTypes(f)
 			l.guard.Unlock()
 			l.wake.Notify()
 		} else {
@@ -104,13 +104,13 @@
 	now := l.node.Now()
 	state := l.guard.Lock()
 	orders := state.Autoscaler.RentalOrders(now, headroom)
-	home, term := state.Autoscaler.RentingShard()
+	renting := state.Autoscaler.RentingShard(now)
 	l.guard.Unlock()
-	if home == "" || len(orders) == 0 {
+	if renting.Shard == "" || len(orders) == 0 {
 		return false
 	}
 	for _, o := range orders {
-		refused, err := l.rentMachines(ctx, o, inDoubt, autoscaler.RentingShard{Shard: home, Term: term, At: now})
+		refused, err := l.rentMachines(ctx, o, inDoubt, renting)
 		if err != nil {
 			return false
 		}
@@ -137,7 +137,7 @@
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, r)
 		state := l.guard.Lock()
-		refused = state.Autoscaler.NoteRental(r, hosts, err, by.Shard, by.At)
+		refused = state.Autoscaler.NoteRental(r, hosts, err, by)
 		l.guard.Unlock()
 		delete(inDoubt, o.Offer)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -5,45 +5,69 @@
 
 	"violetturn/internal/agent"
 	"violetturn/internal/capacity"
+	"violetturn/internal/config"
 	"violetturn/internal/schema"
+	"violetturn/internal/statecache"
 )
 
-// EndsAreDue reports whether the ends of tasks of a task range are to be committed now. A task
-// that completed while others of its task range run on can wait for them, unless its
-// machine is to go or its team is near its limit; one that has to run again can
-// not, nor can the last one of a task range.
-func (sch *Scheduler) EndsAreDue(k schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
-	j := sch.cache.Jobs[k.UID]
-	ch := j.Ranges[k.Index].Record
-	if ch == nil {
+// quotaPressure is the share of a team's limit from which on the room of completed tasks is
+// released at once.
+const quotaPressure = 3. / 4
+
+// EndsAreDue reports whether the ends of tasks of a task range are to be committed now. The end
+// of a task that completed while others of its task range run on can wait for theirs, unless its
+// machine is to be returned or its team is near its limit. The end of a task that has to run
+// again can't wait, nor can the last one of a task range.
+func (s *Scheduler) EndsAreDue(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
+	job := s.cache.Jobs[id.UID]
+	taskRange := job.Ranges[id.Index].Record
+	if taskRange == nil {
 		return false
 	}
 	// Leaders see only the ends on their own machines: each commits those when all
 	// of its own have ended and no task waits for room any more. The last to do so
 	// completes the task range.
-	own := 0
-	for _, p := range ch.Placements {
-		if m := sch.cache.Machines[p.Host]; m != nil && sch.leadership.Leads(m.Shard) {
-			own++
-		}
-	}
-	if len(ends) == own && (j.Record.Cancelled || ch.DoneCount()+len(ch.Placements) >= j.Record.RangeLen(k.Index)) {
+	finished := taskRange.DoneCount()+len(taskRange.Placements) >= job.Record.RangeLen(id.Index)
+	if (job.Record.Cancelled || finished) && len(ends) == s.countOnOwnMachines(job, id.Index) {
 		return true
 	}
-	if j.Record.Cancelled {
-		return now.Sub(ends[0].End.EndedAt) > sch.node.Settings.WorkerLease()
+	if job.Record.Cancelled {
+		return now.Sub(ends[0].End.EndedAt) > s.node.Settings.WorkerLease()
 	}
-	team, _ := sch.node.Settings.Team(j.Record.Spec.Team)
-	for _, e := range ends {
-		s := sch.agents.ByHost[e.Task.Placement.Host]
-		if !e.End.Done || s == nil || s.Cordoned || s.Terminated || now.Sub(e.End.EndedAt) > 2*sch.node.Settings.WorkerLease() {
+	for _, ended := range ends {
+		if s.endCannotWait(ended, now) {
 			return true
 		}
 	}
-	if team.Limited() {
-		held, others := sch.capacity.QuotaShares(team.Name, "")
-		limit, all := capacity.QuotaLimitOf(team), held.Add(others)
-		return limit.CPUs > 0 && all.CPUs > limit.CPUs*3/4 || limit.GPUs > 0 && all.GPUs > limit.GPUs*3/4
+	team, _ := s.node.Settings.Team(job.Record.Spec.Team)
+	return team.Limited() && s.nearsLimit(team)
+}
+
+// countOnOwnMachines counts the tasks of a task range that are placed on machines of own shards.
+func (s *Scheduler) countOnOwnMachines(job *statecache.Job, index int) int {
+	own := 0
+	for _, placement := range job.Ranges[index].Record.Placements {
+		if m := s.cache.Machines[placement.Host]; m != nil && s.leadership.Leads(m.Shard) {
+			own++
+		}
+	}
+	return own
+}
+
+// endCannotWait reports whether an end is to be committed without waiting for others: the task
+// has to run again, its machine is about to leave, or it has waited for two leases.
+func (s *Scheduler) endCannotWait(ended agent.EndedTask, now time.Time) bool {
+	worker := s.agents.ByHost[ended.Task.Placement.Host]
+	if !ended.End.Done || worker == nil || worker.Cordoned || worker.Terminated {
+		return true
 	}
-	return false
+	return now.Sub(ended.End.EndedAt) > 2*s.node.Settings.WorkerLease()
+}
+
+// nearsLimit reports whether the shards hold so much of a team's limit that its tasks may soon
+// wait for it.
+func (s *Scheduler) nearsLimit(team config.Team) bool {
+	shares := s.accounts.QuotaShares(team.Name, "")
+	limit, all := capacity.QuotaLimitOf(team), shares.Held.Add(shares.Others)
+	return limit.CPUs > 0 && all.CPUs > limit.CPUs*quotaPressure || limit.GPUs > 0 && all.GPUs > limit.GPUs*quotaPressure
 }
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -8,96 +8,138 @@
 	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/job"
-	"violetturn/internal/sched"
 	"violetturn/internal/schema"
 	"violetturn/internal/statecache"
 )
 
-// gangState is what this node remembers of a gang besides its record: how its search
-// for room goes, and whether its tasks were seen running.
-type gangState struct {
-	Retry    *sched.GangRetry
-	LookedAt time.Time // when room was last looked for out of turn
+// EndedGangAttempts returns the ends of gangs' tasks on machines of own shards.
+func (s *Scheduler) EndedGangAttempts(now time.Time) map[schema.RangeID][]agent.EndedTask {
+	ends := s.agents.EndedTasks(now)
+	maps.DeleteFunc(ends, func(id schema.RangeID, _ []agent.EndedTask) bool {
+		return !s.cache.Jobs[id.UID].IsGang()
+	})
+	return ends
+}
+
+// gangUpdate works out what becomes of a gang.
+type gangUpdate struct {
+	scheduler *Scheduler
+	editor    *schema.Editor
+	now       time.Time
+	job       *statecache.Job
+	ends      []agent.EndedTask
+	gang      job.Gang // as it will be
+	release   bool     // its claims are released: nothing of them was ever started
 }
 
-func (sch *Scheduler) GangStateOf(uid string) *gangState {
-	g := sch.GangStates[uid]
-	if g == nil {
-		g = &gangState{Retry: sched.NewGangRetry()}
-		sch.GangStates[uid] = g
+// UpdateGang adds to a transaction what is to become of a gang whose tasks ended like this. It
+// reports whether there is anything to write.
+func (s *Scheduler) UpdateGang(editor *schema.Editor, j *statecache.Job, ends []agent.EndedTask, now time.Time) bool {
+	u := &gangUpdate{scheduler: s, editor: editor, now: now, job: j, ends: ends, gang: *j.Record.Gang}
+	u.noteEnds()
+	if u.gang.Done && !j.Record.Gang.Done {
+		s.node.Log.Info("job done", "job", j.Record.Spec.UID)
+		if u.archive() {
+			return true
+		}
+		// From now on it counts as done, though not all of its records can be dropped yet.
+	}
+	u.applyPhase()
+	if len(ends) == 0 && !u.release && u.gang == *j.Record.Gang {
+		return false
+	}
+	if u.release {
+		u.releaseClaims()
 	}
-	return g
+	u.writeEnds()
+	editor.Record(j).Gang = &u.gang
+	return true
 }
 
-// HasReleasedClaims reports whether a gang has begun its search for room again: it goes before
-// newer ones.
-func (sch *Scheduler) HasReleasedClaims(uid string) bool {
-	g := sch.GangStates[uid]
-	return g != nil && g.Retry.Released
+// launchedAt returns when the gang's workers were let start it.
+func (u *gangUpdate) launchedAt() time.Time {
+	return time.UnixMilli(u.job.Record.AcceptedMS).Add(time.Duration(u.gang.LaunchedS) * time.Second)
 }
 
-// EndedGangAttempts returns the ends of gangs' tasks on machines of own shards.
-func (sch *Scheduler) EndedGangAttempts(now time.Time) map[schema.RangeID][]agent.EndedTask {
-	all := sch.agents.EndedTasks(now)
-	maps.DeleteFunc(all, func(k schema.RangeID, _ []agent.EndedTask) bool { return !sch.cache.Jobs[k.UID].IsGang() })
-	return all
+// isGathering reports whether the workers may still wait for all tasks of the attempt: none
+// was seen running, and it was launched a short time ago.
+func (u *gangUpdate) isGathering() bool {
+	s := u.scheduler
+	if s.agents.RunningGangs[u.job.Record.Spec.UID] == u.gang.Attempt {
+		return false
+	}
+	return u.now.Sub(u.launchedAt()) < s.node.Settings.GangGatherTimeout()/2
 }
 
-// UpdateGang adds to a transaction what is to become of a gang. It reports whether it did
-// anything.
-func (sch *Scheduler) UpdateGang(e *schema.Editor, j *statecache.Job, ends []agent.EndedTask, now time.Time) bool {
-	uid, m := j.Record.Spec.UID, j.Record
-	g := *m.Gang // as it will be
-	launched := time.UnixMilli(m.AcceptedMS).Add(time.Duration(g.LaunchedS) * time.Second)
-	gathering := sch.agents.RunningGangs[uid] != g.Attempt && now.Sub(launched) < sch.node.Settings.GangGatherTimeout()/2
-	for _, x := range ends {
-		how := x.End.Reason
-		if how == job.ExitDone && m.Cancelled {
-			how = job.ExitLost // its user was told that it is cancelled
+// noteEnds works the ends of tasks into the gang's state.
+func (u *gangUpdate) noteEnds() {
+	gathering := u.isGathering()
+	for _, ended := range u.ends {
+		reason := ended.End.Reason
+		if reason == job.ExitDone && u.job.Record.Cancelled {
+			reason = job.ExitLost // its user was told that it is cancelled
 		}
-		g.TaskEnded(x.End.Attempt, how, gathering)
+		u.gang.TaskEnded(ended.End.Attempt, reason, gathering)
 	}
-	if g.Done && !m.Gang.Done {
-		sch.node.Log.Info("job done", "job", uid)
-		if m.Inline && (len(ends) == j.CountPlaced() || !sch.capacity.CountsAgainstQuota(j)) {
-			e.Archive(j, job.FinalState{Phase: api.Done, Done: m.Spec.Tasks})
-			return true
-		}
-		// It is called done from now on, though not all of its records are gone yet.
+}
+
+// archive replaces the records of a gang that is done by its final state, and reports whether it
+// could: all its tasks have to be heard of if they count against a quota.
+func (u *gangUpdate) archive() bool {
+	record := u.job.Record
+	heardAll := len(u.ends) == u.job.CountPlaced() || !u.scheduler.accounts.CountsAgainstQuota(u.job)
+	if !record.Inline || !heardAll {
+		return false
 	}
-	led := sch.leadership.Leads(m.Shard)
-	drop := false // claims that are given up: nothing of them was ever started
-	switch j.Record.Gang.Phase(j.CountPlaced()) {
+	u.editor.Archive(u.job, job.FinalState{Phase: api.Done, Done: record.Spec.Tasks})
+	return true
+}
+
+// applyPhase decides by the gang's recorded phase whether its claims are released, or its tasks
+// stopped.
+func (u *gangUpdate) applyPhase() {
+	s, record := u.scheduler, u.job.Record
+	led := s.leadership.Leads(record.Shard)
+	switch record.Gang.Phase(u.job.CountPlaced()) {
 	case job.GangReserving:
-		drop = led && (m.Cancelled || sch.GangsToRelease[uid])
-		delete(sch.GangsToRelease, uid)
+		marked := s.gangs.consumeRelease(record.Spec.UID)
+		u.release = led && (record.Cancelled || marked)
 	case job.GangLaunched:
-		if !m.Cancelled && sch.agents.GangInterruptionIsDue(j) {
-			g.Stopping = true
+		if !record.Cancelled && s.agents.GangInterruptionIsDue(u.job) {
+			u.gang.Stopping = true
 		}
 		// The others wait for a task that was lost before they ran, but not for ever.
-		if led && j.CountPlaced() < m.Spec.Tasks && now.Sub(launched) > sch.node.Settings.GangGatherTimeout()*3/4 {
-			g.Abandon()
+		incomplete := u.job.CountPlaced() < record.Spec.Tasks
+		if led && incomplete && u.now.Sub(u.launchedAt()) > s.node.Settings.GangGatherTimeout()*3/4 {
+			u.gang.Abandon()
 		}
 	}
-	if len(ends) == 0 && !drop && g == *m.Gang {
-		return false
-	}
-	if drop {
-		for _, n := range slices.Sorted(maps.Keys(j.Ranges)) {
-			if e.RangeCost(j, n) > 0 && e.IsFull(e.RangeCost(j, n), 0) {
-				break // the rest in the next round
-			}
-			clear(e.TaskRange(j, n).Placements)
+}
+
+// releaseClaims removes the placements of a gang that was never launched, as many as the
+// transaction takes; the rest follows in the next round.
+func (u *gangUpdate) releaseClaims() {
+	for _, index := range slices.Sorted(maps.Keys(u.job.Ranges)) {
+		if u.isFullFor(index) {
+			break
 		}
-		sch.node.Log.Info("gang claims released", "job", uid, "attempt", g.Attempt)
+		clear(u.editor.TaskRange(u.job, index).Placements)
 	}
-	for _, x := range ends {
-		if e.RangeCost(j, x.Task.RangeIndex) > 0 && e.IsFull(e.RangeCost(j, x.Task.RangeIndex), 0) {
+	u.scheduler.node.Log.Info("gang claims released", "job", u.job.Record.Spec.UID, "attempt", u.gang.Attempt)
+}
+
+// writeEnds removes the placements of tasks that ended, as many as the transaction takes.
+func (u *gangUpdate) writeEnds() {
+	for _, ended := range u.ends {
+		if u.isFullFor(ended.Task.RangeIndex) {
 			break
 		}
-		e.TaskRange(j, x.Task.RangeIndex).EndAttempt(x.Task.Index, x.End.Attempt, false, false)
+		u.editor.TaskRange(u.job, ended.Task.RangeIndex).EndAttempt(ended.Task.Index, ended.End.Attempt, false, false)
 	}
-	e.Record(j).Gang = &g
-	return true
+}
+
+// isFullFor reports whether the transaction has no space for a change of a task range.
+func (u *gangUpdate) isFullFor(rangeIndex int) bool {
+	changes := u.editor.RangeCost(u.job, rangeIndex)
+	return changes > 0 && u.editor.IsFull(changes, 0)
 }
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -10,99 +10,117 @@
 	"violetturn/internal/statecache"
 )
 
-// SchedulableHosts lists the machines with their free room: of own shards as computed, of
-// peers' as their records say.
-func (sch *Scheduler) SchedulableHosts(now time.Time) []*sched.Host {
-	type view struct {
-		own  bool
-		free shard.FreeCapacity // of a peer's shard
-	}
-	shards := map[string]view{}
-	for _, p := range sch.node.Shards {
-		own, rec := sch.cache.Leaders[p].Record, sch.cache.Capacities[p].Record
-		if own == nil || rec == nil {
+// shardView is where a plan reads the free room of a shard's machines.
+type shardView struct {
+	own     bool               // computed from what is placed there
+	offered shard.FreeCapacity // of a peer's shard: what its capacity record offers
+}
+
+// shardViews returns the shards whose machines can take tasks.
+func (s *Scheduler) shardViews() map[string]shardView {
+	views := map[string]shardView{}
+	for _, name := range s.node.Shards {
+		leader, record := s.cache.Leaders[name].Record, s.cache.Capacities[name].Record
+		if leader == nil || record == nil {
 			continue
 		}
-		if sch.leadership.Leads(p) {
-			shards[p] = view{own: true}
-		} else if own.Node != sch.node.Settings.HostName {
-			shards[p] = view{free: rec.Free}
+		if s.leadership.Leads(name) {
+			views[name] = shardView{own: true}
+		} else if leader.Node != s.node.Settings.HostName {
+			views[name] = shardView{offered: record.Free}
 		}
 	}
-	names := sch.cache.MachineNames()
-	room := make([]sched.Host, 0, len(names))
+	return views
+}
+
+// SchedulableHosts lists the machines with their free room, by name: of own shards as computed,
+// of peers' as their capacity records say.
+func (s *Scheduler) SchedulableHosts(now time.Time) []*sched.Host {
+	views := s.shardViews()
+	names := s.cache.MachineNames()
+	hosts := make([]sched.Host, 0, len(names)) // one allocation for all
 	out := make([]*sched.Host, 0, len(names))
-	for _, h := range names {
-		m := sch.cache.Machines[h]
-		v, ok := shards[m.Shard]
+	for _, name := range names {
+		machine := s.cache.Machines[name]
+		view, ok := views[machine.Shard]
 		if !ok {
 			continue
 		}
 		var free, size sched.Resources
-		if v.own {
-			free, size, ok = sch.room.FreeOnMachine(h, now)
+		if view.own {
+			free, size, ok = s.room.FreeOnMachine(name, now)
 		} else {
-			var vec [3]float64
-			vec, ok = v.free[h]
-			free = shard.Unvec(vec)
-			size, _ = sch.catalog.MachineCapacity(m.MachineType)
+			var offered [3]float64
+			offered, ok = view.offered[name]
+			free = shard.Unvec(offered)
+			size, _ = s.catalog.MachineCapacity(machine.MachineType)
 		}
 		if !ok {
 			continue
 		}
-		l := sch.room.LoadOf(h)
-		room = append(
-			room,
-			sched.Host{
-				StartDelayS: sch.room.StartDelay(h, l, now), Name: h, Shard: m.Shard, MachineType: m.MachineType, Zone: m.Zone,
-				Spot: m.Spot, Cap: size, Free: free, Stopping: l.Stopping, Images: sch.cache.Images[h],
-				Services: l.Services, Arrays: l.Arrays,
-			},
-		)
-		out = append(out, &room[len(room)-1])
+		load := s.room.LoadOf(name)
+		hosts = append(hosts, sched.Host{
+			Name:        name,
+			Shard:       machine.Shard,
+			MachineType: machine.MachineType,
+			Zone:        machine.Zone,
+			Spot:        machine.Spot,
+			Cap:         size,
+			Free:        free,
+			Stopping:    load.Stopping,
+			Images:      s.cache.Images[name],
+			Services:    load.Services,
+			Arrays:      load.Arrays,
+			StartDelayS: s.room.StartDelay(name, load, now),
+		})
+		out = append(out, &hosts[len(hosts)-1])
 	}
 	return out
 }
 
 // smallestRequest returns the smallest amounts that any waiting task asks for: a machine
-// with less has no room for anybody.
-func smallestRequest(queue []*QueueEntry) sched.Resources {
-	inf := math.Inf(1)
-	m := sched.Resources{CPUs: inf, GPUs: inf, MemGB: inf}
-	for _, q := range queue {
-		if len(q.Job.PendingTasks()) > 0 {
-			n := statecache.ResourcesOf(&q.Job.Record.Spec)
-			m = sched.Resources{CPUs: min(m.CPUs, n.CPUs), GPUs: min(m.GPUs, n.GPUs), MemGB: min(m.MemGB, n.MemGB)}
+// with less has no room for any.
+func smallestRequest(queue []*queueEntry) sched.Resources {
+	smallest := sched.Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemGB: math.Inf(1)}
+	for _, entry := range queue {
+		if len(entry.job.PendingTasks()) == 0 {
+			continue
+		}
+		need := statecache.ResourcesOf(&entry.job.Record.Spec)
+		smallest = sched.Resources{
+			CPUs:  min(smallest.CPUs, need.CPUs),
+			GPUs:  min(smallest.GPUs, need.GPUs),
+			MemGB: min(smallest.MemGB, need.MemGB),
 		}
 	}
-	return m
+	return smallest
 }
 
 // hostsWithRoom returns the machines that have as much room, by shard.
-func hostsWithRoom(hosts []*sched.Host, n sched.Resources) map[string][]*sched.Host {
-	out := map[string][]*sched.Host{}
-	for _, h := range hosts {
-		if h.Free.Fits(n) {
-			out[h.Shard] = append(out[h.Shard], h)
+func hostsWithRoom(hosts []*sched.Host, need sched.Resources) map[string][]*sched.Host {
+	byShard := map[string][]*sched.Host{}
+	for _, host := range hosts {
+		if host.Free.Fits(need) {
+			byShard[host.Shard] = append(byShard[host.Shard], host)
 		}
 	}
-	return out
+	return byShard
 }
 
-// removeHost takes a machine from a list, which it changes.
-func removeHost(l []*sched.Host, h *sched.Host) []*sched.Host {
-	if i := slices.Index(l, h); i >= 0 {
-		return slices.Delete(l, i, i+1)
+// removeHost removes a machine from a list, which it changes.
+func removeHost(list []*sched.Host, host *sched.Host) []*sched.Host {
+	if i := slices.Index(list, host); i >= 0 {
+		return slices.Delete(list, i, i+1)
 	}
-	return l
+	return list
 }
 
-// releaseStopping adds to what is free on machines the room that tasks on their way out
+// releaseStopping adds to what is free on machines the room that tasks that were told to stop
 // will leave.
 func releaseStopping(hosts []*sched.Host) {
-	for _, h := range hosts {
-		if h.Stopping != (sched.Resources{}) {
-			h.Free = h.Free.Add(h.Stopping)
+	for _, host := range hosts {
+		if host.Stopping != (sched.Resources{}) {
+			host.Free = host.Free.Add(host.Stopping)
 		}
 	}
 }
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -3,134 +3,157 @@
 import (
 	"time"
 
-	"violetturn/internal/api"
 	"violetturn/internal/capacity"
 	"violetturn/internal/recovery"
 	"violetturn/internal/schema"
 	"violetturn/internal/statecache"
 )
 
-// CanStop reports whether a task is still where it was to be stopped.
-func (sch *Scheduler) CanStop(j *statecache.Job, v *statecache.PlacedTask) bool {
-	if j == nil || sch.schema.IsBlocked(j) {
-		return false
-	}
-	p := j.Ranges[v.RangeIndex].Record.PlacementOf(v.Index)
-	return p != nil && p.Attempt == v.Placement.Attempt && !j.MustStop(p)
+// PlacementResult is a transaction that commits placements.
+type PlacementResult struct {
+	Transaction *statecache.Transaction  // nil: there is nothing to commit now
+	Remaining   []capacity.Placement     // those that it has no space for
+	Placed      []PlacementLog           // to be logged once it is committed
+	StopAlone   []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
 }
 
-// HasPendingTasks reports whether a job of an own shard has tasks to place.
-func (sch *Scheduler) HasPendingTasks() bool {
-	for _, j := range sch.cache.Jobs {
-		if !j.Record.Cancelled && len(j.PendingTasks()) > 0 && sch.leadership.Leads(j.Record.Shard) {
-			return true
-		}
+// placementOutcome is what became of a placement that was to be added to a transaction.
+type placementOutcome int
+
+const (
+	placementAdded    placementOutcome = iota
+	placementRefused                   // the plan was older than the state: planned anew
+	placementTooLarge                  // alone it is more than a transaction takes
+	transactionFull
+)
+
+// CanStop reports whether a task is still where it was to be stopped.
+func (s *Scheduler) CanStop(job *statecache.Job, task *statecache.PlacedTask) bool {
+	if job == nil || s.schema.IsBlocked(job) {
+		return false
 	}
-	return false
+	placement := job.Ranges[task.RangeIndex].Record.PlacementOf(task.Index)
+	return placement != nil && placement.Attempt == task.Placement.Attempt && !job.MustStop(placement)
 }
 
 // CountJobs counts the jobs that placements change.
-func CountJobs(l []capacity.Placement) int {
+func CountJobs(placements []capacity.Placement) int {
 	seen := map[string]bool{}
-	for _, x := range l {
-		seen[x.UID] = true
-		for _, v := range x.Victims {
-			seen[v.UID] = true
+	for _, placement := range placements {
+		seen[placement.UID] = true
+		for _, victim := range placement.Victims {
+			seen[victim.UID] = true
 		}
 	}
 	return len(seen)
 }
 
-// addPlacement places a task and tells what to log of it.
-func (sch *Scheduler) addPlacement(e *schema.Editor, j *statecache.Job, x capacity.Placement, now time.Time) []any {
-	r := &j.Record.Spec
-	sch.leadership.Require(e.Txn, j.Record.Shard)
-	e.Txn.Require(statecache.JobKey(r.UID), j.Version)
-	ch := e.TaskRange(j, x.RangeIndex)
-	if r.Together && j.Record.Zone == "" {
-		e.Record(j).Zone = x.Host.Zone
-	}
-	try := ch.Place(x.Index, x.Host.Name, max(0, (now.UnixMilli()-j.Record.AcceptedMS)/1000))
-	return []any{
-		"task", api.TaskName(r.UID, x.RangeIndex*j.Record.RangeSize+x.Index), "attempt", try, "host", x.Host.Name, "shard",
-		x.Host.Shard, "own", x.Host.Shard == j.Record.Shard, "image", r.Image, "warm", x.Host.Images[r.Image],
-	}
-}
-
-// zoneAllows reports whether the job's other tasks leave a zone to one of its tasks;
-// zs keeps what was worked out for each job.
-func (sch *Scheduler) zoneAllows(zs map[string]*ZoneConstraint, j *statecache.Job, x capacity.Placement, admission *recovery.Admission) bool {
-	z := zs[x.UID]
-	if z == nil {
-		z = sch.zoneConstraintOf(j, admission)
-		zs[x.UID] = z
-	}
-	return z.Allows(x.RangeIndex, x.Host.Zone)
+// placementTransaction collects placements for one transaction.
+type placementTransaction struct {
+	scheduler  *Scheduler
+	now        time.Time
+	editor     *schema.Editor
+	claims     *capacity.Claims
+	admission  *recovery.Admission
+	zonesByJob map[string]*zoneConstraint // worked out when first asked for
+	placed     []PlacementLog
 }
 
 // PlacementTransaction commits as many placements as a transaction and the budget take. The
-// plan may be older than the replica, so each is looked at again. A placement that
-// takes the room of others goes together with their marks: the leader's next
-// answer stops the ones and starts the other, instead of a round of commits and
-// reports for each.
-//
-// What has to leave for a placement that alone is more than a transaction takes is
-// given in apart.
-func (sch *Scheduler) PlacementTransaction(
-	todo []capacity.Placement,
-	room int,
-	now time.Time,
-) (t *statecache.Transaction, rest []capacity.Placement, said [][]any, apart []*statecache.PlacedTask) {
-	e := sch.schema.NewRecordEditor()
-	e.MaxChanges = min(e.MaxChanges, room)
-	cl := &capacity.Claims{Accounts: sch.capacity, ByShard: map[string]*capacity.Claim{}}
-	zs := map[string]*ZoneConstraint{}
-	admission := sch.zones.Admission(now)
-	for i, x := range todo {
-		j, more, ok := cl.TryClaim(x, now)
-		if j == nil || !sch.zoneAllows(zs, j, x, admission) {
-			continue
-		}
-		more += e.RangeCost(j, x.RangeIndex)
-		if j.Record.Spec.Together && j.Record.Zone == "" {
-			more++
-		}
-		there := true
-		for _, v := range x.Victims {
-			k := sch.cache.Jobs[v.UID]
-			if there = there && sch.CanStop(k, v); !there {
-				break
-			}
-			more += e.StopCost(k, v)
-		}
-		if !there {
-			continue // the room may be free by now: planned anew
-		}
-		if e.Changes == 0 && len(x.Victims) > 0 && more > sch.schema.TransactionLimits().TxnOps {
-			apart = append(apart, x.Victims...)
-			continue
+// plan may be older than the state, so each is looked at again. A placement that
+// takes the room of others goes together with the marks that stop them: the leader's next
+// response stops the ones and starts the other, instead of a round of commits and
+// heartbeats for each.
+func (s *Scheduler) PlacementTransaction(todo []capacity.Placement, budget int, now time.Time) PlacementResult {
+	t := &placementTransaction{
+		scheduler:  s,
+		now:        now,
+		editor:     s.schema.NewRecordEditor(),
+		claims:     s.accounts.NewClaims(),
+		admission:  s.zones.Admission(now),
+		zonesByJob: map[string]*zoneConstraint{},
+	}
+	t.editor.MaxChanges = min(t.editor.MaxChanges, budget)
+	var result PlacementResult
+	for i := range todo {
+		outcome := t.add(&todo[i])
+		if outcome == placementTooLarge {
+			result.StopAlone = append(result.StopAlone, todo[i].Victims...)
 		}
-		if more > 0 && e.IsFull(more, cl.OtherChanges) {
-			rest = append(rest, todo[i:]...)
+		if outcome == transactionFull {
+			result.Remaining = append(result.Remaining, todo[i:]...)
 			break
 		}
-		ok()
-		line := sch.addPlacement(e, j, x, now)
-		for _, v := range x.Victims {
-			k := sch.cache.Jobs[v.UID]
-			e.StopTask(k, v)
-			line = append(line, "preempts", v.TaskName(k))
+	}
+	if len(t.placed) == 0 {
+		return PlacementResult{StopAlone: result.StopAlone}
+	}
+	transaction := t.editor.Transaction()
+	if t.editor.Outgrown {
+		return PlacementResult{}
+	}
+	t.claims.Write(transaction)
+	result.Transaction, result.Placed = transaction, t.placed
+	return result
+}
+
+// add adds a placement and the stops of the tasks that leave for it, if all of that still holds
+// and there is space.
+func (t *placementTransaction) add(placement *capacity.Placement) placementOutcome {
+	pending := t.claims.Check(*placement, t.now)
+	if pending == nil || !t.zonesOf(pending.Job()).allows(placement.RangeIndex, placement.Host.Zone) {
+		return placementRefused
+	}
+	job := pending.Job()
+	changes := pending.Changes() + t.editor.RangeCost(job, placement.RangeIndex)
+	if job.Record.Spec.Together && job.Record.Zone == "" {
+		changes++
+	}
+	for _, victim := range placement.Victims {
+		victimJob := t.scheduler.cache.Jobs[victim.UID]
+		if !t.scheduler.CanStop(victimJob, victim) {
+			return placementRefused // the room may be free by now
 		}
-		said = append(said, line)
-		zs[x.UID].Add(x.RangeIndex, x.Host.Zone)
+		changes += t.editor.StopCost(victimJob, victim)
+	}
+	if t.editor.Changes == 0 && len(placement.Victims) > 0 && changes > t.scheduler.schema.TransactionLimits().TxnOps {
+		return placementTooLarge
+	}
+	if changes > 0 && t.editor.IsFull(changes, t.claims.Changes()) {
+		return transactionFull
+	}
+	pending.Apply()
+	line := t.place(job, placement)
+	for _, victim := range placement.Victims {
+		victimJob := t.scheduler.cache.Jobs[victim.UID]
+		t.editor.StopTask(victimJob, victim)
+		line.Preempts = append(line.Preempts, victim.TaskName(victimJob))
 	}
-	if len(said) == 0 {
-		return nil, nil, nil, apart
+	t.placed = append(t.placed, line)
+	t.zonesOf(job).add(placement.RangeIndex, placement.Host.Zone)
+	return placementAdded
+}
+
+// place puts a placement into the job's records and returns what to log of it.
+func (t *placementTransaction) place(job *statecache.Job, placement *capacity.Placement) PlacementLog {
+	spec := &job.Record.Spec
+	t.scheduler.leadership.Require(t.editor.Txn, job.Record.Shard)
+	t.editor.Txn.Require(statecache.JobKey(spec.UID), job.Version)
+	taskRange := t.editor.TaskRange(job, placement.RangeIndex)
+	if spec.Together && job.Record.Zone == "" {
+		t.editor.Record(job).Zone = placement.Host.Zone
 	}
-	t = e.Transaction()
-	if e.Outgrown {
-		return nil, nil, nil, nil
+	attempt := taskRange.Place(placement.Index, placement.Host.Name, secondsSinceAccepted(job, t.now))
+	return newPlacementLog(job, placement, attempt)
+}
+
+// zonesOf returns the constraint of a job's zones, with what the transaction places.
+func (t *placementTransaction) zonesOf(job *statecache.Job) *zoneConstraint {
+	uid := job.Record.Spec.UID
+	constraint := t.zonesByJob[uid]
+	if constraint == nil {
+		constraint = t.scheduler.zoneConstraintOf(job, t.admission)
+		t.zonesByJob[uid] = constraint
 	}
-	cl.Write(t)
-	return t, rest, said, apart
+	return constraint
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -6,47 +6,47 @@
 
 	"violetturn/internal/api"
 	"violetturn/internal/estimate"
-	"violetturn/internal/job"
 	"violetturn/internal/sched"
 	"violetturn/internal/statecache"
 )
 
-// MayPreempt reports whether the job takes room from the other one, which PROTOCOL lets both a
-// higher rank and a guarantee do. Between teams the guarantee decides first: what is
-// within one yields to no rank of another team that is beyond its own, or the one would
-// take back by its guarantee what the other took by its rank, again and again.
-func (sch *Scheduler) MayPreempt(q *QueueEntry, v *api.Job, over bool) bool {
-	priority, _ := api.PriorityOf(v.Priority)
-	own := v.Team == q.Job.Record.Spec.Team
-	if priority > q.Priority {
-		return own || q.WithinGuarantee || over
+// mayPreempt reports whether a job may take room from another one, which PROTOCOL lets both a
+// higher priority and a guarantee do. Between teams the guarantee decides first: what is
+// within one yields to no priority of another team that is beyond its own. Otherwise the one
+// would take back by its guarantee what the other took by its priority, again and again.
+func mayPreempt(entry *queueEntry, victim *api.Job, victimBeyondGuarantee bool) bool {
+	priority, _ := api.PriorityOf(victim.Priority)
+	sameTeam := victim.Team == entry.job.Record.Spec.Team
+	if priority > entry.priority {
+		return sameTeam || entry.withinGuarantee || victimBeyondGuarantee
 	}
-	return !own && q.WithinGuarantee && over
+	return !sameTeam && entry.withinGuarantee && victimBeyondGuarantee
 }
 
 // preemption finds tasks to stop for others, within one plan. It looks over the machines
-// once for a kind of job, not for each job and each of its tasks.
+// once for a kind of job, not for each job and each of its tasks. A task that was chosen is a
+// candidate no more.
 type preemption struct {
 	scheduler       *Scheduler
 	now             time.Time
 	hosts           []*sched.Host
 	beyondGuarantee map[string]bool // jobs beyond their teams' guarantees
-	taken           map[*statecache.PlacedTask]bool
-	victimsByKind   map[preemptorKind]*victimHosts
-	victimsOnHost   map[*sched.Host][]*victimHost // of all kinds
+	chosen          map[*statecache.PlacedTask]bool
+	hostsByKind     map[preemptorKind]*victimHosts
+	listsOnHost     map[*sched.Host][]*victimHost // of all kinds
 }
 
 // preemptorKind is what decides which tasks a job may stop.
 type preemptorKind struct {
-	priority  int
-	guarantee bool
-	team      string
+	priority        int
+	withinGuarantee bool
+	team            string
 }
 
 // victimHosts is where a kind of job may stop tasks.
 type victimHosts struct {
-	all  []*victimHost
-	warm map[string][]*victimHost // by image that the machine has, worked out when asked for
+	all     []*victimHost
+	byImage map[string][]*victimHost // those that have an image, worked out when asked for
 }
 
 // victimHost is a machine where stopping tasks would make room.
@@ -60,15 +60,25 @@
 // out anew only when something has changed on the machine.
 type preemptOption struct {
 	*victimHost
-	warm     bool // it has the job's image
+	hasImage bool // the job's
 	selected []sched.Victim
-	cost     float64
+	cost     float64 // seconds of work that are lost
 
-	seenFree       sched.Resources // when take was worked out
+	// The machine when selected was worked out.
+	seenFree       sched.Resources
 	seenCandidates int
 }
 
-// best returns what a task would take there.
+// victimChoice is the tasks that are stopped for another one and their machine; its zero value is
+// that none were found.
+type victimChoice struct {
+	tasks []*statecache.PlacedTask
+	host  *sched.Host
+}
+
+func (c victimChoice) found() bool { return c.tasks != nil }
+
+// best returns what a task would take there, and what that costs.
 func (o *preemptOption) best(need sched.Resources) ([]sched.Victim, float64) {
 	if o.seenCandidates != len(o.candidates) || o.seenFree != o.host.Free {
 		o.seenCandidates, o.seenFree = len(o.candidates), o.host.Free
@@ -78,222 +88,181 @@
 }
 
 // newPreemption begins the search for tasks to stop within one plan.
-func (sch *Scheduler) newPreemption(queue []*QueueEntry, hosts []*sched.Host, now time.Time) *preemption {
-	p := &preemption{scheduler: sch, now: now, hosts: hosts, beyondGuarantee: map[string]bool{}, taken: map[*statecache.PlacedTask]bool{},
-		victimsByKind: map[preemptorKind]*victimHosts{}, victimsOnHost: map[*sched.Host][]*victimHost{}}
-	for _, q := range queue {
-		p.beyondGuarantee[q.UID] = !q.WithinGuarantee
+func (s *Scheduler) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
+	p := &preemption{
+		scheduler:       s,
+		now:             now,
+		hosts:           hosts,
+		beyondGuarantee: map[string]bool{},
+		chosen:          map[*statecache.PlacedTask]bool{},
+		hostsByKind:     map[preemptorKind]*victimHosts{},
+		listsOnHost:     map[*sched.Host][]*victimHost{},
+	}
+	for _, entry := range queue {
+		p.beyondGuarantee[entry.uid] = !entry.withinGuarantee
 	}
 	return p
 }
 
 // hostsFor finds the machines where a kind of job may stop tasks.
-func (p *preemption) hostsFor(q *QueueEntry) *victimHosts {
-	kind := preemptorKind{q.Priority, q.WithinGuarantee, q.Job.Record.Spec.Team}
-	found := p.victimsByKind[kind]
+func (p *preemption) hostsFor(entry *queueEntry) *victimHosts {
+	kind := preemptorKind{priority: entry.priority, withinGuarantee: entry.withinGuarantee, team: entry.job.Record.Spec.Team}
+	found := p.hostsByKind[kind]
 	if found != nil {
 		return found
 	}
-	found = &victimHosts{warm: map[string][]*victimHost{}}
-	p.victimsByKind[kind] = found
-	for _, h := range p.hosts {
-		if !p.mayHoldVictims(q, h) {
+	found = &victimHosts{byImage: map[string][]*victimHost{}}
+	p.hostsByKind[kind] = found
+	for _, host := range p.hosts {
+		if !p.mayHoldVictims(entry, host) {
 			continue
 		}
-		if v := p.victimsOn(q, h); len(v.candidates) > 0 {
-			found.all = append(found.all, v)
-			p.victimsOnHost[h] = append(p.victimsOnHost[h], v)
+		if victims := p.victimsOn(entry, host); len(victims.candidates) > 0 {
+			found.all = append(found.all, victims)
+			p.listsOnHost[host] = append(p.listsOnHost[host], victims)
 		}
 	}
 	return found
 }
 
-// mayHoldVictims tells, from the sums by rank alone, whether a machine may hold tasks that
-// the job can stop: with a guarantee it may stop work of any rank.
-func (p *preemption) mayHoldVictims(q *QueueEntry, h *sched.Host) bool {
-	staying := p.scheduler.room.LoadOf(h.Name).RunningByPriority[:]
-	return q.WithinGuarantee || slices.ContainsFunc(
-		staying[min(q.Priority+1, len(staying)):],
-		func(r sched.Resources) bool { return r != sched.Resources{} },
-	)
+// mayHoldVictims reports, from the sums by priority alone, whether a machine may hold tasks that
+// the job can stop: with a guarantee it may stop work of any priority.
+func (p *preemption) mayHoldVictims(entry *queueEntry, host *sched.Host) bool {
+	if entry.withinGuarantee {
+		return true
+	}
+	running := p.scheduler.room.LoadOf(host.Name).RunningByPriority[:]
+	lower := running[min(entry.priority+1, len(running)):]
+	return slices.ContainsFunc(lower, func(used sched.Resources) bool { return used != sched.Resources{} })
 }
 
 // victimsOn lists the tasks on a machine that the job may stop.
-func (p *preemption) victimsOn(q *QueueEntry, h *sched.Host) *victimHost {
-	v := &victimHost{host: h}
-	only := p.scheduler.newestOverplaced(h)
-	for id, pl := range p.scheduler.cache.Placements[h.Name] {
-		j := p.scheduler.cache.Jobs[pl.UID]
+func (p *preemption) victimsOn(entry *queueEntry, host *sched.Host) *victimHost {
+	victims := &victimHost{host: host}
+	only := p.scheduler.newestOverplaced(host)
+	for id, task := range p.scheduler.cache.Placements[host.Name] {
+		job := p.scheduler.cache.Jobs[task.UID]
 		switch {
-		case j == nil, only != nil && only != pl, j.MustStop(pl.Placement), p.taken[pl]:
-		case !p.scheduler.MayPreempt(q, &j.Record.Spec, p.beyondGuarantee[pl.UID]), p.scheduler.agents.IsCompleted(h.Name, id, pl):
+		case job == nil, only != nil && only != task, job.MustStop(task.Placement), p.chosen[task]:
+		case !mayPreempt(entry, &job.Record.Spec, p.beyondGuarantee[task.UID]), p.scheduler.agents.IsCompleted(host.Name, id, task):
 		default:
-			cost := p.scheduler.lostWork(h.Name, j, pl, p.now)
-			v.candidates = append(v.candidates, sched.Victim{Task: id, Room: statecache.ResourcesOf(&j.Record.Spec), Cost: cost, Ref: len(v.tasks)})
-			v.tasks = append(v.tasks, pl)
+			victims.candidates = append(victims.candidates, sched.Victim{
+				Task: id,
+				Room: statecache.ResourcesOf(&job.Record.Spec),
+				Cost: p.scheduler.lostWork(host.Name, job, task, p.now),
+				Ref:  len(victims.tasks),
+			})
+			victims.tasks = append(victims.tasks, task)
 		}
 	}
-	return v
+	return victims
 }
 
 // withImage returns the machines that have an image.
 func (v *victimHosts) withImage(image string) []*victimHost {
-	warm, known := v.warm[image]
+	hosts, known := v.byImage[image]
 	if !known {
-		for _, x := range v.all {
-			if x.host.Images[image] {
-				warm = append(warm, x)
+		for _, victims := range v.all {
+			if victims.host.Images[image] {
+				hosts = append(hosts, victims)
 			}
 		}
-		v.warm[image] = warm
+		v.byImage[image] = hosts
 	}
-	return warm
+	return hosts
 }
 
 // search returns machines where stopping tasks would make room for one of the job's, a
 // bounded number of them: first those that have its image, then any, from a random one on.
-func (p *preemption) search(q *QueueEntry, a *sched.TaskRequest, most int) []*preemptOption {
-	hosts := p.hostsFor(q)
+func (p *preemption) search(entry *queueEntry, request *sched.TaskRequest, most int) []*preemptOption {
+	hosts := p.hostsFor(entry)
 	var found []*preemptOption
-	for _, from := range [][]*victimHost{hosts.withImage(a.Image), hosts.all} {
+	for _, from := range [][]*victimHost{hosts.withImage(request.Image), hosts.all} {
 		if len(from) == 0 {
 			continue
 		}
 		first := p.scheduler.node.Random.IntN(len(from))
-		warmFound := len(found) > 0 // those are not to come twice
+		imageTried := len(found) > 0 // those with the image are not to come twice
 		for i := 0; i < len(from) && len(found) < most; i++ {
-			v := from[(first+i)%len(from)]
-			warm := v.host.Images[a.Image]
-			if warmFound && warm || !a.Allows(v.host.MachineType, v.host.Zone, v.host.Spot) {
+			victims := from[(first+i)%len(from)]
+			host := victims.host
+			hasImage := host.Images[request.Image]
+			if imageTried && hasImage || !request.Allows(host.MachineType, host.Zone, host.Spot) {
 				continue
 			}
-			if v = p.allowed(q, v); v == nil {
+			victims = p.allowedByPolicy(entry, victims)
+			if len(victims.candidates) == 0 {
 				continue
 			}
-			o := &preemptOption{victimHost: v, warm: warm}
-			if take, _ := o.best(a.Need); take != nil {
-				found = append(found, o)
+			option := &preemptOption{victimHost: victims, hasImage: hasImage}
+			if selected, _ := option.best(request.Need); selected != nil {
+				found = append(found, option)
 			}
 		}
 	}
 	return found
 }
 
-// allowed narrows a machine's candidates to what the operators' policy lets the job stop;
-// nil if nothing is left.
-func (p *preemption) allowed(q *QueueEntry, v *victimHost) *victimHost {
-	if p.scheduler.node.Policy.RestrictsPreemption() {
-		forbidden := func(x sched.Victim) bool {
-			j := p.scheduler.cache.Jobs[v.tasks[x.Ref].UID]
-			priority, _ := api.PriorityOf(j.Record.Spec.Priority)
-			return !p.scheduler.node.Policy.Preempt(q.variables, p.scheduler.policyVariables(j, priority, !p.beyondGuarantee[j.Record.Spec.UID], p.now), x.Cost)
-		}
-		v = &victimHost{host: v.host, tasks: v.tasks, candidates: slices.DeleteFunc(slices.Clone(v.candidates), forbidden)}
-		p.victimsOnHost[v.host] = append(p.victimsOnHost[v.host], v)
+// allowedByPolicy restricts a machine's candidates to what the operators' policy lets the job
+// stop.
+func (p *preemption) allowedByPolicy(entry *queueEntry, victims *victimHost) *victimHost {
+	if !p.scheduler.node.Policy.RestrictsPreemption() {
+		return victims
 	}
-	if len(v.candidates) == 0 {
-		return nil
+	forbidden := func(victim sched.Victim) bool {
+		job := p.scheduler.cache.Jobs[victims.tasks[victim.Ref].UID]
+		priority, _ := api.PriorityOf(job.Record.Spec.Priority)
+		guaranteed := !p.beyondGuarantee[job.Record.Spec.UID]
+		variables := p.scheduler.policyVariables(job, priority, guaranteed, p.now)
+		return !p.scheduler.node.Policy.Preempt(entry.variables, variables, victim.Cost)
 	}
-	return v
-}
-
-// newestOverplaced returns the task that was last placed on a peer's machine where more is
-// placed than there is room for: some have completed and others have taken their
-// room, but the ends are not committed yet and only the leader knows which. The
-// newest is the one that is surely there. It returns nil where all are.
-func (sch *Scheduler) newestOverplaced(h *sched.Host) *statecache.PlacedTask {
-	if sch.leadership.Leads(h.Shard) {
-		return nil
+	allowed := &victimHost{
+		host:       victims.host,
+		tasks:      victims.tasks,
+		candidates: slices.DeleteFunc(slices.Clone(victims.candidates), forbidden),
 	}
-	used := h.Free
-	var newest *statecache.PlacedTask
-	last := int64(0)
-	for _, pl := range sch.cache.Placements[h.Name] {
-		j := sch.cache.Jobs[pl.UID]
-		if j == nil {
-			continue
-		}
-		used = used.Add(statecache.ResourcesOf(&j.Record.Spec))
-		if at := j.Record.AcceptedMS/1000 + pl.Placement.PlacedS; newest == nil || at > last {
-			newest, last = pl, at
-		}
-	}
-	if h.Cap.Fits(used) {
-		return nil
-	}
-	return newest
+	p.listsOnHost[allowed.host] = append(p.listsOnHost[allowed.host], allowed)
+	return allowed
 }
 
-// victims picks what to stop for a task: on one machine, losing least and no more
+// choose picks what to stop for a task: on one machine, losing least and no more
 // than most.
-func (p *preemption) victims(options []*preemptOption, a *sched.TaskRequest, most float64) ([]*statecache.PlacedTask, *sched.Host) {
+func (p *preemption) choose(options []*preemptOption, request *sched.TaskRequest, most float64) victimChoice {
 	var best *preemptOption
 	bestCost := 0.0
-	for _, o := range options {
-		if !a.Allows(o.host.MachineType, o.host.Zone, o.host.Spot) || a.RequireImage && !o.warm {
+	for _, option := range options {
+		host := option.host
+		if !request.Allows(host.MachineType, host.Zone, host.Spot) || request.RequireImage && !option.hasImage {
 			continue
 		}
-		take, cost := o.best(a.Need)
-		if !o.warm {
-			cost += a.FetchS // the task waits for its image there
-			if a.PreferImage {
-				cost += estimate.UnlimitedSeconds // and misses its aim: any machine that has it is better
+		selected, cost := option.best(request.Need)
+		if !option.hasImage {
+			cost += request.FetchS // the task waits for its image there
+			if request.PreferImage {
+				cost += estimate.UnlimitedSeconds // and misses its objective: any machine that has it is better
 			}
 		}
-		if take != nil && cost <= most && (best == nil || cost < bestCost) {
-			best, bestCost = o, cost
+		if selected != nil && cost <= most && (best == nil || cost < bestCost) {
+			best, bestCost = option, cost
 		}
 	}
 	if best == nil {
-		return nil, nil
+		return victimChoice{}
 	}
-	return p.claimVictims(best), best.host
+	return victimChoice{tasks: p.claim(best), host: best.host}
 }
 
-// claimVictims takes an option, so that its tasks are no candidates any more.
-func (p *preemption) claimVictims(o *preemptOption) []*statecache.PlacedTask {
+// claim chooses an option's tasks, so that they are no candidates any more.
+func (p *preemption) claim(option *preemptOption) []*statecache.PlacedTask {
 	var tasks []*statecache.PlacedTask
-	for _, v := range o.selected {
-		tasks = append(tasks, o.tasks[v.Ref])
-		p.taken[o.tasks[v.Ref]] = true
+	for _, victim := range option.selected {
+		task := option.tasks[victim.Ref]
+		tasks = append(tasks, task)
+		p.chosen[task] = true
 	}
-	for _, v := range p.victimsOnHost[o.host] {
-		v.candidates = slices.DeleteFunc(v.candidates, func(x sched.Victim) bool { return p.taken[v.tasks[x.Ref]] })
+	for _, victims := range p.listsOnHost[option.host] {
+		chosen := func(victim sched.Victim) bool { return p.chosen[victims.tasks[victim.Ref]] }
+		victims.candidates = slices.DeleteFunc(victims.candidates, chosen)
 	}
 	return tasks
 }
-
-// lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
-// went with its zone and has not started again.
-func (sch *Scheduler) lostWork(host string, j *statecache.Job, pl *statecache.PlacedTask, now time.Time) float64 {
-	s := sch.agents.ByHost[host]
-	if s == nil || s.Heartbeat == nil || !sch.zones.IsHeldBack(host, pl, j, now) {
-		return lostSeconds(j, pl.Placement, now)
-	}
-	name := pl.TaskName(j)
-	there := slices.ContainsFunc(
-		s.Heartbeat.Tasks,
-		func(t api.TaskState) bool { return t.Task == name && t.Attempt == pl.Placement.Attempt },
-	)
-	if there {
-		return lostSeconds(j, pl.Placement, now)
-	}
-	return 0
-}
-
-// lostSeconds estimates the work that stopping a task loses, in seconds.
-func lostSeconds(j *statecache.Job, p *job.Placement, now time.Time) float64 {
-	r := &j.Record.Spec
-	run := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(p.PlacedS), 0)
-	saved := r.CheckpointS > 0
-	if saved { // what it saves before it leaves is not lost
-		run = min(run, r.SaveS) + run/1000
-	}
-	switch {
-	case j.IsGang(): // all of its tasks stop with it, and start anew together
-		return float64(r.Tasks) * (run + r.SaveS + 1)
-	case saved:
-		return run
-	}
-	return run + 1
-}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,7 +15,9 @@
 	"violetturn/internal/zonestate"
 )
 
-// Scheduler is what the scheduler remembers between plans.
+// Scheduler plans where tasks go and prepares the transactions that commit it. Between plans it
+// remembers how each gang's search for room goes, which jobs wait after failures, and the
+// newest plan. The lock of internal/state guards it.
 type Scheduler struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -26,18 +28,16 @@
 	room       *capacity.Room
 	estimates  *estimate.Estimates
 	zones      *zonestate.Zones
-	capacity   *capacity.Accounts
+	accounts   *capacity.Accounts
 	wake       notify.Signal
 
-	GangStates     map[string]*gangState
-	GangsToRelease map[string]bool      // gangs whose claims are to be released
-	RetryAt        map[string]time.Time // jobs that failed, when they are tried again
-	ErrorsSeen     map[string]int
-	lastPlan       lastPlan      // for the next round of rentals
-	PlanningTime   time.Duration // processor time of plans since the last decision
+	gangs        gangTable
+	backoffs     backoffTable
+	lastPlan     lastPlan
+	planningTime time.Duration // processor time of plans since ResetPlanningTime
 }
 
-// Deps is what a scheduler rests on.
+// Deps is what a scheduler reads.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -52,11 +52,46 @@
 	Wake       notify.Signal
 }
 
+// New returns a scheduler that has planned nothing yet.
 func New(d Deps) *Scheduler {
 	return &Scheduler{
-		node: d.Node, cache: d.Cache, schema: d.Schema, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents,
-		room: d.Room, estimates: d.Estimates, zones: d.Zones, capacity: d.Capacity, wake: d.Wake,
-		GangStates: map[string]*gangState{}, GangsToRelease: map[string]bool{},
-		RetryAt: map[string]time.Time{}, ErrorsSeen: map[string]int{},
+		node:       d.Node,
+		cache:      d.Cache,
+		schema:     d.Schema,
+		leadership: d.Leadership,
+		catalog:    d.Catalog,
+		agents:     d.Agents,
+		room:       d.Room,
+		estimates:  d.Estimates,
+		zones:      d.Zones,
+		accounts:   d.Capacity,
+		wake:       d.Wake,
+		gangs:      newGangTable(),
+		backoffs:   backoffTable{},
 	}
 }
+
+// HasPendingTasks reports whether a job of an own shard has tasks to place.
+func (s *Scheduler) HasPendingTasks() bool {
+	for _, job := range s.cache.Jobs {
+		if !job.Record.Cancelled && len(job.PendingTasks()) > 0 && s.leadership.Leads(job.Record.Shard) {
+			return true
+		}
+	}
+	return false
+}
+
+// DropFinishedJobs drops what is remembered of jobs that no longer exist.
+func (s *Scheduler) DropFinishedJobs() {
+	exists := func(uid string) bool { return s.cache.Jobs[uid] != nil }
+	s.backoffs.dropExcept(exists)
+	s.gangs.dropExcept(exists)
+}
+
+// ResetPlanningTime returns the processor time that plans took since the last call, and begins
+// anew.
+func (s *Scheduler) ResetPlanningTime() time.Duration {
+	spent := s.planningTime
+	s.planningTime = 0
+	return spent
+}
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -6,61 +6,72 @@
 	"violetturn/internal/zonestate"
 )
 
-// ZoneConstraint follows where the tasks of a job are or will be, for jobs that are to
-// go together or be spread. A job of several task ranges is spread task range by
-// task range: task ranges are of even size, so that half of each is half of all.
-type ZoneConstraint struct {
-	Job         *statecache.Job
-	zone        string // of a job that goes together
-	TasksByZone map[int]map[string]int
-	admission   *zonestate.JobAdmission // of zones that return, for work below production; nil: all are open
+// zoneConstraint follows which zones the tasks of a job are or will be in, and which zones that
+// leaves to the others: for jobs whose tasks go to one zone together, and jobs that are spread
+// over zones. A job of several task ranges is spread task range by task range: they are of even
+// size, so that half of each is half of all.
+type zoneConstraint struct {
+	job       *statecache.Job
+	zone      string                  // of a job whose tasks go together; "": not chosen yet
+	tasks     map[int]map[string]int  // placed and planned tasks, by spread group and zone
+	admission *zonestate.JobAdmission // to zones that are down or recovering; nil: all are open
 }
 
-// zoneConstraintOf returns the zones of a job; admission tells what it may take of those that return.
-func (sch *Scheduler) zoneConstraintOf(j *statecache.Job, admission *recovery.Admission) *ZoneConstraint {
-	z := &ZoneConstraint{Job: j, zone: j.Record.Zone, TasksByZone: map[int]map[string]int{}, admission: sch.zones.AdmissionOf(j, admission)}
-	if j.IsGang() && j.CountPlaced() == 0 {
-		z.zone = "" // nothing binds its next attempt
+// zoneConstraintOf returns the constraint of a job as it is placed now; admission says what work
+// below production may take of zones that are down or recovering.
+func (s *Scheduler) zoneConstraintOf(job *statecache.Job, admission *recovery.Admission) *zoneConstraint {
+	constraint := &zoneConstraint{
+		job:       job,
+		zone:      job.Record.Zone,
+		tasks:     map[int]map[string]int{},
+		admission: s.zones.AdmissionOf(job, admission),
 	}
-	if j.Record.Spec.Spread {
-		for n, ch := range j.Ranges {
-			for _, p := range ch.Record.Placements {
-				if h := sch.cache.Machines[p.Host]; h != nil {
-					z.count(n, h.Zone)
-				}
+	if job.IsGang() && job.CountPlaced() == 0 {
+		constraint.zone = "" // nothing binds its next attempt
+	}
+	if !job.Record.Spec.Spread {
+		return constraint
+	}
+	for index, taskRange := range job.Ranges {
+		for _, placement := range taskRange.Record.Placements {
+			if machine := s.cache.Machines[placement.Host]; machine != nil {
+				constraint.count(index, machine.Zone)
 			}
 		}
 	}
-	return z
+	return constraint
 }
 
-// Add notes that a task of a task range goes to a zone.
-func (z *ZoneConstraint) Add(chunk int, zone string) {
-	z.count(chunk, zone)
-	z.admission.Admit(zone)
+// add notes that a task of a task range is planned in a zone.
+func (c *zoneConstraint) add(rangeIndex int, zone string) {
+	c.count(rangeIndex, zone)
+	c.admission.Admit(zone)
 }
 
 // count notes that a task of a task range is in a zone.
-func (z *ZoneConstraint) count(chunk int, zone string) {
-	if z.Job.Record.Spec.Together && z.zone == "" {
-		z.zone = zone
+func (c *zoneConstraint) count(rangeIndex int, zone string) {
+	if c.job.Record.Spec.Together && c.zone == "" {
+		c.zone = zone
 	}
-	g, _ := z.Job.Record.SpreadGroup(chunk)
-	if z.TasksByZone[g] == nil {
-		z.TasksByZone[g] = map[string]int{}
+	group, _ := c.job.Record.SpreadGroup(rangeIndex)
+	if c.tasks[group] == nil {
+		c.tasks[group] = map[string]int{}
 	}
-	z.TasksByZone[g][zone]++
+	c.tasks[group][zone]++
 }
 
-// Allows reports whether a task of a task range may go to a zone.
-func (z *ZoneConstraint) Allows(chunk int, zone string) bool {
-	r := &z.Job.Record.Spec
-	if !z.admission.Admits(zone) {
+// allows reports whether a task of a task range may go to a zone.
+func (c *zoneConstraint) allows(rangeIndex int, zone string) bool {
+	spec := &c.job.Record.Spec
+	if !c.admission.Admits(zone) {
 		return false
 	}
-	if r.Together && z.zone != "" && z.zone != zone {
+	if spec.Together && c.zone != "" && c.zone != zone {
 		return false
 	}
-	g, n := z.Job.Record.SpreadGroup(chunk)
-	return !r.Spread || z.TasksByZone[g][zone] < (n+1)/2
+	if !spec.Spread {
+		return true
+	}
+	group, size := c.job.Record.SpreadGroup(rangeIndex)
+	return c.tasks[group][zone] < (size+1)/2
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -101,7 +101,7 @@
 }
 
 // JobAdded notes a job that has appeared, for what is expected of its class.
-func (s *State) JobAdded(record *job.Record) { s.Capacity.NoteArrival(record) }
+func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
 // JobEnded remembers how a job ended.
 func (s *State) JobEnded(uid string, final job.FinalState) {
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -12,195 +12,152 @@
 	"violetturn/internal/zonehealth"
 )
 
-// JobAdmission is what a job below production may take of zones that return. A nil one lets
-// everything in.
+// JobAdmission is what a job below production may take of zones that are down or recovering. A
+// nil one admits everything.
 type JobAdmission struct {
 	admission    *recovery.Admission
 	machineShare float64 // of a machine that one of its tasks takes
 }
 
-func (g *JobAdmission) Admits(zone string) bool {
-	return g == nil || g.admission.Admits(zone, g.machineShare)
+// Admits reports whether a task of the job may go to a zone.
+func (a *JobAdmission) Admits(zone string) bool {
+	return a == nil || a.admission.Admits(zone, a.machineShare)
 }
 
-func (g *JobAdmission) Admit(zone string) {
-	if g != nil {
-		g.admission.Admit(zone, g.machineShare)
+// Admit counts a task of the job that goes to a zone.
+func (a *JobAdmission) Admit(zone string) {
+	if a != nil {
+		a.admission.Admit(zone, a.machineShare)
 	}
 }
 
 // Trial returns an admission to try things on.
-func (g *JobAdmission) Trial() *recovery.Admission {
-	if g == nil {
+func (a *JobAdmission) Trial() *recovery.Admission {
+	if a == nil {
 		return nil
 	}
-	return g.admission.Copy()
+	return a.admission.Copy()
 }
 
-// AdmissionOf returns the gate of a job; nil if nothing restricts it.
-func (zs *Zones) AdmissionOf(j *statecache.Job, admission *recovery.Admission) *JobAdmission {
-	return zs.AdmissionOfSpec(&j.Record.Spec, admission)
+// AdmissionOf returns what a job may take; nil if nothing restricts it.
+func (z *Zones) AdmissionOf(job *statecache.Job, admission *recovery.Admission) *JobAdmission {
+	return z.AdmissionOfSpec(&job.Record.Spec, admission)
 }
 
-// AdmissionOfSpec is the same for a job that is only described.
-func (zs *Zones) AdmissionOfSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
-	if admission == nil {
-		return nil
-	}
-	if priority, _ := api.PriorityOf(spec.Priority); priority == ProductionPriority {
+// AdmissionOfSpec is AdmissionOf for a job that is only described.
+func (z *Zones) AdmissionOfSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
+	if admission == nil || isProduction(spec) {
 		return nil
 	}
 	size := statecache.ResourcesOf(spec)
+	types := z.catalog.MachineTypes()
 	allowed := func(i int) bool {
-		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, zs.catalog.MachineTypes[i].Name)
+		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, types[i].Name)
 	}
 	if !admission.Competes(size, allowed) {
 		return nil
 	}
-	return &JobAdmission{admission, recovery.MachineShare(size, zs.catalog.MachineSizes())}
+	return &JobAdmission{admission: admission, machineShare: recovery.MachineShare(size, z.catalog.MachineSizes())}
 }
 
 // Admission returns what work below production may take of zones that are down or recovering;
-// nil if none is, or the feature is off. It follows from what all controllers replicate, so
-// that all of them, whoever owns the machines, act alike.
-func (zs *Zones) Admission(now time.Time) *recovery.Admission {
-	if len(zs.cache.Zones) == 0 || !zs.schema.FeatureEnabled(features.ZoneRecoveryName) {
+// nil if none is, or the feature is off.
+func (z *Zones) Admission(now time.Time) *recovery.Admission {
+	if len(z.cache.Zones) == 0 || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
-	limits := zs.zoneLimits()
 	zones := map[string]*recovery.Zone{}
-	for id := range zs.cache.Zones {
-		r := zs.RestrictedZone(statecache.ZoneOfID(id), now)
-		if r == nil {
-			continue
+	for id := range z.cache.Zones {
+		name := statecache.ZoneOfID(id)
+		if record := z.RestrictedZone(name, now); record != nil {
+			zones[name] = z.recoveryOf(name, record, now)
 		}
-		lasted := now.Sub(time.UnixMilli(r.SinceMS))
-		z := &recovery.Zone{SlowStartShare: r.AdmissionShare(now, limits), MachinesBefore: float64(r.MachinesBefore), ReservableShare: 1}
-		if r.State == zonehealth.Recovering && lasted.Seconds() >= zs.node.Features.ZoneRecovery.ProgressAfter*zs.node.Settings.WorkerLease().Seconds() {
-			z.ReservableShare = 1 - zs.node.Features.ZoneRecovery.ProgressShare
-		}
-		z.Waiting = zs.waitingProduction(statecache.ZoneOfID(id), r)
-		zones[statecache.ZoneOfID(id)] = z
 	}
 	if len(zones) == 0 {
 		return nil
 	}
-	zs.countAdmitted(zones)
-	return recovery.NewAdmission(zones, zs.protectedSizes(zones), zs.catalog.MachineSizes())
+	z.countAdmitted(zones)
+	return recovery.NewAdmission(zones, z.protectedSizes(zones), z.catalog.MachineSizes())
+}
+
+// recoveryOf returns how far the recovery of a zone is.
+func (z *Zones) recoveryOf(name string, record *zonehealth.Record, now time.Time) *recovery.Zone {
+	zone := &recovery.Zone{
+		SlowStartShare:  record.AdmissionShare(now, z.limits()),
+		MachinesBefore:  float64(record.MachinesBefore),
+		ReservableShare: 1,
+		Waiting:         z.waitingProduction(name, record),
+	}
+	settings := &z.node.Features.ZoneRecovery
+	lasted := now.Sub(time.UnixMilli(record.SinceMS)).Seconds()
+	if record.State == zonehealth.Recovering && lasted >= settings.ProgressAfter*z.node.Settings.WorkerLease().Seconds() {
+		zone.ReservableShare = 1 - settings.ProgressShare
+	}
+	return zone
 }
 
-// waitingProduction returns the production tasks that wait for lost machines of a zone: of own shards
-// as last seen, of peers' as they told.
-func (zs *Zones) waitingProduction(zone string, r *zonehealth.Record) []zonehealth.Demand {
-	var needs []zonehealth.Demand
-	own := zs.View.Observations[zone]
-	for p, s := range r.Observations {
-		if _, led := own[p]; !led || !zs.leadership.Leads(p) {
-			needs = append(needs, s.Waiting...)
+// waitingProduction returns the production tasks that wait for lost machines of a zone: of own
+// shards as last observed, of peers' as they recorded.
+func (z *Zones) waitingProduction(zone string, record *zonehealth.Record) []zonehealth.Demand {
+	var waiting []zonehealth.Demand
+	own := z.observations[zone]
+	for shardName, observation := range record.Observations {
+		if _, observed := own[shardName]; !observed || !z.leadership.Leads(shardName) {
+			waiting = append(waiting, observation.Waiting...)
 		}
 	}
-	for p, s := range own {
-		if zs.leadership.Leads(p) {
-			needs = append(needs, s.Waiting...)
+	for shardName, observation := range own {
+		if z.leadership.Leads(shardName) {
+			waiting = append(waiting, observation.Waiting...)
 		}
 	}
-	return needs
+	return waiting
 }
 
 // countAdmitted counts what work below production has taken of zones since they came back.
 // What was placed before and went on is not counted.
-func (zs *Zones) countAdmitted(zones map[string]*recovery.Zone) {
-	types := zs.catalog.MachineSizes()
-	for host, on := range zs.cache.Placements {
-		m := zs.cache.Machines[host]
-		if m == nil || zones[m.Zone] == nil {
+func (z *Zones) countAdmitted(zones map[string]*recovery.Zone) {
+	sizes := z.catalog.MachineSizes()
+	for host, tasks := range z.cache.Placements {
+		machine := z.cache.Machines[host]
+		if machine == nil || zones[machine.Zone] == nil {
 			continue
 		}
-		since := zs.cache.Zones[statecache.ZoneID(m.Zone)].Record.SinceMS
-		for _, pl := range on {
-			j := zs.cache.Jobs[pl.UID]
-			if j == nil {
+		since := z.cache.Zones[statecache.ZoneID(machine.Zone)].Record.SinceMS
+		for _, task := range tasks {
+			job := z.cache.Jobs[task.UID]
+			if job == nil || isProduction(&job.Record.Spec) {
 				continue
 			}
-			priority, _ := api.PriorityOf(j.Record.Spec.Priority)
-			if priority != ProductionPriority && j.PlacedAtMS(pl) >= since {
-				zones[m.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&j.Record.Spec), types)
+			if job.PlacedAtMS(task) >= since {
+				zones[machine.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&job.Record.Spec), sizes)
 			}
 		}
 	}
 }
 
-// IsHeldBack reports whether a task below production that its machine no longer has, and that
-// went when its zone went down, does not start again in place yet. All at once they would
-// fill the zone ahead of production work whose machines have not returned. A gang is one
-// whole: it ends and starts anew by its own rules.
-func (zs *Zones) IsHeldBack(host string, pl *statecache.PlacedTask, j *statecache.Job, now time.Time) bool {
-	m := zs.cache.Machines[host]
-	if len(zs.cache.Zones) == 0 || m == nil || j.IsGang() {
-		return false
-	}
-	priority, _ := api.PriorityOf(j.Record.Spec.Priority)
-	r := zs.RestrictedZone(m.Zone, now)
-	return r != nil && priority != ProductionPriority && j.PlacedAtMS(pl) < r.FailedMS && !zs.View.AdmittedMachines[host]
-}
-
-// AdmittedMachines tells on which machines of returning zones tasks start again in place: as large
-// a share of those that are up as the slow start has come to, less what the production work
-// that waits there needs. They open in the order of their names, so that another leader has
-// the same.
-func (zs *Zones) AdmittedMachines(up map[string][]string, now time.Time) map[string]bool {
-	open := map[string]bool{}
-	types := zs.catalog.MachineSizes()
-	for zone, hosts := range up {
-		r := zs.RestrictedZone(zone, now)
-		if r == nil {
-			continue
-		}
-		needed := 0.0 // machines
-		for _, d := range zs.waitingProduction(zone, r) {
-			size := sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]}
-			needed += float64(d.Tasks) * recovery.MachineShare(size, types)
-		}
-		all := float64(max(r.Sum().Up, len(hosts)))
-		share := min(r.AdmissionShare(now, zs.zoneLimits()), max(all-needed, 0)/all, 1)
-		slices.Sort(hosts)
-		for _, host := range hosts[:int(share*float64(len(hosts)))] {
-			open[host] = true
-		}
-	}
-	return open
-}
-
-// RestrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
-// feature is off. It ends also if nobody can write that it does.
-func (zs *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
-	r := zs.cache.Zones[statecache.ZoneID(zone)].Record
-	if r == nil || !r.Restricts() || !zs.schema.FeatureEnabled(features.ZoneRecoveryName) {
-		return nil
-	}
-	if now.Sub(time.UnixMilli(r.SinceMS)) >= zs.zoneLimits().Longest {
-		return nil
-	}
-	return r
-}
-
 // protectedSizes returns the sizes of production tasks.
-func (zs *Zones) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
-	var out []sched.Resources
-	note := func(size sched.Resources) {
-		if !slices.Contains(out, size) {
-			out = append(out, size)
+func (z *Zones) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
+	var sizes []sched.Resources
+	add := func(size sched.Resources) {
+		if !slices.Contains(sizes, size) {
+			sizes = append(sizes, size)
 		}
 	}
-	for _, j := range zs.cache.Jobs {
-		if priority, _ := api.PriorityOf(j.Record.Spec.Priority); priority == ProductionPriority && !j.Record.Cancelled {
-			note(statecache.ResourcesOf(&j.Record.Spec))
+	for _, job := range z.cache.Jobs {
+		if isProduction(&job.Record.Spec) && !job.Record.Cancelled {
+			add(statecache.ResourcesOf(&job.Record.Spec))
 		}
 	}
-	for _, z := range zones {
-		for _, d := range z.Waiting {
-			note(sched.Resources{CPUs: d.Need[0], GPUs: d.Need[1], MemGB: d.Need[2]})
+	for _, zone := range zones {
+		for _, demand := range zone.Waiting {
+			add(sizeOf(demand))
 		}
 	}
-	return out
+	return sizes
+}
+
+// sizeOf returns the size of one task.
+func sizeOf(demand zonehealth.Demand) sched.Resources {
+	return sched.Resources{CPUs: demand.Need[0], GPUs: demand.Need[1], MemGB: demand.Need[2]}
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -11,144 +11,84 @@
 	"violetturn/internal/zonehealth"
 )
 
-// ProductionPriority is the priority of production work.
-const ProductionPriority = 0
+// Observations is what this controller sees of zones, by zone and own shard.
+type Observations map[string]map[string]zonehealth.Observation
 
-// View is what this node sees of zones.
-type View struct {
-	ObservedAt       time.Time                                    // when it last looked
-	Observations     map[string]map[string]zonehealth.Observation // by zone and own shard
-	AdmittedMachines map[string]bool                              // machines of returning zones where tasks start again in place
+// Observed is what a look at all machines of own shards shows.
+type Observed struct {
+	Observations Observations
+	Up           map[string][]string // machines that are up, by zone
 }
 
-// zoneLimits returns the bounds between the states of zones.
-func (zs *Zones) zoneLimits() *zonehealth.Limits {
-	z := &zs.node.Features.ZoneRecovery
-	leases := func(n float64) time.Duration { return time.Duration(n * float64(zs.node.Settings.WorkerLease())) }
-	return &zonehealth.Limits{
-		SuspectShare: z.SuspectShare,
-		DownShare:    z.DownShare,
-		Confirm:      leases(z.Confirm),
-		FirstShare:   z.FirstShare,
-		LeastShare:   z.LeastShare,
-		DoubleEvery:  leases(z.DoubleEvery),
-		Longest:      leases(z.Longest),
-	}
-}
-
-// JudgeZone returns a zone's record as it is to be, and whether that is to be written.
-func (zs *Zones) JudgeZone(zone string, now time.Time) (next zonehealth.Record, changed bool) {
-	limits := zs.zoneLimits()
-	var was zonehealth.Record
-	if v := zs.cache.Zones[statecache.ZoneID(zone)].Record; v != nil {
-		was = *v
-	}
-	owns, seen := false, was
-	for p, observation := range zs.View.Observations[zone] {
-		owns = true
-		old, told := was.Observations[p]
-		if !was.Restricts() && was.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
-			observation = zonehealth.Observation{} // all is well: that needs no record
-		}
-		if told != !observation.Empty() || !observation.Equal(old) {
-			seen, changed = seen.WithObservation(p, observation), true
-		}
-	}
-	if !owns {
-		return was, false
-	}
-	next = seen.Judge(now, zs.hasOutsideObserver(zone, now), limits)
-	return next, changed || next.State != was.State
-}
-
-// hasOutsideObserver reports whether this node can say that a zone is down, not itself cut off: it hears
-// workers now, and it or a peer at home in another zone hears some of another zone.
-func (zs *Zones) hasOutsideObserver(zone string, now time.Time) bool {
-	if !zs.leadership.WorkerHeardSince(now.Add(-2 * zs.node.Settings.HeartbeatInterval())) {
-		return false
-	}
-	for other, observations := range zs.View.Observations {
-		up, lost := 0, 0
-		for _, s := range observations {
-			up, lost = up+s.Up, lost+s.Lost
-		}
-		all := zonehealth.Observation{Up: up, Lost: lost}
-		if other != zone && up > 0 && all.LostShare() < zs.node.Features.ZoneRecovery.SuspectShare {
-			return true
-		}
-	}
-	for _, m := range zs.node.Settings.Members {
-		if n := zs.cache.Nodes[m.HostName].Record; m.Zone != zone && n != nil && n.HearsWorkers {
-			return true
-		}
-	}
-	return false
-}
-
-// ObserveZones looks at the machines of own shards, by zone, and lists those that are up.
-func (zs *Zones) ObserveZones(now time.Time) (out map[string]map[string]zonehealth.Observation, up map[string][]string) {
-	out, up = map[string]map[string]zonehealth.Observation{}, map[string][]string{}
-	for _, zone := range zs.node.Settings.Facts.Zones {
-		out[zone] = map[string]zonehealth.Observation{}
-		for _, p := range zs.leadership.KnownShards() {
-			if zs.leadership.Leads(p) {
-				out[zone][p] = zonehealth.Observation{Refused: zs.catalog.CloudRefuses(zone, now)}
-			}
-		}
-	}
-	waiting := map[string]map[string]map[zonehealth.Demand]int{}
-	for host, m := range zs.cache.Machines {
-		s, seen := zs.agents.ByHost[host], out[m.Zone]
-		if seen == nil || s == nil || !zs.leadership.Leads(m.Shard) {
+// Observe looks at the machines of own shards. It changes nothing.
+func (z *Zones) Observe(now time.Time) Observed {
+	observed := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
+	waiting := waitingTasks{}
+	for host, machine := range z.cache.Machines {
+		worker, ofZone := z.agents.ByHost[host], observed.Observations[machine.Zone]
+		if ofZone == nil || worker == nil || !z.leadership.Leads(machine.Shard) {
 			continue
 		}
-		observation := seen[m.Shard]
-		what := zs.agents.ObservedState(host, m, s, now)
-		switch what {
+		observation := ofZone[machine.Shard]
+		state := z.agents.ObservedState(host, machine, worker, now)
+		switch state {
+		case agent.MachineIgnored:
 		case agent.MachineUnclear:
 			observation.Unclear++
 		case agent.MachineUp:
 			observation.Up++
-			up[m.Zone] = append(up[m.Zone], host)
+			observed.Up[machine.Zone] = append(observed.Up[machine.Zone], host)
 		case agent.MachineLost:
 			observation.Lost++
 		}
+		ofZone[machine.Shard] = observation
 		// Until its end is committed a task is placed, and waits in no queue: room for it is
 		// kept also while a new leader has not heard of its machine yet, and when the machine
-		// is known to be gone.
-		if what != agent.MachineUp {
-			zs.addWaiting(waiting, host, m)
+		// is known to be lost.
+		if state != agent.MachineUp {
+			z.addWaiting(waiting, host, machine)
 		}
-		seen[m.Shard] = observation
 	}
-	for zone, shards := range waiting {
-		for p, tasks := range shards {
-			observation := out[zone][p]
-			observation.Waiting = sortedDemand(tasks)
-			out[zone][p] = observation
-		}
+	for of, tasks := range waiting {
+		observation := observed.Observations[of.zone][of.shard]
+		observation.Waiting = sortedDemand(tasks)
+		observed.Observations[of.zone][of.shard] = observation
 	}
-	return out, up
+	return observed
 }
 
-// addWaiting counts the production tasks of a machine that is not heard.
-func (zs *Zones) addWaiting(waiting map[string]map[string]map[zonehealth.Demand]int, host string, m *shard.Machine) {
-	for _, pl := range zs.cache.Placements[host] {
-		j := zs.cache.Jobs[pl.UID]
-		if j == nil || j.MustStop(pl.Placement) {
-			continue
+// emptyObservations returns the zones and own shards before any machine is looked at.
+func (z *Zones) emptyObservations(now time.Time) Observations {
+	observations := Observations{}
+	for _, zone := range z.node.Settings.Facts.Zones {
+		observations[zone] = map[string]zonehealth.Observation{}
+		for _, name := range z.leadership.KnownShards() {
+			if z.leadership.Leads(name) {
+				observations[zone][name] = zonehealth.Observation{Refused: z.catalog.CloudRefuses(zone, now)}
+			}
 		}
-		if priority, _ := api.PriorityOf(j.Record.Spec.Priority); priority != ProductionPriority {
+	}
+	return observations
+}
+
+// zoneShard is a zone and an own shard.
+type zoneShard struct{ zone, shard string }
+
+// waitingTasks counts production tasks of machines that are not heard from, by size.
+type waitingTasks map[zoneShard]map[zonehealth.Demand]int
+
+// addWaiting counts the production tasks of a machine that is not heard from.
+func (z *Zones) addWaiting(waiting waitingTasks, host string, machine *shard.Machine) {
+	of := zoneShard{zone: machine.Zone, shard: machine.Shard}
+	for _, task := range z.cache.Placements[host] {
+		job := z.cache.Jobs[task.UID]
+		if job == nil || job.MustStop(task.Placement) || !isProduction(&job.Record.Spec) {
 			continue
 		}
-		if waiting[m.Zone] == nil {
-			waiting[m.Zone] = map[string]map[zonehealth.Demand]int{}
-		}
-		if waiting[m.Zone][m.Shard] == nil {
-			waiting[m.Zone][m.Shard] = map[zonehealth.Demand]int{}
+		if waiting[of] == nil {
+			waiting[of] = map[zonehealth.Demand]int{}
 		}
-		kind := demandOf(&j.Record.Spec)
-		waiting[m.Zone][m.Shard][kind]++
+		waiting[of][demandOf(&job.Record.Spec)]++
 	}
 }
 
@@ -157,20 +97,74 @@
 
 // sortedDemand lists tasks by size, those of most first.
 func sortedDemand(tasks map[zonehealth.Demand]int) []zonehealth.Demand {
-	out := make([]zonehealth.Demand, 0, len(tasks))
-	for kind, n := range tasks {
-		kind.Tasks = n
-		out = append(out, kind)
+	demands := make([]zonehealth.Demand, 0, len(tasks))
+	for demand, count := range tasks {
+		demand.Tasks = count
+		demands = append(demands, demand)
 	}
-	slices.SortFunc(out, func(a, b zonehealth.Demand) int {
+	slices.SortFunc(demands, func(a, b zonehealth.Demand) int {
 		if a.Tasks != b.Tasks {
 			return b.Tasks - a.Tasks
 		}
 		return slices.Compare(a.Need[:], b.Need[:])
 	})
-	return out[:min(len(out), maxDemandSizes)]
+	return demands[:min(len(demands), maxDemandSizes)]
 }
 
+// demandOf returns the size of a job's tasks as zones' records keep it.
 func demandOf(spec *api.Job) zonehealth.Demand {
 	return zonehealth.Demand{Need: shard.Vec(statecache.ResourcesOf(spec)), Spot: spec.Spot}
 }
+
+// Judge returns a zone's record as it is to be, and whether that is to be written.
+func (z *Zones) Judge(zone string, now time.Time) (next zonehealth.Record, changed bool) {
+	limits := z.limits()
+	var before zonehealth.Record
+	if record := z.cache.Zones[statecache.ZoneID(zone)].Record; record != nil {
+		before = *record
+	}
+	if len(z.observations[zone]) == 0 {
+		return before, false
+	}
+	seen := before
+	for shardName, observation := range z.observations[zone] {
+		recorded, isRecorded := before.Observations[shardName]
+		if !before.Restricts() && before.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
+			observation = zonehealth.Observation{} // all is well: that needs no record
+		}
+		if isRecorded != !observation.Empty() || !observation.Equal(recorded) {
+			seen, changed = seen.WithObservation(shardName, observation), true
+		}
+	}
+	next = seen.Judge(now, z.hasOutsideObserver(zone, now), limits)
+	return next, changed || next.State != before.State
+}
+
+// hasOutsideObserver reports whether this controller can say that a zone is down, not itself cut
+// off: it hears workers now, and it or a peer at home in another zone hears some of another zone.
+func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
+	if !z.leadership.WorkerHeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
+		return false
+	}
+	for other, byShard := range z.observations {
+		if other != zone && z.isUp(byShard) {
+			return true
+		}
+	}
+	for _, member := range z.node.Settings.Members {
+		if record := z.cache.Nodes[member.HostName].Record; member.Zone != zone && record != nil && record.HearsWorkers {
+			return true
+		}
+	}
+	return false
+}
+
+// isUp reports whether a zone's machines are up but for few.
+func (z *Zones) isUp(byShard map[string]zonehealth.Observation) bool {
+	var all zonehealth.Observation
+	for _, observation := range byShard {
+		all.Up += observation.Up
+		all.Lost += observation.Lost
+	}
+	return all.Up > 0 && all.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
+}
