--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -12,6 +12,7 @@
 
 // The outside systems, as the controller uses them.
 type (
+	// StateService is the state service: leases, transactions and a watch.
 	StateService interface {
 		Get(ctx context.Context, key string, r store.Priority) (it store.Item, found bool, err error)
 		List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
--- a/internal/golden/coverage_test.go
+++ b/internal/golden/coverage_test.go
@@ -28,7 +28,7 @@
 
 // add takes in a value and all that it holds.
 func (u fieldUse) add(v reflect.Value) {
-	switch v.Kind() {
+	switch v.Kind() { //nolint:exhaustive // values of the other kinds hold no further values
 	case reflect.Pointer:
 		if !v.IsNil() {
 			u.add(v.Elem())
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -80,8 +80,10 @@
 
 // equal reports whether two values are the same.
 func equal(a, b any) bool {
-	if m, ok := a.(proto.Message); ok {
-		return proto.Equal(m, b.(proto.Message))
+	messageA, okA := a.(proto.Message)
+	messageB, okB := b.(proto.Message)
+	if okA && okB {
+		return proto.Equal(messageA, messageB)
 	}
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -75,7 +75,9 @@
 func cloudMessages() []golden {
 	return []golden{
 		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
-		{"cloud.Host", &cloud.Host{UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: cloud.MachineRunning, AgeS: 1.5}},
+		{"cloud.Host", &cloud.Host{
+			UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: cloud.MachineRunning, AgeS: 1.5,
+		}},
 		{"cloud.Flavor", &cloud.MachineType{
 			Name:        "m",
 			CPUs:        8,
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -137,8 +137,11 @@
 			t.Errorf("phase %d is called %s, not %s", uint8(phase), phase, name)
 		}
 	}
-	if !(GangReserving < GangLaunched && GangLaunched < GangStopping && GangStopping < GangEnding && GangEnding < GangDone) {
-		t.Error("phases are out of order")
+	ordered := []GangPhase{GangReserving, GangLaunched, GangStopping, GangEnding, GangDone}
+	for i, phase := range ordered[1:] {
+		if ordered[i] >= phase {
+			t.Errorf("phases are out of order: %s and %s", ordered[i], phase)
+		}
 	}
 	reasons := map[ExitReason]string{
 		ExitLost: "lost", ExitRefused: "refused", ExitError: "error", ExitPeerLost: "peer lost", ExitDone: "done",
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -10,7 +10,9 @@
 func (c candidates) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(x any) { *c = append(*c, x.(candidate)) }
+func (c *candidates) Push(x any) {
+	*c = append(*c, x.(candidate)) //nolint:errcheck // container/heap pushes what Ranking gives it: candidates
+}
 
 // Pop implements heap.Interface.
 func (c *candidates) Pop() any {
--- a/internal/shard/free_capacity_test.go
+++ b/internal/shard/free_capacity_test.go
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		var g FreeCapacity
-		if err := json.Unmarshal(raw, &g); err != nil || cmp.Diff(f, g) != "" {
+		if err = json.Unmarshal(raw, &g); err != nil || cmp.Diff(f, g) != "" {
 			t.Fatalf("reads back differently: %v", err)
 		}
 		size := rapid.IntRange(100, 16<<10).Draw(t, "size")
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -3,7 +3,7 @@
 // TaskIndex is a task of a job, by its range and its place there.
 type TaskIndex struct{ RangeIndex, Index int }
 
-// maxPendingTasks is how many tasks of one job are looked at at once: what some sixteen thousand
+// maxPendingTasks is how many tasks of one job are considered at once: what some sixteen thousand
 // machines of two accelerators take. A job may have more (api.MaxTasks); they follow when
 // some of these are placed.
 const maxPendingTasks = 1 << 15
--- a/internal/zonehealth/judge.go
+++ b/internal/zonehealth/judge.go
@@ -34,14 +34,16 @@
 		return next
 	}
 	switch r.State {
-	default:
-		j.healthy()
 	case Suspect:
 		j.suspect()
 	case Down:
 		j.down()
 	case Recovering:
 		j.recovering()
+	case Healthy:
+		j.healthy()
+	default: // a state that this version doesn't know
+		j.healthy()
 	}
 	return next
 }
--- a/internal/zonehealth/slow_start.go
+++ b/internal/zonehealth/slow_start.go
@@ -16,6 +16,7 @@
 		return 0
 	case Recovering:
 		return r.slowStartShare(now, limits)
+	case Healthy, Suspect:
 	}
 	return 1
 }
