--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -41,7 +41,7 @@
 		"job-chunked.json": func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
 		"chunk.json":       func(raw json.RawMessage) (any, error) { return job.ParseTaskRange(raw) },
 		"owner.json":       func(raw json.RawMessage) (any, error) { v := shard.LeaderRecord{}; return &v, json.Unmarshal(raw, &v) },
-		"node.json":        func(raw json.RawMessage) (any, error) { v := shard.LeaderRecord{}; return &v, json.Unmarshal(raw, &v) },
+		"node.json":        func(raw json.RawMessage) (any, error) { v := shard.NodeRecord{}; return &v, json.Unmarshal(raw, &v) },
 		"part.json": func(raw json.RawMessage) (any, error) {
 			v := shard.CapacityRecord{}
 			return &v, json.Unmarshal(raw, &v)
@@ -85,7 +85,7 @@
 			continue // it knows no such records, and leaves them alone
 		}
 		if strings.HasPrefix(it.Key, statecache.NodeKey("")) {
-			var o shard.LeaderRecord
+			var o shard.NodeRecord
 			if err := json.Unmarshal(it.Value, &o); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -148,7 +148,7 @@
 // shardRecords are the records of shards, machines and controllers.
 func shardRecords() []golden {
 	return []golden{
-		{"part.Own", &shard.LeaderRecord{
+		{"part.Own", &shard.NodeRecord{
 			Node:               "n0",
 			Incarnation:        5,
 			Term:               6,
@@ -158,7 +158,7 @@
 		}},
 		{"part.Mark", &shard.CapabilityRecord{SchemaVersion: 2}},
 		{"part.Mark with features", &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}}},
-		{"part.Own with features", &shard.LeaderRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}}},
+		{"part.Own with features", &shard.NodeRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}}},
 		{"part.Record", &shard.CapacityRecord{
 			Term:               6,
 			Leader:             "n0",
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -35,6 +35,7 @@
 		{"job.Gang empty", &job.Gang{}},
 		{"job.Record new", &job.Record{Spec: api.Job{UID: "run-1", Kind: api.Array, Tasks: 9}, Shard: "n0", AcceptedMS: 7, RangeSize: 4}},
 		{"shard.LeaderRecord", &shard.LeaderRecord{Node: "n0", Incarnation: 5, Term: 6}},
+		{"shard.NodeRecord new", &shard.NodeRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2}},
 		{"shard.CapabilityRecord empty", &shard.CapabilityRecord{}},
 		{"shard.CapacityRecord empty", &shard.CapacityRecord{Term: 6, Leader: "n0", Free: shard.FreeCapacity{}}},
 		{"shard.FreeCapacity", &shard.FreeCapacity{"i-2": {0.1, 0, 0.25}, "i-1": {1e6, 8, 1e-6}}},
--- a/internal/leadership/changes.go
+++ b/internal/leadership/changes.go
@@ -64,7 +64,7 @@
 // mustReacquire reports whether this node acquires a shard anew that has a leader.
 func (t *Table) mustReacquire(shard string, leader *shard.LeaderRecord, leave bool) bool {
 	leadership := t.byShard[shard]
-	if leader.Node == t.node.Settings.HostName && (!t.isOwnLife(leader) || leadership == nil) && !leave {
+	if leader.Node == t.node.Settings.HostName && (!t.isOwnLife(leader.Node, leader.Incarnation) || leadership == nil) && !leave {
 		// Of our own earlier life, which is over, or of an acquisition whose answer was
 		// lost: the key is ours and nobody else would ever act on it.
 		return true
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -85,7 +85,7 @@
 	var lost []string
 	for shard, leadership := range t.byShard {
 		leader, found := t.cache.Leaders[shard]
-		ours := found && t.isOwnLife(leader.Record)
+		ours := found && t.isOwnLife(leader.Record.Node, leader.Record.Incarnation)
 		if !ours && (!found || leader.Version > leadership.Version) {
 			t.node.Log.Info("shard lost", logkey.Shard(shard), logkey.Term(leadership.Term))
 			t.End(shard)
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -14,7 +14,7 @@
 	me := t.node.Settings.HostName
 	record, wanted := t.cache.Nodes[me].Record, t.nodeRecord()
 	announced := t.capabilitiesAnnounced()
-	if announced && record != nil && t.isOwnLife(record) &&
+	if announced && record != nil && t.isOwnLife(record.Node, record.Incarnation) &&
 		record.WorkersUnreachable == wanted.WorkersUnreachable && record.HearsWorkers == wanted.HearsWorkers {
 		return nil
 	}
@@ -36,8 +36,8 @@
 }
 
 // nodeRecord returns what this node says of itself.
-func (t *Table) nodeRecord() shard.LeaderRecord {
-	return shard.LeaderRecord{
+func (t *Table) nodeRecord() shard.NodeRecord {
+	return shard.NodeRecord{
 		Node:               t.node.Settings.HostName,
 		Incarnation:        t.node.Incarnation,
 		WorkersUnreachable: t.contact.unreachable,
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -6,7 +6,6 @@
 	"violetturn/internal/node"
 	"violetturn/internal/respond"
 	"violetturn/internal/schema"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 	"violetturn/internal/transport"
 )
@@ -57,7 +56,8 @@
 	return respond.Misdirected("")
 }
 
-// isOwnLife reports whether a record of a leader or node was made by this life of this process.
-func (t *Table) isOwnLife(record *shard.LeaderRecord) bool {
-	return record.Node == t.node.Settings.HostName && record.Incarnation == t.node.Incarnation
+// isOwnLife reports whether a record of a leader or node, with that node and incarnation, was
+// made by this life of this process.
+func (t *Table) isOwnLife(node string, incarnation uint64) bool {
+	return node == t.node.Settings.HostName && incarnation == t.node.Incarnation
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -61,7 +61,7 @@
 
 // live registers a node that workers reach.
 func (f *fixture) live(name string) {
-	f.record(statecache.NodeKey(name), shard.LeaderRecord{Node: name})
+	f.record(statecache.NodeKey(name), shard.NodeRecord{Node: name})
 }
 
 func TestLeads(t *testing.T) {
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -1,6 +1,7 @@
 // Package shard holds the records of the shards into which the controllers
 // partition the machines: which controller leads a shard, what room its machines have, what
-// the machines are, and what teams' quotas the shard holds. It does no I/O.
+// the machines are, and what teams' quotas the shard holds; and those of the controllers
+// themselves. It does no I/O.
 //
 // Invariants:
 //   - the recorded form of each type is fixed (see package golden);
@@ -13,21 +14,9 @@
 // LeaderRecord is the record of a shard's leader. It is attached to the leader's lease and
 // is deleted when the lease ends.
 type LeaderRecord struct {
-	Node               string `json:"node"`
-	Incarnation        uint64 `json:"inc"` // one run of the node's process
-	Term               uint64 `json:"term"`
-	WorkersUnreachable bool   `json:"m,omitempty"` // of a node: its workers don't reach it
-	HearsWorkers       bool   `json:"h,omitempty"` // of a node: some worker does
-	SchemaVersion      int    `json:"v,omitempty"` // of a node: the newest forms of records that it reads
-
-	Features []string `json:"f,omitempty"` // of a node: what is switched on there
-}
-
-// CapabilityRecord is what remains recorded of the forms that a node reads and the features
-// that it has switched on, after the node's own record is deleted with its lease.
-type CapabilityRecord struct {
-	SchemaVersion int      `json:"v"`           // the newest forms of records that it reads
-	Features      []string `json:"f,omitempty"` // what was switched on there last
+	Node        string `json:"node"`
+	Incarnation uint64 `json:"inc"` // one run of the node's process
+	Term        uint64 `json:"term"`
 }
 
 // CapacityRecord is a shard's capacity record. Whoever places a task on a machine of
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -29,7 +29,7 @@
 	Term         uint64 // the highest that was ever given out
 	Capacities   map[string]Versioned[shard.CapacityRecord]
 	Leaders      map[string]Versioned[shard.LeaderRecord] // by shard
-	Nodes        map[string]Versioned[shard.LeaderRecord] // living controllers
+	Nodes        map[string]Versioned[shard.NodeRecord]   // living controllers
 	Capabilities map[string]Versioned[shard.CapabilityRecord]
 	Quotas       map[string]Versioned[shard.QuotaRecord] // by QuotaID
 	Zones        map[string]Versioned[zonehealth.Record] // by ZoneID
@@ -75,7 +75,7 @@
 		PlacementIndex: newPlacementIndex(),
 		Capacities:     map[string]Versioned[shard.CapacityRecord]{},
 		Leaders:        map[string]Versioned[shard.LeaderRecord]{},
-		Nodes:          map[string]Versioned[shard.LeaderRecord]{},
+		Nodes:          map[string]Versioned[shard.NodeRecord]{},
 		Capabilities:   map[string]Versioned[shard.CapabilityRecord]{},
 		Quotas:         map[string]Versioned[shard.QuotaRecord]{},
 		Zones:          map[string]Versioned[zonehealth.Record]{},
