--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -192,6 +192,9 @@
 // failureRecorder keeps what a checker would fail with.
 type failureRecorder []string
 
+// Helper does nothing.
+func (r *failureRecorder) Helper() {}
+
 // Fatalf records a failure.
 func (r *failureRecorder) Fatalf(format string, args ...any) {
 	*r = append(*r, fmt.Sprintf(format, args...))
@@ -205,7 +208,7 @@
 		"a team": func(c *Controller) {
 			c.node.Settings.Facts.Teams = append(c.node.Settings.Facts.Teams, config.Team{Name: "nobody"})
 		},
-		"a large machine type": func(c *Controller) { c.testState().Catalog.MachineTypes[0].GPUs = 100 },
+		"a large machine type": func(c *Controller) { c.testState().Catalog.MachineTypes()[0].GPUs = 100 },
 	} {
 		s := newReadyCluster()
 		mutate(s.nodes[1].controller)
