--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -10,42 +10,58 @@
 	"violetturn/internal/store"
 )
 
-// The outside systems, as the controller uses them.
-type (
-	// StateService is the state service: leases, transactions and a watch.
-	StateService interface {
-		Get(ctx context.Context, key string, r store.Priority) (it store.Item, found bool, err error)
-		List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
-		Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error)
-		Commit(ctx context.Context, t *store.Txn, p store.Priority) (store.CommitResult, error)
-		AwaitWrites(ctx context.Context, n int, r store.Priority) int
-		SetControllers(controllers int)
-		ReserveForGangs(changes float64)
-		LowerLimits()
-		Used() (requests, writes float64)
-		GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-		RenewLease(ctx context.Context, leaseID uint64) error
-		RevokeLease(ctx context.Context, leaseID uint64) error
-	}
-	cloudService interface {
-		MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
-		Rent(ctx context.Context, r cloud.RentalRequest) ([]string, error)
-		Return(ctx context.Context, hosts []string) error
-		Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
-	}
-	workerService interface {
-		SendCommands(ctx context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error)
-		Status(ctx context.Context, addr string) (*api.Heartbeat, error)
-	}
-	peerService interface {
-		Ask(ctx context.Context, addr string, r *peer.Request, deadline time.Duration) (*peer.Reply, error)
-	}
-)
-
-// Services are the outside systems of a controller.
+// Services are the outside systems of a controller. They are set before anything uses them.
 type Services struct {
 	Store   StateService
-	Cloud   cloudService
-	Workers workerService
-	Peers   peerService
+	Cloud   Cloud
+	Workers Workers
+	Peers   Peers
+}
+
+// StateService is the consensus-backed key-value store, within this controller's share of its
+// rates. Its errors are those of package store.
+type StateService interface {
+	Get(ctx context.Context, key string, p store.Priority) (item store.Item, found bool, err error)
+	List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
+	Changes(
+		ctx context.Context, prefix string, since uint64, block time.Duration,
+	) (changes []store.Change, revision uint64, err error)
+	Commit(ctx context.Context, txn *store.Txn, p store.Priority) (store.CommitResult, error)
+
+	GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error)
+	RenewLease(ctx context.Context, leaseID uint64) error
+	RevokeLease(ctx context.Context, leaseID uint64) error
+
+	// AwaitWrites waits until some changes can be sent, n at best, and returns how many.
+	AwaitWrites(ctx context.Context, n int, p store.Priority) int
+	// SetControllers shares the rates among so many controllers.
+	SetControllers(controllers int)
+	// ReserveForGangs has others than gangs leave so many changes besides.
+	ReserveForGangs(changes float64)
+	// LowerLimits goes over to the coming limits.
+	LowerLimits()
+	// Used returns how many requests and changes were sent in all.
+	Used() (requests, writes float64)
+}
+
+// Cloud rents machines. Its errors are those of package cloud.
+type Cloud interface {
+	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
+	Rent(ctx context.Context, request cloud.RentalRequest) (hosts []string, err error)
+	Return(ctx context.Context, hosts []string) error
+	Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
+}
+
+// Workers reaches workers at their addresses, beside their heartbeats.
+type Workers interface {
+	// SendCommands returns the worker's heartbeat after the commands, and whether they were
+	// executed.
+	SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error)
+	// Status returns the worker's heartbeat.
+	Status(ctx context.Context, addr string) (*api.Heartbeat, error)
+}
+
+// Peers reaches the other controllers.
+type Peers interface {
+	Ask(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
 }
--- /dev/null
+++ b/internal/state/stats.go
@@ -0,0 +1,42 @@
+package state
+
+import "time"
+
+// CommitStats counts the transactions of one purpose.
+type CommitStats struct {
+	Transactions     int
+	Writes           int // changes in them
+	Conflicts        int // transactions whose preconditions did not hold
+	ConflictedWrites int // changes in those
+	Failed           int // transactions that were refused or whose outcome is unknown
+}
+
+// Stats counts transactions by purpose, since the last summary.
+type Stats struct {
+	Commits        map[string]CommitStats
+	DeregisteredAt time.Time // when machines were last deregistered
+}
+
+// CountCommitted counts a transaction of so many changes that committed.
+func (s *Stats) CountCommitted(purpose string, changes int) { s.count(purpose, changes, CommitStats{}) }
+
+// CountConflict counts a transaction whose preconditions did not hold.
+func (s *Stats) CountConflict(purpose string, changes int) {
+	s.count(purpose, changes, CommitStats{Conflicts: 1, ConflictedWrites: changes})
+}
+
+// CountFailed counts a transaction that was refused or whose outcome is unknown.
+func (s *Stats) CountFailed(purpose string, changes int) {
+	s.count(purpose, changes, CommitStats{Failed: 1})
+}
+
+// count adds a transaction of so many changes, and what became of it.
+func (s *Stats) count(purpose string, changes int, outcome CommitStats) {
+	sum := s.Commits[purpose]
+	sum.Transactions++
+	sum.Writes += changes
+	sum.Conflicts += outcome.Conflicts
+	sum.ConflictedWrites += outcome.ConflictedWrites
+	sum.Failed += outcome.Failed
+	s.Commits[purpose] = sum
+}
--- a/internal/storesync/reachability.go
+++ b/internal/storesync/reachability.go
@@ -1,18 +1,18 @@
 package storesync
 
 // NoteStoreAnswer notes whether the state service served a request.
-func (y *Sync) NoteStoreAnswer(ok bool) {
-	state := y.guard.Lock()
-	if state.Reachability.StoreReachable != ok {
-		state.Reachability.StoreReachable, state.Reachability.Since, state.Reachability.PeersAsked = ok, y.node.Now(), false
-		y.node.Log.Info("state service reachability", "reachable", ok)
+func (s *Sync) NoteStoreAnswer(served bool) {
+	state := s.guard.Lock()
+	changed := state.Reachability.NoteStoreAnswer(served, s.node.Now())
+	s.guard.Unlock()
+	if changed {
+		s.node.Log.Info("state service reachability", "reachable", served)
 	}
-	y.guard.Unlock()
 }
 
 // StoreReachable reports whether the state service served our last request.
-func (y *Sync) StoreReachable() bool {
-	state := y.guard.Lock()
-	defer y.guard.Unlock()
+func (s *Sync) StoreReachable() bool {
+	state := s.guard.Lock()
+	defer s.guard.Unlock()
 	return state.Reachability.StoreReachable
 }
