--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -39,26 +40,28 @@
 	for node := range 3 {
 		for _, f := range []simulator.Fault{simulator.NoFault, simulator.ResponseLost, simulator.RequestLost, simulator.Delayed} {
 			for _, kind := range []string{api.Array, api.Gang} {
-				s := newReadyCluster()
-				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
-				ends := 0
-				s.world.OnTaskDone = func(uid string) {
-					if ends++; uid == id && ends == 2 {
-						s.world.Store.NextFault[s.nodes[node].name] = f
-						s.cancel(node, id)
+				t.Run(fmt.Sprintf("n%d, %s, fault %v", node, kind, f), func(t *testing.T) {
+					s := newReadyCluster()
+					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
+					ends := 0
+					s.world.OnTaskDone = func(uid string) {
+						if ends++; uid == id && ends == 2 {
+							s.world.Store.NextFault[s.nodes[node].name] = f
+							s.cancel(node, id)
+							s.queryEverywhere(id)
+						}
+					}
+					s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
+					for range 12 {
 						s.queryEverywhere(id)
+						s.runRounds(t, 1)
 					}
-				}
-				s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
-				for range 12 {
+					s.world.Store.DeliverDelayed()
 					s.queryEverywhere(id)
-					s.runRounds(t, 1)
-				}
-				s.world.Store.DeliverDelayed()
-				s.queryEverywhere(id)
-				if s.checkRecovery(t); s.world.Jobs[id].FinalPhase == "" {
-					t.Errorf("node %d, fault %d, %s: never over", node, f, kind)
-				}
+					if s.checkRecovery(t); s.world.Jobs[id].FinalPhase == "" {
+						t.Errorf("node %d, fault %d, %s: never over", node, f, kind)
+					}
+				})
 			}
 		}
 	}
@@ -70,40 +73,42 @@
 func TestCancellationBesideDecision(t *testing.T) {
 	for _, kind := range []string{api.Array, api.Gang} {
 		for _, last := range []bool{false, true} {
-			s := newReadyCluster()
-			low := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
-			s.runUntil(t, 80, "machines are up", func() bool { return s.runningTasks(low) == 4 })
-			id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
-			if last {
-				ends := 0
-				s.world.OnTaskDone = func(uid string) {
-					if uid == id {
-						ends++
+			t.Run(fmt.Sprintf("%s, last task ended %t", kind, last), func(t *testing.T) {
+				s := newReadyCluster()
+				low := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+				s.runUntil(t, 80, "machines are up", func() bool { return s.runningTasks(low) == 4 })
+				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
+				if last {
+					ends := 0
+					s.world.OnTaskDone = func(uid string) {
+						if uid == id {
+							ends++
+						}
 					}
+					s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
 				}
-				s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
-			}
-			told := ""
-			s.beforeCommits(func(node int) {
-				if told != "" {
-					return
+				told := ""
+				s.beforeCommits(func(node int) {
+					if told != "" {
+						return
+					}
+					s.cancel((node+1)%3, id)
+					told = s.world.Jobs[id].FinalPhase
+					s.queryEverywhere(id)
+				})
+				for range 12 {
+					s.runRounds(t, 1)
+					s.queryEverywhere(id)
+				}
+				if told != api.Cancelled {
+					t.Errorf("%s, last %t: told %q", kind, last, told)
+				}
+				s.cancel(0, low)
+				s.checkRecovery(t)
+				if s.world.LateStarts > 0 {
+					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LateStarts)
 				}
-				s.cancel((node+1)%3, id)
-				told = s.world.Jobs[id].FinalPhase
-				s.queryEverywhere(id)
 			})
-			for range 12 {
-				s.runRounds(t, 1)
-				s.queryEverywhere(id)
-			}
-			if told != api.Cancelled {
-				t.Errorf("%s, last %t: told %q", kind, last, told)
-			}
-			s.cancel(0, low)
-			s.checkRecovery(t)
-			if s.world.LateStarts > 0 {
-				t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LateStarts)
-			}
 		}
 	}
 }
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -163,29 +163,31 @@
 // there is leaves a job waiting beside room.
 func TestWaitingCheckerCatches(t *testing.T) {
 	for _, mutated := range []bool{false, true} {
-		s := newTestCluster()
-		s.world.TeamGPULimits["b"] = 8
-		for i := range s.nodes {
-			s.startNode(i)
-		}
-		s.runRounds(t, 10)
-		id := s.submitService(3, nil) // leaves room on one of two machines
-		s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-		s.world.Cloud.NoCapacity = true
-		if mutated {
-			for _, n := range s.nodes {
-				n.controller.node.Settings.Facts.Teams[1].GPUsMax = 3
+		t.Run(fmt.Sprintf("mutated %t", mutated), func(t *testing.T) {
+			s := newTestCluster()
+			s.world.TeamGPULimits["b"] = 8
+			for i := range s.nodes {
+				s.startNode(i)
 			}
-		}
-		s.submitArray(1, time.Second, nil)
-		since := map[string]time.Time{}
-		for range 240 {
-			s.runRound()
-			s.checkWaiting(since)
-		}
-		if caught := len(s.world.Violations) > 0; caught != mutated {
-			t.Errorf("mutated %t: %v", mutated, s.world.Violations)
-		}
+			s.runRounds(t, 10)
+			id := s.submitService(3, nil) // leaves room on one of two machines
+			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
+			s.world.Cloud.NoCapacity = true
+			if mutated {
+				for _, n := range s.nodes {
+					n.controller.node.Settings.Facts.Teams[1].GPUsMax = 3
+				}
+			}
+			s.submitArray(1, time.Second, nil)
+			since := map[string]time.Time{}
+			for range 240 {
+				s.runRound()
+				s.checkWaiting(since)
+			}
+			if caught := len(s.world.Violations) > 0; caught != mutated {
+				t.Errorf("mutated %t: %v", mutated, s.world.Violations)
+			}
+		})
 	}
 }
 
@@ -210,11 +212,13 @@
 		},
 		"a large machine type": func(c *Controller) { c.testState().Catalog.MachineTypes()[0].GPUs = 100 },
 	} {
-		s := newReadyCluster()
-		mutate(s.nodes[1].controller)
-		var caught failureRecorder
-		if s.submitInvalid(&caught, 1); len(caught) > 0 != (name != "") {
-			t.Errorf("mutated %q: %v", name, caught)
-		}
+		t.Run("mutated "+name, func(t *testing.T) {
+			s := newReadyCluster()
+			mutate(s.nodes[1].controller)
+			var caught failureRecorder
+			if s.submitInvalid(&caught, 1); len(caught) > 0 != (name != "") {
+				t.Errorf("mutated %q: %v", name, caught)
+			}
+		})
 	}
 }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -12,24 +13,26 @@
 func TestAllControllersAway(t *testing.T) {
 	for _, away := range []time.Duration{0, 4 * time.Second, 8500 * time.Millisecond, 9500 * time.Millisecond, 25 * time.Second} {
 		for _, first := range []int{0, 2} {
-			s := newReadyCluster()
-			id := s.submitService(3, nil)
-			s.submitArray(6, 10*time.Second, nil)
-			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-			s.world.Store.Refused["n1"] = true // its shard changes its leader
-			s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
-			s.world.Store.Refused["n1"] = false // and back
-			s.runRounds(t, 3)
-			for _, n := range s.nodes {
-				n.running = false
-			}
-			s.world.Advance(away)
-			s.startNode(first)
-			s.runRounds(t, 20)
-			if o := s.leaderOf("n1"); o != s.nodes[first].name {
-				t.Errorf("away %v: shard of n1 led by %q", away, o)
-			}
-			s.checkRecovery(t)
+			t.Run(fmt.Sprintf("away %v, n%d returns first", away, first), func(t *testing.T) {
+				s := newReadyCluster()
+				id := s.submitService(3, nil)
+				s.submitArray(6, 10*time.Second, nil)
+				s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
+				s.world.Store.Refused["n1"] = true // its shard changes its leader
+				s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
+				s.world.Store.Refused["n1"] = false // and back
+				s.runRounds(t, 3)
+				for _, n := range s.nodes {
+					n.running = false
+				}
+				s.world.Advance(away)
+				s.startNode(first)
+				s.runRounds(t, 20)
+				if o := s.leaderOf("n1"); o != s.nodes[first].name {
+					t.Errorf("away %v: shard of n1 led by %q", away, o)
+				}
+				s.checkRecovery(t)
+			})
 		}
 	}
 }
@@ -66,23 +69,25 @@
 // leader's responses: the tasks go elsewhere, once each is surely gone.
 func TestLeaderEndsWhileMachinesAreUnreachable(t *testing.T) {
 	for _, inboundLost := range []bool{false, true} {
-		s := newReadyCluster()
-		id := s.submitArray(4, 40*time.Second, nil)
-		s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
-		leader, _ := s.leaderOfJob(t, id)
-		for h := range s.runningTasksByHost(id) {
-			s.world.Cloud.Hosts[h].Partitioned, s.world.Cloud.Hosts[h].InboundLost = !inboundLost, inboundLost
-		}
-		s.nodes[leader].running = false
-		s.runUntil(t, 200, "tasks run elsewhere", func() bool {
-			n := 0
-			for h, k := range s.runningTasksByHost(id) {
-				if x := s.world.Cloud.Hosts[h]; !x.Partitioned && !x.InboundLost {
-					n += k
-				}
+		t.Run(fmt.Sprintf("inbound lost %t", inboundLost), func(t *testing.T) {
+			s := newReadyCluster()
+			id := s.submitArray(4, 40*time.Second, nil)
+			s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
+			leader, _ := s.leaderOfJob(t, id)
+			for h := range s.runningTasksByHost(id) {
+				s.world.Cloud.Hosts[h].Partitioned, s.world.Cloud.Hosts[h].InboundLost = !inboundLost, inboundLost
 			}
-			return n == 4
+			s.nodes[leader].running = false
+			s.runUntil(t, 200, "tasks run elsewhere", func() bool {
+				n := 0
+				for h, k := range s.runningTasksByHost(id) {
+					if x := s.world.Cloud.Hosts[h]; !x.Partitioned && !x.InboundLost {
+						n += k
+					}
+				}
+				return n == 4
+			})
+			s.checkRecovery(t)
 		})
-		s.checkRecovery(t)
 	}
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -18,23 +18,25 @@
 // records each start all at once under one number, and end at once.
 func TestGangsRunTogether(t *testing.T) {
 	for _, n := range []int{1, 4, 60} {
-		s := newReadyCluster()
-		id := s.submitGang(t, func(r *api.Job, _ *time.Duration) {
-			if r.Tasks = n; n > 4 {
-				r.GPUs, r.CPUs = 0, 0.5
-			}
-		})
-		s.runUntil(t, 300, "all run", func() bool {
-			on := s.tasksInPhase(id, api.Running)
-			if on != 0 && on != n {
-				t.Fatalf("%d of %d run", on, n)
-			}
-			return on == n
-		})
-		s.runUntil(t, 200, "done", s.isDone(id))
-		s.runUntil(t, 40, "its records are gone", func() bool {
-			c := s.nodes[0].controller
-			return c.testState().Cache.Jobs[id] == nil && len(c.testState().Cache.TaskRanges[id]) == 0
+		t.Run(fmt.Sprintf("%d tasks", n), func(t *testing.T) {
+			s := newReadyCluster()
+			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) {
+				if r.Tasks = n; n > 4 {
+					r.GPUs, r.CPUs = 0, 0.5
+				}
+			})
+			s.runUntil(t, 300, "all run", func() bool {
+				on := s.tasksInPhase(id, api.Running)
+				if on != 0 && on != n {
+					t.Fatalf("%d of %d run", on, n)
+				}
+				return on == n
+			})
+			s.runUntil(t, 200, "done", s.isDone(id))
+			s.runUntil(t, 40, "its records are gone", func() bool {
+				c := s.nodes[0].controller
+				return c.testState().Cache.Jobs[id] == nil && len(c.testState().Cache.TaskRanges[id]) == 0
+			})
 		})
 	}
 }
@@ -64,24 +66,26 @@
 // on from the last checkpoint when all of the old one is surely gone.
 func TestRunningGangLosesMachine(t *testing.T) {
 	for _, how := range []string{"terminated", "hung", "partitioned"} {
-		s := newReadyCluster()
-		id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
-		s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
-		s.runFor(20)
-		x := s.workerOf(id)
-		switch how {
-		case "terminated":
-			s.world.Cloud.Terminate(x.Host)
-		case "hung":
-			x.Hung = true
-		case "partitioned":
-			x.Partitioned = true
-		}
-		s.runUntil(t, 400, how+": a later attempt runs", func() bool {
-			j := s.nodes[0].state().Cache.Jobs[id]
-			return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.Running) == 4
+		t.Run(how, func(t *testing.T) {
+			s := newReadyCluster()
+			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
+			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
+			s.runFor(20)
+			x := s.workerOf(id)
+			switch how {
+			case "terminated":
+				s.world.Cloud.Terminate(x.Host)
+			case "hung":
+				x.Hung = true
+			case "partitioned":
+				x.Partitioned = true
+			}
+			s.runUntil(t, 400, how+": a later attempt runs", func() bool {
+				j := s.nodes[0].state().Cache.Jobs[id]
+				return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.Running) == 4
+			})
+			s.runUntil(t, 300, "done", s.isDone(id))
 		})
-		s.runUntil(t, 300, "done", s.isDone(id))
 	}
 }
 
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -31,30 +32,33 @@
 // end of one shows, while nobody leads the shard, as it is acquired, and as it is released.
 func TestCancellationDuringHandover(t *testing.T) {
 	for after := range 12 {
-		s := newReadyCluster()
-		var ids []string
-		for range 4 {
-			ids = append(ids, s.submitService(2, nil))
-		}
-		s.runUntil(t, 120, "replicas run", func() bool { return s.runningTasks(ids[3]) == 2 && s.runningTasks(ids[0]) == 2 })
-		leader, other := s.leaderOfJob(t, ids[0])
-		s.nodes[leader].running = false
-		s.runRounds(t, after)
-		s.cancel(other, ids[0])
-		s.runRounds(t, 1)
-		s.startNode(leader)
-		s.cancel((other+1)%3, ids[1])
-		s.runRounds(t, after)
-		s.cancel(leader, ids[2])
-		s.runUntil(t, 80, "cancelled ones gone", func() bool {
-			for _, id := range ids[:3] {
-				if s.world.Jobs[id].FinalPhase == "" { // their users ask again
-					s.cancel(other, id)
-				}
+		t.Run(fmt.Sprintf("after %d rounds", after), func(t *testing.T) {
+			s := newReadyCluster()
+			var ids []string
+			for range 4 {
+				ids = append(ids, s.submitService(2, nil))
 			}
-			return s.presentTasks(ids[0]) == 0 && s.presentTasks(ids[1]) == 0 && s.presentTasks(ids[2]) == 0 && s.runningTasks(ids[3]) == 2
+			s.runUntil(t, 120, "replicas run", func() bool { return s.runningTasks(ids[3]) == 2 && s.runningTasks(ids[0]) == 2 })
+			leader, other := s.leaderOfJob(t, ids[0])
+			s.nodes[leader].running = false
+			s.runRounds(t, after)
+			s.cancel(other, ids[0])
+			s.runRounds(t, 1)
+			s.startNode(leader)
+			s.cancel((other+1)%3, ids[1])
+			s.runRounds(t, after)
+			s.cancel(leader, ids[2])
+			s.runUntil(t, 80, "cancelled ones gone", func() bool {
+				for _, id := range ids[:3] {
+					if s.world.Jobs[id].FinalPhase == "" { // their users ask again
+						s.cancel(other, id)
+					}
+				}
+				present := s.presentTasks(ids[0]) + s.presentTasks(ids[1]) + s.presentTasks(ids[2])
+				return present == 0 && s.runningTasks(ids[3]) == 2
+			})
+			s.checkRecovery(t)
 		})
-		s.checkRecovery(t)
 	}
 }
 
@@ -63,24 +67,26 @@
 // when its last task is.
 func TestTasksEndFarApartAcrossLeaderChange(t *testing.T) {
 	for _, tasks := range []int{2, 3} {
-		s := newReadyCluster()
-		id := s.submitArray(tasks, 3*time.Second, nil)
-		s.world.Jobs[id].RunTimeStep = 12 * time.Second
-		s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
-		leader, _ := s.leaderOfJob(t, id)
-		s.startNode(leader) // its release of the first is lost
-		s.runRounds(t, 8)
-		s.nodes[leader].running = false
-		s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
-		s.runUntil(t, 8, "known to be done", func() bool {
-			for i, n := range s.nodes {
-				if n.running {
-					s.poll(i, id)
+		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
+			s := newReadyCluster()
+			id := s.submitArray(tasks, 3*time.Second, nil)
+			s.world.Jobs[id].RunTimeStep = 12 * time.Second
+			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
+			leader, _ := s.leaderOfJob(t, id)
+			s.startNode(leader) // its release of the first is lost
+			s.runRounds(t, 8)
+			s.nodes[leader].running = false
+			s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
+			s.runUntil(t, 8, "known to be done", func() bool {
+				for i, n := range s.nodes {
+					if n.running {
+						s.poll(i, id)
+					}
 				}
-			}
-			return s.world.Jobs[id].FinalPhase == api.Done
+				return s.world.Jobs[id].FinalPhase == api.Done
+			})
+			s.checkRecovery(t)
 		})
-		s.checkRecovery(t)
 	}
 }
 
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -78,7 +78,8 @@
 	s.runUntil(t, 900, "done", s.isDone(inRanges))
 	s.runUntil(t, 400, "no large record of a job is left", func() bool {
 		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
-			return len(it.Value) > int(s.nextStateLimits.ValueKB*1024) && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
+			large := len(it.Value) > int(s.nextStateLimits.ValueKB*1024)
+			return large && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
 	if s.world.Store.TooLarge > 20 {
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -34,37 +35,39 @@
 // leader ends.
 func TestFastBoot(t *testing.T) {
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
-		s := newReadyCluster()
-		s.world.MachineType.Boot = boot
-		a := s.submitArray(12, 2*time.Second, nil)
-		// Who rents hears no response and ends: only the machines tell that they are there.
-		for k := 0; k < 20 && len(s.world.Cloud.Hosts) == 0; k++ {
-			for _, n := range s.nodes {
-				s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
+		t.Run(fmt.Sprintf("boot in %v", boot), func(t *testing.T) {
+			s := newReadyCluster()
+			s.world.MachineType.Boot = boot
+			a := s.submitArray(12, 2*time.Second, nil)
+			// Who rents hears no response and ends: only the machines tell that they are there.
+			for k := 0; k < 20 && len(s.world.Cloud.Hosts) == 0; k++ {
+				for _, n := range s.nodes {
+					s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
+				}
+				s.runRounds(t, 1)
 			}
-			s.runRounds(t, 1)
-		}
-		if len(s.world.Cloud.Hosts) == 0 {
-			t.Error("nothing was rented")
-		}
-		for i := range s.nodes {
-			s.startNode(i)
-		}
-		s.submitService(3, nil)
-		for k := range 30 {
-			s.world.Store.NextFault[s.nodes[k%3].name] = simulator.Fault(k % 4)
-			s.world.Cloud.NextFault[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
-			if k%5 == 4 {
-				s.world.Store.DeliverDelayed()
+			if len(s.world.Cloud.Hosts) == 0 {
+				t.Error("nothing was rented")
 			}
-			if k%10 == 9 {
-				s.startNode(k / 10)
+			for i := range s.nodes {
+				s.startNode(i)
 			}
-			s.runRounds(t, 1)
-		}
-		s.runUntil(t, 200, "array done", s.isDone(a))
-		s.checkRecovery(t)
-		s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
+			s.submitService(3, nil)
+			for k := range 30 {
+				s.world.Store.NextFault[s.nodes[k%3].name] = simulator.Fault(k % 4)
+				s.world.Cloud.NextFault[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
+				if k%5 == 4 {
+					s.world.Store.DeliverDelayed()
+				}
+				if k%10 == 9 {
+					s.startNode(k / 10)
+				}
+				s.runRounds(t, 1)
+			}
+			s.runUntil(t, 200, "array done", s.isDone(a))
+			s.checkRecovery(t)
+			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
+		})
 	}
 }
 
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -40,31 +41,33 @@
 // doesn't hear, its tasks go elsewhere, and it gets no more until it obeys; also when its shard has changed its leader meanwhile.
 func TestWorkerInboundPartition(t *testing.T) {
 	for _, handover := range []bool{false, true} {
-		s := newReadyCluster()
-		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
-		s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
-		var worker *simulator.Worker
-		for h := range s.runningTasksByHost(id) {
-			worker = s.world.Cloud.Hosts[h]
-		}
-		worker.InboundLost = true
-		if handover {
-			s.startNode(s.homeOf(worker.Host))
-		}
-		elsewhere := func() bool {
-			on := s.runningTasksByHost(id)
-			return on[worker.Host] == 0 && s.runningTasks(id) == 2
-		}
-		lease := rounds(s.world.Lease)
-		s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
-		if s.world.Cloud.Hosts[worker.Host] == nil {
-			continue // it was returned as idle, which is as good
-		}
-		more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
-		s.runUntil(t, 100, "other work done", s.isDone(more))
-		if !elsewhere() {
-			t.Fatal("a replica is back")
-		}
+		t.Run(fmt.Sprintf("handover %t", handover), func(t *testing.T) {
+			s := newReadyCluster()
+			id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
+			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
+			var worker *simulator.Worker
+			for h := range s.runningTasksByHost(id) {
+				worker = s.world.Cloud.Hosts[h]
+			}
+			worker.InboundLost = true
+			if handover {
+				s.startNode(s.homeOf(worker.Host))
+			}
+			elsewhere := func() bool {
+				on := s.runningTasksByHost(id)
+				return on[worker.Host] == 0 && s.runningTasks(id) == 2
+			}
+			lease := rounds(s.world.Lease)
+			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
+			if s.world.Cloud.Hosts[worker.Host] == nil {
+				return // it was returned as idle, which is as good
+			}
+			more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
+			s.runUntil(t, 100, "other work done", s.isDone(more))
+			if !elsewhere() {
+				t.Fatal("a replica is back")
+			}
+		})
 	}
 }
 
@@ -113,17 +116,19 @@
 // long as one.
 func TestZonePartition(t *testing.T) {
 	for _, count := range []int{16, 18, 20, 60, 120} {
-		s := newReadyCluster()
-		for _, z := range s.world.Zones {
-			s.submitService(2, func(r *api.Job) { r.Zone = z })
-		}
-		off := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
-		s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 2 })
-		s.partitionZone("y")
-		s.runRounds(t, 1)
-		s.world.Cloud.Down = count > 100 // or the machines, silent to the others, go back
-		s.cancel(0, off)
-		s.runRounds(t, count)
-		s.checkRecovery(t)
+		t.Run(fmt.Sprintf("%d rounds", count), func(t *testing.T) {
+			s := newReadyCluster()
+			for _, z := range s.world.Zones {
+				s.submitService(2, func(r *api.Job) { r.Zone = z })
+			}
+			off := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
+			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 2 })
+			s.partitionZone("y")
+			s.runRounds(t, 1)
+			s.world.Cloud.Down = count > 100 // or the machines, silent to the others, go back
+			s.cancel(0, off)
+			s.runRounds(t, count)
+			s.checkRecovery(t)
+		})
 	}
 }
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -15,30 +16,32 @@
 // machines stay away.
 func TestZonesOwnController(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		z := newZoneScenario(t, enableZoneRecovery)
-		z.nodes[0].running = false
-		withReaders, others := z.loseZone()
-		if first {
-			z.startNode(0)
-			z.runChecked(30)
-			if s := z.zoneRecord(1).State; s == zonehealth.Healthy {
-				t.Error("the zone is healthy as soon as its controller is back")
+		t.Run(fmt.Sprintf("its controller first %t", first), func(t *testing.T) {
+			z := newZoneScenario(t, enableZoneRecovery)
+			z.nodes[0].running = false
+			withReaders, others := z.loseZone()
+			if first {
+				z.startNode(0)
+				z.runChecked(30)
+				if s := z.zoneRecord(1).State; s == zonehealth.Healthy {
+					t.Error("the zone is healthy as soon as its controller is back")
+				}
 			}
-		}
-		returned := z.world.Now
-		for _, x := range withReaders {
-			z.world.Cloud.Terminate(x.Host)
-		}
-		setPartitioned(others, false)
-		z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-		// What is beyond the readers' room goes to arrays by the slow start.
-		if n, beyond := z.arrayStartsBeforeReaders(returned), 2*len(others)-readerTasks; n > beyond {
-			t.Errorf("back first %t: %d tasks of arrays started before the readers, with room for %d", first, n, beyond)
-		}
-		if !first {
-			z.startNode(0)
-		}
-		z.runUntilRecovered(2*arrayTasks - readerTasks)
+			returned := z.world.Now
+			for _, x := range withReaders {
+				z.world.Cloud.Terminate(x.Host)
+			}
+			setPartitioned(others, false)
+			z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
+			// What is beyond the readers' room goes to arrays by the slow start.
+			if n, beyond := z.arrayStartsBeforeReaders(returned), 2*len(others)-readerTasks; n > beyond {
+				t.Errorf("back first %t: %d tasks of arrays started before the readers, with room for %d", first, n, beyond)
+			}
+			if !first {
+				z.startNode(0)
+			}
+			z.runUntilRecovered(2*arrayTasks - readerTasks)
+		})
 	}
 }
 
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -16,25 +17,27 @@
 // step by step. Without the feature arrays take all of it first, and are stopped again.
 func TestReadersFirstWhenHalfReturns(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		started := func(*testNode) {}
-		if on {
-			started = enableZoneRecovery
-		}
-		z := newZoneScenario(t, started)
-		_, others := z.machines()
-		beside := 2*len(others) - readerTasks
-		returned := z.returnHalf(on)
-		z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-		after := z.world.Now.Sub(returned)
-		before := z.arrayStartsBeforeReaders(returned)
-		t.Logf("feature %t: readers run after %v, %d tasks of arrays started before", on, after, before)
-		if on && before > beside {
-			t.Errorf("%d tasks of arrays started before the readers ran again, with room for %d beside them", before, beside)
-		}
-		if !on && before <= beside {
-			t.Error("without the feature no array is ahead: the test shows nothing")
-		}
-		z.runUntil(t, 400, "arrays are back", func() bool { return z.runningArrays() >= 2*arrayTasks-readerTasks })
+		t.Run(fmt.Sprintf("feature %t", on), func(t *testing.T) {
+			started := func(*testNode) {}
+			if on {
+				started = enableZoneRecovery
+			}
+			z := newZoneScenario(t, started)
+			_, others := z.machines()
+			beside := 2*len(others) - readerTasks
+			returned := z.returnHalf(on)
+			z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
+			after := z.world.Now.Sub(returned)
+			before := z.arrayStartsBeforeReaders(returned)
+			t.Logf("feature %t: readers run after %v, %d tasks of arrays started before", on, after, before)
+			if on && before > beside {
+				t.Errorf("%d tasks of arrays started before the readers ran again, with room for %d beside them", before, beside)
+			}
+			if !on && before <= beside {
+				t.Error("without the feature no array is ahead: the test shows nothing")
+			}
+			z.runUntil(t, 400, "arrays are back", func() bool { return z.runningArrays() >= 2*arrayTasks-readerTasks })
+		})
 	}
 }
 
