--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,15 +1,9 @@
-// Package controller joins the shards of the service. It owns the locks; no
-// lock is held across I/O.
 package controller
 
 import (
 	"context"
 	"fmt"
 	"log/slog"
-	"maps"
-	"math"
-	"runtime"
-	"slices"
 	"sync"
 	"time"
 
@@ -31,17 +25,16 @@
 	"violetturn/internal/state"
 	"violetturn/internal/store"
 	"violetturn/internal/storesync"
-	"violetturn/internal/timing"
 	"violetturn/internal/transport"
 	"violetturn/internal/worker"
 )
 
-// Controller is one node of the service.
+// Controller is one controller of the service. Use New.
 type Controller struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
-	http     *transport.Client
+	http     *transport.Client // of the services
 
 	sync      *storesync.Sync
 	commands  *commands.Sender
@@ -55,47 +48,75 @@
 	cluster *transport.Server // for the peers
 }
 
-// New makes a controller.
-func New(cfg *config.Settings, policy *config.Policy, on *features.Features, log *slog.Logger) (*Controller, error) {
-	h, err := transport.NewClient(responseLimits(cfg))
+// Shares of the sockets that a controller may have: what is left is for its own connections
+// to the outside systems and to workers.
+const (
+	serverSocketsNumerator, serverSocketsDenominator = 5, 8
+	clusterSocketsDenominator                        = 16
+)
+
+// idleLeases is after how many leases of a worker an idle connection is closed.
+const idleLeases = 2
+
+// cloudTimeout bounds a request to the cloud.
+const cloudTimeout = 3 * time.Second
+
+// New makes a controller with clients of its outside systems and its servers. Nothing runs
+// before Run.
+func New(settings *config.Settings, policy *config.Policy, on *features.Features, log *slog.Logger) (*Controller, error) {
+	client, err := transport.NewClient(responseLimits(settings))
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	n := float64(cfg.Facts.Size)
-	c := newController(cfg, policy, log)
+	c := newController(settings, policy, log)
 	c.node.Features = on
-	c.http = h
-	low := cfg.LowestLimits()
-	c.services.Store = store.New(store.Options{
-		HTTP:        h,
-		Addr:        cfg.External.State,
-		Deadline:    cfg.ControllerLeaseTTL() / 3,
-		Limits:      store.Limits{RPS: cfg.Facts.State.RPS, WriteRPS: cfg.Facts.State.WriteRPS},
-		Next:        store.Limits{RPS: low.RPS, WriteRPS: low.WriteRPS},
-		Controllers: cfg.Facts.Size,
-		OnAnswer:    c.sync.NoteStoreAnswer,
-	})
-	c.services.Cloud = cloud.New(h, cfg.External.Cloud, 3*time.Second, cfg.Facts.Cloud.RPS/n)
-	c.services.Workers = worker.New(h, min(cfg.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.services.Peers = peer.New(h)
-	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, cfg.Facts.Limits.MaxSockets*5/8, 2*cfg.WorkerLease())
-	// A peer's message holds a whole submission and a little more.
-	lim := httpwire.RequestLimits
-	lim.Body *= 2
-	c.cluster = transport.NewServer(c.frontend.HandlePeer, lim, cfg.Facts.Limits.MaxSockets/16, 2*cfg.WorkerLease())
+	c.http = client
+	c.addServices(client)
+	c.addServers()
 	return c, nil
 }
 
 // responseLimits bounds what an answer of an outside system may make a controller hold: a
 // sixteenth of its memory. Only a watch that missed much can be larger, and whoever missed
 // so much reads all records anew, in pages.
-func responseLimits(cfg *config.Settings) httpwire.Limits {
+func responseLimits(settings *config.Settings) httpwire.Limits {
+	const memoryShare, leastBytes = 16, 1 << 20
 	limits := httpwire.ResponseLimits
-	limits.Body = max(1<<20, int(cfg.Facts.Limits.MemoryMB*(1<<20)/16))
+	limits.Body = max(leastBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare))
 	return limits
 }
 
-// newController makes a controller without its outside systems.
+// addServices adds the clients of the outside systems.
+func (c *Controller) addServices(client *transport.Client) {
+	settings := c.node.Settings
+	now, lowest := settings.Facts.State, settings.LowestLimits()
+	c.services.Store = store.New(store.Options{
+		HTTP:        client,
+		Addr:        settings.External.State,
+		Deadline:    settings.ControllerLeaseTTL() / 3,
+		Limits:      store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
+		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
+		Controllers: settings.Facts.Size,
+		OnAnswer:    c.sync.NoteStoreAnswer,
+	})
+	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
+	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
+	c.services.Workers = worker.New(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
+	c.services.Peers = peer.New(client)
+}
+
+// addServers adds the servers for users and workers, and for peers.
+func (c *Controller) addServers() {
+	settings := c.node.Settings
+	sockets, idle := settings.Facts.Limits.MaxSockets, idleLeases*settings.WorkerLease()
+	forUsers := sockets * serverSocketsNumerator / serverSocketsDenominator
+	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, forUsers, idle)
+	forPeers := httpwire.RequestLimits
+	forPeers.Body *= 2 // a peer's message holds a whole submission and a little more
+	c.cluster = transport.NewServer(c.frontend.HandlePeer, forPeers, sockets/clusterSocketsDenominator, idle)
+}
+
+// newController makes a controller without its outside systems and servers.
 func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
 	info := node.New(settings, policy, log)
 	services := &external.Services{}
@@ -118,76 +139,70 @@
 	return c
 }
 
-// writeBudget is the budget of changes of a controller's state service.
+// writeBudget is the changes that the controller may send to the state service now.
 type writeBudget struct{ services *external.Services }
 
-// Available returns how many changes may be sent now.
+// Available implements schema.WriteBudget. It does not wait.
 func (b writeBudget) Available() int {
 	return b.services.Store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx ends, and then shuts down in order: loops first, then the lease, so
+// that others take over at once, then the servers. It returns an error if an address can't
+// be served on.
 func (c *Controller) Run(ctx context.Context) error {
-	failed := make(chan error, 2)
-	go func() { failed <- c.server.Run(c.node.Settings.ServeOn) }()
-	go func() { failed <- c.cluster.Run(c.node.Settings.ClusterListen) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.election.LeaseLoop, c.watchLoop, c.decisions.DecideLoop, c.decisions.GangLoop, c.scaling.AutoscaleLoop, c.members.PeerLoop, c.summaryLoop} {
-		wg.Go(func() { f(ctx) })
+	failed := make(chan error, 2) // one for each server
+	go func() { failed <- c.server.Run(c.node.Settings.ServeOn) }()
+	go func() { failed <- c.cluster.Run(c.node.Settings.ClusterListen) }()
+	var loops sync.WaitGroup
+	for _, loop := range c.loops() {
+		loops.Go(func() { loop(ctx) })
 	}
 	select {
 	case err := <-failed:
 		cancel()
-		wg.Wait()
+		loops.Wait()
 		return fmt.Errorf("serving on %s and %s: %w", c.node.Settings.ServeOn, c.node.Settings.ClusterListen, err)
 	case <-ctx.Done():
 	}
 	c.node.Log.Info("stopping")
-	wg.Wait()
-	c.election.RevokeLease()
-	stop, done := context.WithTimeout(context.Background(), 5*time.Second) // gnet looks twice a second whether it has ended
-	defer done()
-	for _, s := range []*transport.Server{c.server, c.cluster} {
-		if err := s.Stop(stop); err != nil {
-			return fmt.Errorf("stopping a server: %w", err)
-		}
+	loops.Wait()
+	return c.shutDown()
+}
+
+// loops are the goroutines of a controller besides those of its servers; each ends with its
+// context.
+func (c *Controller) loops() []func(context.Context) {
+	return []func(context.Context){
+		c.election.LeaseLoop,
+		c.watchLoop,
+		c.decisions.DecideLoop,
+		c.decisions.GangLoop,
+		c.scaling.AutoscaleLoop,
+		c.members.PeerLoop,
+		c.summaryLoop,
 	}
-	return c.http.Close()
 }
 
-// summaryLoop logs from time to time what this node uses and holds.
-func (c *Controller) summaryLoop(ctx context.Context) {
-	every := 4 * c.node.Settings.WorkerLease()
-	var reqs, writes float64
-	for timing.Sleep(ctx, every) {
-		r, w := c.services.Store.Used()
-		var mem runtime.MemStats
-		runtime.ReadMemStats(&mem)
-		state := c.guard.Lock()
-		c.node.Log.Info(
-			"summary", "store_rps", math.Round((r-reqs)/every.Seconds()*10)/10,
-			"write_rps", math.Round((w-writes)/every.Seconds()*10)/10,
-			"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.KnownShards()), "heap_kb", mem.HeapAlloc>>10,
-		)
-		for _, what := range slices.Sorted(maps.Keys(state.Stats.Commits)) {
-			n := state.Stats.Commits[what]
-			c.node.Log.Info(
-				"commits", "for", what, "transactions", n.Transactions, "changes", n.Writes, "conflicts", n.Conflicts,
-				"conflicted_changes", n.ConflictedWrites, "failed", n.Failed,
-			)
-		}
-		clear(state.Stats.Commits)
-		state.Scheduler.DropFinishedJobs()
-		for uid := range state.Agents.RunningGangs {
-			if state.Cache.Jobs[uid] == nil {
-				delete(state.Agents.RunningGangs, uid)
-			}
+// watchLoop keeps the cache in step, and has workers whose tasks have changed report.
+func (c *Controller) watchLoop(ctx context.Context) { c.sync.Watch(ctx, c.commands.RequestHeartbeats) }
+
+// stopTimeout bounds the end of a server: gnet looks twice a second whether it has ended.
+const stopTimeout = 5 * time.Second
+
+// shutDown ends the lease, the servers and the connections.
+func (c *Controller) shutDown() error {
+	c.election.RevokeLease()
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	defer cancel()
+	for _, server := range []*transport.Server{c.server, c.cluster} {
+		if err := server.Stop(ctx); err != nil {
+			return fmt.Errorf("stopping a server: %w", err)
 		}
-		c.guard.Unlock()
-		reqs, writes = r, w
 	}
+	return c.http.Close()
 }
 
 // MeterLock records from now on how the state's lock is used. It is called before Run.
--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -49,7 +49,7 @@
 		timer := time.NewTimer(k.MaintainLease(ctx))
 		select {
 		case <-timer.C:
-		case <-k.sync.LeaderlessShard: // its turn may be ours
+		case <-k.sync.LeaderlessShard(): // its turn may be ours
 			timing.Sleep(ctx, k.node.Settings.ControllerLeaseTTL()/turnsPerLease)
 		case <-ctx.Done():
 		}
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -2,7 +2,6 @@
 
 import (
 	"violetturn/internal/respond"
-	"violetturn/internal/state"
 	"violetturn/internal/transport"
 )
 
@@ -17,16 +16,10 @@
 	if !state.Cache.Loaded && state.Reachability.StoreReachable {
 		return respond.Busy
 	}
-	if f.isIsolated(state) {
+	// But one that reaches neither the state service nor any peer is cut off itself: it can say
+	// nothing to its users and lets them go.
+	if state.Reachability.IsolatedFor(f.node.Settings.ControllerLeaseTTL()/2, f.node.Now()) {
 		return respond.Busy
 	}
 	return respond.JSON(statusOK, healthBody{Node: f.node.Settings.HostName})
 }
-
-// isIsolated reports whether the node has reached neither the state service nor any peer for a
-// while: it is cut off itself, can say nothing to its users and lets them go.
-func (f *Frontend) isIsolated(s *state.State) bool {
-	r := &s.Reachability
-	return !r.StoreReachable && f.node.Now().Sub(r.Since) > f.node.Settings.ControllerLeaseTTL()/2 &&
-		r.PeersAsked && len(r.Peers) == 0
-}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,8 +1,6 @@
 package state
 
 import (
-	"time"
-
 	"violetturn/internal/agent"
 	"violetturn/internal/autoscaler"
 	"violetturn/internal/capacity"
@@ -21,92 +19,94 @@
 	"violetturn/internal/zonestate"
 )
 
-// CommitStats counts transactions for the log's summary.
-type CommitStats struct{ Transactions, Writes, Conflicts, ConflictedWrites, Failed int }
-
-// Reachability is what a node knows of the state service and of its peers' sight of
-// it. A node can't tell an outage from a refusal of itself alone; peers can.
-type Reachability struct {
-	StoreReachable bool            // our last request was served
-	Since          time.Time       // since when that is so
-	PeersAsked     bool            // the peers have been asked since
-	Peers          map[string]bool // peers that answer, and whether they reach the state service
-}
-
-// Stats is what decisions count and when they last did what is not done each time.
-type Stats struct {
-	Commits        map[string]CommitStats // by what they were for, since the last summary
-	DeregisteredAt time.Time              // when machines were last deregistered
-}
-
-// State is all that the controller's lock guards.
+// State is all that the controller's lock guards, lower layers first: each part knows only
+// those above it in this list. Use New.
 type State struct {
-	Node         *node.Info
-	Cache        *statecache.Cache
-	wake         notify.Signal
-	Schema       *schema.State
-	Leadership   *leadership.Table
-	Catalog      *catalog.Catalog
-	Agents       *agent.Registry
-	Room         *capacity.Room
-	estimates    *estimate.Estimates
-	Zones        *zonestate.Zones
-	Capacity     *capacity.Accounts
-	Scheduler    *scheduler.Scheduler
-	Autoscaler   *autoscaler.Autoscaler
-	FinalStates  *finalstate.Cache
-	Splitter     *splitter.Splitter
-	Reconciler   *reconcile.Reconciler
+	Cache       *statecache.Cache      // live records of the state service
+	Schema      *schema.State          // forms and sizes in which records may be written
+	Leadership  *leadership.Table      // shards that this controller leads
+	Catalog     *catalog.Catalog       // what the cloud offers
+	Agents      *agent.Registry        // workers of the shards that this controller leads
+	Room        *capacity.Room         // what machines have free
+	Zones       *zonestate.Zones       // health of zones
+	Capacity    *capacity.Accounts     // capacity records and quotas
+	Scheduler   *scheduler.Scheduler   // plans
+	Autoscaler  *autoscaler.Autoscaler // rentals and returns
+	Reconciler  *reconcile.Reconciler  // answers to heartbeats
+	Splitter    *splitter.Splitter     // records that outgrow the limits
+	FinalStates *finalstate.Cache      // how jobs ended
+
 	Stats        Stats
 	Reachability Reachability
 }
 
-// New makes the state of a controller that has read nothing yet.
-func New(node *node.Info, wake notify.Signal, budget schema.WriteBudget) *State {
-	cache := statecache.New(node.Log)
-	schema := schema.New(node, cache, budget)
-	leadership := leadership.NewTable(node, cache, schema)
-	catalog := catalog.New(node)
-	agents := agent.NewRegistry(agent.Deps{Node: node, Cache: cache, Leadership: leadership, Catalog: catalog, Wake: wake})
-	room := capacity.NewRoom(capacity.RoomDeps{Node: node, Cache: cache, Leadership: leadership, Catalog: catalog, Agents: agents})
-	estimates := estimate.New(node)
-	zones := zonestate.New(zonestate.Deps{
-		Node: node, Cache: cache, Schema: schema, Leadership: leadership, Catalog: catalog, Agents: agents,
-	})
-	capacity := capacity.NewAccounts(capacity.AccountDeps{
-		Node: node, Cache: cache, Schema: schema, Leadership: leadership, Catalog: catalog, Room: room,
-	})
-	scheduler := scheduler.New(scheduler.Deps{
-		Node: node, Cache: cache, Schema: schema, Leadership: leadership, Catalog: catalog, Agents: agents,
-		Room: room, Estimates: estimates, Zones: zones, Capacity: capacity, Wake: wake,
-	})
+// New makes the state of a controller that has read nothing yet. The state gives wake when
+// there is something to decide.
+func New(info *node.Info, wake notify.Signal, budget schema.WriteBudget) *State {
 	s := &State{
-		Node: node, Cache: cache, wake: wake, Schema: schema, Leadership: leadership, Catalog: catalog, Agents: agents,
-		Room: room, estimates: estimates, Zones: zones, Capacity: capacity, Scheduler: scheduler,
-		Autoscaler: autoscaler.New(autoscaler.Deps{
-			Node: node, Cache: cache, Leadership: leadership, Catalog: catalog, Agents: agents, Room: room,
-			Estimates: estimates, Zones: zones, Capacity: capacity, Scheduler: scheduler, Wake: wake,
-		}),
-		FinalStates: finalstate.New(node),
-		Splitter:    splitter.New(node, cache, schema, leadership),
-		Reconciler: reconcile.New(reconcile.Deps{
-			Node: node, Cache: cache, Leadership: leadership, Catalog: catalog, Agents: agents,
-			Estimates: estimates, Zones: zones, Wake: wake,
-		}),
+		Cache:        statecache.New(info.Log),
+		Catalog:      catalog.New(info),
+		FinalStates:  finalstate.New(info),
 		Stats:        Stats{Commits: map[string]CommitStats{}},
 		Reachability: Reachability{StoreReachable: true, Peers: map[string]bool{}},
 	}
-	cache.Observe(s)
+	s.Schema = schema.New(info, s.Cache, budget)
+	s.Leadership = leadership.NewTable(info, s.Cache, s.Schema)
+	s.Splitter = splitter.New(info, s.Cache, s.Schema, s.Leadership)
+	s.addMachines(info, wake)
+	s.addDecisions(info, wake)
+	s.Cache.Observe(s)
 	return s
 }
 
-// JobAdded notes a job that has appeared, for what is expected of its class.
-func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
+// addMachines adds what is known of machines.
+func (s *State) addMachines(info *node.Info, wake notify.Signal) {
+	s.Agents = agent.NewRegistry(agent.Deps{
+		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
+	})
+	s.Room = capacity.NewRoom(capacity.RoomDeps{
+		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
+	})
+	s.Zones = zonestate.New(zonestate.Deps{
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
+	})
+	s.Capacity = capacity.NewAccounts(capacity.AccountDeps{
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Room: s.Room,
+	})
+}
 
-// JobEnded remembers how a job ended.
-func (s *State) JobEnded(uid string, final job.FinalState) {
-	s.FinalStates.Remember(uid, final)
+// addDecisions adds what decides.
+func (s *State) addDecisions(info *node.Info, wake notify.Signal) {
+	estimates := estimate.New(info)
+	s.Scheduler = scheduler.New(scheduler.Deps{
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
+		Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Wake: wake,
+	})
+	s.Autoscaler = autoscaler.New(autoscaler.Deps{
+		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents, Room: s.Room,
+		Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Scheduler: s.Scheduler, Wake: wake,
+	})
+	s.Reconciler = reconcile.New(reconcile.Deps{
+		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
+		Estimates: estimates, Zones: s.Zones, Wake: wake,
+	})
 }
 
-// TasksChanged notes a machine where tasks were placed or are to stop.
+// JobAdded implements statecache.Observer: arrivals tell what is expected of their class.
+func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
+
+// JobEnded implements statecache.Observer: users ask how their jobs ended.
+func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
+
+// TasksChanged implements statecache.Observer: the machine's worker has something to be told.
 func (s *State) TasksChanged(host string) { s.Agents.HeartbeatRequests[host] = true }
+
+// DropFinishedJobs drops what is remembered of jobs that are over.
+func (s *State) DropFinishedJobs() {
+	s.Scheduler.DropFinishedJobs()
+	for uid := range s.Agents.RunningGangs {
+		if s.Cache.Jobs[uid] == nil {
+			delete(s.Agents.RunningGangs, uid)
+		}
+	}
+}
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -11,6 +11,7 @@
 	"violetturn/internal/state"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
+	"violetturn/internal/timing"
 )
 
 // Sync keeps the cache in step with the state service and commits transactions. Use New. Its
