--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -167,9 +167,9 @@
 }
 
 // checkAnswer has the world check what a user was told, and returns the phase.
-func (z *zoneCluster) checkAnswer(uid string, status int, body []byte, submission bool) (phase string) {
+func (z *zoneCluster) checkAnswer(uid string, status int, body []byte, submission bool) (phase api.JobPhase) {
 	var a struct {
-		Phase string `json:"phase"`
+		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // an answer without a phase has none
 	z.server.With(func(w *simulator.World) { w.CheckResponse(uid, status, a.Phase, submission) })
@@ -196,7 +196,7 @@
 		for _, x := range w.Cloud.Workers() {
 			for _, task := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
-				if x.Zone == "x" && !x.Partitioned && slices.Contains(uids, uid) && task.Phase == api.Running {
+				if x.Zone == "x" && !x.Partitioned && slices.Contains(uids, uid) && task.Phase == api.TaskRunning {
 					n++
 				}
 			}
@@ -299,7 +299,7 @@
 	for _, uid := range arrays {
 		z.wait(uid+" is done", func() bool {
 			status, body := z.send(z.randomBelow(processNodes), "GET", "/v2/runs/"+uid, nil)
-			return z.checkAnswer(uid, status, body, false) == api.Done
+			return z.checkAnswer(uid, status, body, false) == api.JobDone
 		})
 	}
 	z.server.With(func(w *simulator.World) {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -141,7 +141,7 @@
 // them, and whether there are starts, which have to wait.
 func (reg *Registry) immediateCommands(host string, s *Agent) (out []api.Command, stop, start bool) {
 	out = []api.Command{}
-	listed := map[AttemptID]string{}
+	listed := map[AttemptID]api.TaskPhase{}
 	for _, p := range s.Heartbeat.Tasks {
 		listed[AttemptID{Task: p.Task, Attempt: p.Attempt}] = p.Phase
 	}
@@ -156,12 +156,12 @@
 		switch {
 		case !there:
 			start = start || j.MayLaunch(pl.Placement)
-		case j.MustStop(pl.Placement) && phase != api.Saving && phase != api.Ended:
+		case j.MustStop(pl.Placement) && phase != api.TaskSaving && phase != api.TaskEnded:
 			out, stop = append(out, reg.StopCommand(j, a)), true
 		}
 	}
 	for a, phase := range listed {
-		if phase == api.Ended {
+		if phase == api.TaskEnded {
 			out = append(out, api.Command{Action: api.Clear, Task: a.Task, Attempt: a.Attempt})
 		}
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -49,7 +49,7 @@
 // NoteTaskEnd notes what a task's end says of the machine and of its job.
 func (reg *Registry) NoteTaskEnd(host string, s *Agent, j *statecache.Job, _ *statecache.PlacedTask, l *api.TaskState) {
 	uid := j.Record.Spec.UID
-	if !api.KnownCause(l.Cause) {
+	if !l.Cause.Known() {
 		reg.node.Log.Error("unknown exit cause reported", "host", host, "cause", l.Cause)
 	}
 	reg.node.Log.Info("task ended", "task", l.Task, "attempt", l.Attempt, "host", host, "cause", l.Cause, "saved", l.Saved)
@@ -64,5 +64,7 @@
 		}
 	case api.CauseNoRoom:
 		s.AvoidUntil = reg.node.Now().Add(2 * reg.node.Settings.HeartbeatInterval())
+	case api.CauseStopped, api.CauseBusy, api.CauseUnknown, api.CausePeerLost, api.CauseGangIncomplete:
+		// says nothing of the machine
 	}
 }
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -21,7 +21,7 @@
 
 // ExitReasonOf reads a cause of a task's end. One that this version doesn't know says
 // nothing of who is to blame, and that the task did not complete.
-func ExitReasonOf(cause string) job.ExitReason {
+func ExitReasonOf(cause api.ExitCause) job.ExitReason {
 	switch cause {
 	case api.CauseDone:
 		return job.ExitDone
@@ -31,6 +31,8 @@
 		return job.ExitRefused
 	case api.CausePeerLost, api.CauseGangIncomplete:
 		return job.ExitPeerLost
+	case api.CauseStopped:
+		return job.ExitLost
 	}
 	return job.ExitLost
 }
--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -1,18 +1,11 @@
 package api
 
-// Actions of commands to workers.
-const (
-	Launch = "launch" // start a task
-	Stop   = "halt"   // stop a task, which saves its progress within the grace
-	Clear  = "clear"  // remove an ended task
-)
-
 // Command is one command to a worker.
 type Command struct {
-	Action  string   `json:"verb"`
-	Task    string   `json:"piece"` // its name, see TaskName
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"leewayS,omitempty"` // of a stop, in seconds
+	Action  CommandAction `json:"verb"`
+	Task    string        `json:"piece"` // its name, see TaskName
+	Attempt uint64        `json:"try"`
+	GraceS  *float64      `json:"leewayS,omitempty"` // of a stop, in seconds
 }
 
 // CommandBatch is what a worker is told: in the answer to a heartbeat, or directly at /commands,
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -38,10 +38,10 @@
 // checkJob checks that a job is one that PROTOCOL allows.
 func checkJob(t *testing.T, j *Job) {
 	t.Helper()
-	if _, ok := PriorityOf(j.Priority); !ok || !ValidUID(j.UID) || j.Tasks < 1 || j.Tasks > MaxTasks {
+	if !j.Priority.Known() || !ValidUID(j.UID) || j.Tasks < 1 || j.Tasks > MaxTasks {
 		t.Fatalf("%+v", j)
 	}
-	if j.Kind != Array && j.Kind != Service && j.Kind != Gang {
+	if !j.Kind.Known() {
 		t.Fatalf("kind %q", j.Kind)
 	}
 	for _, text := range []string{j.Class, j.Team, j.Image} {
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -5,53 +5,13 @@
 	"strings"
 )
 
-// Phases of tasks in heartbeats.
-const (
-	Fetching  = "pulling"   // waits for its image
-	Gathering = "gathering" // of a gang: waits for the other tasks of its attempt
-	Saving    = "saving"    // was told to stop and saves
-	Ended     = "ended"     // see its cause
-)
-
-// Causes of a task's end.
-const (
-	CauseDone           = "done"       // completed
-	CauseStopped        = "stopped"    // by command
-	CauseError          = "error"      // failed
-	CauseNoRoom         = "no_room"    // start refused: not enough free resources
-	CauseBusy           = "busy"       // start refused: the machine has another attempt of the task
-	CauseUnknown        = "unknown"    // start refused: no such job or task
-	CausePeerLost       = "mates_gone" // of a gang: another task of it has ended
-	CauseGangIncomplete = "alone"      // of a gang: it was not complete in time
-)
-
-// KnownPhase reports whether PROTOCOL, as this version knows it, has such a phase of tasks. One
-// that it does not have is read as a task that runs.
-func KnownPhase(s string) bool {
-	switch s {
-	case Fetching, Gathering, Running, Saving, Ended:
-		return true
-	}
-	return false
-}
-
-// KnownCause reports whether PROTOCOL, as this version knows it, has such a cause of an end. One
-// that it does not have is read as an end without success that is nobody's fault.
-func KnownCause(s string) bool {
-	switch s {
-	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
-		return true
-	}
-	return false
-}
-
 // TaskState is one task in a heartbeat.
 type TaskState struct {
-	Task    string `json:"piece"` // its name, see TaskName
-	Attempt uint64 `json:"try"`
-	Phase   string `json:"phase"`
-	Cause   string `json:"cause"` // of the end; "" before it
-	Saved   bool   `json:"saved"` // its progress was saved when it was stopped
+	Task    string    `json:"piece"` // its name, see TaskName
+	Attempt uint64    `json:"try"`
+	Phase   TaskPhase `json:"phase"`
+	Cause   ExitCause `json:"cause"` // "" before the end
+	Saved   bool      `json:"saved"` // its progress was saved when it was stopped
 }
 
 // Heartbeat is a worker's heartbeat.
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -5,41 +5,16 @@
 	"strings"
 )
 
-// Kinds of jobs.
-const (
-	Array   = "sweep"    // tasks that run and complete independently
-	Service = "daemon"   // tasks that run until the job is cancelled
-	Gang    = "ensemble" // all tasks at the same time or none
-)
-
-// Phases of jobs.
-const (
-	Pending   = "pending" // no task runs
-	Running   = "running"
-	Done      = "done"      // all tasks are done; final
-	Cancelled = "withdrawn" // final
-)
-
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
 
-// priorities maps the names of priorities to their order, from the most important one.
-var priorities = map[string]int{"production": 0, "urgent": 1, "standard": 2, "idle": 3}
-
-// PriorityOf returns the place of a priority in their order: 0 is the most important. It reports
-// whether there is such a priority.
-func PriorityOf(priority string) (int, bool) {
-	n, ok := priorities[priority]
-	return n, ok
-}
-
 // Job is a submission. Its JSON names are also those of the job's record.
 type Job struct {
 	UID          string   `json:"uid"`
 	Class        string   `json:"lane"` // the class of jobs that objectives are set for
 	Team         string   `json:"owner"`
-	Kind         string   `json:"shape"`
-	Priority     string   `json:"rank"`
+	Kind         JobKind  `json:"shape"`
+	Priority     Priority `json:"rank"`
 	Tasks        int      `json:"pieces"`              // number of them
 	CPUs         float64  `json:"cpus"`                // of one task
 	GPUs         float64  `json:"gpus"`                // of one task
@@ -59,10 +34,10 @@
 
 // State is what users are told of a job. Done and Running count tasks.
 type State struct {
-	UID     string `json:"uid"`
-	Phase   string `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	UID     string   `json:"uid"`
+	Phase   JobPhase `json:"phase"`
+	Done    int      `json:"done"`
+	Running int      `json:"running"`
 }
 
 // ParseJob reads a submission. Its error is a RequestError with StatusBadRequest.
@@ -88,11 +63,10 @@
 	r.check("uid", ValidUID(j.UID))
 	r.text("lane", &j.Class)
 	r.text("owner", &j.Team)
-	r.text("shape", &j.Kind)
-	r.check("shape", j.Kind == Array || j.Kind == Service || j.Kind == Gang)
-	r.text("rank", &j.Priority)
-	_, known := PriorityOf(j.Priority)
-	r.check("rank", known)
+	r.read("shape", &j.Kind)
+	r.check("shape", j.Kind.Known())
+	r.read("rank", &j.Priority)
+	r.check("rank", j.Priority.Known())
 	r.read("pieces", &j.Tasks)
 	r.check("pieces", j.Tasks >= 1 && j.Tasks <= MaxTasks)
 }
@@ -163,9 +137,9 @@
 }
 
 // KindOf reads only the kind of a submission; it returns "" if that can't be read.
-func KindOf(body []byte) string {
+func KindOf(body []byte) JobKind {
 	var m struct {
-		Kind string `json:"shape"`
+		Kind JobKind `json:"shape"`
 	}
 	_ = json.Unmarshal(body, &m) // what can't be read has no kind
 	return m.Kind
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -83,12 +83,12 @@
 // policyHeadroom returns for how many tasks of a class the policy keeps room; 0 for none.
 func (a *Autoscaler) policyHeadroom(demand *classDemand, boot time.Duration) float64 {
 	spec := demand.newest
-	priority, _ := api.PriorityOf(spec.Priority)
+	priority := spec.Priority.Level()
 	slack := min(a.estimates.WaitingSlack(demand.class, spec, a.catalog.FetchSeconds(spec)), estimate.UnlimitedSeconds)
 	variables := config.JobVariables{
 		Class:    demand.class,
 		Team:     spec.Team,
-		Kind:     spec.Kind,
+		Kind:     spec.Kind.String(),
 		Priority: priority,
 		Slack:    slack,
 		Tasks:    spec.Tasks,
@@ -101,7 +101,7 @@
 // newHeadroomRequest asks for room for tasks like those of a job, but not in a zone that is closed
 // to work below production. Each zone takes its share of a spread job.
 func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, admission *recovery.Admission) HeadroomRequest {
-	priority, _ := api.PriorityOf(spec.Priority)
+	priority := spec.Priority.Level()
 	headroom := HeadroomRequest{class: class, priority: priority}
 	request := statecache.TaskRequestOf(spec)
 	if allowed := a.zones.AdmissionOfSpec(spec, admission); allowed != nil {
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -87,7 +87,7 @@
 	if r.autoscaler.room.UnfinishedTasks(host) > 0 {
 		return true
 	}
-	running := func(task api.TaskState) bool { return task.Phase != api.Ended }
+	running := func(task api.TaskState) bool { return task.Phase != api.TaskEnded }
 	return worker.Heartbeat != nil && slices.ContainsFunc(worker.Heartbeat.Tasks, running)
 }
 
--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -68,7 +68,7 @@
 
 // CameSince reports whether the newest arrival of some class is a job of that kind and came
 // after that time.
-func (a *Arrivals) CameSince(kind string, since time.Time) bool {
+func (a *Arrivals) CameSince(kind api.JobKind, since time.Time) bool {
 	for _, arrivals := range a.byClass {
 		if len(arrivals) == 0 {
 			continue
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -66,7 +66,7 @@
 		}
 		if job.MustStop(task.Placement) {
 			load.Stopping = load.Stopping.Add(need)
-		} else if priority, _ := api.PriorityOf(job.Record.Spec.Priority); priority < len(load.RunningByPriority) {
+		} else if priority := job.Record.Spec.Priority.Level(); priority < len(load.RunningByPriority) {
 			load.RunningByPriority[priority] = load.RunningByPriority[priority].Add(need)
 		}
 	}
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -44,7 +44,7 @@
 	for _, pl := range c.testState().Cache.Placements[x.Host] {
 		x.Tasks = append(
 			x.Tasks,
-			api.TaskState{Task: pl.TaskName(c.testState().Cache.Jobs[pl.UID]), Attempt: pl.Placement.Attempt, Phase: api.Running},
+			api.TaskState{Task: pl.TaskName(c.testState().Cache.Jobs[pl.UID]), Attempt: pl.Placement.Attempt, Phase: api.TaskRunning},
 		)
 	}
 	b.ReportAllocs()
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -21,7 +21,7 @@
 	leader, other := s.leaderOfJob(t, cancelled)
 	s.world.Store.Refused[s.nodes[leader].name] = true
 	s.stepNode(leader) // it notices
-	if s.cancel(other, cancelled); s.world.Jobs[cancelled].FinalPhase != api.Cancelled {
+	if s.cancel(other, cancelled); s.world.Jobs[cancelled].FinalPhase != api.JobCancelled {
 		t.Fatal("not confirmed")
 	}
 	s.world.Store.Down = true
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -186,7 +186,7 @@
 		o.cancel(o.other, o.job)
 		o.checkBounds()
 	}
-	if j.FinalPhase != api.Cancelled {
+	if j.FinalPhase != api.JobCancelled {
 		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.world.Lease, o.world.CancelTimeout)
 	}
 	for range rounds(o.world.CancelTimeout) + 2 {
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -39,7 +39,7 @@
 func TestCancellationAtLastTaskEnd(t *testing.T) {
 	for node := range 3 {
 		for _, f := range []simulator.Fault{simulator.NoFault, simulator.ResponseLost, simulator.RequestLost, simulator.Delayed} {
-			for _, kind := range []string{api.Array, api.Gang} {
+			for _, kind := range []api.JobKind{api.Array, api.Gang} {
 				t.Run(fmt.Sprintf("n%d, %s, fault %v", node, kind, f), func(t *testing.T) {
 					s := newReadyCluster()
 					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
@@ -71,7 +71,7 @@
 // transaction: a placement, the end of the last task, a claim of a gang. The later of the
 // two is not carried out.
 func TestCancellationBesideDecision(t *testing.T) {
-	for _, kind := range []string{api.Array, api.Gang} {
+	for _, kind := range []api.JobKind{api.Array, api.Gang} {
 		for _, last := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, last task ended %t", kind, last), func(t *testing.T) {
 				s := newReadyCluster()
@@ -87,7 +87,7 @@
 					}
 					s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
 				}
-				told := ""
+				var told api.JobPhase
 				s.beforeCommits(func(node int) {
 					if told != "" {
 						return
@@ -100,7 +100,7 @@
 					s.runRounds(t, 1)
 					s.queryEverywhere(id)
 				}
-				if told != api.Cancelled {
+				if told != api.JobCancelled {
 					t.Errorf("%s, last %t: told %q", kind, last, told)
 				}
 				s.cancel(0, low)
@@ -128,7 +128,7 @@
 		if k%3 == 0 {
 			s.cancel((k+1)%3, id)
 			s.queryEverywhere(id)
-			if s.world.Jobs[id].FinalPhase != api.Cancelled {
+			if s.world.Jobs[id].FinalPhase != api.JobCancelled {
 				t.Fatal("not confirmed")
 			}
 		}
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -12,12 +12,12 @@
 func (s *testCluster) isDone(id string) func() bool {
 	return func() bool {
 		s.poll(1, id)
-		return s.world.Jobs[id].FinalPhase == api.Done
+		return s.world.Jobs[id].FinalPhase == api.JobDone
 	}
 }
 
 // tasksInPhaseByHost counts the tasks of a job in a phase, as their workers say, by machine.
-func (s *testCluster) tasksInPhaseByHost(id, phase string) map[string]int {
+func (s *testCluster) tasksInPhaseByHost(id string, phase api.TaskPhase) map[string]int {
 	on := map[string]int{}
 	for h, x := range s.world.Cloud.Hosts {
 		for _, t := range x.Heartbeat().Tasks {
@@ -31,11 +31,11 @@
 
 // runningTasksByHost counts the running tasks of a job by machine.
 func (s *testCluster) runningTasksByHost(id string) map[string]int {
-	return s.tasksInPhaseByHost(id, api.Running)
+	return s.tasksInPhaseByHost(id, api.TaskRunning)
 }
 
 // tasksInPhase counts the tasks of a job in a phase, as their workers say.
-func (s *testCluster) tasksInPhase(id, phase string) int {
+func (s *testCluster) tasksInPhase(id string, phase api.TaskPhase) int {
 	n := 0
 	for _, tasks := range s.tasksInPhaseByHost(id, phase) {
 		n += tasks
@@ -44,7 +44,7 @@
 }
 
 // runningTasks counts the running tasks of a job.
-func (s *testCluster) runningTasks(id string) int { return s.tasksInPhase(id, api.Running) }
+func (s *testCluster) runningTasks(id string) int { return s.tasksInPhase(id, api.TaskRunning) }
 
 // presentTasks counts the tasks of a job that take room on machines.
 func (s *testCluster) presentTasks(id string) int {
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -45,7 +45,7 @@
 // checkResponse checks what a user was told of a job.
 func (s *testCluster) checkResponse(uid string, status int, body []byte, submission bool) {
 	var state struct {
-		Phase string `json:"phase"`
+		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &state) // a response without a phase has none
 	s.world.CheckResponse(uid, status, state.Phase, submission)
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -22,7 +22,7 @@
 }
 
 // submitDrawn submits a job of a kind through a drawn controller; "" draws the kind.
-func (s *testCluster) submitDrawn(t *rapid.T, kind string) {
+func (s *testCluster) submitDrawn(t *rapid.T, kind api.JobKind) {
 	if len(s.jobIDs) >= maxDrawnJobs {
 		t.Skip("enough jobs")
 	}
@@ -69,13 +69,13 @@
 }
 
 // drawJob draws a job of a kind and the run time of its tasks; "" draws the kind.
-func drawJob(t *rapid.T, uid, kind string) (*api.Job, time.Duration) {
+func drawJob(t *rapid.T, uid string, kind api.JobKind) (*api.Job, time.Duration) {
 	if kind == "" {
-		kind = rapid.SampledFrom([]string{api.Array, api.Service, api.Gang}).Draw(t, "kind")
+		kind = rapid.SampledFrom([]api.JobKind{api.Array, api.Service, api.Gang}).Draw(t, "kind")
 	}
 	j := &api.Job{UID: uid, Class: "l", Kind: kind, CPUs: 1, GPUs: 1, MemGB: 4, Image: "img", ImageGB: 1}
 	j.Team = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")
-	j.Priority = rapid.SampledFrom([]string{"production", "standard", "idle"}).Draw(t, "priority")
+	j.Priority = rapid.SampledFrom([]api.Priority{api.Production, api.Standard, api.Idle}).Draw(t, "priority")
 	j.Tasks = rapid.IntRange(1, 5).Draw(t, "tasks")
 	if j.Kind == api.Array && rapid.IntRange(0, 5).Draw(t, "large") == 0 {
 		j.Tasks = drawManyTasks(t)
@@ -97,6 +97,7 @@
 		drawGang(t, j)
 	case api.Service:
 		j.Tasks = min(j.Tasks, 4)
+	case api.Array: // as drawn
 	}
 	return j, time.Duration(rapid.IntRange(1, 20).Draw(t, "run time")) * time.Second
 }
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -78,7 +78,7 @@
 		for _, uid := range l.jobIDs {
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
-			if j := l.world.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.Cancelled {
+			if j := l.world.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.JobCancelled {
 				t.Errorf("controller %d answers %d for %s", i, status, uid)
 			}
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -26,7 +26,7 @@
 				}
 			})
 			s.runUntil(t, 300, "all run", func() bool {
-				on := s.tasksInPhase(id, api.Running)
+				on := s.tasksInPhase(id, api.TaskRunning)
 				if on != 0 && on != n {
 					t.Fatalf("%d of %d run", on, n)
 				}
@@ -53,9 +53,9 @@
 	s.runUntil(t, 300, "done", s.isDone(other))
 	s.world.MachineType.Fetch = 6 * time.Second
 	id := s.submitGang(t, nil)
-	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.Fetching) == 4 })
+	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
 	s.world.Cloud.Terminate(s.workerOf(id).Host)
-	s.runUntil(t, 100, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
+	s.runUntil(t, 100, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	if g := s.nodes[0].state().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
 		t.Fatalf("runs as attempt %d", g.Attempt)
 	}
@@ -69,7 +69,7 @@
 		t.Run(how, func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
-			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
+			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
 			x := s.workerOf(id)
 			switch how {
@@ -82,7 +82,7 @@
 			}
 			s.runUntil(t, 400, how+": a later attempt runs", func() bool {
 				j := s.nodes[0].state().Cache.Jobs[id]
-				return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.Running) == 4
+				return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.TaskRunning) == 4
 			})
 			s.runUntil(t, 300, "done", s.isDone(id))
 		})
@@ -96,7 +96,7 @@
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
 		r.Priority, r.CheckpointS, r.SaveS, *d = "idle", 100, 1, 40*time.Second
 	})
-	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
+	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
 	s.world.Cloud.NoCapacity = true
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
@@ -105,10 +105,10 @@
 		for _, x := range s.world.Cloud.Hosts {
 			for _, p := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(p.Task)
-				saved = saved || uid == id && p.Phase == api.Ended && p.Saved
+				saved = saved || uid == id && p.Phase == api.TaskEnded && p.Saved
 			}
 		}
-		return s.tasksInPhase(id, api.Running) == 0
+		return s.tasksInPhase(id, api.TaskRunning) == 0
 	})
 	if !saved {
 		t.Fatal("its progress was lost")
@@ -179,9 +179,9 @@
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Together, *d = true, 8*time.Second })
-	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 4 })
+	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	x := s.workerOf(id)
-	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.Running) == 0 })
+	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
 	s.world.Cloud.Terminate(x.Host)
 	s.nodes[0].running = false
 	s.runFor(6)
@@ -189,7 +189,7 @@
 	s.runUntil(t, 100, "done", s.isDone(id))
 	for range 40 {
 		s.runRound()
-		if n := s.tasksInPhase(id, api.Running) + s.tasksInPhase(id, api.Gathering); n > 0 {
+		if n := s.tasksInPhase(id, api.TaskRunning) + s.tasksInPhase(id, api.TaskGathering); n > 0 {
 			t.Fatalf("%d tasks of a done gang run", n)
 		}
 	}
@@ -198,10 +198,10 @@
 // What a newer worker says in words that this version doesn't have is read as the
 // safest: a task that runs, an end without success.
 func TestUnknownPhasesAndCauses(t *testing.T) {
-	if agent.ExitReasonOf("melted") != job.ExitLost || api.KnownCause("melted") || api.KnownPhase("melting") {
+	if agent.ExitReasonOf("melted") != job.ExitLost || api.ExitCause("melted").Known() || api.TaskPhase("melting").Known() {
 		t.Fatal("an unknown word is taken for a known one")
 	}
-	for _, how := range []string{api.CausePeerLost, api.CauseGangIncomplete} {
+	for _, how := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
 		if g.TaskEnded(1, agent.ExitReasonOf(how), true); !g.Ended {
 			t.Fatalf("goes on after %s", how)
@@ -237,7 +237,7 @@
 // was left to rent, while the other had tasks of lower priority.
 func TestGangTakesTheZoneThatYields(t *testing.T) {
 	s := newReadyCluster()
-	for zone, priority := range map[string]string{"x": "standard", "y": "idle"} {
+	for zone, priority := range map[string]api.Priority{"x": api.Standard, "y": api.Idle} {
 		s.submitJob(func(r *api.Job, d *time.Duration) {
 			r.Zone, r.Priority, r.Tasks, *d = zone, priority, 4, 10*time.Minute
 		})
@@ -245,5 +245,5 @@
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
 	s.world.Cloud.NoCapacity = true
 	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Together, r.Tasks = true, 3 })
-	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.Running) == 3 })
+	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -89,12 +89,12 @@
 	}
 	running := s.runningTasks(id)
 	switch {
-	case j.FinalPhase == api.Cancelled:
+	case j.FinalPhase == api.JobCancelled:
 		if running > 0 {
 			t.Fatalf("%s is cancelled and has %d tasks", id, running)
 		}
 	case !j.Accepted:
-	case j.Spec.Kind != api.Service && j.FinalPhase != api.Done:
+	case j.Spec.Kind != api.Service && j.FinalPhase != api.JobDone:
 		t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.Done), j.Spec.Tasks, s.describeJob(id))
 	}
 }
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -39,7 +39,7 @@
 		s.addRunningJob(i)
 	}
 	for i := range waiting {
-		m := s.newJobRecord(500_000+i, []string{"production", "standard"}[i%2])
+		m := s.newJobRecord(500_000+i, []api.Priority{api.Production, api.Standard}[i%2])
 		s.apply(statecache.JobKey(m.Spec.UID), m)
 	}
 	s.hearMachines()
@@ -98,7 +98,7 @@
 func machineName(i int) string { return fmt.Sprintf("i-%06d", i) }
 
 // newJobRecord returns the record of an array.
-func (s *largeShard) newJobRecord(id int, priority string) *job.Record {
+func (s *largeShard) newJobRecord(id int, priority api.Priority) *job.Record {
 	m := &job.Record{
 		Spec: api.Job{
 			UID:       fmt.Sprintf("run-%06d", id),
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -83,7 +83,7 @@
 						s.poll(i, id)
 					}
 				}
-				return s.world.Jobs[id].FinalPhase == api.Done
+				return s.world.Jobs[id].FinalPhase == api.JobDone
 			})
 			s.checkRecovery(t)
 		})
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"violetturn/internal/api"
 	"violetturn/internal/simulator"
 	"violetturn/internal/state"
 )
@@ -71,7 +72,7 @@
 			)
 		}
 	}
-	jobs := map[string]int{}
+	jobs := map[api.JobPhase]int{}
 	for _, j := range l.world.Jobs {
 		jobs[j.FinalPhase]++
 	}
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -72,7 +72,7 @@
 	s.lowerStateLimits()
 	s.runUntil(t, 60, "cancelled", func() bool {
 		s.cancel(1, cancelled)
-		return s.world.Jobs[cancelled].FinalPhase == api.Cancelled
+		return s.world.Jobs[cancelled].FinalPhase == api.JobCancelled
 	})
 	s.runUntil(t, 900, "done", s.isDone(inline))
 	s.runUntil(t, 900, "done", s.isDone(inRanges))
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -69,7 +69,7 @@
 
 // jobKinds keeps what kind a job is of, by key: a kind that the version in production
 // doesn't know it takes for an array, and writes back under its name.
-type jobKinds map[string]string
+type jobKinds map[string]api.JobKind
 
 // read returns a record as the version in production reads it, nil for one that it does not
 // know.
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -63,7 +63,7 @@
 	s.world.Store.NextFault["n1"] = simulator.ResponseLost
 	s.cancel(1, b)
 	s.queryEverywhere(b)
-	if s.world.Jobs[b].FinalPhase != api.Cancelled {
+	if s.world.Jobs[b].FinalPhase != api.JobCancelled {
 		t.Error("other nodes don't read the cancellation")
 	}
 	for range 60 { // each end's response is lost too
@@ -73,7 +73,7 @@
 		s.runRounds(t, 1)
 		s.queryEverywhere(a)
 	}
-	if s.world.Jobs[a].FinalPhase != api.Done {
+	if s.world.Jobs[a].FinalPhase != api.JobDone {
 		t.Error("an end whose responses are lost is never told")
 	}
 	s.checkRecovery(t)
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -55,7 +55,7 @@
 		m.FinishRange(k.Index)
 		e.Deletes[k] = true
 		if m.Complete() {
-			e.Archive(j, job.FinalState{Phase: api.Done, Done: r.Tasks})
+			e.Archive(j, job.FinalState{Phase: api.JobDone, Done: r.Tasks})
 			d.node.Log.Info("job done", "job", k.UID)
 		}
 	}
@@ -85,9 +85,9 @@
 				done += ch.Record.DoneCount()
 			}
 		}
-		past := job.FinalState{Phase: api.Cancelled, Done: done}
+		past := job.FinalState{Phase: api.JobCancelled, Done: done}
 		if g := j.Record.Gang; g != nil && g.Done {
-			past = job.FinalState{Phase: api.Done, Done: j.Record.Spec.Tasks}
+			past = job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 			if on > 0 && state.Capacity.CountsAgainstQuota(j) {
 				continue
 			}
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return errorResponse(err), true
 	}
-	if s.Phase == api.Done || s.Phase == api.Cancelled {
+	if s.Phase == api.JobDone || s.Phase == api.JobCancelled {
 		return phaseResponse(statusOK, uid, s.Phase), true
 	}
 	t, mustSplit := f.planCancellation(uid)
@@ -87,5 +87,5 @@
 	if f.node.Settings.ConfirmsCancelWhenEmpty() {
 		return transport.Response{}, false // its tasks may be on machines still: the state tells
 	}
-	return phaseResponse(statusOK, uid, api.Cancelled), true
+	return phaseResponse(statusOK, uid, api.JobCancelled), true
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -22,8 +22,8 @@
 
 // phaseBody confirms an acceptance or a cancellation.
 type phaseBody struct {
-	Phase string `json:"phase"`
-	UID   string `json:"uid"`
+	Phase api.JobPhase `json:"phase"`
+	UID   string       `json:"uid"`
 }
 
 // healthBody tells which node answers.
@@ -61,6 +61,6 @@
 }
 
 // phaseResponse confirms that a job is in a phase.
-func phaseResponse(status int, uid, phase string) transport.Response {
+func phaseResponse(status int, uid string, phase api.JobPhase) transport.Response {
 	return respond.JSON(status, phaseBody{Phase: phase, UID: uid})
 }
--- a/internal/frontend/submission_queue.go
+++ b/internal/frontend/submission_queue.go
@@ -189,7 +189,7 @@
 			"priority", spec.Priority,
 			"tasks", spec.Tasks,
 		)
-		s.Response <- phaseResponse(statusCreated, spec.UID, api.Pending)
+		s.Response <- phaseResponse(statusCreated, spec.UID, api.JobPending)
 	}
 }
 
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -66,7 +66,7 @@
 
 // acceptsKind reports whether a job of a kind can be kept safely: a controller of the
 // version before would place a gang task by task.
-func (f *Frontend) acceptsKind(kind string) bool {
+func (f *Frontend) acceptsKind(kind api.JobKind) bool {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	return kind != api.Gang || state.Schema.Upgraded()
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -47,7 +47,7 @@
 			SaveS:        2,
 			DeadlineS:    pointer(90.5),
 		}},
-		{"api.State", &api.State{UID: "run-1", Phase: api.Running, Done: 1, Running: 2}},
+		{"api.State", &api.State{UID: "run-1", Phase: api.JobRunning, Done: 1, Running: 2}},
 		{"api.Checkin", &api.Heartbeat{
 			Host:        "i-1",
 			Addr:        "10.0.0.1:9",
@@ -58,7 +58,7 @@
 			Sequence:    3,
 			Token:       4,
 			SpotNoticeS: pointer(5.5),
-			Tasks:       []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.Ended, Cause: api.CauseDone, Saved: true}},
+			Tasks:       []api.TaskState{{Task: "run-1/0", Attempt: 2, Phase: api.TaskEnded, Cause: api.CauseDone, Saved: true}},
 		}},
 		{"api.Orders", &api.CommandBatch{
 			Token:      4,
@@ -106,7 +106,7 @@
 }
 
 // goldenJob returns the submission of a job within its record.
-func goldenJob(kind string, tasks int) api.Job {
+func goldenJob(kind api.JobKind, tasks int) api.Job {
 	return api.Job{
 		UID: "run-1", Class: "l", Team: "o", Kind: kind, Priority: "idle", Tasks: tasks, CPUs: 1, MemGB: 4, Image: "i",
 	}
@@ -115,7 +115,7 @@
 // jobRecords are the records of jobs.
 func jobRecords() []golden {
 	return []golden{
-		{"job.Past", &job.FinalState{Phase: api.Done, Done: 3}},
+		{"job.Past", &job.FinalState{Phase: api.JobDone, Done: 3}},
 		{"job.Chunk", &job.TaskRange{
 			LastAttempt: 3,
 			Errors:      1,
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -44,8 +44,8 @@
 
 // FinalState is what remains recorded of a job that is over.
 type FinalState struct {
-	Phase string `json:"phase"`
-	Done  int    `json:"done"` // tasks that are done
+	Phase api.JobPhase `json:"phase"`
+	Done  int          `json:"done"` // tasks that are done
 }
 
 // ParseRecord decodes a main record. It returns an error if the record is malformed or
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -95,6 +95,8 @@
 	switch request.GetKind() {
 	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
 		return false
+	case peer.Request_KIND_UNSPECIFIED, peer.Request_KIND_SUBMIT, peer.Request_KIND_QUERY, peer.Request_KIND_CANCEL:
+		return m.canServe()
 	}
 	return m.canServe()
 }
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -66,7 +66,7 @@
 func (x *reconciliation) readHeartbeat() {
 	for i := range x.heartbeat.Tasks {
 		t := &x.heartbeat.Tasks[i]
-		if !api.KnownPhase(t.Phase) {
+		if !t.Phase.Known() {
 			x.reconciler.node.Log.Error("unknown task phase reported", "host", x.heartbeat.Host, "phase", t.Phase)
 		}
 		x.reported[agent.AttemptID{Task: t.Task, Attempt: t.Attempt}] = t
@@ -93,7 +93,7 @@
 func (x *reconciliation) reconcilePresent(id string, pl *statecache.PlacedTask, j *statecache.Job, state *api.TaskState, stop bool) {
 	s, a := x.agent, agent.AttemptID{Task: state.Task, Attempt: state.Attempt}
 	_, released := s.EndedAttempts[id]
-	if state.Phase == api.Running && s.FirstRuns[id].Attempt != a.Attempt {
+	if state.Phase == api.TaskRunning && s.FirstRuns[id].Attempt != a.Attempt {
 		s.FirstRuns[id] = agent.FirstRun{Attempt: a.Attempt, At: x.now}
 		x.reconciler.node.Log.Info("task running", "task", a.Task, "attempt", a.Attempt, "host", x.heartbeat.Host)
 		if j.IsGang() {
@@ -101,16 +101,16 @@
 		}
 	}
 	switch {
-	case state.Phase == api.Ended:
+	case state.Phase == api.TaskEnded:
 		if !released {
 			x.noteEnd(id, pl, j, state)
 		}
 	case stop || released:
 		x.stopping = true
-		if state.Phase == api.Saving || j.SavesOnStop() {
+		if state.Phase == api.TaskSaving || j.SavesOnStop() {
 			x.free = x.free.Sub(statecache.ResourcesOf(&j.Record.Spec))
 		}
-		if state.Phase != api.Saving || j.IsCancelled() {
+		if state.Phase != api.TaskSaving || j.IsCancelled() {
 			x.commands = append(x.commands, x.reconciler.agents.StopCommand(j, a))
 		}
 	default:
@@ -189,7 +189,7 @@
 	for a, state := range x.reported {
 		switch {
 		case x.desired[a]:
-		case state.Phase == api.Ended:
+		case state.Phase == api.TaskEnded:
 			x.commands = append(x.commands, api.Command{Action: api.Clear, Task: a.Task, Attempt: a.Attempt})
 		default:
 			x.commands = append(x.commands, api.Command{Action: api.Stop, Task: a.Task, Attempt: a.Attempt, GraceS: new(float64)})
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -91,7 +91,7 @@
 	if !record.Inline || !heardAll {
 		return false
 	}
-	u.editor.Archive(u.job, job.FinalState{Phase: api.Done, Done: record.Spec.Tasks})
+	u.editor.Archive(u.job, job.FinalState{Phase: api.JobDone, Done: record.Spec.Tasks})
 	return true
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -15,7 +15,7 @@
 // within one yields to no priority of another team that is beyond its own. Otherwise the one
 // would take back by its guarantee what the other took by its priority, again and again.
 func mayPreempt(entry *queueEntry, victim *api.Job, victimBeyondGuarantee bool) bool {
-	priority, _ := api.PriorityOf(victim.Priority)
+	priority := victim.Priority.Level()
 	sameTeam := victim.Team == entry.job.Record.Spec.Team
 	if priority > entry.priority {
 		return sameTeam || entry.withinGuarantee || victimBeyondGuarantee
@@ -211,7 +211,7 @@
 	}
 	forbidden := func(victim sched.Victim) bool {
 		job := p.scheduler.cache.Jobs[victims.tasks[victim.Ref].UID]
-		priority, _ := api.PriorityOf(job.Record.Spec.Priority)
+		priority := job.Record.Spec.Priority.Level()
 		guaranteed := !p.beyondGuarantee[job.Record.Spec.UID]
 		variables := p.scheduler.policyVariables(job, priority, guaranteed, p.now)
 		return !p.scheduler.node.Policy.Preempt(entry.variables, variables, victim.Cost)
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -18,8 +18,8 @@
 }
 
 func drawSide(t *rapid.T, team string) preemptionSide {
-	priority := rapid.SampledFrom([]string{"production", "urgent", "standard", "idle"}).Draw(t, "priority")
-	number, _ := api.PriorityOf(priority)
+	priority := rapid.SampledFrom([]api.Priority{api.Production, api.Urgent, api.Standard, api.Idle}).Draw(t, "priority")
+	number := priority.Level()
 	within := rapid.Bool().Draw(t, "within")
 	spec := &api.Job{Team: team, Priority: priority}
 	entry := &queueEntry{job: &statecache.Job{Record: &job.Record{Spec: *spec}}, priority: number, withinGuarantee: within}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"violetturn/internal/api"
 	"violetturn/internal/config"
 	"violetturn/internal/estimate"
 	"violetturn/internal/sched"
@@ -80,7 +79,7 @@
 		left := float64(spec.Tasks - job.Record.FinishedTasks())
 		cpus += spec.CPUs * left
 		gpus += spec.GPUs * left
-		priority, _ := api.PriorityOf(spec.Priority)
+		priority := spec.Priority.Level()
 		within := fitsGuarantee(team, cpus, gpus)
 		variables := s.policyVariables(job, priority, within, now)
 		queue = append(queue, &queueEntry{
@@ -112,7 +111,7 @@
 	variables := config.JobVariables{
 		Class:      spec.Class,
 		Team:       spec.Team,
-		Kind:       spec.Kind,
+		Kind:       spec.Kind.String(),
 		Priority:   priority,
 		Guaranteed: guaranteed,
 		Tasks:      spec.Tasks,
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -23,7 +23,7 @@
 	stopRequestedAt time.Time    // when the first task was told to stop and save; zero: none was
 	stopping        map[int]bool // the tasks that were told so
 	ended           bool
-	cause           string // of the end
+	cause           api.ExitCause // of the end
 }
 
 // placedTask is a task with the worker that it is on.
@@ -37,7 +37,7 @@
 	var tasks []placedTask
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
-			if t.uid == uid && t.attempt == attempt && t.phase != api.Ended {
+			if t.uid == uid && t.attempt == attempt && t.phase != api.TaskEnded {
 				tasks = append(tasks, placedTask{t, x})
 			}
 		}
@@ -86,7 +86,7 @@
 func (w *World) gather(j *Job, number uint64, tasks []placedTask) {
 	ready := map[int]bool{}
 	for _, t := range tasks {
-		if t.phase == api.Gathering && !t.worker.Hung {
+		if t.phase == api.TaskGathering && !t.worker.Hung {
 			ready[t.index] = true
 		}
 	}
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, t := range tasks {
-		if t.phase == api.Gathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangWait {
+		if t.phase == api.TaskGathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangWait {
 			t.end(api.CauseGangIncomplete)
 		}
 	}
@@ -104,8 +104,8 @@
 // startAttempt lets the gathered tasks of an attempt run, from the progress that is safe.
 func (w *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
 	for _, t := range tasks {
-		if t.phase == api.Gathering {
-			t.phase, t.since = api.Running, w.Now
+		if t.phase == api.TaskGathering {
+			t.phase, t.since = api.TaskRunning, w.Now
 		}
 	}
 	progress := j.gang.saved
@@ -165,7 +165,7 @@
 }
 
 // end ends the attempt, and those of its tasks whose workers execute anything.
-func (a *gangAttempt) end(tasks []placedTask, cause string, saved bool) {
+func (a *gangAttempt) end(tasks []placedTask, cause api.ExitCause, saved bool) {
 	a.ended, a.cause = true, cause
 	for _, t := range tasks {
 		if !t.worker.Hung {
@@ -179,7 +179,7 @@
 // it ended.
 func (a *gangAttempt) endRunning(tasks []placedTask) {
 	for _, t := range tasks {
-		if t.phase == api.Running && !t.worker.Hung {
+		if t.phase == api.TaskRunning && !t.worker.Hung {
 			t.end(a.cause)
 		}
 	}
@@ -210,7 +210,7 @@
 func (x *Worker) stopGangTask(t *Task, graceS *float64) {
 	j := t.job
 	attempt := j.gang.attempts[t.attempt]
-	if attempt == nil || attempt.ended || t.phase != api.Running {
+	if attempt == nil || attempt.ended || t.phase != api.TaskRunning {
 		t.end(api.CauseStopped)
 		return
 	}
@@ -236,7 +236,7 @@
 	}
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
-			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.Ended {
+			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.TaskEnded {
 				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s",
 					name, attempt, t.attempt, t.index, x.Host)
 			}
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -53,7 +53,7 @@
 		name  string
 		fault func(w *World)
 		after time.Duration // from the fault to the end
-		cause string
+		cause api.ExitCause
 		done  int
 		saved time.Duration
 	}{
@@ -71,12 +71,12 @@
 			pass(w, time.Second) // until they have their images
 			pass(w, 5*time.Second)
 			task := workers[1].Tasks[0]
-			if task.phase != api.Running {
+			if task.phase != api.TaskRunning {
 				t.Fatalf("the gang is %s", task.phase)
 			}
 			x.fault(w)
 			pass(w, x.after)
-			if task.phase != api.Ended || task.cause != x.cause || len(j.Done) != x.done {
+			if task.phase != api.TaskEnded || task.cause != x.cause || len(j.Done) != x.done {
 				t.Errorf("%s, cause %q, %d tasks done", task.phase, task.cause, len(j.Done))
 			}
 			if saved := j.gang.saved.Truncate(time.Second); saved != x.saved {
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -115,7 +115,7 @@
 
 // CheckResponse checks what a user was told of a job; status is the HTTP status of the
 // response, and submission says that it answers a submission.
-func (w *World) CheckResponse(uid string, status int, phase string, submission bool) {
+func (w *World) CheckResponse(uid string, status int, phase api.JobPhase, submission bool) {
 	j := w.Jobs[uid]
 	if status == http.StatusOK || status == http.StatusCreated {
 		w.checkPhase(j, uid, phase)
@@ -129,7 +129,7 @@
 
 // checkPhase checks the phase that a user was told of a job, which is nil for one that
 // nobody submitted.
-func (w *World) checkPhase(j *Job, uid, phase string) {
+func (w *World) checkPhase(j *Job, uid string, phase api.JobPhase) {
 	if j == nil {
 		w.Violate(RuleInvented, "%s is %s", uid, phase)
 		return
@@ -138,12 +138,12 @@
 		w.Violate(RuleWentBack, "%s was %s and is %s", uid, j.FinalPhase, phase)
 	}
 	switch phase {
-	case api.Done:
+	case api.JobDone:
 		if len(j.Done) < j.Spec.Tasks {
 			w.Violate(RuleNotDone, "%s with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
 		}
 		j.FinalPhase = phase
-	case api.Cancelled:
+	case api.JobCancelled:
 		if !j.CancelRequested {
 			w.Violate(RuleWentBack, "%s is cancelled without its user", uid)
 		}
@@ -151,6 +151,7 @@
 			j.CancelConfirmed = w.Now
 		}
 		j.FinalPhase = phase
+	case api.JobPending, api.JobRunning: // may be told at any time before the end
 	}
 	j.Accepted = true
 }
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -13,7 +13,7 @@
 		name       string
 		job        *Job
 		status     int
-		phase      string
+		phase      api.JobPhase
 		submission bool
 		rule       Rule // that is broken; "": none
 	}{
@@ -24,11 +24,11 @@
 		{"accepted and unknown", &Job{Accepted: true}, 404, "", false, RuleForgotten},
 		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleForgotten},
 		{"accepted, the service is down", &Job{Accepted: true}, 503, "", true, ""},
-		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.Done, false, RuleNotDone},
-		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.Done, false, ""},
-		{"done and pending", &Job{FinalPhase: api.Done}, 200, "pending", false, RuleWentBack},
-		{"cancelled by nobody", &Job{}, 200, api.Cancelled, false, RuleWentBack},
-		{"cancelled", &Job{CancelRequested: true}, 200, api.Cancelled, false, ""},
+		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
+		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
+		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleWentBack},
+		{"cancelled by nobody", &Job{}, 200, api.JobCancelled, false, RuleWentBack},
+		{"cancelled", &Job{CancelRequested: true}, 200, api.JobCancelled, false, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newTestWorld()
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -42,24 +42,24 @@
 
 // submissionBody is the body with which a user submits a job.
 type submissionBody struct {
-	UID         string  `json:"uid"`
-	Class       string  `json:"lane"`
-	Team        string  `json:"owner"`
-	Kind        string  `json:"shape"`
-	Priority    string  `json:"rank"`
-	Tasks       int     `json:"pieces"`
-	CPUs        float64 `json:"cpus"`
-	GPUs        float64 `json:"gpus"`
-	MemGB       float64 `json:"memGb"`
-	Image       string  `json:"bundle"`
-	ImageGB     float64 `json:"sizeGb"`
-	Zone        string  `json:"site,omitempty"`
-	Together    bool    `json:"together"`
-	Spread      bool    `json:"scatter"`
-	Spot        bool    `json:"loaners"`
-	EstimateS   float64 `json:"guessS"`
-	CheckpointS float64 `json:"bookmarkS"`
-	SaveS       float64 `json:"stowS"`
+	UID         string       `json:"uid"`
+	Class       string       `json:"lane"`
+	Team        string       `json:"owner"`
+	Kind        api.JobKind  `json:"shape"`
+	Priority    api.Priority `json:"rank"`
+	Tasks       int          `json:"pieces"`
+	CPUs        float64      `json:"cpus"`
+	GPUs        float64      `json:"gpus"`
+	MemGB       float64      `json:"memGb"`
+	Image       string       `json:"bundle"`
+	ImageGB     float64      `json:"sizeGb"`
+	Zone        string       `json:"site,omitempty"`
+	Together    bool         `json:"together"`
+	Spread      bool         `json:"scatter"`
+	Spot        bool         `json:"loaners"`
+	EstimateS   float64      `json:"guessS"`
+	CheckpointS float64      `json:"bookmarkS"`
+	SaveS       float64      `json:"stowS"`
 }
 
 // Submission returns the body with which a user submits a job.
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -51,9 +51,9 @@
 	job       *Job
 	index     int
 	attempt   uint64
-	phase     string
-	cause     string    // of the end
-	since     time.Time // when the phase began
+	phase     api.TaskPhase
+	cause     api.ExitCause // of the end
+	since     time.Time     // when the phase began
 	saveUntil time.Time
 	saved     bool
 }
@@ -62,11 +62,11 @@
 func (t *Task) name() string { return api.TaskName(t.uid, t.index) }
 
 // end ends the task.
-func (t *Task) end(cause string) { t.phase, t.cause = api.Ended, cause }
+func (t *Task) end(cause api.ExitCause) { t.phase, t.cause = api.TaskEnded, cause }
 
 // isOnMachine reports whether the task is on its machine in the sense of the rules.
 func (t *Task) isOnMachine() bool {
-	return t.phase == api.Running || t.phase == api.Saving || t.phase == api.Gathering
+	return t.phase == api.TaskRunning || t.phase == api.TaskSaving || t.phase == api.TaskGathering
 }
 
 // Up reports whether the machine has booted.
@@ -108,24 +108,25 @@
 func (x *Worker) tickTask(t *Task) {
 	inPhase := x.w.Now.Sub(t.since)
 	switch t.phase {
-	case api.Fetching:
+	case api.TaskFetching:
 		if inPhase < x.w.MachineType.Fetch {
 			return
 		}
-		t.phase, t.since = api.Running, x.w.Now
+		t.phase, t.since = api.TaskRunning, x.w.Now
 		if t.job.Spec.Kind == api.Gang {
-			t.phase = api.Gathering
+			t.phase = api.TaskGathering
 		}
 		x.w.taskStarted(x, t)
-	case api.Running:
+	case api.TaskRunning:
 		if t.job.Spec.Kind == api.Array && inPhase >= t.job.RunTime+time.Duration(t.index)*t.job.RunTimeStep {
 			t.end(api.CauseDone)
 			x.w.taskDone(t.job, t.index)
 		}
-	case api.Saving:
+	case api.TaskSaving:
 		if !x.w.Now.Before(t.saveUntil) {
 			t.end(api.CauseStopped)
 		}
+	case api.TaskGathering, api.TaskEnded: // time changes nothing here
 	}
 }
 
@@ -133,7 +134,7 @@
 func (x *Worker) PresentJobs() []string {
 	var out []string
 	for _, t := range x.Tasks {
-		if t.phase != api.Ended {
+		if t.phase != api.TaskEnded {
 			out = append(out, t.uid)
 		}
 	}
@@ -144,7 +145,7 @@
 func (x *Worker) Room() (cpus, gpus float64) {
 	cpus, gpus = x.w.MachineType.CPUs, x.w.MachineType.GPUs
 	for _, t := range x.Tasks {
-		if t.phase != api.Ended {
+		if t.phase != api.TaskEnded {
 			cpus -= t.job.Spec.CPUs
 			gpus -= t.job.Spec.GPUs
 		}
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -18,9 +18,9 @@
 		switch {
 		case o.Action == api.Launch && at < 0:
 			x.launch(uid, index, o.Attempt)
-		case o.Action == api.Stop && at >= 0 && x.Tasks[at].phase != api.Ended:
+		case o.Action == api.Stop && at >= 0 && x.Tasks[at].phase != api.TaskEnded:
 			x.stop(x.Tasks[at], o.GraceS)
-		case o.Action == api.Clear && at >= 0 && x.Tasks[at].phase == api.Ended:
+		case o.Action == api.Clear && at >= 0 && x.Tasks[at].phase == api.TaskEnded:
 			x.Tasks = slices.Delete(x.Tasks, at, at+1)
 		}
 	}
@@ -34,9 +34,9 @@
 		x.stopGangTask(t, graceS)
 		return
 	}
-	if t.phase == api.Running && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS {
-		t.phase, t.saveUntil = api.Saving, x.w.Now.Add(seconds(spec.SaveS))
-	} else if t.phase != api.Saving || graceS == nil || *graceS == 0 {
+	if t.phase == api.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS {
+		t.phase, t.saveUntil = api.TaskSaving, x.w.Now.Add(seconds(spec.SaveS))
+	} else if t.phase != api.TaskSaving || graceS == nil || *graceS == 0 {
 		t.end(api.CauseStopped)
 	}
 }
@@ -55,10 +55,10 @@
 	if j.Spec.Kind == api.Gang {
 		x.w.launchGangTask(j, index, attempt)
 	}
-	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.Fetching, since: x.w.Now}
+	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: x.w.Now}
 	cpus, gpus := x.Room()
 	switch {
-	case slices.ContainsFunc(x.Tasks, func(o *Task) bool { return o.phase != api.Ended && o.uid == uid && o.index == index }):
+	case slices.ContainsFunc(x.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
 		t.end(api.CauseBusy)
 	case j.Spec.GPUs > gpus+roundingError || j.Spec.CPUs > cpus+roundingError:
 		t.end(api.CauseNoRoom)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -55,7 +55,7 @@
 	RunTime         time.Duration // of a task
 	RunTimeStep     time.Duration // by how much longer each next task runs
 	Accepted        bool          // a user was told that it is accepted
-	FinalPhase      string        // last phase told, if it was done or cancelled
+	FinalPhase      api.JobPhase  // last phase told, if it was done or cancelled
 	CancelRequested bool          // a user asked for its cancellation
 	CancelConfirmed time.Time     // when its user was told that it is cancelled
 	Done            map[int]bool  // tasks that were completed
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -81,19 +81,19 @@
 // further read.
 func (j *Job) finalState() job.FinalState {
 	if !j.Record.Cancelled || j.Record.Gang != nil && j.Record.Gang.Done {
-		return job.FinalState{Phase: api.Done, Done: j.Record.Spec.Tasks}
+		return job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 	}
-	return job.FinalState{Phase: api.Cancelled, Done: j.UserState(false).Done}
+	return job.FinalState{Phase: api.JobCancelled, Done: j.UserState(false).Done}
 }
 
 // UserState returns what users are told of the job. One that was cancelled is told so at
 // once, or, if confirmsEmpty (config.Settings.ConfirmsCancelWhenEmpty), when it has no task
 // left on a machine.
 func (j *Job) UserState(confirmsEmpty bool) api.State {
-	state := api.State{UID: j.Record.Spec.UID, Phase: api.Pending, Done: j.Record.FinishedTasks()}
+	state := api.State{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
 	gang := j.Record.Gang
 	if gang != nil && gang.Done { // committed, though not all of its records are gone yet
-		return api.State{UID: state.UID, Phase: api.Done, Done: j.Record.Spec.Tasks}
+		return api.State{UID: state.UID, Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 	}
 	for index, r := range j.Ranges {
 		if !j.Record.RangeFinished(index) {
@@ -103,11 +103,11 @@
 	}
 	switch {
 	case j.Record.Cancelled && (state.Running == 0 || !confirmsEmpty):
-		state.Phase = api.Cancelled
+		state.Phase = api.JobCancelled
 	case j.IsGang() && (gang == nil || !gang.Launched):
 		state.Running = 0 // reserved placements run nothing yet
 	case state.Running > 0:
-		state.Phase = api.Running
+		state.Phase = api.JobRunning
 	}
 	return state
 }
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -102,6 +102,6 @@
 
 // isProduction reports whether a job is production work.
 func isProduction(spec *api.Job) bool {
-	priority, _ := api.PriorityOf(spec.Priority)
+	priority := spec.Priority.Level()
 	return priority == ProductionPriority
 }
