--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"sync"
 	"testing"
 	"time"
 
@@ -18,6 +19,7 @@
 
 // scriptedCloud is a cloud that gives one answer, and notes the last request.
 type scriptedCloud struct {
+	mu      sync.Mutex // the server's goroutine and the test's take turns
 	status  int
 	body    string
 	request string // method, target and body, separated by spaces
@@ -26,11 +28,27 @@
 // ServeHTTP implements http.Handler.
 func (s *scriptedCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body) // what can't be read differs from what is expected
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.request = fmt.Sprintf("%s %s %s", r.Method, r.URL.RequestURI(), body)
 	w.WriteHeader(s.status)
 	_, _ = io.WriteString(w, s.body) // the client notices what is missing
 }
 
+// answerWith has the cloud give an answer from now on.
+func (s *scriptedCloud) answerWith(status int, body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.status, s.body = status, body
+}
+
+// lastRequest returns what was asked last.
+func (s *scriptedCloud) lastRequest() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.request
+}
+
 // newClient starts a scripted cloud and a client of it, both ended with the test.
 func newClient(t *testing.T, handler http.Handler) *Client {
 	t.Helper()
@@ -50,7 +68,7 @@
 
 // Requests are those of PROTOCOL, and their answers are read.
 func TestRequests(t *testing.T) {
-	cloud := &scriptedCloud{status: 200}
+	cloud := &scriptedCloud{}
 	client := newClient(t, cloud)
 	ctx := context.Background()
 	for _, x := range []struct {
@@ -92,7 +110,7 @@
 		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			cloud.body = x.answer
+			cloud.answerWith(200, x.answer)
 			got, err := x.call()
 			if err != nil {
 				t.Fatal(err)
@@ -100,8 +118,8 @@
 			if d := cmp.Diff(x.want, got); d != "" {
 				t.Error(d)
 			}
-			if cloud.request != x.request {
-				t.Errorf("asked %q, not %q", cloud.request, x.request)
+			if asked := cloud.lastRequest(); asked != x.request {
+				t.Errorf("asked %q, not %q", asked, x.request)
 			}
 		})
 	}
@@ -125,7 +143,7 @@
 		{"malformed answer", 200, `{"hosts":`, ErrUnavailable},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			cloud.status, cloud.body = x.status, x.body
+			cloud.answerWith(x.status, x.body)
 			_, err := client.Rent(context.Background(), RentalRequest{Name: "r-1"})
 			if !errors.Is(err, x.want) || errors.Is(err, ErrNoCapacity) && errors.Is(err, ErrUnavailable) {
 				t.Error(err)
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"sync"
 	"testing"
 	"time"
 
@@ -18,6 +19,7 @@
 // scriptedPeer is a controller that gives one answer, and notes the last request.
 type scriptedPeer struct {
 	t            *testing.T
+	mu           sync.Mutex // the server's goroutine and the test's take turns
 	status       int
 	body         []byte
 	method, path string
@@ -26,11 +28,13 @@
 
 // ServeHTTP implements http.Handler.
 func (s *scriptedPeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.method, s.path, s.request = r.Method, r.URL.Path, &Request{}
 	encoded, err := io.ReadAll(r.Body)
 	if err != nil {
 		s.t.Error(err)
 	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.method, s.path, s.request = r.Method, r.URL.Path, &Request{}
 	if err := proto.Unmarshal(encoded, s.request); err != nil {
 		s.t.Error(err)
 	}
@@ -38,6 +42,20 @@
 	_, _ = w.Write(s.body) // the client notices what is missing
 }
 
+// answerWith has the peer give an answer from now on.
+func (s *scriptedPeer) answerWith(status int, body []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.status, s.body = status, body
+}
+
+// asked returns the last request.
+func (s *scriptedPeer) asked() (method, path string, request *Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.method, s.path, s.request
+}
+
 // newClient starts a scripted peer and returns a client and the server.
 func newClient(t *testing.T, peer *scriptedPeer) (*Client, *httptest.Server) {
 	t.Helper()
@@ -71,8 +89,8 @@
 	if err != nil || !proto.Equal(want, got) {
 		t.Error(got, err)
 	}
-	if peer.method != "POST" || peer.path != Path || !proto.Equal(question(), peer.request) {
-		t.Errorf("%s %s %v", peer.method, peer.path, peer.request)
+	if method, path, request := peer.asked(); method != "POST" || path != Path || !proto.Equal(question(), request) {
+		t.Errorf("%s %s %v", method, path, request)
 	}
 }
 
@@ -87,7 +105,7 @@
 	if reply, err := ask(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
 		t.Error(reply, err)
 	}
-	peer.status, peer.body = 200, []byte{0xff}
+	peer.answerWith(200, []byte{0xff})
 	if reply, err := ask(); err == nil || reply != nil {
 		t.Error("taken for a reply:", reply)
 	}
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -7,6 +7,8 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -17,6 +19,7 @@
 
 // scriptedWorker is a worker that gives one answer, and notes its requests.
 type scriptedWorker struct {
+	mu       sync.Mutex // the server's goroutine and the test's take turns
 	status   int
 	body     string
 	requests []string // method, path and body, separated by spaces
@@ -25,11 +28,27 @@
 // ServeHTTP implements http.Handler.
 func (s *scriptedWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body) // what can't be read differs from what is expected
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.requests = append(s.requests, fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body))
 	w.WriteHeader(s.status)
 	_, _ = io.WriteString(w, s.body) // the client notices what is missing
 }
 
+// answerWith has the worker give an answer from now on, and forget what it was asked.
+func (s *scriptedWorker) answerWith(status int, body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.status, s.body, s.requests = status, body, nil
+}
+
+// asked returns the requests since the answer was set.
+func (s *scriptedWorker) asked() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.requests)
+}
+
 // newClient starts a scripted worker and returns a client and the worker's address.
 func newClient(t *testing.T, worker *scriptedWorker) (client *Client, addr string) {
 	t.Helper()
@@ -68,14 +87,14 @@
 		{"unavailable", 503, heartbeat, false, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			worker.status, worker.body, worker.requests = x.status, x.body, nil
+			worker.answerWith(x.status, x.body)
 			h, executed, err := client.SendCommands(context.Background(), addr, batch)
 			if (err == nil) != x.ok || (h != nil) != x.ok || executed != x.executed {
 				t.Errorf("%+v, carried out %t, %v", h, executed, err)
 			}
 			want := `POST /commands {"baton":41,"tenure":2,"orders":[{"verb":"halt","piece":"run-1/0","try":3}]}`
-			if len(worker.requests) != 1 || worker.requests[0] != want {
-				t.Error(worker.requests)
+			if asked := worker.asked(); len(asked) != 1 || asked[0] != want {
+				t.Error(asked)
 			}
 		})
 	}
@@ -89,8 +108,8 @@
 	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunch) || executed {
 		t.Error(executed, err)
 	}
-	if len(worker.requests) != 0 {
-		t.Error(worker.requests)
+	if asked := worker.asked(); len(asked) != 0 {
+		t.Error(asked)
 	}
 }
 
@@ -102,12 +121,12 @@
 	if err != nil || h.Host != "i-1" || h.AgentEpoch != 2 {
 		t.Error(h, err)
 	}
-	worker.status = 500
+	worker.answerWith(500, heartbeat)
 	var status *StatusError
 	if _, err := client.Status(context.Background(), addr); !errors.As(err, &status) || status.Status != 500 {
 		t.Error(err)
 	}
-	worker.status, worker.body = 200, `{"host":""}`
+	worker.answerWith(200, `{"host":""}`)
 	var refused *api.RequestError
 	if _, err := client.Status(context.Background(), addr); !errors.As(err, &refused) {
 		t.Error(err)
