--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -25,7 +25,7 @@
 	gangAccepted notify.Signal // a gang has been accepted
 }
 
-// Deps is what a decisionLoop rests on.
+// Deps is what a Loop rests on.
 type Deps struct {
 	Node         *node.Info
 	Guard        *state.Guard
@@ -36,6 +36,7 @@
 	GangAccepted notify.Signal
 }
 
+// New returns a Loop that has decided nothing yet.
 func New(d Deps) *Loop {
 	return &Loop{
 		node: d.Node, guard: d.Guard, services: d.Services, sync: d.Sync, commands: d.Commands,
@@ -43,66 +44,86 @@
 	}
 }
 
-// DecideLoop commits what reports and jobs call for, one transaction at a time.
-// It runs when something has changed and at least twice in a heartbeat interval, and
-// leaves some time between: what comes together is committed together, and a
-// slow processor has most of its time for reports.
-func (d *Loop) DecideLoop(ctx context.Context) {
+// restPerPlanning is how many times the processor time of its plans a node leaves between two
+// runs of its rounds, so that a slow processor has most of its time for heartbeats.
+const restPerPlanning = 3
+
+// DecideLoop commits what heartbeats and jobs call for, one transaction at a time, until ctx
+// ends. It runs when something has changed and at least twice in a heartbeat interval, and
+// leaves some time between: what comes together is committed together.
+func (l *Loop) DecideLoop(ctx context.Context) {
 	for {
-		t := time.NewTimer(d.node.Settings.HeartbeatInterval() / 2)
+		timer := time.NewTimer(l.node.Settings.HeartbeatInterval() / 2)
 		select {
-		case <-d.wake:
-		case <-t.C:
+		case <-l.wake:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
 		}
-		t.Stop()
-		d.Decide(ctx)
-		state := d.guard.Lock()
-		spent := state.Scheduler.ResetPlanningTime()
-		d.guard.Unlock()
-		if !timing.Sleep(ctx, max(d.node.Settings.DecisionInterval(), 3*spent)) {
+		timer.Stop()
+		l.Decide(ctx)
+		state := l.guard.Lock()
+		planning := state.Scheduler.ResetPlanningTime()
+		l.guard.Unlock()
+		if !timing.Sleep(ctx, max(l.node.Settings.DecisionInterval(), restPerPlanning*planning)) {
 			return
 		}
 	}
 }
 
-func (d *Loop) Decide(ctx context.Context) {
+// round is one kind of decision.
+type round struct {
+	name string
+	run  func(*Loop, context.Context) (more bool) // commits at most one transaction as a rule; reports whether there is more to commit
+}
+
+// rounds are the kinds of decisions in their order. What frees room or tells what a zone can take
+// goes before placements, and what nothing waits for comes last.
+var rounds = []round{
+	{"zones", (*Loop).updateZones},
+	{"registrations", (*Loop).RegisterMachines},
+	{"gang updates", (*Loop).UpdateGangs},
+	{"ends of tasks", (*Loop).commitEnds},
+	{"ends of jobs", (*Loop).archiveJobs},
+	{"placements", (*Loop).placeTasks},
+	{"capacity records", (*Loop).refreshCapacityRecord},
+	{"deregistrations", (*Loop).deregisterMachines},
+	{"splits", (*Loop).splitRecords},
+}
+
+const (
+	// maxRepeats bounds how often a round is run before the next one has its turn.
+	maxRepeats = 16
+	// minDecisionWrites is how many changes the budget has to hold before anything is decided.
+	minDecisionWrites = 2
+)
+
+// Decide runs each round until it has nothing more to commit.
+func (l *Loop) Decide(ctx context.Context) {
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
-	if !d.sync.MayActNow() || d.services.Store.AwaitWrites(ctx, min(d.node.Settings.LowestLimits().TxnOps, d.sync.WritesPerSecond()), store.PriorityDecision) < 2 ||
-		d.sync.ReadNewest(ctx) != nil {
+	if !l.sync.MayActNow() || l.awaitWrites(ctx, l.fullTransaction(), store.PriorityDecision) < minDecisionWrites ||
+		l.sync.ReadNewest(ctx) != nil {
 		return
 	}
-	steps := []func(context.Context) bool{
-		d.updateZones, d.RegisterMachines, d.UpdateGangs, d.commitEnds, d.archiveJobs, d.placeTasks, d.refreshCapacityRecord,
-		d.deregisterMachines, d.splitRecords,
-	}
-	for _, step := range steps {
-		for range 16 { // each step commits one transaction at a time
-			if !d.sync.MayActNow() || ctx.Err() != nil {
+	for _, r := range rounds {
+		for range maxRepeats {
+			if !l.sync.MayActNow() || ctx.Err() != nil {
 				return
 			}
-			more := step(ctx)
-			d.placeNewGangs(ctx)
+			more := r.run(l, ctx)
+			l.placeNewGangs(ctx)
 			if !more {
 				break
 			}
 		}
 	}
-	d.commands.RequestHeartbeats(ctx)
+	l.commands.RequestHeartbeats(ctx)
 }
 
-// refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
-// changed, at intervals: placements there write it anyway.
-func (d *Loop) refreshCapacityRecord(ctx context.Context) bool {
-	state := d.guard.Lock()
-	t := state.Capacity.RefreshTransaction(d.node.Now(), state.Scheduler.HasPendingTasks)
-	d.guard.Unlock()
-	if t == nil {
-		return false
-	}
-	done, _, _ := d.sync.Commit(ctx, "upkeep", t, store.PriorityDecision)
-	return done
+// fullTransaction is how many changes a transaction takes that this node's budget earns in a
+// second at most.
+func (l *Loop) fullTransaction() int {
+	return min(l.node.Settings.LowestLimits().TxnOps, l.sync.WritesPerSecond())
 }
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -1,121 +1,97 @@
 package decisions
 
 import (
+	"cmp"
 	"context"
 	"maps"
 	"slices"
+	"time"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/schema"
+	"violetturn/internal/state"
+	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
+// endsPlan is ended attempts to be committed.
+type endsPlan struct {
+	editedRecords
+	doneJobs []string // jobs whose last tasks these are
+	more     bool     // the rest goes into the next transaction
+}
+
 // commitEnds commits ended attempts. The room they free shows in the shards'
 // records with the next write of those.
-func (d *Loop) commitEnds(ctx context.Context) bool {
-	now := d.node.Now()
-	state := d.guard.Lock()
-	e := state.Schema.NewRecordEditor()
-	state.Leadership.RequireAll(e.Txn)
-	chunks := state.Agents.EndedTasks(now)
-	keys := slices.SortedFunc(maps.Keys(chunks), func(a, b schema.RangeID) int { // jobs that may be complete first
-		if a.UID != b.UID {
-			if a.UID < b.UID {
-				return -1
-			}
-			return 1
-		}
-		return a.Index - b.Index
-	})
-	more := false
-	for _, k := range keys {
-		ends := chunks[k]
-		j := state.Cache.Jobs[k.UID]
-		if j.Record.Spec.Kind == api.Gang || state.Schema.IsBlocked(j) || !state.Scheduler.EndsAreDue(k, ends, now) {
+func (l *Loop) commitEnds(ctx context.Context) (more bool) {
+	now := l.node.Now()
+	state := l.guard.Lock()
+	plan := planEnds(state, now)
+	l.guard.Unlock()
+	for _, uid := range plan.doneJobs {
+		l.node.Log.Info("job done", "job", uid)
+	}
+	if plan.transaction == nil {
+		return plan.outgrown
+	}
+	return l.commit(ctx, forEnds, plan.transaction, store.PriorityDecision).settled() && plan.more
+}
+
+// planEnds collects ended attempts of all kinds of jobs but gangs, as many as a transaction takes.
+func planEnds(s *state.State, now time.Time) endsPlan {
+	var plan endsPlan
+	e := s.Schema.NewRecordEditor()
+	s.Leadership.RequireAll(e.Txn)
+	ends := s.Agents.EndedTasks(now)
+	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRanges) {
+		j := s.Cache.Jobs[id.UID]
+		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.EndsAreDue(id, ends[id], now) {
 			continue
 		}
-		cost := 3 // task range, main record and past record
-		if j.Record.Inline {
-			cost = 2
-		}
-		if e.IsFull(cost, 0) {
-			more = true // the rest goes into the next transaction
+		if e.IsFull(endsCost(j), 0) {
+			plan.more = true
 			break
 		}
-		r := &j.Record.Spec
-		ch := e.TaskRange(j, k.Index)
-		for _, x := range ends {
-			ch.EndAttempt(x.Task.Index, x.End.Attempt, x.End.Done && r.Kind == api.Array, x.End.Failed)
-		}
-		if r.Kind != api.Array || j.Record.Cancelled || ch.DoneCount() < j.Record.RangeLen(k.Index) {
-			continue
-		}
-		m := e.Record(j)
-		m.FinishRange(k.Index)
-		e.Deletes[k] = true
-		if m.Complete() {
-			e.Archive(j, job.FinalState{Phase: api.JobDone, Done: r.Tasks})
-			d.node.Log.Info("job done", "job", k.UID)
+		if addEnds(e, j, id, ends[id]) {
+			plan.doneJobs = append(plan.doneJobs, id.UID)
 		}
 	}
-	n := e.Changes
-	t := e.Transaction()
-	d.guard.Unlock()
-	if n == 0 || e.Outgrown {
-		return e.Outgrown
+	plan.editedRecords = finishEdit(e)
+	return plan
+}
+
+// compareRanges orders task ranges by job, so that jobs come first that may be complete.
+func compareRanges(a, b schema.RangeID) int {
+	return cmp.Or(cmp.Compare(a.UID, b.UID), cmp.Compare(a.Index, b.Index))
+}
+
+// endsCost is how many changes the ends of a task range take at most.
+func endsCost(j *statecache.Job) int {
+	if j.Record.Inline {
+		return 2 // main record and final state
 	}
-	done, _, err := d.sync.Commit(ctx, "ends", t, store.PriorityDecision)
-	return more && (done || err == nil)
+	return 3 // the task range as well
 }
 
-// archiveJobs moves cancelled jobs without tasks on machines to the past.
-func (d *Loop) archiveJobs(ctx context.Context) bool {
-	state := d.guard.Lock()
-	e := state.Schema.NewRecordEditor()
-	for _, j := range state.Cache.Jobs {
-		over := j.Record.Cancelled || j.Record.Gang != nil && j.Record.Gang.Done
-		if !over || !state.Leadership.Leads(j.Record.Shard) || e.IsFull(2, 0) {
-			continue
-		}
-		on, done := 0, j.Record.FinishedTasks()
-		for n, ch := range j.Ranges {
-			on += len(ch.Record.Placements)
-			if !j.Record.RangeFinished(n) {
-				done += ch.Record.DoneCount()
-			}
-		}
-		past := job.FinalState{Phase: api.JobCancelled, Done: done}
-		if g := j.Record.Gang; g != nil && g.Done {
-			past = job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}
-			if on > 0 && state.Capacity.CountsAgainstQuota(j) {
-				continue
-			}
-		} else if on > 0 {
-			continue
-		}
-		state.Leadership.Require(e.Txn, j.Record.Shard)
-		all := true
-		if !j.Record.Inline {
-			for n := range j.Ranges {
-				if e.IsFull(1, 0) {
-					all = false
-					break
-				}
-				e.DeleteRange(j, n)
-			}
-		}
-		// No start can come between: it would need the job not cancelled.
-		if all && !e.IsFull(2, 0) {
-			e.Archive(j, past)
-		}
+// addEnds adds the ends of attempts in one task range to a transaction. It reports whether the job
+// is done with them.
+func addEnds(e *schema.Editor, j *statecache.Job, id schema.RangeID, ends []agent.EndedTask) (done bool) {
+	spec := &j.Record.Spec
+	taskRange := e.TaskRange(j, id.Index)
+	for _, end := range ends {
+		taskRange.EndAttempt(end.Task.Index, end.End.Attempt, end.End.Done && spec.Kind == api.Array, end.End.Failed)
+	}
+	if spec.Kind != api.Array || j.Record.Cancelled || taskRange.DoneCount() < j.Record.RangeLen(id.Index) {
+		return false
 	}
-	n := e.Changes
-	t := e.Transaction()
-	d.guard.Unlock()
-	if n == 0 || e.Outgrown {
-		return e.Outgrown
+	record := e.Record(j)
+	record.FinishRange(id.Index)
+	e.Deletes[id] = true
+	if !record.Complete() {
+		return false
 	}
-	ok, _, _ := d.sync.Commit(ctx, "withdrawn", t, store.PriorityDecision)
-	return ok
+	e.Archive(j, job.FinalState{Phase: api.JobDone, Done: spec.Tasks})
+	return true
 }
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -3,125 +3,104 @@
 import (
 	"context"
 	"log/slog"
+	"time"
 
 	"violetturn/internal/capacity"
 	"violetturn/internal/scheduler"
+	"violetturn/internal/state"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 )
 
+const (
+	// planIntervals is for how many decision intervals a plan's placements are committed. What came
+	// meanwhile may be more urgent than the rest: with few changes a second a long plan took many
+	// seconds.
+	planIntervals = 4
+	// minPlacementWrites is how many changes a placement takes at least as a rule: the job's main
+	// record, its task range and the shard's capacity record.
+	minPlacementWrites = 3
+)
+
+// placementPlan is what one plan of the scheduler places.
+type placementPlan struct {
+	placements []capacity.Placement
+	gangs      []*scheduler.GangClaim
+	stops      []*statecache.PlacedTask // tasks that have to leave
+}
+
 // placeTasks commits what one plan places: own placements, and claims on peers'
 // room by conditional write on their shards' capacity records; and with them the
-// marks of the tasks that have to leave for some. What comes together goes into
+// stops of the tasks that have to leave for some. What comes together goes into
 // one transaction, so that a job whose tasks go to several shards is written once.
-func (d *Loop) placeTasks(ctx context.Context) bool {
-	state := d.guard.Lock()
-	var todo []capacity.Placement
-	var gangs []*scheduler.GangClaim
-	var marks []*statecache.PlacedTask
-	began := d.node.Now()
-	if state.Scheduler.HasPendingTasks() {
-		p := state.Scheduler.Plan(began)
-		state.Scheduler.RememberPlan(p, began)
-		todo, gangs, marks = p.Placements, p.Gangs, p.Stops
+func (l *Loop) placeTasks(ctx context.Context) (more bool) {
+	state := l.guard.Lock()
+	began := l.node.Now()
+	plan := planPlacements(state, began)
+	l.guard.Unlock()
+	for _, claim := range plan.gangs { // few, and what waits for them waits as a whole
+		l.commitGangClaim(ctx, claim)
 	}
-	d.guard.Unlock()
-	for _, g := range gangs { // few, and what waits for them waits as a whole
-		d.commitGangClaim(ctx, g)
+	stopAlone, ok := l.commitPlacements(ctx, plan.placements, began)
+	if !ok {
+		return false
 	}
-	for tries := 0; len(todo) > 0 && tries < 3; {
-		if d.node.Now().Sub(began) > 4*d.node.Settings.DecisionInterval() {
-			// What came meanwhile may be more urgent than the rest of this plan: with
-			// few changes a second a long one took many seconds.
-			d.wake.Notify()
+	l.stopTasks(ctx, append(plan.stops, stopAlone...))
+	l.reclaimQuota(ctx)
+	return false
+}
+
+// planPlacements plans if there are tasks to place; the rentals rest on the same plan.
+func planPlacements(s *state.State, now time.Time) placementPlan {
+	if !s.Scheduler.HasPendingTasks() {
+		return placementPlan{}
+	}
+	p := s.Scheduler.Plan(now)
+	s.Scheduler.RememberPlan(p, now)
+	return placementPlan{placements: p.Placements, gangs: p.Gangs, stops: p.Stops}
+}
+
+// commitPlacements commits placements of a plan that was made when it began. It returns the tasks
+// that have to leave for placements but don't fit into one transaction with them, and false if
+// nothing may be decided now.
+func (l *Loop) commitPlacements(
+	ctx context.Context, placements []capacity.Placement, began time.Time,
+) (stopAlone []*statecache.PlacedTask, ok bool) {
+	for conflicts := 0; len(placements) > 0 && conflicts < maxConflicts; {
+		if l.node.Now().Sub(began) > planIntervals*l.node.Settings.DecisionInterval() {
+			l.wake.Notify()
 			break
 		}
-		// Every placement in a shard changes its record. Looking at the newest
-		// one first costs a request, being beaten by a conflicting write costs all changes.
-		room := d.services.Store.AwaitWrites(ctx, min(scheduler.CountJobs(todo)+len(d.node.Shards), d.node.Settings.LowestLimits().TxnOps), store.PriorityDecision)
-		if room < 3 || !d.sync.MayActNow() || d.sync.ReadNewest(ctx) != nil {
-			return false
+		// Every placement in a shard changes the shard's record.
+		changes := min(scheduler.CountJobs(placements)+len(l.node.Shards), l.node.Settings.LowestLimits().TxnOps)
+		available, ready := l.prepare(ctx, changes, minPlacementWrites, store.PriorityDecision)
+		if !ready {
+			return nil, false
 		}
-		state = d.guard.Lock()
-		result := state.Scheduler.PlacementTransaction(todo, room, d.node.Now())
-		d.guard.Unlock()
-		marks = append(marks, result.StopAlone...)
+		state := l.guard.Lock()
+		result := state.Scheduler.PlacementTransaction(placements, available, l.node.Now())
+		l.guard.Unlock()
+		stopAlone = append(stopAlone, result.StopAlone...)
 		if result.Transaction == nil {
 			break
 		}
-		done, _, err := d.sync.Commit(ctx, "places", result.Transaction, store.PriorityDecision)
-		switch {
-		case done:
-			todo, tries = result.Remaining, 0
-			d.logPlaced(ctx, result.Placed)
-			d.placeNewGangs(ctx)
-		case err == nil: // beaten by a conflicting write: what lost is tried again on what there is now
-			tries++
-		default:
-			return false
+		switch l.commit(ctx, forPlacements, result.Transaction, store.PriorityDecision) {
+		case committed:
+			placements, conflicts = result.Remaining, 0
+			l.logPlaced(ctx, result.Placed)
+			l.placeNewGangs(ctx)
+		case rejected: // what lost against another write is tried again on what there is now
+			conflicts++
+		case inDoubt:
+			return nil, false
 		}
 	}
-	d.stopTasks(ctx, marks)
-	d.reclaimQuota(ctx)
-	return false
+	return stopAlone, true
 }
 
 // logPlaced logs the tasks that a committed transaction placed.
-func (d *Loop) logPlaced(ctx context.Context, placed []scheduler.PlacementLog) {
+func (l *Loop) logPlaced(ctx context.Context, placed []scheduler.PlacementLog) {
 	for i := range placed {
-		d.node.Log.LogAttrs(ctx, slog.LevelInfo, "task placed", placed[i].Attrs()...)
-	}
-}
-
-// reclaimQuota takes back what shards hold of teams' limits and don't use, for teams
-// that had too little for a placement.
-func (d *Loop) reclaimQuota(ctx context.Context) {
-	state := d.guard.Lock()
-	t := state.Capacity.ReclaimTransaction(d.node.Now())
-	d.guard.Unlock()
-	if t == nil || !d.sync.MayActNow() {
-		return
-	}
-	if done, _, _ := d.sync.Commit(ctx, "shares", t, store.PriorityDecision); done {
-		d.wake.Notify()
-	}
-}
-
-// stopTasks marks tasks that have to leave for others that can't be placed in the same
-// transaction: a gang, whose room comes from several machines, or one whose victims are
-// recorded in more places than it takes. The room that is being left is kept for them
-// by the order of the plans.
-func (d *Loop) stopTasks(ctx context.Context, marks []*statecache.PlacedTask) {
-	for len(marks) > 0 {
-		if d.services.Store.AwaitWrites(ctx, 2, store.PriorityDecision) < 1 || !d.sync.MayActNow() || d.sync.ReadNewest(ctx) != nil {
-			return
-		}
-		state := d.guard.Lock()
-		e := state.Schema.NewRecordEditor()
-		var rest []*statecache.PlacedTask
-		var line []any
-		for i, v := range marks {
-			k := state.Cache.Jobs[v.UID]
-			if !state.Scheduler.CanStop(k, v) {
-				continue
-			}
-			if more := e.StopCost(k, v); more > 0 && e.IsFull(more, 0) {
-				rest = marks[i:]
-				break
-			}
-			e.StopTask(k, v)
-			line = append(line, "preempts", v.TaskName(k))
-		}
-		n := e.Changes
-		t := e.Transaction()
-		d.guard.Unlock()
-		if n == 0 || e.Outgrown {
-			return
-		}
-		if done, _, _ := d.sync.Commit(ctx, "marks", t, store.PriorityDecision); !done {
-			return // planned anew
-		}
-		d.node.Log.Info("tasks stopped for others", line...)
-		marks = rest
+		l.node.Log.LogAttrs(ctx, slog.LevelInfo, "task placed", placed[i].Attrs()...)
 	}
 }
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -4,51 +4,76 @@
 	"context"
 	"maps"
 	"slices"
+	"time"
 
+	"violetturn/internal/state"
 	"violetturn/internal/statecache"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
 )
 
+// zonesPlan is zones' records to be committed.
+type zonesPlan struct {
+	transaction *statecache.Transaction
+	changed     map[string]zonehealth.Record // by zone
+}
+
 // updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
 // changes nothing but zones' records, each on the version that it judged by and on this
-// node's leadership of a shard: one that wakes late, or was replaced, is refused.
-func (d *Loop) updateZones(ctx context.Context) bool {
-	now := d.node.Now()
-	state := d.guard.Lock()
+// node's leadership of its shards: one that wakes late, or was replaced, is refused.
+func (l *Loop) updateZones(ctx context.Context) (more bool) {
+	now := l.node.Now()
+	state := l.guard.Lock()
 	if !state.Zones.ObservationIsDue(now) {
-		d.guard.Unlock()
+		l.guard.Unlock()
 		return false
 	}
-	state.Zones.Update(now)
-	t := statecache.NewTransaction()
-	changed := map[string]zonehealth.Record{}
-	for _, zone := range state.Zones.Observed() {
-		if next, ok := state.Zones.Judge(zone, now); ok && t.Changes() < state.Schema.TransactionLimits().TxnOps {
-			t.Require(statecache.ZoneKey(zone), state.Cache.Zones[statecache.ZoneID(zone)].Version)
-			t.Put(statecache.ZoneKey(zone), next)
-			changed[zone] = next
-		}
-	}
-	state.Leadership.RequireAll(t)
-	d.guard.Unlock()
-	if len(changed) == 0 {
+	plan := planZones(state, now)
+	l.guard.Unlock()
+	if len(plan.changed) == 0 {
 		return false
 	}
-	if done, _, _ := d.sync.Commit(ctx, "zones", t, store.PriorityDecision); done {
-		d.logZoneChanges(changed)
-		d.wake.Notify()
+	if l.commit(ctx, forZones, plan.transaction, store.PriorityDecision) == committed {
+		l.logZoneChanges(plan.changed)
+		l.wake.Notify()
 	}
 	return false
 }
 
-func (d *Loop) logZoneChanges(changed map[string]zonehealth.Record) {
+// planZones observes the zones, and collects the records of those that have changed, as many as a
+// transaction takes.
+func planZones(s *state.State, now time.Time) zonesPlan {
+	s.Zones.Update(now)
+	plan := zonesPlan{transaction: statecache.NewTransaction(), changed: map[string]zonehealth.Record{}}
+	for _, zone := range s.Zones.Observed() {
+		next, ok := s.Zones.Judge(zone, now)
+		if !ok || plan.transaction.Changes() >= s.Schema.TransactionLimits().TxnOps {
+			continue
+		}
+		key := statecache.ZoneKey(zone)
+		plan.transaction.Require(key, s.Cache.Zones[statecache.ZoneID(zone)].Version)
+		plan.transaction.Put(key, next)
+		plan.changed[zone] = next
+	}
+	s.Leadership.RequireAll(plan.transaction)
+	return plan
+}
+
+// logZoneChanges logs zones' records that were committed.
+func (l *Loop) logZoneChanges(changed map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
-		r := changed[zone]
-		sum := r.Sum()
-		d.node.Log.Info(
-			"zone", "zone", zone, "state", r.State, "transitions", r.Transitions, "up", sum.Up, "lost", sum.Lost,
-			"unknown", sum.Unclear, "waiting", r.Waiting(), "slow_start_share", r.SlowStartShare,
+		record := changed[zone]
+		sum := record.Sum()
+		l.node.Log.Info(
+			"zone",
+			"zone", zone,
+			"state", record.State,
+			"transitions", record.Transitions,
+			"up", sum.Up,
+			"lost", sum.Lost,
+			"unknown", sum.Unclear,
+			"waiting", record.Waiting(),
+			"slow_start_share", record.SlowStartShare,
 		)
 	}
 }
