--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -158,3 +158,14 @@
 	}
 	return out
 }
+
+// deliverDelayedCommands delivers the commands that partitions delay.
+func (s *testCluster) deliverDelayedCommands() {
+	for _, n := range s.nodes {
+		delayed := n.commands.Delayed
+		n.commands.Delayed = nil
+		for _, deliver := range delayed {
+			deliver()
+		}
+	}
+}
--- a/internal/controller/fault_actions_controllers_test.go
+++ b/internal/controller/fault_actions_controllers_test.go
@@ -6,17 +6,20 @@
 	"pgregory.net/rapid"
 )
 
+// controllerFaults are what happens to controllers and between them.
+type controllerFaults struct{ drawnCluster }
+
 // stepDrawnController has a controller act once.
-func (s *testCluster) stepDrawnController(t *rapid.T) { s.stepNode(s.drawNode(t)) }
+func (s controllerFaults) stepDrawnController(t *rapid.T) { s.stepNode(s.drawNode(t)) }
 
 // stopController stops a controller without notice.
-func (s *testCluster) stopController(t *rapid.T) { s.nodes[s.drawNode(t)].running = false }
+func (s controllerFaults) stopController(t *rapid.T) { s.nodes[s.drawNode(t)].running = false }
 
 // restartController restarts a controller, which keeps nothing.
-func (s *testCluster) restartController(t *rapid.T) { s.startNode(s.drawNode(t)) }
+func (s controllerFaults) restartController(t *rapid.T) { s.startNode(s.drawNode(t)) }
 
 // startStoppedController starts a controller if it is stopped.
-func (s *testCluster) startStoppedController(t *rapid.T) {
+func (s controllerFaults) startStoppedController(t *rapid.T) {
 	if i := s.drawNode(t); !s.nodes[i].running {
 		s.startNode(i)
 	}
@@ -24,7 +27,7 @@
 
 // upgradeController stops a controller of the version in production. It comes back as the
 // new version, at once or later.
-func (s *testCluster) upgradeController(t *rapid.T) {
+func (s controllerFaults) upgradeController(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)]
 	if !n.inProduction {
 		t.Skip("new already")
@@ -36,7 +39,7 @@
 }
 
 // stopAllControllers stops all for about as long as a lease, and starts one.
-func (s *testCluster) stopAllControllers(t *rapid.T) {
+func (s controllerFaults) stopAllControllers(t *rapid.T) {
 	for _, n := range s.nodes {
 		n.running = false
 	}
@@ -46,7 +49,7 @@
 }
 
 // runOneController lets time pass in which one controller acts, and no worker.
-func (s *testCluster) runOneController(t *rapid.T) {
+func (s controllerFaults) runOneController(t *rapid.T) {
 	i := s.drawNode(t)
 	for range rapid.IntRange(10, 40).Draw(t, "rounds") {
 		s.stepNode(i)
@@ -56,32 +59,32 @@
 
 // isolateController partitions a controller from the state service and its peers, not from
 // its workers and users, or ends that.
-func (s *testCluster) isolateController(t *rapid.T) {
+func (s controllerFaults) isolateController(t *rapid.T) {
 	i := s.drawNode(t)
 	s.isolated[i] = !s.isolated[i]
 	s.world.Store.Unreachable[s.nodes[i].name] = s.isolated[i]
 }
 
 // makeWorkersUnreachable partitions a controller from its workers only, or ends that.
-func (s *testCluster) makeWorkersUnreachable(t *rapid.T) {
+func (s controllerFaults) makeWorkersUnreachable(t *rapid.T) {
 	commands := s.nodes[s.drawNode(t)].commands
 	commands.Partitioned = !commands.Partitioned
 }
 
 // partitionDrawnZone partitions a zone, or ends that.
-func (s *testCluster) partitionDrawnZone(t *rapid.T) {
+func (s controllerFaults) partitionDrawnZone(t *rapid.T) {
 	s.partitionZone(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone"))
 }
 
 // partitionZones partitions the zones from each other, or ends that.
-func (s *testCluster) partitionZones(_ *rapid.T) { s.zonesPartitioned = !s.zonesPartitioned }
+func (s controllerFaults) partitionZones(_ *rapid.T) { s.zonesPartitioned = !s.zonesPartitioned }
 
 // togglePeers has connections between controllers be refused, or ends that.
-func (s *testCluster) togglePeers(_ *rapid.T) { s.peersRefused = !s.peersRefused }
+func (s controllerFaults) togglePeers(_ *rapid.T) { s.peersRefused = !s.peersRefused }
 
 // pauseBeforeCommit pauses a controller before its next transaction, which it then sends on
 // what it believed before.
-func (s *testCluster) pauseBeforeCommit(t *rapid.T) {
+func (s controllerFaults) pauseBeforeCommit(t *rapid.T) {
 	n, rounds := s.nodes[s.drawNode(t)], rapid.IntRange(1, 30).Draw(t, "rounds")
 	n.storeClient.BeforeCommit = func() {
 		c := n.controller
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -8,53 +8,56 @@
 	"violetturn/internal/simulator"
 )
 
+// serviceFaults are what happens to the state service and the cloud.
+type serviceFaults struct{ drawnCluster }
+
 // toggleStoreOutage begins or ends an outage of the state service.
-func (s *testCluster) toggleStoreOutage(_ *rapid.T) { s.world.Store.Down = !s.world.Store.Down }
+func (s serviceFaults) toggleStoreOutage(_ *rapid.T) { s.world.Store.Down = !s.world.Store.Down }
 
 // toggleCloudOutage begins or ends an outage of the cloud.
-func (s *testCluster) toggleCloudOutage(_ *rapid.T) { s.world.Cloud.Down = !s.world.Cloud.Down }
+func (s serviceFaults) toggleCloudOutage(_ *rapid.T) { s.world.Cloud.Down = !s.world.Cloud.Down }
 
 // toggleCapacity has the cloud have no capacity, or some again.
-func (s *testCluster) toggleCapacity(_ *rapid.T) {
+func (s serviceFaults) toggleCapacity(_ *rapid.T) {
 	s.world.Cloud.NoCapacity = !s.world.Cloud.NoCapacity
 }
 
 // refuseController has the state service refuse a controller alone, or serve it again.
-func (s *testCluster) refuseController(t *rapid.T) {
+func (s serviceFaults) refuseController(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
 	s.world.Store.Refused[n] = !s.world.Store.Refused[n]
 }
 
 // makeStoreUnreachable partitions a controller from the state service, not from its workers,
 // or ends that.
-func (s *testCluster) makeStoreUnreachable(t *rapid.T) {
+func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
 	s.world.Store.Unreachable[n] = !s.world.Store.Unreachable[n]
 }
 
 // failNextTransaction sets a fault for the next transaction of a controller.
-func (s *testCluster) failNextTransaction(t *rapid.T) {
+func (s serviceFaults) failNextTransaction(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
 	s.world.Store.NextFault[n] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
 }
 
 // failNextCloudRequest sets a fault for the next rental or return of a controller.
-func (s *testCluster) failNextCloudRequest(t *rapid.T) {
+func (s serviceFaults) failNextCloudRequest(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
 	s.world.Cloud.NextFault[n] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
 }
 
 // deliverDelayedTransactions has delayed transactions arrive.
-func (s *testCluster) deliverDelayedTransactions(_ *rapid.T) { s.world.Store.DeliverDelayed() }
+func (s serviceFaults) deliverDelayedTransactions(_ *rapid.T) { s.world.Store.DeliverDelayed() }
 
 // changeBootTime has machines be up within a second, or later.
-func (s *testCluster) changeBootTime(t *rapid.T) {
+func (s serviceFaults) changeBootTime(t *rapid.T) {
 	s.world.MachineType.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 }
 
 // lowerLimitsWhenUpgraded lowers the limits of the state service once all controllers are of
 // the new version.
-func (s *testCluster) lowerLimitsWhenUpgraded(t *rapid.T) {
+func (s serviceFaults) lowerLimitsWhenUpgraded(t *rapid.T) {
 	if s.limitsLowered || !s.upgraded() {
 		t.Skip("not yet")
 	}
@@ -64,7 +67,7 @@
 
 // upgraded reports whether all controllers run, and are and know each other to be of the new
 // version.
-func (s *testCluster) upgraded() bool {
+func (s serviceFaults) upgraded() bool {
 	for _, n := range s.nodes {
 		if n.inProduction || !n.running {
 			return false
@@ -75,7 +78,7 @@
 
 // cancelDuringStoreOutage has the state service refuse one controller alone, another confirm
 // a cancellation, and then the state service refuse all.
-func (s *testCluster) cancelDuringStoreOutage(t *rapid.T) {
+func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
 	s.world.Store.Refused[s.nodes[i].name] = true
 	s.stepNode(i)
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -15,9 +15,12 @@
 	run  func(t *rapid.T)
 }
 
+// drawnCluster is a cluster whose events a generated test draws.
+type drawnCluster struct{ *testCluster }
+
 // faultActions returns the actions from which a generated test draws, with the check that
 // follows each of them under the empty name.
-func (s *testCluster) faultActions() map[string]func(*rapid.T) {
+func (s drawnCluster) faultActions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){"": s.checkInvariants}
 	for i, a := range s.orderedFaultActions() {
 		actions[fmt.Sprintf("%02d %s", i, a.name)] = a.run
@@ -28,76 +31,78 @@
 // orderedFaultActions returns the actions in the order in which they are drawn from: a seed
 // gives the same events as long as their number and their order stay the same. What stands
 // there several times is drawn more often.
-func (s *testCluster) orderedFaultActions() []faultAction {
+func (s drawnCluster) orderedFaultActions() []faultAction {
+	controllers, workers := controllerFaults{s}, workerFaults{s}
+	services, users := serviceFaults{s}, userActions{s}
 	return []faultAction{
-		{"repeat a submission", s.repeatSubmission},
-		{"isolate a controller", s.isolateController},
-		{"partition the zones", s.partitionZones},
-		{"stop all controllers", s.stopAllControllers},
-		{"change the boot time", s.changeBootTime},
-		{"cancel", s.cancelJob},
-		{"cloud outage", s.toggleCloudOutage},
-		{"deliver copies of heartbeats", s.deliverHeartbeatCopies},
-		{"stop a controller", s.stopController},
-		{"partition a worker", s.partitionWorker},
-		{"store unreachable", s.makeStoreUnreachable},
-		{"workers unreachable", s.makeWorkersUnreachable},
-		{"lose inbound messages", s.loseInbound},
-		{"deliver delayed messages", s.deliverDelayedMessages},
-		{"cancel at a task's end", s.cancelAtTaskEnd},
-		{"lower the limits", s.lowerLimitsWhenUpgraded},
-		{"no capacity", s.toggleCapacity},
-		{"submit a gang", s.submitDrawnGang},
-		{"submit a gang", s.submitDrawnGang},
-		{"cancel during a store outage", s.cancelDuringStoreOutage},
-		{"hang a worker", s.hangWorker},
-		{"hang many workers", s.hangManyWorkers},
-		{"terminate a machine", s.terminateMachine},
-		{"terminate many machines", s.terminateManyMachines},
-		{"deliver delayed transactions", s.deliverDelayedTransactions},
-		{"only one controller acts", s.runOneController},
-		{"query everywhere", s.queryDrawnJobEverywhere},
-		{"transaction fault", s.failNextTransaction},
-		{"cloud request fault", s.failNextCloudRequest},
-		{"lose outbound messages", s.loseOutbound},
-		{"submit invalid jobs", s.submitInvalidJobs},
-		{"store outage", s.toggleStoreOutage},
-		{"poll", s.pollJob},
-		{"spot notice", s.noticeSpotInterruption},
-		{"store refuses a controller", s.refuseController},
-		{"heartbeat", s.sendDrawnHeartbeat},
-		{"restart a controller", s.restartController},
+		{"repeat a submission", users.repeatSubmission},
+		{"isolate a controller", controllers.isolateController},
+		{"partition the zones", controllers.partitionZones},
+		{"stop all controllers", controllers.stopAllControllers},
+		{"change the boot time", services.changeBootTime},
+		{"cancel", users.cancelJob},
+		{"cloud outage", services.toggleCloudOutage},
+		{"deliver copies of heartbeats", workers.deliverHeartbeatCopies},
+		{"stop a controller", controllers.stopController},
+		{"partition a worker", workers.partitionWorker},
+		{"store unreachable", services.makeStoreUnreachable},
+		{"workers unreachable", controllers.makeWorkersUnreachable},
+		{"lose inbound messages", workers.loseInbound},
+		{"deliver delayed messages", workers.deliverDelayedMessages},
+		{"cancel at a task's end", users.cancelAtTaskEnd},
+		{"lower the limits", services.lowerLimitsWhenUpgraded},
+		{"no capacity", services.toggleCapacity},
+		{"submit a gang", users.submitDrawnGang},
+		{"submit a gang", users.submitDrawnGang},
+		{"cancel during a store outage", services.cancelDuringStoreOutage},
+		{"hang a worker", workers.hangWorker},
+		{"hang many workers", workers.hangManyWorkers},
+		{"terminate a machine", workers.terminateMachine},
+		{"terminate many machines", workers.terminateManyMachines},
+		{"deliver delayed transactions", services.deliverDelayedTransactions},
+		{"only one controller acts", controllers.runOneController},
+		{"query everywhere", users.queryDrawnJobEverywhere},
+		{"transaction fault", services.failNextTransaction},
+		{"cloud request fault", services.failNextCloudRequest},
+		{"lose outbound messages", workers.loseOutbound},
+		{"submit invalid jobs", users.submitInvalidJobs},
+		{"store outage", services.toggleStoreOutage},
+		{"poll", users.pollJob},
+		{"spot notice", workers.noticeSpotInterruption},
+		{"store refuses a controller", services.refuseController},
+		{"heartbeat", workers.sendDrawnHeartbeat},
+		{"restart a controller", controllers.restartController},
 		{"rounds", s.runFewRounds},
 		{"rounds", s.runFewRounds},
 		{"rounds", s.runFewRounds},
 		{"rounds", s.runFewRounds},
 		{"rounds", s.runFewRounds},
 		{"many rounds", s.runManyRounds},
-		{"pause before a commit", s.pauseBeforeCommit},
-		{"start a controller", s.startStoppedController},
-		{"step a controller", s.stepDrawnController},
-		{"submit", s.submitDrawnJob},
-		{"submit", s.submitDrawnJob},
-		{"refuse peers", s.togglePeers},
-		{"upgrade a controller", s.upgradeController},
+		{"pause before a commit", controllers.pauseBeforeCommit},
+		{"start a controller", controllers.startStoppedController},
+		{"step a controller", controllers.stepDrawnController},
+		{"submit", users.submitDrawnJob},
+		{"submit", users.submitDrawnJob},
+		{"refuse peers", controllers.togglePeers},
+		{"upgrade a controller", controllers.upgradeController},
 		{"advance the clock", s.advanceClock},
-		{"partition a zone", s.partitionDrawnZone},
+		{"partition a zone", controllers.partitionDrawnZone},
 	}
 }
 
 // checkInvariants checks the rules, and the state that controllers derive.
-func (s *testCluster) checkInvariants(t *rapid.T) {
+func (s drawnCluster) checkInvariants(t *rapid.T) {
 	s.checkViolations(t)
 	s.checkDerivedState(t)
 }
 
 // drawNode draws a controller.
-func (s *testCluster) drawNode(t *rapid.T) int {
+func (s drawnCluster) drawNode(t *rapid.T) int {
 	return rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")
 }
 
 // drawWorker draws a machine.
-func (s *testCluster) drawWorker(t *rapid.T) *simulator.Worker {
+func (s drawnCluster) drawWorker(t *rapid.T) *simulator.Worker {
 	names := s.world.Cloud.HostNames()
 	if len(names) == 0 {
 		t.Skip("no machine")
@@ -105,23 +110,31 @@
 	return s.world.Cloud.Hosts[rapid.SampledFrom(names).Draw(t, "host")]
 }
 
+// drawJobID draws a submitted job.
+func (s drawnCluster) drawJobID(t *rapid.T) string {
+	if len(s.jobIDs) == 0 {
+		t.Skip("no job")
+	}
+	return rapid.SampledFrom(s.jobIDs).Draw(t, "job")
+}
+
 // drawTenths draws a time in tenths of a second.
 func drawTenths(t *rapid.T, from, to int) time.Duration {
 	return time.Duration(rapid.IntRange(from, to).Draw(t, "tenths")) * 100 * time.Millisecond
 }
 
 // runDrawnRounds runs a drawn number of rounds.
-func (s *testCluster) runDrawnRounds(t *rapid.T, from, to int) {
+func (s drawnCluster) runDrawnRounds(t *rapid.T, from, to int) {
 	for range rapid.IntRange(from, to).Draw(t, "rounds") {
 		s.runRound()
 	}
 }
 
 // runFewRounds runs a few rounds.
-func (s *testCluster) runFewRounds(t *rapid.T) { s.runDrawnRounds(t, 1, 8) }
+func (s drawnCluster) runFewRounds(t *rapid.T) { s.runDrawnRounds(t, 1, 8) }
 
 // runManyRounds runs long enough for machines to boot and tasks to end.
-func (s *testCluster) runManyRounds(t *rapid.T) { s.runDrawnRounds(t, 8, 40) }
+func (s drawnCluster) runManyRounds(t *rapid.T) { s.runDrawnRounds(t, 8, 40) }
 
 // advanceClock lets time pass in which nobody does anything.
-func (s *testCluster) advanceClock(t *rapid.T) { s.world.Advance(drawTenths(t, 1, 60)) }
+func (s drawnCluster) advanceClock(t *rapid.T) { s.world.Advance(drawTenths(t, 1, 60)) }
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -10,19 +10,14 @@
 	"violetturn/internal/simulator"
 )
 
+// userActions are what users do.
+type userActions struct{ drawnCluster }
+
 // maxDrawnJobs is how many jobs a generated test submits.
 const maxDrawnJobs = 16
 
-// drawJobID draws a submitted job.
-func (s *testCluster) drawJobID(t *rapid.T) string {
-	if len(s.jobIDs) == 0 {
-		t.Skip("no job")
-	}
-	return rapid.SampledFrom(s.jobIDs).Draw(t, "job")
-}
-
 // submitDrawn submits a job of a kind through a drawn controller; "" draws the kind.
-func (s *testCluster) submitDrawn(t *rapid.T, kind api.JobKind) {
+func (s userActions) submitDrawn(t *rapid.T, kind api.JobKind) {
 	if len(s.jobIDs) >= maxDrawnJobs {
 		t.Skip("enough jobs")
 	}
@@ -34,28 +29,28 @@
 }
 
 // submitDrawnJob submits a job of any kind.
-func (s *testCluster) submitDrawnJob(t *rapid.T) { s.submitDrawn(t, "") }
+func (s userActions) submitDrawnJob(t *rapid.T) { s.submitDrawn(t, "") }
 
 // submitDrawnGang submits a gang.
-func (s *testCluster) submitDrawnGang(t *rapid.T) { s.submitDrawn(t, api.Gang) }
+func (s userActions) submitDrawnGang(t *rapid.T) { s.submitDrawn(t, api.Gang) }
 
 // repeatSubmission submits a known job again.
-func (s *testCluster) repeatSubmission(t *rapid.T) { s.submit(s.drawNode(t), s.drawJobID(t)) }
+func (s userActions) repeatSubmission(t *rapid.T) { s.submit(s.drawNode(t), s.drawJobID(t)) }
 
 // pollJob asks a controller for a job.
-func (s *testCluster) pollJob(t *rapid.T) { s.poll(s.drawNode(t), s.drawJobID(t)) }
+func (s userActions) pollJob(t *rapid.T) { s.poll(s.drawNode(t), s.drawJobID(t)) }
 
 // cancelJob cancels a job.
-func (s *testCluster) cancelJob(t *rapid.T) { s.cancel(s.drawNode(t), s.drawJobID(t)) }
+func (s userActions) cancelJob(t *rapid.T) { s.cancel(s.drawNode(t), s.drawJobID(t)) }
 
 // queryDrawnJobEverywhere asks all controllers for a job at once.
-func (s *testCluster) queryDrawnJobEverywhere(t *rapid.T) { s.queryEverywhere(s.drawJobID(t)) }
+func (s userActions) queryDrawnJobEverywhere(t *rapid.T) { s.queryEverywhere(s.drawJobID(t)) }
 
 // submitInvalidJobs submits what a controller must refuse.
-func (s *testCluster) submitInvalidJobs(t *rapid.T) { s.submitInvalid(t, s.drawNode(t)) }
+func (s userActions) submitInvalidJobs(t *rapid.T) { s.submitInvalid(t, s.drawNode(t)) }
 
 // cancelAtTaskEnd cancels a job at the very end of a task, and asks about it everywhere.
-func (s *testCluster) cancelAtTaskEnd(t *rapid.T) {
+func (s userActions) cancelAtTaskEnd(t *rapid.T) {
 	id := s.drawJobID(t)
 	s.world.OnTaskDone = func(ended string) {
 		if ended == id {
--- a/internal/controller/fault_actions_workers_test.go
+++ b/internal/controller/fault_actions_workers_test.go
@@ -2,38 +2,41 @@
 
 import "pgregory.net/rapid"
 
+// workerFaults are what happens to workers and their machines.
+type workerFaults struct{ drawnCluster }
+
 // sendDrawnHeartbeat has a worker send a heartbeat, with a fault.
-func (s *testCluster) sendDrawnHeartbeat(t *rapid.T) {
+func (s workerFaults) sendDrawnHeartbeat(t *rapid.T) {
 	s.sendHeartbeat(s.drawWorker(t), heartbeatFault(rapid.IntRange(0, 3).Draw(t, "fault")))
 }
 
 // partitionWorker partitions a worker from all else, or ends that.
-func (s *testCluster) partitionWorker(t *rapid.T) {
+func (s workerFaults) partitionWorker(t *rapid.T) {
 	x := s.drawWorker(t)
 	x.Partitioned = !x.Partitioned
 }
 
 // loseInbound loses what is sent to a worker, or ends that.
-func (s *testCluster) loseInbound(t *rapid.T) {
+func (s workerFaults) loseInbound(t *rapid.T) {
 	x := s.drawWorker(t)
 	x.InboundLost = !x.InboundLost
 }
 
 // loseOutbound loses what a worker sends, or ends that.
-func (s *testCluster) loseOutbound(t *rapid.T) {
+func (s workerFaults) loseOutbound(t *rapid.T) {
 	x := s.drawWorker(t)
 	x.OutboundLost = !x.OutboundLost
 }
 
 // hangWorker hangs a worker, or lets it go on.
-func (s *testCluster) hangWorker(t *rapid.T) {
+func (s workerFaults) hangWorker(t *rapid.T) {
 	x := s.drawWorker(t)
 	x.Hung = !x.Hung
 }
 
 // hangManyWorkers hangs two workers of three, or lets all go on, within their leases and past
 // them.
-func (s *testCluster) hangManyWorkers(t *rapid.T) {
+func (s workerFaults) hangManyWorkers(t *rapid.T) {
 	hung := rapid.Bool().Draw(t, "hung")
 	for i, h := range s.world.Cloud.HostNames() {
 		s.world.Cloud.Hosts[h].Hung = hung && i%3 > 0
@@ -41,10 +44,10 @@
 }
 
 // terminateMachine terminates a machine without notice.
-func (s *testCluster) terminateMachine(t *rapid.T) { s.world.Cloud.Terminate(s.drawWorker(t).Host) }
+func (s workerFaults) terminateMachine(t *rapid.T) { s.world.Cloud.Terminate(s.drawWorker(t).Host) }
 
 // terminateManyMachines terminates every other machine without notice.
-func (s *testCluster) terminateManyMachines(_ *rapid.T) {
+func (s workerFaults) terminateManyMachines(_ *rapid.T) {
 	for i, h := range s.world.Cloud.HostNames() {
 		if i%2 == 0 {
 			s.world.Cloud.Terminate(h)
@@ -53,7 +56,7 @@
 }
 
 // noticeSpotInterruption announces the end of a spot machine.
-func (s *testCluster) noticeSpotInterruption(t *rapid.T) {
+func (s workerFaults) noticeSpotInterruption(t *rapid.T) {
 	x, left := s.drawWorker(t), 4.0
 	if x.Spot {
 		x.SpotNoticeS = &left
@@ -61,7 +64,7 @@
 }
 
 // deliverHeartbeatCopies has heartbeats of some time ago arrive once more.
-func (s *testCluster) deliverHeartbeatCopies(t *rapid.T) {
+func (s workerFaults) deliverHeartbeatCopies(t *rapid.T) {
 	if len(s.heartbeatCopies) == 0 {
 		t.Skip("none")
 	}
@@ -79,7 +82,7 @@
 }
 
 // deliverDelayedMessages delivers the heartbeats and the commands that partitions delay.
-func (s *testCluster) deliverDelayedMessages(_ *rapid.T) {
+func (s workerFaults) deliverDelayedMessages(_ *rapid.T) {
 	delayed := s.delayedHeartbeats
 	s.delayedHeartbeats = nil
 	for _, deliver := range delayed {
@@ -87,14 +90,3 @@
 	}
 	s.deliverDelayedCommands()
 }
-
-// deliverDelayedCommands delivers the commands that partitions delay.
-func (s *testCluster) deliverDelayedCommands() {
-	for _, n := range s.nodes {
-		delayed := n.commands.Delayed
-		n.commands.Delayed = nil
-		for _, deliver := range delayed {
-			deliver()
-		}
-	}
-}
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -29,7 +29,7 @@
 
 // newDrawnCluster returns a cluster that begins with the version in production, with the new
 // version, or with lowered limits too.
-func newDrawnCluster(t *rapid.T) *testCluster {
+func newDrawnCluster(t *rapid.T) drawnCluster {
 	s := newTestCluster()
 	s.setStateLimits(8, 8, 1, 4)
 	begin := rapid.SampledFrom([]string{"production", "new", "lowered limits"}).Draw(t, "begin")
@@ -42,12 +42,12 @@
 		s.lowerStateLimits()
 	}
 	s.runFor(10)
-	return s
+	return drawnCluster{s}
 }
 
 // runWithoutFaults runs until all arrays and gangs are done, or for long enough. It checks
 // the derived state at first, and that nothing waits beside room all the time.
-func (s *testCluster) runWithoutFaults(t *rapid.T) {
+func (s drawnCluster) runWithoutFaults(t *rapid.T) {
 	const (
 		checkedRounds = 100
 		minRounds     = 200
@@ -69,7 +69,7 @@
 }
 
 // cancelServices cancels the services, which would use their teams' limits for ever.
-func (s *testCluster) cancelServices() {
+func (s drawnCluster) cancelServices() {
 	for _, id := range s.jobIDs {
 		if j := s.world.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
 			s.cancel(0, id)
@@ -79,7 +79,7 @@
 
 // checkOutcome checks that a job is known at every node, has no tasks if it was cancelled,
 // and is done if it was accepted and is no service.
-func (s *testCluster) checkOutcome(t *rapid.T, id string) {
+func (s drawnCluster) checkOutcome(t *rapid.T, id string) {
 	j := s.world.Jobs[id]
 	for i, n := range s.nodes {
 		r := n.controller.frontend.Query(context.Background(), id)
