--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return errorResponse(err), true
 	}
-	if s.Phase == api.JobDone || s.Phase == api.JobCancelled {
+	if s.Phase.Final() {
 		return phaseResponse(statusOK, uid, s.Phase), true
 	}
 	t, mustSplit := f.planCancellation(uid)
