--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -6,6 +6,7 @@
 	"violetturn/internal/catalog"
 	"violetturn/internal/leadership"
 	"violetturn/internal/node"
+	"violetturn/internal/sched"
 	"violetturn/internal/schema"
 	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
@@ -56,7 +57,7 @@
 // putCapacityRecord adds the write of a shard's capacity record to a transaction, on the version
 // that is known.
 func (a *Accounts) putCapacityRecord(
-	t *statecache.Transaction, shardName string, free shard.FreeCapacity, use map[string][3]float64,
+	t *statecache.Transaction, shardName string, free shard.FreeCapacity, use map[string]sched.Resources,
 ) {
 	before := a.cache.Capacities[shardName]
 	t.Require(statecache.CapacityKey(shardName), before.Version)
@@ -82,7 +83,7 @@
 
 // trimCapacity leaves out of a shard's free room what does not fit its record beside what
 // teams use, and returns how many machines that are.
-func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string][3]float64, now time.Time) (left int) {
+func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string]sched.Resources, now time.Time) (left int) {
 	size := a.schema.MaxValueBytes() - quotaUseBytes*len(use)
 	if free.FitsIn(size) {
 		return 0
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -22,7 +22,7 @@
 // shardClaim is what a transaction leaves of a shard's room, and what it changes of quotas.
 type shardClaim struct {
 	free   shard.FreeCapacity
-	use    map[string][3]float64      // by limited team
+	use    map[string]sched.Resources // by limited team
 	shares map[string]sched.Resources // that the transaction changes, by team
 }
 
@@ -41,7 +41,7 @@
 	}
 	claim.free = shard.FreeCapacity{}
 	maps.Copy(claim.free, record.Free)
-	claim.use = map[string][3]float64{}
+	claim.use = map[string]sched.Resources{}
 	maps.Copy(claim.use, record.QuotaUse)
 	return claim
 }
@@ -118,13 +118,13 @@
 	}
 	if !pending.replaces {
 		free, offered := pending.claim.free[pending.host]
-		pending.available = shard.Unvec(free)
+		pending.available = free
 		if !offered || !pending.available.Fits(pending.need) {
 			return nil
 		}
 	}
 	team := job.Record.Spec.Team
-	pending.quotaUse = shard.Unvec(pending.claim.use[team]).Add(pending.need)
+	pending.quotaUse = pending.claim.use[team].Add(pending.need)
 	pending.quota = c.quotaGrantFor(team, pending.shard, pending.quotaUse, pending.claim.shares)
 	if !pending.quota.granted {
 		a.quotaShortages[team] = true
@@ -157,7 +157,7 @@
 	}
 	name := p.job.Record.Spec.Team
 	if team, _ := p.claims.accounts.node.Settings.Team(name); team.Limited() {
-		p.claim.use[name] = shard.Vec(p.quotaUse)
+		p.claim.use[name] = p.quotaUse.Rounded()
 		if p.quota.grows {
 			p.claim.shares[name] = p.quota.share
 			p.claims.changes++
@@ -166,7 +166,7 @@
 	if p.replaces {
 		delete(p.claim.free, p.host) // its leader offers what is free when the others have left
 	} else {
-		p.claim.free[p.host] = shard.Vec(p.available.Sub(p.need))
+		p.claim.free[p.host] = p.available.Sub(p.need).Rounded()
 	}
 }
 
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -26,9 +26,9 @@
 	}
 	for name, held := range record.Held {
 		if name == shardName {
-			quota.Held = shard.Unvec(held)
+			quota.Held = held
 		} else {
-			quota.Others = quota.Others.Add(shard.Unvec(held))
+			quota.Others = quota.Others.Add(held)
 		}
 	}
 	return quota
@@ -76,8 +76,8 @@
 
 // QuotaUseOf sums what limited teams' tasks use in a shard, ended ones that are not
 // yet committed as such included: another leader might start them anew.
-func (a *Accounts) QuotaUseOf(shardName string) map[string][3]float64 {
-	use := map[string][3]float64{}
+func (a *Accounts) QuotaUseOf(shardName string) map[string]sched.Resources {
+	use := map[string]sched.Resources{}
 	if !a.node.Settings.HasTeamLimits() {
 		return use
 	}
@@ -95,7 +95,7 @@
 	}
 	for _, team := range a.node.Settings.Facts.Teams {
 		if used, ok := sum[team.Name]; ok && team.Limited() {
-			use[team.Name] = shard.Vec(used)
+			use[team.Name] = used.Rounded()
 		}
 	}
 	return use
@@ -109,13 +109,13 @@
 		for team, share := range byTeam {
 			record, ok := records[team]
 			if !ok {
-				record = shard.QuotaRecord{Held: map[string][3]float64{}}
+				record = shard.QuotaRecord{Held: map[string]sched.Resources{}}
 				if before := a.cache.Quotas[statecache.QuotaID(team)].Record; before != nil {
 					maps.Copy(record.Held, before.Held)
 				}
 				records[team] = record
 			}
-			record.Held[shardName] = shard.Vec(share)
+			record.Held[shardName] = share.Rounded()
 		}
 	}
 	for team, record := range records {
@@ -156,7 +156,7 @@
 		if claim == nil || full {
 			continue
 		}
-		use := shard.Unvec(claim.use[team])
+		use := claim.use[team]
 		if !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
 			claim.shares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
 			claims.byShard[name] = claim
@@ -176,7 +176,7 @@
 func (a *Accounts) TeamUse(team string) sched.Resources {
 	var use sched.Resources
 	for _, capacity := range a.cache.Capacities {
-		use = use.Add(shard.Unvec(capacity.Record.QuotaUse[team]))
+		use = use.Add(capacity.Record.QuotaUse[team])
 	}
 	return use
 }
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -20,7 +20,7 @@
 // capacityUpdate is an own shard's capacity record as it is to be.
 type capacityUpdate struct {
 	free   shard.FreeCapacity         // before it is cut to what the record takes
-	use    map[string][3]float64      // by limited team
+	use    map[string]sched.Resources // by limited team
 	shares map[string]sched.Resources // of quotas that are returned, by team
 }
 
@@ -65,7 +65,7 @@
 	}
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
-		use := shard.Unvec(update.use[team.Name])
+		use := update.use[team.Name]
 		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.Others, held.Held, use) {
 			continue
 		}
@@ -109,7 +109,7 @@
 func (a *Accounts) freeCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
 	for host, room := range a.room.freeInShard(shardName, now) {
-		free[host] = shard.Vec(room)
+		free[host] = room.Rounded()
 	}
 	return free
 }
@@ -118,7 +118,7 @@
 // with.
 func stillOffered(now, offered shard.FreeCapacity) bool {
 	for host, room := range offered {
-		if has, ok := now[host]; !ok || !shard.Unvec(has).Fits(shard.Unvec(room)) {
+		if has, ok := now[host]; !ok || !has.Fits(room) {
 			return false
 		}
 	}
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"violetturn/internal/sched"
 	"violetturn/internal/schema"
 	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
@@ -50,7 +51,7 @@
 			MachinesBefore: machines,
 		}
 		r = r.WithObservation("n0", zonehealth.Observation{Up: machines})
-		waiting := []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: x.waiting}}
+		waiting := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: x.waiting}}
 		c.setZoneRecord(r.WithObservation("n1", zonehealth.Observation{Lost: 1, Waiting: waiting}))
 		names := c.testState().Cache.MachineNames()
 		open := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
@@ -78,7 +79,7 @@
 		}
 		r = r.WithObservation(
 			"n1",
-			zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: [3]float64{5, 1, 40}, Tasks: waiting}}},
+			zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}}},
 		)
 		c.setZoneRecord(r)
 		for _, j := range c.testState().Cache.Jobs { // none is production
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -8,6 +8,7 @@
 	"violetturn/internal/cloud"
 	"violetturn/internal/job"
 	"violetturn/internal/peer"
+	"violetturn/internal/sched"
 	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
@@ -164,8 +165,10 @@
 			Leader:             "n0",
 			Released:           true,
 			PredecessorInDoubt: true,
-			Free:               shard.FreeCapacity{"i-1": {8, 2, 64}, "i-2": {1.5, 0, 4}, "i-3": {8, 2, 64}},
-			QuotaUse:           map[string][3]float64{"a": {1, 2, 3}},
+			Free: shard.FreeCapacity{
+				"i-1": {CPUs: 8, GPUs: 2, MemGB: 64}, "i-2": {CPUs: 1.5, MemGB: 4}, "i-3": {CPUs: 8, GPUs: 2, MemGB: 64},
+			},
+			QuotaUse: map[string]sched.Resources{"a": {CPUs: 1, GPUs: 2, MemGB: 3}},
 		}},
 		{"part.Machine", &shard.Machine{
 			Shard:        "n0",
@@ -177,7 +180,7 @@
 			RegisteredMS: 7,
 		}},
 		{"part.Page", &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}}},
-		{"part.Usage", &shard.QuotaRecord{Held: map[string][3]float64{"n0": {1, 2, 3}}}},
+		{"part.Usage", &shard.QuotaRecord{Held: map[string]sched.Resources{"n0": {CPUs: 1, GPUs: 2, MemGB: 3}}}},
 	}
 }
 
@@ -189,7 +192,9 @@
 			SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
 			Observations: map[string]zonehealth.Observation{"n0": {
 				Up: 1, Lost: 8, Unclear: 2, Refused: true,
-				Waiting: []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}},
+				Waiting: []zonehealth.Demand{
+					{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3},
+				},
 			}},
 		}},
 	}
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -6,6 +6,7 @@
 	"violetturn/internal/api"
 	"violetturn/internal/job"
 	"violetturn/internal/peer"
+	"violetturn/internal/sched"
 	"violetturn/internal/shard"
 	"violetturn/internal/store"
 	"violetturn/internal/zonehealth"
@@ -38,15 +39,15 @@
 		{"shard.NodeRecord new", &shard.NodeRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2}},
 		{"shard.CapabilityRecord empty", &shard.CapabilityRecord{}},
 		{"shard.CapacityRecord empty", &shard.CapacityRecord{Term: 6, Leader: "n0", Free: shard.FreeCapacity{}}},
-		{"shard.FreeCapacity", &shard.FreeCapacity{"i-2": {0.1, 0, 0.25}, "i-1": {1e6, 8, 1e-6}}},
+		{"shard.FreeCapacity", &shard.FreeCapacity{"i-2": {CPUs: 0.1, MemGB: 0.25}, "i-1": {CPUs: 1e6, GPUs: 8, MemGB: 1e-6}}},
 		{"shard.FreeCapacity empty", &shard.FreeCapacity{}},
 		{"shard.Machine on demand", &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}},
 		{"shard.Page empty", &shard.Page{}},
-		{"shard.QuotaRecord empty", &shard.QuotaRecord{Held: map[string][3]float64{}}},
+		{"shard.QuotaRecord empty", &shard.QuotaRecord{Held: map[string]sched.Resources{}}},
 		{"zonehealth.Record healthy", &zonehealth.Record{State: zonehealth.Healthy, Transitions: 2, SinceMS: 3}},
 		{"zonehealth.Record empty", &zonehealth.Record{}},
 		{"zonehealth.Observation", &zonehealth.Observation{Up: 1}},
-		{"zonehealth.Demand", &zonehealth.Demand{Need: [3]float64{0.5, 0, 1.25}, Tasks: 1}},
+		{"zonehealth.Demand", &zonehealth.Demand{Need: sched.Resources{CPUs: 0.5, GPUs: 0, MemGB: 1.25}, Tasks: 1}},
 		{"peer.Request health", &peer.Request{Kind: peer.Request_KIND_HEALTH}},
 		{"peer.Request submit", &peer.Request{Kind: peer.Request_KIND_SUBMIT, From: "n0", Body: []byte("b")}},
 		{"peer.Request query", &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: "run-1"}},
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -64,7 +64,7 @@
 		z := &Zone{
 			MachinesBefore:  float64(n),
 			ReservableShare: reservable,
-			Waiting:         []zonehealth.Demand{{Need: [3]float64{4, 1, 29}, Tasks: tasks}},
+			Waiting:         []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
 		}
 		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		reserved := a.Reserve(append(hosts, other))
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -1,5 +1,11 @@
 package sched
 
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+)
+
 // Resources is an amount of what a machine has or a task needs.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
@@ -26,3 +32,37 @@
 
 // ApproxEqual reports whether two amounts are equal except for rounding.
 func (r Resources) ApproxEqual(o Resources) bool { return r.Fits(o) && o.Fits(r) }
+
+// Compare orders amounts by processors, then accelerators, then memory.
+func (r Resources) Compare(o Resources) int {
+	return cmp.Or(cmp.Compare(r.CPUs, o.CPUs), cmp.Compare(r.GPUs, o.GPUs), cmp.Compare(r.MemGB, o.MemGB))
+}
+
+// Rounded returns r as it is recorded, to six decimals: that keeps sums of decimal fractions
+// from growing tails in the records. Amounts below zero are not rounded evenly.
+func (r Resources) Rounded() Resources {
+	return Resources{round(r.CPUs), round(r.GPUs), round(r.MemGB)}
+}
+
+// roundingSteps is the number of steps in an amount of 1.
+const roundingSteps = 1e6
+
+func round(x float64) float64 { return float64(int64(x*roundingSteps+0.5)) / roundingSteps }
+
+// recordedResources is the recorded form: processors, accelerators, memory.
+type recordedResources [3]float64
+
+// MarshalJSON implements json.Marshaler. It does not round.
+func (r Resources) MarshalJSON() ([]byte, error) {
+	return json.Marshal(recordedResources{r.CPUs, r.GPUs, r.MemGB})
+}
+
+// UnmarshalJSON implements json.Unmarshaler.
+func (r *Resources) UnmarshalJSON(b []byte) error {
+	var recorded recordedResources
+	if err := json.Unmarshal(b, &recorded); err != nil {
+		return fmt.Errorf("decoding resources: %w", err)
+	}
+	*r = Resources{CPUs: recorded[0], GPUs: recorded[1], MemGB: recorded[2]}
+	return nil
+}
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -50,9 +50,7 @@
 		if view.own {
 			free, size, ok = s.room.FreeOnMachine(name, now)
 		} else {
-			var offered [3]float64
-			offered, ok = view.offered[name]
-			free = shard.Unvec(offered)
+			free, ok = view.offered[name]
 			size, _ = s.catalog.MachineCapacity(machine.MachineType)
 		}
 		if !ok {
--- a/internal/shard/capacity_trim.go
+++ b/internal/shard/capacity_trim.go
@@ -36,7 +36,7 @@
 	if bytes > size {
 		return false
 	}
-	amounts := map[[3]float64]bool{}
+	amounts := map[sched.Resources]bool{}
 	for _, amount := range f {
 		amounts[amount] = true
 	}
@@ -65,7 +65,7 @@
 		}
 	}
 	removed = len(f) - len(best.kept)
-	maps.DeleteFunc(f, func(name string, _ [3]float64) bool { return !best.kept[name] })
+	maps.DeleteFunc(f, func(name string, _ sched.Resources) bool { return !best.kept[name] })
 	return removed
 }
 
@@ -75,7 +75,7 @@
 	size     int
 	demand   []PeerDemand // the most wanted sizes of tasks
 	kept     map[string]bool
-	amounts  map[[3]float64]bool // of the kept machines
+	amounts  map[sched.Resources]bool // of the kept machines
 	bytes    int
 }
 
@@ -83,7 +83,7 @@
 func newSelection(capacity FreeCapacity, size int) *machineSelection {
 	most := min(len(capacity), size/nameBytes)
 	return &machineSelection{
-		capacity: capacity, size: size, kept: make(map[string]bool, most), amounts: map[[3]float64]bool{}, bytes: emptyBytes,
+		capacity: capacity, size: size, kept: make(map[string]bool, most), amounts: map[sched.Resources]bool{}, bytes: emptyBytes,
 	}
 }
 
@@ -150,7 +150,7 @@
 func candidatesByFit(capacity FreeCapacity, need sched.Resources) []candidate {
 	var fitting []candidate
 	for name, room := range capacity {
-		if slots := countFits(Unvec(room), need); slots > 0 {
+		if slots := countFits(room, need); slots > 0 {
 			fitting = append(fitting, candidate{name, slots})
 		}
 	}
@@ -202,7 +202,7 @@
 func (s *machineSelection) tasksServed(demand []PeerDemand) float64 {
 	free := make([]sched.Resources, 0, len(s.kept))
 	for _, name := range slices.Sorted(maps.Keys(s.kept)) {
-		free = append(free, Unvec(s.capacity[name]))
+		free = append(free, s.capacity[name])
 	}
 	served := 0.0
 	for _, d := range demand {
@@ -220,7 +220,7 @@
 // machineCapacity is a machine with its room.
 type machineCapacity struct {
 	name string
-	free [3]float64
+	free sched.Resources
 }
 
 // byCapacity returns the machines, those with most accelerators and processors first.
@@ -231,7 +231,7 @@
 	}
 	slices.SortFunc(order, func(a, b machineCapacity) int {
 		x, y := a.free, b.free
-		return cmp.Or(cmp.Compare(y[1], x[1]), cmp.Compare(y[0], x[0]), cmp.Compare(b.name, a.name))
+		return cmp.Or(cmp.Compare(y.GPUs, x.GPUs), cmp.Compare(y.CPUs, x.CPUs), cmp.Compare(b.name, a.name))
 	})
 	return order
 }
--- a/internal/shard/capacity_trim_test.go
+++ b/internal/shard/capacity_trim_test.go
@@ -19,14 +19,14 @@
 		for left := int(d.Tasks); left > 0; left-- {
 			host := ""
 			for name, v := range free {
-				if Unvec(v).Fits(d.Need) && (host == "" || name < host) {
+				if v.Fits(d.Need) && (host == "" || name < host) {
 					host = name
 				}
 			}
 			if host == "" {
 				break
 			}
-			free[host] = Vec(Unvec(free[host]).Sub(d.Need))
+			free[host] = free[host].Sub(d.Need).Rounded()
 			n++
 		}
 	}
@@ -55,7 +55,9 @@
 		room := FreeCapacity{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "machines") {
 			gpus := float64(rapid.IntRange(0, 2).Draw(t, "free gpus"))
-			room[fmt.Sprintf("i-%06d", i)] = [3]float64{float64(rapid.IntRange(1, 16).Draw(t, "free cpus")), gpus, 8 + 16*gpus}
+			room[fmt.Sprintf("i-%06d", i)] = sched.Resources{
+				CPUs: float64(rapid.IntRange(1, 16).Draw(t, "free cpus")), GPUs: gpus, MemGB: 8 + 16*gpus,
+			}
 		}
 		demand := drawDemand(t)
 		size := rapid.IntRange(100, 4<<10).Draw(t, "size")
@@ -85,10 +87,10 @@
 func TestTrimKeepsSomeOfEachSize(t *testing.T) {
 	room := FreeCapacity{}
 	for i := range 1300 {
-		room[fmt.Sprintf("i-%06d", i)] = [3]float64{1, 2, 64} // accelerators, but hardly a processor
+		room[fmt.Sprintf("i-%06d", i)] = sched.Resources{CPUs: 1, GPUs: 2, MemGB: 64} // accelerators, but hardly a processor
 	}
 	for i := range 100 {
-		room[fmt.Sprintf("i-1%05d", i)] = [3]float64{12, 0, 96}
+		room[fmt.Sprintf("i-1%05d", i)] = sched.Resources{CPUs: 12, MemGB: 96}
 	}
 	demand := []PeerDemand{
 		{Need: sched.Resources{CPUs: 1, GPUs: 1, MemGB: 32}, Tasks: 20},
--- a/internal/shard/free_capacity.go
+++ b/internal/shard/free_capacity.go
@@ -12,18 +12,18 @@
 // FreeCapacity is the room of machines by name. Its recorded form names each amount
 // once with all the machines that have it: a shard of hundreds of machines has
 // to fit one value of the state service.
-type FreeCapacity map[string][3]float64
+type FreeCapacity map[string]sched.Resources
 
 // capacityGroup is the recorded form of the machines with the same room.
 type capacityGroup struct {
-	Room  [3]float64 `json:"r"`
-	Hosts []string   `json:"h"`
+	Room  sched.Resources `json:"r"`
+	Hosts []string        `json:"h"`
 }
 
 // MarshalJSON implements json.Marshaler. The form is the same for equal values: groups and
 // machines are in the order of the machines' names.
 func (f FreeCapacity) MarshalJSON() ([]byte, error) {
-	at := map[[3]float64]int{}
+	at := map[sched.Resources]int{}
 	groups := []capacityGroup{}
 	for _, host := range slices.Sorted(maps.Keys(f)) {
 		room := f[host]
@@ -52,14 +52,3 @@
 	}
 	return nil
 }
-
-// Vec returns resources in their recorded form, rounded.
-func Vec(r sched.Resources) [3]float64 {
-	return [3]float64{round(r.CPUs), round(r.GPUs), round(r.MemGB)}
-}
-
-// Unvec returns the resources that a recorded form stands for.
-func Unvec(v [3]float64) sched.Resources { return sched.Resources{CPUs: v[0], GPUs: v[1], MemGB: v[2]} }
-
-// round keeps sums of decimal fractions from growing tails in the records.
-func round(x float64) float64 { return float64(int64(x*1e6+0.5)) / 1e6 }
--- a/internal/shard/free_capacity_test.go
+++ b/internal/shard/free_capacity_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
+
+	"violetturn/internal/sched"
 )
 
 // A shard's free room reads back the same, and after trimming its recorded form
@@ -16,10 +18,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := FreeCapacity{}
 		for i := range rapid.IntRange(0, 400).Draw(t, "machines") {
-			f[fmt.Sprintf("i-%06d", i)] = [3]float64{
-				rapid.Float64Range(0, 96).Draw(t, "cpus"),
-				float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
-				float64(rapid.IntRange(0, 3).Draw(t, "mem")),
+			f[fmt.Sprintf("i-%06d", i)] = sched.Resources{
+				CPUs:  rapid.Float64Range(0, 96).Draw(t, "cpus"),
+				GPUs:  float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
+				MemGB: float64(rapid.IntRange(0, 3).Draw(t, "mem")),
 			}
 		}
 		raw, err := json.Marshal(f)
@@ -41,12 +43,12 @@
 		most := 0.0
 		for h, v := range f {
 			if _, in := g[h]; !in {
-				most = max(most, v[1])
+				most = max(most, v.GPUs)
 			}
 		}
 		for h, v := range g {
-			if v[1] < most {
-				t.Fatalf("%s stays with %v accelerators, one with %v is removed", h, v[1], most)
+			if v.GPUs < most {
+				t.Fatalf("%s stays with %v accelerators, one with %v is removed", h, v.GPUs, most)
 			}
 		}
 	})
--- a/internal/zonehealth/judge_test.go
+++ b/internal/zonehealth/judge_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
+
+	"violetturn/internal/sched"
 )
 
 func testLimits() *Limits {
@@ -86,7 +88,7 @@
 				up := rapid.IntRange(0, all).Draw(t, "up")
 				c.observation = Observation{Up: up, Lost: all - up, Refused: rapid.Bool().Draw(t, "refused")}
 				if up < all && rapid.Bool().Draw(t, "waiting") {
-					c.observation.Waiting = []Demand{{Need: [3]float64{4, 1, 29}, Tasks: all - up}}
+					c.observation.Waiting = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: all - up}}
 				}
 			case 1:
 				c.hasObserver = rapid.Bool().Draw(t, "observer")
@@ -189,7 +191,7 @@
 func TestAdmissionShare(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	recovering := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
-	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: [3]float64{4, 1, 29}, Tasks: 1}}}
+	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
 	served := recovering.WithObservation("n0", Observation{Up: 9, Lost: 1})
 	unserved := recovering.WithObservation("n0", waiting)
 	for _, x := range []struct {
@@ -218,7 +220,7 @@
 
 // The record reads back the same, and what a later version adds does not harm.
 func TestRecordForm(t *testing.T) {
-	waiting := []Demand{{Need: [3]float64{4, 1, 29}, Spot: true, Tasks: 3}}
+	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
 		State: Down, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
 		Observations: map[string]Observation{"n0": {Up: 1, Lost: 8, Refused: true, Waiting: waiting}},
--- a/internal/zonehealth/observation.go
+++ b/internal/zonehealth/observation.go
@@ -1,13 +1,17 @@
 package zonehealth
 
-import "slices"
+import (
+	"slices"
+
+	"violetturn/internal/sched"
+)
 
 // Demand is production work that waits for lost machines of the zone: a number of tasks of one
 // size.
 type Demand struct {
-	Need  [3]float64 `json:"r"` // processors, accelerators, memory
-	Spot  bool       `json:"l,omitempty"`
-	Tasks int        `json:"n"`
+	Need  sched.Resources `json:"r"`
+	Spot  bool            `json:"l,omitempty"`
+	Tasks int             `json:"n"`
 }
 
 // Observation is what the leader of a shard observes of its machines in the zone.
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -151,13 +151,8 @@
 	}
 	for _, zone := range zones {
 		for _, demand := range zone.Waiting {
-			add(sizeOf(demand))
+			add(demand.Need)
 		}
 	}
 	return sizes
 }
-
-// sizeOf returns the size of one task.
-func sizeOf(demand zonehealth.Demand) sched.Resources {
-	return sched.Resources{CPUs: demand.Need[0], GPUs: demand.Need[1], MemGB: demand.Need[2]}
-}
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -106,14 +106,14 @@
 		if a.Tasks != b.Tasks {
 			return b.Tasks - a.Tasks
 		}
-		return slices.Compare(a.Need[:], b.Need[:])
+		return a.Need.Compare(b.Need)
 	})
 	return demands[:min(len(demands), maxDemandSizes)]
 }
 
 // demandOf returns the size of a job's tasks as zones' records keep it.
 func demandOf(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: shard.Vec(statecache.ResourcesOf(spec)), Spot: spec.Spot}
+	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
 }
 
 // Judge returns a zone's record as it is to be, and whether that is to be written.
--- a/internal/zonestate/slow_start.go
+++ b/internal/zonestate/slow_start.go
@@ -50,7 +50,7 @@
 	sizes := z.catalog.MachineSizes()
 	needed := 0.0 // machines, by the production work that waits
 	for _, demand := range z.waitingProduction(zone, record) {
-		needed += float64(demand.Tasks) * recovery.MachineShare(sizeOf(demand), sizes)
+		needed += float64(demand.Tasks) * recovery.MachineShare(demand.Need, sizes)
 	}
 	all := float64(max(record.Sum().Up, up))
 	return min(record.AdmissionShare(now, z.limits()), max(all-needed, 0)/all, 1)
