--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 
 	"violetturn/internal/api"
+	"violetturn/internal/cloud"
+	"violetturn/internal/config"
 	"violetturn/internal/job"
 	"violetturn/internal/peer"
 	"violetturn/internal/sched"
@@ -86,6 +88,15 @@
 	"zone state suspect":         zonehealth.Suspect,
 	"zone state down":            zonehealth.Down,
 	"zone state recovering":      zonehealth.Recovering,
+	"priority production":        api.Production,
+	"priority urgent":            api.Urgent,
+	"priority standard":          api.Standard,
+	"priority idle":              api.Idle,
+	"machine phase starting":     cloud.MachineStarting,
+	"machine phase running":      cloud.MachineRunning,
+	"machine phase failed":       cloud.MachineFailed,
+	"objective wait":             config.ObjectiveWait,
+	"objective finished":         config.ObjectiveFinished,
 	"peer request health":        peer.Request_KIND_HEALTH,
 	"peer request submit":        peer.Request_KIND_SUBMIT,
 	"peer request query":         peer.Request_KIND_QUERY,
