--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -1,32 +1,21 @@
 package agent
 
 import (
+	"iter"
+	"maps"
+
 	"violetturn/internal/catalog"
 	"violetturn/internal/leadership"
+	"violetturn/internal/logkey"
 	"violetturn/internal/node"
 	"violetturn/internal/notify"
-	"violetturn/internal/shard"
 	"violetturn/internal/statecache"
 )
 
-// Drop removes the view of a machine's worker.
-func (reg *Registry) Drop(host string) {
-	delete(reg.ByHost, host)
-	reg.cache.InvalidateLoad(host)
-}
-
-// Of returns the view of the worker of a machine of an own shard, a new one under a new term.
-func (reg *Registry) Of(host string, o *leadership.Leadership) *Agent {
-	s := reg.ByHost[host]
-	if s == nil || s.Term != o.Term {
-		s = New(o.Term, reg.node.Now(), o.PredecessorAnswersUntil)
-		reg.ByHost[host] = s
-		reg.cache.InvalidateLoad(host)
-	}
-	return s
-}
-
 // Registry is what this controller knows of the workers of the shards that it leads.
+//
+// There is at most one agent a machine, of the term of the shard's present leadership: one of an
+// earlier term is replaced when it is next asked for. The lock of internal/state guards it.
 type Registry struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -34,17 +23,13 @@
 	catalog    *catalog.Catalog
 	wake       notify.Signal
 
-	ByHost                map[string]*Agent
-	Unregistered          map[string]shard.Machine // machines without a record, to be registered
-	ListedByCloud         map[string]bool          // machines in the cloud's newest list
-	Provisioning          map[string]bool          // those that it shows as starting
-	HeartbeatRequests     map[string]bool          // machines whose tasks have changed since their leader last looked
-	RunningGangs          map[string]uint64        // by gang, the attempt that was seen running here
-	fenceSlots            chan struct{}            // bounds fences under way
-	heartbeatRequestSlots chan struct{}            // bounds requests for a heartbeat under way: fences of machines that are cut off must not hold them up
+	agents       map[string]*Agent // by machine
+	unregistered *UnregisteredMachines
+	listing      *CloudListing
+	runningGangs map[string]uint64 // by gang, the newest attempt of which a task was seen running here
 }
 
-// Deps is what an agentRegistry rests on.
+// Deps is what a Registry rests on.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -53,29 +38,125 @@
 	Wake       notify.Signal
 }
 
-func NewRegistry(d Deps) *Registry {
-	sockets := d.Node.Settings.Facts.Limits.MaxSockets
+// NewRegistry makes a registry that knows of no worker.
+func NewRegistry(deps Deps) *Registry {
 	return &Registry{
-		node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, wake: d.Wake,
-		ByHost:                map[string]*Agent{},
-		Unregistered:          map[string]shard.Machine{},
-		HeartbeatRequests:     map[string]bool{},
-		RunningGangs:          map[string]uint64{},
-		fenceSlots:            make(chan struct{}, max(8, sockets/16)),
-		heartbeatRequestSlots: make(chan struct{}, max(8, sockets/32)),
+		node: deps.Node, cache: deps.Cache, leadership: deps.Leadership, catalog: deps.Catalog, wake: deps.Wake,
+		agents:       map[string]*Agent{},
+		unregistered: newUnregisteredMachines(deps.Cache, deps.Wake),
+		listing:      newCloudListing(),
+		runningGangs: map[string]uint64{},
 	}
 }
 
+// Unregistered returns the machines that have no record yet.
+func (r *Registry) Unregistered() *UnregisteredMachines { return r.unregistered }
+
+// Listing returns what the cloud lists.
+func (r *Registry) Listing() *CloudListing { return r.listing }
+
+// Agent returns the agent of a machine, of whatever term; nil if there is none.
+func (r *Registry) Agent(host string) *Agent { return r.agents[host] }
+
+// All returns all agents by machine, of whatever term, in no order.
+func (r *Registry) All() iter.Seq2[string, *Agent] { return maps.All(r.agents) }
+
+// Ensure returns the agent of a machine under a leadership of its shard. It makes one if there is
+// none, or only one of another term.
+func (r *Registry) Ensure(host string, leadership *leadership.Leadership) *Agent {
+	agent := r.agents[host]
+	if agent == nil || agent.Term != leadership.Term {
+		agent = New(leadership.Term, r.node.Now(), leadership.PredecessorAnswersUntil)
+		r.agents[host] = agent
+		r.cache.InvalidateLoad(host)
+	}
+	return agent
+}
+
+// Drop drops a machine's agent.
+func (r *Registry) Drop(host string) {
+	delete(r.agents, host)
+	r.cache.InvalidateLoad(host)
+}
+
+// NoteTerminated notes that the cloud has confirmed the end of a machine.
+func (r *Registry) NoteTerminated(host string) {
+	if agent := r.agents[host]; agent != nil {
+		agent.Terminated = true
+	}
+}
+
+// DropAll drops all agents, as after the loss of the lease.
+func (r *Registry) DropAll() {
+	clear(r.agents)
+	r.cache.InvalidateLoads()
+}
+
+// AcquiredShard is a shard whose acquisition was committed.
+type AcquiredShard struct {
+	Shard     string
+	Term      uint64
+	Clean     bool // no earlier leader can still be answering workers
+	HadLeader bool // until now
+}
+
+// BeginLeadership begins the leadership of a shard that was acquired, with an agent for each of
+// its machines. It reports whether it did: it does not if the shard is lost again already.
+func (r *Registry) BeginLeadership(acquired AcquiredShard) bool {
+	shard, now := acquired.Shard, r.node.Now()
+	leader := r.cache.Leaders[shard]
+	if leader.Record == nil || leader.Record.Term != acquired.Term || r.leadership.LeaseID() == 0 {
+		return false
+	}
+	r.DropLeadership(shard)
+	begun := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
+	if !acquired.Clean {
+		begun.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGrace())
+	}
+	r.leadership.Begin(shard, begun)
+	r.node.Log.Info("shard acquired", logkey.Shard(shard), logkey.Term(acquired.Term),
+		logkey.HadLeader(acquired.HadLeader), logkey.Clean(acquired.Clean))
+	for host, machine := range r.cache.Machines {
+		if machine.Shard == shard {
+			r.Ensure(host, begun)
+		}
+	}
+	r.wake.Notify()
+	return true
+}
+
+// DropLeadership ends the leadership of a shard and drops its agents.
+func (r *Registry) DropLeadership(shard string) {
+	r.leadership.End(shard)
+	r.dropAgentsOf(shard)
+}
+
 // DropLostLeaderships ends the leaderships that the replica shows as another's, and drops the
 // agents of their shards.
-func (reg *Registry) DropLostLeaderships() {
-	for _, shard := range reg.leadership.EndLost() {
-		reg.dropAgentsOf(shard)
+func (r *Registry) DropLostLeaderships() {
+	for _, shard := range r.leadership.EndLost() {
+		r.dropAgentsOf(shard)
 	}
 }
 
-// DropAll drops all agents, as after the loss of the lease.
-func (reg *Registry) DropAll() {
-	clear(reg.ByHost)
-	reg.cache.InvalidateLoads()
+// dropAgentsOf drops the agents of a shard, and those of machines without a record.
+func (r *Registry) dropAgentsOf(shard string) {
+	for host := range r.agents {
+		if machine := r.cache.Machines[host]; machine == nil || machine.Shard == shard {
+			r.Drop(host)
+		}
+	}
+}
+
+// NoteGangRunning notes that a task of an attempt of a gang was seen running.
+func (r *Registry) NoteGangRunning(uid string, attempt uint64) { r.runningGangs[uid] = attempt }
+
+// WasGangRunning reports whether the last task of a gang that was seen running here was of the attempt.
+func (r *Registry) WasGangRunning(uid string, attempt uint64) bool {
+	return r.runningGangs[uid] == attempt
+}
+
+// DropEndedGangs drops what is known of gangs that have no record any more.
+func (r *Registry) DropEndedGangs() {
+	maps.DeleteFunc(r.runningGangs, func(uid string, _ uint64) bool { return r.cache.Jobs[uid] == nil })
 }
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -1,51 +1,64 @@
 package agent
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// CheckWorkerContact judges whether workers reach this node, and reports whether it should leave
-// its shards to others: only when another is heard, or it may as well be the workers,
-// and their shards would go round. It returns the addresses of workers to be asked whether
+// maxProbes bounds the workers that are asked at a time whether they hear this node.
+const maxProbes = 4
+
+// CheckWorkerContact judges whether workers reach this node. leave reports that it should leave
+// its shards to others: only when another is heard, for it may as well be the workers that are
+// lost, and their shards would go round. probes are the addresses of workers to be asked whether
 // they hear this node.
-func (reg *Registry) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
-	if reg.leadership.WorkersUnreachable() {
-		probes = reg.probeTargets()
+func (r *Registry) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
+	if r.leadership.WorkersUnreachable() {
+		probes = r.probeTargets()
 	} else {
-		reg.leadership.CheckSilence(now, func() int { return reg.countExpectedAgents(now) })
+		r.leadership.CheckSilence(now, func() int { return r.countExpectedAgents(now) })
 	}
-	return reg.leadership.WorkersUnreachable() && reg.leadership.PeerHearsWorkers(), probes
+	return r.leadership.WorkersUnreachable() && r.leadership.PeerHearsWorkers(), probes
 }
 
-// countExpectedAgents counts the machines of own shards that should be heard: those that were,
-// and those that had tasks long before.
-func (reg *Registry) countExpectedAgents(now time.Time) int {
-	n := 0
-	for host, m := range reg.cache.Machines {
-		if !reg.leadership.Leads(m.Shard) {
+// countExpectedAgents counts the machines of the shards that this node leads that should be heard:
+// those that were, and those that had tasks long before.
+func (r *Registry) countExpectedAgents(now time.Time) int {
+	expected := 0
+	for host, machine := range r.cache.Machines {
+		leadership := r.leadership.InForce(machine.Shard)
+		if leadership == nil {
+			continue
+		}
+		agent := r.Ensure(host, leadership)
+		if agent.Terminated || agent.LeaseExpired {
 			continue
 		}
-		s := reg.Of(host, reg.leadership.InForce(m.Shard))
-		if !s.Terminated && !s.LeaseExpired &&
-			(s.Fenced() || len(reg.cache.Placements[host]) > 0 && now.Sub(s.CreatedAt) > reg.node.Settings.HeartbeatInterval()) {
-			n++
+		hadTasks := len(r.cache.Placements[host]) > 0 && now.Sub(agent.CreatedAt) > r.node.Settings.HeartbeatInterval()
+		if agent.Fenced() || hadTasks {
+			expected++
 		}
 	}
-	return n
+	return expected
 }
 
 // probeTargets returns the addresses of some machines of the home shard, those with tasks
 // first. Without any there is nobody to be heard, and the contact counts as made.
-func (reg *Registry) probeTargets() []string {
-	const maxProbes = 4
-	var addresses []string
-	for pass := range 2 {
-		for host, m := range reg.cache.Machines {
-			if m.Shard == reg.node.Settings.HostName && m.Addr != "" && (len(reg.cache.Placements[host]) > 0) == (pass == 0) && len(addresses) < maxProbes {
-				addresses = append(addresses, m.Addr)
-			}
+func (r *Registry) probeTargets() []string {
+	var withTasks, idle []string
+	for host, machine := range r.cache.Machines {
+		if machine.Shard != r.node.Settings.HostName || machine.Addr == "" {
+			continue
+		}
+		if len(r.cache.Placements[host]) > 0 {
+			withTasks = append(withTasks, machine.Addr)
+		} else {
+			idle = append(idle, machine.Addr)
 		}
 	}
-	if len(addresses) == 0 {
-		reg.leadership.ResetWorkerContact(reg.node.Now())
+	targets := slices.Concat(withTasks, idle)
+	if len(targets) == 0 {
+		r.leadership.ResetWorkerContact(r.node.Now())
 	}
-	return addresses
+	return targets[:min(len(targets), maxProbes)]
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -23,6 +23,7 @@
 	leadership *leadership.Table
 	catalog    *catalog.Catalog
 	agents     *agent.Registry
+	commands   *agent.DirectCommands
 	room       *capacity.Room
 	estimates  *estimate.Estimates
 	zones      *zonestate.Zones
@@ -42,6 +43,7 @@
 	Leadership *leadership.Table
 	Catalog    *catalog.Catalog
 	Agents     *agent.Registry
+	Commands   *agent.DirectCommands
 	Room       *capacity.Room
 	Estimates  *estimate.Estimates
 	Zones      *zonestate.Zones
@@ -58,6 +60,7 @@
 		leadership: d.Leadership,
 		catalog:    d.Catalog,
 		agents:     d.Agents,
+		commands:   d.Commands,
 		room:       d.Room,
 		estimates:  d.Estimates,
 		zones:      d.Zones,
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -10,8 +10,8 @@
 
 // ScaleIn is what a round of scaling in decided.
 type ScaleIn struct {
-	Return []string              // machines to be returned to the cloud, by name
-	Fences []agent.DirectCommand // to machines whose workers have not heard of this leader
+	Return []string               // machines to be returned to the cloud, by name
+	Fences []*agent.DirectCommand // to machines whose workers have not heard of this leader
 }
 
 // missesUntilTerminated is from how many of the cloud's lists in a row a machine has to be
@@ -36,14 +36,14 @@
 		if led == nil || record == nil {
 			continue
 		}
-		worker := a.agents.Of(host, led)
+		worker := a.agents.Ensure(host, led)
 		if worker.Terminated {
 			continue
 		}
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is acquired, for the list is late.
-		if !worker.Fenced() && !a.agents.Provisioning[host] {
-			if command, ok := a.agents.Fence(host); ok {
+		if !worker.Fenced() && !a.agents.Listing().IsStarting(host) {
+			if command := a.commands.Fence(host); command != nil {
 				decided.Fences = append(decided.Fences, command)
 			}
 		}
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -85,7 +85,7 @@
 // On a peer's machine that is so if a task was placed there.
 func (r *Room) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
 	raised := time.UnixMilli(load.LastPlacedMS)
-	if worker := r.agents.ByHost[host]; worker != nil {
+	if worker := r.agents.Agent(host); worker != nil {
 		raised = worker.LastTokenChange()
 	}
 	if now.Sub(raised) < r.node.Settings.WorkerLease()/2 {
@@ -115,7 +115,7 @@
 
 // isSchedulable reports whether a machine of an own shard can take tasks.
 func (r *Room) isSchedulable(host string, now time.Time) bool {
-	worker := r.agents.ByHost[host]
+	worker := r.agents.Agent(host)
 	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
 		return false
 	}
@@ -171,7 +171,7 @@
 		if _, up := record.Free[name]; up {
 			continue
 		}
-		if worker := r.agents.ByHost[name]; worker != nil && worker.Fenced() {
+		if worker := r.agents.Agent(name); worker != nil && worker.Fenced() {
 			continue
 		}
 		if float64(now.UnixMilli()-machine.RegisteredMS)/1000 > 2*machineType.BootS {
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -28,7 +28,7 @@
 // BenchmarkCheckin is the response to one heartbeat in such a shard.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newSizedController(800, 80)
-	s := c.testState().Agents.ByHost["i-000009"]
+	s := c.testState().Agents.Agent("i-000009")
 	for range b.N {
 		s.Heartbeat.Sequence++
 		c.testState().Reconciler.CommandsFor(s.Heartbeat, s, c.node.Now())
@@ -39,7 +39,7 @@
 // the commands.
 func BenchmarkHeartbeatRequest(b *testing.B) {
 	c := newSizedController(800, 80)
-	token := c.testState().Agents.ByHost["i-000009"].Token()
+	token := c.testState().Agents.Agent("i-000009").Token()
 	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: token}
 	for _, pl := range c.testState().Cache.Placements[x.Host] {
 		x.Tasks = append(
@@ -106,7 +106,7 @@
 			for range b.N {
 				review := c.testState().Autoscaler.NewReview(c.node.Now())
 				for host, m := range c.testState().Cache.Machines {
-					s := c.testState().Agents.ByHost[host]
+					s := c.testState().Agents.Agent(host)
 					s.UnderusedSince = time.Time{}
 					review.Consider(host, m, s)
 				}
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -44,10 +44,10 @@
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	for i := range 60 {
-		c.testState().Agents.Unregistered[fmt.Sprintf("i-9%05d", i)] = shard.Machine{MachineType: "m", Zone: "x"}
+		c.testState().Agents.Unregistered().NoteRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
 	before := s.world.Store.Writes
-	for len(c.testState().Agents.Unregistered) > 0 && s.world.Store.Writes < before+60 {
+	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
 		c.decisions.RegisterMachines(context.Background())
 	}
 	if n := s.world.Store.Writes - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -23,21 +23,21 @@
 	for range 2 * int(s.world.Lease/time.Second) { // raises count again
 		s.runRound()
 	}
-	raises := c.testState().Agents.ByHost[host].TokenSequence
+	raises := c.testState().Agents.Agent(host).TokenSequence
 	s.cancel(home, id)
 	s.stepNode(home)
-	if s.runningTasks(id) != 0 || c.testState().Agents.ByHost[host].TokenSequence != raises {
-		t.Fatalf("stopped: %d run, %d raises", s.runningTasks(id), c.testState().Agents.ByHost[host].TokenSequence-raises)
+	if s.runningTasks(id) != 0 || c.testState().Agents.Agent(host).TokenSequence != raises {
+		t.Fatalf("stopped: %d run, %d raises", s.runningTasks(id), c.testState().Agents.Agent(host).TokenSequence-raises)
 	}
 	s.runUntil(t, 6, "machine empty", func() bool {
-		return len(c.testState().Cache.Placements[host]) == 0 && len(c.testState().Agents.ByHost[host].Heartbeat.Tasks) == 0
+		return len(c.testState().Cache.Placements[host]) == 0 && len(c.testState().Agents.Agent(host).Heartbeat.Tasks) == 0
 	})
 	next := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	for range 2 {
 		s.stepNode(0)
 		s.stepNode(home)
 	}
-	if on := c.testState().Cache.Placements[host]; len(on) != 1 || c.testState().Agents.ByHost[host].TokenSequence != raises+1 {
-		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().Agents.ByHost[host].TokenSequence-raises)
+	if on := c.testState().Cache.Placements[host]; len(on) != 1 || c.testState().Agents.Agent(host).TokenSequence != raises+1 {
+		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().Agents.Agent(host).TokenSequence-raises)
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"violetturn/internal/agent"
 	"violetturn/internal/api"
 	"violetturn/internal/simulator"
 	"violetturn/internal/zonehealth"
@@ -94,13 +93,15 @@
 		t.Fatalf("lost: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.testState().Agents.ByHost[x.Host].Terminated = true
+		c.testState().Agents.Agent(x.Host).Terminated = true
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("gone: room for %d tasks", n)
 	}
 	for _, x := range withReaders {
-		c.testState().Agents.ByHost[x.Host] = agent.New(c.testState().Agents.ByHost[x.Host].Term, c.node.Now(), c.node.Now())
+		c.testState().Agents.Drop(x.Host)
+		leadership := c.testState().Leadership.Known(c.testState().Cache.Machines[x.Host].Shard)
+		c.testState().Agents.Ensure(x.Host, leadership).LastAnswered = c.node.Now()
 	}
 	if n := waiting(); n != readerTasks {
 		t.Errorf("not heard of yet: room for %d tasks", n)
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -51,7 +51,7 @@
 func planDeregistrations(s *state.State, info *node.Info, now time.Time) deregistrationsPlan {
 	edits := newPageEdits(s, info)
 	plan := deregistrationsPlan{transaction: edits.transaction}
-	for host, contact := range s.Agents.ByHost {
+	for host, contact := range s.Agents.All() {
 		m := s.Cache.Machines[host]
 		if !contact.Terminated || m == nil || !mayDeregister(s, host, m) {
 			continue
--- a/internal/decisions/registrations.go
+++ b/internal/decisions/registrations.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"time"
 
 	"violetturn/internal/api"
@@ -30,7 +28,7 @@
 // without a record, each in one shard, by conditional writes of their pages.
 func (l *Loop) RegisterMachines(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	if len(state.Agents.Unregistered) == 0 {
+	if state.Agents.Unregistered().Count() == 0 {
 		l.guard.Unlock()
 		return false
 	}
@@ -48,10 +46,10 @@
 	if result == committed {
 		l.node.Log.Info("machines registered", "hosts", plan.hosts)
 		for _, host := range plan.hosts {
-			delete(state.Agents.Unregistered, host)
+			state.Agents.Unregistered().Remove(host)
 		}
 	}
-	return result.settled() && len(state.Agents.Unregistered) > 0
+	return result.settled() && state.Agents.Unregistered().Count() > 0
 }
 
 // planRegistrations puts machines without a record into pages, as many as a transaction takes.
@@ -63,10 +61,10 @@
 	for _, m := range s.Cache.Machines {
 		machines[m.Shard]++
 	}
-	for _, host := range slices.Sorted(maps.Keys(s.Agents.Unregistered)) {
-		m := s.Agents.Unregistered[host]
+	for _, host := range s.Agents.Unregistered().Names() {
+		m := s.Agents.Unregistered().Machine(host)
 		if s.Cache.Machines[host] != nil || s.Cache.Terminated[host] {
-			delete(s.Agents.Unregistered, host)
+			s.Agents.Unregistered().Remove(host)
 			continue
 		}
 		page, ok := edits.page(host)
@@ -79,7 +77,7 @@
 		if bytes := len(api.JSON(page)); bytes > s.Schema.MaxPageBytes() {
 			plan.refused = append(plan.refused, refusedMachine{host: host, pageBytes: bytes})
 			delete(page, host)
-			delete(s.Agents.Unregistered, host)
+			s.Agents.Unregistered().Remove(host)
 			continue
 		}
 		edits.keep(host, page)
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"violetturn/internal/agent"
 	"violetturn/internal/leadership"
 	"violetturn/internal/logkey"
 	"violetturn/internal/shard"
@@ -73,10 +74,8 @@
 
 // acquisition is the transaction that acquires a shard, and what begins with it.
 type acquisition struct {
-	txn       *statecache.Transaction
-	term      uint64
-	clean     bool // no earlier leader can still be answering workers
-	hadLeader bool
+	txn      *statecache.Transaction
+	acquired agent.AcquiredShard
 }
 
 // AcquireShard acquires a shard: its leader's key under our lease, and a term above all
@@ -103,7 +102,10 @@
 		return
 	}
 	state = k.guard.Lock()
-	fences := state.Agents.BeginLeadership(shard, acquisition.term, acquisition.clean, acquisition.hadLeader)
+	var fences []*agent.DirectCommand
+	if state.Agents.BeginLeadership(acquisition.acquired) {
+		fences = state.DirectCommands.FenceShard(shard)
+	}
 	k.guard.Unlock()
 	k.commands.Send(ctx, fences)
 }
@@ -120,7 +122,8 @@
 	txn.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
 	txn.Require(statecache.CapacityKey(name), capacity.Version)
 	txn.Put(statecache.TermKey, term)
-	txn.PutWithLease(statecache.LeaderKey(name), shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term}, state.Leadership.LeaseID())
+	leaderRecord := shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term}
+	txn.PutWithLease(statecache.LeaderKey(name), leaderRecord, state.Leadership.LeaseID())
 	txn.Put(statecache.CapacityKey(name), shard.CapacityRecord{
 		Term:               term,
 		Leader:             me,
@@ -128,7 +131,10 @@
 		Free:               shard.FreeCapacity{},
 		QuotaUse:           state.Capacity.QuotaUseOf(name),
 	})
-	return acquisition{txn: txn, term: term, clean: clean, hadLeader: hadLeader}
+	return acquisition{
+		txn:      txn,
+		acquired: agent.AcquiredShard{Shard: name, Term: term, Clean: clean, HadLeader: hadLeader},
+	}
 }
 
 // stoppedAnswering reports whether all earlier leaders of a shard have surely stopped answering
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -5,53 +5,70 @@
 
 	"violetturn/internal/agent"
 	"violetturn/internal/api"
+	"violetturn/internal/leadership"
 	"violetturn/internal/respond"
 	"violetturn/internal/shard"
 	"violetturn/internal/transport"
 )
 
-// AnswerHeartbeat answers a heartbeat that was read.
-func (rec *Reconciler) AnswerHeartbeat(r *api.Heartbeat, now time.Time) transport.Response {
-	if !rec.cache.Loaded {
+const statusOK = 200
+
+// AnswerHeartbeat answers a heartbeat that was read. It redirects a worker whose shard another
+// controller leads, and answers that it is busy where no answer could be relied on.
+func (r *Reconciler) AnswerHeartbeat(heartbeat *api.Heartbeat, now time.Time) transport.Response {
+	if !r.cache.Loaded {
 		return respond.Busy
 	}
-	m := rec.cache.Machines[r.Host]
-	if m == nil {
-		// Only one that the cloud lists: a copy of a heartbeat may come long after
-		// its machine is gone, and nobody else remembers that it was there.
-		if rec.agents.ListedByCloud[r.Host] {
-			rec.agents.NoteUnregistered(r.Host, shard.Machine{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, Addr: r.Addr})
-		}
+	machine := r.cache.Machines[heartbeat.Host]
+	if machine == nil {
+		r.noteUnregistered(heartbeat)
 		return respond.Busy
 	}
-	o := rec.leadership.InForce(m.Shard)
-	if o == nil || !rec.leadership.MayAnswerHeartbeats(now) {
-		return rec.leadership.Redirect(m.Shard)
+	leadership := r.leadership.InForce(machine.Shard)
+	if leadership == nil || !r.leadership.MayAnswerHeartbeats(now) {
+		return r.leadership.Redirect(machine.Shard)
 	}
-	s := rec.agents.Of(r.Host, o)
-	if s.IsStale(r, now, agent.HeartbeatTimeout) {
+	worker := r.agents.Ensure(heartbeat.Host, leadership)
+	if worker.IsStale(heartbeat, now, agent.HeartbeatTimeout) {
 		return respond.Busy // nobody waits for it, and it says nothing about now
 	}
-	if shard.TokenTerm(r.Token) > o.Term {
-		// It has seen a token above ours, so it drops what we say. When the term
-		// record knows it, somebody else has taken the shard.
-		if shard.TokenTerm(r.Token) <= rec.cache.Term {
-			o.RequestNewTerm()
-		}
+	if shard.TokenTerm(heartbeat.Token) > leadership.Term {
+		r.noteHigherTerm(heartbeat, leadership)
 		return respond.Misdirected("")
 	}
-	if m.Addr != r.Addr && r.Addr != "" {
-		m.Addr = r.Addr // the record may have been made before the address was known
+	if machine.Addr != heartbeat.Addr && heartbeat.Addr != "" {
+		r.cache.NoteAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before it was known
 	}
-	s.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: r.AgentEpoch, Sequence: r.Sequence}
+	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
-	if shard.TokenTerm(r.Token) < o.Term {
-		if !rec.agents.MayIntroduceTerm(s, now) {
+	if shard.TokenTerm(heartbeat.Token) < leadership.Term {
+		if !r.agents.MayIntroduceTerm(worker, now) {
 			return respond.Busy
 		}
-	} else if rec.agents.AcceptHeartbeat(r.Host, s, r) {
-		commands = rec.CommandsFor(r, s, now)
+	} else if r.agents.AcceptHeartbeat(heartbeat.Host, worker, heartbeat) {
+		commands = r.CommandsFor(heartbeat, worker, now)
+	}
+	worker.LastAnswered = now
+	return respond.JSON(statusOK, api.CommandBatch{Token: worker.Token(), Commands: commands})
+}
+
+// noteUnregistered notes the machine of a heartbeat that has no record, if the cloud lists it: a
+// copy of a heartbeat may come long after its machine was terminated, and nobody else remembers
+// that it was there.
+func (r *Reconciler) noteUnregistered(heartbeat *api.Heartbeat) {
+	if !r.agents.Listing().Has(heartbeat.Host) {
+		return
+	}
+	r.agents.Unregistered().Note(heartbeat.Host, shard.Machine{
+		MachineType: heartbeat.MachineType, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Addr: heartbeat.Addr,
+	})
+}
+
+// noteHigherTerm notes that a worker has seen a token above ours, so that it drops what we say. If
+// the term's record knows that term, another has acquired the shard since or tried to, and the
+// shard needs a new term.
+func (r *Reconciler) noteHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
+	if shard.TokenTerm(heartbeat.Token) <= r.cache.Term {
+		leadership.RequestNewTerm()
 	}
-	s.LastAnswered = now
-	return respond.JSON(200, api.CommandBatch{Token: s.Token(), Commands: commands})
 }
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -11,7 +11,8 @@
 	"violetturn/internal/zonestate"
 )
 
-// Reconciler compares what workers report with what is committed for them.
+// Reconciler compares what workers report with what is committed for them. It has no state of its
+// own: what it learns goes to the agents.
 type Reconciler struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -23,7 +24,7 @@
 	wake       notify.Signal
 }
 
-// Deps is what a heartbeatReconciler rests on.
+// Deps is what a Reconciler rests on.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -35,9 +36,10 @@
 	Wake       notify.Signal
 }
 
-func New(d Deps) *Reconciler {
+// New makes a reconciler.
+func New(deps Deps) *Reconciler {
 	return &Reconciler{
-		node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents,
-		estimates: d.Estimates, zones: d.Zones, wake: d.Wake,
+		node: deps.Node, cache: deps.Cache, leadership: deps.Leadership, catalog: deps.Catalog, agents: deps.Agents,
+		estimates: deps.Estimates, zones: deps.Zones, wake: deps.Wake,
 	}
 }
--- a/internal/scaling/autoscale.go
+++ b/internal/scaling/autoscale.go
@@ -29,9 +29,7 @@
 	}
 	state = l.guard.Lock()
 	for _, h := range back {
-		if s := state.Agents.ByHost[h]; s != nil {
-			s.Terminated = true
-		}
+		state.Agents.NoteTerminated(h)
 		if m := state.Cache.Machines[h]; m != nil { // what was refused may be had again
 			state.Catalog.ClearBackoff(&sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot})
 		}
@@ -93,7 +91,7 @@
 	if complete {
 		r.listReadAt = now
 		state := l.guard.Lock()
-		state.Agents.NoteMachineList(hosts, r.listing.Began, r.unknownSince, lag)
+		state.Agents.NoteMachineList(hosts, r.listing.Began, lag)
 		l.guard.Unlock()
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -19,7 +19,6 @@
 	listing                 cloud.Listing                       // the list, as far as it has been read
 	Unanswered              map[sched.Offer]cloud.RentalRequest // rentals without an answer, repeated under their names
 	requests                int                                 // names given to rental requests so far
-	unknownSince            map[string]time.Time                // listed machines without a record, since when
 }
 
 // Loop rents, lists and returns machines.
@@ -48,8 +47,7 @@
 	return &Loop{
 		node: d.Node, guard: d.Guard, services: d.Services, commands: d.Commands, decisions: d.Decisions, wake: d.Wake,
 		Rentals: rentalState{
-			Unanswered:   map[sched.Offer]cloud.RentalRequest{},
-			unknownSince: map[string]time.Time{},
+			Unanswered: map[sched.Offer]cloud.RentalRequest{},
 		},
 	}
 }
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -57,7 +57,7 @@
 // endCannotWait reports whether an end is to be committed without waiting for others: the task
 // has to run again, its machine is about to leave, or it has waited for two leases.
 func (s *Scheduler) endCannotWait(ended agent.EndedTask, now time.Time) bool {
-	worker := s.agents.ByHost[ended.Task.Placement.Host]
+	worker := s.agents.Agent(ended.Task.Placement.Host)
 	if !ended.End.Done || worker == nil || worker.Cordoned || worker.Terminated {
 		return true
 	}
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -118,7 +118,7 @@
 
 // hasEndedThere reports whether this attempt of the task has ended on the machine already.
 func (t *gangTransaction) hasEndedThere(placement capacity.Placement) bool {
-	worker := t.scheduler.agents.ByHost[placement.Host.Name]
+	worker := t.scheduler.agents.Agent(placement.Host.Name)
 	if worker == nil {
 		return false
 	}
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -41,7 +41,7 @@
 // lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
 // was lost with its zone and has not started again.
 func (s *Scheduler) lostWork(host string, job *statecache.Job, task *statecache.PlacedTask, now time.Time) float64 {
-	worker := s.agents.ByHost[host]
+	worker := s.agents.Agent(host)
 	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, now) {
 		return lostSeconds(job, task.Placement, now)
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,19 +22,20 @@
 // State is all that the controller's lock guards, lower layers first: each part knows only
 // those above it in this list. Use New.
 type State struct {
-	Cache       *statecache.Cache      // live records of the state service
-	Schema      *schema.State          // forms and sizes in which records may be written
-	Leadership  *leadership.Table      // shards that this controller leads
-	Catalog     *catalog.Catalog       // what the cloud offers
-	Agents      *agent.Registry        // workers of the shards that this controller leads
-	Room        *capacity.Room         // what machines have free
-	Zones       *zonestate.Zones       // health of zones
-	Capacity    *capacity.Accounts     // capacity records and quotas
-	Scheduler   *scheduler.Scheduler   // plans
-	Autoscaler  *autoscaler.Autoscaler // rentals and returns
-	Reconciler  *reconcile.Reconciler  // answers to heartbeats
-	Splitter    *splitter.Splitter     // records that outgrow the limits
-	FinalStates *finalstate.Cache      // how jobs ended
+	Cache          *statecache.Cache      // live records of the state service
+	Schema         *schema.State          // forms and sizes in which records may be written
+	Leadership     *leadership.Table      // shards that this controller leads
+	Catalog        *catalog.Catalog       // what the cloud offers
+	Agents         *agent.Registry        // workers of the shards that this controller leads
+	DirectCommands *agent.DirectCommands  // what is sent to workers beside their heartbeats
+	Room           *capacity.Room         // what machines have free
+	Zones          *zonestate.Zones       // health of zones
+	Capacity       *capacity.Accounts     // capacity records and quotas
+	Scheduler      *scheduler.Scheduler   // plans
+	Autoscaler     *autoscaler.Autoscaler // rentals and returns
+	Reconciler     *reconcile.Reconciler  // answers to heartbeats
+	Splitter       *splitter.Splitter     // records that outgrow the limits
+	FinalStates    *finalstate.Cache      // how jobs ended
 
 	Stats        Stats
 	Reachability Reachability
@@ -64,6 +65,7 @@
 	s.Agents = agent.NewRegistry(agent.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
 	})
+	s.DirectCommands = agent.NewDirectCommands(s.Agents)
 	s.Room = capacity.NewRoom(capacity.RoomDeps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
@@ -83,8 +85,8 @@
 		Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
-		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents, Room: s.Room,
-		Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Scheduler: s.Scheduler, Wake: wake,
+		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
+		Commands: s.DirectCommands, Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
@@ -99,14 +101,10 @@
 func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
 
 // TasksChanged implements statecache.Observer: the machine's worker has something to be told.
-func (s *State) TasksChanged(host string) { s.Agents.HeartbeatRequests[host] = true }
+func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
 
 // DropFinishedJobs drops what is remembered of jobs that are over.
 func (s *State) DropFinishedJobs() {
 	s.Scheduler.DropFinishedJobs()
-	for uid := range s.Agents.RunningGangs {
-		if s.Cache.Jobs[uid] == nil {
-			delete(s.Agents.RunningGangs, uid)
-		}
-	}
+	s.Agents.DropEndedGangs()
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -25,7 +25,7 @@
 	observed := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
 	waiting := waitingTasks{}
 	for host, machine := range z.cache.Machines {
-		worker, ofZone := z.agents.ByHost[host], observed.Observations[machine.Zone]
+		worker, ofZone := z.agents.Agent(host), observed.Observations[machine.Zone]
 		if ofZone == nil || worker == nil || !z.leadership.Leads(machine.Shard) {
 			continue
 		}
