--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -3,9 +3,10 @@
 // fields but never lose or rename one, however the code's own names change.
 //
 // The forms are in text files, a line each, NAME: FORM. records.txt has each record and
-// message with all fields set, variants.txt those with fields left out and other cases, words.txt
-// the words of enumerations. A line that is there never changes; the names of lines in
-// records.txt are older than those of the types.
+// message with all fields set, variants.txt those with fields left out and other cases,
+// words.txt the words of enumerations, keys.txt the keys of records in the state service. A
+// line that is there never changes; the names of lines in records.txt are older than those of
+// the types.
 package golden
 
 import (
