--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -89,9 +89,9 @@
 		k.guard.Unlock()
 		return
 	}
-	acquisition := k.prepareAcquisition(state, shard)
+	prepared := k.prepareAcquisition(state, shard)
 	k.guard.Unlock()
-	done, _, err := k.sync.Commit(ctx, commitShard, acquisition.txn, store.PriorityLease)
+	done, _, err := k.sync.Commit(ctx, commitShard, prepared.txn, store.PriorityLease)
 	if !done {
 		k.node.Log.Debug("shard not acquired", logkey.Shard(shard), logkey.Err(err))
 		if err == nil {
@@ -103,7 +103,7 @@
 	}
 	state = k.guard.Lock()
 	var fences []*agent.DirectCommand
-	if state.Agents.BeginLeadership(acquisition.acquired) {
+	if state.Agents.BeginLeadership(prepared.acquired) {
 		fences = state.DirectCommands.FenceShard(shard)
 	}
 	k.guard.Unlock()
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -148,7 +148,11 @@
 			f.lead("n0", "n0")
 			f.Known("n0").RequestNewTerm()
 		}, 0, false, []string{"n0"}, nil},
-		{"to a peer that is up", func(f *fixture) { f.lead("n0", "n0"); f.lead("n1", "n0"); f.live("n1") }, ttl * 3 / 4, false, nil, []string{"n1"}},
+		{"to a peer that is up", func(f *fixture) {
+			f.lead("n0", "n0")
+			f.lead("n1", "n0")
+			f.live("n1")
+		}, ttl * 3 / 4, false, nil, []string{"n1"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
