--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -60,7 +60,7 @@
 
 // sendHeartbeat lets a worker send a heartbeat to the node that it reports to, or hear the
 // response that it waits for.
-func (s *testCluster) sendHeartbeat(x *simulator.Worker, f heartbeatFault) {
+func (s *clusterNodes) sendHeartbeat(x *simulator.Worker, f heartbeatFault) {
 	if !x.Up() || x.Hung {
 		return
 	}
@@ -94,7 +94,7 @@
 
 // hearPendingResponse lets a worker hear the response that it waits for, unless that comes too
 // late, and reports whether it waited for one.
-func (s *testCluster) hearPendingResponse(x *simulator.Worker) bool {
+func (s *clusterNodes) hearPendingResponse(x *simulator.Worker) bool {
 	p := s.pendingResponses[x.Host]
 	if p == nil {
 		return false
@@ -107,15 +107,15 @@
 }
 
 // workerPartitioned reports whether a heartbeat of a worker can't reach a node.
-func (s *testCluster) workerPartitioned(x *simulator.Worker, node int) bool {
+func (s *clusterNodes) workerPartitioned(x *simulator.Worker, node int) bool {
 	return x.Partitioned || x.OutboundLost || s.nodes[node].commands.Partitioned || s.partitioned(s.zoneOf(node), x.Zone)
 }
 
 // tryNextNode has a worker report to the node after one that did not answer it.
-func (s *testCluster) tryNextNode(x *simulator.Worker, node int) { x.Node = (node + 1) % len(s.nodes) }
+func (s *clusterNodes) tryNextNode(x *simulator.Worker, node int) { x.Node = (node + 1) % len(s.nodes) }
 
 // handleHeartbeatResponse lets a worker take in a response that it heard.
-func (s *testCluster) handleHeartbeatResponse(sent sentHeartbeat, r heartbeatResponse) {
+func (s *clusterNodes) handleHeartbeatResponse(sent sentHeartbeat, r heartbeatResponse) {
 	switch {
 	case r.status == http.StatusOK:
 		sent.worker.HandleResponse(r.commands, sent.at, sent.agentEpoch)
@@ -128,7 +128,7 @@
 
 // deliverHeartbeat has a node handle a heartbeat. The response of one that does not serve is
 // empty.
-func (s *testCluster) deliverHeartbeat(to int, body []byte) heartbeatResponse {
+func (s *clusterNodes) deliverHeartbeat(to int, body []byte) heartbeatResponse {
 	n := s.nodes[to]
 	if !n.serves() {
 		return heartbeatResponse{}
@@ -142,7 +142,7 @@
 }
 
 // deliverCopies has every node handle copies of heartbeats.
-func (s *testCluster) deliverCopies(copies [][]byte) {
+func (s *clusterNodes) deliverCopies(copies [][]byte) {
 	for _, body := range copies {
 		for i := range s.nodes {
 			s.deliverHeartbeat(i, body)
@@ -151,7 +151,7 @@
 }
 
 // heartbeats returns a heartbeat of each machine, as it was sent now.
-func (s *testCluster) heartbeats() [][]byte {
+func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
 	for _, h := range s.world.Cloud.HostNames() {
 		out = append(out, api.JSON(s.world.Cloud.Hosts[h].Heartbeat()))
@@ -160,7 +160,7 @@
 }
 
 // deliverDelayedCommands delivers the commands that partitions delay.
-func (s *testCluster) deliverDelayedCommands() {
+func (s *clusterNodes) deliverDelayedCommands() {
 	for _, n := range s.nodes {
 		delayed := n.commands.Delayed
 		n.commands.Delayed = nil
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -24,11 +24,11 @@
 }
 
 // zoneOf returns the zone of a node.
-func (s *testCluster) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
+func (s *clusterNodes) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
 
 // partitionZone partitions a zone from all else, also from the state service and the cloud;
 // "" ends that.
-func (s *testCluster) partitionZone(zone string) {
+func (s *clusterNodes) partitionZone(zone string) {
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
@@ -41,7 +41,7 @@
 
 // peerLink is the connection of a controller to its peers.
 type peerLink struct {
-	cluster *testCluster
+	cluster *clusterNodes
 	from    int
 }
 
@@ -59,12 +59,12 @@
 }
 
 // connected reports whether two controllers can reach each other.
-func (s *testCluster) connected(a, b int) bool {
+func (s *clusterNodes) connected(a, b int) bool {
 	return !s.peersRefused && !s.isolated[a] && !s.isolated[b] && !s.partitioned(s.zoneOf(a), s.zoneOf(b))
 }
 
 // beforeCommits runs f before the next transaction of each node.
-func (s *testCluster) beforeCommits(f func(node int)) {
+func (s *clusterNodes) beforeCommits(f func(node int)) {
 	for i, n := range s.nodes {
 		n.storeClient.BeforeCommit = func() { f(i) }
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -27,13 +27,17 @@
 const clockDrift = 0.00025
 
 // testCluster joins controllers with the simulated services. It runs everything in one
-// goroutine, so that a seed gives the same events every time.
-type testCluster struct {
+// goroutine, so that a seed gives the same events every time. The types that it embeds hold
+// what it is built of; its own methods ask what jobs and controllers do, and check it.
+type testCluster struct{ clusterUsers }
+
+// clusterNodes are the controllers of a cluster, the simulated world and the network between
+// them.
+type clusterNodes struct {
 	networkFaults
-	world  *simulator.World
-	nodes  []*testNode
-	jobIDs []string // of submitted jobs, in order
-	log    *slog.Logger
+	world *simulator.World
+	nodes []*testNode
+	log   *slog.Logger
 
 	delayedHeartbeats []func()                    // that a partition delays
 	heartbeatCopies   []heartbeatCopy             // that arrived, to arrive once more, late
@@ -112,14 +116,9 @@
 	w.Lease, w.CancelTimeout, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
 	w.GangWait, w.GangPeer = 12*time.Second, 3*time.Second
 	w.TeamGPULimits = map[string]float64{"a": 5}
-	s := &testCluster{
-		world:            w,
-		stateLimits:      config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
-		nextStateLimits:  config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4},
-		pendingResponses: map[string]*pendingResponse{},
-		networkFaults:    networkFaults{isolated: map[int]bool{}},
-		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
-	}
+	limits := config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
+	nextLimits := config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
+	s := newClusterWithoutNodes(w, limits, nextLimits)
 	if os.Getenv("SIM_LOG") != "" {
 		s.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
@@ -130,6 +129,19 @@
 	return s
 }
 
+// newClusterWithoutNodes returns a cluster without controllers, in a world whose state service
+// has limits, and others next.
+func newClusterWithoutNodes(w *simulator.World, limits, nextLimits config.StateLimits) *testCluster {
+	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
+		networkFaults:    networkFaults{isolated: map[int]bool{}},
+		world:            w,
+		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
+		pendingResponses: map[string]*pendingResponse{},
+		stateLimits:      limits,
+		nextStateLimits:  nextLimits,
+	}}}
+}
+
 // newReadyCluster returns a cluster whose controllers lead their shards.
 func newReadyCluster() *testCluster {
 	s := newTestCluster()
@@ -138,7 +150,7 @@
 }
 
 // startNode starts a controller, or restarts it with nothing but its settings.
-func (s *testCluster) startNode(i int) {
+func (s *clusterNodes) startNode(i int) {
 	n := s.nodes[i]
 	cfg := s.settingsOf(i)
 	delete(testStates, n.controller)
@@ -173,7 +185,7 @@
 }
 
 // settingsOf returns a node's settings.
-func (s *testCluster) settingsOf(i int) *config.Settings {
+func (s *clusterNodes) settingsOf(i int) *config.Settings {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
 	cfg := testSettings(i, names, s.world.Zones, s.world.TeamGPULimits)
@@ -191,7 +203,7 @@
 
 // storeOf returns the state service as a node reaches it. A node makes nothing larger than
 // the next limits, unless it behaves as the version in production.
-func (s *testCluster) storeOf(n *testNode, cfg *config.Settings) external.StateService {
+func (s *clusterNodes) storeOf(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.world.Store,
 		Node:          n.name,
@@ -207,7 +219,7 @@
 }
 
 // restartNodes restarts all controllers, with a function that hears of each.
-func (s *testCluster) restartNodes(started func(*testNode)) {
+func (s *clusterNodes) restartNodes(started func(*testNode)) {
 	s.onStart = started
 	for i := range s.nodes {
 		s.startNode(i)
@@ -216,7 +228,7 @@
 }
 
 // stepNode lets a controller do what its loops would.
-func (s *testCluster) stepNode(i int) {
+func (s *clusterNodes) stepNode(i int) {
 	n := s.nodes[i]
 	if !n.serves() {
 		return
@@ -241,7 +253,7 @@
 }
 
 // runRound lets all controllers and workers do what they do in half a second.
-func (s *testCluster) runRound() {
+func (s *clusterNodes) runRound() {
 	for i := range s.nodes {
 		s.stepNode(i)
 	}
@@ -252,7 +264,7 @@
 }
 
 // runFor runs some rounds. Whether a rule was broken is checked later.
-func (s *testCluster) runFor(count int) {
+func (s *clusterNodes) runFor(count int) {
 	for range count {
 		s.runRound()
 	}
@@ -281,7 +293,7 @@
 
 // endFaults ends all faults, and restarts the controllers that are down or behave as the
 // version in production.
-func (s *testCluster) endFaults() {
+func (s *clusterNodes) endFaults() {
 	s.world.Store.Down, s.world.Cloud.Down, s.world.Cloud.NoCapacity = false, false, false
 	clear(s.world.Store.Refused)
 	clear(s.world.Store.Unreachable)
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -12,8 +12,14 @@
 	"violetturn/internal/simulator"
 )
 
+// clusterUsers are the users of a cluster.
+type clusterUsers struct {
+	clusterNodes
+	jobIDs []string // of submitted jobs, in order
+}
+
 // submit submits a job, again perhaps, through a node.
-func (s *testCluster) submit(i int, uid string) {
+func (s *clusterUsers) submit(i int, uid string) {
 	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.world.Jobs[uid].Spec.Kind == api.Gang {
 		return // the version in production does not know gangs
 	}
@@ -25,7 +31,7 @@
 }
 
 // poll asks a node for the state of a job.
-func (s *testCluster) poll(i int, uid string) {
+func (s *clusterUsers) poll(i int, uid string) {
 	if s.nodes[i].serves() {
 		r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
 		s.checkResponse(uid, r.Status, r.Body, false)
@@ -33,7 +39,7 @@
 }
 
 // cancel cancels a job through a node.
-func (s *testCluster) cancel(i int, uid string) {
+func (s *clusterUsers) cancel(i int, uid string) {
 	if !s.nodes[i].serves() {
 		return
 	}
@@ -43,7 +49,7 @@
 }
 
 // checkResponse checks what a user was told of a job.
-func (s *testCluster) checkResponse(uid string, status int, body []byte, submission bool) {
+func (s *clusterUsers) checkResponse(uid string, status int, body []byte, submission bool) {
 	var state struct {
 		Phase api.JobPhase `json:"phase"`
 	}
@@ -52,7 +58,7 @@
 }
 
 // queryEverywhere asks all nodes about a job, and repeats its submission, within one moment.
-func (s *testCluster) queryEverywhere(uid string) {
+func (s *clusterUsers) queryEverywhere(uid string) {
 	for i := range s.nodes {
 		s.poll(i, uid)
 		s.submit(i, uid)
@@ -82,7 +88,7 @@
 
 // submitInvalid submits invalid jobs through a node: new ones, which it must refuse, and a
 // known one, which is answered with its state.
-func (s *testCluster) submitInvalid(t fataler, i int) {
+func (s *clusterUsers) submitInvalid(t fataler, i int) {
 	t.Helper()
 	n := s.nodes[i]
 	if !n.serves() {
@@ -100,7 +106,7 @@
 
 // submitChanged submits a small job with a changed body through a node, and returns the
 // status of the response.
-func (s *testCluster) submitChanged(n *testNode, uid string, change func(fields map[string]json.RawMessage)) int {
+func (s *clusterUsers) submitChanged(n *testNode, uid string, change func(fields map[string]json.RawMessage)) int {
 	body := simulator.Submission(&api.Job{
 		UID:      uid,
 		Class:    "l",
@@ -126,7 +132,7 @@
 
 // submitJob submits a job of team b to the first controller, with what change changes, also of
 // the run time of its tasks.
-func (s *testCluster) submitJob(change func(*api.Job, *time.Duration)) string {
+func (s *clusterUsers) submitJob(change func(*api.Job, *time.Duration)) string {
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
 	r := &api.Job{
 		UID: id, Class: "l", Team: "b", Kind: api.Array, Priority: "standard", Tasks: 2, CPUs: 1, GPUs: 1,
@@ -143,7 +149,7 @@
 }
 
 // submitService submits a service.
-func (s *testCluster) submitService(tasks int, change func(*api.Job)) string {
+func (s *clusterUsers) submitService(tasks int, change func(*api.Job)) string {
 	return s.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Tasks = api.Service, tasks
 		if change != nil {
@@ -153,7 +159,7 @@
 }
 
 // submitArray submits an array whose tasks run so long.
-func (s *testCluster) submitArray(tasks int, run time.Duration, change func(*api.Job)) string {
+func (s *clusterUsers) submitArray(tasks int, run time.Duration, change func(*api.Job)) string {
 	return s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Tasks, *d = tasks, run
 		if change != nil {
@@ -163,7 +169,7 @@
 }
 
 // submitGang submits a gang of four tasks, and fails if it is not accepted.
-func (s *testCluster) submitGang(t *testing.T, change func(*api.Job, *time.Duration)) string {
+func (s *clusterUsers) submitGang(t *testing.T, change func(*api.Job, *time.Duration)) string {
 	t.Helper()
 	id := s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Kind, r.Tasks, r.GPUs, r.CPUs, r.MemGB = api.Gang, 4, 1, 1, 4
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"math/rand/v2"
 	"time"
 
@@ -51,14 +49,7 @@
 		dueJobs:       map[*simulator.Class]float64{},
 		costs:         map[string]*phaseCost{},
 	}
-	l.testCluster = &testCluster{
-		world:            w,
-		stateLimits:      d.State,
-		nextStateLimits:  d.State,
-		pendingResponses: map[string]*pendingResponse{},
-		networkFaults:    networkFaults{isolated: map[int]bool{}},
-		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
-	}
+	l.testCluster = newClusterWithoutNodes(w, d.State, d.State)
 	l.adjustSettings = func(_ *testNode, cfg *config.Settings) {
 		cfg.Facts.Workers.ReportS = d.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
