--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -7,36 +7,46 @@
 	"violetturn/internal/node"
 )
 
-// endedJobBytes is about what a remembered end of a job takes.
-const endedJobBytes = 256
+// Cache remembers how jobs ended, the newest ones.
+type Cache struct {
+	node *node.Info
 
-// MaxRemembered bounds the ends of jobs that are remembered: a sixty-fourth of the memory. One
-// that is forgotten is read from the state service when it is asked for.
-func MaxRemembered(cfg *config.Settings) int {
-	return max(capacity.MinArrivals, int(cfg.Facts.Limits.MemoryMB*(1<<20)/64/endedJobBytes))
+	byJob map[string]job.FinalState
+	order []string // the jobs, in the order in which they came
 }
 
-// Remember keeps the end of a job in the bounded cache.
-func (f *Cache) Remember(uid string, p job.FinalState) {
-	if _, ok := f.ByJob[uid]; !ok {
-		f.order = append(f.order, uid)
-		if len(f.order) > MaxRemembered(f.node.Settings) {
-			delete(f.ByJob, f.order[0])
-			f.order = f.order[1:]
-		}
-	}
-	f.ByJob[uid] = p
+// New returns an empty cache.
+func New(node *node.Info) *Cache {
+	return &Cache{node: node, byJob: map[string]job.FinalState{}}
 }
 
-// Cache keeps how jobs ended, the newest ones.
-type Cache struct {
-	node *node.Info
+// Of returns how a job ended, and whether that is remembered. A final state never changes.
+func (c *Cache) Of(uid string) (job.FinalState, bool) {
+	final, ok := c.byJob[uid]
+	return final, ok
+}
 
-	ByJob map[string]job.FinalState
-	order []string // oldest first
+// Remember keeps how a job ended. If the cache is full then, it forgets the job that came first.
+func (c *Cache) Remember(uid string, final job.FinalState) {
+	if _, ok := c.byJob[uid]; !ok {
+		c.order = append(c.order, uid)
+		if len(c.order) > maxRemembered(c.node.Settings) {
+			delete(c.byJob, c.order[0])
+			c.order = c.order[1:]
+		}
+	}
+	c.byJob[uid] = final
 }
 
-// New returns an empty cache.
-func New(node *node.Info) *Cache {
-	return &Cache{node: node, ByJob: map[string]job.FinalState{}}
+const (
+	// finalStateBytes is about how much memory one remembered final state takes.
+	finalStateBytes = 256
+	// memoryShare is the inverse of the share of a controller's memory that they may take.
+	memoryShare = 64
+)
+
+// maxRemembered returns how many final states are remembered at most. One that is forgotten is
+// read from the state service when somebody asks for it.
+func maxRemembered(settings *config.Settings) int {
+	return max(capacity.MinArrivals, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare/finalStateBytes))
 }
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -25,7 +25,7 @@
 // told the user something newer before the question was asked.
 func (f *Frontend) jobState(ctx context.Context, uid string) (api.State, error) {
 	state := f.guard.Lock()
-	final, ended := state.FinalStates.ByJob[uid]
+	final, ended := state.FinalStates.Of(uid)
 	f.guard.Unlock()
 	if ended { // whatever else happened since
 		return finalStateOf(uid, final), nil
