--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -132,7 +132,7 @@
 		out += fmt.Sprintf(
 			" %s: unmet %d offers %v unanswered %v machine types %d",
 			n.name, len(p.Unmet), n.state().Catalog.AvailableOffers(n.controller.node.Now()),
-			n.controller.scaling.Rentals.Unanswered, len(n.state().Catalog.MachineTypes()),
+			n.controller.scaling.UnansweredRentals(), len(n.state().Catalog.MachineTypes()),
 		)
 	}
 	return out
