--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -18,7 +18,7 @@
 // ExtendLease notes until when the lease surely lasts.
 func (t *Table) ExtendLease(until time.Time) { t.lease.validUntil = until }
 
-// RevokeLease forgets the lease, which is given up in an orderly way, and returns its ID, 0 if
+// RevokeLease drops the lease, which is ended in an orderly way, and returns its ID, 0 if
 // there was none.
 func (t *Table) RevokeLease() uint64 {
 	id := t.lease.id
@@ -26,7 +26,7 @@
 	return id
 }
 
-// LoseLease forgets a lease that has ended, and with it all leaderships.
+// LoseLease drops a lease that has ended, and with it all leaderships.
 func (t *Table) LoseLease() {
 	t.lease = lease{}
 	clear(t.byShard)
