--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -8,9 +8,9 @@
 	"violetturn/internal/capacity"
 	"violetturn/internal/config"
 	"violetturn/internal/estimate"
-	"violetturn/internal/recovery"
 	"violetturn/internal/sched"
 	"violetturn/internal/statecache"
+	"violetturn/internal/zonestate"
 )
 
 // HeadroomRequest is room to be kept for a class of jobs, by zone if they are spread, and the
@@ -75,7 +75,8 @@
 			continue
 		}
 		tasks := int(math.Ceil(max(keep, a.growth(&demand, boot, now))))
-		requests = append(requests, a.newHeadroomRequest(class, demand.newest, tasks, admission))
+		allowed := a.zones.AdmissionOfSpec(demand.newest, admission)
+		requests = append(requests, a.newHeadroomRequest(class, demand.newest, tasks, allowed))
 	}
 	return requests
 }
@@ -99,12 +100,12 @@
 }
 
 // newHeadroomRequest asks for room for tasks like those of a job, but not in a zone that is closed
-// to work below production. Each zone takes its share of a spread job.
-func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, admission *recovery.Admission) HeadroomRequest {
+// to work below production (allowed, nil if none is). Each zone takes its share of a spread job.
+func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, allowed *zonestate.JobAdmission) HeadroomRequest {
 	priority := spec.Priority.Level()
 	headroom := HeadroomRequest{class: class, priority: priority}
 	request := statecache.TaskRequestOf(spec)
-	if allowed := a.zones.AdmissionOfSpec(spec, admission); allowed != nil {
+	if allowed != nil {
 		request.ZoneAllowed = allowed.Admits
 	}
 	if !spec.Spread {
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -2,7 +2,6 @@
 
 import (
 	"violetturn/internal/api"
-	"violetturn/internal/config"
 	"violetturn/internal/statecache"
 )
 
@@ -28,7 +27,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	if exceedsLimit(team, spec) {
+	if exceedsLimit(spec, team.CPUsMax, team.GPUsMax) {
 		return "more than the team's limit"
 	}
 	zones := c.zonesFor(spec)
@@ -41,15 +40,14 @@
 	return ""
 }
 
-// exceedsLimit reports whether what has to run of a job at once is more than its team's limit:
-// one task of an array, all of any other job.
-func exceedsLimit(team config.Team, spec *api.Job) bool {
+// exceedsLimit reports whether what has to run of a job at once is more than its team's limits,
+// 0 for none: one task of an array, all of any other job.
+func exceedsLimit(spec *api.Job, cpusMax, gpusMax float64) bool {
 	atOnce := 1.0
 	if spec.Kind != api.Array {
 		atOnce = float64(spec.Tasks)
 	}
-	return team.CPUsMax > 0 && spec.CPUs*atOnce > team.CPUsMax+quotaTolerance ||
-		team.GPUsMax > 0 && spec.GPUs*atOnce > team.GPUsMax+quotaTolerance
+	return cpusMax > 0 && spec.CPUs*atOnce > cpusMax+quotaTolerance || gpusMax > 0 && spec.GPUs*atOnce > gpusMax+quotaTolerance
 }
 
 // zonesFor returns the zones with a machine type that a task of a job may run on.
--- /dev/null
+++ b/internal/estimate/estimate_test.go
@@ -0,0 +1,107 @@
+package estimate
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math"
+	"testing"
+
+	"violetturn/internal/api"
+	"violetturn/internal/config"
+	"violetturn/internal/node"
+)
+
+func testEstimates(t *testing.T) *Estimates {
+	t.Helper()
+	settings := &config.Settings{HostName: "n0", Zone: "x"}
+	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.Teams = []config.Team{{Name: "guaranteed", CPUs: 8}, {Name: "free"}}
+	settings.Facts.Objectives = []config.Objective{
+		{Kind: config.ObjectiveWait, Class: "interactive", WithinS: 20},
+		{Kind: config.ObjectiveFinished, Class: "nightly", WithinS: 500},
+	}
+	return New(node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil))))
+}
+
+func TestDeadlineSeconds(t *testing.T) {
+	e := testEstimates(t)
+	early, late := 100.0, 900.0
+	for name, test := range map[string]struct {
+		spec api.Job
+		want float64
+	}{
+		"none":                           {api.Job{Kind: api.Array, Class: "other"}, UnlimitedSeconds},
+		"its own":                        {api.Job{Kind: api.Array, Class: "other", DeadlineS: &late}, late},
+		"its class's":                    {api.Job{Kind: api.Array, Class: "nightly"}, 500},
+		"the earlier of both, its own":   {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &early}, early},
+		"the earlier of both, class's":   {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &late}, 500},
+		"a service is never complete":    {api.Job{Kind: api.Service, Class: "nightly"}, UnlimitedSeconds},
+		"waiting is no matter of theirs": {api.Job{Kind: api.Array, Class: "interactive"}, UnlimitedSeconds},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := e.DeadlineSeconds(&test.spec); got != test.want {
+				t.Errorf("%v, not %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestWaitingSlack(t *testing.T) {
+	e := testEstimates(t)
+	deadline := 100.0
+	const fetch = 5
+	for name, test := range map[string]struct {
+		spec api.Job
+		want float64
+	}{
+		"none":             {api.Job{Class: "other", EstimateS: 30}, math.Inf(1)},
+		"deadline":         {api.Job{Class: "other", EstimateS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
+		"wait":             {api.Job{Class: "interactive", EstimateS: 30}, 20 - fetch},
+		"finished":         {api.Job{Class: "nightly", EstimateS: 30}, 500 - 30 - fetch},
+		"least of several": {api.Job{Class: "nightly", EstimateS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
+		"guarantee":        {api.Job{Class: "other", Team: "guaranteed"}, 2},
+		"no guarantee":     {api.Job{Class: "other", Team: "free"}, math.Inf(1)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := e.WaitingSlack(test.spec.Class, &test.spec, fetch); got != test.want {
+				t.Errorf("%v, not %v", got, test.want)
+			}
+		})
+	}
+}
+
+// A class's run times correct the estimates of its jobs: the first one wholly, later ones a
+// tenth each, and none by more than ten times.
+func TestEstimatedRuntime(t *testing.T) {
+	e := testEstimates(t)
+	spec := &api.Job{Class: "a", EstimateS: 100}
+	expect := func(want float64) {
+		t.Helper()
+		if got := e.EstimatedRuntime(spec); math.Abs(got-want) > 1e-9 {
+			t.Errorf("%v seconds, not %v", got, want)
+		}
+	}
+	expect(100)
+	e.ObserveRuntime("a", 2)
+	expect(200)
+	e.ObserveRuntime("a", 1)
+	expect(100 * math.Pow(2, 0.9))
+	e.ObserveRuntime("b", 1000)
+	spec.Class = "b"
+	expect(1000)
+	e.ObserveRuntime("c", 0)
+	spec.Class = "c"
+	expect(10)
+}
+
+// Users may name classes at will: not more than some are remembered.
+func TestClassesAreBounded(t *testing.T) {
+	e := testEstimates(t)
+	for i := range 10 * maxClasses {
+		e.ObserveRuntime(fmt.Sprint(i), 2)
+		if len(e.runtimeBias) > maxClasses {
+			t.Fatalf("%d classes are remembered", len(e.runtimeBias))
+		}
+	}
+}
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -141,13 +141,3 @@
 	t.claims.Write(transaction)
 	return PlacementResult{Transaction: transaction, Remaining: remaining, Placed: t.placed}
 }
-
-// noteGangMiss notes that a gang found no room for all its tasks. One that has claimed some
-// room releases its claims after too many misses in a row, as in the paper's Algorithm 2.
-func (s *Scheduler) noteGangMiss(waiting *waitingJob, now time.Time) {
-	uid := waiting.entry.uid
-	if waiting.entry.job.GangPhase() == job.GangReserving && s.gangs.search(uid).retry.Missed(now) {
-		s.gangs.toRelease[uid] = true
-		s.wake.Notify()
-	}
-}
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -101,6 +101,7 @@
 	s, record := u.scheduler, u.job.Record
 	led := s.leadership.Leads(record.Shard)
 	switch record.Gang.Phase(u.job.CountPlaced()) {
+	case job.GangIdle, job.GangStopping, job.GangEnding, job.GangDone: // nothing but ends
 	case job.GangReserving:
 		marked := s.gangs.consumeRelease(record.Spec.UID)
 		u.release = led && (record.Cancelled || marked)
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -101,7 +101,7 @@
 	p.admission = s.zones.Admission(p.now)
 	p.queue = s.queue(p.now)
 	p.smallest = smallestRequest(p.queue)
-	p.placing = s.newPlacingStage(p.hosts, p.smallest)
+	p.placing = p.newPlacingStage()
 	for _, entry := range p.queue {
 		waits := entry.led && s.isBackingOff(entry, p.now)
 		if waits || s.schema.IsBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
@@ -109,7 +109,7 @@
 		}
 		p.jobs = append(p.jobs, &waitingJob{
 			entry:   entry,
-			request: s.requestOf(entry.job),
+			request: p.requestOf(entry.job),
 			zones:   s.zoneConstraintOf(entry.job, p.admission),
 			tasks:   slices.Clone(entry.job.PendingTasks()),
 		})
@@ -121,7 +121,8 @@
 const fetchMargin = 1.5
 
 // requestOf returns what a task of a job asks of a machine.
-func (s *Scheduler) requestOf(job *statecache.Job) sched.TaskRequest {
+func (p *planner) requestOf(job *statecache.Job) sched.TaskRequest {
+	s := p.scheduler
 	spec := &job.Record.Spec
 	request := statecache.TaskRequestOf(spec)
 	request.FetchS = s.catalog.FetchSeconds(spec)
--- a/internal/scheduler/planner_placing.go
+++ b/internal/scheduler/planner_placing.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"violetturn/internal/config"
+	"violetturn/internal/job"
 	"violetturn/internal/sched"
 	"violetturn/internal/statecache"
 	"violetturn/internal/zonestate"
@@ -20,8 +21,9 @@
 
 // newPlacingStage begins the stage. Only machines with room are looked at, so that the work for
 // each task is bounded by their number.
-func (s *Scheduler) newPlacingStage(hosts []*sched.Host, smallest sched.Resources) placingStage {
-	hostsByShard := hostsWithRoom(hosts, smallest)
+func (p *planner) newPlacingStage() placingStage {
+	s := p.scheduler
+	hostsByShard := hostsWithRoom(p.hosts, p.smallest)
 	stage := placingStage{
 		hostsByShard: hostsByShard,
 		chooser:      sched.NewChooser(hostsByShard, s.node.Random),
@@ -171,7 +173,7 @@
 		return
 	}
 	if job.entry.led {
-		p.scheduler.noteGangMiss(job, p.now)
+		p.noteGangMiss(job)
 	}
 	if search.reserved {
 		for _, host := range search.best.hosts {
@@ -197,3 +199,13 @@
 	p.placing.teamUse[team.Name] = use
 	return false
 }
+
+// noteGangMiss notes that a gang found no room for all its tasks. One that has claimed some
+// room releases its claims after too many misses in a row, as in the paper's Algorithm 2.
+func (p *planner) noteGangMiss(waiting *waitingJob) {
+	s, uid := p.scheduler, waiting.entry.uid
+	if waiting.entry.job.GangPhase() == job.GangReserving && s.gangs.search(uid).retry.Missed(p.now) {
+		s.gangs.toRelease[uid] = true
+		s.wake.Notify()
+	}
+}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -139,7 +139,7 @@
 // victimsOn lists the tasks on a machine that the job may stop.
 func (p *preemption) victimsOn(entry *queueEntry, host *sched.Host) *victimHost {
 	victims := &victimHost{host: host}
-	only := p.scheduler.newestOverplaced(host)
+	only := p.newestOverplaced(host)
 	for id, task := range p.scheduler.cache.Placements[host.Name] {
 		job := p.scheduler.cache.Jobs[task.UID]
 		switch {
@@ -149,7 +149,7 @@
 			victims.candidates = append(victims.candidates, sched.Victim{
 				Task: id,
 				Room: statecache.ResourcesOf(&job.Record.Spec),
-				Cost: p.scheduler.lostWork(host.Name, job, task, p.now),
+				Cost: p.lostWork(host.Name, job, task),
 				Ref:  len(victims.tasks),
 			})
 			victims.tasks = append(victims.tasks, task)
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -14,7 +14,8 @@
 // placed than there is room for: some have completed and others have taken their
 // room, but the ends are not committed yet and only the leader knows which. The
 // newest is the one that is surely there. It returns nil where all are.
-func (s *Scheduler) newestOverplaced(host *sched.Host) *statecache.PlacedTask {
+func (p *preemption) newestOverplaced(host *sched.Host) *statecache.PlacedTask {
+	s := p.scheduler
 	if s.leadership.Leads(host.Shard) {
 		return nil
 	}
@@ -40,17 +41,18 @@
 
 // lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
 // was lost with its zone and has not started again.
-func (s *Scheduler) lostWork(host string, job *statecache.Job, task *statecache.PlacedTask, now time.Time) float64 {
+func (p *preemption) lostWork(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
+	s := p.scheduler
 	worker := s.agents.Agent(host)
-	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, now) {
-		return lostSeconds(job, task.Placement, now)
+	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, p.now) {
+		return lostSeconds(job, task.Placement, p.now)
 	}
 	name := task.TaskName(job)
 	running := slices.ContainsFunc(worker.Heartbeat.Tasks, func(state api.TaskState) bool {
 		return state.Task == name && state.Attempt == task.Placement.Attempt
 	})
 	if running {
-		return lostSeconds(job, task.Placement, now)
+		return lostSeconds(job, task.Placement, p.now)
 	}
 	return 0
 }
