--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -105,7 +105,7 @@
 
 // CloudFacts is what the platform says of the cloud.
 type CloudFacts struct {
-	RPS      float64 `toml:"rps"`        // requests a second of this controller
+	RPS      float64 `toml:"rps"`        // requests a second, for all controllers together
 	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list may lag behind
 }
 
