--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -77,10 +77,10 @@
 			SlowStartShare: 1,
 			MachinesBefore: 256,
 		}
-		r = r.WithObservation(
-			"n1",
-			zonehealth.Observation{Lost: waiting, Waiting: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}}},
-		)
+		r = r.WithObservation("n1", zonehealth.Observation{
+			Lost:    waiting,
+			Waiting: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}},
+		})
 		c.setZoneRecord(r)
 		for _, j := range c.testState().Cache.Jobs { // none is production
 			j.Record.Spec.Priority = "standard"
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -86,7 +86,8 @@
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Commands: s.DirectCommands, Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Scheduler: s.Scheduler, Wake: wake,
+		Commands: s.DirectCommands, Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity,
+		Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
