--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -49,7 +49,7 @@
 }
 
 // UpdateGangs commits what became of gangs: ends of their tasks, which decide about all
-// of them, orderly stops, claims that are given up.
+// of them, orderly stops, claims that are released.
 func (l *Loop) UpdateGangs(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -26,7 +26,7 @@
 	return final, ok
 }
 
-// Remember keeps how a job ended. If the cache is full then, it forgets the job that came first.
+// Remember keeps how a job ended. If the cache is full then, it drops the job that came first.
 func (c *Cache) Remember(uid string, final job.FinalState) {
 	if _, ok := c.byJob[uid]; !ok {
 		c.order = append(c.order, uid)
@@ -45,7 +45,7 @@
 	memoryShare = 64
 )
 
-// maxRemembered returns how many final states are remembered at most. One that is forgotten is
+// maxRemembered returns how many final states are remembered at most. One that was dropped is
 // read from the state service when somebody asks for it.
 func maxRemembered(settings *config.Settings) int {
 	return max(capacity.MinArrivals, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare/finalStateBytes))
--- a/internal/frontend/submission_queue.go
+++ b/internal/frontend/submission_queue.go
@@ -46,9 +46,9 @@
 	return true, mustCommit
 }
 
-// takeBatch takes the submissions that are to be committed next, size at most and one of each job,
+// nextBatch removes the submissions that are to be committed next, size at most and one of each job,
 // from the queue.
-func (q *submissionQueue) takeBatch(size int) []*Submission {
+func (q *submissionQueue) nextBatch(size int) []*Submission {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	var batch, rest []*Submission
@@ -97,7 +97,7 @@
 // after it, so that its caller's user doesn't wait for those who came later. The goroutines end
 // with the queue; each batch takes timing.UserRequestTimeout at most.
 func (f *Frontend) commitQueued() {
-	if batch := f.submissions.takeBatch(f.maxBatch()); len(batch) > 0 {
+	if batch := f.submissions.nextBatch(f.maxBatch()); len(batch) > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout)
 		f.AcceptBatch(ctx, batch)
 		cancel()
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -17,7 +17,7 @@
 // rentals is what is remembered of rental requests.
 type rentals struct {
 	unanswered map[sched.Offer]cloud.RentalRequest // requests in doubt: each is repeated under its name
-	requests   int                                 // names given to requests so far
+	requests   int                                 // names used for requests so far
 }
 
 // UnansweredRentals returns the rental requests of which it is not known whether the cloud carried
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -137,8 +137,8 @@
 	key, version := j.RangeRecord(index)
 	length := j.Record.RangeLen(index)
 	limits := s.schema.TransactionLimits()
-	for part := 0; part*size < length; part++ {
-		copyKey := statecache.RangeKey{Generation: j.Record.Generation + 1, Index: index*perRange + part}
+	for slice := 0; slice*size < length; slice++ {
+		copyKey := statecache.RangeKey{Generation: j.Record.Generation + 1, Index: index*perRange + slice}
 		old := s.cache.TaskRanges[uid][copyKey]
 		if old.Record != nil && old.Version > max(version, j.Version) {
 			continue // copied from what there is
@@ -147,7 +147,7 @@
 			return false
 		}
 		t.Require(key, version)
-		tasks := j.Ranges[index].Record.Slice(part*size, min(size, length-part*size))
+		tasks := j.Ranges[index].Record.Slice(slice*size, min(size, length-slice*size))
 		t.Put(statecache.TaskRangeKey(uid, copyKey.Generation, copyKey.Index), tasks)
 	}
 	return true
