--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -148,7 +148,10 @@
 		raises uint64
 	}{
 		{"launch", func(f *registryFixture) { f.hear() }, true, 1},
-		{"launch soon after a raise", func(f *registryFixture) { f.hear(); f.Agent(testHost).RaiseToken(f.now.Add(5 * time.Second)) }, false, 1},
+		{"launch soon after a raise", func(f *registryFixture) {
+			f.hear()
+			f.Agent(testHost).RaiseToken(f.now.Add(5 * time.Second))
+		}, false, 1},
 		{"stop", func(f *registryFixture) { f.hear(running); cancel(f) }, true, 0},
 		{"nothing new", func(f *registryFixture) { f.hear(running) }, false, 0},
 		{"not fenced", func(*registryFixture) {}, false, 0},
