--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -130,9 +130,8 @@
 	for _, n := range s.nodes {
 		p := n.state().Scheduler.Plan(n.controller.node.Now())
 		out += fmt.Sprintf(
-			" %s: unmet %d offers %v unanswered %v machine types %d",
-			n.name, len(p.Unmet), n.state().Catalog.AvailableOffers(n.controller.node.Now()),
-			n.controller.scaling.UnansweredRentals(), len(n.state().Catalog.MachineTypes()),
+			" %s: unmet %d offers %v machine types %d",
+			n.name, len(p.Unmet), n.state().Catalog.AvailableOffers(n.controller.node.Now()), len(n.state().Catalog.MachineTypes()),
 		)
 	}
 	return out
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -4,9 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
-	"strings"
 
 	"violetturn/internal/autoscaler"
 	"violetturn/internal/cloud"
@@ -20,14 +17,6 @@
 	requests   int                                 // names used for requests so far
 }
 
-// UnansweredRentals returns the rental requests of which it is not known whether the cloud carried
-// them out, by name.
-func (l *Loop) UnansweredRentals() []cloud.RentalRequest {
-	return slices.SortedFunc(maps.Values(l.rentals.unanswered), func(a, b cloud.RentalRequest) int {
-		return strings.Compare(a.Name, b.Name)
-	})
-}
-
 // rentalOutcome is what became of an order of machines.
 type rentalOutcome uint8
 
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -21,23 +21,6 @@
 	roomNowhere                  // not as things stand
 )
 
-// String returns the name of the outlook.
-func (o roomOutlook) String() string {
-	switch o {
-	case roomAvailable:
-		return "available"
-	case roomComing:
-		return "coming"
-	case roomByPreemption:
-		return "by preemption"
-	case roomByRental:
-		return "by rental"
-	case roomNowhere:
-		return "nowhere"
-	}
-	return "unknown"
-}
-
 // gangAssignment is which machines a gang's tasks would go to in a zone.
 type gangAssignment struct {
 	hosts   []*sched.Host // by task; nil: none was found
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -48,18 +48,3 @@
 		t.Error("starts sooner than itself")
 	}
 }
-
-func TestRoomOutlookString(t *testing.T) {
-	for outlook, want := range map[roomOutlook]string{
-		roomAvailable:    "available",
-		roomComing:       "coming",
-		roomByPreemption: "by preemption",
-		roomByRental:     "by rental",
-		roomNowhere:      "nowhere",
-		roomNowhere + 1:  "unknown",
-	} {
-		if got := outlook.String(); got != want {
-			t.Errorf("%d: %q, not %q", int(outlook), got, want)
-		}
-	}
-}
