--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -226,13 +226,7 @@
 		want   job.FinalState
 		ready  bool
 	}{
-		{
-			"cancelled",
-			job.Record{Cancelled: true},
-			job.TaskRange{},
-			job.FinalState{Phase: api.JobCancelled},
-			true,
-		},
+		{"cancelled", job.Record{Cancelled: true}, job.TaskRange{}, job.FinalState{Phase: api.JobCancelled}, true},
 		{
 			"cancelled, some tasks done",
 			job.Record{Cancelled: true},
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -14,6 +14,7 @@
 		return &sched.Host{Shard: shard, StartDelayS: delay, Images: map[string]bool{"i": hasImage}}
 	}
 	ready, readyElsewhere := host("n0", 0, true), host("n1", 0, true)
+	fetching, starting := host("n0", 0, false), host("n0", 2, true)
 	assignment := func(outlook roomOutlook, hosts ...*sched.Host) *gangAssignment {
 		return &gangAssignment{hosts: hosts, outlook: outlook}
 	}
@@ -25,8 +26,8 @@
 		"preemption before rental": {assignment(roomByPreemption, nil), assignment(roomByRental, ready)},
 		"rental before nowhere":    {assignment(roomByRental, nil), assignment(roomNowhere, ready)},
 		"fewer without room":       {assignment(roomComing, ready, readyElsewhere), assignment(roomComing, ready, nil)},
-		"image there":              {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, host("n0", 0, false))},
-		"worker ready":             {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, host("n0", 2, true))},
+		"image there":              {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, fetching)},
+		"worker ready":             {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, starting)},
 		"fewer shards":             {assignment(roomAvailable, ready, ready), assignment(roomAvailable, ready, readyElsewhere)},
 	} {
 		t.Run(name, func(t *testing.T) {
