--- a/test.sh
+++ b/test.sh
@@ -52,10 +52,13 @@
   command -v gcc >/dev/null || { apt-get update -qq && apt-get install -y -qq gcc libc6-dev; }
 }
 
+lint_tool() {
+  go tool -modfile=tools/lint.mod "$@"
+}
+
+# formatting prints what gofumpt and goimports would change, and fails if that is anything.
 formatting() {
-  local unformatted
-  unformatted=$(gofmt -l cmd internal tools)
-  [ -z "$unformatted" ] || fail "not formatted: $unformatted"
+  lint_tool golangci-lint fmt --diff
 }
 
 vet() {
@@ -63,16 +66,16 @@
 }
 
 linters() {
-  bash tools/lint.sh
+  lint_tool golangci-lint run
 }
 
 # no_dead_code fails on a function that neither the program nor a test reaches, and on one that
 # only tests reach. The simulator is for tests; it plays the other end of api's wire.
 no_dead_code() {
   local dead
-  dead=$(go tool -modfile=tools/lint.mod deadcode -test ./...)
+  dead=$(lint_tool deadcode -test ./...)
   [ -z "$dead" ] || fail "reached by nothing: $dead"
-  dead=$(go tool -modfile=tools/lint.mod deadcode ./...)
+  dead=$(lint_tool deadcode ./...)
   dead=$(grep -vE '^internal/(simulator|api)/' <<<"$dead" || true)
   [ -z "$dead" ] || fail "reached by tests only: $dead"
 }
--- a/tools/plants_test.go
+++ b/tools/plants_test.go
@@ -66,6 +66,10 @@
 		{
 			name: "a package without a comment", pkg: "undocumented", linter: "revive", text: "package-comments", bare: true,
 		},
+		{
+			name: "an unformatted source", pkg: "unformatted", linter: "gofumpt", text: "formatted",
+			declarations: "// F is crooked.\nfunc F( ) {}\n",
+		},
 		{
 			name: "a misspelt word", pkg: "misspelt", linter: "misspell", text: "cieves",
 			declarations: "// F re" + "cieves.\nfunc F() {}\n",
