--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -50,15 +50,15 @@
 		Spec:  &record.Spec,
 		Tasks: float64(record.Spec.Tasks),
 	})
-	if len(arrivals) > a.most() {
+	if len(arrivals) > a.maxPerClass() {
 		arrivals = arrivals[1:]
 	}
 	a.byClass[class] = arrivals
 }
 
-// most bounds the arrivals of a class that are remembered: each accepted job takes
+// maxPerClass bounds the arrivals of a class that are remembered: each accepted job takes
 // a change of the state service, so more can't come in the time that is looked at.
-func (a *Arrivals) most() int {
+func (a *Arrivals) maxPerClass() int {
 	window := ArrivalWindows * a.catalog.ShortestBoot().Seconds()
 	return max(MinArrivals, int(a.node.Settings.Facts.State.WriteRPS*window))
 }
--- a/internal/scheduler/gang_table.go
+++ b/internal/scheduler/gang_table.go
@@ -34,12 +34,6 @@
 	return search
 }
 
-// hasReleased reports whether a gang has released its claims and begun its search again.
-func (t *gangTable) hasReleased(uid string) bool {
-	search := t.searches[uid]
-	return search != nil && search.retry.Released
-}
-
 // consumeRelease reports whether a gang's claims are to be released, and clears the mark.
 func (t *gangTable) consumeRelease(uid string) bool {
 	release := t.toRelease[uid]
@@ -59,7 +53,10 @@
 
 // HasReleasedClaims reports whether a gang has released its claims and begun its search for
 // room again: it goes before newer ones.
-func (s *Scheduler) HasReleasedClaims(uid string) bool { return s.gangs.hasReleased(uid) }
+func (s *Scheduler) HasReleasedClaims(uid string) bool {
+	search := s.gangs.searches[uid]
+	return search != nil && search.retry.Released
+}
 
 // NoteGangClaimed notes that room was claimed for a gang: the misses before no longer count.
 func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.search(uid).retry.Claimed() }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -91,7 +91,7 @@
 			variables:       variables,
 			weight:          s.node.Policy.Weight(variables),
 			starving:        s.isStarving(job, variables.Age),
-			released:        s.gangs.hasReleased(spec.UID),
+			released:        s.HasReleasedClaims(spec.UID),
 		})
 	}
 	return queue
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -65,7 +65,6 @@
 func (z *Zones) Update(now time.Time) {
 	observed := z.Observe(now)
 	z.observedAt, z.observations = now, observed.Observations
-	z.admitted = nil
 	z.admitted = z.AdmittedMachines(observed.Up, now)
 }
 
