--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -20,13 +20,14 @@
 
 // CloudListing is the cloud's newest list of machines. The lock of internal/state guards it.
 type CloudListing struct {
+	registry     *Registry
 	listed       map[string]bool      // machines on the list; false: listed as failed
 	starting     map[string]bool      // those that it shows as starting
 	unknownSince map[string]time.Time // those of them without a record, since when they were seen there
 }
 
-func newCloudListing() *CloudListing {
-	return &CloudListing{unknownSince: map[string]time.Time{}}
+func newCloudListing(registry *Registry) *CloudListing {
+	return &CloudListing{registry: registry, unknownSince: map[string]time.Time{}}
 }
 
 // Has reports whether the list has a machine, and not as failed.
@@ -62,45 +63,45 @@
 	return now.Sub(c.unknownSince[host])
 }
 
-// NoteMachineList takes in the cloud's list, whose first page was read at the time began. It lags
+// Note takes in the cloud's list, whose first page was read at the time began. It lags
 // by up to lag and may be older than the last one, so it only raises questions: the cloud's answer
 // to a return settles them.
-func (r *Registry) NoteMachineList(hosts []cloud.Host, began time.Time, lag time.Duration) {
-	now, patience := r.node.Now(), patienceLags*lag
-	r.listing.replace(hosts)
+func (c *CloudListing) Note(hosts []cloud.Host, began time.Time, lag time.Duration) {
+	now, patience := c.registry.node.Now(), patienceLags*lag
+	c.replace(hosts)
 	for _, host := range hosts {
-		machine := r.cache.Machines[host.UID]
+		machine := c.registry.cache.Machines[host.UID]
 		if machine == nil {
-			r.noteUnknownListed(host, now, patience)
+			c.noteUnknownListed(host, now, patience)
 			continue
 		}
-		delete(r.listing.unknownSince, host.UID)
+		delete(c.unknownSince, host.UID)
 		if machine.Addr == "" {
-			r.cache.NoteAddress(host.UID, host.Addr)
+			c.registry.cache.NoteAddress(host.UID, host.Addr)
 		}
-		if leadership := r.leadership.InForce(machine.Shard); leadership != nil {
-			r.noteListed(host, leadership)
+		if leadership := c.registry.leadership.InForce(machine.Shard); leadership != nil {
+			c.noteListed(host, leadership)
 		}
 	}
-	r.countMissing(began, patience)
+	c.countMissing(began, patience)
 }
 
 // noteUnknownListed notes a machine on the list that has no record. It may just have been rented
 // by a peer, or been returned and be listed still, so it has to stay on the list for a while.
-func (r *Registry) noteUnknownListed(host cloud.Host, now time.Time, patience time.Duration) {
-	if r.listing.unknownFor(host.UID, now) > patience && host.Phase != cloud.MachineFailed {
-		r.unregistered.Note(host.UID, shard.Machine{
+func (c *CloudListing) noteUnknownListed(host cloud.Host, now time.Time, patience time.Duration) {
+	if c.unknownFor(host.UID, now) > patience && host.Phase != cloud.MachineFailed {
+		c.registry.unregistered.Note(host.UID, shard.Machine{
 			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
 		})
 	}
 }
 
 // noteListed notes that the list has a machine of a shard that this node leads.
-func (r *Registry) noteListed(host cloud.Host, leadership *leadership.Leadership) {
-	agent := r.Ensure(host.UID, leadership)
+func (c *CloudListing) noteListed(host cloud.Host, leadership *leadership.Leadership) {
+	agent := c.registry.Ensure(host.UID, leadership)
 	agent.MissingFromLists = 0
 	if host.Phase == cloud.MachineFailed && !agent.Cordoned {
-		r.node.Log.Info("machine failed", logkey.Host(host.UID))
+		c.registry.node.Log.Info("machine failed", logkey.Host(host.UID))
 		agent.Cordoned, agent.MissingFromLists = true, missingWhenFailed
 	}
 }
@@ -108,13 +109,13 @@
 // countMissing counts for each machine that it is missing from the list, unless it is so new that
 // the list may not have it yet. One that is on the list stays so until it is terminated; one that
 // was registered from a late copy of a heartbeat never is on it.
-func (r *Registry) countMissing(began time.Time, patience time.Duration) {
-	for host, agent := range r.agents {
-		machine := r.cache.Machines[host]
-		if machine == nil || r.listing.isOn(host) {
+func (c *CloudListing) countMissing(began time.Time, patience time.Duration) {
+	for host, agent := range c.registry.agents {
+		machine := c.registry.cache.Machines[host]
+		if machine == nil || c.isOn(host) {
 			continue
 		}
-		if began.Sub(time.UnixMilli(machine.RegisteredMS)) > patience+r.node.Settings.HeartbeatInterval() {
+		if began.Sub(time.UnixMilli(machine.RegisteredMS)) > patience+c.registry.node.Settings.HeartbeatInterval() {
 			agent.MissingFromLists++
 		}
 	}
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -16,8 +16,9 @@
 	anyAgentEpoch     = 1 // a worker of another agent epoch refuses the commands and names its own
 )
 
-// DirectCommands prepares what is sent to workers beside their heartbeats: fences, and commands
-// that have a worker send a heartbeat at once. Each holds a slot from when it is prepared until
+// DirectCommands prepares what is sent to workers beside their heartbeats: fences, commands
+// that have a worker send a heartbeat at once, and probes of whether workers hear this node. Each
+// command holds a slot from when it is prepared until
 // Release. The lock of internal/state guards it.
 type DirectCommands struct {
 	registry     *Registry
@@ -130,7 +131,7 @@
 	if !d.expectsObedience(host, agent) {
 		return batch, false
 	}
-	immediate := d.registry.immediateCommands(host, agent)
+	immediate := d.immediateCommands(host, agent)
 	if !immediate.stops {
 		// Raises that come sooner after one another count as no change: they are
 		// kept for starts that nothing else can announce.
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -32,7 +32,7 @@
 	if !agent.Accept(heartbeat, now) {
 		return false
 	}
-	r.leadership.NoteWorkerHeard(now)
+	r.leadership.Contact().NoteHeard(now)
 	agent.LastSeen = now
 	if agent.Unresponsive() && !wasUnresponsive {
 		r.node.Log.Info("worker unresponsive", logkey.Host(host),
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -26,7 +26,7 @@
 	agents       map[string]*Agent // by machine
 	unregistered *UnregisteredMachines
 	listing      *CloudListing
-	runningGangs map[string]uint64 // by gang, the newest attempt of which a task was seen running here
+	gangs        *RunningGangs
 }
 
 // Deps is what a Registry rests on.
@@ -40,13 +40,14 @@
 
 // NewRegistry makes a registry that knows of no worker.
 func NewRegistry(deps Deps) *Registry {
-	return &Registry{
+	r := &Registry{
 		node: deps.Node, cache: deps.Cache, leadership: deps.Leadership, catalog: deps.Catalog, wake: deps.Wake,
 		agents:       map[string]*Agent{},
 		unregistered: newUnregisteredMachines(deps.Cache, deps.Wake),
-		listing:      newCloudListing(),
-		runningGangs: map[string]uint64{},
+		gangs:        &RunningGangs{cache: deps.Cache, attempts: map[string]uint64{}},
 	}
+	r.listing = newCloudListing(r)
+	return r
 }
 
 // Unregistered returns the machines that have no record yet.
@@ -55,6 +56,9 @@
 // Listing returns what the cloud lists.
 func (r *Registry) Listing() *CloudListing { return r.listing }
 
+// Gangs returns which gangs were seen running.
+func (r *Registry) Gangs() *RunningGangs { return r.gangs }
+
 // Agent returns the agent of a machine, of whatever term; nil if there is none.
 func (r *Registry) Agent(host string) *Agent { return r.agents[host] }
 
@@ -147,16 +151,3 @@
 		}
 	}
 }
-
-// NoteGangRunning notes that a task of an attempt of a gang was seen running.
-func (r *Registry) NoteGangRunning(uid string, attempt uint64) { r.runningGangs[uid] = attempt }
-
-// WasGangRunning reports whether the last task of a gang that was seen running here was of the attempt.
-func (r *Registry) WasGangRunning(uid string, attempt uint64) bool {
-	return r.runningGangs[uid] == attempt
-}
-
-// DropEndedGangs drops what is known of gangs that have no record any more.
-func (r *Registry) DropEndedGangs() {
-	maps.DeleteFunc(r.runningGangs, func(uid string, _ uint64) bool { return r.cache.Jobs[uid] == nil })
-}
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -173,23 +173,23 @@
 
 // An unknown machine is registered only after it was listed for some time, one that failed is
 // cordoned, and one that is missing is counted.
-func TestNoteMachineList(t *testing.T) {
+func TestCloudListing(t *testing.T) {
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
 	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
-	f.NoteMachineList(listed, f.now, lag)
+	f.Listing().Note(listed, f.now, lag)
 	f.now = f.now.Add(patienceLags * lag)
-	f.NoteMachineList(listed, f.now, lag)
+	f.Listing().Note(listed, f.now, lag)
 	if f.Unregistered().Count() != 0 || !f.Listing().Has("i-000002") {
 		t.Fatal("registered too early, or not listed")
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
-	f.NoteMachineList(listed, f.now, lag)
+	f.Listing().Note(listed, f.now, lag)
 	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().Has(testHost) {
 		t.Errorf("%d unregistered, cordoned %t", f.Unregistered().Count(), f.Agent(testHost).Cordoned)
 	}
-	f.NoteMachineList(listed[1:], f.now, lag)
+	f.Listing().Note(listed[1:], f.now, lag)
 	if missing := f.Agent(testHost).MissingFromLists; missing != missingWhenFailed+1 {
 		t.Errorf("missing from %d lists", missing)
 	}
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"violetturn/internal/leadership"
 )
 
 // maxProbes bounds the workers that are asked at a time whether they hear this node.
@@ -12,13 +14,14 @@
 // its shards to others: only when another is heard, for it may as well be the workers that are
 // lost, and their shards would go round. probes are the addresses of workers to be asked whether
 // they hear this node.
-func (r *Registry) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
-	if r.leadership.WorkersUnreachable() {
-		probes = r.probeTargets()
+func (d *DirectCommands) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
+	contact := d.registry.leadership.Contact()
+	if contact.Unreachable() {
+		probes = d.probeTargets(contact)
 	} else {
-		r.leadership.CheckSilence(now, func() int { return r.countExpectedAgents(now) })
+		contact.CheckSilence(now, func() int { return d.registry.countExpectedAgents(now) })
 	}
-	return r.leadership.WorkersUnreachable() && r.leadership.PeerHearsWorkers(), probes
+	return contact.Unreachable() && contact.PeerHears(), probes
 }
 
 // countExpectedAgents counts the machines of the shards that this node leads that should be heard:
@@ -44,13 +47,13 @@
 
 // probeTargets returns the addresses of some machines of the home shard, those with tasks
 // first. Without any there is nobody to be heard, and the contact counts as made.
-func (r *Registry) probeTargets() []string {
+func (d *DirectCommands) probeTargets(contact *leadership.WorkerContact) []string {
 	var withTasks, idle []string
-	for host, machine := range r.cache.Machines {
-		if machine.Shard != r.node.Settings.HostName || machine.Addr == "" {
+	for host, machine := range d.registry.cache.Machines {
+		if machine.Shard != d.registry.node.Settings.HostName || machine.Addr == "" {
 			continue
 		}
-		if len(r.cache.Placements[host]) > 0 {
+		if len(d.registry.cache.Placements[host]) > 0 {
 			withTasks = append(withTasks, machine.Addr)
 		} else {
 			idle = append(idle, machine.Addr)
@@ -58,7 +61,7 @@
 	}
 	targets := slices.Concat(withTasks, idle)
 	if len(targets) == 0 {
-		r.leadership.ResetWorkerContact(r.node.Now())
+		contact.Reset(d.registry.node.Now())
 	}
 	return targets[:min(len(targets), maxProbes)]
 }
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -44,7 +44,7 @@
 	}
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Leadership.NoteWorkerHeard(s.node.Now())
+	state.Leadership.Contact().NoteHeard(s.node.Now())
 }
 
 // Send sends prepared commands, each in a goroutine of its own that ends with the
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -62,13 +62,12 @@
 		return step, false
 	}
 	state.Agents.DropLostLeaderships()
-	step.sharersChanged = state.Leadership.UpdateRateSharers(now)
-	step.sharers = state.Leadership.RateSharers()
-	leave, probes := state.Agents.CheckWorkerContact(now)
+	step.sharersChanged = state.Leadership.Rates().Update(now)
+	step.sharers = state.Leadership.Rates().Sharers()
+	leave, probes := state.DirectCommands.CheckWorkerContact(now)
 	step.probes = probes
 	step.registration = state.Leadership.Registration()
-	state.Leadership.NotePeersReachable(now)
-	step.changes = state.Leadership.PlanChanges(now, leave)
+	step.changes = state.Leadership.Planner().Plan(now, leave)
 	return step, true
 }
 
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -19,30 +19,36 @@
 	cache  *statecache.Cache
 	schema *schema.State
 
-	byShard            map[string]*Leadership
-	lease              lease
-	contact            workerContact
-	acknowledgedUntil  map[string]time.Time // by peer: up to when it has told what it did
-	leaderlessSince    map[string]time.Time // shards without a leader, since when
-	peerReachableSince map[string]time.Time // living controllers that workers reach, since when
-	peerAbsentSince    map[string]time.Time // controllers that have not registered, since when
-	rateSharers        int                  // controllers that share the state service's rates
+	byShard           map[string]*Leadership
+	lease             lease
+	acknowledgedUntil map[string]time.Time // by peer: up to when it has told what it did
+	contact           *WorkerContact
+	rates             *RateSharing
+	planner           *Planner
 }
 
-// NewTable makes the table of a controller that leads nothing and has no lease. Until the
-// others' absence shows, all configured controllers share the state service's rates.
+// NewTable makes the table of a controller that leads nothing and has no lease.
 func NewTable(node *node.Info, cache *statecache.Cache, schema *schema.State) *Table {
-	return &Table{
+	t := &Table{
 		node: node, cache: cache, schema: schema,
-		byShard:            map[string]*Leadership{},
-		acknowledgedUntil:  map[string]time.Time{},
-		leaderlessSince:    map[string]time.Time{},
-		peerReachableSince: map[string]time.Time{},
-		peerAbsentSince:    map[string]time.Time{},
-		rateSharers:        node.Settings.Facts.Size,
+		byShard:           map[string]*Leadership{},
+		acknowledgedUntil: map[string]time.Time{},
+		contact:           &WorkerContact{node: node, cache: cache},
+		rates:             newRateSharing(node, cache),
 	}
+	t.planner = newPlanner(t)
+	return t
 }
 
+// Contact returns what this node knows of whether its workers reach it.
+func (t *Table) Contact() *WorkerContact { return t.contact }
+
+// Rates returns how many controllers share the state service's rates.
+func (t *Table) Rates() *RateSharing { return t.rates }
+
+// Planner returns what decides which shards are acquired and released.
+func (t *Table) Planner() *Planner { return t.planner }
+
 // Redirect answers a worker whose shard this node may not answer for. It does so at once: a
 // 200 that the worker has to drop would hold it here while its lease runs out.
 func (t *Table) Redirect(shard string) transport.Response {
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestPlanChanges(t *testing.T) {
+func TestPlan(t *testing.T) {
 	ttl := newFixture(t).node.Settings.ControllerLeaseTTL()
 	cases := []struct {
 		name    string
@@ -158,9 +158,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			c.prepare(f)
-			f.NotePeersReachable(f.now)
-			f.PlanChanges(f.now, c.leave) // from now on shards are known to have no leader
-			changes := f.PlanChanges(f.now.Add(c.after), c.leave)
+			f.Planner().Plan(f.now, c.leave) // from now on shards are known to have no leader
+			changes := f.Planner().Plan(f.now.Add(c.after), c.leave)
 			var acquire []string
 			for _, acquisition := range changes.Acquire {
 				acquire = append(acquire, acquisition.Shard)
@@ -173,19 +172,19 @@
 }
 
 // A controller that is absent shares the rates until its lease's time is over.
-func TestUpdateRateSharers(t *testing.T) {
+func TestRateSharing(t *testing.T) {
 	f := newFixture(t)
 	f.live("n1")
-	if f.UpdateRateSharers(f.now) || f.RateSharers() != 3 {
-		t.Fatalf("%d share at the start", f.RateSharers())
+	if f.Rates().Update(f.now) || f.Rates().Sharers() != 3 {
+		t.Fatalf("%d share at the start", f.Rates().Sharers())
 	}
 	later := f.now.Add(f.node.Settings.ControllerLeaseTTL())
-	if !f.UpdateRateSharers(later) || f.RateSharers() != 2 {
-		t.Fatalf("%d share without n2", f.RateSharers())
+	if !f.Rates().Update(later) || f.Rates().Sharers() != 2 {
+		t.Fatalf("%d share without n2", f.Rates().Sharers())
 	}
 	f.live("n2")
-	if !f.UpdateRateSharers(later) || f.RateSharers() != 3 {
-		t.Fatalf("%d share when n2 is back", f.RateSharers())
+	if !f.Rates().Update(later) || f.Rates().Sharers() != 3 {
+		t.Fatalf("%d share when n2 is back", f.Rates().Sharers())
 	}
 }
 
@@ -193,18 +192,18 @@
 func TestCheckSilence(t *testing.T) {
 	for _, expected := range []int{MinSilent - 1, MinSilent} {
 		f := newFixture(t)
-		f.NoteWorkerHeard(f.now)
+		f.Contact().NoteHeard(f.now)
 		silent := f.now.Add(time.Minute)
 		for range MinSilent - 1 {
-			f.CheckSilence(silent, func() int { t.Error("counted too early"); return 0 })
+			f.Contact().CheckSilence(silent, func() int { t.Error("counted too early"); return 0 })
 		}
-		f.CheckSilence(silent, func() int { return expected })
-		if got, want := f.WorkersUnreachable(), expected == MinSilent; got != want || f.contact.hearsWorkers {
+		f.Contact().CheckSilence(silent, func() int { return expected })
+		if got, want := f.Contact().Unreachable(), expected == MinSilent; got != want || f.contact.hearsWorkers {
 			t.Errorf("%d silent: unreachable %t, hears workers %t", expected, got, f.contact.hearsWorkers)
 		}
-		f.NoteWorkerHeard(silent)
-		if f.WorkersUnreachable() || !f.WorkerHeardSince(silent) || f.WorkerHeardSince(silent.Add(1)) {
-			t.Errorf("%d silent: a worker was heard again, contact %+v", expected, f.contact)
+		f.Contact().NoteHeard(silent)
+		if f.Contact().Unreachable() || !f.Contact().HeardSince(silent) || f.Contact().HeardSince(silent.Add(1)) {
+			t.Errorf("%d silent: a worker was heard again, contact %+v", expected, f.contact.contactState)
 		}
 	}
 }
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -129,7 +129,7 @@
 	c.reconciler.node.Log.Info("task running",
 		logkey.Task(attempt.Task), logkey.Attempt(attempt.Attempt), logkey.Host(c.heartbeat.Host))
 	if task.job.IsGang() {
-		c.reconciler.agents.NoteGangRunning(task.placed.UID, attempt.Attempt)
+		c.reconciler.agents.Gangs().Note(task.placed.UID, attempt.Attempt)
 	}
 }
 
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -65,7 +65,7 @@
 // was seen running, and it was launched a short time ago.
 func (u *gangUpdate) isGathering() bool {
 	s := u.scheduler
-	if s.agents.WasGangRunning(u.job.Record.Spec.UID, u.gang.Attempt) {
+	if s.agents.Gangs().WasSeen(u.job.Record.Spec.UID, u.gang.Attempt) {
 		return false
 	}
 	return u.now.Sub(u.launchedAt()) < s.node.Settings.GangGatherTimeout()/2
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -107,5 +107,5 @@
 // DropFinishedJobs drops what is remembered of jobs that are over.
 func (s *State) DropFinishedJobs() {
 	s.Scheduler.DropFinishedJobs()
-	s.Agents.DropEndedGangs()
+	s.Agents.Gangs().DropEnded()
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -143,7 +143,7 @@
 // hasOutsideObserver reports whether this controller can say that a zone is down, not itself cut
 // off: it hears workers now, and it or a peer at home in another zone hears some of another zone.
 func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
-	if !z.leadership.WorkerHeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
+	if !z.leadership.Contact().HeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, byShard := range z.observations {
