--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -177,7 +177,7 @@
 	for _, headroom := range a.headroom(now) {
 		room := a.room.WithPreemptibleRoom(hosts, headroom.priority)
 		for _, demand := range headroom.requests {
-			ranking := sched.Rank(nil, room, &demand.Request)
+			ranking := sched.NewRanking(nil, room, &demand.Request)
 			for range demand.Count {
 				host := ranking.Best(nil)
 				if host == nil {
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -68,7 +68,7 @@
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
 	led := r.now.Sub(worker.CreatedAt)
 	if age > 4*bootOf(machineType)+settings.WorkerLease() && led > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "never came up, or silent since before the part was taken")
+		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
 	}
 }
 
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -62,14 +62,14 @@
 	before := a.cache.Capacities[shardName]
 	t.Require(statecache.CapacityKey(shardName), before.Version)
 	record := shard.CapacityRecord{
-		Term:               before.Record.Term,
-		Leader:             before.Record.Leader,
-		PredecessorInDoubt: before.Record.PredecessorInDoubt,
-		Free:               free,
-		QuotaUse:           use,
+		Term:                 before.Record.Term,
+		Leader:               before.Record.Leader,
+		PredecessorMayAnswer: before.Record.PredecessorMayAnswer,
+		Free:                 free,
+		QuotaUse:             use,
 	}
 	if led := a.leadership.InForce(shardName); led != nil && a.node.Now().After(led.PredecessorAnswersUntil) {
-		record.PredecessorInDoubt = false // the grace of the leader before has ended
+		record.PredecessorMayAnswer = false // the grace of the leader before has ended
 	}
 	if left := a.trimCapacity(record.Free, use, a.node.Now()); left > 0 {
 		const why = "the capacity record is full; left out are those that peers are least likely to use"
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -86,7 +86,7 @@
 	if !maps.Equal(free, record.Free) || !maps.Equal(update.use, record.QuotaUse) || len(update.shares) > 0 {
 		return false
 	}
-	return !record.PredecessorInDoubt || !now.After(led.PredecessorAnswersUntil)
+	return !record.PredecessorMayAnswer || !now.After(led.PredecessorAnswersUntil)
 }
 
 // updateTransaction writes an own shard's capacity record and returns as many teams' quotas as a
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 		same := cached.Record.Term == recorded.Term && cached.Record.Leader == recorded.Leader
-		same = same && cached.Record.Released == recorded.Released && cached.Record.PredecessorInDoubt == recorded.PredecessorInDoubt
+		same = same && cached.Record.Released == recorded.Released && cached.Record.PredecessorMayAnswer == recorded.PredecessorMayAnswer
 		if !same || !maps.Equal(cached.Record.Free, recorded.Free) || !maps.Equal(cached.Record.QuotaUse, recorded.QuotaUse) {
 			t.Fatalf("%s has %+v of shard %s, recorded is %s", n.name, cached.Record, id, it.Value)
 		}
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -11,31 +11,31 @@
 // Purposes of transactions, under which the log's summary counts them.
 const (
 	forZones           = "zones"
-	forRegistrations   = "machines"
-	forGangUpdates     = "gang ends"
-	forGangClaims      = "gangs"
-	forEnds            = "ends"
-	forArchive         = "withdrawn"
-	forPlacements      = "places"
-	forStops           = "marks"
-	forQuotaShares     = "shares"
-	forCapacityRecords = "upkeep"
-	forDeregistrations = "forgotten"
-	forSplits          = "divided"
-	forGarbage         = "swept"
+	forRegistrations   = "registrations"
+	forGangUpdates     = "gang updates"
+	forGangClaims      = "gang claims"
+	forEnds            = "task ends"
+	forArchive         = "archive"
+	forPlacements      = "placements"
+	forStops           = "preemptions"
+	forQuotaShares     = "quota shares"
+	forCapacityRecords = "capacity records"
+	forDeregistrations = "deregistrations"
+	forSplits          = "splits"
+	forGarbage         = "garbage"
 )
 
 // outcome is what is known of a transaction that was sent.
 type outcome uint8
 
 const (
-	committed outcome = iota
-	rejected          // surely not committed: another write came first, or it is too large now
-	inDoubt           // no answer, or refused: only a later read shows whether it was committed
+	committed      outcome = iota
+	rejected               // surely not committed: another write came first, or it is too large now
+	outcomeUnknown         // no answer, or refused: only a later read shows whether it was committed
 )
 
 // settled reports whether the outcome is known, so that the next transaction can rest on it.
-func (o outcome) settled() bool { return o != inDoubt }
+func (o outcome) settled() bool { return o != outcomeUnknown }
 
 // commit sends a transaction of some purpose and has the cache take in what was committed.
 func (l *Loop) commit(ctx context.Context, purpose string, t *statecache.Transaction, priority store.Priority) outcome {
@@ -44,7 +44,7 @@
 	case done:
 		return committed
 	case err != nil:
-		return inDoubt
+		return outcomeUnknown
 	}
 	return rejected
 }
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -112,7 +112,7 @@
 	}{
 		{"its precondition holds", func() {}, 0, committed, true},
 		{"another write came first", func() {}, 0, rejected, true},
-		{"no answer", func() { f.store.Down = true }, 1, inDoubt, false},
+		{"no answer", func() { f.store.Down = true }, 1, outcomeUnknown, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			x.before()
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -147,7 +147,7 @@
 			l.guard.Unlock()
 		case rejected:
 			conflicts++
-		case inDoubt:
+		case outcomeUnknown:
 			return
 		}
 	}
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -91,7 +91,7 @@
 			l.placeNewGangs(ctx)
 		case rejected: // what lost against another write is tried again on what there is now
 			conflicts++
-		case inDoubt:
+		case outcomeUnknown:
 			return nil, false
 		}
 	}
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -16,7 +16,7 @@
 // What the commits of this package are for, in the log's summary.
 const (
 	commitNode  = "node"
-	commitShard = "part"
+	commitShard = "shard"
 )
 
 // maintainLeaderships registers this node, acquires shards without a leader and releases shards
@@ -124,11 +124,11 @@
 	leaderRecord := shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term}
 	txn.PutWithLease(statecache.LeaderKey(name), leaderRecord, state.Leadership.LeaseID())
 	txn.Put(statecache.CapacityKey(name), shard.CapacityRecord{
-		Term:               term,
-		Leader:             me,
-		PredecessorInDoubt: !clean,
-		Free:               shard.FreeCapacity{},
-		QuotaUse:           state.Capacity.QuotaUseOf(name),
+		Term:                 term,
+		Leader:               me,
+		PredecessorMayAnswer: !clean,
+		Free:                 shard.FreeCapacity{},
+		QuotaUse:             state.Capacity.QuotaUseOf(name),
 	})
 	return acquisition{
 		txn:      txn,
@@ -148,7 +148,7 @@
 	if capacity == nil {
 		return true // it was never led
 	}
-	return (capacity.Leader == me || capacity.Released) && !capacity.PredecessorInDoubt
+	return (capacity.Leader == me || capacity.Released) && !capacity.PredecessorMayAnswer
 }
 
 // releaseShard releases a shard to its home controller in an orderly way: answers
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -161,10 +161,10 @@
 		{"part.Mark with features", &shard.CapabilityRecord{SchemaVersion: 2, Features: []string{"zone_recovery"}}},
 		{"part.Own with features", &shard.NodeRecord{Node: "n0", Incarnation: 5, SchemaVersion: 2, Features: []string{"zone_recovery"}}},
 		{"part.Record", &shard.CapacityRecord{
-			Term:               6,
-			Leader:             "n0",
-			Released:           true,
-			PredecessorInDoubt: true,
+			Term:                 6,
+			Leader:               "n0",
+			Released:             true,
+			PredecessorMayAnswer: true,
 			Free: shard.FreeCapacity{
 				"i-1": {CPUs: 8, GPUs: 2, MemGB: 64}, "i-2": {CPUs: 1.5, MemGB: 4}, "i-3": {CPUs: 8, GPUs: 2, MemGB: 64},
 			},
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -154,7 +154,7 @@
 	reservable = reservable[:int(float64(len(reservable))*z.ReservableShare+0.5)]
 	for _, d := range z.Waiting {
 		request := sched.TaskRequest{Need: d.Need, Spot: d.Spot, Service: true}
-		ranking := sched.Rank(nil, reservable, &request)
+		ranking := sched.NewRanking(nil, reservable, &request)
 		for range d.Tasks {
 			h := ranking.Best(nil)
 			if h == nil {
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -54,8 +54,8 @@
 func (l *Loop) rentMachines(ctx context.Context, order sched.RentalOrder, renting autoscaler.RentingShard) rentalOutcome {
 	wanted := order.Count
 	for calls := 0; wanted > 0 && calls < config.CloudCallsPerRound; calls++ {
-		request, inDoubt := l.rentals.unanswered[order.Offer]
-		if !inDoubt {
+		request, unanswered := l.rentals.unanswered[order.Offer]
+		if !unanswered {
 			request = l.newRequest(order.Offer, min(wanted, cloud.MaxRental), renting)
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, request)
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -121,8 +121,8 @@
 			if !slices.Equal(counts, x.requests) {
 				t.Errorf("requests of %v, want %v", counts, x.requests)
 			}
-			if _, inDoubt := l.rentals.unanswered[offer]; inDoubt != x.inDoubt {
-				t.Errorf("in doubt: %t", inDoubt)
+			if _, unanswered := l.rentals.unanswered[offer]; unanswered != x.inDoubt {
+				t.Errorf("in doubt: %t", unanswered)
 			}
 		})
 	}
--- a/internal/sched/chooser.go
+++ b/internal/sched/chooser.go
@@ -44,7 +44,7 @@
 func (c *Chooser) Next(zoneAllowed func(zone string) bool) *Host {
 	for i, name := range c.order {
 		if i == len(c.rankings) {
-			c.rankings = append(c.rankings, Rank(c.reuse(), c.shards[name], c.request))
+			c.rankings = append(c.rankings, NewRanking(c.reuse(), c.shards[name], c.request))
 		}
 		if h := c.rankings[i].Best(zoneAllowed); h != nil {
 			return h
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -38,9 +38,9 @@
 	candidates
 }
 
-// Rank returns a ranking of machines. It reuses the memory of r, an earlier ranking that is
+// NewRanking returns a ranking of machines. It reuses the memory of r, an earlier ranking that is
 // invalid from then on; nil will do.
-func Rank(r *Ranking, hosts []*Host, a *TaskRequest) *Ranking {
+func NewRanking(r *Ranking, hosts []*Host, a *TaskRequest) *Ranking {
 	if r == nil {
 		r = &Ranking{}
 	}
--- a/internal/sched/ranking_test.go
+++ b/internal/sched/ranking_test.go
@@ -31,8 +31,8 @@
 			RequireImage: rapid.Bool().Draw(t, "requires its image"),
 			Service:      rapid.Bool().Draw(t, "service"),
 		}
-		r := Rank(nil, nil, &TaskRequest{})
-		r = Rank(r, hosts[:len(hosts)/2], a)
+		r := NewRanking(nil, nil, &TaskRequest{})
+		r = NewRanking(r, hosts[:len(hosts)/2], a)
 		for _, h := range hosts[len(hosts)/2:] {
 			r.Add(h)
 		}
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -47,9 +47,9 @@
 
 // fill finds room for one job's tasks.
 func (p *rentPlan) fill(u *UnmetDemand) {
-	p.ranking = Rank(p.ranking, p.hosts, &u.Request)
+	p.ranking = NewRanking(p.ranking, p.hosts, &u.Request)
 	if u.Request.Need.GPUs == 0 {
-		p.rankingFull = Rank(p.rankingFull, p.full, &u.Request)
+		p.rankingFull = NewRanking(p.rankingFull, p.full, &u.Request)
 	}
 	for range u.Count {
 		h := p.ranking.Best(u.Request.ZoneAllowed)
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -38,11 +38,11 @@
 	if a.outlook != other.outlook {
 		return a.outlook < other.outlook
 	}
-	if mine, theirs := sched.CountUnassigned(a.hosts), sched.CountUnassigned(other.hosts); mine != theirs {
-		return mine < theirs
+	if own, theirs := sched.CountUnassigned(a.hosts), sched.CountUnassigned(other.hosts); own != theirs {
+		return own < theirs
 	}
-	if mine, theirs := sched.StartDelay(a.hosts, request), sched.StartDelay(other.hosts, request); mine != theirs {
-		return mine < theirs
+	if own, theirs := sched.StartDelay(a.hosts, request), sched.StartDelay(other.hosts, request); own != theirs {
+		return own < theirs
 	}
 	return sched.CountShards(a.hosts) < sched.CountShards(other.hosts)
 }
--- a/internal/scheduler/planner_seeking.go
+++ b/internal/scheduler/planner_seeking.go
@@ -98,7 +98,7 @@
 	isGang := p.gangSearches[job] != nil
 	var left []statecache.TaskIndex
 	var stops []*statecache.PlacedTask
-	p.seeking.ranking = sched.Rank(p.seeking.ranking, p.seeking.openHosts, &job.request)
+	p.seeking.ranking = sched.NewRanking(p.seeking.ranking, p.seeking.openHosts, &job.request)
 	for _, task := range tasks {
 		zoneAllowed := func(zone string) bool { return job.zones.allows(task.RangeIndex, zone) }
 		if host := p.seeking.ranking.Best(zoneAllowed); host != nil {
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -25,12 +25,12 @@
 // the shard, its leader or a peer that steals work, changes it in the same transaction, so
 // its version is what they contend for.
 type CapacityRecord struct {
-	Term               uint64                     `json:"term"`
-	Leader             string                     `json:"by"`            // the leader of that term
-	Released           bool                       `json:"rel,omitempty"` // that leader has stopped answering workers and said so
-	PredecessorInDoubt bool                       `json:"d,omitempty"`   // the one before may still answer workers, within its grace period
-	Free               FreeCapacity               `json:"free"`          // room of the machines that can take tasks
-	QuotaUse           map[string]sched.Resources `json:"u,omitempty"`   // by limited team, what its tasks use in this shard
+	Term                 uint64                     `json:"term"`
+	Leader               string                     `json:"by"`            // the leader of that term
+	Released             bool                       `json:"rel,omitempty"` // that leader has stopped answering workers and said so
+	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the one before may still answer workers, within its grace period
+	Free                 FreeCapacity               `json:"free"`          // room of the machines that can take tasks
+	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team, what its tasks use in this shard
 }
 
 // Machine is a machine's record: which shard it belongs to, and what it is.
