--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -28,7 +28,7 @@
 	Term                 uint64                     `json:"term"`
 	Leader               string                     `json:"by"`            // the leader of that term
 	Released             bool                       `json:"rel,omitempty"` // that leader has stopped answering workers and said so
-	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the one before may still answer workers, within its grace period
+	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the leader before may still answer workers, within its grace
 	Free                 FreeCapacity               `json:"free"`          // room of the machines that can take tasks
 	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team, what its tasks use in this shard
 }
