--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -12,11 +12,11 @@
 	"violetturn/internal/state"
 )
 
-// maxSends is how often a batch of commands is sent to a worker: a second time with the agent
-// epoch that it named.
+// maxSends limits how often a batch of commands is sent to a worker: a second time with the agent
+// epoch that the worker returned.
 const maxSends = 2
 
-// Sender sends commands directly to workers. It has no state of its own; its methods may be
+// Sender sends commands directly to workers. It has no state of its own, and its methods may be
 // called from any goroutine.
 type Sender struct {
 	node     *node.Info
@@ -24,21 +24,21 @@
 	services *external.Services
 }
 
-// NewSender makes a sender.
+// NewSender returns a Sender with the given dependencies.
 func NewSender(info *node.Info, guard *state.Guard, services *external.Services) *Sender {
 	return &Sender{node: info, guard: guard, services: services}
 }
 
-// Probe asks workers whether they hear this node, each in a goroutine of its own that
-// ends with the answer or the client's deadline.
+// Probe requests the status of workers, to find out whether they can be reached, each in a
+// goroutine of its own that ends with the response or at the client's deadline.
 func (s *Sender) Probe(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
-		s.node.RunAsync(func() { s.probeOne(ctx, addr) })
+		s.node.RunAsync(func() { s.probeWorker(ctx, addr) })
 	}
 }
 
-// probeOne asks a worker whether it hears this node.
-func (s *Sender) probeOne(ctx context.Context, addr string) {
+// probeWorker requests the status of a worker and records contact with workers if it responds.
+func (s *Sender) probeWorker(ctx context.Context, addr string) {
 	if _, err := s.services.Workers.Status(ctx, addr); err != nil {
 		return
 	}
@@ -47,45 +47,46 @@
 	state.Leadership.Contact().NoteHeard(s.node.Now())
 }
 
-// Send sends prepared commands, each in a goroutine of its own that ends with the
-// answer or the client's deadline.
+// Send sends prepared commands, each in a goroutine of its own that ends with the response or at
+// the client's deadline.
 func (s *Sender) Send(ctx context.Context, commands []*agent.DirectCommand) {
 	for _, command := range commands {
-		s.node.RunAsync(func() { s.sendOne(ctx, command) })
+		s.node.RunAsync(func() { s.sendToWorker(ctx, command) })
 	}
 }
 
-// sendOne sends commands to a worker and takes in the heartbeat that it answers with. A
-// worker of another agent epoch refuses them and is asked once more with the epoch that it named.
-func (s *Sender) sendOne(ctx context.Context, command *agent.DirectCommand) {
+// sendToWorker sends commands to a worker and applies the heartbeat in its response. A worker of
+// another agent epoch rejects the commands; they are sent once more with the epoch from its
+// response.
+func (s *Sender) sendToWorker(ctx context.Context, command *agent.DirectCommand) {
 	defer command.Release()
 	batch := command.Batch
 	for range maxSends {
-		heartbeat, done, err := s.services.Workers.SendCommands(ctx, command.Addr, batch)
+		heartbeat, accepted, err := s.services.Workers.SendCommands(ctx, command.Addr, batch)
 		if err != nil {
 			s.node.Log.Debug("direct commands not answered", logkey.Host(command.Host), logkey.Err(err))
 			return
 		}
 		s.acceptAnswer(command, heartbeat)
-		if done || shard.TokenTerm(heartbeat.Token) >= command.Term {
+		if accepted || shard.TokenTerm(heartbeat.Token) >= command.Term {
 			return
 		}
 		batch.AgentEpoch = heartbeat.AgentEpoch
 	}
 }
 
-// acceptAnswer takes in the heartbeat that a worker answered commands with.
+// acceptAnswer applies the heartbeat that a worker returned in response to commands.
 func (s *Sender) acceptAnswer(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	state.Agents.AcceptAnswer(command.Host, command.Term, heartbeat)
 }
 
-// RequestHeartbeats has workers send a heartbeat at once for whom there is something new: a
-// launch goes only in an answer to a heartbeat, and the next one may be a whole interval
-// away. A direct command that stops tasks or raises the worker's token makes it
-// send one; neither does harm whenever it is carried out. (One that only clears
-// ended tasks does not.)
+// RequestHeartbeats makes workers whose tasks have changed send a heartbeat at once: launches are
+// sent only in responses to heartbeats, and the next regular heartbeat may be a whole interval
+// away. A worker sends one after a direct command that stops tasks or raises its token. Both are
+// safe whenever they are carried out. (A command that only clears ended tasks does not cause a
+// heartbeat.)
 func (s *Sender) RequestHeartbeats(ctx context.Context) {
 	state := s.guard.Lock()
 	commands := state.DirectCommands.DueHeartbeatRequests(s.node.Now())
--- a/internal/decisions/archive.go
+++ b/internal/decisions/archive.go
@@ -11,50 +11,50 @@
 	"violetturn/internal/store"
 )
 
-// archiveCost is how many changes the archiving of a job takes besides its task ranges: its main
-// record and its final state.
-const archiveCost = 2
+// archiveWrites is the number of writes that archiving a job takes besides its task ranges:
+// deleting its main record and creating its final state.
+const archiveWrites = 2
 
-// archiveJobs replaces the records of jobs that are over by their final states, once none of their
-// tasks is on a machine: of cancelled jobs, and of gangs that are done.
+// archiveJobs replaces the records of finished jobs (cancelled jobs and gangs that are done) by
+// their final states, once none of their tasks is on a machine.
 func (l *Loop) archiveJobs(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
 	plan := planArchive(state)
 	l.guard.Unlock()
 	if plan.transaction == nil {
-		return plan.outgrown
+		return plan.recordTooLarge
 	}
-	return l.commit(ctx, forArchive, plan.transaction, store.PriorityDecision) == committed
+	return l.commit(ctx, purposeArchive, plan.transaction, store.PriorityDecision) == committed
 }
 
-// planArchive collects jobs to be archived, as many as a transaction takes. A job of many task
-// ranges takes several.
-func planArchive(s *state.State) editedRecords {
-	e := s.Schema.NewRecordEditor()
+// planArchive plans one transaction that archives as many jobs as fit into it. A job with many task
+// ranges takes several transactions.
+func planArchive(s *state.State) recordsPlan {
+	editor := s.Schema.NewRecordEditor()
 	for _, j := range s.Cache.Jobs {
-		over := j.Record.Cancelled || isDoneGang(j)
-		if !over || !s.Leadership.Leads(j.Record.Shard) || e.IsFull(archiveCost, 0) {
+		finished := j.Record.Cancelled || isDoneGang(j)
+		if !finished || !s.Leadership.Leads(j.Record.Shard) || editor.IsFull(archiveWrites, 0) {
 			continue
 		}
-		final, ready := finalStateOf(s, j)
+		finalState, ready := finalStateOf(s, j)
 		if !ready {
 			continue
 		}
-		s.Leadership.Require(e.Txn, j.Record.Shard)
-		// No start can come between: it would need the job not cancelled.
-		if deleteRanges(e, j) && !e.IsFull(archiveCost, 0) {
-			e.Archive(j, final)
+		s.Leadership.Require(editor.Txn, j.Record.Shard)
+		// No task can be placed in the meantime: that would require the job not to be cancelled.
+		if deleteRanges(editor, j) && !editor.IsFull(archiveWrites, 0) {
+			editor.Archive(j, finalState)
 		}
 	}
-	return finishEdit(e)
+	return newRecordsPlan(editor)
 }
 
 // isDoneGang reports whether a job is a gang all of whose tasks are done.
 func isDoneGang(j *statecache.Job) bool { return j.Record.Gang != nil && j.Record.Gang.Done }
 
-// finalStateOf returns how a job that is over ended. It is not ready to be archived while tasks
-// of it are on machines, except for a done gang whose room no quota counts.
-func finalStateOf(s *state.State, j *statecache.Job) (final job.FinalState, ready bool) {
+// finalStateOf returns the final state of a finished job. The job is not ready to be archived while
+// any of its tasks is on a machine, except for a done gang whose resources count against no quota.
+func finalStateOf(s *state.State, j *statecache.Job) (finalState job.FinalState, ready bool) {
 	placed, done := 0, j.Record.FinishedTasks()
 	for n, taskRange := range j.Ranges {
 		placed += len(taskRange.Record.Placements)
@@ -68,17 +68,17 @@
 	return job.FinalState{Phase: api.JobCancelled, Done: done}, placed == 0
 }
 
-// deleteRanges deletes the task ranges of a job that have records of their own. It reports whether
-// the transaction took all.
-func deleteRanges(e *schema.Editor, j *statecache.Job) (all bool) {
+// deleteRanges deletes the task ranges of a job that are stored in records of their own. It reports
+// whether all of them fit into the transaction.
+func deleteRanges(editor *schema.Editor, j *statecache.Job) (all bool) {
 	if j.Record.Inline {
 		return true
 	}
 	for n := range j.Ranges {
-		if e.IsFull(1, 0) {
+		if editor.IsFull(1, 0) {
 			return false
 		}
-		e.DeleteRange(j, n)
+		editor.DeleteRange(j, n)
 	}
 	return true
 }
--- a/internal/decisions/capacity_records.go
+++ b/internal/decisions/capacity_records.go
@@ -6,28 +6,29 @@
 	"violetturn/internal/store"
 )
 
-// refreshCapacityRecord writes an own shard's capacity record when its machines or their room have
-// changed, at intervals: placements there write it anyway.
+// refreshCapacityRecord writes the capacity record of a shard that this node leads, after the
+// shard's machines or their free capacity have changed. It does so at intervals only, since
+// placements in the shard write the record anyway.
 func (l *Loop) refreshCapacityRecord(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	t := state.Capacity.RefreshTransaction(l.node.Now(), state.Scheduler.HasPendingTasks)
+	transaction := state.Capacity.RefreshTransaction(l.node.Now(), state.Scheduler.HasPendingTasks)
 	l.guard.Unlock()
-	if t == nil {
+	if transaction == nil {
 		return false
 	}
-	return l.commit(ctx, forCapacityRecords, t, store.PriorityDecision) == committed
+	return l.commit(ctx, purposeCapacityRecords, transaction, store.PriorityDecision) == committed
 }
 
-// reclaimQuota takes back what shards hold of teams' limits and don't use, for teams
-// that had too little for a placement.
+// reclaimQuota reclaims unused quota that shards hold, for teams whose share was too small for a
+// placement.
 func (l *Loop) reclaimQuota(ctx context.Context) {
 	state := l.guard.Lock()
-	t := state.Capacity.ReclaimTransaction(l.node.Now())
+	transaction := state.Capacity.ReclaimTransaction(l.node.Now())
 	l.guard.Unlock()
-	if t == nil || !l.sync.MayActNow() {
+	if transaction == nil || !l.sync.MayActNow() {
 		return
 	}
-	if l.commit(ctx, forQuotaShares, t, store.PriorityDecision) == committed {
+	if l.commit(ctx, purposeQuotaShares, transaction, store.PriorityDecision) == committed {
 		l.wake.Notify()
 	}
 }
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -8,38 +8,40 @@
 	"violetturn/internal/store"
 )
 
-// Purposes of transactions, under which the log's summary counts them.
+// Purposes of transactions. The log's summary counts transactions by purpose.
 const (
-	forZones           = "zones"
-	forRegistrations   = "registrations"
-	forGangUpdates     = "gang updates"
-	forGangClaims      = "gang claims"
-	forEnds            = "task ends"
-	forArchive         = "archive"
-	forPlacements      = "placements"
-	forStops           = "preemptions"
-	forQuotaShares     = "quota shares"
-	forCapacityRecords = "capacity records"
-	forDeregistrations = "deregistrations"
-	forSplits          = "splits"
-	forGarbage         = "garbage"
+	purposeZones           = "zones"
+	purposeRegistrations   = "registrations"
+	purposeGangUpdates     = "gang updates"
+	purposeGangClaims      = "gang claims"
+	purposeTaskEnds        = "task ends"
+	purposeArchive         = "archive"
+	purposePlacements      = "placements"
+	purposePreemptions     = "preemptions"
+	purposeQuotaShares     = "quota shares"
+	purposeCapacityRecords = "capacity records"
+	purposeDeregistrations = "deregistrations"
+	purposeSplits          = "splits"
+	purposeGarbage         = "garbage"
 )
 
-// outcome is what is known of a transaction that was sent.
-type outcome uint8
+// commitOutcome is the result of sending a transaction, as far as it is known.
+type commitOutcome uint8
 
 const (
-	committed      outcome = iota
-	rejected               // surely not committed: another write came first, or it is too large now
-	outcomeUnknown         // no answer, or refused: only a later read shows whether it was committed
+	committed      commitOutcome = iota
+	rejected                     // not committed: a conflicting write came first, or the transaction is too large
+	outcomeUnknown               // no answer, or refused: only a later read shows whether it was committed
 )
 
-// settled reports whether the outcome is known, so that the next transaction can rest on it.
-func (o outcome) settled() bool { return o != outcomeUnknown }
+// isKnown reports whether the outcome is known, so that another transaction may be planned on the
+// state that results from it.
+func (o commitOutcome) isKnown() bool { return o != outcomeUnknown }
 
-// commit sends a transaction of some purpose and has the cache take in what was committed.
-func (l *Loop) commit(ctx context.Context, purpose string, t *statecache.Transaction, priority store.Priority) outcome {
-	done, _, err := l.sync.Commit(ctx, purpose, t, priority)
+// commit sends a transaction and, if it is committed, applies it to the cache. The purpose is the
+// one that it is counted under.
+func (l *Loop) commit(ctx context.Context, purpose string, transaction *statecache.Transaction, priority store.Priority) commitOutcome {
+	done, _, err := l.sync.Commit(ctx, purpose, transaction, priority)
 	switch {
 	case done:
 		return committed
@@ -49,34 +51,35 @@
 	return rejected
 }
 
-// awaitWrites waits until the budget holds so many changes, for a bounded time, and returns how
-// many there are.
-func (l *Loop) awaitWrites(ctx context.Context, changes int, priority store.Priority) int {
-	return l.services.Store.AwaitWrites(ctx, changes, priority)
+// awaitWrites waits, for a bounded time, until the write budget holds the given number of writes.
+// It returns how many the budget holds.
+func (l *Loop) awaitWrites(ctx context.Context, writes int, priority store.Priority) int {
+	return l.services.Store.AwaitWrites(ctx, writes, priority)
 }
 
-// prepare waits for so many changes in the budget and then brings the cache up to date: looking at
-// the newest records costs a request, losing against another write costs all changes. It returns
-// how many changes there are, and whether a plan may be committed now: not with fewer than least.
-func (l *Loop) prepare(ctx context.Context, changes, least int, priority store.Priority) (available int, ok bool) {
-	available = l.awaitWrites(ctx, changes, priority)
-	if available < least || !l.sync.MayActNow() || l.sync.ReadNewest(ctx) != nil {
+// prepareCommit waits until the write budget holds the given number of writes and then brings the
+// cache up to date: reading the newest records costs one request, while a conflict wastes all
+// writes of a transaction. It returns how many writes the budget holds, and whether a plan may be
+// committed now, which takes at least the minimum.
+func (l *Loop) prepareCommit(ctx context.Context, writes, minimum int, priority store.Priority) (available int, ok bool) {
+	available = l.awaitWrites(ctx, writes, priority)
+	if available < minimum || !l.sync.MayActNow() || l.sync.ReadNewest(ctx) != nil {
 		return available, false
 	}
 	return available, true
 }
 
-// editedRecords is a transaction that changes jobs' records.
-type editedRecords struct {
-	transaction *statecache.Transaction // nil: there is nothing to commit
-	outgrown    bool                    // a record outgrew a value: it is to be split, and the rest planned anew
+// recordsPlan is a planned transaction that changes job records.
+type recordsPlan struct {
+	transaction    *statecache.Transaction // nil if there is nothing to commit
+	recordTooLarge bool                    // a record exceeds the size limit: it is split, and the rest planned again
 }
 
-// finishEdit ends the changes of an editor.
-func finishEdit(e *schema.Editor) editedRecords {
-	t := e.Transaction()
-	if e.Changes == 0 || e.Outgrown {
-		return editedRecords{outgrown: e.Outgrown}
+// newRecordsPlan returns the plan with the changes that an editor has collected.
+func newRecordsPlan(editor *schema.Editor) recordsPlan {
+	transaction := editor.Transaction()
+	if editor.Changes == 0 || editor.Outgrown {
+		return recordsPlan{recordTooLarge: editor.Outgrown}
 	}
-	return editedRecords{transaction: t}
+	return recordsPlan{transaction: transaction}
 }
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -14,18 +14,18 @@
 	"violetturn/internal/timing"
 )
 
-// Loop commits what jobs and heartbeats call for.
+// Loop makes the scheduler's decisions and commits them.
 type Loop struct {
 	node         *node.Info
 	guard        *state.Guard
 	services     *external.Services
 	sync         *storesync.Sync
 	commands     *commands.Sender
-	wake         notify.Signal // there is something to decide
-	gangAccepted notify.Signal // a gang has been accepted
+	wake         notify.Signal // signaled when there may be something to decide
+	gangAccepted notify.Signal // signaled when a gang has been accepted
 }
 
-// Deps is what a Loop rests on.
+// Deps are the dependencies of a Loop.
 type Deps struct {
 	Node         *node.Info
 	Guard        *state.Guard
@@ -36,7 +36,7 @@
 	GangAccepted notify.Signal
 }
 
-// New returns a Loop that has decided nothing yet.
+// New returns a Loop that has not made any decision yet.
 func New(d Deps) *Loop {
 	return &Loop{
 		node: d.Node, guard: d.Guard, services: d.Services, sync: d.Sync, commands: d.Commands,
@@ -44,13 +44,13 @@
 	}
 }
 
-// restPerPlanning is how many times the processor time of its plans a node leaves between two
-// runs of its rounds, so that a slow processor has most of its time for heartbeats.
-const restPerPlanning = 3
+// idlePerPlanningTime is the minimum ratio of the pause after a run of Decide to the processor time
+// that its plans took, so that a slow processor spends most of its time on heartbeats.
+const idlePerPlanningTime = 3
 
-// DecideLoop commits what heartbeats and jobs call for, one transaction at a time, until ctx
-// ends. It runs when something has changed and at least twice in a heartbeat interval, and
-// leaves some time between: what comes together is committed together.
+// DecideLoop calls Decide until ctx ends: when it is signaled that something has changed, and at
+// least twice per heartbeat interval. It pauses between two runs, so that changes that arrive close
+// together are committed together.
 func (l *Loop) DecideLoop(ctx context.Context) {
 	for {
 		timer := time.NewTimer(l.node.Settings.HeartbeatInterval() / 2)
@@ -64,28 +64,29 @@
 		timer.Stop()
 		l.Decide(ctx)
 		state := l.guard.Lock()
-		planning := state.Scheduler.ResetPlanningTime()
+		planningTime := state.Scheduler.ResetPlanningTime()
 		l.guard.Unlock()
-		if !timing.Sleep(ctx, max(l.node.Settings.DecisionInterval(), restPerPlanning*planning)) {
+		if !timing.Sleep(ctx, max(l.node.Settings.DecisionInterval(), idlePerPlanningTime*planningTime)) {
 			return
 		}
 	}
 }
 
-// round is one kind of decision.
-type round struct {
+// decisionStep is one kind of decision.
+type decisionStep struct {
 	name string
-	run  func(*Loop, context.Context) (more bool) // commits at most one transaction as a rule; reports whether there is more to commit
+	run  func(*Loop, context.Context) (more bool) // commits one transaction as a rule; reports whether there is more to commit
 }
 
-// rounds are the kinds of decisions in their order. What frees room or tells what a zone can take
-// goes before placements, and what nothing waits for comes last.
-var rounds = []round{
+// decisionSteps are the kinds of decisions in the order in which they are made. Those that free
+// capacity, or determine what may be placed in a zone, come before placements; those that no other
+// work depends on come last.
+var decisionSteps = []decisionStep{
 	{"zones", (*Loop).updateZones},
 	{"registrations", (*Loop).RegisterMachines},
 	{"gang updates", (*Loop).UpdateGangs},
-	{"ends of tasks", (*Loop).commitEnds},
-	{"ends of jobs", (*Loop).archiveJobs},
+	{"task ends", (*Loop).commitTaskEnds},
+	{"archive", (*Loop).archiveJobs},
 	{"placements", (*Loop).placeTasks},
 	{"capacity records", (*Loop).refreshCapacityRecord},
 	{"deregistrations", (*Loop).deregisterMachines},
@@ -93,27 +94,28 @@
 }
 
 const (
-	// maxRepeats bounds how often a round is run before the next one has its turn.
-	maxRepeats = 16
-	// minDecisionWrites is how many changes the budget has to hold before anything is decided.
+	// maxStepRuns limits how often a step runs in a row before the next step.
+	maxStepRuns = 16
+	// minDecisionWrites is the number of writes that the budget has to hold before anything is
+	// decided.
 	minDecisionWrites = 2
 )
 
-// Decide runs each round until it has nothing more to commit.
+// Decide runs each step until it has nothing more to commit.
 func (l *Loop) Decide(ctx context.Context) {
-	// Under load the budget of changes sets the pace: what comes together while
-	// it fills goes into few large transactions instead of many small ones.
-	if !l.sync.MayActNow() || l.awaitWrites(ctx, l.fullTransaction(), store.PriorityDecision) < minDecisionWrites ||
+	// Under load the write budget limits the rate of transactions. What accumulates while the
+	// budget refills is committed in a few large transactions instead of many small ones.
+	if !l.sync.MayActNow() || l.awaitWrites(ctx, l.targetTransactionWrites(), store.PriorityDecision) < minDecisionWrites ||
 		l.sync.ReadNewest(ctx) != nil {
 		return
 	}
-	for _, r := range rounds {
-		for range maxRepeats {
+	for _, step := range decisionSteps {
+		for range maxStepRuns {
 			if !l.sync.MayActNow() || ctx.Err() != nil {
 				return
 			}
-			more := r.run(l, ctx)
-			l.placeNewGangs(ctx)
+			more := step.run(l, ctx)
+			l.placeWaitingGangs(ctx)
 			if !more {
 				break
 			}
@@ -122,8 +124,8 @@
 	l.commands.RequestHeartbeats(ctx)
 }
 
-// fullTransaction is how many changes a transaction takes that this node's budget earns in a
-// second at most.
-func (l *Loop) fullTransaction() int {
+// targetTransactionWrites returns the number of writes that Decide waits for: as many as a
+// transaction may have, but not more than this node's budget gains in a second.
+func (l *Loop) targetTransactionWrites() int {
 	return min(l.node.Settings.LowestLimits().TxnOps, l.sync.WritesPerSecond())
 }
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -22,19 +22,19 @@
 	"violetturn/internal/storesync"
 )
 
-// unlimitedWrites is a budget of changes that never runs out.
+// unlimitedWrites is a write budget that never runs out.
 type unlimitedWrites struct{}
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// fixture is the loop of node n0 in zone x, of a cluster with n1 in zone y and n2 in zone x, on a
+// fixture is the loop of node n0 in zone x, in a cluster with n1 in zone y and n2 in zone x, on a
 // simulated state service. It leads its own shard.
 type fixture struct {
 	*Loop
-	state   *state.State
-	store   *simulator.Store
-	now     time.Time
-	version uint64
+	state    *state.State
+	store    *simulator.Store
+	now      time.Time
+	revision uint64
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -50,48 +50,48 @@
 	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", GPUsMax: 8}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	world := simulator.New(time.Unix(1_800_000_000, 0))
+	environment := simulator.New(time.Unix(1_800_000_000, 0))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
-	info.Now = func() time.Time { return world.Now }
+	info.Now = func() time.Time { return environment.Now }
 	info.SteppedClock = true
-	services := &external.Services{Store: &simulator.StoreClient{Store: world.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
+	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	s := state.New(info, wake, unlimitedWrites{})
 	guard := state.NewGuard(s)
 	sync := storesync.New(info, guard, services, wake)
 	f := &fixture{
 		Loop:  New(Deps{Node: info, Guard: guard, Services: services, Sync: sync, Wake: wake, GangAccepted: notify.NewSignal()}),
-		state: s, store: world.Store, now: world.Now,
+		state: s, store: environment.Store, now: environment.Now,
 	}
 	version := f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: 1})
 	s.Leadership.Begin("n0", &leadership.Leadership{Term: 1, Version: version})
 	return f
 }
 
-// apply has the cache take in a record and returns its version.
+// apply applies a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
-	f.version++
-	f.state.Cache.Apply(key, api.JSON(value), f.version)
-	return f.version
+	f.revision++
+	f.state.Cache.Apply(key, api.JSON(value), f.revision)
+	return f.revision
 }
 
-// The order of the rounds decides what goes first when changes are few.
-func TestRoundsInOrder(t *testing.T) {
+// The order of the steps determines which decisions are made first when few writes are available.
+func TestDecisionStepsRunInOrder(t *testing.T) {
 	var names []string
-	for _, r := range rounds {
-		names = append(names, r.name)
+	for _, step := range decisionSteps {
+		names = append(names, step.name)
 	}
 	want := []string{
-		"zones", "registrations", "gang updates", "ends of tasks", "ends of jobs", "placements", "capacity records",
+		"zones", "registrations", "gang updates", "task ends", "archive", "placements", "capacity records",
 		"deregistrations", "splits",
 	}
 	if !slices.Equal(names, want) {
-		t.Errorf("%q, want %q", names, want)
+		t.Errorf("steps %q, want %q", names, want)
 	}
 }
 
-// What is known of a transaction decides whether the next one may rest on it.
-func TestCommitOutcomes(t *testing.T) {
+// The outcome of a transaction determines whether the next one may be planned on its result.
+func TestCommitReportsOutcome(t *testing.T) {
 	f := newFixture(t)
 	if err := f.sync.Load(t.Context()); err != nil {
 		t.Fatal(err)
@@ -103,54 +103,55 @@
 		txn.Put(key, struct{}{})
 		return txn
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		before  func()
 		version uint64
-		want    outcome
-		settled bool
+		want    commitOutcome
+		known   bool
 	}{
-		{"its precondition holds", func() {}, 0, committed, true},
-		{"another write came first", func() {}, 0, rejected, true},
-		{"no answer", func() { f.store.Down = true }, 1, outcomeUnknown, false},
+		{"precondition holds", func() {}, 0, committed, true},
+		{"a conflicting write came first", func() {}, 0, rejected, true},
+		{"no response", func() { f.store.Down = true }, 1, outcomeUnknown, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			x.before()
-			got := f.commit(t.Context(), forZones, transaction(x.version), store.PriorityDecision)
-			if got != x.want || got.settled() != x.settled {
-				t.Errorf("outcome %d, settled: %t; want %d, %t", got, got.settled(), x.want, x.settled)
+		t.Run(test.name, func(t *testing.T) {
+			test.before()
+			got := f.commit(t.Context(), purposeZones, transaction(test.version), store.PriorityDecision)
+			if got != test.want || got.isKnown() != test.known {
+				t.Errorf("outcome %d, known: %t; want %d, %t", got, got.isKnown(), test.want, test.known)
 			}
 		})
 	}
-	if n := f.state.Stats.Commits[forZones]; n.Transactions != 3 || n.Conflicts != 1 || n.Failed != 1 {
-		t.Errorf("counted: %+v", n)
+	if counts := f.state.Stats.Commits[purposeZones]; counts.Transactions != 3 || counts.Conflicts != 1 || counts.Failed != 1 {
+		t.Errorf("counted %+v, want 3 transactions, 1 conflict, 1 failed", counts)
 	}
 }
 
-func TestShardFor(t *testing.T) {
+func TestChooseShardPrefersMachineZoneThenFewestMachines(t *testing.T) {
 	f := newFixture(t)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name     string
 		zone     string
 		machines map[string]int
 		want     string
 	}{
-		{"the first of its zone, all empty", "x", nil, "n0"},
-		{"the one with fewest machines of its zone", "x", map[string]int{"n0": 5, "n2": 4}, "n2"},
-		{"its zone before fewer machines", "y", map[string]int{"n1": 900}, "n1"},
-		{"any where no controller is in its zone", "z", map[string]int{"n0": 2, "n1": 1, "n2": 2}, "n1"},
+		{"first shard of the zone if all are empty", "x", nil, "n0"},
+		{"shard of the zone with the fewest machines", "x", map[string]int{"n0": 5, "n2": 4}, "n2"},
+		{"shard of the zone although others have fewer machines", "y", map[string]int{"n1": 900}, "n1"},
+		{"shard with the fewest machines if no controller is in the zone", "z", map[string]int{"n0": 2, "n1": 1, "n2": 2}, "n1"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if got := shardFor(f.node, x.zone, x.machines); got != x.want {
-				t.Errorf("%s, want %s", got, x.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := chooseShard(f.node, test.zone, test.machines); got != test.want {
+				t.Errorf("shard %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// Machines get records in shards of their zones, evenly, as many pages at a time as a transaction
-// takes; the others follow. One that has a record is not registered again.
-func TestPlanRegistrations(t *testing.T) {
+// Machines are registered evenly in the shards of their zone. Each transaction holds as many pages
+// as fit, and the remaining machines follow in the next ones. A machine with a record is not
+// registered again.
+func TestPlanRegistrationsSpreadsMachinesOverShardsOfTheirZone(t *testing.T) {
 	f := newFixture(t)
 	const machines = 40
 	for i := range machines {
@@ -163,63 +164,63 @@
 		if len(plan.hosts) == 0 {
 			break
 		}
-		if n := plan.transaction.Changes(); n == 0 || n > f.state.Schema.MaxChanges() {
-			t.Fatalf("%d changes for %v", n, plan.hosts)
+		if changes := plan.transaction.Changes(); changes == 0 || changes > f.state.Schema.MaxChanges() {
+			t.Fatalf("got %d changes for %v, want 1 to %d", changes, plan.hosts, f.state.Schema.MaxChanges())
 		}
-		f.version++
-		f.state.Cache.ApplyCommitted(plan.transaction, f.version)
+		f.revision++
+		f.state.Cache.ApplyCommitted(plan.transaction, f.revision)
 		for _, host := range plan.hosts {
 			f.state.Agents.Unregistered().Remove(host)
 		}
 		registered += len(plan.hosts)
 	}
 	if registered != machines-1 || f.state.Agents.Unregistered().Count() != 0 {
-		t.Errorf("%d of %d registered, %d left", registered, machines-1, f.state.Agents.Unregistered().Count())
+		t.Errorf("registered %d machines, want %d; %d left, want 0", registered, machines-1, f.state.Agents.Unregistered().Count())
 	}
-	count := map[string]int{}
+	machinesByShard := map[string]int{}
 	for host, m := range f.state.Cache.Machines {
-		count[m.Shard]++
+		machinesByShard[m.Shard]++
 		if host != "i-0000" && m.RegisteredMS != f.now.UnixMilli() {
-			t.Errorf("%s: registered at %d", host, m.RegisteredMS)
+			t.Errorf("%s registered at %d, want %d", host, m.RegisteredMS, f.now.UnixMilli())
 		}
 	}
-	if count["n0"] != machines/2 || count["n2"] != machines/2 {
-		t.Errorf("machines by shard: %v", count)
+	if machinesByShard["n0"] != machines/2 || machinesByShard["n2"] != machines/2 {
+		t.Errorf("machines by shard %v, want %d each for n0 and n2", machinesByShard, machines/2)
 	}
 }
 
-// A page is opened once, and no other one when the pages are as large as a transaction takes.
-func TestPageEditsAreBounded(t *testing.T) {
+// A page is opened once, and no further page is opened once the open pages fill a transaction.
+func TestPageEditsLimitOpenPages(t *testing.T) {
 	f := newFixture(t)
 	edits := newPageEdits(f.state, f.node)
-	page, ok := edits.page("i-0010")
+	page, ok := edits.openPage("i-0010")
 	if !ok {
-		t.Fatal("no first page")
+		t.Fatal("first page of the transaction was not opened")
 	}
 	page["i-0010"] = &shard.Machine{Zone: "x"}
-	edits.keep("i-0010", page)
-	again, ok := edits.page("i-0010")
-	if !ok || again["i-0010"] == nil {
-		t.Errorf("the page that is open: %v, %t", again, ok)
+	edits.add("i-0010", page)
+	reopened, ok := edits.openPage("i-0010")
+	if !ok || reopened["i-0010"] == nil {
+		t.Errorf("page reopened with %v, %t; want the added machine, true", reopened, ok)
 	}
-	edits.bytes = edits.maxBytes
-	if _, ok = edits.page("i-0020"); !ok {
-		t.Error("no page though one fits")
+	edits.bytes = edits.maxBytesToOpen
+	if _, ok = edits.openPage("i-0020"); !ok {
+		t.Error("another page was not opened at the size limit")
 	}
 	edits.bytes++
-	if _, ok = edits.page("i-0020"); ok {
-		t.Error("one page too many")
+	if _, ok = edits.openPage("i-0020"); ok {
+		t.Error("another page was opened above the size limit")
 	}
-	if _, ok = edits.page("i-0010"); !ok {
-		t.Error("the page that is open is not found when no other fits")
+	if _, ok = edits.openPage("i-0010"); !ok {
+		t.Error("an open page was not returned above the size limit")
 	}
 }
 
-// A job is archived once it is over and off its machines; a done gang as soon as no quota counts
-// the room of its tasks.
-func TestFinalStateOf(t *testing.T) {
+// A job is archived once it is finished and none of its tasks is on a machine; a done gang whose
+// tasks count against no quota is archived at once.
+func TestFinalStateIsReadyOnceTasksHaveLeft(t *testing.T) {
 	placed := map[int]*job.Placement{1: {Host: "h", Attempt: 1}}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		record job.Record
 		tasks  job.TaskRange
@@ -235,7 +236,7 @@
 			true,
 		},
 		{
-			"cancelled, a task on a machine",
+			"cancelled, one task on a machine",
 			job.Record{Cancelled: true},
 			job.TaskRange{Placements: placed},
 			job.FinalState{Phase: api.JobCancelled},
@@ -249,32 +250,32 @@
 			true,
 		},
 		{
-			"done gang, a task on a machine that a quota counts",
+			"done gang, one task on a machine, team with a quota",
 			job.Record{Spec: api.Job{Kind: api.Gang, Team: "limited"}, Gang: &job.Gang{Done: true}},
 			job.TaskRange{Placements: placed},
 			job.FinalState{Phase: api.JobDone, Done: 4},
 			false,
 		},
 		{
-			"done gang, a task on a machine that no quota counts",
+			"done gang, one task on a machine, team without a quota",
 			job.Record{Spec: api.Job{Kind: api.Gang, Team: "a"}, Gang: &job.Gang{Done: true}},
 			job.TaskRange{Placements: placed},
 			job.FinalState{Phase: api.JobDone, Done: 4},
 			true,
 		},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			const uid = "run-000001"
-			x.record.Spec.UID, x.record.Spec.Tasks, x.record.RangeSize, x.record.Shard = uid, 4, 4, "n0"
-			f.apply(statecache.JobKey(uid), x.record)
-			f.apply(statecache.TaskRangeKey(uid, 0, 0), x.tasks)
+			test.record.Spec.UID, test.record.Spec.Tasks, test.record.RangeSize, test.record.Shard = uid, 4, 4, "n0"
+			f.apply(statecache.JobKey(uid), test.record)
+			f.apply(statecache.TaskRangeKey(uid, 0, 0), test.tasks)
 			got, ready := finalStateOf(f.state, f.state.Cache.Jobs[uid])
-			if got != x.want || ready != x.ready {
-				t.Errorf("%+v, ready: %t; want %+v, %t", got, ready, x.want, x.ready)
+			if got != test.want || ready != test.ready {
+				t.Errorf("final state %+v, ready: %t; want %+v, %t", got, ready, test.want, test.ready)
 			}
-			if plan := planArchive(f.state); (plan.transaction != nil) != x.ready {
-				t.Errorf("planned: %v, ready: %t", plan.transaction, x.ready)
+			if plan := planArchive(f.state); (plan.transaction != nil) != test.ready {
+				t.Errorf("planned transaction %v, want one: %t", plan.transaction, test.ready)
 			}
 		})
 	}
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -12,14 +12,14 @@
 	"violetturn/internal/store"
 )
 
-// deregistrationsPlan is machines to be deregistered.
+// deregistrationsPlan is a planned transaction that deregisters machines.
 type deregistrationsPlan struct {
-	transaction *statecache.Transaction // without changes: there is nothing to commit
+	transaction *statecache.Transaction // has no changes if there is nothing to commit
 	hosts       []string
 }
 
-// deregisterMachines drops machines that are terminated and empty from their pages: several
-// at once, now and then, since nothing waits for it.
+// deregisterMachines removes terminated machines without tasks from their pages. It runs at
+// intervals and removes several machines at once, since no other work depends on it.
 func (l *Loop) deregisterMachines(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
@@ -32,7 +32,7 @@
 	if plan.transaction.Changes() == 0 {
 		return false
 	}
-	if l.commit(ctx, forDeregistrations, plan.transaction, store.PriorityDecision) != committed {
+	if l.commit(ctx, purposeDeregistrations, plan.transaction, store.PriorityDecision) != committed {
 		return false
 	}
 	slices.Sort(plan.hosts)
@@ -46,21 +46,21 @@
 	return false
 }
 
-// planDeregistrations drops machines from their pages, as many as a transaction takes. If there
-// are none, it drops a page that says nothing more.
+// planDeregistrations removes as many machines from their pages as fit into a transaction. If there
+// are none, it deletes an obsolete page instead, if there is one.
 func planDeregistrations(s *state.State, info *node.Info, now time.Time) deregistrationsPlan {
 	edits := newPageEdits(s, info)
 	plan := deregistrationsPlan{transaction: edits.transaction}
-	for host, contact := range s.Agents.All() {
+	for host, worker := range s.Agents.All() {
 		m := s.Cache.Machines[host]
-		if !contact.Terminated || m == nil || !mayDeregister(s, host, m) {
+		if !worker.Terminated || m == nil || !canDeregister(s, host, m) {
 			continue
 		}
-		page, ok := edits.page(host)
+		page, ok := edits.openPage(host)
 		if !ok {
 			continue
 		}
-		edits.keep(host, page)
+		edits.add(host, page)
 		s.Leadership.Require(edits.transaction, m.Shard)
 		edits.transaction.Require(statecache.CapacityKey(m.Shard), s.Cache.Capacities[m.Shard].Version)
 		delete(page, host)
@@ -75,9 +75,10 @@
 	return plan
 }
 
-// mayDeregister reports whether a terminated machine of an own shard is empty and not offered in
-// the shard's capacity record any more: no peer may still place a task there.
-func mayDeregister(s *state.State, host string, m *shard.Machine) bool {
+// canDeregister reports whether a terminated machine is in a shard that this node leads, has no
+// tasks and is no longer offered in the shard's capacity record. While it is offered, a peer may
+// still place a task on it.
+func canDeregister(s *state.State, host string, m *shard.Machine) bool {
 	if !s.Leadership.Leads(m.Shard) || len(s.Cache.Placements[host]) > 0 {
 		return false
 	}
--- a/internal/decisions/doc.go
+++ b/internal/decisions/doc.go
@@ -1,6 +1,6 @@
-// Package decisions commits what jobs and heartbeats call for, one transaction at a time: ends
-// of tasks, placements, gangs, registrations, capacity records, splits. Each round of decisions
-// has three steps: a plan, which is a function of the state under its lock; the commit of the
-// plan's transaction, without the lock; and taking in the outcome. One goroutine runs the rounds;
-// gangs are also placed by a second one as they are accepted.
+// Package decisions commits the scheduler's decisions to the state service, one transaction at a
+// time: ends of tasks, placements, gangs, machine registrations, capacity records, splits of job
+// records. Each decision has three steps: plan the transaction from the state, under the state's
+// lock; commit it, without the lock; apply the outcome to the state. One goroutine makes all
+// decisions in order; a second one only places gangs as soon as they are accepted.
 package decisions
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -16,82 +16,84 @@
 	"violetturn/internal/store"
 )
 
-// endsPlan is ended attempts to be committed.
-type endsPlan struct {
-	editedRecords
-	doneJobs []string // jobs whose last tasks these are
-	more     bool     // the rest goes into the next transaction
+// taskEndsPlan is a planned transaction that records ended attempts.
+type taskEndsPlan struct {
+	recordsPlan
+	doneJobs []string // jobs that are done with this transaction
+	more     bool     // not all ended attempts fit into the transaction
 }
 
-// commitEnds commits ended attempts. The room they free shows in the shards'
-// records with the next write of those.
-func (l *Loop) commitEnds(ctx context.Context) (more bool) {
+// commitTaskEnds commits ended attempts. The capacity that they free appears in a shard's capacity
+// record when that record is next written.
+func (l *Loop) commitTaskEnds(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	plan := planEnds(state, now)
+	plan := planTaskEnds(state, now)
 	l.guard.Unlock()
 	for _, uid := range plan.doneJobs {
 		l.node.Log.Info("job done", "job", uid)
 	}
 	if plan.transaction == nil {
-		return plan.outgrown
+		return plan.recordTooLarge
 	}
-	return l.commit(ctx, forEnds, plan.transaction, store.PriorityDecision).settled() && plan.more
+	return l.commit(ctx, purposeTaskEnds, plan.transaction, store.PriorityDecision).isKnown() && plan.more
 }
 
-// planEnds collects ended attempts of all kinds of jobs but gangs, as many as a transaction takes.
-func planEnds(s *state.State, now time.Time) endsPlan {
-	var plan endsPlan
-	e := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(e.Txn)
+// planTaskEnds collects as many ended attempts as fit into a transaction, of all kinds of jobs
+// except gangs.
+func planTaskEnds(s *state.State, now time.Time) taskEndsPlan {
+	var plan taskEndsPlan
+	editor := s.Schema.NewRecordEditor()
+	s.Leadership.RequireAll(editor.Txn)
 	ends := s.Agents.EndedTasks(now)
-	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRanges) {
+	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRangeIDs) {
 		j := s.Cache.Jobs[id.UID]
 		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.EndsAreDue(id, ends[id], now) {
 			continue
 		}
-		if e.IsFull(endsCost(j), 0) {
+		if editor.IsFull(taskEndsCost(j), 0) {
 			plan.more = true
 			break
 		}
-		if addEnds(e, j, id, ends[id]) {
+		if addTaskEnds(editor, j, id, ends[id]) {
 			plan.doneJobs = append(plan.doneJobs, id.UID)
 		}
 	}
-	plan.editedRecords = finishEdit(e)
+	plan.recordsPlan = newRecordsPlan(editor)
 	return plan
 }
 
-// compareRanges orders task ranges by job, so that jobs come first that may be complete.
-func compareRanges(a, b schema.RangeID) int {
+// compareRangeIDs orders task ranges by job, then by index. If a transaction can't hold all ranges,
+// it holds all of the first jobs, which may be complete with it.
+func compareRangeIDs(a, b schema.RangeID) int {
 	return cmp.Or(cmp.Compare(a.UID, b.UID), cmp.Compare(a.Index, b.Index))
 }
 
-// endsCost is how many changes the ends of a task range take at most.
-func endsCost(j *statecache.Job) int {
+// taskEndsCost returns the maximum number of writes that recording the ends in a task range takes.
+func taskEndsCost(j *statecache.Job) int {
 	if j.Record.Inline {
-		return 2 // main record and final state
+		return 2 // the main record and the final state
 	}
-	return 3 // the task range as well
+	return 3 // the record of the task range as well
 }
 
-// addEnds adds the ends of attempts in one task range to a transaction. It reports whether the job
-// is done with them.
-func addEnds(e *schema.Editor, j *statecache.Job, id schema.RangeID, ends []agent.EndedTask) (done bool) {
+// addTaskEnds adds the ends of attempts in one task range to a transaction. It reports whether the
+// job is done with them.
+func addTaskEnds(editor *schema.Editor, j *statecache.Job, id schema.RangeID, ends []agent.EndedTask) (jobDone bool) {
 	spec := &j.Record.Spec
-	taskRange := e.TaskRange(j, id.Index)
-	for _, end := range ends {
-		taskRange.EndAttempt(end.Task.Index, end.End.Attempt, end.End.Done && spec.Kind == api.Array, end.End.Failed)
+	taskRange := editor.TaskRange(j, id.Index)
+	for _, ended := range ends {
+		taskRange.EndAttempt(ended.Task.Index, ended.End.Attempt, ended.End.Done && spec.Kind == api.Array, ended.End.Failed)
 	}
 	if spec.Kind != api.Array || j.Record.Cancelled || taskRange.DoneCount() < j.Record.RangeLen(id.Index) {
 		return false
 	}
-	record := e.Record(j)
+	record := editor.Record(j)
 	record.FinishRange(id.Index)
-	e.Deletes[id] = true
+	editor.Deletes[id] = true
 	if !record.Complete() {
 		return false
 	}
-	e.Archive(j, job.FinalState{Phase: api.JobDone, Done: spec.Tasks})
+	editor.Archive(j, job.FinalState{Phase: api.JobDone, Done: spec.Tasks})
 	return true
 }
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -16,40 +16,40 @@
 	"violetturn/internal/store"
 )
 
-// gangUpdate is what became of a gang, for the log.
+// gangUpdate describes a change of a gang's state, for the log.
 type gangUpdate struct {
-	uid         string
-	attempt     uint64
-	phaseBefore job.GangPhase
-	after       *job.Gang // nil: its job is over
-	ends        int       // tasks of it that ended
-	placed      int       // tasks of it that had a place before
+	uid          string
+	attempt      uint64
+	oldPhase     job.GangPhase
+	newState     *job.Gang // nil if the job is finished
+	endedTasks   int       // number of its tasks that ended
+	placedBefore int       // number of its tasks that were placed before
 }
 
-// attributes returns the log's attributes of an update.
-func (u gangUpdate) attributes() []slog.Attr {
+// logAttrs returns the log attributes of the update.
+func (u gangUpdate) logAttrs() []slog.Attr {
 	attributes := []slog.Attr{
 		slog.String("job", u.uid),
 		slog.Uint64("attempt", u.attempt),
-		slog.Any("phase_before", u.phaseBefore),
+		slog.Any("phase_before", u.oldPhase),
 	}
-	if u.after != nil {
-		attributes = append(attributes, slog.Any("ended", u.after.Ended), slog.Bool("stopping", u.after.Stopping))
+	if u.newState != nil {
+		attributes = append(attributes, slog.Any("ended", u.newState.Ended), slog.Bool("stopping", u.newState.Stopping))
 	} else {
 		attributes = append(attributes, slog.Bool("done", true))
 	}
-	return append(attributes, slog.Int("ends", u.ends), slog.Int("placed", u.placed))
+	return append(attributes, slog.Int("ends", u.endedTasks), slog.Int("placed", u.placedBefore))
 }
 
-// gangUpdatesPlan is what became of gangs and is to be committed.
+// gangUpdatesPlan is a planned transaction that updates the state of gangs.
 type gangUpdatesPlan struct {
-	editedRecords
+	recordsPlan
 	updates []gangUpdate
-	more    bool // the rest goes into the next transaction
+	more    bool // not all gangs were updated in the transaction
 }
 
-// UpdateGangs commits what became of gangs: ends of their tasks, which decide about all
-// of them, orderly stops, claims that are released.
+// UpdateGangs commits changes of gangs' states: ends of their tasks, each of which determines how
+// the whole gang continues, orderly stops, and releases of claims.
 func (l *Loop) UpdateGangs(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
@@ -60,76 +60,79 @@
 	plan := planGangUpdates(state, now)
 	l.guard.Unlock()
 	if plan.transaction == nil {
-		return plan.outgrown
+		return plan.recordTooLarge
 	}
-	result := l.commit(ctx, forGangUpdates, plan.transaction, store.PriorityGang)
+	result := l.commit(ctx, purposeGangUpdates, plan.transaction, store.PriorityGang)
 	if result == committed {
-		for _, u := range plan.updates {
-			l.node.Log.LogAttrs(ctx, slog.LevelInfo, "gang", u.attributes()...)
+		for _, update := range plan.updates {
+			l.node.Log.LogAttrs(ctx, slog.LevelInfo, "gang", update.logAttrs()...)
 		}
 		l.wake.Notify()
 	}
-	return result.settled() && plan.more
+	return result.isKnown() && plan.more
 }
 
-// gangUpdateCost is how many changes the update of a gang takes at least: its main record and its
-// final state, or a task range.
-const gangUpdateCost = 2
+// minGangUpdateWrites is the minimum number of writes that an update of a gang takes: its main
+// record and either its final state or a task range.
+const minGangUpdateWrites = 2
 
-// planGangUpdates collects what became of gangs, of as many as a transaction takes.
+// planGangUpdates updates as many gangs as fit into a transaction.
 func planGangUpdates(s *state.State, now time.Time) gangUpdatesPlan {
 	var plan gangUpdatesPlan
 	endsByJob := map[string][]agent.EndedTask{}
 	for id, ends := range s.Scheduler.EndedGangAttempts(now) {
 		endsByJob[id.UID] = append(endsByJob[id.UID], ends...)
 	}
-	e := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(e.Txn)
+	editor := s.Schema.NewRecordEditor()
+	s.Leadership.RequireAll(editor.Txn)
 	for _, uid := range slices.Sorted(maps.Keys(s.Cache.Gangs)) {
 		j := s.Cache.Jobs[uid]
 		if s.Schema.IsBlocked(j) || j.Record.Gang == nil {
 			continue
 		}
-		if e.IsFull(gangUpdateCost, 0) {
+		if editor.IsFull(minGangUpdateWrites, 0) {
 			plan.more = true
 			break
 		}
-		if s.Scheduler.UpdateGang(e, j, endsByJob[uid], now) {
-			plan.updates = append(plan.updates, describeGangUpdate(e, j, len(endsByJob[uid])))
+		if s.Scheduler.UpdateGang(editor, j, endsByJob[uid], now) {
+			plan.updates = append(plan.updates, newGangUpdate(editor, j, len(endsByJob[uid])))
 		}
 	}
-	plan.editedRecords = finishEdit(e)
+	plan.recordsPlan = newRecordsPlan(editor)
 	return plan
 }
 
-// describeGangUpdate returns what an editor makes of a gang of which so many tasks ended.
-func describeGangUpdate(e *schema.Editor, j *statecache.Job, ends int) gangUpdate {
-	placed := j.CountPlaced()
-	u := gangUpdate{
-		uid: j.Record.Spec.UID, attempt: j.Record.Gang.Attempt, phaseBefore: j.Record.Gang.Phase(placed),
-		ends: ends, placed: placed,
+// newGangUpdate describes the change of a gang's state that an editor holds, after the given number
+// of its tasks ended.
+func newGangUpdate(editor *schema.Editor, j *statecache.Job, endedTasks int) gangUpdate {
+	placedBefore := j.CountPlaced()
+	update := gangUpdate{
+		uid: j.Record.Spec.UID, attempt: j.Record.Gang.Attempt, oldPhase: j.Record.Gang.Phase(placedBefore),
+		endedTasks: endedTasks, placedBefore: placedBefore,
 	}
-	if record := e.Records[u.uid]; record != nil {
-		u.after = record.Gang
+	if record := editor.Records[update.uid]; record != nil {
+		update.newState = record.Gang
 	}
-	return u
+	return update
 }
 
 const (
-	// maxConflicts is how often in a row a plan is tried again after another write came first.
-	maxConflicts = 3
-	// minGangWrites is how many changes a step of a gang's claim takes at least.
-	minGangWrites = 2
-	// gangLookIntervals is for how many decision intervals a gang that found no room is not looked
-	// at again out of turn.
-	gangLookIntervals = 8
+	// maxConsecutiveConflicts limits how often in a row a transaction is rebuilt and retried after
+	// a conflicting write.
+	maxConsecutiveConflicts = 3
+	// minGangClaimWrites is the minimum number of writes that one transaction of a gang's claim
+	// takes.
+	minGangClaimWrites = 2
+	// gangRetryIntervals is the number of decision intervals before a gang that lacked capacity is
+	// planned again ahead of the regular decisions.
+	gangRetryIntervals = 8
 )
 
-// commitGangClaim commits a gang's claim, in as many steps as it takes.
+// commitGangClaim commits the claim of a gang in as many transactions as it takes.
 func (l *Loop) commitGangClaim(ctx context.Context, claim *scheduler.GangClaim) {
-	for conflicts := 0; len(claim.Placements) > 0 && conflicts < maxConflicts; {
-		changes := min(scheduler.GangClaimChanges, l.node.Settings.LowestLimits().TxnOps)
-		if _, ok := l.prepare(ctx, changes, minGangWrites, store.PriorityGang); !ok {
+	for conflicts := 0; len(claim.Placements) > 0 && conflicts < maxConsecutiveConflicts; {
+		writes := min(scheduler.GangClaimChanges, l.node.Settings.LowestLimits().TxnOps)
+		if _, ok := l.prepareCommit(ctx, writes, minGangClaimWrites, store.PriorityGang); !ok {
 			return
 		}
 		state := l.guard.Lock()
@@ -138,10 +141,10 @@
 		if step.Transaction == nil {
 			return
 		}
-		switch l.commit(ctx, forGangClaims, step.Transaction, store.PriorityGang) {
+		switch l.commit(ctx, purposeGangClaims, step.Transaction, store.PriorityGang) {
 		case committed:
 			claim.Placements, conflicts = step.Remaining, 0
-			l.logPlaced(ctx, step.Placed)
+			l.logPlacements(ctx, step.Placed)
 			state = l.guard.Lock()
 			state.Scheduler.NoteGangClaimed(claim.UID)
 			l.guard.Unlock()
@@ -153,27 +156,29 @@
 	}
 }
 
-// GangLoop places gangs as they are accepted, beside the decisions that wait for their
-// changes, until ctx ends. What both write at once is decided by the state service.
+// GangLoop places gangs as soon as they are accepted, until ctx ends. It runs concurrently with the
+// other decisions, which may be waiting for their write budget. The state service rejects one of
+// two conflicting writes.
 func (l *Loop) GangLoop(ctx context.Context) {
 	for {
 		select {
 		case <-l.gangAccepted:
-			l.placeNewGangs(ctx)
+			l.placeWaitingGangs(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// placeNewGangs places gangs that came while other decisions wait for their changes: all
-// tasks of one start with the last, so each second counts as often as it has tasks. One
-// that finds no room is not looked at again for a while out of turn.
-func (l *Loop) placeNewGangs(ctx context.Context) {
+// placeWaitingGangs places gangs that were accepted while other decisions wait for their write
+// budget. All tasks of a gang start together with its last one, so a delay of one second costs one
+// second for each of its tasks. A gang that lacks capacity is not retried ahead of the regular
+// decisions until a pause has passed.
+func (l *Loop) placeWaitingGangs(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
 	reserved := state.Scheduler.WritesReservedForGangs(now)
-	claims := planNewGangs(state, gangLookIntervals*l.node.Settings.DecisionInterval(), now)
+	claims := planWaitingGangs(state, gangRetryIntervals*l.node.Settings.DecisionInterval(), now)
 	l.guard.Unlock()
 	l.services.Store.ReserveForGangs(reserved)
 	for _, claim := range claims {
@@ -181,20 +186,21 @@
 	}
 }
 
-// planNewGangs plans if there are gangs that wait for room and weren't looked at within a pause, and
-// returns the claims of all gangs that have room then.
-func planNewGangs(s *state.State, pause time.Duration, now time.Time) []*scheduler.GangClaim {
-	waiting := false
+// planWaitingGangs makes a plan if any gang waits for capacity and was not planned ahead of the
+// regular decisions within the retry interval. It returns the claims of all gangs that the plan
+// finds capacity for.
+func planWaitingGangs(s *state.State, retryInterval time.Duration, now time.Time) []*scheduler.GangClaim {
+	searchDue := false
 	for uid := range s.Cache.Gangs {
 		j := s.Cache.Jobs[uid]
 		if j.Record.Cancelled || !s.Leadership.Leads(j.Record.Shard) || len(j.PendingTasks()) == 0 {
 			continue
 		}
-		if s.Scheduler.LookOutOfTurn(uid, now, pause) {
-			waiting = true
+		if s.Scheduler.LookOutOfTurn(uid, now, retryInterval) {
+			searchDue = true
 		}
 	}
-	if !waiting || !s.Leadership.MayAct(now) {
+	if !searchDue || !s.Leadership.MayAct(now) {
 		return nil
 	}
 	return s.Scheduler.Plan(now).Gangs
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -9,45 +9,46 @@
 	"violetturn/internal/statecache"
 )
 
-// maxPagesBytes bounds the machines' pages in a transaction, of the 64 KiB that PROTOCOL allows
-// for all of it: the rest is for keys, preconditions and the JSON around them.
-const maxPagesBytes = 48 << 10
+// maxPageBytesPerTransaction limits the total size of the machine pages in a transaction. PROTOCOL
+// allows 64 KiB for the whole transaction; the rest is for keys, preconditions and JSON syntax.
+const maxPageBytesPerTransaction = 48 << 10
 
-// pageEdits collects changes of machines' pages for one transaction.
+// pageEdits collects changes of machine pages for one transaction.
 type pageEdits struct {
-	schema      *schema.State
-	transaction *statecache.Transaction
-	pages       map[string]shard.Page // those that are changed, by ID
-	bytes       int                   // of the pages, as they were when they were kept
-	maxBytes    int                   // with which one more page is opened
+	schema         *schema.State
+	transaction    *statecache.Transaction
+	pages          map[string]shard.Page // changed pages by ID
+	bytes          int                   // total size of the pages, each as it was when it was added
+	maxBytesToOpen int                   // no further page is opened if bytes is larger
 }
 
-// newPageEdits returns edits without changes.
+// newPageEdits returns a pageEdits without changes.
 func newPageEdits(s *state.State, info *node.Info) *pageEdits {
 	return &pageEdits{
-		schema:      s.Schema,
-		transaction: statecache.NewTransaction(),
-		pages:       map[string]shard.Page{},
-		maxBytes:    maxPagesBytes - int(info.Settings.Facts.State.ValueKB*1024),
+		schema:         s.Schema,
+		transaction:    statecache.NewTransaction(),
+		pages:          map[string]shard.Page{},
+		maxBytesToOpen: maxPageBytesPerTransaction - int(info.Settings.Facts.State.ValueKB*1024),
 	}
 }
 
-// page returns a machine's page to be changed, or false if the transaction takes no other page.
-func (e *pageEdits) page(host string) (page shard.Page, ok bool) {
+// openPage returns the page of a machine for editing. It returns false if the transaction has no
+// space for another page.
+func (e *pageEdits) openPage(host string) (page shard.Page, ok bool) {
 	if page, ok = e.pages[e.schema.PageFor(host)]; ok {
 		return page, true
 	}
-	if len(e.pages) >= e.schema.MaxChanges() || e.bytes > e.maxBytes {
+	if len(e.pages) >= e.schema.MaxChanges() || e.bytes > e.maxBytesToOpen {
 		return nil, false
 	}
 	_, page = e.schema.OpenPage(e.transaction, host)
 	return page, true
 }
 
-// keep has a machine's page written with the others.
-func (e *pageEdits) keep(host string, page shard.Page) {
+// add adds the page of a machine to the changed pages.
+func (e *pageEdits) add(host string, page shard.Page) {
 	id := e.schema.PageFor(host)
-	if _, kept := e.pages[id]; !kept {
+	if _, added := e.pages[id]; !added {
 		e.pages[id] = page
 		e.bytes += len(api.JSON(page))
 	}
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -13,93 +13,93 @@
 )
 
 const (
-	// planIntervals is for how many decision intervals a plan's placements are committed. What came
-	// meanwhile may be more urgent than the rest: with few changes a second a long plan took many
-	// seconds.
-	planIntervals = 4
-	// minPlacementWrites is how many changes a placement takes at least as a rule: the job's main
+	// maxPlanAgeIntervals limits the age of a plan whose placements are still being committed, in
+	// decision intervals. Jobs that arrive in the meantime may be more urgent than the rest of the
+	// plan: at a low write rate a long plan took many seconds to commit.
+	maxPlanAgeIntervals = 4
+	// minPlacementWrites is the number of writes that a placement usually takes: the job's main
 	// record, its task range and the shard's capacity record.
 	minPlacementWrites = 3
 )
 
-// placementPlan is what one plan of the scheduler places.
+// placementPlan holds the placements of one plan of the scheduler.
 type placementPlan struct {
-	placements []capacity.Placement
-	gangs      []*scheduler.GangClaim
-	stops      []*statecache.PlacedTask // tasks that have to leave
+	placements  []capacity.Placement
+	gangs       []*scheduler.GangClaim
+	preemptions []*statecache.PlacedTask // tasks to be stopped
 }
 
-// placeTasks commits what one plan places: own placements, and claims on peers'
-// room by conditional write on their shards' capacity records; and with them the
-// stops of the tasks that have to leave for some. What comes together goes into
-// one transaction, so that a job whose tasks go to several shards is written once.
+// placeTasks commits the placements of one plan and the preemptions that some of them need.
+// Placements on machines of peers' shards claim the free capacity there by conditional writes of
+// those shards' capacity records. Placements of one plan share transactions, so that a job whose
+// tasks go to several shards is written once.
 func (l *Loop) placeTasks(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	began := l.node.Now()
-	plan := planPlacements(state, began)
+	plannedAt := l.node.Now()
+	plan := planPlacements(state, plannedAt)
 	l.guard.Unlock()
-	for _, claim := range plan.gangs { // few, and what waits for them waits as a whole
+	for _, claim := range plan.gangs { // few, and a waiting gang delays all of its tasks
 		l.commitGangClaim(ctx, claim)
 	}
-	stopAlone, ok := l.commitPlacements(ctx, plan.placements, began)
+	stopSeparately, ok := l.commitPlacements(ctx, plan.placements, plannedAt)
 	if !ok {
 		return false
 	}
-	l.stopTasks(ctx, append(plan.stops, stopAlone...))
+	l.preemptTasks(ctx, append(plan.preemptions, stopSeparately...))
 	l.reclaimQuota(ctx)
 	return false
 }
 
-// planPlacements plans if there are tasks to place; the rentals rest on the same plan.
+// planPlacements makes a plan if there are pending tasks. The autoscaler uses the same plan.
 func planPlacements(s *state.State, now time.Time) placementPlan {
 	if !s.Scheduler.HasPendingTasks() {
 		return placementPlan{}
 	}
-	p := s.Scheduler.Plan(now)
-	s.Scheduler.RememberPlan(p, now)
-	return placementPlan{placements: p.Placements, gangs: p.Gangs, stops: p.Stops}
+	plan := s.Scheduler.Plan(now)
+	s.Scheduler.RememberPlan(plan, now)
+	return placementPlan{placements: plan.Placements, gangs: plan.Gangs, preemptions: plan.Stops}
 }
 
-// commitPlacements commits placements of a plan that was made when it began. It returns the tasks
-// that have to leave for placements but don't fit into one transaction with them, and false if
-// nothing may be decided now.
+// commitPlacements commits the placements of a plan made at plannedAt. It returns the tasks to be
+// preempted that don't fit into one transaction with the placement that needs their capacity, and
+// false if nothing may be committed now.
 func (l *Loop) commitPlacements(
-	ctx context.Context, placements []capacity.Placement, began time.Time,
-) (stopAlone []*statecache.PlacedTask, ok bool) {
-	for conflicts := 0; len(placements) > 0 && conflicts < maxConflicts; {
-		if l.node.Now().Sub(began) > planIntervals*l.node.Settings.DecisionInterval() {
+	ctx context.Context, placements []capacity.Placement, plannedAt time.Time,
+) (stopSeparately []*statecache.PlacedTask, ok bool) {
+	for conflicts := 0; len(placements) > 0 && conflicts < maxConsecutiveConflicts; {
+		if l.node.Now().Sub(plannedAt) > maxPlanAgeIntervals*l.node.Settings.DecisionInterval() {
 			l.wake.Notify()
 			break
 		}
-		// Every placement in a shard changes the shard's record.
-		changes := min(scheduler.CountJobs(placements)+len(l.node.Shards), l.node.Settings.LowestLimits().TxnOps)
-		available, ready := l.prepare(ctx, changes, minPlacementWrites, store.PriorityDecision)
+		// Each placement in a shard changes the shard's capacity record.
+		writes := min(scheduler.CountJobs(placements)+len(l.node.Shards), l.node.Settings.LowestLimits().TxnOps)
+		available, ready := l.prepareCommit(ctx, writes, minPlacementWrites, store.PriorityDecision)
 		if !ready {
 			return nil, false
 		}
 		state := l.guard.Lock()
 		result := state.Scheduler.PlacementTransaction(placements, available, l.node.Now())
 		l.guard.Unlock()
-		stopAlone = append(stopAlone, result.StopAlone...)
+		stopSeparately = append(stopSeparately, result.StopAlone...)
 		if result.Transaction == nil {
 			break
 		}
-		switch l.commit(ctx, forPlacements, result.Transaction, store.PriorityDecision) {
+		switch l.commit(ctx, purposePlacements, result.Transaction, store.PriorityDecision) {
 		case committed:
 			placements, conflicts = result.Remaining, 0
-			l.logPlaced(ctx, result.Placed)
-			l.placeNewGangs(ctx)
-		case rejected: // what lost against another write is tried again on what there is now
+			l.logPlacements(ctx, result.Placed)
+			l.placeWaitingGangs(ctx)
+		case rejected: // after a conflict the placements are checked against the current state and tried again
 			conflicts++
 		case outcomeUnknown:
 			return nil, false
 		}
 	}
-	return stopAlone, true
+	return stopSeparately, true
 }
 
-// logPlaced logs the tasks that a committed transaction placed.
-func (l *Loop) logPlaced(ctx context.Context, placed []scheduler.PlacementLog) {
+// logPlacements logs the tasks that a committed transaction placed.
+func (l *Loop) logPlacements(ctx context.Context, placed []scheduler.PlacementLog) {
 	for i := range placed {
 		l.node.Log.LogAttrs(ctx, slog.LevelInfo, "task placed", placed[i].Attrs()...)
 	}
--- a/internal/decisions/registrations.go
+++ b/internal/decisions/registrations.go
@@ -11,21 +11,22 @@
 	"violetturn/internal/store"
 )
 
-// registrationsPlan is machines to be registered.
+// registrationsPlan is a planned transaction that registers machines.
 type registrationsPlan struct {
 	transaction *statecache.Transaction
 	hosts       []string
 	refused     []refusedMachine
 }
 
-// refusedMachine is a machine that can't be registered.
+// refusedMachine is a machine that can't be registered because its page is full.
 type refusedMachine struct {
 	host      string
-	pageBytes int // that its page would have
+	pageBytes int // size of its page with the machine
 }
 
-// RegisterMachines records machines that sent heartbeats or were rented or listed
-// without a record, each in one shard, by conditional writes of their pages.
+// RegisterMachines creates records of machines that sent heartbeats, were rented or were listed by
+// the cloud, and have no record yet. Each machine belongs to one shard. The pages are written
+// conditionally.
 func (l *Loop) RegisterMachines(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
 	if state.Agents.Unregistered().Count() == 0 {
@@ -40,7 +41,7 @@
 	if len(plan.hosts) == 0 {
 		return false
 	}
-	result := l.commit(ctx, forRegistrations, plan.transaction, store.PriorityDecision)
+	result := l.commit(ctx, purposeRegistrations, plan.transaction, store.PriorityDecision)
 	state = l.guard.Lock()
 	defer l.guard.Unlock()
 	if result == committed {
@@ -49,17 +50,17 @@
 			state.Agents.Unregistered().Remove(host)
 		}
 	}
-	return result.settled() && state.Agents.Unregistered().Count() > 0
+	return result.isKnown() && state.Agents.Unregistered().Count() > 0
 }
 
-// planRegistrations puts machines without a record into pages, as many as a transaction takes.
-// Those that need no record or can't have one are not tried again.
+// planRegistrations adds as many unregistered machines to pages as fit into a transaction. It
+// removes machines that need no record or can't have one from the list of unregistered machines.
 func planRegistrations(s *state.State, info *node.Info, now time.Time) registrationsPlan {
 	edits := newPageEdits(s, info)
 	plan := registrationsPlan{transaction: edits.transaction}
-	machines := map[string]int{}
+	machineCounts := map[string]int{}
 	for _, m := range s.Cache.Machines {
-		machines[m.Shard]++
+		machineCounts[m.Shard]++
 	}
 	for _, host := range s.Agents.Unregistered().Names() {
 		m := s.Agents.Unregistered().Machine(host)
@@ -67,11 +68,11 @@
 			s.Agents.Unregistered().Remove(host)
 			continue
 		}
-		page, ok := edits.page(host)
+		page, ok := edits.openPage(host)
 		if !ok {
 			break
 		}
-		m.Shard = shardFor(info, m.Zone, machines)
+		m.Shard = chooseShard(info, m.Zone, machineCounts)
 		m.RegisteredMS = now.UnixMilli()
 		page[host] = &m
 		if bytes := len(api.JSON(page)); bytes > s.Schema.MaxPageBytes() {
@@ -80,8 +81,8 @@
 			s.Agents.Unregistered().Remove(host)
 			continue
 		}
-		edits.keep(host, page)
-		machines[m.Shard]++
+		edits.add(host, page)
+		machineCounts[m.Shard]++
 		plan.hosts = append(plan.hosts, host)
 	}
 	for id, page := range edits.pages {
@@ -90,26 +91,27 @@
 	return plan
 }
 
-// otherZonePenalty is how many more machines a shard seems to have whose home controller is in
-// another zone than the machine: more than any fleet has.
+// otherZonePenalty is added to the number of machines of a shard whose home controller is in
+// another zone than the machine to be registered. It is larger than any fleet.
 const otherZonePenalty = 1 << 20
 
-// shardFor chooses the shard for a machine: one whose home controller is in the
-// machine's zone, so that a zone cut off keeps its leader; of those the one with fewest machines.
-func shardFor(info *node.Info, machineZone string, machines map[string]int) string {
-	zones := map[string]string{info.Settings.HostName: info.Settings.Zone}
+// chooseShard chooses the shard of a machine: the one with the fewest machines among those whose
+// home controller is in the machine's zone, so that a partitioned zone still has a leader for its
+// machines. If there is none in the zone, it is the shard with the fewest machines.
+func chooseShard(info *node.Info, machineZone string, machineCounts map[string]int) string {
+	zoneByShard := map[string]string{info.Settings.HostName: info.Settings.Zone}
 	for _, m := range info.Settings.Members {
-		zones[m.HostName] = m.Zone
+		zoneByShard[m.HostName] = m.Zone
 	}
-	best, bestCount := "", 0
+	bestShard, bestCount := "", 0
 	for _, shard := range info.Shards {
-		count := machines[shard]
-		if zones[shard] != machineZone {
+		count := machineCounts[shard]
+		if zoneByShard[shard] != machineZone {
 			count += otherZonePenalty
 		}
-		if best == "" || count < bestCount {
-			best, bestCount = shard, count
+		if bestShard == "" || count < bestCount {
+			bestShard, bestCount = shard, count
 		}
 	}
-	return best
+	return bestShard
 }
--- a/internal/decisions/splits.go
+++ b/internal/decisions/splits.go
@@ -6,8 +6,8 @@
 	"violetturn/internal/store"
 )
 
-// splitRecords takes the next step in splitting a job's records; if there is none it collects
-// garbage. It reports whether there is more to split.
+// splitRecords commits the next step of splitting the records of a job; if there is none, it
+// collects garbage. It reports whether there may be more to split.
 func (l *Loop) splitRecords(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
 	if !state.Schema.Upgraded() {
@@ -24,16 +24,16 @@
 		l.node.Log.Error("record can't be split further", "job", step.UID)
 		return false
 	}
-	result := l.commit(ctx, forSplits, step.Transaction, store.PriorityDecision)
+	result := l.commit(ctx, purposeSplits, step.Transaction, store.PriorityDecision)
 	if result == committed && step.Last {
 		l.node.Log.Info("job records split", "job", step.UID, "range_size", step.RangeSize)
 		l.wake.Notify()
 	}
-	return result.settled()
+	return result.isKnown()
 }
 
-// collectGarbage deletes records that splits left behind. Nothing waits for it: what fails is
-// found again next time.
+// collectGarbage deletes obsolete task range records that splits have left behind. No other work
+// depends on it: if the transaction fails, a later collection finds the same records again.
 func (l *Loop) collectGarbage(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
@@ -41,12 +41,12 @@
 		l.guard.Unlock()
 		return
 	}
-	t := state.Splitter.GarbageTransaction()
+	transaction := state.Splitter.GarbageTransaction()
 	l.guard.Unlock()
-	if t == nil {
+	if transaction == nil {
 		return
 	}
-	l.commit(ctx, forGarbage, t, store.PrioritySubmission)
+	l.commit(ctx, purposeGarbage, transaction, store.PrioritySubmission)
 	state = l.guard.Lock()
 	state.Splitter.NoteGarbageCollected(now)
 	l.guard.Unlock()
--- a/internal/decisions/stops.go
+++ b/internal/decisions/stops.go
@@ -9,66 +9,67 @@
 	"violetturn/internal/store"
 )
 
-// stopWrites is how many changes are waited for to stop tasks, and one is enough.
+// Tasks are preempted after waiting for preemptionWrites in the write budget, or for a bounded time
+// if it then holds minPreemptionWrites.
 const (
-	stopWrites    = 2
-	minStopWrites = 1
+	preemptionWrites    = 2
+	minPreemptionWrites = 1
 )
 
-// stopsPlan is tasks that have to leave for others.
-type stopsPlan struct {
-	editedRecords
-	tasks []string                 // by name
-	rest  []*statecache.PlacedTask // for the next transaction
+// preemptionsPlan is a planned transaction that marks tasks to be stopped in favor of others.
+type preemptionsPlan struct {
+	recordsPlan
+	taskNames []string                 // for the log
+	remaining []*statecache.PlacedTask // to be marked by the next transaction
 }
 
-// stopTasks marks tasks that have to leave for others that can't be placed in the same
-// transaction: a gang, whose room comes from several machines, or one whose victims are
-// recorded in more places than it takes. The room that is being left is kept for them
-// by the order of the plans.
-func (l *Loop) stopTasks(ctx context.Context, tasks []*statecache.PlacedTask) {
+// preemptTasks marks tasks to be stopped whose capacity is needed by tasks that can't be placed in
+// the same transaction: by a gang, which needs capacity on several machines, or by a task whose
+// victims are stored in more records than fit into a transaction. The order of the plans reserves
+// the freed capacity for them.
+func (l *Loop) preemptTasks(ctx context.Context, tasks []*statecache.PlacedTask) {
 	for len(tasks) > 0 {
-		if _, ok := l.prepare(ctx, stopWrites, minStopWrites, store.PriorityDecision); !ok {
+		if _, ok := l.prepareCommit(ctx, preemptionWrites, minPreemptionWrites, store.PriorityDecision); !ok {
 			return
 		}
 		state := l.guard.Lock()
-		plan := planStops(state, tasks)
+		plan := planPreemptions(state, tasks)
 		l.guard.Unlock()
 		if plan.transaction == nil {
 			return
 		}
-		if l.commit(ctx, forStops, plan.transaction, store.PriorityDecision) != committed {
-			return // planned anew
+		if l.commit(ctx, purposePreemptions, plan.transaction, store.PriorityDecision) != committed {
+			return // the next plan selects the tasks again
 		}
-		l.node.Log.LogAttrs(ctx, slog.LevelInfo, "tasks stopped for others", preemptedAttributes(plan.tasks)...)
-		tasks = plan.rest
+		l.node.Log.LogAttrs(ctx, slog.LevelInfo, "tasks stopped for others", preemptionLogAttrs(plan.taskNames)...)
+		tasks = plan.remaining
 	}
 }
 
-// planStops marks tasks to leave, as many as a transaction takes.
-func planStops(s *state.State, tasks []*statecache.PlacedTask) stopsPlan {
-	var plan stopsPlan
-	e := s.Schema.NewRecordEditor()
+// planPreemptions marks as many tasks to be stopped as fit into a transaction.
+func planPreemptions(s *state.State, tasks []*statecache.PlacedTask) preemptionsPlan {
+	var plan preemptionsPlan
+	editor := s.Schema.NewRecordEditor()
 	for i, task := range tasks {
 		j := s.Cache.Jobs[task.UID]
 		if !s.Scheduler.CanStop(j, task) {
 			continue
 		}
-		if cost := e.StopCost(j, task); cost > 0 && e.IsFull(cost, 0) {
-			plan.rest = tasks[i:]
+		if cost := editor.StopCost(j, task); cost > 0 && editor.IsFull(cost, 0) {
+			plan.remaining = tasks[i:]
 			break
 		}
-		e.StopTask(j, task)
-		plan.tasks = append(plan.tasks, task.TaskName(j))
+		editor.StopTask(j, task)
+		plan.taskNames = append(plan.taskNames, task.TaskName(j))
 	}
-	plan.editedRecords = finishEdit(e)
+	plan.recordsPlan = newRecordsPlan(editor)
 	return plan
 }
 
-// preemptedAttributes returns the log's attributes of tasks that have to leave, one for each.
-func preemptedAttributes(tasks []string) []slog.Attr {
-	attributes := make([]slog.Attr, 0, len(tasks))
-	for _, task := range tasks {
+// preemptionLogAttrs returns one log attribute per preempted task.
+func preemptionLogAttrs(taskNames []string) []slog.Attr {
+	attributes := make([]slog.Attr, 0, len(taskNames))
+	for _, task := range taskNames {
 		attributes = append(attributes, slog.String("preempts", task))
 	}
 	return attributes
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -12,15 +12,16 @@
 	"violetturn/internal/zonehealth"
 )
 
-// zonesPlan is zones' records to be committed.
+// zonesPlan is a planned transaction that updates zone records.
 type zonesPlan struct {
-	transaction *statecache.Transaction
-	changed     map[string]zonehealth.Record // by zone
+	transaction    *statecache.Transaction
+	changedRecords map[string]zonehealth.Record // by zone
 }
 
-// updateZones looks at the zones once in a heartbeat interval and commits what has changed. It
-// changes nothing but zones' records, each on the version that it judged by and on this
-// node's leadership of its shards: one that wakes late, or was replaced, is refused.
+// updateZones evaluates the health of the zones once per heartbeat interval and commits the
+// changes. It writes only zone records. Each write requires the version of the record that the
+// evaluation used and this node's leadership of its shards, so that the write of a delayed or
+// replaced leader is rejected.
 func (l *Loop) updateZones(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
@@ -30,21 +31,21 @@
 	}
 	plan := planZones(state, now)
 	l.guard.Unlock()
-	if len(plan.changed) == 0 {
+	if len(plan.changedRecords) == 0 {
 		return false
 	}
-	if l.commit(ctx, forZones, plan.transaction, store.PriorityDecision) == committed {
-		l.logZoneChanges(plan.changed)
+	if l.commit(ctx, purposeZones, plan.transaction, store.PriorityDecision) == committed {
+		l.logZoneChanges(plan.changedRecords)
 		l.wake.Notify()
 	}
 	return false
 }
 
-// planZones observes the zones, and collects the records of those that have changed, as many as a
-// transaction takes.
+// planZones observes the zones and updates the records of those that have changed, as many as fit
+// into a transaction.
 func planZones(s *state.State, now time.Time) zonesPlan {
 	s.Zones.Update(now)
-	plan := zonesPlan{transaction: statecache.NewTransaction(), changed: map[string]zonehealth.Record{}}
+	plan := zonesPlan{transaction: statecache.NewTransaction(), changedRecords: map[string]zonehealth.Record{}}
 	for _, zone := range s.Zones.Observed() {
 		next, ok := s.Zones.Judge(zone, now)
 		if !ok || plan.transaction.Changes() >= s.Schema.TransactionLimits().TxnOps {
@@ -53,25 +54,25 @@
 		key := statecache.ZoneKey(zone)
 		plan.transaction.Require(key, s.Cache.Zones[statecache.ZoneID(zone)].Version)
 		plan.transaction.Put(key, next)
-		plan.changed[zone] = next
+		plan.changedRecords[zone] = next
 	}
 	s.Leadership.RequireAll(plan.transaction)
 	return plan
 }
 
-// logZoneChanges logs zones' records that were committed.
-func (l *Loop) logZoneChanges(changed map[string]zonehealth.Record) {
-	for _, zone := range slices.Sorted(maps.Keys(changed)) {
-		record := changed[zone]
-		sum := record.Sum()
+// logZoneChanges logs the committed zone records.
+func (l *Loop) logZoneChanges(records map[string]zonehealth.Record) {
+	for _, zone := range slices.Sorted(maps.Keys(records)) {
+		record := records[zone]
+		total := record.Sum()
 		l.node.Log.Info(
 			"zone",
 			"zone", zone,
 			"state", record.State,
 			"transitions", record.Transitions,
-			"up", sum.Up,
-			"lost", sum.Lost,
-			"unknown", sum.Unclear,
+			"up", total.Up,
+			"lost", total.Lost,
+			"unknown", total.Unclear,
 			"waiting", record.Waiting(),
 			"slow_start_share", record.SlowStartShare,
 		)
--- a/internal/finalstate/doc.go
+++ b/internal/finalstate/doc.go
@@ -1,3 +1,4 @@
-// Package finalstate remembers how jobs ended, the newest ones, so that users who ask for them
-// cost no read. Others are read from the state service. The lock of internal/state guards it.
+// Package finalstate caches the final states of the most recently finished jobs, so that queries
+// for them need no read from the state service. Older ones are read from there. The lock of
+// internal/state guards it.
 package finalstate
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -7,12 +7,12 @@
 	"violetturn/internal/node"
 )
 
-// Cache remembers how jobs ended, the newest ones.
+// Cache holds the final states of the most recently finished jobs, up to a limit.
 type Cache struct {
 	node *node.Info
 
-	byJob map[string]job.FinalState
-	order []string // the jobs, in the order in which they came
+	byJob          map[string]job.FinalState
+	insertionOrder []string // job IDs, oldest entry first
 }
 
 // New returns an empty cache.
@@ -20,33 +20,33 @@
 	return &Cache{node: node, byJob: map[string]job.FinalState{}}
 }
 
-// Of returns how a job ended, and whether that is remembered. A final state never changes.
+// Of returns the final state of a job, and whether the cache holds it. A final state never changes.
 func (c *Cache) Of(uid string) (job.FinalState, bool) {
-	final, ok := c.byJob[uid]
-	return final, ok
+	finalState, ok := c.byJob[uid]
+	return finalState, ok
 }
 
-// Remember keeps how a job ended. If the cache is full then, it drops the job that came first.
-func (c *Cache) Remember(uid string, final job.FinalState) {
+// Remember adds the final state of a job. If the cache is full, the oldest entry is removed.
+func (c *Cache) Remember(uid string, finalState job.FinalState) {
 	if _, ok := c.byJob[uid]; !ok {
-		c.order = append(c.order, uid)
-		if len(c.order) > maxRemembered(c.node.Settings) {
-			delete(c.byJob, c.order[0])
-			c.order = c.order[1:]
+		c.insertionOrder = append(c.insertionOrder, uid)
+		if len(c.insertionOrder) > maxEntries(c.node.Settings) {
+			delete(c.byJob, c.insertionOrder[0])
+			c.insertionOrder = c.insertionOrder[1:]
 		}
 	}
-	c.byJob[uid] = final
+	c.byJob[uid] = finalState
 }
 
 const (
-	// finalStateBytes is about how much memory one remembered final state takes.
+	// finalStateBytes is the approximate memory use of one entry.
 	finalStateBytes = 256
-	// memoryShare is the inverse of the share of a controller's memory that they may take.
-	memoryShare = 64
+	// memoryDivisor limits the entries to this fraction (one part in 64) of a controller's memory.
+	memoryDivisor = 64
 )
 
-// maxRemembered returns how many final states are remembered at most. One that was dropped is
-// read from the state service when somebody asks for it.
-func maxRemembered(settings *config.Settings) int {
-	return max(capacity.MinArrivals, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare/finalStateBytes))
+// maxEntries returns the maximum number of entries. Final states beyond it are read from the state
+// service on request.
+func maxEntries(settings *config.Settings) int {
+	return max(capacity.MinArrivals, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor/finalStateBytes))
 }
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -11,51 +11,51 @@
 	"violetturn/internal/node"
 )
 
-// The bound holds however many jobs end, those that came first are forgotten first, and a
-// repetition takes no place.
-func TestRememberIsBounded(t *testing.T) {
+// However many jobs end, the cache holds no more than its limit. It removes the oldest entries
+// first, and adding a job again takes no further entry.
+func TestCacheDropsOldestWhenFull(t *testing.T) {
 	settings := &config.Settings{HostName: "n0"}
 	settings.Facts.Limits.MemoryMB = 1
 	cache := New(node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler)))
-	most := maxRemembered(settings)
+	limit := maxEntries(settings)
 	uid := func(i int) string { return fmt.Sprintf("run-%06d", i) }
-	for i := range most {
+	for i := range limit {
 		cache.Remember(uid(i), job.FinalState{Phase: api.JobDone, Done: i})
 	}
 	cache.Remember(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
 	if _, ok := cache.Of(uid(0)); !ok {
-		t.Errorf("%d fit, and the first is forgotten with the last", most)
+		t.Errorf("the oldest entry was removed with %d entries, the limit", limit)
 	}
-	cache.Remember(uid(most), job.FinalState{Phase: api.JobCancelled, Done: 7})
+	cache.Remember(uid(limit), job.FinalState{Phase: api.JobCancelled, Done: 7})
 	if _, ok := cache.Of(uid(0)); ok {
-		t.Error("one more than fit, and the first is still remembered")
+		t.Error("the oldest entry was kept with one entry more than the limit")
 	}
 	if final, ok := cache.Of(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
-		t.Errorf("the second: %v, remembered: %t", final, ok)
+		t.Errorf("second entry: got %v, found %t; want done 1, true", final, ok)
 	}
-	if final, ok := cache.Of(uid(most)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
-		t.Errorf("the last: %v, remembered: %t", final, ok)
+	if final, ok := cache.Of(uid(limit)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
+		t.Errorf("last entry: got %v, found %t; want cancelled with done 7, true", final, ok)
 	}
-	if len(cache.byJob) != most || len(cache.order) != most {
-		t.Errorf("%d states and %d names of %d", len(cache.byJob), len(cache.order), most)
+	if len(cache.byJob) != limit || len(cache.insertionOrder) != limit {
+		t.Errorf("got %d states and %d job IDs, want %d of each", len(cache.byJob), len(cache.insertionOrder), limit)
 	}
 }
 
-func TestMaxRemembered(t *testing.T) {
-	for _, x := range []struct {
+func TestMaxEntriesFollowsMemoryLimit(t *testing.T) {
+	for _, test := range []struct {
 		name     string
 		memoryMB float64
 		want     int
 	}{
-		{"small memory: as many as arrivals at least", 1, 1024},
+		{"small memory limit: the minimum", 1, 1024},
 		{"100 MB", 100, 6400},
 		{"4 GB", 4096, 262144},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			settings := &config.Settings{}
-			settings.Facts.Limits.MemoryMB = x.memoryMB
-			if got := maxRemembered(settings); got != x.want {
-				t.Errorf("%d, want %d", got, x.want)
+			settings.Facts.Limits.MemoryMB = test.memoryMB
+			if got := maxEntries(settings); got != test.want {
+				t.Errorf("max entries = %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -15,23 +15,23 @@
 
 // committedTask is a task that is committed for the worker's machine.
 type committedTask struct {
-	key     string // of its placement
-	placed  *statecache.PlacedTask
-	job     *statecache.Job
-	attempt agent.AttemptID
-	stop    bool // it has to leave the machine
+	placementKey string // see statecache.PlacementKey
+	placed       *statecache.PlacedTask
+	job          *statecache.Job
+	attempt      agent.AttemptID
+	mustStop     bool // it has to leave the machine
 }
 
-// resources is the room that the task takes.
+// resources returns the resources that the task uses.
 func (t committedTask) resources() sched.Resources { return statecache.ResourcesOf(&t.job.Record.Spec) }
 
-// comparison compares what is committed for a machine with what its worker reported,
-// and collects the commands that make up the difference. Nothing is remembered between
-// heartbeats, so a lost answer costs a round and no more.
+// comparison compares the tasks that are committed for a machine with the tasks that its worker
+// reported, and collects the commands that resolve the differences. It keeps no commands between
+// heartbeats, so a lost response costs no more than one heartbeat interval.
 //
-// What it decides to be over rests on the heartbeat itself, never on the answer to
-// a direct command: a worker has one heartbeat in flight, so a heartbeat shows what
-// became of the answers to those before, which a command's answer does not.
+// An attempt is considered ended only by the heartbeat itself, never by the response to a direct
+// command. A worker has one heartbeat in flight, so a heartbeat shows the effect of the responses to
+// all earlier ones; the response to a direct command does not.
 type comparison struct {
 	reconciler *Reconciler
 	heartbeat  *api.Heartbeat
@@ -39,11 +39,11 @@
 	now        time.Time
 
 	reported      map[agent.AttemptID]*api.TaskState
-	desired       map[agent.AttemptID]bool // committed for the machine
-	launches      []committedTask          // those of them to be launched
-	stopping      bool                     // some task is on its way out
-	free          sched.Resources          // room for launches in this answer
-	capacityKnown bool                     // free is known
+	desired       map[agent.AttemptID]bool // attempts that are committed for the machine
+	launches      []committedTask          // committed tasks that are to be launched
+	tasksStopping bool                     // at least one task is being stopped
+	free          sched.Resources          // free capacity for launches in this response
+	capacityKnown bool                     // free is valid: the catalog has the machine type
 	commands      []api.Command
 }
 
@@ -52,30 +52,30 @@
 	if !r.leadership.MayAct(now) {
 		return r.agents.StopCancelledTasks(heartbeat.Host)
 	}
-	// What runs on takes its room until a later heartbeat shows its end; what is
-	// stopped without saving leaves before the launches in the same answer.
-	size, machineType := r.catalog.MachineCapacity(heartbeat.MachineType)
+	// Tasks that continue to run use their resources until a later heartbeat reports their end.
+	// Tasks that are stopped without saving end before the launches in the same response start.
+	machineCapacity, machineType := r.catalog.MachineCapacity(heartbeat.MachineType)
 	c := &comparison{
 		reconciler: r, heartbeat: heartbeat, worker: worker, now: now,
 		reported:      map[agent.AttemptID]*api.TaskState{},
 		desired:       map[agent.AttemptID]bool{},
-		free:          size,
+		free:          machineCapacity,
 		capacityKnown: machineType != nil,
 		commands:      []api.Command{},
 	}
-	c.readHeartbeat()
-	for key, placed := range r.cache.Placements[heartbeat.Host] {
+	c.indexReportedAttempts()
+	for placementKey, placed := range r.cache.Placements[heartbeat.Host] {
 		if j := r.cache.Jobs[placed.UID]; j != nil {
-			c.compareTask(key, placed, j)
+			c.compareTask(placementKey, placed, j)
 		}
 	}
-	c.removeUnwanted()
-	c.launchDesired()
+	c.removeUndesired()
+	c.launchTasks()
 	return c.commands
 }
 
-// readHeartbeat lists the reported attempts.
-func (c *comparison) readHeartbeat() {
+// indexReportedAttempts indexes the reported tasks by attempt.
+func (c *comparison) indexReportedAttempts() {
 	for i := range c.heartbeat.Tasks {
 		task := &c.heartbeat.Tasks[i]
 		if !task.Phase.Known() {
@@ -85,47 +85,47 @@
 	}
 }
 
-// compareTask compares one committed task with what was reported of it.
-func (c *comparison) compareTask(key string, placed *statecache.PlacedTask, j *statecache.Job) {
-	task := committedTask{key: key, placed: placed, job: j, attempt: agent.AttemptOf(placed, j)}
-	task.stop = j.MustStop(placed.Placement)
-	if !j.IsGang() { // a gang is stopped as a whole, or else goes on
-		task.stop = task.stop || c.worker.Cordoned || c.reconciler.agents.InterruptionIsDue(c.worker, j)
+// compareTask compares a committed task with the report of its attempt.
+func (c *comparison) compareTask(placementKey string, placed *statecache.PlacedTask, j *statecache.Job) {
+	task := committedTask{placementKey: placementKey, placed: placed, job: j, attempt: agent.AttemptOf(placed, j)}
+	task.mustStop = j.MustStop(placed.Placement)
+	if !j.IsGang() { // gangs are stopped as a whole or not at all
+		task.mustStop = task.mustStop || c.worker.Cordoned || c.reconciler.agents.InterruptionIsDue(c.worker, j)
 	}
 	c.desired[task.attempt] = true
 	if reported := c.reported[task.attempt]; reported != nil {
-		delete(c.worker.PendingLaunches, key)
+		delete(c.worker.PendingLaunches, placementKey)
 		c.comparePresent(task, reported)
 		return
 	}
 	c.compareAbsent(task)
 }
 
-// comparePresent deals with a committed task that is on the machine.
+// comparePresent handles a committed task that the worker reports.
 func (c *comparison) comparePresent(task committedTask, reported *api.TaskState) {
 	if reported.Phase == api.TaskRunning {
-		c.noteRunning(task)
+		c.recordFirstRun(task)
 	}
-	_, over := c.worker.EndedAttempts[task.key]
+	_, ended := c.worker.EndedAttempts[task.placementKey]
 	switch {
 	case reported.Phase == api.TaskEnded:
-		if !over {
-			c.noteEnd(task, reported)
+		if !ended {
+			c.recordReportedEnd(task, reported)
 		}
-	case task.stop || over:
+	case task.mustStop || ended:
 		c.stopTask(task, reported)
 	default:
 		c.free = c.free.Sub(task.resources())
 	}
 }
 
-// noteRunning notes when an attempt was first seen running.
-func (c *comparison) noteRunning(task committedTask) {
+// recordFirstRun records when an attempt was first reported as running.
+func (c *comparison) recordFirstRun(task committedTask) {
 	attempt := task.attempt
-	if c.worker.FirstRuns[task.key].Attempt == attempt.Attempt {
+	if c.worker.FirstRuns[task.placementKey].Attempt == attempt.Attempt {
 		return
 	}
-	c.worker.FirstRuns[task.key] = agent.FirstRun{Attempt: attempt.Attempt, At: c.now}
+	c.worker.FirstRuns[task.placementKey] = agent.FirstRun{Attempt: attempt.Attempt, At: c.now}
 	c.reconciler.node.Log.Info("task running",
 		logkey.Task(attempt.Task), logkey.Attempt(attempt.Attempt), logkey.Host(c.heartbeat.Host))
 	if task.job.IsGang() {
@@ -133,10 +133,10 @@
 	}
 }
 
-// stopTask stops a task that is on the machine. One that is saving already is told again only if
-// its job is cancelled, which leaves it less time.
+// stopTask stops a task that is on the machine. A task that is saving already receives another stop
+// command only if its job is cancelled, because that leaves it less time.
 func (c *comparison) stopTask(task committedTask, reported *api.TaskState) {
-	c.stopping = true
+	c.tasksStopping = true
 	saving := reported.Phase == api.TaskSaving
 	if saving || task.job.SavesOnStop() {
 		c.free = c.free.Sub(task.resources())
@@ -146,76 +146,78 @@
 	}
 }
 
-// noteEnd notes that a task has ended, and why.
-func (c *comparison) noteEnd(task committedTask, reported *api.TaskState) {
+// recordReportedEnd records that a task has ended, and why.
+func (c *comparison) recordReportedEnd(task committedTask, reported *api.TaskState) {
 	spec, attempt := &task.job.Record.Spec, task.attempt.Attempt
 	done := reported.Cause == api.CauseDone
-	c.endAttempt(task.key, agent.EndedAttempt{
+	c.endAttempt(task.placementKey, agent.EndedAttempt{
 		Attempt: attempt,
 		Done:    done && spec.Kind != api.Service,
 		Failed:  reported.Cause == api.CauseError || reported.Cause == api.CauseUnknown,
 		Reason:  agent.ExitReasonOf(reported.Cause),
 	})
-	started := c.worker.FirstRuns[task.key]
-	if done && started.Attempt == attempt && spec.EstimateS > 0 {
-		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(started.At).Seconds()/spec.EstimateS)
+	firstRun := c.worker.FirstRuns[task.placementKey]
+	if done && firstRun.Attempt == attempt && spec.EstimateS > 0 {
+		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimateS)
 	}
 	c.reconciler.agents.NoteTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
 
-// compareAbsent deals with a committed task that is not on the machine.
+// compareAbsent handles a committed task that the worker does not report.
 func (c *comparison) compareAbsent(task committedTask) {
 	placement := task.placed.Placement
-	_, over := c.worker.EndedAttempts[task.key]
+	_, ended := c.worker.EndedAttempts[task.placementKey]
 	switch {
-	case !task.stop && !task.job.MayLaunch(placement):
-		// Held for a gang that is not complete: nothing is started yet.
-	case over:
-	case task.stop:
-		// Never launched, or killed with an earlier agent epoch: this heartbeat was
-		// made after any answer of ours that launched it, and no later one will.
-		c.endAttempt(task.key, agent.EndedAttempt{Attempt: placement.Attempt})
+	case !task.mustStop && !task.job.MayLaunch(placement):
+		// The task's gang is not complete yet, so none of its tasks is launched.
+	case ended:
+	case task.mustStop:
+		// The attempt was never launched, or was killed with an earlier agent epoch: this heartbeat
+		// was made after any response that launched the attempt, and no later one will launch it.
+		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: placement.Attempt})
 	case c.worker.Unresponsive() || c.ignoresLaunches(task):
-		// It is not there, and no answer given so far will start it: this
-		// heartbeat was made after the worker took in or gave up on each of
-		// them. A worker that does not obey must not keep its tasks waiting.
-		c.noteIgnoredLaunches(task)
-		c.endAttempt(task.key, agent.EndedAttempt{Attempt: placement.Attempt, Reason: job.ExitRefused})
+		// The attempt is not on the machine, and no response so far will start it: the worker made
+		// this heartbeat after it received or stopped waiting for each of them. The end of the
+		// attempt lets its task be placed elsewhere, so that a worker that ignores commands does
+		// not block it.
+		c.markUnresponsive(task)
+		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: placement.Attempt, Reason: job.ExitRefused})
 	case c.reconciler.zones.IsHeldBack(c.heartbeat.Host, task.placed, task.job, c.now):
-		// It went with its zone, and what needs its room more goes first. It keeps its
-		// place, which production may take, and starts there when its turn comes: to place
-		// a zone's arrays anew would take the changes that the readers' placements need.
+		// The task was lost when its zone failed, and work of higher priority takes precedence. The
+		// task keeps its placement, which production work may preempt, and restarts there when the
+		// zone's slow start admits its machine: placing all arrays of a zone again would use the
+		// writes that the placements of production services need.
 	case !c.worker.IsLeaseExpired(c.now, c.reconciler.node.Settings.WorkerLeaseBound()):
 		c.launches = append(c.launches, task)
 	}
 }
 
-// ignoresLaunches reports whether a launch was answered so often without being seen that the
-// worker ignores it.
+// ignoresLaunches reports whether so many responses launched the task, without the worker reporting
+// it, that the worker is considered to ignore launches.
 func (c *comparison) ignoresLaunches(task committedTask) bool {
-	pending := c.worker.PendingLaunches[task.key]
+	pending := c.worker.PendingLaunches[task.placementKey]
 	return pending.Attempt == task.attempt.Attempt && pending.Answers >= agent.MaxUnheardAnswers
 }
 
-// noteIgnoredLaunches notes that the worker does not obey, if that was not known.
-func (c *comparison) noteIgnoredLaunches(task committedTask) {
+// markUnresponsive marks the worker as unresponsive, if it is not marked yet.
+func (c *comparison) markUnresponsive(task committedTask) {
 	if c.worker.Unresponsive() {
 		return
 	}
 	c.worker.BecomeUnresponsive(c.now)
 	c.reconciler.node.Log.Info("worker ignores launches", logkey.Host(c.heartbeat.Host),
-		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.key].Answers))
+		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].Answers))
 }
 
-// endAttempt notes that the attempt of the placement with the key is over.
-func (c *comparison) endAttempt(key string, end agent.EndedAttempt) {
+// endAttempt records that the attempt of the placement with the key has ended.
+func (c *comparison) endAttempt(placementKey string, end agent.EndedAttempt) {
 	end.EndedAt = c.now
-	c.reconciler.agents.NoteEnd(c.heartbeat.Host, c.worker, key, end)
+	c.reconciler.agents.NoteEnd(c.heartbeat.Host, c.worker, placementKey, end)
 	c.reconciler.wake.Notify()
 }
 
-// removeUnwanted clears or stops what was reported and is not committed.
-func (c *comparison) removeUnwanted() {
+// removeUndesired clears or stops reported attempts that are not committed for the machine.
+func (c *comparison) removeUndesired() {
 	for attempt, reported := range c.reported {
 		if c.desired[attempt] {
 			continue
@@ -223,42 +225,44 @@
 		command := attempt.Command(api.Clear)
 		if reported.Phase != api.TaskEnded {
 			command = attempt.Command(api.Stop)
-			command.GraceS = new(float64) // at once: nobody waits for what it could save
+			command.GraceS = new(float64) // at once: no job uses what the attempt could save
 		}
 		c.commands = append(c.commands, command)
 	}
 }
 
-// launchDesired launches what is committed and not there yet. Launches come last, and only those
-// whose room is there: a task that takes another's room waits for one that saves.
-func (c *comparison) launchDesired() {
-	slices.SortFunc(c.launches, func(a, b committedTask) int { return cmp.Compare(a.key, b.key) })
+// launchTasks launches committed tasks that are not on the machine yet. Launches are the last
+// commands, and only tasks that fit the free capacity are launched: a task that replaces another
+// one waits until that has finished saving.
+func (c *comparison) launchTasks() {
+	slices.SortFunc(c.launches, func(a, b committedTask) int { return cmp.Compare(a.placementKey, b.placementKey) })
 	for _, task := range c.launches {
-		pending := c.worker.PendingLaunches[task.key]
+		pending := c.worker.PendingLaunches[task.placementKey]
 		if pending.Attempt != task.attempt.Attempt {
 			pending = agent.PendingLaunch{Attempt: task.attempt.Attempt}
 		}
 		if c.capacityKnown && !c.free.Fits(task.resources()) {
-			c.noteBlocked(task, pending)
+			c.recordBlockedLaunch(task, pending)
 			continue
 		}
 		c.free = c.free.Sub(task.resources())
 		pending.Answers++
 		pending.Blocked = 0
-		c.worker.PendingLaunches[task.key] = pending
+		c.worker.PendingLaunches[task.placementKey] = pending
 		c.commands = append(c.commands, task.attempt.Command(api.Launch))
 	}
 }
 
-// noteBlocked counts that a launch had no room. A peer may have taken the room of a task that had
-// completed, whose end was not committed yet, when its room was another's already.
-func (c *comparison) noteBlocked(task committedTask, pending agent.PendingLaunch) {
+// recordBlockedLaunch counts a launch that did not fit the free capacity, and ends the attempt
+// after several in a row. This happens when a peer claims the capacity of a completed task whose
+// end is not committed yet, after that capacity was assigned to another task.
+func (c *comparison) recordBlockedLaunch(task committedTask, pending agent.PendingLaunch) {
 	pending.Blocked++
-	if c.stopping {
+	if c.tasksStopping {
 		pending.Blocked = 0
 	}
-	c.worker.PendingLaunches[task.key] = pending
+	c.worker.PendingLaunches[task.placementKey] = pending
 	if pending.Blocked >= agent.MaxUnheardAnswers {
-		c.endAttempt(task.key, agent.EndedAttempt{Attempt: task.attempt.Attempt, Reason: job.ExitRefused})
+		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: task.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -13,15 +13,15 @@
 
 const statusOK = 200
 
-// AnswerHeartbeat answers a heartbeat that was read. It redirects a worker whose shard another
-// controller leads, and answers that it is busy where no answer could be relied on.
+// AnswerHeartbeat answers a parsed heartbeat. It redirects the worker if another controller leads
+// the machine's shard, and answers busy if the worker could not rely on a response.
 func (r *Reconciler) AnswerHeartbeat(heartbeat *api.Heartbeat, now time.Time) transport.Response {
 	if !r.cache.Loaded {
 		return respond.Busy
 	}
 	machine := r.cache.Machines[heartbeat.Host]
 	if machine == nil {
-		r.noteUnregistered(heartbeat)
+		r.queueRegistration(heartbeat)
 		return respond.Busy
 	}
 	leadership := r.leadership.InForce(machine.Shard)
@@ -30,14 +30,14 @@
 	}
 	worker := r.agents.Ensure(heartbeat.Host, leadership)
 	if worker.IsStale(heartbeat, now, agent.HeartbeatTimeout) {
-		return respond.Busy // nobody waits for it, and it says nothing about now
+		return respond.Busy // the sender no longer waits for it, and it does not show the worker's present state
 	}
 	if shard.TokenTerm(heartbeat.Token) > leadership.Term {
-		r.noteHigherTerm(heartbeat, leadership)
+		r.handleHigherTerm(heartbeat, leadership)
 		return respond.Misdirected("")
 	}
 	if machine.Addr != heartbeat.Addr && heartbeat.Addr != "" {
-		r.cache.NoteAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before it was known
+		r.cache.NoteAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before the address was known
 	}
 	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
@@ -52,10 +52,10 @@
 	return respond.JSON(statusOK, api.CommandBatch{Token: worker.Token(), Commands: commands})
 }
 
-// noteUnregistered notes the machine of a heartbeat that has no record, if the cloud lists it: a
-// copy of a heartbeat may come long after its machine was terminated, and nobody else remembers
-// that it was there.
-func (r *Reconciler) noteUnregistered(heartbeat *api.Heartbeat) {
+// queueRegistration queues the registration of a machine without a record if the cloud lists it.
+// Otherwise the heartbeat may be a copy that arrives long after the machine was terminated, when
+// its record is gone.
+func (r *Reconciler) queueRegistration(heartbeat *api.Heartbeat) {
 	if !r.agents.Listing().Has(heartbeat.Host) {
 		return
 	}
@@ -64,10 +64,11 @@
 	})
 }
 
-// noteHigherTerm notes that a worker has seen a token above ours, so that it drops what we say. If
-// the term's record knows that term, another has acquired the shard since or tried to, and the
-// shard needs a new term.
-func (r *Reconciler) noteHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
+// handleHigherTerm handles a heartbeat with a token of a higher term than that of the leadership,
+// which means that the worker ignores responses under this leadership. If the recorded term is at
+// least as high as the token's, another controller has acquired the shard since or tried to, and
+// the shard is to be acquired again under a new term.
+func (r *Reconciler) handleHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
 	if shard.TokenTerm(heartbeat.Token) <= r.cache.Term {
 		leadership.RequestNewTerm()
 	}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -11,8 +11,8 @@
 	"violetturn/internal/zonestate"
 )
 
-// Reconciler compares what workers report with what is committed for them. It has no state of its
-// own: what it learns goes to the agents.
+// Reconciler compares the tasks that workers report with the tasks that are committed for their
+// machines. It has no state of its own: it stores observations in the agent registry.
 type Reconciler struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -24,7 +24,7 @@
 	wake       notify.Signal
 }
 
-// Deps is what a Reconciler rests on.
+// Deps are the dependencies of a Reconciler.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -36,7 +36,7 @@
 	Wake       notify.Signal
 }
 
-// New makes a reconciler.
+// New returns a Reconciler with the given dependencies.
 func New(deps Deps) *Reconciler {
 	return &Reconciler{
 		node: deps.Node, cache: deps.Cache, leadership: deps.Leadership, catalog: deps.Catalog, agents: deps.Agents,
