--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -6,39 +6,39 @@
 	"violetturn/internal/statecache"
 )
 
-// backoffTable spaces out the attempts of jobs whose tasks fail, by job. A job without failures
-// has no entry. The lock of internal/state guards it.
+// backoffTable holds the backoff of jobs whose tasks fail, by job. A job without failures has no
+// entry. The lock of internal/state guards it.
 type backoffTable map[string]backoff
 
-// backoff is how often a job's tasks had failed when it was last looked at, and when it is
-// tried again.
+// backoff is the number of failures of a job's tasks at the last check, and the time of the next
+// attempt.
 type backoff struct {
 	failures int
 	retryAt  time.Time
 }
 
-// maxBackoffDoublings bounds how often the pause before the next attempt is doubled.
+// maxBackoffDoublings bounds how often the delay before the next attempt is doubled.
 const maxBackoffDoublings = 10
 
-// isWaiting reports whether a job with so many failures waits before its next attempt. Each new
-// failure doubles the pause, which begins with the first argument and is bounded by the longest.
-func (t backoffTable) isWaiting(uid string, failures int, now time.Time, first, longest time.Duration) bool {
+// isWaiting reports whether a job with this number of failures waits before its next attempt. The
+// delay starts at initialDelay, doubles with each failure and is at most maxDelay.
+func (t backoffTable) isWaiting(uid string, failures int, now time.Time, initialDelay, maxDelay time.Duration) bool {
 	if failures == 0 {
 		delete(t, uid)
 		return false
 	}
 	entry := t[uid]
 	if failures > entry.failures {
-		pause := first << min(failures-1, maxBackoffDoublings)
-		entry.retryAt = now.Add(min(pause, longest))
+		delay := initialDelay << min(failures-1, maxBackoffDoublings)
+		entry.retryAt = now.Add(min(delay, maxDelay))
 	}
 	entry.failures = failures
 	t[uid] = entry
 	return now.Before(entry.retryAt)
 }
 
-// dropExcept drops the entries of jobs that are not to be kept.
-func (t backoffTable) dropExcept(keep func(uid string) bool) {
+// removeExcept removes all entries but those of the jobs to keep.
+func (t backoffTable) removeExcept(keep func(uid string) bool) {
 	for uid := range t {
 		if !keep(uid) {
 			delete(t, uid)
@@ -46,22 +46,22 @@
 	}
 }
 
-// isBackingOff reports whether a job whose tasks failed waits before its next attempt: ever
-// longer, so that a job that fails everywhere does no harm, and at most for a worker's lease,
-// so that it does not count as starved.
+// isBackingOff reports whether a job whose tasks failed waits before its next attempt. The delay
+// grows, so that a job that fails everywhere does no harm, but only up to a worker's lease, so
+// that the job does not count as starving.
 func (s *Scheduler) isBackingOff(entry *queueEntry, now time.Time) bool {
 	settings := s.node.Settings
 	return s.backoffs.isWaiting(entry.uid, failuresOf(entry.job), now, settings.HeartbeatInterval(), settings.WorkerLease())
 }
 
-// failuresOf counts the failures of a job's tasks that its records show.
+// failuresOf returns the number of failures in the records of a job.
 func failuresOf(job *statecache.Job) int {
 	failures := 0
 	for _, taskRange := range job.Ranges {
 		failures += taskRange.Record.Errors
 	}
 	if gang := job.Record.Gang; gang != nil {
-		// One attempt may fail by chance, and the next begins at once.
+		// A single attempt may fail by chance, so the first failure causes no delay.
 		failures += max(gang.ErrorStreak, gang.FailureStreak-1)
 	}
 	return failures
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -8,9 +8,9 @@
 	"violetturn/internal/statecache"
 )
 
-// A job whose tasks fail is tried again within a lease, however often they did:
-// it must not wait so long that it counts as starved.
-func TestBackOffIsBounded(t *testing.T) {
+// The delay before the next attempt never exceeds a worker's lease, however many failures a job
+// has: a longer wait would let the job count as starving.
+func TestBackoffNeverExceedsWorkerLease(t *testing.T) {
 	info := testNode(t)
 	s := New(Deps{Node: info})
 	now := time.Unix(1_800_000_000, 0)
@@ -21,39 +21,40 @@
 			Record: &job.TaskRange{Errors: failures, Placements: map[int]*job.Placement{}},
 		}
 		if !s.isBackingOff(&queueEntry{job: j, uid: uid}, now) {
-			t.Fatalf("does not wait after %d failures", failures)
+			t.Fatalf("job is not backing off after %d failures, want it to wait", failures)
 		}
 		if wait := s.backoffs[uid].retryAt.Sub(now); wait > info.Settings.WorkerLease() || wait <= 0 {
-			t.Fatalf("waits %v after %d failures", wait, failures)
+			t.Fatalf("delay after %d failures is %v, want above 0 and at most %v", failures, wait, info.Settings.WorkerLease())
 		}
 	}
 }
 
-// The pause doubles with each new failure, passes, and is forgotten once a job has no failures.
-func TestBackoffTable(t *testing.T) {
+// The delay doubles with each new failure up to the maximum and then expires. The entry is removed
+// once a job has no failures or no longer exists.
+func TestBackoffTableDoublesDelayAndRemovesEntries(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	const first, longest = time.Second, 9 * time.Second
+	const initialDelay, maxDelay = time.Second, 9 * time.Second
 	table := backoffTable{}
-	for i, want := range []time.Duration{first, 2 * first, 4 * first, 8 * first, longest, longest} {
+	for i, want := range []time.Duration{initialDelay, 2 * initialDelay, 4 * initialDelay, 8 * initialDelay, maxDelay, maxDelay} {
 		failures := i + 1
-		if !table.isWaiting("a", failures, now, first, longest) {
-			t.Errorf("%d failures: does not wait", failures)
+		if !table.isWaiting("a", failures, now, initialDelay, maxDelay) {
+			t.Errorf("%d failures: job does not wait before its next attempt", failures)
 		}
 		if got := table["a"].retryAt.Sub(now); got != want {
-			t.Errorf("%d failures: waits %v, not %v", failures, got, want)
+			t.Errorf("%d failures: delay is %v, want %v", failures, got, want)
 		}
 		later := now.Add(want)
-		if table.isWaiting("a", failures, later, first, longest) {
-			t.Errorf("%d failures: still waits after %v", failures, want)
+		if table.isWaiting("a", failures, later, initialDelay, maxDelay) {
+			t.Errorf("%d failures: job still waits after its delay of %v", failures, want)
 		}
 	}
-	if table.isWaiting("a", 0, now, first, longest) || len(table) != 0 {
-		t.Errorf("a job without failures waits or is remembered: %v", table)
+	if table.isWaiting("a", 0, now, initialDelay, maxDelay) || len(table) != 0 {
+		t.Errorf("job without failures waits or has an entry: table is %v, want it empty", table)
 	}
-	table.isWaiting("a", 1, now, first, longest)
-	table.isWaiting("b", 1, now, first, longest)
-	table.dropExcept(func(uid string) bool { return uid == "b" })
-	if _, kept := table["b"]; !kept || len(table) != 1 {
-		t.Errorf("not only the job that is kept is remembered: %v", table)
+	table.isWaiting("a", 1, now, initialDelay, maxDelay)
+	table.isWaiting("b", 1, now, initialDelay, maxDelay)
+	table.removeExcept(func(uid string) bool { return uid == "b" })
+	if _, exists := table["b"]; !exists || len(table) != 1 {
+		t.Errorf("table after removeExcept is %v, want only job b", table)
 	}
 }
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,18 +1,19 @@
-// Package scheduler decides which task runs on which machine, after the paper's design of
-// shards that every controller sees: the order of the jobs, the fullest fit within the own
-// shard first and then on machines of peers' shards, whose room is claimed by compare-and-swap
-// of their capacity records, gangs (the paper's Algorithm 2), preemption, and what lacks room
-// after all that. docs/design.md names what differs from the paper and why.
+// Package scheduler decides which task runs on which machine. As in the paper, every controller
+// reads the state of all shards. A plan orders the jobs and places tasks on the machine with the
+// tightest fit, first in the job's own shard and then on machines of peers' shards, whose capacity
+// is claimed by compare-and-swap of their capacity records. It also assigns gangs (the paper's
+// Algorithm 2), selects tasks to preempt, and lists the demand that is still unmet after all that.
+// docs/design.md lists the differences from the paper and the reasons.
 //
-// A plan is a function of the state at one moment and of the source of randomness; nothing is
-// committed here. The transactions that this package prepares look at each placement again,
-// because a plan may be older than the state, and internal/decisions commits them.
+// A plan depends only on the state at one moment and the source of randomness, and commits
+// nothing. A plan may be older than the state, so the transactions that this package prepares
+// check each placement again; internal/decisions commits them.
 //
 // Invariants:
-//   - a transaction requires this controller's leadership of the shard of each job that it
-//     places, and the version of each capacity record that it claims room of;
-//   - a gang's tasks are launched only by the write that gives the last of them its machine;
-//   - nothing is stopped for a job that would still lack room afterwards.
+//   - a transaction requires that this controller leads the shard of each job that it places, and
+//     requires the version of each capacity record in which it claims capacity;
+//   - a gang's tasks are launched only by the write that places the last of them;
+//   - no task is preempted for a job that would still lack capacity afterwards.
 //
 // The lock of internal/state guards all of it.
 package scheduler
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -10,12 +10,13 @@
 	"violetturn/internal/statecache"
 )
 
-// GangClaimChanges is how many changes a gang's claim makes as a rule: its main record and
-// the shards' that it is on. As many are left to gangs while there are any.
+// GangClaimChanges is the usual number of changes in a gang's claim: its main record and the
+// capacity records of the shards that it is placed in. Other decisions leave this many changes to
+// gangs while there are any.
 const GangClaimChanges = 3
 
-// WritesReservedForGangs returns how many changes other decisions leave for gangs: some if a
-// gang came lately.
+// WritesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
+// arrived lately, otherwise none.
 func (s *Scheduler) WritesReservedForGangs(now time.Time) float64 {
 	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
@@ -23,7 +24,7 @@
 	return 0
 }
 
-// GangClaim is room for all tasks of a gang that lack some.
+// GangClaim is the placements of all tasks of a gang that have none yet.
 type GangClaim struct {
 	UID        string
 	Placements []capacity.Placement
@@ -38,27 +39,27 @@
 	claims       *capacity.Claims
 	zones        *zoneConstraint
 	placedBefore int
-	attempt      uint64 // of all tasks placed by it
+	attempt      uint64 // of all tasks that this transaction places
 	placed       []PlacementLog
 }
 
-// GangTransaction claims room for a gang: all that fits one transaction. If then all of its
-// tasks have a placement the same write lets the workers start them, otherwise the room is
-// only claimed. It returns no transaction when the room is no longer there: the gang is then
-// planned anew.
+// GangTransaction claims capacity for as many tasks of a gang as fit into one transaction. If all
+// tasks of the gang have a placement then, the same write lets the workers start them; otherwise
+// the capacity is only claimed. It returns no transaction if the capacity is no longer available;
+// the gang is then planned again.
 func (s *Scheduler) GangTransaction(claim *GangClaim, now time.Time) PlacementResult {
-	j := s.cache.Jobs[claim.UID]
-	if j == nil || !j.Record.Gang.AcceptsPlacements() && j.CountPlaced() > 0 {
+	gangJob := s.cache.Jobs[claim.UID]
+	if gangJob == nil || !gangJob.Record.Gang.AcceptsPlacements() && gangJob.CountPlaced() > 0 {
 		return PlacementResult{}
 	}
 	t := &gangTransaction{
 		scheduler:    s,
 		now:          now,
-		job:          j,
+		job:          gangJob,
 		editor:       s.schema.NewRecordEditor(),
 		claims:       s.accounts.NewClaims(),
-		zones:        s.zoneConstraintOf(j, s.zones.Admission(now)),
-		placedBefore: j.CountPlaced(),
+		zones:        s.zoneConstraintOf(gangJob, s.zones.Admission(now)),
+		placedBefore: gangJob.CountPlaced(),
 	}
 	t.editor.MaxChanges = s.schema.TransactionLimits().TxnOps
 	var remaining []capacity.Placement
@@ -75,7 +76,7 @@
 	return t.finish(remaining)
 }
 
-// add claims room for one task. All or nothing: one that is refused refuses the whole claim.
+// add claims capacity for one task. A task that is refused refuses the whole claim.
 func (t *gangTransaction) add(placement capacity.Placement) placementOutcome {
 	pending := t.claims.Check(placement, t.now)
 	if pending == nil || !t.zones.allows(placement.RangeIndex, placement.Host.Zone) {
@@ -95,29 +96,30 @@
 	if t.job.Record.Spec.Together && record.Zone == "" {
 		record.Zone = placement.Host.Zone
 	}
-	if t.hasEndedThere(placement) {
+	if t.hasAttemptEnded(placement) {
 		return placementRefused
 	}
 	taskRange.PlaceAttempt(placement.Index, placement.Host.Name, t.attempt, secondsSinceAccepted(t.job, t.now))
-	t.zones.add(placement.RangeIndex, placement.Host.Zone)
+	t.zones.addTask(placement.RangeIndex, placement.Host.Zone)
 	t.placed = append(t.placed, newPlacementLog(t.job, &placement, t.attempt))
 	return placementAdded
 }
 
-// beginAttempt sets the attempt that the placements belong to; a new one is bound to no zone.
+// beginAttempt sets the attempt that the placements belong to. A new attempt is not bound to a
+// zone.
 func (t *gangTransaction) beginAttempt(record *job.Record) {
 	if record.Gang == nil {
 		record.Gang = &job.Gang{}
 	}
-	before := record.Gang.Attempt
+	previousAttempt := record.Gang.Attempt
 	t.attempt = record.Gang.BeginAttempt(t.placedBefore)
-	if t.attempt != before {
+	if t.attempt != previousAttempt {
 		record.Zone = ""
 	}
 }
 
-// hasEndedThere reports whether this attempt of the task has ended on the machine already.
-func (t *gangTransaction) hasEndedThere(placement capacity.Placement) bool {
+// hasAttemptEnded reports whether this attempt of the task has already ended on the machine.
+func (t *gangTransaction) hasAttemptEnded(placement capacity.Placement) bool {
 	worker := t.scheduler.agents.Agent(placement.Host.Name)
 	if worker == nil {
 		return false
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -8,63 +8,62 @@
 	"violetturn/internal/sched"
 )
 
-// roomOutlook is how a gang can get its room in a zone, the best first. Only the zone that is
-// chosen is rented and preempted in, so one that just happens to have most room free, but
-// can have no more, must not be.
-type roomOutlook int
+// capacitySource is how a gang can get its capacity in a zone; lower values are better. Machines
+// are rented and tasks preempted only in the chosen zone. A zone must therefore not be chosen just
+// because it has the most free capacity if it can't provide the rest.
+type capacitySource int
 
 const (
-	roomAvailable    roomOutlook = iota
-	roomComing                   // with what is being left, and machines that boot
-	roomByPreemption             // with what lower priorities have
-	roomByRental                 // with machines that can be rented
-	roomNowhere                  // not as things stand
+	capacityFree         capacitySource = iota
+	capacityExpected                    // sufficient once tasks have stopped and machines have booted
+	capacityByPreemption                // sufficient with the capacity of tasks of lower priorities
+	capacityByRental                    // machines can be rented
+	capacityUnavailable                 // none of these at present
 )
 
-// gangAssignment is which machines a gang's tasks would go to in a zone.
+// gangAssignment is the machines that a gang's tasks would be placed on in a zone.
 type gangAssignment struct {
-	hosts   []*sched.Host // by task; nil: none was found
-	zone    string        // of a gang whose tasks go together; "": any
-	outlook roomOutlook
+	hosts  []*sched.Host // by task; nil: the task does not fit
+	zone   string        // of a gang whose tasks go to one zone; "": any
+	source capacitySource
 }
 
 // startsSooner reports whether the gang would start sooner with this assignment than with the
-// other one: the better outlook, then fewer tasks without room, then the start that waits least
-// for images and workers, then fewer shards.
+// other one. It compares the capacity source, then the number of tasks without a machine, then the
+// delay of the start by images and workers, then the number of shards.
 func (a *gangAssignment) startsSooner(other *gangAssignment, request *sched.TaskRequest) bool {
 	if other.hosts == nil {
 		return true
 	}
-	if a.outlook != other.outlook {
-		return a.outlook < other.outlook
+	if a.source != other.source {
+		return a.source < other.source
 	}
-	if own, theirs := sched.CountUnassigned(a.hosts), sched.CountUnassigned(other.hosts); own != theirs {
-		return own < theirs
+	if count, otherCount := sched.CountUnassigned(a.hosts), sched.CountUnassigned(other.hosts); count != otherCount {
+		return count < otherCount
 	}
-	if own, theirs := sched.StartDelay(a.hosts, request), sched.StartDelay(other.hosts, request); own != theirs {
-		return own < theirs
+	if delay, otherDelay := sched.StartDelay(a.hosts, request), sched.StartDelay(other.hosts, request); delay != otherDelay {
+		return delay < otherDelay
 	}
 	return sched.CountShards(a.hosts) < sched.CountShards(other.hosts)
 }
 
-// gangSearch looks in one plan for machines for all of a gang's tasks that have none: all or
-// nothing.
+// gangSearch finds, within one plan, machines for all unplaced tasks of a gang, all or nothing.
 type gangSearch struct {
-	planner  *planner
-	job      *waitingJob
-	byShard  [][]*sched.Host // machines with room: of the gang's own shard, then of its peers'
-	flat     []*sched.Host   // the same in one list
-	best     gangAssignment
-	expected bool // in some zone the room that is free or coming is enough
-	reserved bool // the machines found are kept from others though they may not be all
+	planner          *planner
+	job              *waitingJob
+	hostsByShard     [][]*sched.Host // machines with free capacity: of the job's shard, then of the others
+	allHosts         []*sched.Host   // the same machines in one list
+	best             gangAssignment
+	expectedSuffices bool // in some zone the free and expected capacity suffices
+	reserved         bool // capacity of the machines found is held back from other jobs
 }
 
-// searchGangRoom looks for room for all of a gang's tasks that have none, in the zone where they
-// start soonest. What is found for a gang that can't be complete is kept from others
-// only when the room that is coming completes it.
-func (p *planner) searchGangRoom(job *waitingJob) *gangSearch {
-	byShard := p.hostsInOrder(job.entry.job.Record.Shard)
-	search := &gangSearch{planner: p, job: job, byShard: byShard, flat: slices.Concat(byShard...)}
+// searchGangCapacity finds machines for all unplaced tasks of a gang, in the zone where they start
+// soonest. The machines found for a gang that does not fit are held back from other jobs only if
+// the expected capacity completes it.
+func (p *planner) searchGangCapacity(job *waitingJob) *gangSearch {
+	byShard := p.hostsInSearchOrder(job.entry.job.Record.Shard)
+	search := &gangSearch{planner: p, job: job, hostsByShard: byShard, allHosts: slices.Concat(byShard...)}
 	zones := p.candidateZones(job)
 	for _, zone := range zones {
 		search.searchZone(zone, len(zones) > 1)
@@ -73,29 +72,31 @@
 	return search
 }
 
-// hostsInOrder returns the machines with room by shard: the own shard's first, then the peers'
-// in random order, so that controllers that look at the same time seldom claim the same.
-func (p *planner) hostsInOrder(own string) [][]*sched.Host {
-	hosts := p.placing.hostsByShard
+// hostsInSearchOrder returns the machines with free capacity by shard: those of the job's shard
+// first, then the other shards in random order, so that controllers that search at the same time
+// seldom claim the same machines.
+func (p *planner) hostsInSearchOrder(ownShard string) [][]*sched.Host {
+	available := p.placement.hostsByShard
 	var peers []string
-	for _, name := range slices.Sorted(maps.Keys(hosts)) {
-		if name != own {
+	for _, name := range slices.Sorted(maps.Keys(available)) {
+		if name != ownShard {
 			peers = append(peers, name)
 		}
 	}
 	p.scheduler.node.Random.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
-	ordered := [][]*sched.Host{hosts[own]}
+	hostsByShard := [][]*sched.Host{available[ownShard]}
 	for _, name := range peers {
-		ordered = append(ordered, hosts[name])
+		hostsByShard = append(hostsByShard, available[name])
 	}
-	return ordered
+	return hostsByShard
 }
 
-// candidateZones lists the zones that a gang whose tasks go together may choose from, this
-// controller's first. A gang that is bound to a zone, or that may go anywhere, has one choice.
+// candidateZones lists the zones that a gang whose tasks go to one zone may choose from, this
+// controller's first. A gang that is bound to a zone, or whose tasks may go anywhere, has no
+// choice: its only entry is "".
 func (p *planner) candidateZones(job *waitingJob) []string {
 	spec := &job.entry.job.Record.Spec
-	if !spec.Together || job.zones.zone != "" || spec.Zone != "" {
+	if !spec.Together || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
 		return []string{""}
 	}
 	settings := p.scheduler.node.Settings
@@ -108,83 +109,84 @@
 	return zones
 }
 
-// searchZone looks for room in a zone ("": in all), and keeps what it finds if the gang starts
-// sooner there than in those before. A gang that is far too large is not looked at closely.
-func (g *gangSearch) searchZone(zone string, isChoice bool) {
+// searchZone searches a zone ("": all zones), and keeps the assignment found if the gang starts
+// sooner with it than with the best so far. If no capacity is free, or the expected capacity is
+// too small, it assigns no machines.
+func (g *gangSearch) searchZone(zone string, hasAlternatives bool) {
 	request := g.job.request
 	if zone != "" {
 		request.Zone = zone
 	}
 	size := len(g.job.tasks)
-	free := sched.CountFits(g.flat, &request, size)
+	free := sched.CountFits(g.allHosts, &request, size)
 	expected := g.countExpected(&request, free)
 	if expected >= size {
-		g.expected = true
+		g.expectedSuffices = true
 	}
-	outlook := roomByRental
+	source := capacityByRental
 	switch {
 	case free >= size:
-		outlook = roomAvailable
+		source = capacityFree
 	case expected >= size:
-		outlook = roomComing
-	case isChoice:
-		outlook = g.outlookWithout(&request)
+		source = capacityExpected
+	case hasAlternatives:
+		source = g.sourceWhenShort(&request)
 	}
 	if free == 0 || expected < size {
-		g.offer(&gangAssignment{hosts: make([]*sched.Host, size), zone: zone, outlook: outlook})
+		g.consider(&gangAssignment{hosts: make([]*sched.Host, size), zone: zone, source: source})
 		return
 	}
-	// Shard after shard, or all as one: a fetch takes longer than another shard's capacity record
-	// to be changed, and the last task decides when all start.
-	for _, groups := range [][][]*sched.Host{g.byShard, {g.flat}} {
-		hosts := g.assign(groups, &request)
-		g.offer(&gangAssignment{hosts: hosts, zone: zone, outlook: outlook})
+	// Try shard by shard, and all shards as one: a fetch takes longer than the change of another
+	// shard's capacity record, and the last task determines when all start.
+	for _, hostGroups := range [][][]*sched.Host{g.hostsByShard, {g.allHosts}} {
+		hosts := g.assign(hostGroups, &request)
+		g.consider(&gangAssignment{hosts: hosts, zone: zone, source: source})
 		if sched.CountUnassigned(hosts) == 0 && sched.StartDelay(hosts, &request) == 0 {
-			break // as soon as can be
+			break // no assignment starts sooner
 		}
 	}
 }
 
-// countExpected counts the tasks that the room takes which is free, on machines that boot, or
-// about to be left.
+// countExpected counts the tasks, at most all of the gang, that fit on the free capacity, on
+// machines that are booting, and on the capacity of tasks that are stopping.
 func (g *gangSearch) countExpected(request *sched.TaskRequest, free int) int {
 	size := len(g.job.tasks)
-	expected := free + sched.CountFits(g.planner.placing.provisioning, request, size-free)
-	for _, host := range g.flat {
+	expected := free + sched.CountFits(g.planner.placement.provisioning, request, size-free)
+	for _, host := range g.allHosts {
 		if expected < size && request.Allows(host.MachineType, host.Zone, host.Spot) {
-			left := *host
-			left.Free = g.planner.scheduler.room.LoadOf(host.Name).Stopping
-			expected += sched.CountFits([]*sched.Host{&left}, request, size-expected)
+			stopping := *host
+			stopping.Free = g.planner.scheduler.freeCapacity.LoadOf(host.Name).Stopping
+			expected += sched.CountFits([]*sched.Host{&stopping}, request, size-expected)
 		}
 	}
 	return expected
 }
 
-// outlookWithout returns how a gang that lacks room in a zone, even with what is coming, can get
-// it.
-func (g *gangSearch) outlookWithout(request *sched.TaskRequest) roomOutlook {
+// sourceWhenShort returns how a gang can get its capacity in a zone where the expected capacity is
+// too small.
+func (g *gangSearch) sourceWhenShort(request *sched.TaskRequest) capacitySource {
 	s := g.planner.scheduler
 	size := len(g.job.tasks)
-	if sched.CountFits(s.room.WithPreemptibleRoom(g.planner.hosts, g.job.entry.priority), request, size) >= size {
-		return roomByPreemption
+	if sched.CountFits(s.freeCapacity.WithPreemptibleRoom(g.planner.hosts, g.job.entry.priority), request, size) >= size {
+		return capacityByPreemption
 	}
 	for _, offer := range s.catalog.AvailableOffers(g.planner.now) {
 		if request.Allows(offer.MachineType, offer.Zone, offer.Spot) {
-			return roomByRental
+			return capacityByRental
 		}
 	}
-	return roomNowhere
+	return capacityUnavailable
 }
 
-// assign tries to assign all tasks, one group of machines after the other, and leaves the machines
-// as they were.
+// assign tries to assign all tasks, one group of machines after the other, and leaves the
+// machines' free capacity unchanged.
 func (g *gangSearch) assign(groups [][]*sched.Host, request *sched.TaskRequest) []*sched.Host {
-	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zones.admission.Trial())
+	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zoneConstraint.admission.Trial())
 	var tasks []sched.GangTask
 	for _, task := range g.job.tasks {
 		tasks = append(tasks, sched.GangTask{
 			ZoneAllowed: func(zone string) bool { return constraint.allows(task.RangeIndex, zone) },
-			Assigned:    func(zone string) { constraint.add(task.RangeIndex, zone) },
+			Assigned:    func(zone string) { constraint.addTask(task.RangeIndex, zone) },
 		})
 	}
 	hosts := sched.AssignGang(groups, request, tasks)
@@ -192,35 +194,36 @@
 	return hosts
 }
 
-// offer keeps an assignment if the gang starts sooner with it than with the best so far.
-func (g *gangSearch) offer(assignment *gangAssignment) {
+// consider keeps an assignment if the gang starts sooner with it than with the best so far.
+func (g *gangSearch) consider(assignment *gangAssignment) {
 	if assignment.startsSooner(&g.best, &g.job.request) {
 		g.best = *assignment
 	}
 }
 
-// isComplete reports whether all tasks found a machine.
+// isComplete reports whether all tasks have a machine.
 func (g *gangSearch) isComplete() bool { return sched.CountUnassigned(g.best.hosts) == 0 }
 
-// reserve keeps the machines found from others, and has what is missing looked for, and rented,
-// in their zone.
+// reserve holds back the capacity of the machines found from other jobs, if every task has a
+// machine or the expected capacity completes the gang. It binds an incomplete gang to the zone of
+// the best assignment, so that the missing capacity is reclaimed and rented there.
 func (g *gangSearch) reserve() {
 	complete := g.isComplete()
-	g.reserved = complete || g.expected
+	g.reserved = complete || g.expectedSuffices
 	if g.reserved {
 		for i, host := range g.best.hosts {
 			if host != nil {
 				host.Free = host.Free.Sub(g.job.request.Need)
-				g.job.zones.add(g.job.tasks[i].RangeIndex, host.Zone)
+				g.job.zoneConstraint.addTask(g.job.tasks[i].RangeIndex, host.Zone)
 			}
 		}
 	}
-	if g.job.entry.job.Record.Spec.Together && g.job.zones.zone == "" && !complete {
-		g.job.zones.zone = g.best.zone
+	if g.job.entry.job.Record.Spec.Together && g.job.zoneConstraint.boundZone == "" && !complete {
+		g.job.zoneConstraint.boundZone = g.best.zone
 	}
 }
 
-// claim returns the placements of a search that found all.
+// claim returns the placements of a complete search.
 func (g *gangSearch) claim() *GangClaim {
 	claim := &GangClaim{UID: g.job.entry.uid, Placements: make([]capacity.Placement, 0, len(g.best.hosts))}
 	for i, host := range g.best.hosts {
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -6,46 +6,47 @@
 	"violetturn/internal/sched"
 )
 
-// The better outlook decides first, then fewer tasks without room, then the delay of the last
-// start, then the number of shards; nothing found yet is worse than anything.
-func TestStartsSooner(t *testing.T) {
+// Assignments are compared by capacity source, then by tasks without a machine, then by the delay
+// of the last start, then by the number of shards. Any assignment is better than none.
+func TestStartsSoonerComparesSourceTasksDelayAndShards(t *testing.T) {
 	request := &sched.TaskRequest{Image: "i", FetchS: 5}
 	host := func(shard string, delay float64, hasImage bool) *sched.Host {
 		return &sched.Host{Shard: shard, StartDelayS: delay, Images: map[string]bool{"i": hasImage}}
 	}
 	ready, readyElsewhere := host("n0", 0, true), host("n1", 0, true)
 	fetching, starting := host("n0", 0, false), host("n0", 2, true)
-	assignment := func(outlook roomOutlook, hosts ...*sched.Host) *gangAssignment {
-		return &gangAssignment{hosts: hosts, outlook: outlook}
+	assignment := func(outlook capacitySource, hosts ...*sched.Host) *gangAssignment {
+		return &gangAssignment{hosts: hosts, source: outlook}
 	}
 	for name, test := range map[string]struct {
 		sooner, other *gangAssignment
 	}{
-		"anything before nothing":  {assignment(roomNowhere, nil, nil), &gangAssignment{}},
-		"available before coming":  {assignment(roomAvailable, nil, nil), assignment(roomComing, ready, ready)},
-		"preemption before rental": {assignment(roomByPreemption, nil), assignment(roomByRental, ready)},
-		"rental before nowhere":    {assignment(roomByRental, nil), assignment(roomNowhere, ready)},
-		"fewer without room":       {assignment(roomComing, ready, readyElsewhere), assignment(roomComing, ready, nil)},
-		"image there":              {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, fetching)},
-		"worker ready":             {assignment(roomAvailable, ready, readyElsewhere), assignment(roomAvailable, ready, starting)},
-		"fewer shards":             {assignment(roomAvailable, ready, ready), assignment(roomAvailable, ready, readyElsewhere)},
+		"any assignment before none":    {assignment(capacityUnavailable, nil, nil), &gangAssignment{}},
+		"free before expected":          {assignment(capacityFree, nil, nil), assignment(capacityExpected, ready, ready)},
+		"preemption before rental":      {assignment(capacityByPreemption, nil), assignment(capacityByRental, ready)},
+		"rental before unavailable":     {assignment(capacityByRental, nil), assignment(capacityUnavailable, ready)},
+		"fewer tasks without a machine": {assignment(capacityExpected, ready, readyElsewhere), assignment(capacityExpected, ready, nil)},
+		"image present":                 {assignment(capacityFree, ready, readyElsewhere), assignment(capacityFree, ready, fetching)},
+		"worker ready":                  {assignment(capacityFree, ready, readyElsewhere), assignment(capacityFree, ready, starting)},
+		"fewer shards":                  {assignment(capacityFree, ready, ready), assignment(capacityFree, ready, readyElsewhere)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !test.sooner.startsSooner(test.other, request) {
-				t.Error("the first does not start sooner")
+				t.Errorf("startsSooner(%+v, %+v) = false, want true", test.sooner, test.other)
 			}
-			if test.other.hosts != nil && test.other.startsSooner(test.sooner, request) { // nothing is never compared
-				t.Error("the second starts sooner too")
+			// An empty assignment is never compared with another.
+			if test.other.hosts != nil && test.other.startsSooner(test.sooner, request) {
+				t.Errorf("startsSooner(%+v, %+v) = true, want false", test.other, test.sooner)
 			}
 		})
 	}
 }
 
-// Of two equal assignments the first found is kept.
-func TestEqualAssignmentIsNoReasonToChange(t *testing.T) {
+// An equal assignment does not replace the one found first.
+func TestStartsSoonerIsFalseForEqualAssignments(t *testing.T) {
 	host := &sched.Host{Shard: "n0"}
-	a := &gangAssignment{hosts: []*sched.Host{host}, outlook: roomAvailable}
-	if a.startsSooner(&gangAssignment{hosts: []*sched.Host{host}, outlook: roomAvailable}, &sched.TaskRequest{}) {
-		t.Error("starts sooner than itself")
+	a := &gangAssignment{hosts: []*sched.Host{host}, source: capacityFree}
+	if a.startsSooner(&gangAssignment{hosts: []*sched.Host{host}, source: capacityFree}, &sched.TaskRequest{}) {
+		t.Error("startsSooner is true for an equal assignment, want false")
 	}
 }
--- a/internal/scheduler/gang_table.go
+++ b/internal/scheduler/gang_table.go
@@ -6,68 +6,69 @@
 	"violetturn/internal/sched"
 )
 
-// gangTable is what this controller remembers of gangs besides their records. A gang whose
-// claims are to be released has a search too, and loses the mark with its next update. The
-// lock of internal/state guards it.
+// gangTable is the state that this controller keeps for gangs in addition to their records. A gang
+// that is marked for release of its claims has a search state too; its next update clears the
+// mark. The lock of internal/state guards it.
 type gangTable struct {
-	searches  map[string]*gangRetry
-	toRelease map[string]bool // gangs whose claims are to be released
+	searchStates map[string]*gangSearchState
+	toRelease    map[string]bool // gangs whose claims are to be released
 }
 
-// gangRetry is how a gang's search for room goes from plan to plan.
-type gangRetry struct {
-	retry           *sched.GangRetry
-	lookedOutOfTurn time.Time // when room was last looked for out of turn
+// gangSearchState is the state of a gang's search for capacity from one plan to the next.
+type gangSearchState struct {
+	retry               *sched.GangRetry
+	lastImmediateSearch time.Time // when the gang was last planned between regular decisions
 }
 
 func newGangTable() gangTable {
-	return gangTable{searches: map[string]*gangRetry{}, toRelease: map[string]bool{}}
+	return gangTable{searchStates: map[string]*gangSearchState{}, toRelease: map[string]bool{}}
 }
 
-// search returns the state of a gang's search for room, a new one if it has none.
-func (t *gangTable) search(uid string) *gangRetry {
-	search := t.searches[uid]
-	if search == nil {
-		search = &gangRetry{retry: sched.NewGangRetry()}
-		t.searches[uid] = search
+// searchState returns the state of a gang's search for capacity, and adds a new one if it has
+// none.
+func (t *gangTable) searchState(uid string) *gangSearchState {
+	state := t.searchStates[uid]
+	if state == nil {
+		state = &gangSearchState{retry: sched.NewGangRetry()}
+		t.searchStates[uid] = state
 	}
-	return search
+	return state
 }
 
-// consumeRelease reports whether a gang's claims are to be released, and clears the mark.
+// consumeRelease reports whether a gang is marked for release of its claims, and clears the mark.
 func (t *gangTable) consumeRelease(uid string) bool {
 	release := t.toRelease[uid]
 	delete(t.toRelease, uid)
 	return release
 }
 
-// dropExcept drops the entries of gangs that are not to be kept.
-func (t *gangTable) dropExcept(keep func(uid string) bool) {
-	for uid := range t.searches {
+// removeExcept removes all entries but those of the gangs to keep.
+func (t *gangTable) removeExcept(keep func(uid string) bool) {
+	for uid := range t.searchStates {
 		if !keep(uid) {
-			delete(t.searches, uid)
+			delete(t.searchStates, uid)
 			delete(t.toRelease, uid)
 		}
 	}
 }
 
-// HasReleasedClaims reports whether a gang has released its claims and begun its search for
-// room again: it goes before newer ones.
+// HasReleasedClaims reports whether a gang has released its claims and restarted its search for
+// capacity. Such a gang is placed before newer ones.
 func (s *Scheduler) HasReleasedClaims(uid string) bool {
-	search := s.gangs.searches[uid]
-	return search != nil && search.retry.Released
+	state := s.gangs.searchStates[uid]
+	return state != nil && state.retry.Released
 }
 
-// NoteGangClaimed notes that room was claimed for a gang: the misses before no longer count.
-func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.search(uid).retry.Claimed() }
+// NoteGangClaimed records that capacity was claimed for a gang, which resets its count of misses.
+func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.searchState(uid).retry.Claimed() }
 
-// LookOutOfTurn reports whether room for a gang is to be looked for now, between the regular
-// decisions, and notes that it is. It is not so again until the pause is over.
-func (s *Scheduler) LookOutOfTurn(uid string, now time.Time, pause time.Duration) bool {
-	search := s.gangs.search(uid)
-	if now.Sub(search.lookedOutOfTurn) <= pause {
+// LookOutOfTurn reports whether a gang is to be planned now, between regular decisions, and
+// records the time if so. It does so at most once per minInterval for each gang.
+func (s *Scheduler) LookOutOfTurn(uid string, now time.Time, minInterval time.Duration) bool {
+	state := s.gangs.searchState(uid)
+	if now.Sub(state.lastImmediateSearch) <= minInterval {
 		return false
 	}
-	search.lookedOutOfTurn = now
+	state.lastImmediateSearch = now
 	return true
 }
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -12,7 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// EndedGangAttempts returns the ends of gangs' tasks on machines of own shards.
+// EndedGangAttempts returns the ends of gangs' tasks on machines of shards that this controller
+// leads.
 func (s *Scheduler) EndedGangAttempts(now time.Time) map[schema.RangeID][]agent.EndedTask {
 	ends := s.agents.EndedTasks(now)
 	maps.DeleteFunc(ends, func(id schema.RangeID, _ []agent.EndedTask) bool {
@@ -21,28 +22,29 @@
 	return ends
 }
 
-// gangUpdate works out what becomes of a gang.
+// gangUpdate computes the next state of a gang.
 type gangUpdate struct {
 	scheduler *Scheduler
 	editor    *schema.Editor
 	now       time.Time
 	job       *statecache.Job
 	ends      []agent.EndedTask
-	gang      job.Gang // as it will be
-	release   bool     // its claims are released: nothing of them was ever started
+	gang      job.Gang // the state to be written
+	release   bool     // its claims are released; none of their tasks was ever started
 }
 
-// UpdateGang adds to a transaction what is to become of a gang whose tasks ended like this. It
-// reports whether there is anything to write.
+// UpdateGang adds to a transaction the changes of a gang that follow from the ends of its tasks,
+// the gang's phase and a cancellation. It reports whether there is anything to write.
 func (s *Scheduler) UpdateGang(editor *schema.Editor, j *statecache.Job, ends []agent.EndedTask, now time.Time) bool {
 	u := &gangUpdate{scheduler: s, editor: editor, now: now, job: j, ends: ends, gang: *j.Record.Gang}
-	u.noteEnds()
+	u.applyEnds()
 	if u.gang.Done && !j.Record.Gang.Done {
 		s.node.Log.Info("job done", "job", j.Record.Spec.UID)
 		if u.archive() {
 			return true
 		}
-		// From now on it counts as done, though not all of its records can be dropped yet.
+		// The gang counts as done from now on, although not all of its records can be deleted
+		// yet.
 	}
 	u.applyPhase()
 	if len(ends) == 0 && !u.release && u.gang == *j.Record.Gang {
@@ -56,13 +58,13 @@
 	return true
 }
 
-// launchedAt returns when the gang's workers were let start it.
+// launchedAt returns when the workers were allowed to start the gang.
 func (u *gangUpdate) launchedAt() time.Time {
 	return time.UnixMilli(u.job.Record.AcceptedMS).Add(time.Duration(u.gang.LaunchedS) * time.Second)
 }
 
-// isGathering reports whether the workers may still wait for all tasks of the attempt: none
-// was seen running, and it was launched a short time ago.
+// isGathering reports whether the workers may still wait for all tasks of the attempt: none was
+// reported running, and the launch was less than half of the gather timeout ago.
 func (u *gangUpdate) isGathering() bool {
 	s := u.scheduler
 	if s.agents.Gangs().WasSeen(u.job.Record.Spec.UID, u.gang.Attempt) {
@@ -71,37 +73,37 @@
 	return u.now.Sub(u.launchedAt()) < s.node.Settings.GangGatherTimeout()/2
 }
 
-// noteEnds works the ends of tasks into the gang's state.
-func (u *gangUpdate) noteEnds() {
+// applyEnds applies the ends of tasks to the gang's state.
+func (u *gangUpdate) applyEnds() {
 	gathering := u.isGathering()
 	for _, ended := range u.ends {
 		reason := ended.End.Reason
 		if reason == job.ExitDone && u.job.Record.Cancelled {
-			reason = job.ExitLost // its user was told that it is cancelled
+			reason = job.ExitLost // the cancellation has been confirmed to the user
 		}
 		u.gang.TaskEnded(ended.End.Attempt, reason, gathering)
 	}
 }
 
 // archive replaces the records of a gang that is done by its final state, and reports whether it
-// could: all its tasks have to be heard of if they count against a quota.
+// did. If the gang's tasks count against a quota, the ends of all of them must be known first.
 func (u *gangUpdate) archive() bool {
 	record := u.job.Record
-	heardAll := len(u.ends) == u.job.CountPlaced() || !u.scheduler.accounts.CountsAgainstQuota(u.job)
-	if !record.Inline || !heardAll {
+	allEndsKnown := len(u.ends) == u.job.CountPlaced() || !u.scheduler.accounts.CountsAgainstQuota(u.job)
+	if !record.Inline || !allEndsKnown {
 		return false
 	}
 	u.editor.Archive(u.job, job.FinalState{Phase: api.JobDone, Done: record.Spec.Tasks})
 	return true
 }
 
-// applyPhase decides by the gang's recorded phase whether its claims are released, or its tasks
-// stopped.
+// applyPhase decides by the gang's recorded phase whether its claims are released, its tasks
+// stopped or its attempt abandoned.
 func (u *gangUpdate) applyPhase() {
 	s, record := u.scheduler, u.job.Record
 	led := s.leadership.Leads(record.Shard)
 	switch record.Gang.Phase(u.job.CountPlaced()) {
-	case job.GangIdle, job.GangStopping, job.GangEnding, job.GangDone: // nothing but ends
+	case job.GangIdle, job.GangStopping, job.GangEnding, job.GangDone: // nothing to decide; only ends are recorded
 	case job.GangReserving:
 		marked := s.gangs.consumeRelease(record.Spec.UID)
 		u.release = led && (record.Cancelled || marked)
@@ -109,7 +111,9 @@
 		if !record.Cancelled && s.agents.GangInterruptionIsDue(u.job) {
 			u.gang.Stopping = true
 		}
-		// The others wait for a task that was lost before they ran, but not for ever.
+		// The other tasks wait for the replacement of one that was lost before they ran. If the
+		// attempt is still incomplete after three quarters of the gather timeout, it is
+		// abandoned.
 		incomplete := u.job.CountPlaced() < record.Spec.Tasks
 		if led && incomplete && u.now.Sub(u.launchedAt()) > s.node.Settings.GangGatherTimeout()*3/4 {
 			u.gang.Abandon()
@@ -117,8 +121,8 @@
 	}
 }
 
-// releaseClaims removes the placements of a gang that was never launched, as many as the
-// transaction takes; the rest follows in the next round.
+// releaseClaims removes the placements of a gang that was never launched, as many as fit into the
+// transaction; the next round removes the rest.
 func (u *gangUpdate) releaseClaims() {
 	for _, index := range slices.Sorted(maps.Keys(u.job.Ranges)) {
 		if u.isFullFor(index) {
@@ -129,7 +133,7 @@
 	u.scheduler.node.Log.Info("gang claims released", "job", u.job.Record.Spec.UID, "attempt", u.gang.Attempt)
 }
 
-// writeEnds removes the placements of tasks that ended, as many as the transaction takes.
+// writeEnds removes the placements of tasks that ended, as many as fit into the transaction.
 func (u *gangUpdate) writeEnds() {
 	for _, ended := range u.ends {
 		if u.isFullFor(ended.Task.RangeIndex) {
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -10,13 +10,15 @@
 	"violetturn/internal/statecache"
 )
 
-// shardView is where a plan reads the free room of a shard's machines.
+// shardView says where a plan reads the free capacity of a shard's machines.
 type shardView struct {
-	own     bool               // computed from what is placed there
-	offered shard.FreeCapacity // of a peer's shard: what its capacity record offers
+	ledLocally bool               // capacity is computed from the placements
+	offered    shard.FreeCapacity // free capacity in the capacity record of a peer's shard
 }
 
-// shardViews returns the shards whose machines can take tasks.
+// shardViews returns the shards whose machines can take tasks. It leaves out shards without a
+// leader or a capacity record, and those whose record names this controller as the leader although
+// it does not lead them now.
 func (s *Scheduler) shardViews() map[string]shardView {
 	views := map[string]shardView{}
 	for _, name := range s.node.Shards {
@@ -25,7 +27,7 @@
 			continue
 		}
 		if s.leadership.Leads(name) {
-			views[name] = shardView{own: true}
+			views[name] = shardView{ledLocally: true}
 		} else if leader.Node != s.node.Settings.HostName {
 			views[name] = shardView{offered: record.Free}
 		}
@@ -33,13 +35,14 @@
 	return views
 }
 
-// SchedulableHosts lists the machines with their free room, by name: of own shards as computed,
-// of peers' as their capacity records say.
+// SchedulableHosts lists the machines with their free capacity, by name. The capacity of machines
+// in shards that this controller leads is computed; that of the peers' machines comes from their
+// capacity records.
 func (s *Scheduler) SchedulableHosts(now time.Time) []*sched.Host {
 	views := s.shardViews()
 	names := s.cache.MachineNames()
-	hosts := make([]sched.Host, 0, len(names)) // one allocation for all
-	out := make([]*sched.Host, 0, len(names))
+	hostStorage := make([]sched.Host, 0, len(names)) // one allocation for all machines
+	hosts := make([]*sched.Host, 0, len(names))
 	for _, name := range names {
 		machine := s.cache.Machines[name]
 		view, ok := views[machine.Shard]
@@ -47,8 +50,8 @@
 			continue
 		}
 		var free, size sched.Resources
-		if view.own {
-			free, size, ok = s.room.FreeOnMachine(name, now)
+		if view.ledLocally {
+			free, size, ok = s.freeCapacity.FreeOnMachine(name, now)
 		} else {
 			free, ok = view.offered[name]
 			size, _ = s.catalog.MachineCapacity(machine.MachineType)
@@ -56,8 +59,8 @@
 		if !ok {
 			continue
 		}
-		load := s.room.LoadOf(name)
-		hosts = append(hosts, sched.Host{
+		load := s.freeCapacity.LoadOf(name)
+		hostStorage = append(hostStorage, sched.Host{
 			Name:        name,
 			Shard:       machine.Shard,
 			MachineType: machine.MachineType,
@@ -69,15 +72,15 @@
 			Images:      s.cache.Images[name],
 			Services:    load.Services,
 			Arrays:      load.Arrays,
-			StartDelayS: s.room.StartDelay(name, load, now),
+			StartDelayS: s.freeCapacity.StartDelay(name, load, now),
 		})
-		out = append(out, &hosts[len(hosts)-1])
+		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
 	}
-	return out
+	return hosts
 }
 
-// smallestRequest returns the smallest amounts that any waiting task asks for: a machine
-// with less has no room for any.
+// smallestRequest returns the least amount of each resource that any waiting task requests. A
+// machine with less free capacity fits no task.
 func smallestRequest(queue []*queueEntry) sched.Resources {
 	smallest := sched.Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemGB: math.Inf(1)}
 	for _, entry := range queue {
@@ -94,8 +97,8 @@
 	return smallest
 }
 
-// hostsWithRoom returns the machines that have as much room, by shard.
-func hostsWithRoom(hosts []*sched.Host, need sched.Resources) map[string][]*sched.Host {
+// hostsWithCapacity returns the machines where the need fits, by shard.
+func hostsWithCapacity(hosts []*sched.Host, need sched.Resources) map[string][]*sched.Host {
 	byShard := map[string][]*sched.Host{}
 	for _, host := range hosts {
 		if host.Free.Fits(need) {
@@ -105,7 +108,7 @@
 	return byShard
 }
 
-// removeHost removes a machine from a list, which it changes.
+// removeHost removes a machine from a list in place.
 func removeHost(list []*sched.Host, host *sched.Host) []*sched.Host {
 	if i := slices.Index(list, host); i >= 0 {
 		return slices.Delete(list, i, i+1)
@@ -113,9 +116,9 @@
 	return list
 }
 
-// releaseStopping adds to what is free on machines the room that tasks that were told to stop
-// will leave.
-func releaseStopping(hosts []*sched.Host) {
+// addStoppingCapacity adds the capacity of tasks that are stopping to the free capacity of their
+// machines.
+func addStoppingCapacity(hosts []*sched.Host) {
 	for _, host := range hosts {
 		if host.Stopping != (sched.Resources{}) {
 			host.Free = host.Free.Add(host.Stopping)
--- a/internal/scheduler/placement_log.go
+++ b/internal/scheduler/placement_log.go
@@ -9,16 +9,16 @@
 	"violetturn/internal/statecache"
 )
 
-// PlacementLog is what is logged of a task once its placement is committed.
+// PlacementLog is the content of the log line for a committed placement.
 type PlacementLog struct {
 	Task     string
 	Attempt  uint64
 	Host     string
 	Shard    string // of the machine
-	OwnShard bool   // whether the job is of the machine's shard
+	OwnShard bool   // whether the job belongs to the machine's shard
 	Image    string
-	HasImage bool     // whether the machine likely has it
-	Preempts []string // tasks that stop for it
+	HasImage bool     // whether the machine probably has the image
+	Preempts []string // tasks stopped for the placement
 }
 
 // Attrs returns the attributes of the log line.
@@ -52,8 +52,8 @@
 	}
 }
 
-// secondsSinceAccepted returns a time as job records keep it: in seconds after the job was
-// accepted, not before it.
+// secondsSinceAccepted converts a time to the form in job records: seconds since the job was
+// accepted, at least 0.
 func secondsSinceAccepted(job *statecache.Job, now time.Time) int64 {
 	return max(0, (now.UnixMilli()-job.Record.AcceptedMS)/1000)
 }
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -9,25 +9,26 @@
 	"violetturn/internal/statecache"
 )
 
-// PlacementResult is a transaction that commits placements.
+// PlacementResult is a transaction that commits placements, and what remains to be done.
 type PlacementResult struct {
-	Transaction *statecache.Transaction  // nil: there is nothing to commit now
-	Remaining   []capacity.Placement     // those that it has no space for
-	Placed      []PlacementLog           // to be logged once it is committed
-	StopAlone   []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
+	Transaction *statecache.Transaction  // nil: nothing to commit now
+	Remaining   []capacity.Placement     // placements that do not fit into the transaction
+	Placed      []PlacementLog           // to be logged once the transaction is committed
+	StopAlone   []*statecache.PlacedTask // victims to stop first: they do not fit into one transaction with their placement
 }
 
-// placementOutcome is what became of a placement that was to be added to a transaction.
+// placementOutcome is the result of adding a placement to a transaction.
 type placementOutcome int
 
 const (
 	placementAdded    placementOutcome = iota
-	placementRefused                   // the plan was older than the state: planned anew
-	placementTooLarge                  // alone it is more than a transaction takes
+	placementRefused                   // the state has changed since the plan; the task is planned again
+	placementTooLarge                  // it exceeds the limits of a transaction by itself
 	transactionFull
 )
 
-// CanStop reports whether a task is still where it was to be stopped.
+// CanStop reports whether a task can still be stopped: its job is not blocked, and the attempt is
+// still placed and not stopping already.
 func (s *Scheduler) CanStop(job *statecache.Job, task *statecache.PlacedTask) bool {
 	if job == nil || s.schema.IsBlocked(job) {
 		return false
@@ -36,16 +37,16 @@
 	return placement != nil && placement.Attempt == task.Placement.Attempt && !job.MustStop(placement)
 }
 
-// CountJobs counts the jobs that placements change.
+// CountJobs counts the jobs that placements change, those of the victims included.
 func CountJobs(placements []capacity.Placement) int {
-	seen := map[string]bool{}
+	uids := map[string]bool{}
 	for _, placement := range placements {
-		seen[placement.UID] = true
+		uids[placement.UID] = true
 		for _, victim := range placement.Victims {
-			seen[victim.UID] = true
+			uids[victim.UID] = true
 		}
 	}
-	return len(seen)
+	return len(uids)
 }
 
 // placementTransaction collects placements for one transaction.
@@ -55,16 +56,16 @@
 	editor     *schema.Editor
 	claims     *capacity.Claims
 	admission  *recovery.Admission
-	zonesByJob map[string]*zoneConstraint // worked out when first asked for
+	zonesByJob map[string]*zoneConstraint // computed at first use
 	placed     []PlacementLog
 }
 
-// PlacementTransaction commits as many placements as a transaction and the budget take. The
-// plan may be older than the state, so each is looked at again. A placement that
-// takes the room of others goes together with the marks that stop them: the leader's next
-// response stops the ones and starts the other, instead of a round of commits and
-// heartbeats for each.
-func (s *Scheduler) PlacementTransaction(todo []capacity.Placement, budget int, now time.Time) PlacementResult {
+// PlacementTransaction commits as many placements as fit into a transaction and the budget of
+// changes. The plan may be older than the state, so each placement is checked again. A placement
+// with victims is committed together with the marks that stop them: the leader's next response
+// then stops the victims and starts the task, instead of a round of commits and heartbeats for
+// each.
+func (s *Scheduler) PlacementTransaction(placements []capacity.Placement, budget int, now time.Time) PlacementResult {
 	t := &placementTransaction{
 		scheduler:  s,
 		now:        now,
@@ -75,13 +76,13 @@
 	}
 	t.editor.MaxChanges = min(t.editor.MaxChanges, budget)
 	var result PlacementResult
-	for i := range todo {
-		outcome := t.add(&todo[i])
+	for i := range placements {
+		outcome := t.add(&placements[i])
 		if outcome == placementTooLarge {
-			result.StopAlone = append(result.StopAlone, todo[i].Victims...)
+			result.StopAlone = append(result.StopAlone, placements[i].Victims...)
 		}
 		if outcome == transactionFull {
-			result.Remaining = append(result.Remaining, todo[i:]...)
+			result.Remaining = append(result.Remaining, placements[i:]...)
 			break
 		}
 	}
@@ -97,8 +98,8 @@
 	return result
 }
 
-// add adds a placement and the stops of the tasks that leave for it, if all of that still holds
-// and there is space.
+// add adds a placement and the stops of its victims, if they are all still possible and there is
+// space.
 func (t *placementTransaction) add(placement *capacity.Placement) placementOutcome {
 	pending := t.claims.Check(*placement, t.now)
 	if pending == nil || !t.zonesOf(pending.Job()).allows(placement.RangeIndex, placement.Host.Zone) {
@@ -112,7 +113,7 @@
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
 		if !t.scheduler.CanStop(victimJob, victim) {
-			return placementRefused // the room may be free by now
+			return placementRefused // its capacity may be free by now
 		}
 		changes += t.editor.StopCost(victimJob, victim)
 	}
@@ -123,18 +124,18 @@
 		return transactionFull
 	}
 	pending.Apply()
-	line := t.place(job, placement)
+	logEntry := t.place(job, placement)
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
 		t.editor.StopTask(victimJob, victim)
-		line.Preempts = append(line.Preempts, victim.TaskName(victimJob))
+		logEntry.Preempts = append(logEntry.Preempts, victim.TaskName(victimJob))
 	}
-	t.placed = append(t.placed, line)
-	t.zonesOf(job).add(placement.RangeIndex, placement.Host.Zone)
+	t.placed = append(t.placed, logEntry)
+	t.zonesOf(job).addTask(placement.RangeIndex, placement.Host.Zone)
 	return placementAdded
 }
 
-// place puts a placement into the job's records and returns what to log of it.
+// place adds a placement to the job's records and returns its log entry.
 func (t *placementTransaction) place(job *statecache.Job, placement *capacity.Placement) PlacementLog {
 	spec := &job.Record.Spec
 	t.scheduler.leadership.Require(t.editor.Txn, job.Record.Shard)
@@ -147,7 +148,7 @@
 	return newPlacementLog(job, placement, attempt)
 }
 
-// zonesOf returns the constraint of a job's zones, with what the transaction places.
+// zonesOf returns the zone constraint of a job, including the placements of the transaction.
 func (t *placementTransaction) zonesOf(job *statecache.Job) *zoneConstraint {
 	uid := job.Record.Spec.UID
 	constraint := t.zonesByJob[uid]
--- a/internal/scheduler/plan_reuse.go
+++ b/internal/scheduler/plan_reuse.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// lastPlan is the newest plan that a decision made, and when.
-type lastPlan struct {
-	plan   *Plan
-	madeAt time.Time
+// cachedPlan is the newest plan of a decision round and the time when it was made.
+type cachedPlan struct {
+	plan      *Plan
+	createdAt time.Time
 }
 
-// RememberPlan keeps a plan for the next round of rentals.
-func (s *Scheduler) RememberPlan(plan *Plan, at time.Time) {
-	s.lastPlan = lastPlan{plan: plan, madeAt: at}
+// RememberPlan stores a plan for the next round of rentals.
+func (s *Scheduler) RememberPlan(plan *Plan, createdAt time.Time) {
+	s.cachedPlan = cachedPlan{plan: plan, createdAt: createdAt}
 }
 
-// ReusePlan returns a plan that was made since the last round of rentals, or else makes
-// one: a plan is the most expensive computation of a controller, and what a decision found to
-// lack room lacks it for rentals too. Each plan is returned once, because rentals fill its
-// machines.
+// ReusePlan returns the stored plan if it was made within the last autoscaling interval, or else a
+// new one. A plan is the most expensive computation of a controller, and the demand that was unmet
+// for a decision is unmet for rentals too. Each plan is returned once only, because rentals assign
+// tasks to its machines.
 func (s *Scheduler) ReusePlan(now time.Time) *Plan {
-	last := s.lastPlan
-	s.lastPlan = lastPlan{}
-	if last.plan != nil && now.Sub(last.madeAt) <= s.node.Settings.AutoscaleInterval() {
-		return last.plan
+	cached := s.cachedPlan
+	s.cachedPlan = cachedPlan{}
+	if cached.plan != nil && now.Sub(cached.createdAt) <= s.node.Settings.AutoscaleInterval() {
+		return cached.plan
 	}
 	return s.Plan(now)
 }
--- a/internal/scheduler/plan_reuse_test.go
+++ b/internal/scheduler/plan_reuse_test.go
@@ -11,8 +11,8 @@
 	"violetturn/internal/node"
 )
 
-// testNode returns a controller process for tests: workers send a heartbeat a second and have a
-// lease of nine.
+// testNode returns a controller process for tests. Workers send a heartbeat every second and have
+// a lease of nine seconds.
 func testNode(t *testing.T) *node.Info {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
@@ -22,22 +22,22 @@
 	return node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// Rentals reuse the plan that the last decision made, but once only, for they fill its
-// machines, and not one that is older than their own pause.
-func TestPlanIsTakenOnce(t *testing.T) {
+// Rentals reuse the plan of the last decision only once, because they assign tasks to its
+// machines, and not if it is older than the autoscaling interval.
+func TestCachedPlanIsReturnedOnce(t *testing.T) {
 	info := testNode(t)
 	s := New(Deps{Node: info, Catalog: catalog.New(info)})
 	now := time.Unix(1_800_000_000, 0)
 	first := &Plan{}
 	s.RememberPlan(first, now)
 	if s.ReusePlan(now) != first {
-		t.Fatal("the newest plan is not reused")
+		t.Fatal("ReusePlan returned a new plan, want the plan of the last decision")
 	}
 	if s.ReusePlan(now) == first {
-		t.Fatal("reused twice")
+		t.Fatal("ReusePlan returned the same plan twice, want a new plan")
 	}
 	s.RememberPlan(first, now)
 	if s.ReusePlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
-		t.Fatal("reused though it is old")
+		t.Fatal("ReusePlan returned a plan older than the autoscaling interval, want a new plan")
 	}
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -10,28 +10,28 @@
 	"violetturn/internal/statecache"
 )
 
-// Plan is what this controller would do now, seen from one moment of the state.
+// Plan is what this controller would do, computed from the state at one moment.
 type Plan struct {
 	Placements    []capacity.Placement
-	Gangs         []*GangClaim             // room for whole gangs
-	Stops         []*statecache.PlacedTask // tasks that have to leave for gangs
-	Unmet         []sched.UnmetDemand      // what lacks room and is to be rented for
-	AllUnmet      []sched.UnmetDemand      // what found no room at once, peers' jobs included
-	ReservedHosts map[string]bool          // machines with room that waits for the rest of a gang's
-	Remaining     []*sched.Host            // all machines with the room that is left after all that
+	Gangs         []*GangClaim             // claims for all unplaced tasks of a gang each
+	Stops         []*statecache.PlacedTask // tasks to stop for gangs
+	Unmet         []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
+	AllUnmet      []sched.UnmetDemand      // Unmet and the unplaced tasks of peers' jobs
+	ReservedHosts map[string]bool          // machines reserved for gangs that do not have all their capacity yet
+	Remaining     []*sched.Host            // all machines, with the capacity left after the plan
 }
 
-// waitingJob is a job with tasks to place. Its list of tasks shrinks as they find room.
+// waitingJob is a job with tasks to place. Tasks are removed from its list as they are placed.
 type waitingJob struct {
-	entry   *queueEntry
-	request sched.TaskRequest
-	tasks   []statecache.TaskIndex
-	zones   *zoneConstraint
+	entry          *queueEntry
+	request        sched.TaskRequest
+	tasks          []statecache.TaskIndex
+	zoneConstraint *zoneConstraint
 
-	deferred []statecache.TaskIndex // of those that found no room, those that room is not looked for in this plan
+	deferred []statecache.TaskIndex // unplaced tasks for which this plan does not try to reclaim capacity
 
-	options  []*preemptOption // machines where it could take others' room
-	searched bool             // whether options were looked for
+	preemptOptions      []*preemptOption // machines where it could preempt tasks
+	preemptOptionsKnown bool             // whether preemptOptions has been computed
 }
 
 // placementOf returns the placement of a task of the job on a machine.
@@ -39,42 +39,44 @@
 	return capacity.Placement{UID: w.entry.uid, RangeIndex: task.RangeIndex, Index: task.Index, Host: host}
 }
 
-// coldStart is a placement on a machine without the image that misses its start objective.
+// coldStart is a placement on a machine that does not have the image, so that the start misses its
+// objective.
 type coldStart struct {
 	job   *waitingJob
 	index int // in the plan's placements
 }
 
-// planner works out a plan in stages: it selects the waiting jobs, places what there is
-// room for, and looks for room for the rest among what is being left and what may be
-// preempted. What then still lacks room is to be rented for. It lives for one plan.
+// planner computes a plan in stages: it selects the waiting jobs, places tasks on free capacity,
+// and reclaims capacity for the rest: that of tasks that are stopping, and that of tasks that may
+// be preempted. Machines are to be rented for tasks that are unplaced after that. A planner is
+// used for one plan.
 type planner struct {
 	scheduler *Scheduler
 	now       time.Time
 	plan      *Plan
 
-	// From the selection.
-	hosts     []*sched.Host // the machines that can take tasks
+	// Set by selectJobs.
+	hosts     []*sched.Host // machines that can take tasks
 	queue     []*queueEntry
-	smallest  sched.Resources     // the smallest amounts that any waiting task asks for
-	admission *recovery.Admission // to zones that are down or recovering
-	jobs      []*waitingJob       // in the order in which they are served
+	smallest  sched.Resources     // least amount of each resource that any waiting task requests
+	admission *recovery.Admission // limits placement in zones that are down or recovering
+	jobs      []*waitingJob       // in scheduling order
 
-	placing placingStage
+	placement placementStage
 
-	// What the first stage leaves to the second.
+	// Output of the placement stage for the reclaim stage.
 	coldStarts   []coldStart
 	unplaced     []*waitingJob
-	gangSearches map[*waitingJob]*gangSearch // of gangs that lack room
+	gangSearches map[*waitingJob]*gangSearch // of gangs that lack capacity
 
-	seeking seekingStage
+	reclaim reclaimStage
 }
 
-// Plan places what can be placed, chooses what to stop for what can't, and says
-// what then still lacks room.
+// Plan places tasks on free capacity, selects tasks to preempt for those that do not fit, and
+// lists the demand that is still unmet.
 func (s *Scheduler) Plan(now time.Time) *Plan {
-	began := time.Now()
-	defer func() { s.planningTime += time.Since(began) }()
+	start := time.Now()
+	defer func() { s.planningTime += time.Since(start) }()
 	p := &planner{
 		scheduler:    s,
 		now:          now,
@@ -86,41 +88,41 @@
 	}
 	p.selectJobs()
 	p.placeJobs()
-	releaseStopping(p.hosts)
+	addStoppingCapacity(p.hosts)
 	p.plan.Remaining = p.hosts
 	if len(p.unplaced) > 0 || len(p.coldStarts) > 0 {
-		p.seekRoom()
+		p.reclaimCapacity()
 	}
 	return p.plan
 }
 
-// selectJobs lists the jobs with tasks to place, in the order in which they are served.
+// selectJobs lists the jobs with tasks to place, in scheduling order.
 func (p *planner) selectJobs() {
 	s := p.scheduler
 	p.hosts = s.SchedulableHosts(p.now)
 	p.admission = s.zones.Admission(p.now)
 	p.queue = s.queue(p.now)
 	p.smallest = smallestRequest(p.queue)
-	p.placing = p.newPlacingStage()
+	p.placement = p.newPlacementStage()
 	for _, entry := range p.queue {
-		waits := entry.led && s.isBackingOff(entry, p.now)
-		if waits || s.schema.IsBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
+		isBackingOff := entry.ledLocally && s.isBackingOff(entry, p.now)
+		if isBackingOff || s.schema.IsBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
 			continue
 		}
 		p.jobs = append(p.jobs, &waitingJob{
-			entry:   entry,
-			request: p.requestOf(entry.job),
-			zones:   s.zoneConstraintOf(entry.job, p.admission),
-			tasks:   slices.Clone(entry.job.PendingTasks()),
+			entry:          entry,
+			request:        p.requestOf(entry.job),
+			zoneConstraint: s.zoneConstraintOf(entry.job, p.admission),
+			tasks:          slices.Clone(entry.job.PendingTasks()),
 		})
 	}
 }
 
-// fetchMargin is the factor on the time that fetching an image should take: fetches may be a
+// fetchMargin is the factor applied to the estimated time to fetch an image: fetches may be a
 // third slower than the catalog says.
 const fetchMargin = 1.5
 
-// requestOf returns what a task of a job asks of a machine.
+// requestOf returns what a task of a job requests of a machine.
 func (p *planner) requestOf(job *statecache.Job) sched.TaskRequest {
 	s := p.scheduler
 	spec := &job.Record.Spec
--- a/internal/scheduler/planner_placing.go
+++ b/internal/scheduler/planner_placing.go
@@ -10,65 +10,66 @@
 	"violetturn/internal/zonestate"
 )
 
-// placingStage is the working data of the stage that places tasks where there is room.
-type placingStage struct {
-	hostsByShard       map[string][]*sched.Host // those with room for the smallest request
+// placementStage is the working data of the stage that places tasks on free capacity.
+type placementStage struct {
+	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
 	chooser            *sched.Chooser
-	teamUse            map[string]sched.Resources // by limited team, with what the plan adds
-	provisioning       []*sched.Host              // machines on their way; nil before a gang asks
-	productionReserved bool                       // the room for production work that waits is kept
+	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
+	provisioning       []*sched.Host              // machines that are booting; nil until the first gang needs them
+	productionReserved bool                       // whether capacity is reserved for waiting production tasks
 }
 
-// newPlacingStage begins the stage. Only machines with room are looked at, so that the work for
-// each task is bounded by their number.
-func (p *planner) newPlacingStage() placingStage {
+// newPlacementStage initializes the stage. Only machines with free capacity are considered, so
+// that the work for each task is bounded by their number.
+func (p *planner) newPlacementStage() placementStage {
 	s := p.scheduler
-	hostsByShard := hostsWithRoom(p.hosts, p.smallest)
-	stage := placingStage{
+	hostsByShard := hostsWithCapacity(p.hosts, p.smallest)
+	stage := placementStage{
 		hostsByShard: hostsByShard,
 		chooser:      sched.NewChooser(hostsByShard, s.node.Random),
-		teamUse:      map[string]sched.Resources{},
+		teamUsage:    map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
 		if team.Limited() {
-			stage.teamUse[team.Name] = s.accounts.TeamUse(team.Name)
+			stage.teamUsage[team.Name] = s.accounts.TeamUse(team.Name)
 		}
 	}
 	return stage
 }
 
-// exceedsQuota reports whether a team would use more than its limit.
-func exceedsQuota(team config.Team, use sched.Resources) bool {
-	return team.CPUsMax > 0 && use.CPUs > team.CPUsMax+quotaTolerance || team.GPUsMax > 0 && use.GPUs > team.GPUsMax+quotaTolerance
+// exceedsQuota reports whether a usage exceeds the team's limit.
+func exceedsQuota(team config.Team, usage sched.Resources) bool {
+	return team.CPUsMax > 0 && usage.CPUs > team.CPUsMax+quotaTolerance || team.GPUsMax > 0 && usage.GPUs > team.GPUsMax+quotaTolerance
 }
 
 // placeJobs places the jobs, one weight after the other.
 func (p *planner) placeJobs() {
-	for rest := p.jobs; len(rest) > 0; {
-		weight := rest[0].entry.weight
-		end := slices.IndexFunc(rest, func(job *waitingJob) bool { return job.entry.weight != weight })
+	for remaining := p.jobs; len(remaining) > 0; {
+		weight := remaining[0].entry.weight
+		end := slices.IndexFunc(remaining, func(job *waitingJob) bool { return job.entry.weight != weight })
 		if end < 0 {
-			end = len(rest)
+			end = len(remaining)
 		}
-		p.reserveForProduction(rest[:end])
-		p.placeSameWeight(rest[:end])
-		rest = rest[end:]
+		p.reserveForProduction(remaining[:end])
+		p.placeSameWeight(remaining[:end])
+		remaining = remaining[end:]
 	}
 }
 
-// reserveForProduction keeps room in recovering zones for production tasks that wait for lost
-// machines, before the first work below production is placed.
+// reserveForProduction reserves capacity in recovering zones for production tasks that wait for
+// lost machines, before the first job below production is placed.
 func (p *planner) reserveForProduction(jobs []*waitingJob) {
-	below := func(job *waitingJob) bool { return job.entry.priority > zonestate.ProductionPriority }
-	if !p.placing.productionReserved && slices.ContainsFunc(jobs, below) {
-		p.placing.productionReserved = true
+	isBelowProduction := func(job *waitingJob) bool { return job.entry.priority > zonestate.ProductionPriority }
+	if !p.placement.productionReserved && slices.ContainsFunc(jobs, isBelowProduction) {
+		p.placement.productionReserved = true
 		p.admission.Reserve(p.hosts)
 	}
 }
 
-// placeSameWeight places jobs of one weight: gangs first, because what one task takes may keep a
-// whole gang waiting. A machine with room goes first to a job whose image it has: fetches take a
-// good share of the machines' time. A starving job takes what there is.
+// placeSameWeight places jobs of one weight. Gangs come first, because a single task could take
+// the capacity that a whole gang waits for. Then each free machine is offered first to jobs whose
+// image it has, since image fetches take a considerable share of the machines' time. A starving
+// job accepts any machine at once.
 func (p *planner) placeSameWeight(jobs []*waitingJob) {
 	for _, job := range jobs {
 		if job.entry.job.IsGang() {
@@ -82,12 +83,13 @@
 	}
 	for _, job := range jobs {
 		if !job.entry.job.IsGang() {
-			// Once only: what of a limited team lacks room counts as used, so that a
-			// second look would take the limit for reached and rent nothing.
+			// A job gets only one pass over all machines. That pass counts the tasks of a team
+			// with a limit as used even if they are not placed, so a second pass would find the
+			// limit exceeded and no machine would be rented.
 			if !job.entry.starving {
 				p.placeTasks(job, false)
 			}
-			job.deferExcess()
+			job.deferExcessTasks()
 		}
 		if len(job.tasks) > 0 {
 			p.unplaced = append(p.unplaced, job)
@@ -95,58 +97,59 @@
 	}
 }
 
-// placeTasks puts what it can of a job's tasks on machines, only on those with its image or
-// on any, and leaves the rest. Tasks beyond the team's limit lack no room and are dropped.
+// placeTasks places as many of a job's tasks as it can, either only on machines that have its
+// image or on any, and leaves the rest in the job's list. Tasks beyond the team's limit are no
+// unmet demand: the pass over all machines drops them.
 func (p *planner) placeTasks(job *waitingJob, withImageOnly bool) {
 	spec := &job.entry.job.Record.Spec
 	team, _ := p.scheduler.node.Settings.Team(spec.Team)
 	request := job.request
 	request.RequireImage = withImageOnly
-	p.placing.chooser.Begin(job.entry.job.Record.Shard, &request)
-	missed := false
-	missedRanges := map[int]bool{} // task ranges of which one found no room
-	rest := job.tasks[:0]
+	p.placement.chooser.Begin(job.entry.job.Record.Shard, &request)
+	anyUnplaced := false
+	unplacedRanges := map[int]bool{} // task ranges with a task that did not fit
+	remaining := job.tasks[:0]
 	for i, task := range job.tasks {
-		use := p.placing.teamUse[team.Name].Add(request.Need)
-		if exceedsQuota(team, use) {
+		usage := p.placement.teamUsage[team.Name].Add(request.Need)
+		if exceedsQuota(team, usage) {
 			if withImageOnly {
-				rest = append(rest, job.tasks[i:]...)
+				remaining = append(remaining, job.tasks[i:]...)
 			}
 			break
 		}
 		var host *sched.Host
-		if !missedRanges[task.RangeIndex] || !spec.Spread && !missed {
-			host = p.placing.chooser.Next(func(zone string) bool { return job.zones.allows(task.RangeIndex, zone) })
+		if !unplacedRanges[task.RangeIndex] || !spec.Spread && !anyUnplaced {
+			host = p.placement.chooser.Next(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
 		}
 		if host != nil {
-			p.placing.teamUse[team.Name] = use
+			p.placement.teamUsage[team.Name] = usage
 			p.assign(job, task, host)
 			continue
 		}
-		missedRanges[task.RangeIndex], missed = true, true
-		rest = append(rest, task)
+		unplacedRanges[task.RangeIndex], anyUnplaced = true, true
+		remaining = append(remaining, task)
 		if !withImageOnly {
-			p.placing.teamUse[team.Name] = use
+			p.placement.teamUsage[team.Name] = usage
 		}
 	}
-	job.tasks = rest
+	job.tasks = remaining
 }
 
-// assign places a task on a machine with room. A task of a peer's job is placed by its leader;
-// its room is only kept for it.
+// assign places a task on a machine with capacity for it. For a task of a peer's job it only holds
+// the capacity back, since the leader of the job's shard places it.
 func (p *planner) assign(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
 	host.Free = host.Free.Sub(job.request.Need)
 	if !host.Free.Fits(p.smallest) {
-		byShard := p.placing.hostsByShard
+		byShard := p.placement.hostsByShard
 		byShard[host.Shard] = removeHost(byShard[host.Shard], host)
 	}
-	job.zones.add(task.RangeIndex, host.Zone)
+	job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
 	if job.request.Service {
 		host.Services++
 	} else {
 		host.Arrays++
 	}
-	if !job.entry.led {
+	if !job.entry.ledLocally {
 		return
 	}
 	if job.request.PreferImage && !host.Images[job.request.Image] {
@@ -155,25 +158,27 @@
 	p.plan.Placements = append(p.plan.Placements, job.placementOf(task, host))
 }
 
-// placeGang finds machines for all of a gang's tasks, or notes what it found.
+// placeGang finds machines for all unplaced tasks of a gang. If they do not all fit, the search is
+// kept for the reclaim stage. Tasks of a peer's gang are not placed; their capacity is only held
+// back.
 func (p *planner) placeGang(job *waitingJob) {
 	if p.gangExceedsQuota(job) {
-		job.tasks = nil // what is beyond the limit lacks no room
+		job.tasks = nil // tasks beyond the limit are no unmet demand
 		return
 	}
-	if p.placing.provisioning == nil {
-		p.placing.provisioning = p.scheduler.room.ProvisioningHosts(p.now, true)
+	if p.placement.provisioning == nil {
+		p.placement.provisioning = p.scheduler.freeCapacity.ProvisioningHosts(p.now, true)
 	}
-	search := p.searchGangRoom(job)
+	search := p.searchGangCapacity(job)
 	if search.isComplete() {
-		if job.entry.led {
+		if job.entry.ledLocally {
 			p.plan.Gangs = append(p.plan.Gangs, search.claim())
 		}
 		job.tasks = nil
 		return
 	}
-	if job.entry.led {
-		p.noteGangMiss(job)
+	if job.entry.ledLocally {
+		p.recordGangMiss(job)
 	}
 	if search.reserved {
 		for _, host := range search.best.hosts {
@@ -185,26 +190,26 @@
 	p.gangSearches[job] = search
 }
 
-// gangExceedsQuota reports whether all of a gang's tasks together would exceed its team's limit,
-// and counts them as used if not.
+// gangExceedsQuota reports whether the unplaced tasks of a gang together would exceed its team's
+// limit, and counts them as used if not.
 func (p *planner) gangExceedsQuota(job *waitingJob) bool {
 	team, _ := p.scheduler.node.Settings.Team(job.entry.job.Record.Spec.Team)
 	if !team.Limited() {
 		return false
 	}
-	use := p.placing.teamUse[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
-	if exceedsQuota(team, use) {
+	usage := p.placement.teamUsage[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
+	if exceedsQuota(team, usage) {
 		return true
 	}
-	p.placing.teamUse[team.Name] = use
+	p.placement.teamUsage[team.Name] = usage
 	return false
 }
 
-// noteGangMiss notes that a gang found no room for all its tasks. One that has claimed some
-// room releases its claims after too many misses in a row, as in the paper's Algorithm 2.
-func (p *planner) noteGangMiss(waiting *waitingJob) {
-	s, uid := p.scheduler, waiting.entry.uid
-	if waiting.entry.job.GangPhase() == job.GangReserving && s.gangs.search(uid).retry.Missed(p.now) {
+// recordGangMiss records that a gang did not fit. A gang that holds claims releases them after too
+// many misses in a row, as in the paper's Algorithm 2.
+func (p *planner) recordGangMiss(waitingGang *waitingJob) {
+	s, uid := p.scheduler, waitingGang.entry.uid
+	if waitingGang.entry.job.GangPhase() == job.GangReserving && s.gangs.searchState(uid).retry.Missed(p.now) {
 		s.gangs.toRelease[uid] = true
 		s.wake.Notify()
 	}
--- a/internal/scheduler/planner_seeking.go
+++ b/internal/scheduler/planner_seeking.go
@@ -10,69 +10,69 @@
 	"violetturn/internal/statecache"
 )
 
-// seekingStage is the working data of the stage that looks for room for what found none: among
-// what is being left, and among what may be preempted.
-type seekingStage struct {
-	openHosts  []*sched.Host // machines with room when all that is leaving has left
-	ranking    *sched.Ranking
-	preemption *preemption
-	swaps      []capacity.Placement // with the tasks that have to leave for them
+// reclaimStage is the working data of the stage that finds capacity for unplaced tasks: that of
+// tasks that are stopping, and that of tasks that may be preempted.
+type reclaimStage struct {
+	candidateHosts       []*sched.Host // machines with free capacity once all stopping tasks have left
+	ranking              *sched.Ranking
+	preemption           *preemption
+	preemptingPlacements []capacity.Placement // placements with victims
 }
 
-// seekRoom looks for room for what found none, and for better machines for cold starts.
-func (p *planner) seekRoom() {
-	for _, hosts := range hostsWithRoom(p.hosts, p.smallest) {
-		p.seeking.openHosts = append(p.seeking.openHosts, hosts...)
+// reclaimCapacity finds capacity for unplaced tasks, and better machines for cold starts.
+func (p *planner) reclaimCapacity() {
+	for _, hosts := range hostsWithCapacity(p.hosts, p.smallest) {
+		p.reclaim.candidateHosts = append(p.reclaim.candidateHosts, hosts...)
 	}
-	slices.SortFunc(p.seeking.openHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
-	p.seeking.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
-	p.replaceColdStarts()
+	slices.SortFunc(p.reclaim.candidateHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
+	p.reclaim.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
+	p.preemptForColdStarts()
 	for _, job := range p.unplaced {
-		p.seekRoomFor(job)
+		p.reclaimCapacityFor(job)
 	}
-	p.plan.Placements = append(p.plan.Placements, p.seeking.swaps...)
+	p.plan.Placements = append(p.plan.Placements, p.reclaim.preemptingPlacements...)
 }
 
-// preemptOptions returns machines where a job could take others' room.
+// preemptOptions returns the machines where a job could preempt tasks, computed at the first call.
 func (p *planner) preemptOptions(job *waitingJob) []*preemptOption {
-	if !job.searched {
-		job.searched = true
-		job.options = p.seeking.preemption.search(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
+	if !job.preemptOptionsKnown {
+		job.preemptOptionsKnown = true
+		job.preemptOptions = p.reclaim.preemption.search(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
 	}
-	return job.options
+	return job.preemptOptions
 }
 
-// assignOverVictims puts a task of the job on a machine that victims leave.
-func (p *planner) assignOverVictims(job *waitingJob, rangeIndex int, chosen victimChoice) {
-	host := chosen.host
-	for _, victim := range chosen.tasks {
+// assignInPlaceOfVictims assigns a task of the job to the capacity that its victims free.
+func (p *planner) assignInPlaceOfVictims(job *waitingJob, rangeIndex int, choice victimChoice) {
+	host := choice.host
+	for _, victim := range choice.tasks {
 		host.Free = host.Free.Add(statecache.ResourcesOf(&p.scheduler.cache.Jobs[victim.UID].Record.Spec))
 	}
 	host.Free = host.Free.Sub(job.request.Need)
-	job.zones.add(rangeIndex, host.Zone)
+	job.zoneConstraint.addTask(rangeIndex, host.Zone)
 }
 
-// replaceColdStarts has a start that would miss its objective for want of its image rather take
-// the room of others where the image is, if that loses no more than two fetches; they can
-// have the room that was free.
-func (p *planner) replaceColdStarts() {
+// preemptForColdStarts moves each cold start to a machine that has the image and preempts tasks
+// there, if that costs no more than two fetches. The victims can restart on the capacity that was
+// free.
+func (p *planner) preemptForColdStarts() {
 	for _, start := range p.coldStarts {
 		placement := &p.plan.Placements[start.index]
 		request := start.job.request
 		request.RequireImage = true
 		request.ZoneAllowed = func(zone string) bool {
-			return zone == placement.Host.Zone || start.job.zones.allows(placement.RangeIndex, zone)
+			return zone == placement.Host.Zone || start.job.zoneConstraint.allows(placement.RangeIndex, zone)
 		}
-		chosen := p.seeking.preemption.choose(p.preemptOptions(start.job), &request, 2*request.FetchS)
-		if chosen.found() {
-			p.assignOverVictims(start.job, placement.RangeIndex, chosen)
-			placement.Host, placement.Victims = chosen.host, chosen.tasks
+		choice := p.reclaim.preemption.choose(p.preemptOptions(start.job), &request, 2*request.FetchS)
+		if choice.found() {
+			p.assignInPlaceOfVictims(start.job, placement.RangeIndex, choice)
+			placement.Host, placement.Victims = choice.host, choice.tasks
 		}
 	}
 }
 
-// unassignedTasks returns the tasks of a job that room is looked for: of a gang those that have
-// none yet, or all if what was found is not kept.
+// unassignedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks
+// without a machine, or all its unplaced tasks if the machines found are not reserved.
 func (p *planner) unassignedTasks(job *waitingJob) []statecache.TaskIndex {
 	search := p.gangSearches[job]
 	if search == nil {
@@ -87,61 +87,61 @@
 	return tasks
 }
 
-// seekRoomFor looks for room for a job's tasks that were not placed: where others are leaving,
-// or else by preemption. What remains is to be rented for.
-func (p *planner) seekRoomFor(job *waitingJob) {
+// reclaimCapacityFor finds capacity for the unplaced tasks of a job: that of stopping tasks, or
+// else by preemption. The tasks that remain become unmet demand, for which machines are rented.
+func (p *planner) reclaimCapacityFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
-	if !job.entry.led {
-		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxUnmet)})
+	if !job.entry.ledLocally {
+		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
 		return
 	}
 	isGang := p.gangSearches[job] != nil
-	var left []statecache.TaskIndex
-	var stops []*statecache.PlacedTask
-	p.seeking.ranking = sched.NewRanking(p.seeking.ranking, p.seeking.openHosts, &job.request)
+	var unmetTasks []statecache.TaskIndex
+	var victims []*statecache.PlacedTask
+	p.reclaim.ranking = sched.NewRanking(p.reclaim.ranking, p.reclaim.candidateHosts, &job.request)
 	for _, task := range tasks {
-		zoneAllowed := func(zone string) bool { return job.zones.allows(task.RangeIndex, zone) }
-		if host := p.seeking.ranking.Best(zoneAllowed); host != nil {
+		zoneAllowed := func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) }
+		if host := p.reclaim.ranking.Best(zoneAllowed); host != nil {
 			host.Free = host.Free.Sub(job.request.Need)
-			job.zones.add(task.RangeIndex, host.Zone)
+			job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
 			continue
 		}
-		chosen := p.preemptFor(job, zoneAllowed)
-		if !chosen.found() {
-			left = append(left, task)
+		choice := p.preemptFor(job, zoneAllowed)
+		if !choice.found() {
+			unmetTasks = append(unmetTasks, task)
 			continue
 		}
 		if isGang {
-			stops = append(stops, chosen.tasks...)
+			victims = append(victims, choice.tasks...)
 		} else {
-			swap := job.placementOf(task, chosen.host)
-			swap.Victims = chosen.tasks
-			p.seeking.swaps = append(p.seeking.swaps, swap)
+			placement := job.placementOf(task, choice.host)
+			placement.Victims = choice.tasks
+			p.reclaim.preemptingPlacements = append(p.reclaim.preemptingPlacements, placement)
 		}
-		p.assignOverVictims(job, task.RangeIndex, chosen)
-		p.seeking.ranking.Add(chosen.host) // they may leave more than the task takes
+		p.assignInPlaceOfVictims(job, task.RangeIndex, choice)
+		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task takes
 	}
 	p.dropFullHosts()
-	if len(left) == 0 {
-		p.plan.Stops = append(p.plan.Stops, stops...)
+	if len(unmetTasks) == 0 {
+		p.plan.Stops = append(p.plan.Stops, victims...)
 		return
 	}
 	if isGang {
-		left = tasks // nothing is stopped for a gang that would still not be complete
+		unmetTasks = tasks // no task is stopped for a gang that would still be incomplete
 	}
-	left = left[:min(len(left), maxUnmet)]
-	p.noteUnmet(job, append(left[:len(left):len(left)], p.rentable(job)...))
+	unmetTasks = unmetTasks[:min(len(unmetTasks), maxReclaimTasks)]
+	p.recordUnmetDemand(job, append(unmetTasks[:len(unmetTasks):len(unmetTasks)], p.deferredTasksToRentFor(job)...))
 }
 
-// preemptFor chooses the tasks that lose least by stopping for a task of a job.
+// preemptFor selects the tasks that lose the least work when stopped for a task of the job.
 func (p *planner) preemptFor(job *waitingJob, zoneAllowed func(zone string) bool) victimChoice {
 	request := job.request
 	request.ZoneAllowed = zoneAllowed
-	return p.seeking.preemption.choose(p.preemptOptions(job), &request, math.Inf(1))
+	return p.reclaim.preemption.choose(p.preemptOptions(job), &request, math.Inf(1))
 }
 
-// dropFullHosts drops the machines that have no room for any task any more.
+// dropFullHosts removes the machines that no longer have capacity for any task.
 func (p *planner) dropFullHosts() {
-	full := func(host *sched.Host) bool { return !host.Free.Fits(p.smallest) }
-	p.seeking.openHosts = slices.DeleteFunc(p.seeking.openHosts, full)
+	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallest) }
+	p.reclaim.candidateHosts = slices.DeleteFunc(p.reclaim.candidateHosts, isFull)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -10,67 +10,68 @@
 	"violetturn/internal/statecache"
 )
 
-// mayPreempt reports whether a job may take room from another one, which PROTOCOL lets both a
-// higher priority and a guarantee do. Between teams the guarantee decides first: what is
-// within one yields to no priority of another team that is beyond its own. Otherwise the one
-// would take back by its guarantee what the other took by its priority, again and again.
-func mayPreempt(entry *queueEntry, victim *api.Job, victimBeyondGuarantee bool) bool {
+// mayPreempt reports whether a job may preempt tasks of another. PROTOCOL allows this both by a
+// higher priority and by a guarantee. Between teams the guarantee decides first: a job within its
+// team's guarantee does not yield to any priority of another team that is beyond its own
+// guarantee. Otherwise the one job would reclaim by its guarantee what the other took by its
+// priority, again and again.
+func mayPreempt(preemptor *queueEntry, victim *api.Job, victimBeyondGuarantee bool) bool {
 	priority := victim.Priority.Level()
-	sameTeam := victim.Team == entry.job.Record.Spec.Team
-	if priority > entry.priority {
-		return sameTeam || entry.withinGuarantee || victimBeyondGuarantee
+	sameTeam := victim.Team == preemptor.job.Record.Spec.Team
+	if priority > preemptor.priority {
+		return sameTeam || preemptor.withinGuarantee || victimBeyondGuarantee
 	}
-	return !sameTeam && entry.withinGuarantee && victimBeyondGuarantee
+	return !sameTeam && preemptor.withinGuarantee && victimBeyondGuarantee
 }
 
-// preemption finds tasks to stop for others, within one plan. It looks over the machines
-// once for a kind of job, not for each job and each of its tasks. A task that was chosen is a
-// candidate no more.
+// preemption selects tasks to stop for others, within one plan. It scans the machines once for
+// each kind of preempting job, not for each job and task. A selected task is no longer a
+// candidate.
 type preemption struct {
-	scheduler       *Scheduler
-	now             time.Time
-	hosts           []*sched.Host
-	beyondGuarantee map[string]bool // jobs beyond their teams' guarantees
-	chosen          map[*statecache.PlacedTask]bool
-	hostsByKind     map[preemptorKind]*victimHosts
-	listsOnHost     map[*sched.Host][]*victimHost // of all kinds
+	scheduler         *Scheduler
+	now               time.Time
+	hosts             []*sched.Host
+	beyondGuarantee   map[string]bool // by job: it exceeds its team's guarantee
+	chosen            map[*statecache.PlacedTask]bool
+	hostsByKind       map[preemptorKind]*victimHosts
+	victimHostsByHost map[*sched.Host][]*victimHost // for all kinds of jobs
 }
 
-// preemptorKind is what decides which tasks a job may stop.
+// preemptorKind is the properties of a job that determine which tasks it may stop.
 type preemptorKind struct {
 	priority        int
 	withinGuarantee bool
 	team            string
 }
 
-// victimHosts is where a kind of job may stop tasks.
+// victimHosts is the machines where a kind of job may stop tasks.
 type victimHosts struct {
 	all     []*victimHost
-	byImage map[string][]*victimHost // those that have an image, worked out when asked for
+	byImage map[string][]*victimHost // the machines with an image, computed at first use
 }
 
-// victimHost is a machine where stopping tasks would make room.
+// victimHost is a machine where stopping tasks would free capacity.
 type victimHost struct {
 	host       *sched.Host
 	candidates []sched.Victim
-	tasks      []*statecache.PlacedTask // by the candidates' Ref
+	tasks      []*statecache.PlacedTask // indexed by Ref of the candidates
 }
 
-// preemptOption is a victimHost as one job sees it: what it would take, which is worked
-// out anew only when something has changed on the machine.
+// preemptOption is a victimHost with the victims that one job would stop there. They are selected
+// again only when the machine has changed.
 type preemptOption struct {
 	*victimHost
-	hasImage bool // the job's
+	hasImage bool // of the job
 	selected []sched.Victim
-	cost     float64 // seconds of work that are lost
+	cost     float64 // seconds of work lost
 
-	// The machine when selected was worked out.
-	seenFree       sched.Resources
-	seenCandidates int
+	// State of the machine when the victims were selected.
+	freeAtSelection       sched.Resources
+	candidatesAtSelection int
 }
 
-// victimChoice is the tasks that are stopped for another one and their machine; its zero value is
-// that none were found.
+// victimChoice is the tasks to stop for another one and their machine. The zero value means that
+// none were found.
 type victimChoice struct {
 	tasks []*statecache.PlacedTask
 	host  *sched.Host
@@ -78,25 +79,25 @@
 
 func (c victimChoice) found() bool { return c.tasks != nil }
 
-// best returns what a task would take there, and what that costs.
-func (o *preemptOption) best(need sched.Resources) ([]sched.Victim, float64) {
-	if o.seenCandidates != len(o.candidates) || o.seenFree != o.host.Free {
-		o.seenCandidates, o.seenFree = len(o.candidates), o.host.Free
-		o.selected, o.cost = sched.Preempt(o.seenFree, need, o.candidates)
+// selectVictims returns the victims that a task needs there, and their cost.
+func (o *preemptOption) selectVictims(need sched.Resources) ([]sched.Victim, float64) {
+	if o.candidatesAtSelection != len(o.candidates) || o.freeAtSelection != o.host.Free {
+		o.candidatesAtSelection, o.freeAtSelection = len(o.candidates), o.host.Free
+		o.selected, o.cost = sched.Preempt(o.freeAtSelection, need, o.candidates)
 	}
 	return o.selected, o.cost
 }
 
-// newPreemption begins the search for tasks to stop within one plan.
+// newPreemption prepares the selection of victims for one plan.
 func (s *Scheduler) newPreemption(queue []*queueEntry, hosts []*sched.Host, now time.Time) *preemption {
 	p := &preemption{
-		scheduler:       s,
-		now:             now,
-		hosts:           hosts,
-		beyondGuarantee: map[string]bool{},
-		chosen:          map[*statecache.PlacedTask]bool{},
-		hostsByKind:     map[preemptorKind]*victimHosts{},
-		listsOnHost:     map[*sched.Host][]*victimHost{},
+		scheduler:         s,
+		now:               now,
+		hosts:             hosts,
+		beyondGuarantee:   map[string]bool{},
+		chosen:            map[*statecache.PlacedTask]bool{},
+		hostsByKind:       map[preemptorKind]*victimHosts{},
+		victimHostsByHost: map[*sched.Host][]*victimHost{},
 	}
 	for _, entry := range queue {
 		p.beyondGuarantee[entry.uid] = !entry.withinGuarantee
@@ -104,8 +105,8 @@
 	return p
 }
 
-// hostsFor finds the machines where a kind of job may stop tasks.
-func (p *preemption) hostsFor(entry *queueEntry) *victimHosts {
+// victimHostsFor returns the machines where a kind of job may stop tasks.
+func (p *preemption) victimHostsFor(entry *queueEntry) *victimHosts {
 	kind := preemptorKind{priority: entry.priority, withinGuarantee: entry.withinGuarantee, team: entry.job.Record.Spec.Team}
 	found := p.hostsByKind[kind]
 	if found != nil {
@@ -119,19 +120,19 @@
 		}
 		if victims := p.victimsOn(entry, host); len(victims.candidates) > 0 {
 			found.all = append(found.all, victims)
-			p.listsOnHost[host] = append(p.listsOnHost[host], victims)
+			p.victimHostsByHost[host] = append(p.victimHostsByHost[host], victims)
 		}
 	}
 	return found
 }
 
 // mayHoldVictims reports, from the sums by priority alone, whether a machine may hold tasks that
-// the job can stop: with a guarantee it may stop work of any priority.
+// the job can stop. A job within its team's guarantee may stop tasks of any priority.
 func (p *preemption) mayHoldVictims(entry *queueEntry, host *sched.Host) bool {
 	if entry.withinGuarantee {
 		return true
 	}
-	running := p.scheduler.room.LoadOf(host.Name).RunningByPriority[:]
+	running := p.scheduler.freeCapacity.LoadOf(host.Name).RunningByPriority[:]
 	lower := running[min(entry.priority+1, len(running)):]
 	return slices.ContainsFunc(lower, func(used sched.Resources) bool { return used != sched.Resources{} })
 }
@@ -139,17 +140,17 @@
 // victimsOn lists the tasks on a machine that the job may stop.
 func (p *preemption) victimsOn(entry *queueEntry, host *sched.Host) *victimHost {
 	victims := &victimHost{host: host}
-	only := p.newestOverplaced(host)
+	onlyVictim := p.newestOnOvercommittedHost(host)
 	for id, task := range p.scheduler.cache.Placements[host.Name] {
 		job := p.scheduler.cache.Jobs[task.UID]
 		switch {
-		case job == nil, only != nil && only != task, job.MustStop(task.Placement), p.chosen[task]:
+		case job == nil, onlyVictim != nil && onlyVictim != task, job.MustStop(task.Placement), p.chosen[task]:
 		case !mayPreempt(entry, &job.Record.Spec, p.beyondGuarantee[task.UID]), p.scheduler.agents.IsCompleted(host.Name, id, task):
 		default:
 			victims.candidates = append(victims.candidates, sched.Victim{
 				Task: id,
 				Room: statecache.ResourcesOf(&job.Record.Spec),
-				Cost: p.lostWork(host.Name, job, task),
+				Cost: p.preemptionCost(host.Name, job, task),
 				Ref:  len(victims.tasks),
 			})
 			victims.tasks = append(victims.tasks, task)
@@ -172,22 +173,22 @@
 	return hosts
 }
 
-// search returns machines where stopping tasks would make room for one of the job's, a
-// bounded number of them: first those that have its image, then any, from a random one on.
-func (p *preemption) search(entry *queueEntry, request *sched.TaskRequest, most int) []*preemptOption {
-	hosts := p.hostsFor(entry)
+// search returns at most maxOptions machines where stopping tasks would free capacity for a task
+// of the job: first those that have its image, then any, each time from a random position on.
+func (p *preemption) search(entry *queueEntry, request *sched.TaskRequest, maxOptions int) []*preemptOption {
+	hosts := p.victimHostsFor(entry)
 	var found []*preemptOption
-	for _, from := range [][]*victimHost{hosts.withImage(request.Image), hosts.all} {
-		if len(from) == 0 {
+	for _, machines := range [][]*victimHost{hosts.withImage(request.Image), hosts.all} {
+		if len(machines) == 0 {
 			continue
 		}
-		first := p.scheduler.node.Random.IntN(len(from))
-		imageTried := len(found) > 0 // those with the image are not to come twice
-		for i := 0; i < len(from) && len(found) < most; i++ {
-			victims := from[(first+i)%len(from)]
+		start := p.scheduler.node.Random.IntN(len(machines))
+		skipWithImage := len(found) > 0 // do not return machines with the image twice
+		for i := 0; i < len(machines) && len(found) < maxOptions; i++ {
+			victims := machines[(start+i)%len(machines)]
 			host := victims.host
 			hasImage := host.Images[request.Image]
-			if imageTried && hasImage || !request.Allows(host.MachineType, host.Zone, host.Spot) {
+			if skipWithImage && hasImage || !request.Allows(host.MachineType, host.Zone, host.Spot) {
 				continue
 			}
 			victims = p.allowedByPolicy(entry, victims)
@@ -195,7 +196,7 @@
 				continue
 			}
 			option := &preemptOption{victimHost: victims, hasImage: hasImage}
-			if selected, _ := option.best(request.Need); selected != nil {
+			if selected, _ := option.selectVictims(request.Need); selected != nil {
 				found = append(found, option)
 			}
 		}
@@ -203,13 +204,13 @@
 	return found
 }
 
-// allowedByPolicy restricts a machine's candidates to what the operators' policy lets the job
-// stop.
+// allowedByPolicy restricts a machine's candidates to those that the operators' policy lets the
+// job stop.
 func (p *preemption) allowedByPolicy(entry *queueEntry, victims *victimHost) *victimHost {
 	if !p.scheduler.node.Policy.RestrictsPreemption() {
 		return victims
 	}
-	forbidden := func(victim sched.Victim) bool {
+	isForbidden := func(victim sched.Victim) bool {
 		job := p.scheduler.cache.Jobs[victims.tasks[victim.Ref].UID]
 		priority := job.Record.Spec.Priority.Level()
 		guaranteed := !p.beyondGuarantee[job.Record.Spec.UID]
@@ -219,15 +220,15 @@
 	allowed := &victimHost{
 		host:       victims.host,
 		tasks:      victims.tasks,
-		candidates: slices.DeleteFunc(slices.Clone(victims.candidates), forbidden),
+		candidates: slices.DeleteFunc(slices.Clone(victims.candidates), isForbidden),
 	}
-	p.listsOnHost[allowed.host] = append(p.listsOnHost[allowed.host], allowed)
+	p.victimHostsByHost[allowed.host] = append(p.victimHostsByHost[allowed.host], allowed)
 	return allowed
 }
 
-// choose picks what to stop for a task: on one machine, losing least and no more
-// than most.
-func (p *preemption) choose(options []*preemptOption, request *sched.TaskRequest, most float64) victimChoice {
+// choose selects the victims for a task: on one machine, with the lowest cost, and at most
+// maxCost.
+func (p *preemption) choose(options []*preemptOption, request *sched.TaskRequest, maxCost float64) victimChoice {
 	var best *preemptOption
 	bestCost := 0.0
 	for _, option := range options {
@@ -235,14 +236,14 @@
 		if !request.Allows(host.MachineType, host.Zone, host.Spot) || request.RequireImage && !option.hasImage {
 			continue
 		}
-		selected, cost := option.best(request.Need)
+		selected, cost := option.selectVictims(request.Need)
 		if !option.hasImage {
-			cost += request.FetchS // the task waits for its image there
+			cost += request.FetchS // the task would wait for its image there
 			if request.PreferImage {
-				cost += estimate.UnlimitedSeconds // and misses its objective: any machine that has it is better
+				cost += estimate.UnlimitedSeconds // and miss its objective: any machine with the image is better
 			}
 		}
-		if selected != nil && cost <= most && (best == nil || cost < bestCost) {
+		if selected != nil && cost <= maxCost && (best == nil || cost < bestCost) {
 			best, bestCost = option, cost
 		}
 	}
@@ -252,7 +253,7 @@
 	return victimChoice{tasks: p.claim(best), host: best.host}
 }
 
-// claim chooses an option's tasks, so that they are no candidates any more.
+// claim marks the victims of an option as chosen and removes them from all lists of candidates.
 func (p *preemption) claim(option *preemptOption) []*statecache.PlacedTask {
 	var tasks []*statecache.PlacedTask
 	for _, victim := range option.selected {
@@ -260,7 +261,7 @@
 		tasks = append(tasks, task)
 		p.chosen[task] = true
 	}
-	for _, victims := range p.listsOnHost[option.host] {
+	for _, victims := range p.victimHostsByHost[option.host] {
 		chosen := func(victim sched.Victim) bool { return p.chosen[victims.tasks[victim.Ref]] }
 		victims.candidates = slices.DeleteFunc(victims.candidates, chosen)
 	}
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -10,11 +10,12 @@
 	"violetturn/internal/statecache"
 )
 
-// newestOverplaced returns the task that was last placed on a peer's machine where more is
-// placed than there is room for: some have completed and others have taken their
-// room, but the ends are not committed yet and only the leader knows which. The
-// newest is the one that is surely there. It returns nil where all are.
-func (p *preemption) newestOverplaced(host *sched.Host) *statecache.PlacedTask {
+// newestOnOvercommittedHost returns the newest task placed on a peer's machine whose placements
+// exceed its capacity. Some of its tasks have completed and others have taken their capacity, but
+// the ends are not committed yet, and only the leader knows which tasks those are. Only the newest
+// task is certain to be there still. It returns nil if all tasks on the machine are possible
+// victims.
+func (p *preemption) newestOnOvercommittedHost(host *sched.Host) *statecache.PlacedTask {
 	s := p.scheduler
 	if s.leadership.Leads(host.Shard) {
 		return nil
@@ -39,42 +40,42 @@
 	return newest
 }
 
-// lostWork estimates the work that stopping a task on a machine loses, in seconds: none if it
-// was lost with its zone and has not started again.
-func (p *preemption) lostWork(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
+// preemptionCost estimates the work lost by stopping a task on a machine, in seconds. It is 0 if
+// the task was lost with its zone and has not started again.
+func (p *preemption) preemptionCost(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
 	s := p.scheduler
 	worker := s.agents.Agent(host)
 	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, p.now) {
-		return lostSeconds(job, task.Placement, p.now)
+		return lostWorkSeconds(job, task.Placement, p.now)
 	}
 	name := task.TaskName(job)
 	running := slices.ContainsFunc(worker.Heartbeat.Tasks, func(state api.TaskState) bool {
 		return state.Task == name && state.Attempt == task.Placement.Attempt
 	})
 	if running {
-		return lostSeconds(job, task.Placement, p.now)
+		return lostWorkSeconds(job, task.Placement, p.now)
 	}
 	return 0
 }
 
-// restartSeconds is what starting a task anew costs besides the work that is lost.
+// restartSeconds is the cost of starting a task again besides the lost work.
 const restartSeconds = 1
 
-// lostSeconds estimates the work that stopping a task loses, in seconds.
-func lostSeconds(j *statecache.Job, placement *job.Placement, now time.Time) float64 {
+// lostWorkSeconds estimates the work lost by stopping a task, in seconds.
+func lostWorkSeconds(j *statecache.Job, placement *job.Placement, now time.Time) float64 {
 	spec := &j.Record.Spec
-	run := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(placement.PlacedS), 0)
-	checkpoints := spec.CheckpointS > 0
-	if checkpoints {
-		// What it saves before it leaves is not lost. The longer it ran the more another
-		// one is preferred, all else equal.
-		run = min(run, spec.SaveS) + run/1000
+	runSeconds := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(placement.PlacedS), 0)
+	hasCheckpoints := spec.CheckpointS > 0
+	if hasCheckpoints {
+		// The work saved before the task stops is not lost. The small share of the run time
+		// prefers victims that have run for less time, all else equal.
+		runSeconds = min(runSeconds, spec.SaveS) + runSeconds/1000
 	}
 	switch {
-	case j.IsGang(): // all of its tasks stop with it, and start anew together
-		return float64(spec.Tasks) * (run + spec.SaveS + restartSeconds)
-	case checkpoints:
-		return run
+	case j.IsGang(): // all tasks of a gang stop and restart together
+		return float64(spec.Tasks) * (runSeconds + spec.SaveS + restartSeconds)
+	case hasCheckpoints:
+		return runSeconds
 	}
-	return run + restartSeconds
+	return runSeconds + restartSeconds
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -10,44 +10,43 @@
 	"violetturn/internal/statecache"
 )
 
-// preemptionSide is a job that stops others or is stopped.
-type preemptionSide struct {
+// preemptionParty is a job that preempts others or is preempted.
+type preemptionParty struct {
 	entry           *queueEntry
 	spec            *api.Job
 	beyondGuarantee bool
 }
 
-func drawSide(t *rapid.T, team string) preemptionSide {
+func drawParty(t *rapid.T, team string) preemptionParty {
 	priority := rapid.SampledFrom([]api.Priority{api.Production, api.Urgent, api.Standard, api.Idle}).Draw(t, "priority")
-	number := priority.Level()
-	within := rapid.Bool().Draw(t, "within")
+	level := priority.Level()
+	withinGuarantee := rapid.Bool().Draw(t, "within")
 	spec := &api.Job{Team: team, Priority: priority}
-	entry := &queueEntry{job: &statecache.Job{Record: &job.Record{Spec: *spec}}, priority: number, withinGuarantee: within}
-	return preemptionSide{entry: entry, spec: spec, beyondGuarantee: !within}
+	entry := &queueEntry{job: &statecache.Job{Record: &job.Record{Spec: *spec}}, priority: level, withinGuarantee: withinGuarantee}
+	return preemptionParty{entry: entry, spec: spec, beyondGuarantee: !withinGuarantee}
 }
 
-// What one job may stop for another never comes back the same way: a production job that
-// was beyond its team's guarantee and a standard one within its own once took the same
-// room from each other twenty times in half a minute. Chains among teams end, and where
-// nobody has a guarantee the priority decides.
-func TestPreemptionHasNoCycles(t *testing.T) {
+// Jobs never preempt each other in turn, neither two jobs nor jobs of three teams in a chain. A
+// production job beyond its team's guarantee and a standard job within its own once took the same
+// capacity from each other twenty times in half a minute. Without guarantees the priority decides.
+func TestMayPreemptHasNoCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stops := func(a, b preemptionSide) bool { return mayPreempt(a.entry, b.spec, b.beyondGuarantee) }
-		x, y, z := drawSide(t, "x"), drawSide(t, "y"), drawSide(t, "z")
-		if stops(x, y) && stops(y, x) {
-			t.Fatalf("%+v and %+v stop each other", x, y)
+		preempts := func(a, b preemptionParty) bool { return mayPreempt(a.entry, b.spec, b.beyondGuarantee) }
+		x, y, z := drawParty(t, "x"), drawParty(t, "y"), drawParty(t, "z")
+		if preempts(x, y) && preempts(y, x) {
+			t.Fatalf("jobs %+v and %+v preempt each other", x, y)
 		}
-		if stops(x, y) && stops(y, z) && stops(z, x) {
-			t.Fatalf("%+v, %+v and %+v go round", x, y, z)
+		if preempts(x, y) && preempts(y, z) && preempts(z, x) {
+			t.Fatalf("jobs %+v, %+v and %+v preempt each other in a cycle", x, y, z)
 		}
-		if x.beyondGuarantee && y.beyondGuarantee && x.entry.priority < y.entry.priority != stops(x, y) {
-			t.Fatalf("without guarantees %+v, %+v are not decided by priority", x, y)
+		if x.beyondGuarantee && y.beyondGuarantee && x.entry.priority < y.entry.priority != preempts(x, y) {
+			t.Fatalf("jobs %+v and %+v beyond their guarantees: mayPreempt does not follow the priority", x, y)
 		}
-		if !x.beyondGuarantee && y.beyondGuarantee && !stops(x, y) {
-			t.Fatalf("%+v does not get its guarantee from %+v", x, y)
+		if !x.beyondGuarantee && y.beyondGuarantee && !preempts(x, y) {
+			t.Fatalf("job %+v within its guarantee may not preempt %+v beyond its own", x, y)
 		}
-		if own := drawSide(t, "x"); x.entry.priority < own.entry.priority != stops(x, own) {
-			t.Fatalf("within a team %+v, %+v are not decided by priority", x, own)
+		if own := drawParty(t, "x"); x.entry.priority < own.entry.priority != preempts(x, own) {
+			t.Fatalf("jobs %+v and %+v of one team: mayPreempt does not follow the priority", x, own)
 		}
 	})
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,48 +11,52 @@
 	"violetturn/internal/statecache"
 )
 
-// MaxStartDelay is within what time even the largest job has to begin (PROTOCOL).
+// MaxStartDelay is the time within which even the largest job has to start (PROTOCOL).
 const MaxStartDelay = 4 * time.Minute
 
-// quotaTolerance is by how much a sum may pass a limit: sums of decimal fractions are not exact.
+// quotaTolerance is how far a sum may exceed a limit, because sums of decimal fractions are not
+// exact.
 const quotaTolerance = 1e-6
 
-// queueEntry is a job in the order in which jobs are served.
+// queueEntry is a job with the properties that determine its place in the scheduling order.
 type queueEntry struct {
 	job             *statecache.Job
 	uid             string
 	priority        int
 	withinGuarantee bool
-	led             bool // its shard is led by this controller, which places it
+	ledLocally      bool // this controller leads the job's shard and places its tasks
 	starving        bool
-	released        bool // a gang that has released its claims and begun its search again
+	releasedClaims  bool // a gang that has released its claims and restarted its search
 	variables       config.JobVariables
 	weight          float64
 }
 
-// compareEntries is the order in which jobs are served: by weight (by default priority, then
-// what is within a team's guarantee), then jobs of own shards, then what starves or has released
-// its claims, then slack, then age. Jobs of own shards come first since those of peers are placed
-// by them, and what they will take is only kept from what comes after them: without that a peer's
-// job would first see its room taken and then stop the taker to get it back.
+// compareEntries defines the scheduling order: by weight (by default the priority, then whether
+// the job is within its team's guarantee), then jobs of shards that this controller leads, then
+// starving jobs, then gangs that have released their claims, then slack, then age.
+//
+// Jobs of peers' shards come after this controller's jobs of the same weight, because their leaders
+// place them and a plan only holds capacity back for them from the jobs after them. Without that, a
+// job of this controller could take the capacity of a peer's job, which would then preempt it to
+// get the capacity back.
 func compareEntries(a, b *queueEntry) int {
 	return cmp.Or(
 		-cmp.Compare(a.weight, b.weight),
-		-sched.CompareBool(a.led, b.led),
+		-sched.CompareBool(a.ledLocally, b.ledLocally),
 		-sched.CompareBool(a.starving, b.starving),
-		-sched.CompareBool(a.released, b.released),
+		-sched.CompareBool(a.releasedClaims, b.releasedClaims),
 		compareSlack(a.variables, b.variables),
 		statecache.CompareAge(a.job, b.job),
 	)
 }
 
-// compareSlack puts first what has least slack, but what is late anyhow after all
-// that can still be in time.
+// compareSlack puts the job with less slack first, but late jobs after all that can still meet
+// their deadlines.
 func compareSlack(a, b config.JobVariables) int {
 	return cmp.Or(-sched.CompareBool(a.Slack >= 0, b.Slack >= 0), cmp.Compare(max(a.Slack, 0), max(b.Slack, 0)))
 }
 
-// queue lists the jobs that are not cancelled in the order in which they are served.
+// queue lists the jobs that are not cancelled, in scheduling order.
 func (s *Scheduler) queue(now time.Time) []*queueEntry {
 	byTeam := map[string][]*statecache.Job{}
 	for _, job := range s.cache.Jobs {
@@ -63,41 +67,41 @@
 	var queue []*queueEntry
 	for name, jobs := range byTeam {
 		team, _ := s.node.Settings.Team(name)
-		queue = s.appendTeam(queue, team, jobs, now)
+		queue = s.appendTeamJobs(queue, team, jobs, now)
 	}
 	slices.SortFunc(queue, compareEntries)
 	return queue
 }
 
-// appendTeam adds the jobs of a team to the queue. The oldest of them are within its guarantee,
-// as far as that goes for what they have left.
-func (s *Scheduler) appendTeam(queue []*queueEntry, team config.Team, jobs []*statecache.Job, now time.Time) []*queueEntry {
+// appendTeamJobs adds the jobs of a team to the queue. They count against the team's guarantee
+// from the oldest on, with their unfinished tasks.
+func (s *Scheduler) appendTeamJobs(queue []*queueEntry, team config.Team, jobs []*statecache.Job, now time.Time) []*queueEntry {
 	slices.SortFunc(jobs, statecache.CompareAge)
 	cpus, gpus := 0.0, 0.0
 	for _, job := range jobs {
 		spec := &job.Record.Spec
-		left := float64(spec.Tasks - job.Record.FinishedTasks())
-		cpus += spec.CPUs * left
-		gpus += spec.GPUs * left
+		unfinished := float64(spec.Tasks - job.Record.FinishedTasks())
+		cpus += spec.CPUs * unfinished
+		gpus += spec.GPUs * unfinished
 		priority := spec.Priority.Level()
-		within := fitsGuarantee(team, cpus, gpus)
-		variables := s.policyVariables(job, priority, within, now)
+		withinGuarantee := fitsGuarantee(team, cpus, gpus)
+		variables := s.policyVariables(job, priority, withinGuarantee, now)
 		queue = append(queue, &queueEntry{
 			job:             job,
 			uid:             spec.UID,
 			priority:        priority,
-			withinGuarantee: within,
-			led:             s.leadership.Leads(job.Record.Shard),
+			withinGuarantee: withinGuarantee,
+			ledLocally:      s.leadership.Leads(job.Record.Shard),
 			variables:       variables,
 			weight:          s.node.Policy.Weight(variables),
 			starving:        s.isStarving(job, variables.Age),
-			released:        s.HasReleasedClaims(spec.UID),
+			releasedClaims:  s.HasReleasedClaims(spec.UID),
 		})
 	}
 	return queue
 }
 
-// fitsGuarantee reports whether a team's jobs fit its guarantee together.
+// fitsGuarantee reports whether these amounts are within a team's guarantee.
 func fitsGuarantee(team config.Team, cpus, gpus float64) bool {
 	if team.CPUs == 0 && team.GPUs == 0 {
 		return false
@@ -105,7 +109,7 @@
 	return (team.CPUs == 0 || cpus <= team.CPUs+quotaTolerance) && (team.GPUs == 0 || gpus <= team.GPUs+quotaTolerance)
 }
 
-// policyVariables returns what the policy's expressions may ask of a job.
+// policyVariables returns the variables of a job that the policy's expressions can use.
 func (s *Scheduler) policyVariables(job *statecache.Job, priority int, guaranteed bool, now time.Time) config.JobVariables {
 	spec := &job.Record.Spec
 	variables := config.JobVariables{
@@ -126,16 +130,16 @@
 	return variables
 }
 
-// isStarving reports whether a job has not begun although its own objective, or half of
-// what PROTOCOL grants the largest jobs, has passed. Such a job goes first within
-// its weight: what is late otherwise goes last, and under a stream of small jobs
-// that can still be in time a large one would never begin.
+// isStarving reports whether a job has not started although its own objective, or half of the
+// start delay that PROTOCOL allows the largest jobs, has passed. A starving job goes first within
+// its weight: late jobs otherwise go last, and a large one would never start under a stream of
+// small jobs that can still be in time.
 func (s *Scheduler) isStarving(job *statecache.Job, ageSeconds float64) bool {
-	patience := min(s.estimates.DeadlineSeconds(&job.Record.Spec), (MaxStartDelay / 2).Seconds())
-	if ageSeconds < patience || len(job.Record.FinishedRanges) > 0 {
+	maxWaitSeconds := min(s.estimates.DeadlineSeconds(&job.Record.Spec), (MaxStartDelay / 2).Seconds())
+	if ageSeconds < maxWaitSeconds || len(job.Record.FinishedRanges) > 0 {
 		return false
 	}
-	if job.IsGang() { // what it has claimed or did before is no beginning
+	if job.IsGang() { // claims and earlier attempts do not count as a start
 		gang := job.Record.Gang
 		return gang == nil || !gang.Launched || gang.Ended
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,29 +15,29 @@
 	"violetturn/internal/zonestate"
 )
 
-// Scheduler plans where tasks go and prepares the transactions that commit it. Between plans it
-// remembers how each gang's search for room goes, which jobs wait after failures, and the
-// newest plan. The lock of internal/state guards it.
+// Scheduler plans the placement of tasks and prepares the transactions that commit it. Between
+// plans it keeps the state of each gang's search for capacity, the backoff of jobs whose tasks
+// fail, and the newest plan. The lock of internal/state guards it.
 type Scheduler struct {
-	node       *node.Info
-	cache      *statecache.Cache
-	schema     *schema.State
-	leadership *leadership.Table
-	catalog    *catalog.Catalog
-	agents     *agent.Registry
-	room       *capacity.Room
-	estimates  *estimate.Estimates
-	zones      *zonestate.Zones
-	accounts   *capacity.Accounts
-	wake       notify.Signal
+	node         *node.Info
+	cache        *statecache.Cache
+	schema       *schema.State
+	leadership   *leadership.Table
+	catalog      *catalog.Catalog
+	agents       *agent.Registry
+	freeCapacity *capacity.Room
+	estimates    *estimate.Estimates
+	zones        *zonestate.Zones
+	accounts     *capacity.Accounts
+	wake         notify.Signal
 
 	gangs        gangTable
 	backoffs     backoffTable
-	lastPlan     lastPlan
-	planningTime time.Duration // processor time of plans since ResetPlanningTime
+	cachedPlan   cachedPlan
+	planningTime time.Duration // time spent in Plan since the last ResetPlanningTime
 }
 
-// Deps is what a scheduler reads.
+// Deps holds the dependencies of a Scheduler.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -52,26 +52,26 @@
 	Wake       notify.Signal
 }
 
-// New returns a scheduler that has planned nothing yet.
+// New returns a scheduler that has not made a plan yet.
 func New(d Deps) *Scheduler {
 	return &Scheduler{
-		node:       d.Node,
-		cache:      d.Cache,
-		schema:     d.Schema,
-		leadership: d.Leadership,
-		catalog:    d.Catalog,
-		agents:     d.Agents,
-		room:       d.Room,
-		estimates:  d.Estimates,
-		zones:      d.Zones,
-		accounts:   d.Capacity,
-		wake:       d.Wake,
-		gangs:      newGangTable(),
-		backoffs:   backoffTable{},
+		node:         d.Node,
+		cache:        d.Cache,
+		schema:       d.Schema,
+		leadership:   d.Leadership,
+		catalog:      d.Catalog,
+		agents:       d.Agents,
+		freeCapacity: d.Room,
+		estimates:    d.Estimates,
+		zones:        d.Zones,
+		accounts:     d.Capacity,
+		wake:         d.Wake,
+		gangs:        newGangTable(),
+		backoffs:     backoffTable{},
 	}
 }
 
-// HasPendingTasks reports whether a job of an own shard has tasks to place.
+// HasPendingTasks reports whether a job of a shard that this controller leads has tasks to place.
 func (s *Scheduler) HasPendingTasks() bool {
 	for _, job := range s.cache.Jobs {
 		if !job.Record.Cancelled && len(job.PendingTasks()) > 0 && s.leadership.Leads(job.Record.Shard) {
@@ -81,17 +81,16 @@
 	return false
 }
 
-// DropFinishedJobs drops what is remembered of jobs that no longer exist.
+// DropFinishedJobs removes the state kept for jobs that no longer exist.
 func (s *Scheduler) DropFinishedJobs() {
 	exists := func(uid string) bool { return s.cache.Jobs[uid] != nil }
-	s.backoffs.dropExcept(exists)
-	s.gangs.dropExcept(exists)
+	s.backoffs.removeExcept(exists)
+	s.gangs.removeExcept(exists)
 }
 
-// ResetPlanningTime returns the processor time that plans took since the last call, and begins
-// anew.
+// ResetPlanningTime returns the time spent in Plan since the last call and resets it.
 func (s *Scheduler) ResetPlanningTime() time.Duration {
-	spent := s.planningTime
+	planningTime := s.planningTime
 	s.planningTime = 0
-	return spent
+	return planningTime
 }
--- a/internal/scheduler/unmet.go
+++ b/internal/scheduler/unmet.go
@@ -7,44 +7,44 @@
 	"violetturn/internal/statecache"
 )
 
-// maxUnmet bounds the tasks of one job that room is looked for among what others have:
+// maxReclaimTasks bounds the tasks of one job for which a plan tries to reclaim capacity, since
 // each is compared with many machines. Machines are rented for the tasks beyond that too.
-const maxUnmet = 256
+const maxReclaimTasks = 256
 
-// maxRentAhead is how many machines a round of rentals may ask for; as many tasks beyond those
-// that the coming machines take are counted as unmet.
-const maxRentAhead = config.CloudCallsPerRound * cloud.MaxRental
+// maxRentalsAhead is how many machines a round of rentals may request. Beyond the tasks that fit
+// on the machines that are booting, this many deferred tasks count as unmet demand.
+const maxRentalsAhead = config.CloudCallsPerRound * cloud.MaxRental
 
-// deferExcess sets the tasks aside that are more than room is looked for.
-func (w *waitingJob) deferExcess() {
-	if len(w.tasks) > maxUnmet {
-		w.tasks, w.deferred = w.tasks[:maxUnmet], w.tasks[maxUnmet:]
+// deferExcessTasks defers the unplaced tasks beyond maxReclaimTasks.
+func (w *waitingJob) deferExcessTasks() {
+	if len(w.tasks) > maxReclaimTasks {
+		w.tasks, w.deferred = w.tasks[:maxReclaimTasks], w.tasks[maxReclaimTasks:]
 	}
 }
 
-// rentable returns as many of the tasks set aside as the machines that are coming take, and
-// some more to be rented for. Otherwise a large job on an empty fleet would have its first tasks
-// meet the coming machines, and wait for them to boot before more are rented.
-func (p *planner) rentable(job *waitingJob) []statecache.TaskIndex {
-	if len(job.deferred) <= maxRentAhead {
+// deferredTasksToRentFor returns as many deferred tasks as fit on the machines that are booting,
+// and up to maxRentalsAhead more. Without the latter, the first tasks of a large job on an empty
+// fleet would fill the booting machines, and no more would be rented until those are up.
+func (p *planner) deferredTasksToRentFor(job *waitingJob) []statecache.TaskIndex {
+	if len(job.deferred) <= maxRentalsAhead {
 		return job.deferred
 	}
-	coming := sched.CountFits(p.scheduler.room.ProvisioningHosts(p.now, false), &job.request, len(job.deferred))
-	return job.deferred[:min(len(job.deferred), coming+maxRentAhead)]
+	expected := sched.CountFits(p.scheduler.freeCapacity.ProvisioningHosts(p.now, false), &job.request, len(job.deferred))
+	return job.deferred[:min(len(job.deferred), expected+maxRentalsAhead)]
 }
 
-// noteUnmet notes tasks that lack room. Whoever rents for them asks for each in turn, with the
-// zones that those before it leave.
-func (p *planner) noteUnmet(job *waitingJob, left []statecache.TaskIndex) {
-	unmet := sched.UnmetDemand{Request: job.request, Count: len(left)}
-	p.plan.AllUnmet = append(p.plan.AllUnmet, unmet)
+// recordUnmetDemand adds tasks without capacity to the plan. The demand is assigned to zones task
+// by task: ZoneAllowed returns which zones the tasks before leave to the next one.
+func (p *planner) recordUnmetDemand(job *waitingJob, tasks []statecache.TaskIndex) {
+	demand := sched.UnmetDemand{Request: job.request, Count: len(tasks)}
+	p.plan.AllUnmet = append(p.plan.AllUnmet, demand)
 	next := 0
-	unmet.Request.ZoneAllowed = func(zone string) bool {
-		return next >= len(left) || job.zones.allows(left[next].RangeIndex, zone)
+	demand.Request.ZoneAllowed = func(zone string) bool {
+		return next >= len(tasks) || job.zoneConstraint.allows(tasks[next].RangeIndex, zone)
 	}
-	unmet.Assigned = func(zone string) {
-		job.zones.add(left[next].RangeIndex, zone)
+	demand.Assigned = func(zone string) {
+		job.zoneConstraint.addTask(tasks[next].RangeIndex, zone)
 		next++
 	}
-	p.plan.Unmet = append(p.plan.Unmet, unmet)
+	p.plan.Unmet = append(p.plan.Unmet, demand)
 }
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -6,28 +6,28 @@
 	"violetturn/internal/zonestate"
 )
 
-// zoneConstraint follows which zones the tasks of a job are or will be in, and which zones that
-// leaves to the others: for jobs whose tasks go to one zone together, and jobs that are spread
-// over zones. A job of several task ranges is spread task range by task range: they are of even
-// size, so that half of each is half of all.
+// zoneConstraint tracks the zones of the placed and planned tasks of a job, and determines which
+// zones its other tasks may use. It applies to jobs whose tasks go to one zone together and to
+// jobs spread over zones. A job of several task ranges is spread range by range: they have even
+// sizes, so that half of each makes half of all.
 type zoneConstraint struct {
-	job       *statecache.Job
-	zone      string                  // of a job whose tasks go together; "": not chosen yet
-	tasks     map[int]map[string]int  // placed and planned tasks, by spread group and zone
-	admission *zonestate.JobAdmission // to zones that are down or recovering; nil: all are open
+	job         *statecache.Job
+	boundZone   string                  // of a job whose tasks go to one zone; "": not chosen yet
+	tasksByZone map[int]map[string]int  // placed and planned tasks, by spread group and zone
+	admission   *zonestate.JobAdmission // limits zones that are down or recovering; nil: no limits
 }
 
-// zoneConstraintOf returns the constraint of a job as it is placed now; admission says what work
-// below production may take of zones that are down or recovering.
+// zoneConstraintOf returns the constraint of a job with its present placements. The admission
+// limits what work below production may use in zones that are down or recovering.
 func (s *Scheduler) zoneConstraintOf(job *statecache.Job, admission *recovery.Admission) *zoneConstraint {
 	constraint := &zoneConstraint{
-		job:       job,
-		zone:      job.Record.Zone,
-		tasks:     map[int]map[string]int{},
-		admission: s.zones.AdmissionOf(job, admission),
+		job:         job,
+		boundZone:   job.Record.Zone,
+		tasksByZone: map[int]map[string]int{},
+		admission:   s.zones.AdmissionOf(job, admission),
 	}
 	if job.IsGang() && job.CountPlaced() == 0 {
-		constraint.zone = "" // nothing binds its next attempt
+		constraint.boundZone = "" // the next attempt may use any zone
 	}
 	if !job.Record.Spec.Spread {
 		return constraint
@@ -35,29 +35,29 @@
 	for index, taskRange := range job.Ranges {
 		for _, placement := range taskRange.Record.Placements {
 			if machine := s.cache.Machines[placement.Host]; machine != nil {
-				constraint.count(index, machine.Zone)
+				constraint.countTask(index, machine.Zone)
 			}
 		}
 	}
 	return constraint
 }
 
-// add notes that a task of a task range is planned in a zone.
-func (c *zoneConstraint) add(rangeIndex int, zone string) {
-	c.count(rangeIndex, zone)
+// addTask counts a planned task in a zone and admits it there.
+func (c *zoneConstraint) addTask(rangeIndex int, zone string) {
+	c.countTask(rangeIndex, zone)
 	c.admission.Admit(zone)
 }
 
-// count notes that a task of a task range is in a zone.
-func (c *zoneConstraint) count(rangeIndex int, zone string) {
-	if c.job.Record.Spec.Together && c.zone == "" {
-		c.zone = zone
+// countTask counts a task of a task range in a zone.
+func (c *zoneConstraint) countTask(rangeIndex int, zone string) {
+	if c.job.Record.Spec.Together && c.boundZone == "" {
+		c.boundZone = zone
 	}
 	group, _ := c.job.Record.SpreadGroup(rangeIndex)
-	if c.tasks[group] == nil {
-		c.tasks[group] = map[string]int{}
+	if c.tasksByZone[group] == nil {
+		c.tasksByZone[group] = map[string]int{}
 	}
-	c.tasks[group][zone]++
+	c.tasksByZone[group][zone]++
 }
 
 // allows reports whether a task of a task range may go to a zone.
@@ -66,12 +66,12 @@
 	if !c.admission.Admits(zone) {
 		return false
 	}
-	if spec.Together && c.zone != "" && c.zone != zone {
+	if spec.Together && c.boundZone != "" && c.boundZone != zone {
 		return false
 	}
 	if !spec.Spread {
 		return true
 	}
 	group, size := c.job.Record.SpreadGroup(rangeIndex)
-	return c.tasks[group][zone] < (size+1)/2
+	return c.tasksByZone[group][zone] < (size+1)/2
 }
--- a/internal/scheduler/zone_constraint_test.go
+++ b/internal/scheduler/zone_constraint_test.go
@@ -7,32 +7,32 @@
 	"violetturn/internal/statecache"
 )
 
-// A spread job that is split keeps half of its tasks out of each zone: its smaller
-// task ranges may each have all of their tasks in one, so they are counted together. Counted
-// apart they once let too many into a zone.
-func TestSplitJobStaysSpread(t *testing.T) {
+// A spread job whose records were split still has at most half of its tasks in a zone. The smaller
+// task ranges may each have all their tasks in one zone, so they are counted together; counted
+// separately they let too many tasks into a zone.
+func TestZoneConstraintKeepsSplitJobSpread(t *testing.T) {
 	record := &job.Record{RangeSize: 8}
 	record.Spec.Tasks, record.Spec.Spread = 8, true
 	taskRange := (*job.TaskRange)(nil).Copy()
 	j := &statecache.Job{Record: record, Ranges: map[int]statecache.Versioned[job.TaskRange]{0: {Record: taskRange}}}
-	constraint := &zoneConstraint{job: j, tasks: map[int]map[string]int{}}
+	constraint := &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
 	for range 4 {
-		constraint.add(0, "x")
+		constraint.addTask(0, "x")
 	}
 	if constraint.allows(0, "x") {
-		t.Fatal("more than half in a zone")
+		t.Fatal("zone x is allowed for another task though it has 4 of 8, want at most half there")
 	}
 	record.Split(2)
-	constraint = &zoneConstraint{job: j, tasks: map[int]map[string]int{}}
+	constraint = &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
 	for _, index := range []int{0, 0, 1, 1} {
-		constraint.add(index, "x")
+		constraint.addTask(index, "x")
 	}
 	for index := range 4 {
 		if x, y := constraint.allows(index, "x"), constraint.allows(index, "y"); x || !y {
-			t.Fatalf("task range %d of the split job: x %t, y %t", index, x, y)
+			t.Fatalf("task range %d of the split job: zones allowed are x %t, y %t; want x false, y true", index, x, y)
 		}
 	}
 	if !j.RecordCoversTasks() {
-		t.Fatal("a late transaction could place by an old count")
+		t.Fatal("RecordCoversTasks is false for a split spread job: a late transaction could place a task by outdated counts")
 	}
 }
