--- a/internal/scheduler/plan_cache_test.go
+++ b/internal/scheduler/plan_cache_test.go
@@ -31,13 +31,13 @@
 	first := &Plan{}
 	s.RememberPlan(first, now)
 	if s.ReusePlan(now) != first {
-		t.Fatal("ReusePlan returned a new plan, want the plan of the last decision")
+		t.Fatal("first call returned a new plan, want the plan of the last decision")
 	}
 	if s.ReusePlan(now) == first {
-		t.Fatal("ReusePlan returned the same plan twice, want a new plan")
+		t.Fatal("second call returned the same plan, want a new plan")
 	}
 	s.RememberPlan(first, now)
 	if s.ReusePlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
-		t.Fatal("ReusePlan returned a plan older than the autoscaling interval, want a new plan")
+		t.Fatal("call returned a plan older than the autoscaling interval, want a new plan")
 	}
 }
--- a/internal/scheduler/zone_constraint_test.go
+++ b/internal/scheduler/zone_constraint_test.go
@@ -33,6 +33,6 @@
 		}
 	}
 	if !j.RecordCoversTasks() {
-		t.Fatal("RecordCoversTasks is false for a split spread job: a late transaction could place a task by outdated counts")
+		t.Fatal("main record is not written with each change of a split spread job: a late transaction could use outdated counts")
 	}
 }
