--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -16,7 +16,7 @@
 	Gangs         []*GangClaim             // claims for all unplaced tasks of a gang each
 	Stops         []*statecache.PlacedTask // tasks to stop for gangs
 	Unmet         []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
-	AllUnmet      []sched.UnmetDemand      // Unmet and the unplaced tasks of peers' jobs
+	AllUnmet      []sched.UnmetDemand      // the same, and the unplaced tasks of peers' jobs
 	ReservedHosts map[string]bool          // machines reserved for gangs that do not have all their capacity yet
 	Remaining     []*sched.Host            // all machines, with the capacity left after the plan
 }
