--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -15,8 +15,8 @@
 	}
 	ready, readyElsewhere := host("n0", 0, true), host("n1", 0, true)
 	fetching, starting := host("n0", 0, false), host("n0", 2, true)
-	assignment := func(outlook capacitySource, hosts ...*sched.Host) *gangAssignment {
-		return &gangAssignment{hosts: hosts, source: outlook}
+	assignment := func(source capacitySource, hosts ...*sched.Host) *gangAssignment {
+		return &gangAssignment{hosts: hosts, source: source}
 	}
 	for name, test := range map[string]struct {
 		sooner, other *gangAssignment
