--- /dev/null
+++ b/internal/scheduler/planner_placement.go
@@ -0,0 +1,216 @@
+package scheduler
+
+import (
+	"slices"
+
+	"violetturn/internal/config"
+	"violetturn/internal/job"
+	"violetturn/internal/sched"
+	"violetturn/internal/statecache"
+	"violetturn/internal/zonestate"
+)
+
+// placementStage is the working data of the stage that places tasks on free capacity.
+type placementStage struct {
+	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
+	chooser            *sched.Chooser
+	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
+	provisioning       []*sched.Host              // machines that are booting; nil until the first gang needs them
+	productionReserved bool                       // whether capacity is reserved for waiting production tasks
+}
+
+// newPlacementStage initializes the stage. Only machines with free capacity are considered, so
+// that the work for each task is bounded by their number.
+func (p *planner) newPlacementStage() placementStage {
+	s := p.scheduler
+	hostsByShard := hostsWithCapacity(p.hosts, p.smallest)
+	stage := placementStage{
+		hostsByShard: hostsByShard,
+		chooser:      sched.NewChooser(hostsByShard, s.node.Random),
+		teamUsage:    map[string]sched.Resources{},
+	}
+	for _, team := range s.node.Settings.Facts.Teams {
+		if team.Limited() {
+			stage.teamUsage[team.Name] = s.accounts.TeamUse(team.Name)
+		}
+	}
+	return stage
+}
+
+// exceedsQuota reports whether a usage exceeds the team's limit.
+func exceedsQuota(team config.Team, usage sched.Resources) bool {
+	return team.CPUsMax > 0 && usage.CPUs > team.CPUsMax+quotaTolerance || team.GPUsMax > 0 && usage.GPUs > team.GPUsMax+quotaTolerance
+}
+
+// placeJobs places the jobs, one weight after the other.
+func (p *planner) placeJobs() {
+	for remaining := p.jobs; len(remaining) > 0; {
+		weight := remaining[0].entry.weight
+		end := slices.IndexFunc(remaining, func(job *waitingJob) bool { return job.entry.weight != weight })
+		if end < 0 {
+			end = len(remaining)
+		}
+		p.reserveForProduction(remaining[:end])
+		p.placeSameWeight(remaining[:end])
+		remaining = remaining[end:]
+	}
+}
+
+// reserveForProduction reserves capacity in recovering zones for production tasks that wait for
+// lost machines, before the first job below production is placed.
+func (p *planner) reserveForProduction(jobs []*waitingJob) {
+	isBelowProduction := func(job *waitingJob) bool { return job.entry.priority > zonestate.ProductionPriority }
+	if !p.placement.productionReserved && slices.ContainsFunc(jobs, isBelowProduction) {
+		p.placement.productionReserved = true
+		p.admission.Reserve(p.hosts)
+	}
+}
+
+// placeSameWeight places jobs of one weight. Gangs come first, because a single task could take
+// the capacity that a whole gang waits for. Then each free machine is offered first to jobs whose
+// image it has, since image fetches take a considerable share of the machines' time. A starving
+// job accepts any machine at once.
+func (p *planner) placeSameWeight(jobs []*waitingJob) {
+	for _, job := range jobs {
+		if job.entry.job.IsGang() {
+			p.placeGang(job)
+		}
+	}
+	for _, job := range jobs {
+		if !job.entry.job.IsGang() {
+			p.placeTasks(job, !job.entry.starving)
+		}
+	}
+	for _, job := range jobs {
+		if !job.entry.job.IsGang() {
+			// A job gets only one pass over all machines. That pass counts the tasks of a team
+			// with a limit as used even if they are not placed, so a second pass would find the
+			// limit exceeded and no machine would be rented.
+			if !job.entry.starving {
+				p.placeTasks(job, false)
+			}
+			job.deferExcessTasks()
+		}
+		if len(job.tasks) > 0 {
+			p.unplaced = append(p.unplaced, job)
+		}
+	}
+}
+
+// placeTasks places as many of a job's tasks as it can, either only on machines that have its
+// image or on any, and leaves the rest in the job's list. Tasks beyond the team's limit are no
+// unmet demand: the pass over all machines drops them.
+func (p *planner) placeTasks(job *waitingJob, withImageOnly bool) {
+	spec := &job.entry.job.Record.Spec
+	team, _ := p.scheduler.node.Settings.Team(spec.Team)
+	request := job.request
+	request.RequireImage = withImageOnly
+	p.placement.chooser.Begin(job.entry.job.Record.Shard, &request)
+	anyUnplaced := false
+	unplacedRanges := map[int]bool{} // task ranges with a task that did not fit
+	remaining := job.tasks[:0]
+	for i, task := range job.tasks {
+		usage := p.placement.teamUsage[team.Name].Add(request.Need)
+		if exceedsQuota(team, usage) {
+			if withImageOnly {
+				remaining = append(remaining, job.tasks[i:]...)
+			}
+			break
+		}
+		var host *sched.Host
+		if !unplacedRanges[task.RangeIndex] || !spec.Spread && !anyUnplaced {
+			host = p.placement.chooser.Next(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
+		}
+		if host != nil {
+			p.placement.teamUsage[team.Name] = usage
+			p.assign(job, task, host)
+			continue
+		}
+		unplacedRanges[task.RangeIndex], anyUnplaced = true, true
+		remaining = append(remaining, task)
+		if !withImageOnly {
+			p.placement.teamUsage[team.Name] = usage
+		}
+	}
+	job.tasks = remaining
+}
+
+// assign places a task on a machine with capacity for it. For a task of a peer's job it only holds
+// the capacity back, since the leader of the job's shard places it.
+func (p *planner) assign(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
+	host.Free = host.Free.Sub(job.request.Need)
+	if !host.Free.Fits(p.smallest) {
+		byShard := p.placement.hostsByShard
+		byShard[host.Shard] = removeHost(byShard[host.Shard], host)
+	}
+	job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
+	if job.request.Service {
+		host.Services++
+	} else {
+		host.Arrays++
+	}
+	if !job.entry.ledLocally {
+		return
+	}
+	if job.request.PreferImage && !host.Images[job.request.Image] {
+		p.coldStarts = append(p.coldStarts, coldStart{job: job, index: len(p.plan.Placements)})
+	}
+	p.plan.Placements = append(p.plan.Placements, job.placementOf(task, host))
+}
+
+// placeGang finds machines for all unplaced tasks of a gang. If they do not all fit, the search is
+// kept for the reclaim stage. Tasks of a peer's gang are not placed; their capacity is only held
+// back.
+func (p *planner) placeGang(job *waitingJob) {
+	if p.gangExceedsQuota(job) {
+		job.tasks = nil // tasks beyond the limit are no unmet demand
+		return
+	}
+	if p.placement.provisioning == nil {
+		p.placement.provisioning = p.scheduler.freeCapacity.ProvisioningHosts(p.now, true)
+	}
+	search := p.searchGangCapacity(job)
+	if search.isComplete() {
+		if job.entry.ledLocally {
+			p.plan.Gangs = append(p.plan.Gangs, search.claim())
+		}
+		job.tasks = nil
+		return
+	}
+	if job.entry.ledLocally {
+		p.recordGangMiss(job)
+	}
+	if search.reserved {
+		for _, host := range search.best.hosts {
+			if host != nil {
+				p.plan.ReservedHosts[host.Name] = true
+			}
+		}
+	}
+	p.gangSearches[job] = search
+}
+
+// gangExceedsQuota reports whether the unplaced tasks of a gang together would exceed its team's
+// limit, and counts them as used if not.
+func (p *planner) gangExceedsQuota(job *waitingJob) bool {
+	team, _ := p.scheduler.node.Settings.Team(job.entry.job.Record.Spec.Team)
+	if !team.Limited() {
+		return false
+	}
+	usage := p.placement.teamUsage[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
+	if exceedsQuota(team, usage) {
+		return true
+	}
+	p.placement.teamUsage[team.Name] = usage
+	return false
+}
+
+// recordGangMiss records that a gang did not fit. A gang that holds claims releases them after too
+// many misses in a row, as in the paper's Algorithm 2.
+func (p *planner) recordGangMiss(waitingGang *waitingJob) {
+	s, uid := p.scheduler, waitingGang.entry.uid
+	if waitingGang.entry.job.GangPhase() == job.GangReserving && s.gangs.searchState(uid).retry.Missed(p.now) {
+		s.gangs.toRelease[uid] = true
+		s.wake.Notify()
+	}
+}
--- /dev/null
+++ b/internal/scheduler/planner_reclaim.go
@@ -0,0 +1,147 @@
+package scheduler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"violetturn/internal/capacity"
+	"violetturn/internal/sched"
+	"violetturn/internal/statecache"
+)
+
+// reclaimStage is the working data of the stage that finds capacity for unplaced tasks: that of
+// tasks that are stopping, and that of tasks that may be preempted.
+type reclaimStage struct {
+	candidateHosts       []*sched.Host // machines with free capacity once all stopping tasks have left
+	ranking              *sched.Ranking
+	preemption           *preemption
+	preemptingPlacements []capacity.Placement // placements with victims
+}
+
+// reclaimCapacity finds capacity for unplaced tasks, and better machines for cold starts.
+func (p *planner) reclaimCapacity() {
+	for _, hosts := range hostsWithCapacity(p.hosts, p.smallest) {
+		p.reclaim.candidateHosts = append(p.reclaim.candidateHosts, hosts...)
+	}
+	slices.SortFunc(p.reclaim.candidateHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
+	p.reclaim.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
+	p.preemptForColdStarts()
+	for _, job := range p.unplaced {
+		p.reclaimCapacityFor(job)
+	}
+	p.plan.Placements = append(p.plan.Placements, p.reclaim.preemptingPlacements...)
+}
+
+// preemptOptions returns the machines where a job could preempt tasks, computed at the first call.
+func (p *planner) preemptOptions(job *waitingJob) []*preemptOption {
+	if !job.preemptOptionsKnown {
+		job.preemptOptionsKnown = true
+		job.preemptOptions = p.reclaim.preemption.search(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
+	}
+	return job.preemptOptions
+}
+
+// assignInPlaceOfVictims assigns a task of the job to the capacity that its victims free.
+func (p *planner) assignInPlaceOfVictims(job *waitingJob, rangeIndex int, choice victimChoice) {
+	host := choice.host
+	for _, victim := range choice.tasks {
+		host.Free = host.Free.Add(statecache.ResourcesOf(&p.scheduler.cache.Jobs[victim.UID].Record.Spec))
+	}
+	host.Free = host.Free.Sub(job.request.Need)
+	job.zoneConstraint.addTask(rangeIndex, host.Zone)
+}
+
+// preemptForColdStarts moves each cold start to a machine that has the image and preempts tasks
+// there, if that costs no more than two fetches. The victims can restart on the capacity that was
+// free.
+func (p *planner) preemptForColdStarts() {
+	for _, start := range p.coldStarts {
+		placement := &p.plan.Placements[start.index]
+		request := start.job.request
+		request.RequireImage = true
+		request.ZoneAllowed = func(zone string) bool {
+			return zone == placement.Host.Zone || start.job.zoneConstraint.allows(placement.RangeIndex, zone)
+		}
+		choice := p.reclaim.preemption.choose(p.preemptOptions(start.job), &request, 2*request.FetchS)
+		if choice.found() {
+			p.assignInPlaceOfVictims(start.job, placement.RangeIndex, choice)
+			placement.Host, placement.Victims = choice.host, choice.tasks
+		}
+	}
+}
+
+// unassignedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks
+// without a machine, or all its unplaced tasks if the machines found are not reserved.
+func (p *planner) unassignedTasks(job *waitingJob) []statecache.TaskIndex {
+	search := p.gangSearches[job]
+	if search == nil {
+		return job.tasks
+	}
+	var tasks []statecache.TaskIndex
+	for i, host := range search.best.hosts {
+		if host == nil || !search.reserved {
+			tasks = append(tasks, job.tasks[i])
+		}
+	}
+	return tasks
+}
+
+// reclaimCapacityFor finds capacity for the unplaced tasks of a job: that of stopping tasks, or
+// else by preemption. The tasks that remain become unmet demand, for which machines are rented.
+func (p *planner) reclaimCapacityFor(job *waitingJob) {
+	tasks := p.unassignedTasks(job)
+	if !job.entry.ledLocally {
+		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
+		return
+	}
+	isGang := p.gangSearches[job] != nil
+	var unmetTasks []statecache.TaskIndex
+	var victims []*statecache.PlacedTask
+	p.reclaim.ranking = sched.NewRanking(p.reclaim.ranking, p.reclaim.candidateHosts, &job.request)
+	for _, task := range tasks {
+		zoneAllowed := func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) }
+		if host := p.reclaim.ranking.Best(zoneAllowed); host != nil {
+			host.Free = host.Free.Sub(job.request.Need)
+			job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
+			continue
+		}
+		choice := p.preemptFor(job, zoneAllowed)
+		if !choice.found() {
+			unmetTasks = append(unmetTasks, task)
+			continue
+		}
+		if isGang {
+			victims = append(victims, choice.tasks...)
+		} else {
+			placement := job.placementOf(task, choice.host)
+			placement.Victims = choice.tasks
+			p.reclaim.preemptingPlacements = append(p.reclaim.preemptingPlacements, placement)
+		}
+		p.assignInPlaceOfVictims(job, task.RangeIndex, choice)
+		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task takes
+	}
+	p.dropFullHosts()
+	if len(unmetTasks) == 0 {
+		p.plan.Stops = append(p.plan.Stops, victims...)
+		return
+	}
+	if isGang {
+		unmetTasks = tasks // no task is stopped for a gang that would still be incomplete
+	}
+	unmetTasks = unmetTasks[:min(len(unmetTasks), maxReclaimTasks)]
+	p.recordUnmetDemand(job, append(unmetTasks[:len(unmetTasks):len(unmetTasks)], p.deferredTasksToRentFor(job)...))
+}
+
+// preemptFor selects the tasks that lose the least work when stopped for a task of the job.
+func (p *planner) preemptFor(job *waitingJob, zoneAllowed func(zone string) bool) victimChoice {
+	request := job.request
+	request.ZoneAllowed = zoneAllowed
+	return p.reclaim.preemption.choose(p.preemptOptions(job), &request, math.Inf(1))
+}
+
+// dropFullHosts removes the machines that no longer have capacity for any task.
+func (p *planner) dropFullHosts() {
+	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallest) }
+	p.reclaim.candidateHosts = slices.DeleteFunc(p.reclaim.candidateHosts, isFull)
+}
