--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -29,9 +29,9 @@
 	return &Sender{node: info, guard: guard, services: services}
 }
 
-// Probe requests the status of workers, to find out whether they can be reached, each in a
+// ProbeWorkers requests the status of workers, to find out whether they can be reached, each in a
 // goroutine of its own that ends with the response or at the client's deadline.
-func (s *Sender) Probe(ctx context.Context, addresses []string) {
+func (s *Sender) ProbeWorkers(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
 		s.node.RunAsync(func() { s.probeWorker(ctx, addr) })
 	}
@@ -47,9 +47,9 @@
 	state.Leadership.Contact().NoteHeard(s.node.Now())
 }
 
-// Send sends prepared commands, each in a goroutine of its own that ends with the response or at
+// SendAll sends prepared commands, each in a goroutine of its own that ends with the response or at
 // the client's deadline.
-func (s *Sender) Send(ctx context.Context, commands []*agent.DirectCommand) {
+func (s *Sender) SendAll(ctx context.Context, commands []*agent.DirectCommand) {
 	for _, command := range commands {
 		s.node.RunAsync(func() { s.sendToWorker(ctx, command) })
 	}
@@ -91,5 +91,5 @@
 	state := s.guard.Lock()
 	commands := state.DirectCommands.DueHeartbeatRequests(s.node.Now())
 	s.guard.Unlock()
-	s.Send(ctx, commands)
+	s.SendAll(ctx, commands)
 }
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -48,10 +48,10 @@
 // that its plans took, so that a slow processor spends most of its time on heartbeats.
 const idlePerPlanningTime = 3
 
-// DecideLoop calls Decide until ctx ends: when it is signaled that something has changed, and at
+// Run calls Decide until ctx ends: when it is signaled that something has changed, and at
 // least twice per heartbeat interval. It pauses between two runs, so that changes that arrive close
 // together are committed together.
-func (l *Loop) DecideLoop(ctx context.Context) {
+func (l *Loop) Run(ctx context.Context) {
 	for {
 		timer := time.NewTimer(l.node.Settings.HeartbeatInterval() / 2)
 		select {
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -156,10 +156,10 @@
 	}
 }
 
-// GangLoop places gangs as soon as they are accepted, until ctx ends. It runs concurrently with the
+// RunGangPlacement places gangs as soon as they are accepted, until ctx ends. It runs concurrently with the
 // other decisions, which may be waiting for their write budget. The state service rejects one of
 // two conflicting writes.
-func (l *Loop) GangLoop(ctx context.Context) {
+func (l *Loop) RunGangPlacement(ctx context.Context) {
 	for {
 		select {
 		case <-l.gangAccepted:
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -20,14 +20,14 @@
 	return &Cache{node: node, byJob: map[string]job.FinalState{}}
 }
 
-// Of returns the final state of a job, and whether the cache holds it. A final state never changes.
-func (c *Cache) Of(uid string) (job.FinalState, bool) {
+// Get returns the final state of a job, and whether the cache holds it. A final state never changes.
+func (c *Cache) Get(uid string) (job.FinalState, bool) {
 	finalState, ok := c.byJob[uid]
 	return finalState, ok
 }
 
-// Remember adds the final state of a job. If the cache is full, the oldest entry is removed.
-func (c *Cache) Remember(uid string, finalState job.FinalState) {
+// Add adds the final state of a job. If the cache is full, the oldest entry is removed.
+func (c *Cache) Add(uid string, finalState job.FinalState) {
 	if _, ok := c.byJob[uid]; !ok {
 		c.insertionOrder = append(c.insertionOrder, uid)
 		if len(c.insertionOrder) > maxEntries(c.node.Settings) {
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -20,20 +20,20 @@
 	limit := maxEntries(settings)
 	uid := func(i int) string { return fmt.Sprintf("run-%06d", i) }
 	for i := range limit {
-		cache.Remember(uid(i), job.FinalState{Phase: api.JobDone, Done: i})
+		cache.Add(uid(i), job.FinalState{Phase: api.JobDone, Done: i})
 	}
-	cache.Remember(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
-	if _, ok := cache.Of(uid(0)); !ok {
+	cache.Add(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
+	if _, ok := cache.Get(uid(0)); !ok {
 		t.Errorf("the oldest entry was removed with %d entries, the limit", limit)
 	}
-	cache.Remember(uid(limit), job.FinalState{Phase: api.JobCancelled, Done: 7})
-	if _, ok := cache.Of(uid(0)); ok {
+	cache.Add(uid(limit), job.FinalState{Phase: api.JobCancelled, Done: 7})
+	if _, ok := cache.Get(uid(0)); ok {
 		t.Error("the oldest entry was kept with one entry more than the limit")
 	}
-	if final, ok := cache.Of(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
+	if final, ok := cache.Get(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
 		t.Errorf("second entry: got %v, found %t; want done 1, true", final, ok)
 	}
-	if final, ok := cache.Of(uid(limit)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
+	if final, ok := cache.Get(uid(limit)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
 		t.Errorf("last entry: got %v, found %t; want cancelled with done 7, true", final, ok)
 	}
 	if len(cache.byJob) != limit || len(cache.insertionOrder) != limit {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -99,7 +99,7 @@
 func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
 // JobEnded implements statecache.Observer: users ask how their jobs ended.
-func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
+func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
 
 // TasksChanged implements statecache.Observer: the machine's worker has something to be told.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
