--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -48,7 +48,7 @@
 	ends := s.Agents.EndedTasks(now)
 	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRangeIDs) {
 		j := s.Cache.Jobs[id.UID]
-		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.EndsAreDue(id, ends[id], now) {
+		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.ShouldCommitEnds(id, ends[id], now) {
 			continue
 		}
 		if editor.IsFull(taskEndsCost(j), 0) {
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -146,7 +146,7 @@
 			claim.Placements, conflicts = step.Remaining, 0
 			l.logPlacements(ctx, step.Placed)
 			state = l.guard.Lock()
-			state.Scheduler.NoteGangClaimed(claim.UID)
+			state.Scheduler.RecordGangClaimed(claim.UID)
 			l.guard.Unlock()
 		case rejected:
 			conflicts++
@@ -177,7 +177,7 @@
 func (l *Loop) placeWaitingGangs(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	reserved := state.Scheduler.WritesReservedForGangs(now)
+	reserved := state.Scheduler.ChangesReservedForGangs(now)
 	claims := planWaitingGangs(state, gangRetryIntervals*l.node.Settings.DecisionInterval(), now)
 	l.guard.Unlock()
 	l.services.Store.ReserveForGangs(reserved)
@@ -196,7 +196,7 @@
 		if j.Record.Cancelled || !s.Leadership.Leads(j.Record.Shard) || len(j.PendingTasks()) == 0 {
 			continue
 		}
-		if s.Scheduler.LookOutOfTurn(uid, now, retryInterval) {
+		if s.Scheduler.AllowImmediateSearch(uid, now, retryInterval) {
 			searchDue = true
 		}
 	}
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -56,8 +56,8 @@
 		return placementPlan{}
 	}
 	plan := s.Scheduler.Plan(now)
-	s.Scheduler.RememberPlan(plan, now)
-	return placementPlan{placements: plan.Placements, gangs: plan.Gangs, preemptions: plan.Stops}
+	s.Scheduler.CachePlan(plan, now)
+	return placementPlan{placements: plan.Placements, gangs: plan.Gangs, preemptions: plan.GangVictims}
 }
 
 // commitPlacements commits the placements of a plan made at plannedAt. It returns the tasks to be
@@ -80,7 +80,7 @@
 		state := l.guard.Lock()
 		result := state.Scheduler.PlacementTransaction(placements, available, l.node.Now())
 		l.guard.Unlock()
-		stopSeparately = append(stopSeparately, result.StopAlone...)
+		stopSeparately = append(stopSeparately, result.StopSeparately...)
 		if result.Transaction == nil {
 			break
 		}
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -15,9 +15,9 @@
 // gangs while there are any.
 const GangClaimChanges = 3
 
-// WritesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
+// ChangesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
 // arrived lately, otherwise none.
-func (s *Scheduler) WritesReservedForGangs(now time.Time) float64 {
+func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
 	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
--- a/internal/scheduler/gang_search_state.go
+++ b/internal/scheduler/gang_search_state.go
@@ -59,12 +59,12 @@
 	return state != nil && state.retry.Released
 }
 
-// NoteGangClaimed records that capacity was claimed for a gang, which resets its count of misses.
-func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.searchState(uid).retry.Claimed() }
+// RecordGangClaimed records that capacity was claimed for a gang, which resets its count of misses.
+func (s *Scheduler) RecordGangClaimed(uid string) { s.gangs.searchState(uid).retry.Claimed() }
 
-// LookOutOfTurn reports whether a gang is to be planned now, between regular decisions, and
+// AllowImmediateSearch reports whether a gang is to be planned now, between regular decisions, and
 // records the time if so. It does so at most once per minInterval for each gang.
-func (s *Scheduler) LookOutOfTurn(uid string, now time.Time, minInterval time.Duration) bool {
+func (s *Scheduler) AllowImmediateSearch(uid string, now time.Time, minInterval time.Duration) bool {
 	state := s.gangs.searchState(uid)
 	if now.Sub(state.lastImmediateSearch) <= minInterval {
 		return false
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -11,10 +11,10 @@
 
 // PlacementResult is a transaction that commits placements, and what remains to be done.
 type PlacementResult struct {
-	Transaction *statecache.Transaction  // nil: nothing to commit now
-	Remaining   []capacity.Placement     // placements that do not fit into the transaction
-	Placed      []PlacementLog           // to be logged once the transaction is committed
-	StopAlone   []*statecache.PlacedTask // victims to stop first: they do not fit into one transaction with their placement
+	Transaction    *statecache.Transaction  // nil: nothing to commit now
+	Remaining      []capacity.Placement     // placements that do not fit into the transaction
+	Placed         []PlacementLog           // to be logged once the transaction is committed
+	StopSeparately []*statecache.PlacedTask // victims to stop first: they do not fit into one transaction with their placement
 }
 
 // placementOutcome is the result of adding a placement to a transaction.
@@ -79,7 +79,7 @@
 	for i := range placements {
 		outcome := t.add(&placements[i])
 		if outcome == placementTooLarge {
-			result.StopAlone = append(result.StopAlone, placements[i].Victims...)
+			result.StopSeparately = append(result.StopSeparately, placements[i].Victims...)
 		}
 		if outcome == transactionFull {
 			result.Remaining = append(result.Remaining, placements[i:]...)
@@ -87,7 +87,7 @@
 		}
 	}
 	if len(t.placed) == 0 {
-		return PlacementResult{StopAlone: result.StopAlone}
+		return PlacementResult{StopSeparately: result.StopSeparately}
 	}
 	transaction := t.editor.Transaction()
 	if t.editor.Outgrown {
--- a/internal/scheduler/plan_cache.go
+++ b/internal/scheduler/plan_cache.go
@@ -10,16 +10,16 @@
 	createdAt time.Time
 }
 
-// RememberPlan stores a plan for the next round of rentals.
-func (s *Scheduler) RememberPlan(plan *Plan, createdAt time.Time) {
+// CachePlan stores a plan for the next round of rentals.
+func (s *Scheduler) CachePlan(plan *Plan, createdAt time.Time) {
 	s.cachedPlan = cachedPlan{plan: plan, createdAt: createdAt}
 }
 
-// ReusePlan returns the stored plan if it was made within the last autoscaling interval, or else a
+// RecentPlan returns the stored plan if it was made within the last autoscaling interval, or else a
 // new one. A plan is the most expensive computation of a controller, and the demand that was unmet
 // for a decision is unmet for rentals too. Each plan is returned once only, because rentals assign
 // tasks to its machines.
-func (s *Scheduler) ReusePlan(now time.Time) *Plan {
+func (s *Scheduler) RecentPlan(now time.Time) *Plan {
 	cached := s.cachedPlan
 	s.cachedPlan = cachedPlan{}
 	if cached.plan != nil && now.Sub(cached.createdAt) <= s.node.Settings.AutoscaleInterval() {
--- a/internal/scheduler/plan_cache_test.go
+++ b/internal/scheduler/plan_cache_test.go
@@ -29,15 +29,15 @@
 	s := New(Deps{Node: info, Catalog: catalog.New(info)})
 	now := time.Unix(1_800_000_000, 0)
 	first := &Plan{}
-	s.RememberPlan(first, now)
-	if s.ReusePlan(now) != first {
+	s.CachePlan(first, now)
+	if s.RecentPlan(now) != first {
 		t.Fatal("first call returned a new plan, want the plan of the last decision")
 	}
-	if s.ReusePlan(now) == first {
+	if s.RecentPlan(now) == first {
 		t.Fatal("second call returned the same plan, want a new plan")
 	}
-	s.RememberPlan(first, now)
-	if s.ReusePlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
+	s.CachePlan(first, now)
+	if s.RecentPlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
 		t.Fatal("call returned a plan older than the autoscaling interval, want a new plan")
 	}
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -12,13 +12,13 @@
 
 // Plan is what this controller would do, computed from the state at one moment.
 type Plan struct {
-	Placements    []capacity.Placement
-	Gangs         []*GangClaim             // claims for all unplaced tasks of a gang each
-	Stops         []*statecache.PlacedTask // tasks to stop for gangs
-	Unmet         []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
-	AllUnmet      []sched.UnmetDemand      // the same, and the unplaced tasks of peers' jobs
-	ReservedHosts map[string]bool          // machines reserved for gangs that do not have all their capacity yet
-	Remaining     []*sched.Host            // all machines, with the capacity left after the plan
+	Placements     []capacity.Placement
+	Gangs          []*GangClaim             // claims for all unplaced tasks of a gang each
+	GangVictims    []*statecache.PlacedTask // tasks to stop for gangs
+	UnmetDemand    []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
+	AllUnmetDemand []sched.UnmetDemand      // the same, and the unplaced tasks of peers' jobs
+	ReservedHosts  map[string]bool          // machines reserved for gangs that do not have all their capacity yet
+	RemainingHosts []*sched.Host            // all machines, with the capacity left after the plan
 }
 
 // waitingJob is a job with tasks to place. Tasks are removed from its list as they are placed.
@@ -89,7 +89,7 @@
 	p.selectJobs()
 	p.placeJobs()
 	addStoppingCapacity(p.hosts)
-	p.plan.Remaining = p.hosts
+	p.plan.RemainingHosts = p.hosts
 	if len(p.unplaced) > 0 || len(p.coldStarts) > 0 {
 		p.reclaimCapacity()
 	}
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -92,7 +92,7 @@
 func (p *planner) reclaimCapacityFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
 	if !job.entry.ledLocally {
-		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
+		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
 		return
 	}
 	isGang := p.gangSearches[job] != nil
@@ -123,7 +123,7 @@
 	}
 	p.dropFullHosts()
 	if len(unmetTasks) == 0 {
-		p.plan.Stops = append(p.plan.Stops, victims...)
+		p.plan.GangVictims = append(p.plan.GangVictims, victims...)
 		return
 	}
 	if isGang {
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -37,7 +37,7 @@
 // by task: ZoneAllowed returns which zones the tasks before leave to the next one.
 func (p *planner) recordUnmetDemand(job *waitingJob, tasks []statecache.TaskIndex) {
 	demand := sched.UnmetDemand{Request: job.request, Count: len(tasks)}
-	p.plan.AllUnmet = append(p.plan.AllUnmet, demand)
+	p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, demand)
 	next := 0
 	demand.Request.ZoneAllowed = func(zone string) bool {
 		return next >= len(tasks) || job.zoneConstraint.allows(tasks[next].RangeIndex, zone)
@@ -46,5 +46,5 @@
 		job.zoneConstraint.addTask(tasks[next].RangeIndex, zone)
 		next++
 	}
-	p.plan.Unmet = append(p.plan.Unmet, demand)
+	p.plan.UnmetDemand = append(p.plan.UnmetDemand, demand)
 }
