--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,7 +7,7 @@
 	"violetturn/internal/shard"
 )
 
-// Agent is the leader's view of one worker under its present term.
+// Agent is the state that a leader keeps about one worker under the current term.
 type Agent struct {
 	TokenState
 	Contact
@@ -15,15 +15,15 @@
 	Cordon
 	Attempts
 
-	CreatedAt time.Time // when this term's view of the worker began
+	CreatedAt time.Time // when this state was created under the current term
 }
 
-// New returns the view of a worker under a term. answered is the latest time at which an
-// earlier leader can have answered it.
-func New(term uint64, now, answered time.Time) *Agent {
+// New returns the state of a worker under a term. lastAnswered is the latest time at which an
+// earlier leader can have answered the worker.
+func New(term uint64, now, lastAnswered time.Time) *Agent {
 	return &Agent{
 		TokenState: TokenState{Term: term},
-		Lease:      Lease{LastAnswered: answered},
+		Lease:      Lease{LastAnswered: lastAnswered},
 		Cordon:     Cordon{FailedJobs: map[string]bool{}},
 		Attempts: Attempts{
 			EndedAttempts:   map[string]EndedAttempt{},
@@ -34,31 +34,33 @@
 	}
 }
 
-// LastTokenChange returns when its worker last saw a higher token from us, as far as is known:
-// by a raise, or with the term itself. Another one soon after makes it report no sooner.
+// LastTokenChange returns when the worker's token last changed as far as this leader can tell:
+// when the leader last raised it, or when the worker first showed the current term. Another raise
+// shortly afterwards does not make the worker send its heartbeat any sooner.
 func (a *Agent) LastTokenChange() time.Time {
-	if a.fencedAt.After(a.raisedAt) {
+	if a.fencedAt.After(a.lastRaisedAt) {
 		return a.fencedAt
 	}
-	return a.raisedAt
+	return a.lastRaisedAt
 }
 
-// IsStale reports whether a heartbeat is no newer than one that came before: a copy
-// that comes late. Its sender no longer waits for an answer, and it shows
-// nothing about now, not even that the machine lives. So is one of an earlier
-// term long after the worker has shown that it has seen ours; shortly after, within flight,
-// one may still be on its way.
-func (a *Agent) IsStale(h *api.Heartbeat, now time.Time, flight time.Duration) bool {
+// IsStale reports whether a heartbeat is outdated and must be ignored: its sender no longer waits
+// for an answer, and it proves nothing about the present, not even that the machine is running. A
+// heartbeat is stale if it is no newer than an earlier one, which makes it a delayed copy. It is
+// also stale if it shows an earlier term although the worker showed the current one more than
+// deliveryTimeout ago; within deliveryTimeout, such a heartbeat may still be in transit.
+func (a *Agent) IsStale(h *api.Heartbeat, now time.Time, deliveryTimeout time.Duration) bool {
 	if last := a.LastHeartbeat; last != (HeartbeatNumber{}) && !h.Newer(last.AgentEpoch, last.Sequence) {
 		return true
 	}
-	return a.Fenced() && shard.TokenTerm(h.Token) < a.Term && now.Sub(a.fencedAt) > flight
+	return a.Fenced() && shard.TokenTerm(h.Token) < a.Term && now.Sub(a.fencedAt) > deliveryTimeout
 }
 
-// Accept takes in a heartbeat, or the answer to a direct command, if it can be believed, and
-// reports whether it can: it was made after the worker saw this term. A heartbeat under an
-// older term may have been held back by a partition since before our predecessor's last
-// commands, so it shows nothing about now. The newest is kept.
+// Accept processes a heartbeat, or the heartbeat in the answer to a direct command, and reports
+// whether it was accepted. Only a heartbeat that was made after the worker received the current
+// term is accepted. A heartbeat under an older term may have been delayed by a network partition
+// since before the previous leader's last commands, so it proves nothing about the present. The
+// newest accepted heartbeat is stored.
 func (a *Agent) Accept(h *api.Heartbeat, now time.Time) bool {
 	if shard.TokenTerm(h.Token) != a.Term {
 		return false
@@ -68,8 +70,9 @@
 		a.State, a.fencedAt = Responsive, now
 	case Responsive:
 		if h.AgentEpoch > a.Heartbeat.AgentEpoch {
-			// Its lease expired although we answered, or could have: perhaps it
-			// receives nothing. Only a token raised from now on shows that it does.
+			// The worker's lease expired although this leader answered or could have
+			// answered, so the worker may receive no answers. Only a heartbeat with a
+			// token raised from now on proves that it does.
 			a.BecomeUnresponsive(now)
 		}
 	case Unresponsive:
@@ -84,32 +87,32 @@
 	return true
 }
 
-// BecomeUnresponsive records that a fenced worker does not obey, and raises its token: it is
-// responsive again when it shows the raised token.
+// BecomeUnresponsive marks a fenced worker as one that does not carry out commands, and raises
+// its token. The worker is responsive again when a heartbeat shows the raised token.
 func (a *Agent) BecomeUnresponsive(now time.Time) {
 	a.State = Unresponsive
 	a.RaiseToken(now)
 }
 
-// MaxUnheardAnswers is how often in a row a worker may show that it did not receive an
-// answer before it counts as one that receives none: answers get lost now and then.
+// MaxUnheardAnswers is the number of answers in a row that a worker may fail to receive before it
+// is assumed to receive none. Single answers are lost now and then.
 const MaxUnheardAnswers = 3
 
-// MayIntroduceTerm reports whether a worker that has not seen this term yet is to be
-// answered, so that it learns the term, and counts the answer. A worker that was answered
-// and reports as before receives nothing: our answers renew no lease there, and to count them
-// would keep its tasks waiting for ever. leaseBound is that of IsLeaseExpired, interval the
-// time between heartbeats.
+// MayIntroduceTerm reports whether to answer a worker that has not shown the current term yet, so
+// that the worker receives the term. It also counts the answer. A worker that keeps showing an
+// older term after several answers receives none of them: the answers do not renew its lease, and
+// counting them as renewals would delay the recovery of its tasks forever. leaseBound is the
+// bound of IsLeaseExpired, interval the time between heartbeats.
 func (a *Agent) MayIntroduceTerm(now time.Time, leaseBound, interval time.Duration) bool {
 	if a.UnheardAnswers >= MaxUnheardAnswers {
 		if a.IsLeaseExpired(now, leaseBound) {
-			a.UnheardAnswers = 0 // nothing runs there any more: it may try again
+			a.UnheardAnswers = 0 // nothing runs on the machine any more, so the worker may be answered again
 		}
 		return false
 	}
-	// A worker's own heartbeats come in rounds. Copies of old ones come at once, and
-	// many may have been kept for a new leader: counted as answers that the worker
-	// did not receive, they would have it refused while it lives.
+	// A worker sends one heartbeat per interval, but many delayed copies of old heartbeats may reach
+	// a new leader at once. If each copy counted as an answer that the worker did not receive, a
+	// running worker would be refused.
 	if now.Sub(a.UnheardAt) >= interval/2 {
 		a.UnheardAnswers++
 		a.UnheardAt = now
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -10,9 +10,9 @@
 	"violetturn/internal/shard"
 )
 
-// A worker whose agent epoch ends although it was answered counts as unresponsive until it
-// shows a token raised since: heartbeats alone don't show that it receives answers.
-func TestUnresponsiveUntilCommandsAreObeyed(t *testing.T) {
+// A worker whose agent epoch increases although it was answered is unresponsive until it shows a
+// token raised since: heartbeats alone do not prove that it receives answers.
+func TestUnresponsive_UntilRaisedTokenIsShown(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := New(7, now, now)
 	accept := func(agentEpoch, sequence uint64) {
@@ -21,32 +21,32 @@
 	accept(1, 1)
 	accept(1, 2)
 	if a.Unresponsive() {
-		t.Fatal("unresponsive from the start")
+		t.Fatal("the worker is unresponsive after heartbeats of one agent epoch, want responsive")
 	}
 	accept(2, 3)
 	accept(2, 4)
 	if !a.Unresponsive() || a.Token() <= shard.FencingToken(7, 0) {
-		t.Fatal("its lease expired and it counts as one that receives answers")
+		t.Fatalf("after a new agent epoch: unresponsive %t, token %d; want unresponsive and a raised token", a.Unresponsive(), a.Token())
 	}
 	a.Accept(&api.Heartbeat{AgentEpoch: 2, Sequence: 5, Token: a.Token()}, now)
 	if a.Unresponsive() {
-		t.Fatal("unresponsive although it has seen the raised token")
+		t.Fatal("the worker is unresponsive after it has shown the raised token, want responsive")
 	}
 }
 
-// Copies of heartbeats, at whatever time and in whatever order, are stale; new ones
-// never are. One of an earlier term is believed by nobody.
-func TestHeartbeatIsAcceptedOnce(t *testing.T) {
+// Copies of heartbeats are stale, whenever and in whatever order they arrive; new heartbeats
+// never are. A heartbeat of an earlier term is not accepted.
+func TestHeartbeat_CopiesAreStale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		a := New(7, now, now)
-		var old []*api.Heartbeat
+		var accepted []*api.Heartbeat
 		agentEpoch, sequence := uint64(1), uint64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "heartbeats") {
 			now = now.Add(time.Second)
-			if len(old) > 0 && rapid.Bool().Draw(t, "copy") {
-				if h := rapid.SampledFrom(old).Draw(t, "which"); !a.IsStale(h, now, 0) {
-					t.Fatalf("copy of %d/%d is taken", h.AgentEpoch, h.Sequence)
+			if len(accepted) > 0 && rapid.Bool().Draw(t, "copy") {
+				if h := rapid.SampledFrom(accepted).Draw(t, "which"); !a.IsStale(h, now, 0) {
+					t.Fatalf("a copy of heartbeat %d/%d is not stale", h.AgentEpoch, h.Sequence)
 				}
 				continue
 			}
@@ -56,27 +56,28 @@
 			}
 			h := &api.Heartbeat{AgentEpoch: agentEpoch, Sequence: sequence, Token: shard.FencingToken(7, a.TokenSequence)}
 			if a.IsStale(h, now, 0) {
-				t.Fatal("a new heartbeat is stale")
+				t.Fatalf("new heartbeat %d/%d is stale", h.AgentEpoch, h.Sequence)
 			}
 			a.LastHeartbeat = HeartbeatNumber{AgentEpoch: agentEpoch, Sequence: sequence}
 			if !a.Accept(h, now) {
-				t.Fatal("a new heartbeat is not believed")
+				t.Fatalf("new heartbeat %d/%d is not accepted", h.AgentEpoch, h.Sequence)
 			}
-			old = append(old, h)
+			accepted = append(accepted, h)
 		}
 		if a.Accept(&api.Heartbeat{AgentEpoch: agentEpoch, Sequence: sequence + 1, Token: shard.FencingToken(6, 9)}, now) {
-			t.Fatal("a heartbeat of an earlier term is believed")
+			t.Fatal("a heartbeat of an earlier term is accepted")
 		}
 	})
 }
 
-// stateModel is the state of a worker as two flags, each changed by itself.
+// stateModel models a worker's state as two flags that change independently.
 type stateModel struct {
 	fenced, unresponsive bool
 	newestEpoch          uint64
 }
 
-// accept is what a heartbeat under the term does to the flags; token is the agent's before.
+// accept applies a heartbeat under the current term to the flags. token is the agent's token
+// before the heartbeat.
 func (m *stateModel) accept(h *api.Heartbeat, token uint64) {
 	switch {
 	case m.fenced && h.AgentEpoch > m.newestEpoch && !m.unresponsive:
@@ -88,8 +89,8 @@
 	m.newestEpoch = max(m.newestEpoch, h.AgentEpoch)
 }
 
-// The state has the transitions that two independent flags have, a worker is unfenced exactly
-// while no heartbeat was accepted, and its token only rises, with each time that it becomes
+// The state has the transitions of two independent flags. A worker is unfenced exactly while no
+// heartbeat was accepted. Its token never decreases and is raised whenever the worker becomes
 // unresponsive.
 func TestStateTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -114,28 +115,29 @@
 				a.Accept(h, now)
 			}
 			if a.Fenced() != model.fenced || a.Unresponsive() != model.unresponsive {
-				t.Fatalf("%s, the flags say fenced %t, unresponsive %t", a.State, model.fenced, model.unresponsive)
+				t.Fatalf("state %s, want fenced %t, unresponsive %t", a.State, model.fenced, model.unresponsive)
 			}
 			if a.Fenced() != (a.Heartbeat != nil) {
-				t.Fatalf("%s with heartbeat %v", a.State, a.Heartbeat)
+				t.Fatalf("state %s with heartbeat %v, want a heartbeat exactly if fenced", a.State, a.Heartbeat)
 			}
 			if a.Token() < token || a.Unresponsive() && before != Unresponsive && a.Token() == token {
-				t.Fatalf("token %d after %d, %s after %s", a.Token(), token, a.State, before)
+				t.Fatalf("token changed from %d to %d, state from %s to %s; want no lower token, and a higher one when unresponsive",
+					token, a.Token(), before, a.State)
 			}
 		}
 	})
 }
 
-// A lease that has expired is told of once, an answer renews it, and a terminated machine's
-// stays expired.
-func TestUpdateLease(t *testing.T) {
+// The expiry of a lease is reported once, an answer renews the lease, and the lease of a
+// terminated machine stays expired.
+func TestUpdateLease_ReportsExpiryOnce(t *testing.T) {
 	const bound = 10 * time.Second
 	start := time.Unix(0, 0)
-	for _, x := range []struct {
-		name           string
-		lease          Lease
-		after          time.Duration
-		expired, newly bool
+	for _, test := range []struct {
+		name                   string
+		lease                  Lease
+		after                  time.Duration
+		wantExpired, wantNewly bool
 	}{
 		{"valid", Lease{LastAnswered: start}, bound, false, false},
 		{"expires", Lease{LastAnswered: start}, bound + 1, true, true},
@@ -144,50 +146,51 @@
 		{"terminated", Lease{LastAnswered: start, Terminated: true}, 0, true, true},
 		{"terminated after it expired", Lease{LastAnswered: start, LeaseExpired: true, Terminated: true}, 0, true, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			expired, newly := x.lease.UpdateLease(start.Add(x.after), bound)
-			if expired != x.expired || newly != x.newly || x.lease.LeaseExpired != x.expired {
-				t.Errorf("expired %t, newly %t, recorded %t", expired, newly, x.lease.LeaseExpired)
+		t.Run(test.name, func(t *testing.T) {
+			expired, newly := test.lease.UpdateLease(start.Add(test.after), bound)
+			if expired != test.wantExpired || newly != test.wantNewly || test.lease.LeaseExpired != test.wantExpired {
+				t.Errorf("expired %t, newly %t, LeaseExpired %t; want %t, %t, %t",
+					expired, newly, test.lease.LeaseExpired, test.wantExpired, test.wantNewly, test.wantExpired)
 			}
 		})
 	}
 }
 
-// A worker is told of the term a few rounds long; copies within a round count once; one that
-// never shows the term is not answered until its lease has expired.
-func TestMayIntroduceTerm(t *testing.T) {
+// A worker that does not show the current term is answered for a few heartbeat intervals; copies
+// within an interval count once. After that it is not answered until its lease has expired.
+func TestMayIntroduceTerm_StopsWithoutAcknowledgement(t *testing.T) {
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
 	for round := range MaxUnheardAnswers {
 		now := start.Add(time.Duration(round) * interval)
-		for range 5 { // a heartbeat and copies of it; the last round's first answer is the last one
+		for range 5 { // a heartbeat and its copies; only the first one is answered in the last round
 			if a.UnheardAnswers < MaxUnheardAnswers && !a.MayIntroduceTerm(now, bound, interval) {
-				t.Fatalf("not told in round %d", round)
+				t.Fatalf("the worker is not answered in round %d", round)
 			}
 		}
 		if a.UnheardAnswers != round+1 {
-			t.Fatalf("%d answers counted in %d rounds", a.UnheardAnswers, round+1)
+			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnheardAnswers, round+1)
 		}
 	}
 	if a.MayIntroduceTerm(start.Add(bound), bound, interval) || a.UnheardAnswers != MaxUnheardAnswers {
-		t.Error("answered on, within its lease")
+		t.Errorf("within its lease the worker is answered once more or the count changed: %d answers counted, want %d",
+			a.UnheardAnswers, MaxUnheardAnswers)
 	}
 	if a.MayIntroduceTerm(start.Add(bound+1), bound, interval) || a.UnheardAnswers != 0 {
-		t.Error("answered at once when its lease has expired, or refused for ever")
+		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnheardAnswers)
 	}
 	if !a.MayIntroduceTerm(start.Add(bound+2), bound, interval) {
-		t.Error("refused after its lease has expired")
+		t.Error("the worker is not answered after its lease has expired")
 	}
 }
 
-// Each state has a name.
-func TestStateNames(t *testing.T) {
+func TestState_String(t *testing.T) {
 	for state, name := range map[State]string{
 		Unfenced: "unfenced", Responsive: "responsive", Unresponsive: "unresponsive", Unresponsive + 1: "unknown",
 	} {
 		if state.String() != name {
-			t.Errorf("state %d is called %s, not %s", uint8(state), state, name)
+			t.Errorf("name of state %d is %s, want %s", uint8(state), state, name)
 		}
 	}
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -6,24 +6,24 @@
 	"violetturn/internal/job"
 )
 
-// Attempts is what is known of attempts on a worker, by task.
+// Attempts records the attempts of tasks on a worker, by task key.
 type Attempts struct {
-	EndedAttempts   map[string]EndedAttempt  // not yet recorded
-	FirstRuns       map[string]FirstRun      // attempts that were seen running
-	PendingLaunches map[string]PendingLaunch // launches that were answered and not yet seen
+	EndedAttempts   map[string]EndedAttempt  // attempts whose end is not committed yet
+	FirstRuns       map[string]FirstRun      // attempts that were reported as running
+	PendingLaunches map[string]PendingLaunch // launches that were sent and whose attempt is not reported yet
 }
 
-// EndedAttempt is the decision that an attempt is over. It is never reversed: that attempt is
-// not launched again, whatever becomes of the transaction that records it, for that
-// transaction may still be applied late.
+// EndedAttempt is the decision that an attempt has ended. It is never reversed: the attempt is
+// not launched again even if the transaction that records its end fails, since that transaction
+// may still be applied late.
 type EndedAttempt struct {
 	Attempt      uint64
 	Done, Failed bool
-	Reason       job.ExitReason // the same for a gang's task
-	EndedAt      time.Time      // when it was decided
+	Reason       job.ExitReason // why the attempt ended, for a task of a gang
+	EndedAt      time.Time      // when the decision was made
 }
 
-// FirstRun is when an attempt was first seen running.
+// FirstRun is the time at which an attempt was first reported as running.
 type FirstRun struct {
 	Attempt uint64
 	At      time.Time
@@ -33,5 +33,5 @@
 type PendingLaunch struct {
 	Attempt uint64
 	Answers int
-	Blocked int // heartbeats in a row that left no room for it, nor any that is about to be left
+	Blocked int // consecutive heartbeats without capacity for the task, and with no stopping task about to free any
 }
--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -10,33 +10,34 @@
 	"violetturn/internal/shard"
 )
 
-// patienceLags is how many times the lag of the cloud's list it takes until a machine that is on
-// it and has no record, or has one and is not on it, is not just new or just returned.
-const patienceLags = 4
+// mismatchDelayLags is how many lags of the cloud's list must pass before a difference between
+// the list and the machine records counts. Until then, a machine on the list without a record, or
+// with a record and not on the list, may just have been rented or returned.
+const mismatchDelayLags = 4
 
-// missingWhenFailed is how many lists in a row a machine counts as missing from that the cloud
-// lists as failed.
-const missingWhenFailed = 2
+// failedMachineMisses is the number of consecutive lists that a machine counts as missing from
+// once the cloud lists it as failed.
+const failedMachineMisses = 2
 
-// CloudListing is the cloud's newest list of machines. The lock of internal/state guards it.
+// CloudListing holds the cloud's newest list of machines. The lock of internal/state guards it.
 type CloudListing struct {
-	registry     *Registry
-	listed       map[string]bool      // machines on the list; false: listed as failed
-	starting     map[string]bool      // those that it shows as starting
-	unknownSince map[string]time.Time // those of them without a record, since when they were seen there
+	registry          *Registry
+	listed            map[string]bool      // machines on the list; false if listed as failed
+	starting          map[string]bool      // machines that the list shows as starting
+	unregisteredSince map[string]time.Time // when each listed machine without a record was first found on the list
 }
 
 func newCloudListing(registry *Registry) *CloudListing {
-	return &CloudListing{registry: registry, unknownSince: map[string]time.Time{}}
+	return &CloudListing{registry: registry, unregisteredSince: map[string]time.Time{}}
 }
 
-// Has reports whether the list has a machine, and not as failed.
+// Has reports whether a machine is on the list and not listed as failed.
 func (c *CloudListing) Has(host string) bool { return c.listed[host] }
 
 // IsStarting reports whether the list shows a machine as starting.
 func (c *CloudListing) IsStarting(host string) bool { return c.starting[host] }
 
-// replace takes in a new list.
+// replace stores a new list in place of the previous one.
 func (c *CloudListing) replace(hosts []cloud.Host) {
 	c.listed, c.starting = map[string]bool{}, map[string]bool{}
 	for _, host := range hosts {
@@ -45,77 +46,81 @@
 			c.starting[host.UID] = true
 		}
 	}
-	maps.DeleteFunc(c.unknownSince, func(host string, _ time.Time) bool { return !c.isOn(host) })
+	maps.DeleteFunc(c.unregisteredSince, func(host string, _ time.Time) bool { return !c.isListed(host) })
 }
 
-// isOn reports whether the list has a machine, be it as failed.
-func (c *CloudListing) isOn(host string) bool {
+// isListed reports whether a machine is on the list, also if listed as failed.
+func (c *CloudListing) isListed(host string) bool {
 	_, found := c.listed[host]
 	return found
 }
 
-// unknownFor notes that the list has a machine without a record, and returns for how long that
+// unregisteredDuration records that a listed machine has no record, and returns for how long that
 // has been so.
-func (c *CloudListing) unknownFor(host string, now time.Time) time.Duration {
-	if _, found := c.unknownSince[host]; !found {
-		c.unknownSince[host] = now
+func (c *CloudListing) unregisteredDuration(host string, now time.Time) time.Duration {
+	if _, found := c.unregisteredSince[host]; !found {
+		c.unregisteredSince[host] = now
 	}
-	return now.Sub(c.unknownSince[host])
+	return now.Sub(c.unregisteredSince[host])
 }
 
-// Note takes in the cloud's list, whose first page was read at the time began. It lags
-// by up to lag and may be older than the last one, so it only raises questions: the cloud's answer
-// to a return settles them.
-func (c *CloudListing) Note(hosts []cloud.Host, began time.Time, lag time.Duration) {
-	now, patience := c.registry.node.Now(), patienceLags*lag
+// Note stores the cloud's list, whose first page was read at readStartedAt, and compares it with
+// the machine records. The list lags by up to lag and may be older than the previous one, so a
+// difference is only a hint: a request to return the machine gets the definite answer from the
+// cloud.
+func (c *CloudListing) Note(hosts []cloud.Host, readStartedAt time.Time, lag time.Duration) {
+	now, mismatchDelay := c.registry.node.Now(), mismatchDelayLags*lag
 	c.replace(hosts)
 	for _, host := range hosts {
 		machine := c.registry.cache.Machines[host.UID]
 		if machine == nil {
-			c.noteUnknownListed(host, now, patience)
+			c.addUnregistered(host, now, mismatchDelay)
 			continue
 		}
-		delete(c.unknownSince, host.UID)
+		delete(c.unregisteredSince, host.UID)
 		if machine.Addr == "" {
 			c.registry.cache.NoteAddress(host.UID, host.Addr)
 		}
 		if leadership := c.registry.leadership.InForce(machine.Shard); leadership != nil {
-			c.noteListed(host, leadership)
+			c.updateListedAgent(host, leadership)
 		}
 	}
-	c.countMissing(began, patience)
+	c.countMissing(readStartedAt, mismatchDelay)
 }
 
-// noteUnknownListed notes a machine on the list that has no record. It may just have been rented
-// by a peer, or been returned and be listed still, so it has to stay on the list for a while.
-func (c *CloudListing) noteUnknownListed(host cloud.Host, now time.Time, patience time.Duration) {
-	if c.unknownFor(host.UID, now) > patience && host.Phase != cloud.MachineFailed {
+// addUnregistered adds a machine on the list that has no record to the unregistered machines,
+// once it has stayed on the list long enough. Before that, a peer may just have rented it, or it
+// may have been returned and still be listed.
+func (c *CloudListing) addUnregistered(host cloud.Host, now time.Time, mismatchDelay time.Duration) {
+	if c.unregisteredDuration(host.UID, now) > mismatchDelay && host.Phase != cloud.MachineFailed {
 		c.registry.unregistered.Note(host.UID, shard.Machine{
 			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
 		})
 	}
 }
 
-// noteListed notes that the list has a machine of a shard that this node leads.
-func (c *CloudListing) noteListed(host cloud.Host, leadership *leadership.Leadership) {
+// updateListedAgent updates the agent of a listed machine whose shard this node leads. A machine
+// that the cloud lists as failed is cordoned.
+func (c *CloudListing) updateListedAgent(host cloud.Host, leadership *leadership.Leadership) {
 	agent := c.registry.Ensure(host.UID, leadership)
 	agent.MissingFromLists = 0
 	if host.Phase == cloud.MachineFailed && !agent.Cordoned {
 		c.registry.node.Log.Info("machine failed", logkey.Host(host.UID))
-		agent.Cordoned, agent.MissingFromLists = true, missingWhenFailed
+		agent.Cordoned, agent.MissingFromLists = true, failedMachineMisses
 	}
 }
 
-// countMissing counts for each machine that it is missing from the list, unless it is so new that
-// the list may not have it yet. One that is on the list stays so until it is terminated; one that
-// was registered from a late copy of a heartbeat never is on it.
-func (c *CloudListing) countMissing(began time.Time, patience time.Duration) {
+// countMissing increments the count of lists that lack a machine for each machine with a record
+// that is not on the list, except for machines so new that the list may not include them yet. A
+// listed machine stays on the list until it is terminated. A machine that was registered from a
+// delayed copy of a heartbeat never appears on the list.
+func (c *CloudListing) countMissing(readStartedAt time.Time, mismatchDelay time.Duration) {
 	for host, agent := range c.registry.agents {
 		machine := c.registry.cache.Machines[host]
-		if machine == nil || c.isOn(host) {
+		if machine == nil || c.isListed(host) {
 			continue
 		}
-		if began.Sub(time.UnixMilli(machine.RegisteredMS)) > patience+c.registry.node.Settings.HeartbeatInterval() {
+		if readStartedAt.Sub(time.UnixMilli(machine.RegisteredMS)) > mismatchDelay+c.registry.node.Settings.HeartbeatInterval() {
 			agent.MissingFromLists++
 		}
 	}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -5,30 +5,30 @@
 	"violetturn/internal/statecache"
 )
 
-// AttemptID names an attempt of a task on the wire.
+// AttemptID identifies an attempt of a task in commands and heartbeats.
 type AttemptID struct {
 	Task    string
 	Attempt uint64
 }
 
-// AttemptOf names the attempt of a placed task of a job.
+// AttemptOf returns the ID of the attempt of a placed task of a job.
 func AttemptOf(task *statecache.PlacedTask, j *statecache.Job) AttemptID {
 	return AttemptID{Task: task.TaskName(j), Attempt: task.Placement.Attempt}
 }
 
-// Command returns the command with the action for the attempt.
+// Command returns a command that applies the action to the attempt.
 func (a AttemptID) Command(action api.CommandAction) api.Command {
 	return api.Command{Action: action, Task: a.Task, Attempt: a.Attempt}
 }
 
-// StopCommand returns the command that stops a task, with time to save if it can and that is
-// worth it.
+// StopCommand returns the command that stops a task. Its grace period leaves time to save the
+// progress if the job saves on stop, and is zero otherwise.
 func (r *Registry) StopCommand(j *statecache.Job, attempt AttemptID) api.Command {
 	graceS := 0.0
 	if j.SavesOnStop() {
 		graceS = j.Record.Spec.SaveS * 2
 		if j.IsGang() {
-			graceS += r.node.Settings.GangPeerTimeout().Seconds() // each waits for all others' saves
+			graceS += r.node.Settings.GangPeerTimeout().Seconds() // each task waits for the saves of all others
 		}
 	}
 	command := attempt.Command(api.Stop)
@@ -37,8 +37,8 @@
 }
 
 // StopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine, for
-// a node that may not act as a leader: what is committed may have changed where it can't see that,
-// but a cancelled job stays cancelled, and its tasks have to be gone in time.
+// a node that may not act as a leader. Such a node may have missed newer commits, but a
+// cancellation is never reverted, and the tasks of a cancelled job must end in time.
 func (r *Registry) StopCancelledTasks(host string) []api.Command {
 	commands := []api.Command{}
 	for _, task := range r.cache.Placements[host] {
--- a/internal/agent/cordon.go
+++ b/internal/agent/cordon.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Cordon is whether a machine takes more tasks, and what may have it cordoned.
+// Cordon records whether a machine is cordoned, and the observations that may lead to that.
 type Cordon struct {
-	Cordoned       bool            // it takes no more tasks and is to be returned; never cleared
-	IdleSince      time.Time       // since when it has no task; zero: it has some
-	UnderusedSince time.Time       // since when its few replicas would fit elsewhere; zero: they don't
-	FailedJobs     map[string]bool // jobs whose tasks failed there since one last succeeded
-	AvoidUntil     time.Time       // it refused a task for want of room: none is placed there until then
+	Cordoned       bool            // the machine gets no more tasks and is to be returned; never cleared
+	IdleSince      time.Time       // since when the machine has had no tasks; zero if it has some
+	UnderusedSince time.Time       // since when its few replicas would fit on other machines; zero if they would not
+	FailedJobs     map[string]bool // jobs with tasks that failed there since a task last succeeded
+	AvoidUntil     time.Time       // no tasks are placed there until then, since the machine refused one for lack of capacity
 }
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -6,56 +6,57 @@
 	"violetturn/internal/api"
 )
 
-// Bounds of the direct commands under way, as parts of the sockets that the process may have.
-// Fences and requests for a heartbeat have bounds of their own: fences of machines that a
-// network partition cuts off hang until their deadline, and must not hold up the requests.
+// Limits on the direct commands in flight, as fractions of the sockets that the process may open.
+// Fences and heartbeat requests have separate limits: fences to partitioned machines block until
+// their deadline and must not delay the requests.
 const (
-	minSlots          = 8
-	socketsPerFence   = 16
-	socketsPerRequest = 32
-	anyAgentEpoch     = 1 // a worker of another agent epoch refuses the commands and names its own
+	minSlots              = 8
+	socketsPerFenceSlot   = 16
+	socketsPerRequestSlot = 32
+	initialAgentEpoch     = 1 // a worker with another agent epoch refuses the commands and answers with its own epoch
 )
 
-// DirectCommands prepares what is sent to workers beside their heartbeats: fences, commands
-// that have a worker send a heartbeat at once, and probes of whether workers hear this node. Each
-// command holds a slot from when it is prepared until
-// Release. The lock of internal/state guards it.
+// DirectCommands prepares what is sent to workers outside the answers to their heartbeats:
+// fences, commands that make a worker send a heartbeat at once, and probes of whether workers can
+// be reached. Each DirectCommand holds a slot from its preparation until Release. The lock of
+// internal/state guards DirectCommands.
 type DirectCommands struct {
-	registry     *Registry
-	requested    map[string]bool // machines whose tasks have changed since their leader last looked
-	fenceSlots   chan struct{}
-	requestSlots chan struct{}
+	registry       *Registry
+	requestedHosts map[string]bool // machines whose tasks have changed, for the next DueHeartbeatRequests to check
+	fenceSlots     chan struct{}
+	requestSlots   chan struct{}
 }
 
-// NewDirectCommands makes the preparation of direct commands for a registry's workers.
+// NewDirectCommands creates the direct commands for a registry's workers.
 func NewDirectCommands(registry *Registry) *DirectCommands {
 	sockets := registry.node.Settings.Facts.Limits.MaxSockets
 	return &DirectCommands{
-		registry:     registry,
-		requested:    map[string]bool{},
-		fenceSlots:   make(chan struct{}, max(minSlots, sockets/socketsPerFence)),
-		requestSlots: make(chan struct{}, max(minSlots, sockets/socketsPerRequest)),
+		registry:       registry,
+		requestedHosts: map[string]bool{},
+		fenceSlots:     make(chan struct{}, max(minSlots, sockets/socketsPerFenceSlot)),
+		requestSlots:   make(chan struct{}, max(minSlots, sockets/socketsPerRequestSlot)),
 	}
 }
 
-// DirectCommand is a batch of commands for one worker, to be sent to its address beside its
-// heartbeats.
+// DirectCommand is a batch of commands for one worker, sent to its address outside the answers to
+// its heartbeats.
 type DirectCommand struct {
 	Host  string
 	Addr  string
 	Term  uint64
 	Batch api.CommandBatch
 
-	slots chan struct{} // one of them is held
+	slots chan struct{} // the command holds one of these slots
 }
 
-// Release releases the command's slot, once the command was answered or given up. It may be
+// Release releases the command's slot once the command was answered or abandoned. It may be
 // called without the lock.
 func (c *DirectCommand) Release() { <-c.slots }
 
-// Fence prepares the command that tells a worker our fencing token directly, so that an
-// earlier leader's answers are dropped from then on; its answer shows what runs there. It returns
-// nil if the worker has seen this term, was sent a command a moment ago, or no slot is free.
+// Fence prepares the command that sends this leader's fencing token to a worker directly. From
+// then on the worker drops the answers of earlier leaders. The worker's answer lists the tasks
+// that run there. Fence returns nil if the worker has shown this term, was sent a command within
+// the last heartbeat interval, or no slot is free.
 func (d *DirectCommands) Fence(host string) *DirectCommand {
 	agent := d.registry.agents[host]
 	if agent == nil || agent.Fenced() {
@@ -64,7 +65,7 @@
 	if d.registry.node.Now().Sub(agent.LastCommandAt) < d.registry.node.Settings.HeartbeatInterval() {
 		return nil
 	}
-	return d.prepare(host, d.fenceSlots, api.CommandBatch{AgentEpoch: anyAgentEpoch, Commands: []api.Command{}})
+	return d.prepare(host, d.fenceSlots, api.CommandBatch{AgentEpoch: initialAgentEpoch, Commands: []api.Command{}})
 }
 
 // FenceShard prepares the fences of a shard's workers, as many as there are free slots.
@@ -81,8 +82,8 @@
 	return fences
 }
 
-// prepare prepares commands that may be executed at any later time. It returns nil if
-// the worker can't be addressed or no slot is free: the next round asks again.
+// prepare prepares commands that are safe to carry out at any later time. It returns nil if the
+// worker has no known address or no slot is free; the next round tries again.
 func (d *DirectCommands) prepare(host string, slots chan struct{}, batch api.CommandBatch) *DirectCommand {
 	machine, agent := d.registry.cache.Machines[host], d.registry.agents[host]
 	if machine == nil || machine.Addr == "" || agent == nil {
@@ -98,44 +99,44 @@
 	return &DirectCommand{Host: host, Addr: machine.Addr, Term: agent.Term, Batch: batch, slots: slots}
 }
 
-// RequestHeartbeat has a worker send a heartbeat soon if its tasks, which have changed, can't
-// wait for the next one.
-func (d *DirectCommands) RequestHeartbeat(host string) { d.requested[host] = true }
+// RequestHeartbeat records that the tasks of a worker have changed. The worker is made to send a
+// heartbeat soon if the change cannot wait for its next one.
+func (d *DirectCommands) RequestHeartbeat(host string) { d.requestedHosts[host] = true }
 
-// DueHeartbeatRequests prepares the commands that have workers send a heartbeat now, as many
-// as there are free slots: the others follow in the next round.
+// DueHeartbeatRequests prepares the commands that make workers send a heartbeat now, as many as
+// there are free slots. The others follow in the next round.
 func (d *DirectCommands) DueHeartbeatRequests(now time.Time) []*DirectCommand {
 	if !d.registry.leadership.MayAct(now) {
 		return nil
 	}
 	var due []*DirectCommand
-	for host := range d.requested {
-		batch, wanted := d.heartbeatRequest(host, now)
-		if wanted {
+	for host := range d.requestedHosts {
+		batch, needed := d.heartbeatRequest(host, now)
+		if needed {
 			command := d.prepare(host, d.requestSlots, batch)
 			if command == nil {
 				break
 			}
 			due = append(due, command)
 		}
-		delete(d.requested, host)
+		delete(d.requestedHosts, host)
 	}
 	return due
 }
 
-// heartbeatRequest returns the commands that have a worker send a heartbeat now. wanted is false
-// if it need not: nothing waits for it, or it would not obey. Commands that stop tasks make it
-// send one; for launches alone its token is raised.
-func (d *DirectCommands) heartbeatRequest(host string, now time.Time) (batch api.CommandBatch, wanted bool) {
+// heartbeatRequest returns the commands that make a worker send a heartbeat now. needed is false
+// if no change requires a heartbeat or the worker does not accept commands. Commands that stop
+// tasks make the worker send a heartbeat; for launches alone the worker's token is raised.
+func (d *DirectCommands) heartbeatRequest(host string, now time.Time) (batch api.CommandBatch, needed bool) {
 	agent := d.registry.agents[host]
-	if !d.expectsObedience(host, agent) {
+	if !d.acceptsCommands(host, agent) {
 		return batch, false
 	}
 	immediate := d.immediateCommands(host, agent)
-	if !immediate.stops {
-		// Raises that come sooner after one another count as no change: they are
-		// kept for starts that nothing else can announce.
-		if !immediate.launches || now.Sub(agent.LastTokenChange()) < d.registry.node.Settings.WorkerLease()/2 {
+	if !immediate.hasStops {
+		// The worker treats raises in quick succession as no change, so a raise is used
+		// only for launches, which no immediate command can announce.
+		if !immediate.hasLaunches || now.Sub(agent.LastTokenChange()) < d.registry.node.Settings.WorkerLease()/2 {
 			return batch, false
 		}
 		agent.RaiseToken(now)
@@ -143,9 +144,9 @@
 	return api.CommandBatch{AgentEpoch: agent.Heartbeat.AgentEpoch, Commands: immediate.commands}, true
 }
 
-// expectsObedience reports whether a worker of a shard that this node leads is expected to
-// carry out a command now.
-func (d *DirectCommands) expectsObedience(host string, agent *Agent) bool {
+// acceptsCommands reports whether a worker can be expected to carry out a command now. Its shard
+// must be led by this node.
+func (d *DirectCommands) acceptsCommands(host string, agent *Agent) bool {
 	machine := d.registry.cache.Machines[host]
 	return machine != nil && d.registry.leadership.Leads(machine.Shard) &&
 		agent != nil && agent.State == Responsive && !agent.LeaseExpired && !agent.Terminated
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -9,15 +9,14 @@
 	"violetturn/internal/statecache"
 )
 
-// EndedTask is a committed placement whose attempt is over.
+// EndedTask is a committed placement whose attempt has ended.
 type EndedTask struct {
 	Task *statecache.PlacedTask
 	End  EndedAttempt
 }
 
-// IsCompleted reports whether a placed task has completed, though that need not be
-// committed yet: its room is free, and its end is recorded with others to save
-// changes.
+// IsCompleted reports whether a placed task has completed, even if its end is not committed yet.
+// Its capacity is free already; its end is recorded together with others to save changes.
 func (r *Registry) IsCompleted(host, key string, task *statecache.PlacedTask) bool {
 	agent := r.agents[host]
 	if agent == nil {
@@ -27,14 +26,14 @@
 	return found && end.Done && end.Attempt == task.Placement.Attempt
 }
 
-// NoteEnd notes that the attempt of the placement with the key is over.
+// NoteEnd records that the attempt of the placement with the key has ended.
 func (r *Registry) NoteEnd(host string, agent *Agent, key string, end EndedAttempt) {
 	agent.EndedAttempts[key] = end
 	r.cache.InvalidateLoad(host)
 }
 
-// EndedTasks looks over the machines of the shards that this node leads and collects the attempts
-// that are over, by task range. Where a worker's lease has expired, all are.
+// EndedTasks collects the ended attempts on the machines of the shards that this node leads, by
+// task range. On a machine whose worker lease has expired, all attempts have ended.
 func (r *Registry) EndedTasks(now time.Time) map[schema.RangeID][]EndedTask {
 	ended := map[schema.RangeID][]EndedTask{}
 	for host, machine := range r.cache.Machines {
@@ -43,7 +42,7 @@
 			continue
 		}
 		agent, placed := r.Ensure(host, leadership), r.cache.Placements[host]
-		dropObsolete(agent, placed)
+		dropObsoleteAttempts(agent, placed)
 		expired := r.updateLease(host, agent, len(placed), now)
 		if len(agent.EndedAttempts) == 0 && !expired {
 			continue
@@ -63,26 +62,27 @@
 	return ended
 }
 
-// updateLease judges whether a worker's lease has surely expired, and logs when it first has.
+// updateLease updates whether a worker's lease has certainly expired, and logs an expiry once if
+// the machine has tasks.
 func (r *Registry) updateLease(host string, agent *Agent, tasks int, now time.Time) (expired bool) {
-	expired, newly := agent.UpdateLease(now, r.node.Settings.WorkerLeaseBound())
-	if newly && tasks > 0 {
+	expired, newlyExpired := agent.UpdateLease(now, r.node.Settings.WorkerLeaseBound())
+	if newlyExpired && tasks > 0 {
 		r.node.Log.Info("worker lease expired", logkey.Host(host), logkey.Tasks(tasks), logkey.Terminated(agent.Terminated))
 	}
 	return expired
 }
 
-// dropObsolete drops what an agent has of attempts that are no longer committed for its machine.
-// Entries of first runs and launches do no harm, for a later attempt has another number: they are
-// dropped when there are more than tasks.
-func dropObsolete(agent *Agent, placed map[string]*statecache.PlacedTask) {
+// dropObsoleteAttempts removes an agent's entries of attempts that are no longer committed for
+// its machine. Obsolete first runs and pending launches are harmless, since a later attempt has
+// another number, so they are removed only once there are more of them than placed tasks.
+func dropObsoleteAttempts(agent *Agent, placed map[string]*statecache.PlacedTask) {
 	if len(agent.FirstRuns) > len(placed) {
 		maps.DeleteFunc(agent.FirstRuns, func(key string, _ FirstRun) bool { return placed[key] == nil })
 	}
 	if len(agent.PendingLaunches) > len(placed) {
 		maps.DeleteFunc(agent.PendingLaunches, func(key string, _ PendingLaunch) bool { return placed[key] == nil })
 	}
-	maps.DeleteFunc(agent.EndedAttempts, func(key string, end EndedAttempt) bool { // their end is committed
+	maps.DeleteFunc(agent.EndedAttempts, func(key string, end EndedAttempt) bool { // the end is committed
 		return placed[key] == nil || placed[key].Placement.Attempt != end.Attempt
 	})
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -8,27 +8,29 @@
 	"violetturn/internal/logkey"
 )
 
-// HeartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
+// HeartbeatTimeout is how long a worker waits for the answer to a heartbeat, as PROTOCOL
+// specifies.
 const HeartbeatTimeout = 4 * time.Second
 
-// MayIntroduceTerm reports whether a worker that has not seen this term yet is to be answered,
-// and counts the answer.
+// MayIntroduceTerm reports whether to answer a worker that has not shown this term yet, and
+// counts the answer.
 func (r *Registry) MayIntroduceTerm(agent *Agent, now time.Time) bool {
 	return agent.MayIntroduceTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
-// AcceptAnswer takes in the heartbeat that a worker answered direct commands of a term with.
+// AcceptAnswer processes the heartbeat in a worker's answer to direct commands that were sent
+// under a term.
 func (r *Registry) AcceptAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
 	if agent := r.agents[host]; agent != nil && agent.Term == term && heartbeat.Host == host {
 		r.AcceptHeartbeat(host, agent, heartbeat)
 	}
 }
 
-// AcceptHeartbeat takes in a heartbeat and wakes decisions that rest on what is new in it. It
-// reports whether the heartbeat can be believed.
+// AcceptHeartbeat processes a heartbeat and triggers new decisions if it reports a change. It
+// reports whether the heartbeat was accepted.
 func (r *Registry) AcceptHeartbeat(host string, agent *Agent, heartbeat *api.Heartbeat) bool {
 	now := r.node.Now()
-	before, wasUnresponsive := agent.Heartbeat, agent.Unresponsive()
+	previous, wasUnresponsive := agent.Heartbeat, agent.Unresponsive()
 	if !agent.Accept(heartbeat, now) {
 		return false
 	}
@@ -36,18 +38,19 @@
 	agent.LastSeen = now
 	if agent.Unresponsive() && !wasUnresponsive {
 		r.node.Log.Info("worker unresponsive", logkey.Host(host),
-			logkey.Why("its lease expired although it was answered: no tasks until it obeys a command"))
+			logkey.Why("its lease expired although its heartbeats were answered: no tasks until it shows a raised token"))
 	}
-	if wasUnresponsive != agent.Unresponsive() || tellsNews(before, heartbeat) {
+	if wasUnresponsive != agent.Unresponsive() || heartbeatChanged(previous, heartbeat) {
 		r.wake.Notify()
 	}
 	return true
 }
 
-// tellsNews reports whether a heartbeat tells what the one before, or none, did not.
-func tellsNews(before, heartbeat *api.Heartbeat) bool {
-	return before == nil ||
-		before.AgentEpoch != heartbeat.AgentEpoch ||
-		(before.SpotNoticeS == nil) != (heartbeat.SpotNoticeS == nil) ||
-		!slices.Equal(before.Tasks, heartbeat.Tasks)
+// heartbeatChanged reports whether a heartbeat differs from the previous one in a way that
+// affects decisions. It also does if there is no previous heartbeat.
+func heartbeatChanged(previous, heartbeat *api.Heartbeat) bool {
+	return previous == nil ||
+		previous.AgentEpoch != heartbeat.AgentEpoch ||
+		(previous.SpotNoticeS == nil) != (heartbeat.SpotNoticeS == nil) ||
+		!slices.Equal(previous.Tasks, heartbeat.Tasks)
 }
--- a/internal/agent/immediate_commands.go
+++ b/internal/agent/immediate_commands.go
@@ -2,18 +2,18 @@
 
 import "violetturn/internal/api"
 
-// immediateBatch is the commands for a worker that need not wait for its next heartbeat,
-// since they may be carried out at any later time.
+// immediateBatch holds the commands for a worker that can be sent before its next heartbeat,
+// since they are safe to carry out at any later time.
 type immediateBatch struct {
-	commands []api.Command
-	stops    bool // some of them stop tasks
-	launches bool // there are launches besides, which have to wait for the heartbeat
+	commands    []api.Command
+	hasStops    bool // some of the commands stop tasks
+	hasLaunches bool // the machine also has tasks to launch, which must wait for the heartbeat
 }
 
-// immediateCommands returns the commands for a worker that need not wait for its next heartbeat.
+// immediateCommands returns the commands for a worker that can be sent before its next heartbeat.
 func (d *DirectCommands) immediateCommands(host string, agent *Agent) immediateBatch {
 	immediate := immediateBatch{commands: []api.Command{}}
-	reported := map[AttemptID]api.TaskPhase{} // phases of the attempts that the worker has
+	reported := map[AttemptID]api.TaskPhase{} // phases of the attempts in the newest heartbeat
 	for _, task := range agent.Heartbeat.Tasks {
 		reported[AttemptID{Task: task.Task, Attempt: task.Attempt}] = task.Phase
 	}
@@ -27,13 +27,13 @@
 		delete(reported, attempt)
 		switch {
 		case !present:
-			immediate.launches = immediate.launches || j.MayLaunch(task.Placement)
+			immediate.hasLaunches = immediate.hasLaunches || j.MayLaunch(task.Placement)
 		case j.MustStop(task.Placement) && phase != api.TaskSaving && phase != api.TaskEnded:
 			immediate.commands = append(immediate.commands, d.registry.StopCommand(j, attempt))
-			immediate.stops = true
+			immediate.hasStops = true
 		}
 	}
-	for attempt, phase := range reported { // those that are not committed
+	for attempt, phase := range reported { // attempts that are not committed
 		if phase == api.TaskEnded {
 			immediate.commands = append(immediate.commands, attempt.Command(api.Clear))
 		}
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -2,21 +2,21 @@
 
 import "violetturn/internal/statecache"
 
-// InterruptionIsDue reports whether the cloud takes the machine away so soon that a task of the
-// job has to leave now; until then it runs on, for it may complete.
+// InterruptionIsDue reports whether the cloud reclaims the machine so soon that a task of the job
+// must stop now. Until then the task continues to run, since it may complete.
 func (r *Registry) InterruptionIsDue(agent *Agent, j *statecache.Job) bool {
 	if agent.Heartbeat == nil || agent.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
-	needed := 2*j.Record.Spec.SaveS + 2*r.node.Settings.HeartbeatInterval().Seconds()
+	neededS := 2*j.Record.Spec.SaveS + 2*r.node.Settings.HeartbeatInterval().Seconds()
 	if j.IsGang() {
-		needed += r.node.Settings.GangPeerTimeout().Seconds() // to tell all of them
+		neededS += r.node.Settings.GangPeerTimeout().Seconds() // to send the stop to all tasks of the gang
 	}
-	return *agent.Heartbeat.SpotNoticeS <= needed
+	return *agent.Heartbeat.SpotNoticeS <= neededS
 }
 
-// GangInterruptionIsDue reports whether a machine with a task of a gang is taken away so soon that
-// all of them have to save now.
+// GangInterruptionIsDue reports whether the cloud reclaims a machine with a task of a gang so
+// soon that all tasks of the gang must save now.
 func (r *Registry) GangInterruptionIsDue(j *statecache.Job) bool {
 	for _, taskRange := range j.Ranges {
 		for _, placement := range taskRange.Record.Placements {
--- a/internal/agent/machine_state.go
+++ b/internal/agent/machine_state.go
@@ -6,15 +6,15 @@
 	"violetturn/internal/shard"
 )
 
-// MachineState is what the leader of a machine's shard observes of it.
+// MachineState is the state of a machine as observed by the leader of its shard.
 type MachineState int
 
-// What a leader observes of a machine.
+// The states of a machine.
 const (
-	MachineIgnored MachineState = iota // it boots, or is going back
-	MachineUnclear                     // not heard of yet under this leader
-	MachineUp                          // it sends heartbeats and obeys
-	MachineLost                        // it should send heartbeats or obey, and does not
+	MachineIgnored MachineState = iota // the machine is booting, terminated, or cordoned and silent
+	MachineUnclear                     // no heartbeat has been received under this leader, and too little time has passed to tell
+	MachineUp                          // the machine sends heartbeats, and its worker carries out commands
+	MachineLost                        // the machine should send heartbeats and carry out commands, but does not
 )
 
 // String returns the state's name.
@@ -32,10 +32,11 @@
 	return "unknown"
 }
 
-// ObservedState returns what this node, the leader of a machine's shard, observes of the machine.
+// ObservedState returns the state of a machine as observed by this node, the leader of the
+// machine's shard.
 func (r *Registry) ObservedState(host string, machine *shard.Machine, agent *Agent, now time.Time) MachineState {
-	patience := 2 * r.node.Settings.HeartbeatInterval() // whoever sends heartbeats at all has done so
-	silent := now.Sub(agent.LastSeen) > patience
+	silenceLimit := 2 * r.node.Settings.HeartbeatInterval() // every worker that sends heartbeats has sent one within this time
+	silent := now.Sub(agent.LastSeen) > silenceLimit
 	switch {
 	case agent.Terminated, agent.Cordoned && silent:
 		return MachineIgnored
@@ -43,21 +44,21 @@
 		return MachineLost
 	case agent.Fenced():
 		return MachineUp
-	case r.mayBoot(host, machine, now):
+	case r.mayBeBooting(host, machine, now):
 		return MachineIgnored
-	case now.Sub(agent.CreatedAt) <= patience:
+	case now.Sub(agent.CreatedAt) <= silenceLimit:
 		return MachineUnclear
 	}
 	return MachineLost
 }
 
-// mayBoot reports whether a machine that was not heard of under this term may still be starting.
-// One that has tasks was up before.
-func (r *Registry) mayBoot(host string, machine *shard.Machine, now time.Time) bool {
+// mayBeBooting reports whether a machine that has sent no heartbeat under this term may still be
+// booting. A machine with tasks has already booted.
+func (r *Registry) mayBeBooting(host string, machine *shard.Machine, now time.Time) bool {
 	if len(r.cache.Placements[host]) > 0 {
 		return false
 	}
 	_, machineType := r.catalog.MachineCapacity(machine.MachineType)
-	age := float64(now.UnixMilli()-machine.RegisteredMS) / 1000
-	return machineType == nil || age <= 2*machineType.BootS || r.listing.IsStarting(host)
+	ageS := float64(now.UnixMilli()-machine.RegisteredMS) / 1000
+	return machineType == nil || ageS <= 2*machineType.BootS || r.listing.IsStarting(host)
 }
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -12,10 +12,10 @@
 	"violetturn/internal/statecache"
 )
 
-// Registry is what this controller knows of the workers of the shards that it leads.
+// Registry holds this controller's state about the workers of the shards that it leads.
 //
-// There is at most one agent a machine, of the term of the shard's present leadership: one of an
-// earlier term is replaced when it is next asked for. The lock of internal/state guards it.
+// There is at most one agent per machine, of the term of the shard's current leadership: Ensure
+// replaces an agent of an earlier term. The lock of internal/state guards it.
 type Registry struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -29,7 +29,7 @@
 	gangs        *RunningGangs
 }
 
-// Deps is what a Registry rests on.
+// Deps are the dependencies of a Registry.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -38,7 +38,7 @@
 	Wake       notify.Signal
 }
 
-// NewRegistry makes a registry that knows of no worker.
+// NewRegistry creates a registry without any agents.
 func NewRegistry(deps Deps) *Registry {
 	r := &Registry{
 		node: deps.Node, cache: deps.Cache, leadership: deps.Leadership, catalog: deps.Catalog, wake: deps.Wake,
@@ -53,20 +53,20 @@
 // Unregistered returns the machines that have no record yet.
 func (r *Registry) Unregistered() *UnregisteredMachines { return r.unregistered }
 
-// Listing returns what the cloud lists.
+// Listing returns the newest list of machines from the cloud.
 func (r *Registry) Listing() *CloudListing { return r.listing }
 
-// Gangs returns which gangs were seen running.
+// Gangs returns the record of the gangs that were reported as running.
 func (r *Registry) Gangs() *RunningGangs { return r.gangs }
 
-// Agent returns the agent of a machine, of whatever term; nil if there is none.
+// Agent returns the agent of a machine, of any term; nil if there is none.
 func (r *Registry) Agent(host string) *Agent { return r.agents[host] }
 
-// All returns all agents by machine, of whatever term, in no order.
+// All returns all agents by machine, of any term, in no particular order.
 func (r *Registry) All() iter.Seq2[string, *Agent] { return maps.All(r.agents) }
 
-// Ensure returns the agent of a machine under a leadership of its shard. It makes one if there is
-// none, or only one of another term.
+// Ensure returns the agent of a machine under a leadership of its shard. It creates the agent if
+// there is none or the present one has another term.
 func (r *Registry) Ensure(host string, leadership *leadership.Leadership) *Agent {
 	agent := r.agents[host]
 	if agent == nil || agent.Term != leadership.Term {
@@ -77,20 +77,20 @@
 	return agent
 }
 
-// Drop drops a machine's agent.
+// Drop removes a machine's agent.
 func (r *Registry) Drop(host string) {
 	delete(r.agents, host)
 	r.cache.InvalidateLoad(host)
 }
 
-// NoteTerminated notes that the cloud has confirmed the end of a machine.
+// NoteTerminated records that the cloud has confirmed the termination of a machine.
 func (r *Registry) NoteTerminated(host string) {
 	if agent := r.agents[host]; agent != nil {
 		agent.Terminated = true
 	}
 }
 
-// DropAll drops all agents, as after the loss of the lease.
+// DropAll removes all agents, as required when the lease is lost.
 func (r *Registry) DropAll() {
 	clear(r.agents)
 	r.cache.InvalidateLoads()
@@ -101,11 +101,11 @@
 	Shard     string
 	Term      uint64
 	Clean     bool // no earlier leader can still be answering workers
-	HadLeader bool // until now
+	HadLeader bool // the shard had a leader until this acquisition
 }
 
 // BeginLeadership begins the leadership of a shard that was acquired, with an agent for each of
-// its machines. It reports whether it did: it does not if the shard is lost again already.
+// its machines. It returns false and does nothing if the shard or the lease has been lost since.
 func (r *Registry) BeginLeadership(acquired AcquiredShard) bool {
 	shard, now := acquired.Shard, r.node.Now()
 	leader := r.cache.Leaders[shard]
@@ -113,37 +113,37 @@
 		return false
 	}
 	r.DropLeadership(shard)
-	begun := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
+	newLeadership := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
 	if !acquired.Clean {
-		begun.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGrace())
+		newLeadership.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGrace())
 	}
-	r.leadership.Begin(shard, begun)
+	r.leadership.Begin(shard, newLeadership)
 	r.node.Log.Info("shard acquired", logkey.Shard(shard), logkey.Term(acquired.Term),
 		logkey.HadLeader(acquired.HadLeader), logkey.Clean(acquired.Clean))
 	for host, machine := range r.cache.Machines {
 		if machine.Shard == shard {
-			r.Ensure(host, begun)
+			r.Ensure(host, newLeadership)
 		}
 	}
 	r.wake.Notify()
 	return true
 }
 
-// DropLeadership ends the leadership of a shard and drops its agents.
+// DropLeadership ends the leadership of a shard and removes its agents.
 func (r *Registry) DropLeadership(shard string) {
 	r.leadership.End(shard)
 	r.dropAgentsOf(shard)
 }
 
-// DropLostLeaderships ends the leaderships that the replica shows as another's, and drops the
-// agents of their shards.
+// DropLostLeaderships ends the leaderships of the shards that are led by another node according
+// to the replica, and removes the agents of these shards.
 func (r *Registry) DropLostLeaderships() {
 	for _, shard := range r.leadership.EndLost() {
 		r.dropAgentsOf(shard)
 	}
 }
 
-// dropAgentsOf drops the agents of a shard, and those of machines without a record.
+// dropAgentsOf removes the agents of a shard, and those of machines without a record.
 func (r *Registry) dropAgentsOf(shard string) {
 	for host := range r.agents {
 		if machine := r.cache.Machines[host]; machine == nil || machine.Shard == shard {
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -24,8 +24,8 @@
 	testTerm = 3
 )
 
-// registryFixture is the registry of a leader of a shard with one machine, on which a task of a
-// job is committed.
+// registryFixture is the registry of the leader of a shard with one machine, on which one task of
+// a job is placed.
 type registryFixture struct {
 	*Registry
 	commands *DirectCommands
@@ -52,145 +52,149 @@
 	})
 	f.commands = NewDirectCommands(f.Registry)
 	page := statecache.PageID(testHost, statecache.CoarsestPageCut)
-	f.apply(statecache.MachinePageKey(page), shard.Page{testHost: {Shard: "n0", Addr: "worker:1"}})
-	f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: testTerm})
+	f.applyRecord(statecache.MachinePageKey(page), shard.Page{testHost: {Shard: "n0", Addr: "worker:1"}})
+	f.applyRecord(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: testTerm})
 	f.record = &job.Record{Spec: api.Job{UID: testUID, Kind: api.Array, Priority: api.Standard, Tasks: 1}, Shard: "n0"}
 	f.record.ChooseLayout(64, 500, false)
 	f.record.InlineRange = (*job.TaskRange)(nil).Copy()
 	f.record.InlineRange.Place(0, testHost, 0)
-	f.apply(statecache.JobKey(testUID), f.record)
+	f.applyRecord(statecache.JobKey(testUID), f.record)
 	if !f.BeginLeadership(AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}) {
-		t.Fatal("the leadership did not begin")
+		t.Fatal("BeginLeadership returned false, want true")
 	}
 	return f
 }
 
-func (f *registryFixture) apply(key string, value any) {
+func (f *registryFixture) applyRecord(key string, value any) {
 	f.version++
 	f.cache.Apply(key, api.JSON(value), f.version)
 }
 
-// hear has the worker send a heartbeat with the tasks.
-func (f *registryFixture) hear(tasks ...api.TaskState) {
+// receiveHeartbeat processes a heartbeat of the worker that reports the tasks.
+func (f *registryFixture) receiveHeartbeat(tasks ...api.TaskState) {
 	heartbeat := &api.Heartbeat{Host: testHost, AgentEpoch: 1, Sequence: 1, Token: f.Agent(testHost).Token(), Tasks: tasks}
 	f.AcceptHeartbeat(testHost, f.Agent(testHost), heartbeat)
 }
 
-// A leadership begins with an agent for each machine, whose worker an earlier leader may answer
-// for the grace if it is in doubt; it does not begin if another has acquired the shard since.
-func TestBeginLeadership(t *testing.T) {
+// A leadership begins with an agent for each machine. If an earlier leader may still answer, the
+// last answer counts as sent at the end of the grace period. The leadership does not begin if
+// another controller has acquired the shard since.
+func TestBeginLeadership_CreatesAgents(t *testing.T) {
 	f := newRegistryFixture(t)
 	grace := f.node.Settings.LeadershipGrace()
-	for _, c := range []struct {
-		name     string
-		acquired AcquiredShard
-		begins   bool
-		answered time.Time
+	for _, test := range []struct {
+		name         string
+		acquired     AcquiredShard
+		wantBegun    bool
+		wantAnswered time.Time
 	}{
 		{"clean", AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}, true, f.now},
-		{"in doubt", AcquiredShard{Shard: "n0", Term: testTerm}, true, f.now.Add(grace)},
-		{"overtaken", AcquiredShard{Shard: "n0", Term: testTerm - 1, Clean: true}, false, time.Time{}},
+		{"predecessor may answer", AcquiredShard{Shard: "n0", Term: testTerm}, true, f.now.Add(grace)},
+		{"superseded", AcquiredShard{Shard: "n0", Term: testTerm - 1, Clean: true}, false, time.Time{}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
 			f.DropLeadership("n0")
-			begins, worker := f.BeginLeadership(c.acquired), f.Agent(testHost)
-			if begins != c.begins || f.leadership.Leads("n0") != c.begins || (worker != nil) != c.begins {
-				t.Fatalf("begins %t, leads %t, agent %v", begins, f.leadership.Leads("n0"), worker)
+			begun, worker := f.BeginLeadership(test.acquired), f.Agent(testHost)
+			if begun != test.wantBegun || f.leadership.Leads("n0") != test.wantBegun || (worker != nil) != test.wantBegun {
+				t.Fatalf("begun %t, leads %t, agent %v; want begun %t", begun, f.leadership.Leads("n0"), worker, test.wantBegun)
 			}
-			if worker != nil && !worker.LastAnswered.Equal(c.answered) {
-				t.Errorf("answered until %s, want %s", worker.LastAnswered, c.answered)
+			if worker != nil && !worker.LastAnswered.Equal(test.wantAnswered) {
+				t.Errorf("LastAnswered is %s, want %s", worker.LastAnswered, test.wantAnswered)
 			}
 		})
 	}
 }
 
-// A worker is fenced until it has seen the term, once in a heartbeat interval and as long as
-// there are slots.
-func TestFence(t *testing.T) {
+// A worker is sent a fence until it has shown the term, at most once per heartbeat interval and
+// only if a slot is free.
+func TestFence_OncePerIntervalUntilTermIsShown(t *testing.T) {
 	f := newRegistryFixture(t)
 	fence := f.commands.Fence(testHost)
 	if fence == nil || fence.Addr != "worker:1" || fence.Batch.Token != shard.FencingToken(testTerm, 0) {
-		t.Fatalf("fence %+v", fence)
+		t.Fatalf("fence %+v, want one to worker:1 with the first token of the term", fence)
 	}
 	if f.commands.Fence(testHost) != nil {
-		t.Error("fenced again at once")
+		t.Error("a second fence was prepared within a heartbeat interval")
 	}
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	for range minSlots - 1 {
 		f.commands.fenceSlots <- struct{}{}
 	}
 	if f.commands.Fence(testHost) != nil {
-		t.Error("fenced without a slot")
+		t.Error("a fence was prepared without a free slot")
 	}
 	fence.Release()
 	if f.commands.Fence(testHost) == nil {
-		t.Error("not fenced although a slot was released")
+		t.Error("no fence was prepared after a slot was released")
 	}
-	f.hear()
+	f.receiveHeartbeat()
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	if f.commands.Fence(testHost) != nil {
-		t.Error("fenced although it has seen the term")
+		t.Error("a fence was prepared for a worker that has shown the term")
 	}
 }
 
-// A heartbeat is requested by a stop, or for a launch by a raised token, from workers that obey.
+// A heartbeat is requested by a stop command or, for a launch, by a raised token, and only from
+// workers that carry out commands.
 func TestDueHeartbeatRequests(t *testing.T) {
 	running := api.TaskState{Task: api.TaskName(testUID, 0), Attempt: 1, Phase: api.TaskRunning}
-	cancel := func(f *registryFixture) {
+	cancelJob := func(f *registryFixture) {
 		f.record.Cancelled = true
-		f.apply(statecache.JobKey(testUID), f.record)
+		f.applyRecord(statecache.JobKey(testUID), f.record)
 	}
-	for _, c := range []struct {
-		name   string
-		change func(f *registryFixture)
-		due    bool
-		raises uint64
+	for _, test := range []struct {
+		name       string
+		change     func(f *registryFixture)
+		wantDue    bool
+		wantRaises uint64
 	}{
-		{"launch", func(f *registryFixture) { f.hear() }, true, 1},
+		{"launch", func(f *registryFixture) { f.receiveHeartbeat() }, true, 1},
 		{"launch soon after a raise", func(f *registryFixture) {
-			f.hear()
+			f.receiveHeartbeat()
 			f.Agent(testHost).RaiseToken(f.now.Add(5 * time.Second))
 		}, false, 1},
-		{"stop", func(f *registryFixture) { f.hear(running); cancel(f) }, true, 0},
-		{"nothing new", func(f *registryFixture) { f.hear(running) }, false, 0},
+		{"stop", func(f *registryFixture) { f.receiveHeartbeat(running); cancelJob(f) }, true, 0},
+		{"nothing changed", func(f *registryFixture) { f.receiveHeartbeat(running) }, false, 0},
 		{"not fenced", func(*registryFixture) {}, false, 0},
-		{"unresponsive", func(f *registryFixture) { f.hear(); f.Agent(testHost).BecomeUnresponsive(f.now) }, false, 1},
-		{"lease of the controller over", func(f *registryFixture) { f.hear(); f.leadership.ExtendLease(f.now) }, false, 0},
+		{"unresponsive", func(f *registryFixture) { f.receiveHeartbeat(); f.Agent(testHost).BecomeUnresponsive(f.now) }, false, 1},
+		{"lease of the controller expired", func(f *registryFixture) { f.receiveHeartbeat(); f.leadership.ExtendLease(f.now) }, false, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
-			c.change(f)
-			f.now = f.now.Add(5 * time.Second) // the term itself was news until now
+			test.change(f)
+			f.now = f.now.Add(5 * time.Second) // until now the term itself counted as a token change
 			f.commands.RequestHeartbeat(testHost)
 			due, worker := f.commands.DueHeartbeatRequests(f.now), f.Agent(testHost)
-			if (len(due) == 1) != c.due || worker.TokenSequence != c.raises {
-				t.Errorf("%d due, %d raises; want due %t, %d raises", len(due), worker.TokenSequence, c.due, c.raises)
+			if (len(due) == 1) != test.wantDue || worker.TokenSequence != test.wantRaises {
+				t.Errorf("%d requests due, %d raises; want due %t, %d raises",
+					len(due), worker.TokenSequence, test.wantDue, test.wantRaises)
 			}
 		})
 	}
 }
 
-// An unknown machine is registered only after it was listed for some time, one that failed is
-// cordoned, and one that is missing is counted.
-func TestCloudListing(t *testing.T) {
+// A machine without a record is added to the unregistered ones only after it was listed for some
+// time, a machine listed as failed is cordoned, and lists without a machine are counted.
+func TestCloudListing_ComparesWithRecords(t *testing.T) {
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
 	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
 	f.Listing().Note(listed, f.now, lag)
-	f.now = f.now.Add(patienceLags * lag)
+	f.now = f.now.Add(mismatchDelayLags * lag)
 	f.Listing().Note(listed, f.now, lag)
 	if f.Unregistered().Count() != 0 || !f.Listing().Has("i-000002") {
-		t.Fatal("registered too early, or not listed")
+		t.Fatalf("%d unregistered machines, i-000002 listed %t; want 0 and true", f.Unregistered().Count(), f.Listing().Has("i-000002"))
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
 	f.Listing().Note(listed, f.now, lag)
 	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().Has(testHost) {
-		t.Errorf("%d unregistered, cordoned %t", f.Unregistered().Count(), f.Agent(testHost).Cordoned)
+		t.Errorf("%d unregistered machines, failed machine cordoned %t, has %t; want 1, true, false",
+			f.Unregistered().Count(), f.Agent(testHost).Cordoned, f.Listing().Has(testHost))
 	}
 	f.Listing().Note(listed[1:], f.now, lag)
-	if missing := f.Agent(testHost).MissingFromLists; missing != missingWhenFailed+1 {
-		t.Errorf("missing from %d lists", missing)
+	if missing := f.Agent(testHost).MissingFromLists; missing != failedMachineMisses+1 {
+		t.Errorf("machine is missing from %d lists, want %d", missing, failedMachineMisses+1)
 	}
 }
--- a/internal/agent/running_gangs.go
+++ b/internal/agent/running_gangs.go
@@ -6,20 +6,22 @@
 	"violetturn/internal/statecache"
 )
 
-// RunningGangs is which gangs were seen running on the workers of this controller: a gang that
-// fails before has not gathered. The lock of internal/state guards it.
+// RunningGangs records which gangs were reported as running by the workers of this controller. A
+// gang that fails without having been reported as running failed to gather. The lock of
+// internal/state guards it.
 type RunningGangs struct {
 	cache    *statecache.Cache
-	attempts map[string]uint64 // by gang, the attempt of the last task that was seen running
+	attempts map[string]uint64 // by gang, the attempt of the task most recently reported as running
 }
 
-// Note notes that a task of an attempt of a gang was seen running.
+// Note records that a task of an attempt of a gang was reported as running.
 func (g *RunningGangs) Note(uid string, attempt uint64) { g.attempts[uid] = attempt }
 
-// WasSeen reports whether the last task of a gang that was seen running was of the attempt.
+// WasSeen reports whether the task of a gang that was most recently reported as running belonged
+// to the attempt.
 func (g *RunningGangs) WasSeen(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
 
-// DropEnded drops what is known of gangs that have no record any more.
+// DropEnded removes the entries of gangs that no longer have a record.
 func (g *RunningGangs) DropEnded() {
 	maps.DeleteFunc(g.attempts, func(uid string, _ uint64) bool { return g.cache.Jobs[uid] == nil })
 }
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -7,11 +7,11 @@
 	"violetturn/internal/statecache"
 )
 
-// maxFailedJobs is how many jobs' tasks fail on a machine, without one that succeeds in between,
-// until the machine is held to be at fault.
-const maxFailedJobs = 2
+// failedJobsToCordon is the number of jobs with failed tasks on a machine, without a successful
+// task in between, at which the machine is assumed to be faulty and is cordoned.
+const failedJobsToCordon = 2
 
-// NoteTaskEnd notes what a task's end says of its machine.
+// NoteTaskEnd logs the end of a task and records what it implies about the task's machine.
 func (r *Registry) NoteTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
 	if !task.Cause.Known() {
 		r.node.Log.Error("unknown exit cause reported", logkey.Host(host), logkey.Cause(task.Cause.String()))
@@ -23,19 +23,20 @@
 		clear(agent.FailedJobs)
 	case api.CauseError:
 		agent.FailedJobs[j.Record.Spec.UID] = true
-		if len(agent.FailedJobs) >= maxFailedJobs && !agent.Cordoned {
-			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Why("tasks of several jobs failed there"))
+		if len(agent.FailedJobs) >= failedJobsToCordon && !agent.Cordoned {
+			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Why("tasks of several jobs failed on it"))
 			agent.Cordoned = true
 		}
 	case api.CauseNoRoom:
 		agent.AvoidUntil = r.node.Now().Add(2 * r.node.Settings.HeartbeatInterval())
 	case api.CauseStopped, api.CauseBusy, api.CauseUnknown, api.CausePeerLost, api.CauseGangIncomplete:
-		// says nothing of the machine
+		// implies nothing about the machine
 	}
 }
 
-// ExitReasonOf returns the reason of a task's end by the cause that its worker gave. A cause that
-// this version doesn't know says nothing of who is to blame, and that the task did not complete.
+// ExitReasonOf returns the exit reason for the cause that a worker reported. A cause unknown to
+// this version is treated as an error: the task did not complete, and whether the task or the
+// machine failed is unknown.
 func ExitReasonOf(cause api.ExitCause) job.ExitReason {
 	switch cause {
 	case api.CauseDone:
--- a/internal/agent/token.go
+++ b/internal/agent/token.go
@@ -9,14 +9,14 @@
 // TokenState is the fencing token of a worker under the leader's term.
 type TokenState struct {
 	Term          uint64
-	TokenSequence uint64 // how often the token was raised under this term
+	TokenSequence uint64 // number of times that the token was raised under this term
 
-	raisedAt time.Time // when last
+	lastRaisedAt time.Time // when the token was last raised
 }
 
-// Token returns the token for answers to this worker: the highest that it can have
-// seen from us, or it would drop the answer.
+// Token returns the token for answers to this worker. It is the highest token that the worker can
+// have received from this leader; the worker would drop an answer with a lower one.
 func (s *TokenState) Token() uint64 { return shard.FencingToken(s.Term, s.TokenSequence) }
 
-// RaiseToken raises the worker's token, which its next answer or command brings.
-func (s *TokenState) RaiseToken(now time.Time) { s.TokenSequence++; s.raisedAt = now }
+// RaiseToken raises the worker's token. The next answer or command carries the raised token.
+func (s *TokenState) RaiseToken(now time.Time) { s.TokenSequence++; s.lastRaisedAt = now }
--- a/internal/agent/unregistered.go
+++ b/internal/agent/unregistered.go
@@ -9,8 +9,8 @@
 	"violetturn/internal/statecache"
 )
 
-// UnregisteredMachines are the machines that are known to be there and have no record yet. The
-// lock of internal/state guards them.
+// UnregisteredMachines holds the machines that exist but have no record yet. The lock of
+// internal/state guards it.
 type UnregisteredMachines struct {
 	cache    *statecache.Cache
 	wake     notify.Signal
@@ -21,11 +21,11 @@
 	return &UnregisteredMachines{cache: cache, wake: wake, machines: map[string]shard.Machine{}}
 }
 
-// Note notes a machine that has no record, to be registered in a shard of its
-// zone. One whose record was dropped is terminated, and names are never used again:
-// a heartbeat that a network partition held back, or a list that lags, must not bring it back
-// as a machine that counts as coming room. Only machines that the cloud lists come here, which
-// bounds how many there are.
+// Note adds a machine without a record, to be registered in a shard of its zone. A machine whose
+// record was removed is terminated and names are never reused, so it is ignored: a heartbeat
+// delayed by a network partition or a lagging list must not register it again as a machine that
+// counts as upcoming capacity. Callers add only machines that the cloud lists, which bounds their
+// number.
 func (u *UnregisteredMachines) Note(host string, machine shard.Machine) {
 	if u.cache.Terminated[host] {
 		return
@@ -37,19 +37,19 @@
 	u.wake.Notify()
 }
 
-// NoteRented notes a machine that was just rented, in place of what is known of it.
+// NoteRented adds a machine that was just rented, or replaces its entry.
 func (u *UnregisteredMachines) NoteRented(host string, machine shard.Machine) {
 	u.machines[host] = machine
 }
 
-// Machine returns what is known of a machine; the zero value if it is not among them.
+// Machine returns the entry of a machine; the zero value if there is none.
 func (u *UnregisteredMachines) Machine(host string) shard.Machine { return u.machines[host] }
 
-// Names returns the machines' names in order.
+// Names returns the machines' names, sorted.
 func (u *UnregisteredMachines) Names() []string { return slices.Sorted(maps.Keys(u.machines)) }
 
-// Count returns how many they are.
+// Count returns the number of machines.
 func (u *UnregisteredMachines) Count() int { return len(u.machines) }
 
-// Remove removes a machine: it is registered, or can't be.
+// Remove removes a machine that was registered or cannot be registered.
 func (u *UnregisteredMachines) Remove(host string) { delete(u.machines, host) }
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -7,14 +7,14 @@
 	"violetturn/internal/leadership"
 )
 
-// maxProbes bounds the workers that are asked at a time whether they hear this node.
+// maxProbes limits the number of workers that are probed at a time.
 const maxProbes = 4
 
-// CheckWorkerContact judges whether workers reach this node. leave reports that it should leave
-// its shards to others: only when another is heard, for it may as well be the workers that are
-// lost, and their shards would go round. probes are the addresses of workers to be asked whether
-// they hear this node.
-func (d *DirectCommands) CheckWorkerContact(now time.Time) (leave bool, probes []string) {
+// CheckWorkerContact checks whether workers reach this node. releaseAll reports that this node
+// should release all its shards. That requires a peer that has contact with workers: otherwise
+// the workers themselves may have failed, and their shards would pass from controller to
+// controller. probes are the addresses of workers to be probed.
+func (d *DirectCommands) CheckWorkerContact(now time.Time) (releaseAll bool, probes []string) {
 	contact := d.registry.leadership.Contact()
 	if contact.Unreachable() {
 		probes = d.probeTargets(contact)
@@ -24,8 +24,9 @@
 	return contact.Unreachable() && contact.PeerHears(), probes
 }
 
-// countExpectedAgents counts the machines of the shards that this node leads that should be heard:
-// those that were, and those that had tasks long before.
+// countExpectedAgents counts the machines of the shards that this node leads from which
+// heartbeats are expected: those that have sent one under this term, and those with tasks once
+// the leadership has lasted longer than a heartbeat interval.
 func (r *Registry) countExpectedAgents(now time.Time) int {
 	expected := 0
 	for host, machine := range r.cache.Machines {
@@ -45,8 +46,8 @@
 	return expected
 }
 
-// probeTargets returns the addresses of some machines of the home shard, those with tasks
-// first. Without any there is nobody to be heard, and the contact counts as made.
+// probeTargets returns the addresses of some machines of the home shard, those with tasks first.
+// If there are none, no worker could respond, and the contact is reset.
 func (d *DirectCommands) probeTargets(contact *leadership.WorkerContact) []string {
 	var withTasks, idle []string
 	for host, machine := range d.registry.cache.Machines {
