--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -7,19 +7,20 @@
 	"violetturn/internal/peer"
 )
 
-// A leader that has lost the state service doesn't see which jobs are cancelled, nor
-// whether it was replaced. Left to itself it may answer its workers for a bounded time
-// only (LeadershipGrace, MaxStaleness). But only controllers confirm cancellations and acquire
-// shards, and each of them knows what it did itself: one that acknowledges all that at some
-// moment has, until that moment, done nothing that the leader doesn't know. So the leader's
-// time counts from the oldest of the newest acknowledgements of all configured controllers,
-// each from when it was asked for. One that does not answer, does not know all that it may have
-// done (it has only just started), or is of a version that doesn't know the question, counts
-// as silent: the time runs out as before. docs/design.md has the argument.
+// A leader that cannot reach the state service receives neither cancellations nor the news that it
+// was replaced. On its own it may answer its workers only for a bounded time (LeadershipGrace,
+// MaxStaleness). But only controllers confirm cancellations and acquire shards, and each of them
+// has a record of its own actions. A controller that acknowledges these actions to the leader has,
+// up to that moment, done nothing that the leader has no record of. So the leader's time counts
+// from the oldest among the newest acknowledgements of all configured controllers, each counted
+// from when it was requested. A controller counts as not acknowledging if it does not answer, has
+// no complete record of what it may have done (it has only just started), or runs a version that
+// does not support the request. The time then runs out as it would without acknowledgements.
+// docs/design.md has the argument.
 
-// Acknowledgement tells a peer what this node has done after a revision, up to now: the
-// cancellations that it knows of and the shards that were acquired. It is not complete if this
-// node can't know all since that revision.
+// Acknowledgement returns what this node reports to a peer about the time after a revision: the
+// jobs that were cancelled and the newest leader of each shard. It is not complete if this node
+// has no complete record of the cancellations since that revision.
 func (t *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
 	cancelled, complete := t.cache.CancelledSince(since)
 	if !t.cache.Loaded || !complete {
@@ -27,30 +28,31 @@
 	}
 	acknowledgement := &peer.Acknowledgement{Complete: true, Cancelled: cancelled}
 	for _, shard := range t.node.Shards {
-		if newest := t.newestLeader(shard); newest != nil {
-			acknowledgement.ShardLeaders = append(acknowledgement.ShardLeaders, newest)
+		if latest := t.latestLeader(shard); latest != nil {
+			acknowledgement.ShardLeaders = append(acknowledgement.ShardLeaders, latest)
 		}
 	}
 	return acknowledgement
 }
 
-// newestLeader returns the leader of a shard with the highest term that this node knows of, nil
-// if the shard was never led.
-func (t *Table) newestLeader(shard string) *peer.ShardLeader {
+// latestLeader returns the leader of a shard with the highest recorded term, nil if the shard was
+// never led.
+func (t *Table) latestLeader(shard string) *peer.ShardLeader {
 	capacity, leader := t.cache.Capacities[shard].Record, t.cache.Leaders[shard].Record
 	if capacity == nil {
 		return nil
 	}
-	newest := &peer.ShardLeader{Shard: shard, Leader: capacity.Leader, Term: capacity.Term}
-	if leader != nil && leader.Term > newest.Term {
-		newest.Leader, newest.Term = leader.Node, leader.Term
+	latest := &peer.ShardLeader{Shard: shard, Leader: capacity.Leader, Term: capacity.Term}
+	if leader != nil && leader.Term > latest.Term {
+		latest.Leader, latest.Term = leader.Node, leader.Term
 	}
-	return newest
+	return latest
 }
 
-// NoteAcknowledgement takes in what a peer acknowledges. It was asked for at the given time,
-// with the revision of the replica then. One that is not complete says nothing.
-func (t *Table) NoteAcknowledgement(node string, acknowledgement *peer.Acknowledgement, asked time.Time) {
+// NoteAcknowledgement applies a peer's acknowledgement. It was requested at requestedAt, for the
+// time after the replica's revision at that moment. An acknowledgement that is not complete is
+// ignored.
+func (t *Table) NoteAcknowledgement(node string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
 	if !acknowledgement.GetComplete() || !t.cache.Loaded {
 		return
 	}
@@ -58,15 +60,16 @@
 		t.cache.NoteCancelledByPeer(uid)
 	}
 	for _, leader := range acknowledgement.GetShardLeaders() {
-		t.noteSuccessor(leader)
+		t.recordSuccessor(leader)
 	}
-	if asked.After(t.acknowledgedUntil[node]) {
-		t.acknowledgedUntil[node] = asked
+	if requestedAt.After(t.acknowledgedUntil[node]) {
+		t.acknowledgedUntil[node] = requestedAt
 	}
 }
 
-// noteSuccessor notes that a peer has acquired a shard of ours, if its term shows that.
-func (t *Table) noteSuccessor(leader *peer.ShardLeader) {
+// recordSuccessor records that a peer has acquired a shard of which this node holds the
+// leadership, if the reported term is higher.
+func (t *Table) recordSuccessor(leader *peer.ShardLeader) {
 	shard := leader.GetShard()
 	leadership := t.byShard[shard]
 	if leadership == nil || leader.GetTerm() <= leadership.Term || leadership.successor != "" {
@@ -77,13 +80,13 @@
 	leadership.successor = leader.GetLeader()
 }
 
-// AcknowledgedByAllUntil returns the moment up to which all controllers that could have
-// confirmed a cancellation or acquired a shard have acknowledged what they did; the zero time if
-// some have not, or can't be asked.
+// AcknowledgedByAllUntil returns the time up to which all controllers that could have confirmed a
+// cancellation or acquired a shard have acknowledged their actions. It returns the zero time if a
+// controller has not, or cannot be queried.
 func (t *Table) AcknowledgedByAllUntil() time.Time {
 	settings := t.node.Settings
 	if len(settings.Members)+1 < settings.Facts.Size {
-		return time.Time{} // there are some that we can't ask
+		return time.Time{} // some controllers are not configured as peers and cannot be queried
 	}
 	until := t.node.Now()
 	for _, member := range settings.Members {
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -8,70 +8,73 @@
 	"violetturn/internal/statecache"
 )
 
-// WorkerContact is what this node knows of whether its workers reach it. It guards against a
-// node that loses nothing but its workers: it would keep its lease and with it its shards, while
-// the leases of all its workers run out. So it says in its record that workers don't reach it,
-// releases its shards to peers in the orderly way, and acquires none until a worker has answered
-// it. The lock of internal/state guards it.
+// WorkerContact records whether workers reach this node. It guards against a partition between a
+// node and its workers only: the node would keep its lease, and with it its shards, while the
+// leases of all its workers expire. Such a node records that workers do not reach it. If a peer
+// has contact with workers, the node also releases its shards in an orderly way, and acquires
+// none until a worker has responded to it. The lock of internal/state guards it.
 type WorkerContact struct {
 	node  *node.Info
 	cache *statecache.Cache
 	contactState
 }
 
-// contactState is what a worker's heartbeat ends and begins anew.
+// contactState is the part of WorkerContact that is reset when a worker responds.
 type contactState struct {
-	lastHeard    time.Time // when a worker was last heard
-	silentSteps  int       // steps of the lease in a row without hearing one
-	unreachable  bool      // enough workers that should be heard were not, for enough steps
-	hearsWorkers bool      // some worker is heard
+	lastContactAt time.Time // when a worker last responded
+	silentChecks  int       // consecutive checks without a response of a worker
+	unreachable   bool      // enough workers that were expected to respond did not, for enough checks
+	hasContact    bool      // some worker responds
 }
 
-// MinSilent is after how many steps of its lease without a sign of any worker a node counts as
-// unreachable (one that was suspended itself first hears again), and how many machines have
-// to be silent: one or two are as likely lost themselves, and each change of the leader
-// starts the wait for the end of their leases anew.
+// MinSilent is a minimum for two counts. A node counts as unreachable only after this many
+// consecutive checks, one per renewal of its lease, without a response of a worker, so that a
+// node that was itself suspended can first receive heartbeats again. At least this many machines
+// must be silent: one or two silent machines are as likely to have failed themselves, and each
+// change of the leader restarts the wait for the end of their leases.
 const MinSilent = 3
 
-// NoteHeard notes that workers reach this node.
+// NoteHeard records that a worker reached this node.
 func (c *WorkerContact) NoteHeard(now time.Time) {
 	if c.unreachable {
 		c.node.Log.Info("heartbeats reach this controller again")
 	}
-	c.contactState = contactState{lastHeard: now, hearsWorkers: true}
+	c.contactState = contactState{lastContactAt: now, hasContact: true}
 }
 
-// Reset counts the contact as made: there is no worker that could be heard.
-func (c *WorkerContact) Reset(now time.Time) { c.contactState = contactState{lastHeard: now} }
+// Reset restarts the checks because there is no worker that could respond.
+func (c *WorkerContact) Reset(now time.Time) { c.contactState = contactState{lastContactAt: now} }
 
-// Unreachable reports whether no worker reaches this node although some should.
+// Unreachable reports whether no worker reaches this node although some are expected to.
 func (c *WorkerContact) Unreachable() bool { return c.unreachable }
 
-// HeardSince reports whether workers reach this node and one was heard at the given time or later.
+// HeardSince reports whether workers reach this node and one responded at the given time or
+// later.
 func (c *WorkerContact) HeardSince(since time.Time) bool {
-	return !c.unreachable && !c.lastHeard.Before(since)
+	return !c.unreachable && !c.lastContactAt.Before(since)
 }
 
-// CheckSilence judges with a step of the lease whether workers reach this node.
-// countExpected returns how many workers should be heard; it is called only when that matters.
+// CheckSilence checks whether workers reach this node. It is called once per renewal of the
+// lease. countExpected returns how many workers are expected to send heartbeats; it is called
+// only when needed.
 func (c *WorkerContact) CheckSilence(now time.Time, countExpected func() int) {
-	round := c.node.Settings.HeartbeatInterval() * 5 / 4 // whoever sends heartbeats at all has done so in that time
-	if now.Sub(c.lastHeard) <= round {
-		c.silentSteps = 0
+	maxHeartbeatGap := c.node.Settings.HeartbeatInterval() * 5 / 4 // every worker that sends heartbeats has sent one within this time
+	if now.Sub(c.lastContactAt) <= maxHeartbeatGap {
+		c.silentChecks = 0
 		return
 	}
-	c.silentSteps++
-	if c.silentSteps < MinSilent {
+	c.silentChecks++
+	if c.silentChecks < MinSilent {
 		return
 	}
-	c.hearsWorkers = false
+	c.hasContact = false
 	if countExpected() >= MinSilent {
 		c.unreachable = true
-		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastHeard(c.lastHeard))
+		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastHeard(c.lastContactAt))
 	}
 }
 
-// PeerHears reports whether another living controller says that it hears workers.
+// PeerHears reports whether the record of another running controller shows contact with workers.
 func (c *WorkerContact) PeerHears() bool {
 	for _, controller := range c.node.Shards {
 		record := c.cache.Nodes[controller].Record
@@ -82,7 +85,8 @@
 	return false
 }
 
-// reachedByWorkers reports whether a node lives and workers reach it.
+// reachedByWorkers reports whether a node is running and reached by workers, according to its
+// record.
 func reachedByWorkers(cache *statecache.Cache, node string) bool {
 	record := cache.Nodes[node].Record
 	return record != nil && !record.WorkersUnreachable
--- a/internal/leadership/doc.go
+++ b/internal/leadership/doc.go
@@ -1,8 +1,9 @@
-// Package leadership keeps which shards this controller leads, until when it may act for them,
-// and what it knows of its peers' claims.
+// Package leadership keeps which shards this controller leads, until when it may act for them, and
+// which shards its peers have reported as acquired.
 //
-// A leader commits only on the version of its leadership record, and answers workers only
-// while no other leader can be answering: within its lease and a grace, and while it knows of
-// all cancellations (see Table.MayAnswerHeartbeats). The package does no I/O; internal/election
-// acquires and releases. The lock of internal/state guards it.
+// A leader commits only on condition of the version of its leadership record. It answers workers
+// only while no other leader can be answering them: within its lease and a grace period, and while
+// its record of cancellations is recent enough (see Table.MayAnswerHeartbeats). The package does no
+// I/O; internal/election acquires and releases shards. The lock of internal/state guards the
+// package's state.
 package leadership
--- a/internal/leadership/planner.go
+++ b/internal/leadership/planner.go
@@ -7,25 +7,25 @@
 	"violetturn/internal/shard"
 )
 
-// Acquisition is a shard to be acquired, if its leader's key has not changed since.
+// Acquisition is a shard to be acquired, provided that its leader's key has not changed since.
 type Acquisition struct {
 	Shard         string
-	LeaderVersion uint64 // of the leader's key; 0: there is none
+	LeaderVersion uint64 // version of the leader's key; 0 if there is none
 }
 
-// Changes is which shards this node acquires and releases now.
+// Changes lists the shards that this node acquires and releases now.
 type Changes struct {
 	Acquire []Acquisition
 	Release []string
 }
 
-// Planner decides which shards this node acquires and releases, by what the table and the replica
-// tell and by how long that has been so. The lock of internal/state guards it.
+// Planner decides which shards this node acquires and releases, based on the table, the replica
+// and how long their present state has lasted. The lock of internal/state guards it.
 type Planner struct {
 	table *Table
 
-	leaderlessSince    map[string]time.Time // shards without a leader, since when
-	peerReachableSince map[string]time.Time // living controllers that workers reach, since when
+	leaderlessSince    map[string]time.Time // since when shards have had no leader
+	peerReachableSince map[string]time.Time // since when controllers have been running and reached by workers
 }
 
 func newPlanner(table *Table) *Planner {
@@ -36,8 +36,8 @@
 	}
 }
 
-// notePeersReachable notes since when each node lives and is reached by workers.
-func (p *Planner) notePeersReachable(now time.Time) {
+// trackReachablePeers records since when each controller has been running and reached by workers.
+func (p *Planner) trackReachablePeers(now time.Time) {
 	for _, controller := range p.table.node.Shards {
 		if !reachedByWorkers(p.table.cache, controller) {
 			delete(p.peerReachableSince, controller)
@@ -47,23 +47,24 @@
 	}
 }
 
-// Plan returns which shards this node acquires and which it releases now. leave says that
-// no worker reaches it, so that others should lead: it releases all and acquires none.
-func (p *Planner) Plan(now time.Time, leave bool) Changes {
-	p.notePeersReachable(now)
+// Plan returns which shards this node acquires and which it releases now. releaseAll means that
+// no worker reaches this node, so that others should lead: it releases all shards and acquires
+// none.
+func (p *Planner) Plan(now time.Time, releaseAll bool) Changes {
+	p.trackReachablePeers(now)
 	var changes Changes
 	for _, shard := range p.table.node.Shards {
-		leader, led := p.table.cache.Leaders[shard]
+		leader, hasLeader := p.table.cache.Leaders[shard]
 		acquisition := Acquisition{Shard: shard, LeaderVersion: leader.Version}
 		switch {
-		case !led:
-			if p.leaderless(shard, now) >= p.takeoverDelay(shard) && !leave {
+		case !hasLeader:
+			if p.leaderlessDuration(shard, now) >= p.takeoverDelay(shard) && !releaseAll {
 				changes.Acquire = append(changes.Acquire, acquisition)
 			}
 			continue
-		case p.mustReacquire(shard, leader.Record, leave):
+		case p.mustReacquire(shard, leader.Record, releaseAll):
 			changes.Acquire = append(changes.Acquire, acquisition)
-		case p.mustRelease(shard, now, leave):
+		case p.mustRelease(shard, now, releaseAll):
 			changes.Release = append(changes.Release, shard)
 		}
 		delete(p.leaderlessSince, shard)
@@ -71,68 +72,70 @@
 	return changes
 }
 
-// leaderless notes that a shard has no leader and returns for how long.
-func (p *Planner) leaderless(shard string, now time.Time) time.Duration {
+// leaderlessDuration records that a shard has no leader, and returns for how long that has been
+// so.
+func (p *Planner) leaderlessDuration(shard string, now time.Time) time.Duration {
 	if _, found := p.leaderlessSince[shard]; !found {
 		p.leaderlessSince[shard] = now
 	}
 	return now.Sub(p.leaderlessSince[shard])
 }
 
-// mustReacquire reports whether this node acquires a shard anew that has a leader.
-func (p *Planner) mustReacquire(shard string, leader *shard.LeaderRecord, leave bool) bool {
+// mustReacquire reports whether this node must acquire a shard again although the shard has a
+// leader.
+func (p *Planner) mustReacquire(shard string, leader *shard.LeaderRecord, releaseAll bool) bool {
 	leadership := p.table.byShard[shard]
-	ours := leader.Node == p.table.node.Settings.HostName
-	known := leadership != nil && p.table.isOwnLife(leader.Node, leader.Incarnation)
-	if ours && !known && !leave {
-		// Of our own earlier life, which is over, or of an acquisition whose answer was
-		// lost: the key is ours and nobody else would ever act on it.
+	isOurs := leader.Node == p.table.node.Settings.HostName
+	isHeld := leadership != nil && p.table.isOwnIncarnation(leader.Node, leader.Incarnation)
+	if isOurs && !isHeld && !releaseAll {
+		// The key was written by an earlier incarnation of this process, or by an acquisition
+		// whose response was lost. No other controller would ever act on the key.
 		return true
 	}
 	return leadership != nil && leadership.needsNewTerm
 }
 
-// mustRelease reports whether this node releases a shard: each if others should lead, one
-// whose release is in doubt again until it shows, and a peer's own when that peer has been
-// up for a while.
-func (p *Planner) mustRelease(shard string, now time.Time, leave bool) bool {
+// mustRelease reports whether this node must release a shard: any shard if releaseAll is set, a
+// shard whose earlier release has an unknown outcome, until the replica shows the outcome, and a
+// peer's home shard once workers have reached that peer for a while.
+func (p *Planner) mustRelease(shard string, now time.Time, releaseAll bool) bool {
 	leadership := p.table.byShard[shard]
 	switch {
 	case leadership == nil:
 		return false
-	case leave, leadership.releasing:
+	case releaseAll, leadership.releasing:
 		return true
 	case shard == p.table.node.Settings.HostName:
 		return false
 	}
-	reachable, found := p.peerReachableSince[shard]
-	return found && now.Sub(reachable) > p.table.node.Settings.ControllerLeaseTTL()/2 && !p.table.schema.IsDowngraded(shard)
+	reachableSince, found := p.peerReachableSince[shard]
+	return found && now.Sub(reachableSince) > p.table.node.Settings.ControllerLeaseTTL()/2 && !p.table.schema.IsDowngraded(shard)
 }
 
-// takeoverDelay returns how long this node waits before it acquires a shard without a leader: the
-// home controller goes first, then the others that live, in a ring order that
-// spreads several shards over several nodes.
+// takeoverDelay returns how long this node waits before it acquires a shard without a leader. The
+// home controller goes first, then the other running controllers in a ring order that spreads
+// several shards over several nodes.
 func (p *Planner) takeoverDelay(shard string) time.Duration {
-	me := p.table.node.Settings.HostName
-	if shard == me {
+	self := p.table.node.Settings.HostName
+	if shard == self {
 		return 0
 	}
-	const stepsOfLease = 8 // a turn is this part of a lease's time, and the home controller has a whole one
-	step := p.table.node.Settings.ControllerLeaseTTL() / stepsOfLease
-	wait := time.Duration(0)
+	const delayStepsPerLease = 8 // each running controller earlier in the ring adds one step, the home controller a whole lease time
+	delayStep := p.table.node.Settings.ControllerLeaseTTL() / delayStepsPerLease
+	delay := time.Duration(0)
 	if reachedByWorkers(p.table.cache, shard) || p.table.cache.Capacities[shard].Record == nil {
-		wait = stepsOfLease * step // its home controller lives, or is only now being started, and should acquire it
+		delay = delayStepsPerLease * delayStep // its home controller is running or starting for the first time, and should acquire it
 	}
 	shards := p.table.node.Shards
-	home := max(slices.Index(shards, shard), 0)
+	homeIndex := max(slices.Index(shards, shard), 0)
 	for offset := 1; offset < len(shards); offset++ {
-		controller := shards[(home+offset)%len(shards)]
-		if controller == me {
+		controller := shards[(homeIndex+offset)%len(shards)]
+		if controller == self {
 			break
 		}
 		if reachedByWorkers(p.table.cache, controller) {
-			wait += step
+			delay += delayStep
 		}
 	}
-	return wait
+	return delay
 }
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -8,51 +8,52 @@
 	"violetturn/internal/statecache"
 )
 
-// RateSharing counts the controllers that share the state service's rates. The lock of
+// RateSharing counts the controllers that share the state service's rate limits. The lock of
 // internal/state guards it.
 type RateSharing struct {
 	node  *node.Info
 	cache *statecache.Cache
 
-	sharers     int
-	absentSince map[string]time.Time // controllers that have not registered, since when
+	controllerCount int
+	absentSince     map[string]time.Time // since when controllers have not been registered
 }
 
-// newRateSharing makes the count of a controller that has seen nobody yet: all configured
-// controllers share the rates until their absence shows.
+// newRateSharing creates the count of a controller that has just started: all configured
+// controllers count until their absence shows.
 func newRateSharing(node *node.Info, cache *statecache.Cache) *RateSharing {
 	return &RateSharing{
 		node: node, cache: cache,
-		sharers:     node.Settings.Facts.Size,
-		absentSince: map[string]time.Time{},
+		controllerCount: node.Settings.Facts.Size,
+		absentSince:     map[string]time.Time{},
 	}
 }
 
-// Sharers returns how many controllers share the rates.
-func (r *RateSharing) Sharers() int { return r.sharers }
+// Sharers returns how many controllers share the rate limits.
+func (r *RateSharing) Sharers() int { return r.controllerCount }
 
-// Update counts the controllers that share the rates and reports
-// whether their number has changed: one that is left alone has all of the rates. One that is not
-// there counts until it has been absent for a lease's time: at the start, and when all come back,
-// none has registered yet, and to use all the rates alone would have the others refused.
+// Update counts the controllers that share the rate limits and reports whether their number has
+// changed. A controller that runs alone may use the whole rate. An absent controller counts until
+// it has been absent for the time of a lease: at startup, and when all controllers restart, none
+// is registered yet, and a controller that used the whole rate would cause the requests of the
+// others to be refused.
 func (r *RateSharing) Update(now time.Time) (changed bool) {
-	sharers := 0
+	controllerCount := 0
 	for _, controller := range r.node.Shards {
-		if r.absence(controller, now) < r.node.Settings.ControllerLeaseTTL() {
-			sharers++
+		if r.absenceDuration(controller, now) < r.node.Settings.ControllerLeaseTTL() {
+			controllerCount++
 		}
 	}
-	if sharers == r.sharers {
+	if controllerCount == r.controllerCount {
 		return false
 	}
-	r.node.Log.Info("rate share changed", logkey.Controllers(sharers), logkey.Before(r.sharers))
-	r.sharers = sharers
+	r.node.Log.Info("rate share changed", logkey.Controllers(controllerCount), logkey.Before(r.controllerCount))
+	r.controllerCount = controllerCount
 	return true
 }
 
-// absence returns for how long a controller has not been registered, 0 if it is. This node is
-// always there.
-func (r *RateSharing) absence(controller string, now time.Time) time.Duration {
+// absenceDuration returns for how long a controller has not been registered, 0 if it is
+// registered. This node always counts as registered.
+func (r *RateSharing) absenceDuration(controller string, now time.Time) time.Duration {
 	if controller == r.node.Settings.HostName || r.cache.Nodes[controller].Record != nil {
 		delete(r.absentSince, controller)
 		return 0
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -8,40 +8,40 @@
 	"violetturn/internal/statecache"
 )
 
-// Registration returns the transaction that makes this node's record and its capabilities tell
-// what is so now; nil if they do.
+// Registration returns the transaction that updates this node's record and its capabilities; nil
+// if both are up to date.
 func (t *Table) Registration() *statecache.Transaction {
-	me := t.node.Settings.HostName
-	record, wanted := t.cache.Nodes[me].Record, t.nodeRecord()
+	self := t.node.Settings.HostName
+	record, desired := t.cache.Nodes[self].Record, t.nodeRecord()
 	announced := t.capabilitiesAnnounced()
-	if announced && record != nil && t.isOwnLife(record.Node, record.Incarnation) &&
-		record.WorkersUnreachable == wanted.WorkersUnreachable && record.HearsWorkers == wanted.HearsWorkers {
+	if announced && record != nil && t.isOwnIncarnation(record.Node, record.Incarnation) &&
+		record.WorkersUnreachable == desired.WorkersUnreachable && record.HearsWorkers == desired.HearsWorkers {
 		return nil
 	}
 	txn := statecache.NewTransaction()
-	txn.PutWithLease(statecache.NodeKey(me), wanted, t.lease.id)
+	txn.PutWithLease(statecache.NodeKey(self), desired, t.lease.id)
 	if !announced {
-		capabilities := shard.CapabilityRecord{SchemaVersion: schema.Version, Features: wanted.Features}
-		txn.Put(statecache.CapabilityKey(me), capabilities)
+		capabilities := shard.CapabilityRecord{SchemaVersion: schema.Version, Features: desired.Features}
+		txn.Put(statecache.CapabilityKey(self), capabilities)
 	}
 	return txn
 }
 
-// capabilitiesAnnounced reports whether the record that outlives this process tells which forms
-// of records and which features it knows.
+// capabilitiesAnnounced reports whether the capability record, which outlives this process,
+// includes the schema version and the features that this process supports.
 func (t *Table) capabilitiesAnnounced() bool {
 	capabilities := t.cache.Capabilities[t.node.Settings.HostName].Record
 	return capabilities != nil && capabilities.SchemaVersion >= schema.Version &&
 		slices.Equal(capabilities.Features, t.node.Features.Names())
 }
 
-// nodeRecord returns what this node says of itself.
+// nodeRecord returns the record that describes the current state of this node.
 func (t *Table) nodeRecord() shard.NodeRecord {
 	return shard.NodeRecord{
 		Node:               t.node.Settings.HostName,
 		Incarnation:        t.node.Incarnation,
 		WorkersUnreachable: t.contact.unreachable,
-		HearsWorkers:       t.contact.hearsWorkers,
+		HearsWorkers:       t.contact.hasContact,
 		SchemaVersion:      schema.Version,
 		Features:           t.node.Features.Names(),
 	}
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -10,10 +10,10 @@
 	"violetturn/internal/transport"
 )
 
-// Table keeps which shards this controller leads, the lease that it leads them under, and what
-// it knows of its peers. The lock of internal/state guards it.
+// Table holds the shards that this controller leads, the lease under which it leads them, and
+// what its peers have acknowledged. The lock of internal/state guards it.
 //
-// There is at most one leadership a shard, and none while there is no lease that was granted.
+// There is at most one leadership per shard, and none before a lease was granted.
 type Table struct {
 	node   *node.Info
 	cache  *statecache.Cache
@@ -21,13 +21,13 @@
 
 	byShard           map[string]*Leadership
 	lease             lease
-	acknowledgedUntil map[string]time.Time // by peer: up to when it has told what it did
+	acknowledgedUntil map[string]time.Time // by peer, the time up to which it has acknowledged its actions
 	contact           *WorkerContact
 	rates             *RateSharing
 	planner           *Planner
 }
 
-// NewTable makes the table of a controller that leads nothing and has no lease.
+// NewTable creates the table of a controller that leads no shard and has no lease.
 func NewTable(node *node.Info, cache *statecache.Cache, schema *schema.State) *Table {
 	t := &Table{
 		node: node, cache: cache, schema: schema,
@@ -40,30 +40,31 @@
 	return t
 }
 
-// Contact returns what this node knows of whether its workers reach it.
+// Contact returns the record of whether workers reach this node.
 func (t *Table) Contact() *WorkerContact { return t.contact }
 
-// Rates returns how many controllers share the state service's rates.
+// Rates returns the count of the controllers that share the state service's rate limits.
 func (t *Table) Rates() *RateSharing { return t.rates }
 
-// Planner returns what decides which shards are acquired and released.
+// Planner returns the planner that decides which shards are acquired and released.
 func (t *Table) Planner() *Planner { return t.planner }
 
-// Redirect answers a worker whose shard this node may not answer for. It does so at once: a
-// 200 that the worker has to drop would hold it here while its lease runs out.
+// Redirect returns the answer to a worker of a shard for which this node may not answer. It
+// redirects the worker at once: after a 200, which the worker has to drop, the worker would stay
+// with this node while its lease expires.
 func (t *Table) Redirect(shard string) transport.Response {
-	me := t.node.Settings.HostName
-	if known := t.byShard[shard]; known != nil && known.successor != "" && known.successor != me {
-		return respond.Misdirected(known.successor)
+	self := t.node.Settings.HostName
+	if held := t.byShard[shard]; held != nil && held.successor != "" && held.successor != self {
+		return respond.Misdirected(held.successor)
 	}
-	if leader := t.cache.Leaders[shard].Record; leader != nil && leader.Node != me {
+	if leader := t.cache.Leaders[shard].Record; leader != nil && leader.Node != self {
 		return respond.Misdirected(leader.Node)
 	}
 	return respond.Misdirected("")
 }
 
-// isOwnLife reports whether a record of a leader or node, with that node and incarnation, was
-// made by this life of this process.
-func (t *Table) isOwnLife(node string, incarnation uint64) bool {
+// isOwnIncarnation reports whether the node and incarnation in a record are those of this
+// process.
+func (t *Table) isOwnIncarnation(node string, incarnation uint64) bool {
 	return node == t.node.Settings.HostName && incarnation == t.node.Incarnation
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -16,20 +16,20 @@
 	"violetturn/internal/store"
 )
 
-// fixture is the table of node n0 of a cluster of n0, n1 and n2. Its lease is valid, and its
-// replica is whole and empty.
-type fixture struct {
+// tableFixture is the table of node n0 in a cluster of n0, n1 and n2. Its lease is valid, and its
+// replica is loaded and empty.
+type tableFixture struct {
 	*Table
 	now     time.Time
 	version uint64
 }
 
-func newFixture(t *testing.T) *fixture {
+func newTableFixture(t *testing.T) *tableFixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Members: []config.Member{{HostName: "n1"}, {HostName: "n2"}}}
 	settings.Facts.Size = 3
 	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
-	f := &fixture{now: time.Unix(1_800_000_000, 0)}
+	f := &tableFixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
 	cache := statecache.New(info.Log)
@@ -40,170 +40,175 @@
 	return f
 }
 
-// record applies a record and returns its version.
-func (f *fixture) record(key string, value any) uint64 {
+// applyRecord applies a record and returns its version.
+func (f *tableFixture) applyRecord(key string, value any) uint64 {
 	f.version++
 	f.cache.Apply(key, api.JSON(value), f.version)
 	return f.version
 }
 
-// lead makes a node the leader of a shard in the replica, and begins our leadership if it is we.
-func (f *fixture) lead(name, leader string) {
+// setLeader makes a node the leader of a shard in the replica, and begins this node's leadership
+// if the leader is n0.
+func (f *tableFixture) setLeader(name, leader string) {
 	record := shard.LeaderRecord{Node: leader, Incarnation: 7, Term: 1}
 	if leader == "n0" {
 		record.Incarnation = f.node.Incarnation
 	}
-	version := f.record(statecache.LeaderKey(name), record)
+	version := f.applyRecord(statecache.LeaderKey(name), record)
 	if leader == "n0" {
 		f.Begin(name, &Leadership{Term: 1, Version: version})
 	}
 }
 
-// live registers a node that workers reach.
-func (f *fixture) live(name string) {
-	f.record(statecache.NodeKey(name), shard.NodeRecord{Node: name})
+// registerNode adds the record of a node that workers reach.
+func (f *tableFixture) registerNode(name string) {
+	f.applyRecord(statecache.NodeKey(name), shard.NodeRecord{Node: name})
 }
 
 func TestLeads(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(f *fixture)
+		change func(f *tableFixture)
 		want   bool
 	}{
-		{"as begun", func(*fixture) {}, true},
-		{"of another shard", func(f *fixture) { f.End("n1"); f.lead("n2", "n0") }, false},
-		{"being released", func(f *fixture) { f.Known("n1").BeginRelease() }, false},
-		{"release did not commit", func(f *fixture) { f.Known("n1").BeginRelease(); f.Known("n1").CancelRelease() }, true},
-		{"successor known", func(f *fixture) { f.Known("n1").successor = "n2" }, false},
-		{"another leader's key", func(f *fixture) { f.lead("n1", "n1") }, false},
-		{"lease lost", func(f *fixture) { f.LoseLease() }, false},
+		{"just begun", func(*tableFixture) {}, true},
+		{"leadership of another shard", func(f *tableFixture) { f.End("n1"); f.setLeader("n2", "n0") }, false},
+		{"being released", func(f *tableFixture) { f.Known("n1").BeginRelease() }, false},
+		{"release did not commit", func(f *tableFixture) { f.Known("n1").BeginRelease(); f.Known("n1").CancelRelease() }, true},
+		{"successor reported", func(f *tableFixture) { f.Known("n1").successor = "n2" }, false},
+		{"another leader's key", func(f *tableFixture) { f.setLeader("n1", "n1") }, false},
+		{"lease lost", func(f *tableFixture) { f.LoseLease() }, false},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.lead("n1", "n0")
-			c.change(f)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			f := newTableFixture(t)
+			f.setLeader("n1", "n0")
+			test.change(f)
 			txn := statecache.NewTransaction()
 			f.RequireAll(txn)
 			required := slices.ContainsFunc(txn.Request().Preconditions, func(p store.Precondition) bool {
 				return p.Key == statecache.LeaderKey("n1")
 			})
-			if got := f.Leads("n1"); got != c.want || required != c.want {
-				t.Errorf("leads %t, required of commits %t, want %t", got, required, c.want)
+			if got := f.Leads("n1"); got != test.want || required != test.want {
+				t.Errorf("leads %t, required by commits %t; want %t for both", got, required, test.want)
 			}
 		})
 	}
 }
 
 func TestMayAnswerHeartbeats(t *testing.T) {
-	grace := newFixture(t).node.Settings.LeadershipGrace()
-	staleness := newFixture(t).node.Settings.MaxStaleness()
-	ttl := newFixture(t).node.Settings.ControllerLeaseTTL()
+	grace := newTableFixture(t).node.Settings.LeadershipGrace()
+	staleness := newTableFixture(t).node.Settings.MaxStaleness()
+	ttl := newTableFixture(t).node.Settings.ControllerLeaseTTL()
 	cases := []struct {
 		name   string
 		after  time.Duration
-		change func(f *fixture)
+		change func(f *tableFixture)
 		want   bool
 	}{
-		{"within the lease", 0, func(*fixture) {}, true},
-		{"without a lease", 0, func(f *fixture) { f.LoseLease() }, false},
-		{"replica not whole", 0, func(f *fixture) { f.cache.Loaded = false }, false},
-		{"within the grace", ttl + grace - 1, func(f *fixture) { f.cache.ChangesReadAt = f.now }, true},
-		{"after the grace", ttl + grace, func(f *fixture) { f.cache.ChangesReadAt = f.now }, false},
-		{"cancellations unknown for too long", staleness, func(f *fixture) { f.ExtendLease(f.now) }, false},
-		{"one peer silent", staleness, func(f *fixture) { f.acknowledgedUntil["n1"] = f.now }, false},
-		{"all peers have acknowledged", staleness, func(f *fixture) {
+		{"within the lease", 0, func(*tableFixture) {}, true},
+		{"without a lease", 0, func(f *tableFixture) { f.LoseLease() }, false},
+		{"replica not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
+		{"within the grace", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
+		{"after the grace", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
+		{"changes not read for too long", staleness, func(f *tableFixture) { f.ExtendLease(f.now) }, false},
+		{"one peer has not acknowledged", staleness, func(f *tableFixture) { f.acknowledgedUntil["n1"] = f.now }, false},
+		{"all peers have acknowledged", staleness, func(f *tableFixture) {
 			f.acknowledgedUntil["n1"], f.acknowledgedUntil["n2"] = f.now, f.now
 		}, true},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.now = f.now.Add(c.after)
-			c.change(f)
-			if got := f.MayAnswerHeartbeats(f.now); got != c.want {
-				t.Errorf("got %t, want %t", got, c.want)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			f := newTableFixture(t)
+			f.now = f.now.Add(test.after)
+			test.change(f)
+			if got := f.MayAnswerHeartbeats(f.now); got != test.want {
+				t.Errorf("MayAnswerHeartbeats returned %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
 func TestPlan(t *testing.T) {
-	ttl := newFixture(t).node.Settings.ControllerLeaseTTL()
+	ttl := newTableFixture(t).node.Settings.ControllerLeaseTTL()
 	cases := []struct {
-		name    string
-		prepare func(f *fixture)
-		after   time.Duration
-		leave   bool
-		acquire []string
-		release []string
+		name         string
+		prepare      func(f *tableFixture)
+		after        time.Duration
+		releaseAll   bool
+		wantAcquired []string
+		wantReleased []string
 	}{
-		{"own shard at once, others later", func(*fixture) {}, 0, false, []string{"n0"}, nil},
-		{"others' homes are due", func(*fixture) {}, ttl, false, []string{"n0", "n1", "n2"}, nil},
-		{"a living peer's turn comes before ours", func(f *fixture) { f.live("n2") }, ttl, false, []string{"n0", "n2"}, nil},
-		{"none if others should lead", func(*fixture) {}, 2 * ttl, true, nil, nil},
-		{"all are released then", func(f *fixture) { f.lead("n0", "n0"); f.lead("n1", "n0") }, 0, true, nil, []string{"n0", "n1"}},
-		{"an acquisition whose answer was lost", func(f *fixture) { f.lead("n0", "n0"); f.End("n0") }, 0, false, []string{"n0"}, nil},
-		{"a worker has seen a higher term", func(f *fixture) {
-			f.lead("n0", "n0")
+		{"acquires only the home shard at once", func(*tableFixture) {}, 0, false, []string{"n0"}, nil},
+		{"acquires the other shards after a delay", func(*tableFixture) {}, ttl, false, []string{"n0", "n1", "n2"}, nil},
+		{"a running peer acquires first", func(f *tableFixture) { f.registerNode("n2") }, ttl, false, []string{"n0", "n2"}, nil},
+		{"acquires none if it must release all", func(*tableFixture) {}, 2 * ttl, true, nil, nil},
+		{"releases all", func(f *tableFixture) { f.setLeader("n0", "n0"); f.setLeader("n1", "n0") }, 0, true, nil, []string{"n0", "n1"}},
+		{"reacquires after a lost response", func(f *tableFixture) { f.setLeader("n0", "n0"); f.End("n0") }, 0, false, []string{"n0"}, nil},
+		{"reacquires if a worker has received a higher term", func(f *tableFixture) {
+			f.setLeader("n0", "n0")
 			f.Known("n0").RequestNewTerm()
 		}, 0, false, []string{"n0"}, nil},
-		{"to a peer that is up", func(f *fixture) {
-			f.lead("n0", "n0")
-			f.lead("n1", "n0")
-			f.live("n1")
+		{"releases to a running peer", func(f *tableFixture) {
+			f.setLeader("n0", "n0")
+			f.setLeader("n1", "n0")
+			f.registerNode("n1")
 		}, ttl * 3 / 4, false, nil, []string{"n1"}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			f := newFixture(t)
-			c.prepare(f)
-			f.Planner().Plan(f.now, c.leave) // from now on shards are known to have no leader
-			changes := f.Planner().Plan(f.now.Add(c.after), c.leave)
-			var acquire []string
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			f := newTableFixture(t)
+			test.prepare(f)
+			f.Planner().Plan(f.now, test.releaseAll) // records since when shards have no leader
+			changes := f.Planner().Plan(f.now.Add(test.after), test.releaseAll)
+			var acquired []string
 			for _, acquisition := range changes.Acquire {
-				acquire = append(acquire, acquisition.Shard)
+				acquired = append(acquired, acquisition.Shard)
 			}
-			if !reflect.DeepEqual(acquire, c.acquire) || !reflect.DeepEqual(changes.Release, c.release) {
-				t.Errorf("acquire %v, release %v; want %v, %v", acquire, changes.Release, c.acquire, c.release)
+			if !reflect.DeepEqual(acquired, test.wantAcquired) || !reflect.DeepEqual(changes.Release, test.wantReleased) {
+				t.Errorf("acquire %v, release %v; want %v, %v", acquired, changes.Release, test.wantAcquired, test.wantReleased)
 			}
 		})
 	}
 }
 
-// A controller that is absent shares the rates until its lease's time is over.
-func TestRateSharing(t *testing.T) {
-	f := newFixture(t)
-	f.live("n1")
+// An absent controller counts among those that share the rate limits until it has been absent for
+// the time of a lease.
+func TestRateSharing_CountsAbsentControllersForLeaseTime(t *testing.T) {
+	f := newTableFixture(t)
+	f.registerNode("n1")
 	if f.Rates().Update(f.now) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d share at the start", f.Rates().Sharers())
+		t.Fatalf("%d controllers share the rates at the start, want 3", f.Rates().Sharers())
 	}
 	later := f.now.Add(f.node.Settings.ControllerLeaseTTL())
 	if !f.Rates().Update(later) || f.Rates().Sharers() != 2 {
-		t.Fatalf("%d share without n2", f.Rates().Sharers())
+		t.Fatalf("%d controllers share the rates without n2, want 2", f.Rates().Sharers())
 	}
-	f.live("n2")
+	f.registerNode("n2")
 	if !f.Rates().Update(later) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d share when n2 is back", f.Rates().Sharers())
+		t.Fatalf("%d controllers share the rates after n2 has returned, want 3", f.Rates().Sharers())
 	}
 }
 
-// A node is unreachable after as many silent steps of enough workers, until one is heard.
-func TestCheckSilence(t *testing.T) {
+// A node is unreachable after MinSilent consecutive checks without contact if at least MinSilent
+// workers are expected to respond, until a worker responds.
+func TestCheckSilence_RequiresEnoughSilentWorkers(t *testing.T) {
 	for _, expected := range []int{MinSilent - 1, MinSilent} {
-		f := newFixture(t)
+		f := newTableFixture(t)
 		f.Contact().NoteHeard(f.now)
 		silent := f.now.Add(time.Minute)
 		for range MinSilent - 1 {
-			f.Contact().CheckSilence(silent, func() int { t.Error("counted too early"); return 0 })
+			f.Contact().CheckSilence(silent, func() int { t.Errorf("expected workers counted before check %d", MinSilent); return 0 })
 		}
 		f.Contact().CheckSilence(silent, func() int { return expected })
-		if got, want := f.Contact().Unreachable(), expected == MinSilent; got != want || f.contact.hearsWorkers {
-			t.Errorf("%d silent: unreachable %t, hears workers %t", expected, got, f.contact.hearsWorkers)
+		if got, want := f.Contact().Unreachable(), expected == MinSilent; got != want || f.contact.hasContact {
+			t.Errorf("%d silent workers: unreachable %t, has contact %t; want unreachable %t, no contact",
+				expected, got, f.contact.hasContact, want)
 		}
 		f.Contact().NoteHeard(silent)
 		if f.Contact().Unreachable() || !f.Contact().HeardSince(silent) || f.Contact().HeardSince(silent.Add(1)) {
-			t.Errorf("%d silent: a worker was heard again, contact %+v", expected, f.contact.contactState)
+			t.Errorf("%d silent workers, then a response at %s: contact %+v, want reachable since then",
+				expected, silent, f.contact.contactState)
 		}
 	}
 }
