--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -15,19 +15,19 @@
 	"violetturn/internal/timing"
 )
 
-// Intervals of the lease's loop, as parts of the lease's time.
+// Intervals of the lease loop, as fractions of the lease time.
 const (
-	stepsPerLease   = 4   // steps while the state service answers
-	retriesPerLease = 10  // steps while it doesn't
-	turnsPerLease   = 32  // pauses before a step for a shard that has become leaderless
-	clockMargin     = 256 // part of the lease that is not counted on, as our clock may run slow against the service's
+	renewalsPerLease         = 4   // interval between renewals while the state service responds
+	retriesPerLease          = 10  // interval between attempts while it does not
+	leaderlessPausesPerLease = 32  // pause before an early renewal when a shard has become leaderless
+	clockMarginDivisor       = 256 // safety margin, since this node's clock may run slower than the state service's
 )
 
-// revokeTimeout bounds how long a shutdown waits for the end of the lease.
+// revokeTimeout limits how long a shutdown waits for the lease to be revoked.
 const revokeTimeout = time.Second
 
-// Keeper keeps this controller's lease, and acquires and releases shards. One goroutine uses it;
-// what it knows is in the guarded state.
+// Keeper maintains this controller's lease, and acquires and releases shards. One goroutine uses
+// it; its state is in the guarded state.
 type Keeper struct {
 	node     *node.Info
 	guard    *state.Guard
@@ -36,105 +36,107 @@
 	commands *commands.Sender
 }
 
-// NewKeeper makes a keeper that has no lease yet.
+// NewKeeper creates a keeper that has no lease yet.
 func NewKeeper(
 	info *node.Info, guard *state.Guard, services *external.Services, sync *storesync.Sync, commands *commands.Sender,
 ) *Keeper {
 	return &Keeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
 }
 
-// LeaseLoop keeps this node's lease and with it the shards that it leads, until ctx is done.
-func (k *Keeper) LeaseLoop(ctx context.Context) {
+// LeaseLoop maintains this node's lease, and with it the shards that the node leads, until ctx is
+// done.
+func (e *Keeper) LeaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(k.MaintainLease(ctx))
+		timer := time.NewTimer(e.MaintainLease(ctx))
 		select {
 		case <-timer.C:
-		case <-k.sync.LeaderlessShard(): // its turn may be ours
-			timing.Sleep(ctx, k.node.Settings.ControllerLeaseTTL()/turnsPerLease)
+		case <-e.sync.LeaderlessShard(): // this node may be the next to acquire the shard
+			timing.Sleep(ctx, e.node.Settings.ControllerLeaseTTL()/leaderlessPausesPerLease)
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
 }
 
-// MaintainLease takes one step: it has the lease granted or renews it, and then acquires and
-// releases shards. It returns how long to wait before the next step.
-func (k *Keeper) MaintainLease(ctx context.Context) time.Duration {
-	ttl := k.node.Settings.ControllerLeaseTTL()
-	sent := k.node.Now()
-	err := k.keepLease(ctx, ttl)
+// MaintainLease requests or renews the lease once, and then acquires and releases shards. It
+// returns how long to wait before the next call.
+func (e *Keeper) MaintainLease(ctx context.Context) time.Duration {
+	ttl := e.node.Settings.ControllerLeaseTTL()
+	sentAt := e.node.Now()
+	err := e.ensureLease(ctx, ttl)
 	if errors.Is(err, store.ErrNoLease) {
 		return 0
 	}
 	if err != nil {
 		return ttl / retriesPerLease
 	}
-	if k.extendLease(sent, ttl) { // how long we may answer once we are cut off counts from the last read
-		_ = k.sync.ReadNewest(ctx)
+	if e.extendLease(sentAt, ttl) { // once partitioned, this node may answer for a time that counts from the last read
+		_ = e.sync.ReadNewest(ctx)
 	}
-	k.maintainLeaderships(ctx)
-	return ttl / stepsPerLease
+	e.maintainLeaderships(ctx)
+	return ttl / renewalsPerLease
 }
 
-// keepLease renews the lease, or has one granted if there is none. It returns store.ErrNoLease if
+// ensureLease renews the lease, or requests one if there is none. It returns store.ErrNoLease if
 // the lease was lost.
-func (k *Keeper) keepLease(ctx context.Context, ttl time.Duration) error {
-	state := k.guard.Lock()
+func (e *Keeper) ensureLease(ctx context.Context, ttl time.Duration) error {
+	state := e.guard.Lock()
 	leaseID := state.Leadership.LeaseID()
-	k.guard.Unlock()
+	e.guard.Unlock()
 	if leaseID == 0 {
-		return k.grantLease(ctx, ttl)
+		return e.grantLease(ctx, ttl)
 	}
-	err := k.services.Store.RenewLease(ctx, leaseID)
+	err := e.services.Store.RenewLease(ctx, leaseID)
 	if errors.Is(err, store.ErrNoLease) {
-		k.loseLease(leaseID)
+		e.handleLostLease(leaseID)
 	}
 	return err
 }
 
-// grantLease has a lease granted. Its errors are never store.ErrNoLease.
-func (k *Keeper) grantLease(ctx context.Context, ttl time.Duration) error {
-	leaseID, err := k.services.Store.GrantLease(ctx, ttl)
+// grantLease requests a lease. Its errors are never store.ErrNoLease.
+func (e *Keeper) grantLease(ctx context.Context, ttl time.Duration) error {
+	leaseID, err := e.services.Store.GrantLease(ctx, ttl)
 	if err != nil {
 		return err
 	}
-	k.node.Log.Info("lease granted", logkey.Lease(leaseID))
-	state := k.guard.Lock()
+	e.node.Log.Info("lease granted", logkey.Lease(leaseID))
+	state := e.guard.Lock()
 	state.Leadership.BeginLease(leaseID)
-	k.guard.Unlock()
+	e.guard.Unlock()
 	return nil
 }
 
-// loseLease drops all that this node held under a lease that has ended: others may lead its shards
-// already.
-func (k *Keeper) loseLease(leaseID uint64) {
-	k.node.Log.Info("lease lost", logkey.Lease(leaseID))
-	state := k.guard.Lock()
+// handleLostLease drops all state that this node held under a lease that has ended, since others
+// may lead its shards already.
+func (e *Keeper) handleLostLease(leaseID uint64) {
+	e.node.Log.Info("lease lost", logkey.Lease(leaseID))
+	state := e.guard.Lock()
 	state.Leadership.LoseLease()
 	state.Agents.DropAll()
-	k.guard.Unlock()
+	e.guard.Unlock()
 }
 
-// extendLease notes that the lease was granted or renewed by a request that was sent at the given
-// time. It reports whether the replica is to be brought up to date.
-func (k *Keeper) extendLease(sent time.Time, ttl time.Duration) (stale bool) {
-	state := k.guard.Lock()
-	defer k.guard.Unlock()
-	state.Leadership.ExtendLease(sent.Add(ttl - ttl/clockMargin))
-	return state.Cache.Loaded && sent.Sub(state.Cache.ChangesReadAt) > ttl/stepsPerLease
+// extendLease records that the lease was granted or renewed by a request sent at sentAt. It
+// reports whether the replica needs to read the newest changes.
+func (e *Keeper) extendLease(sentAt time.Time, ttl time.Duration) (replicaStale bool) {
+	state := e.guard.Lock()
+	defer e.guard.Unlock()
+	state.Leadership.ExtendLease(sentAt.Add(ttl - ttl/clockMarginDivisor))
+	return state.Cache.Loaded && sentAt.Sub(state.Cache.ChangesReadAt) > ttl/renewalsPerLease
 }
 
-// RevokeLease ends the lease in an orderly shutdown, so that others take over at once.
-func (k *Keeper) RevokeLease() {
-	state := k.guard.Lock()
+// RevokeLease ends the lease during an orderly shutdown, so that other controllers take over at
+// once.
+func (e *Keeper) RevokeLease() {
+	state := e.guard.Lock()
 	leaseID := state.Leadership.RevokeLease()
-	k.guard.Unlock()
+	e.guard.Unlock()
 	if leaseID == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	if err := k.services.Store.RevokeLease(ctx, leaseID); err != nil {
-		k.node.Log.Info("lease not revoked", logkey.Err(err))
+	if err := e.services.Store.RevokeLease(ctx, leaseID); err != nil {
+		e.node.Log.Info("lease not revoked", logkey.Err(err))
 	}
 }
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -13,119 +13,121 @@
 	"violetturn/internal/store"
 )
 
-// What the commits of this package are for, in the log's summary.
+// Purposes of the commits of this package, as shown in the log summary.
 const (
 	commitNode  = "node"
 	commitShard = "shard"
 )
 
-// maintainLeaderships registers this node, acquires shards without a leader and releases shards
-// to their home controllers.
-func (k *Keeper) maintainLeaderships(ctx context.Context) {
-	step, ok := k.planStep()
+// maintainLeaderships registers this node, releases shards to their home controllers, and
+// acquires shards without a leader.
+func (e *Keeper) maintainLeaderships(ctx context.Context) {
+	plan, ok := e.planLeaderships()
 	if !ok {
 		return
 	}
-	if step.sharersChanged {
-		k.services.Store.SetControllers(step.sharers)
+	if plan.controllerCountChanged {
+		e.services.Store.SetControllers(plan.controllerCount)
 	}
-	k.commands.Probe(ctx, step.probes)
-	if step.registration != nil {
-		_, _, err := k.sync.Commit(ctx, commitNode, step.registration, store.PriorityLease)
+	e.commands.Probe(ctx, plan.probes)
+	if plan.registration != nil {
+		_, _, err := e.sync.Commit(ctx, commitNode, plan.registration, store.PriorityLease)
 		if errors.Is(err, store.ErrNoLease) {
 			return
 		}
 	}
-	for _, shard := range step.changes.Release {
-		k.releaseShard(ctx, shard)
+	for _, shard := range plan.changes.Release {
+		e.releaseShard(ctx, shard)
 	}
-	for _, acquisition := range step.changes.Acquire {
-		k.AcquireShard(ctx, acquisition.Shard, acquisition.LeaderVersion)
+	for _, acquisition := range plan.changes.Acquire {
+		e.AcquireShard(ctx, acquisition.Shard, acquisition.LeaderVersion)
 	}
 }
 
-// leadershipStep is what a step of the lease does besides keeping it.
-type leadershipStep struct {
-	sharers        int // controllers that share the state service's rates
-	sharersChanged bool
-	probes         []string                // addresses of workers to be asked whether they hear this node
-	registration   *statecache.Transaction // nil: this node's records are right
-	changes        leadership.Changes
+// leadershipPlan is what one call of MaintainLease does after it has renewed the lease.
+type leadershipPlan struct {
+	controllerCount        int // controllers that share the state service's rate limits
+	controllerCountChanged bool
+	probes                 []string                // addresses of workers to be probed
+	registration           *statecache.Transaction // nil if this node's records are up to date
+	changes                leadership.Changes
 }
 
-// planStep decides what to do under the lock. ok is false while the replica is not whole.
-func (k *Keeper) planStep() (step leadershipStep, ok bool) {
-	now := k.node.Now()
-	state := k.guard.Lock()
-	defer k.guard.Unlock()
+// planLeaderships decides under the lock what to do. ok is false while the replica is not fully
+// loaded.
+func (e *Keeper) planLeaderships() (plan leadershipPlan, ok bool) {
+	now := e.node.Now()
+	state := e.guard.Lock()
+	defer e.guard.Unlock()
 	if !state.Cache.Loaded {
-		return step, false
+		return plan, false
 	}
 	state.Agents.DropLostLeaderships()
-	step.sharersChanged = state.Leadership.Rates().Update(now)
-	step.sharers = state.Leadership.Rates().Sharers()
-	leave, probes := state.DirectCommands.CheckWorkerContact(now)
-	step.probes = probes
-	step.registration = state.Leadership.Registration()
-	step.changes = state.Leadership.Planner().Plan(now, leave)
-	return step, true
+	plan.controllerCountChanged = state.Leadership.Rates().Update(now)
+	plan.controllerCount = state.Leadership.Rates().Sharers()
+	releaseAll, probes := state.DirectCommands.CheckWorkerContact(now)
+	plan.probes = probes
+	plan.registration = state.Leadership.Registration()
+	plan.changes = state.Leadership.Planner().Plan(now, releaseAll)
+	return plan, true
 }
 
-// acquisition is the transaction that acquires a shard, and what begins with it.
+// acquisition is the transaction that acquires a shard, and the leadership that begins with it.
 type acquisition struct {
 	txn      *statecache.Transaction
 	acquired agent.AcquiredShard
 }
 
-// AcquireShard acquires a shard: its leader's key under our lease, and a term above all
-// that were ever given out, which is the shard's fencing token. leaderVersion is the version of
-// the leader's key, or 0, that the decision rests on.
-func (k *Keeper) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
-	state := k.guard.Lock()
+// AcquireShard acquires a shard: it writes the leader's key under the lease, with a term above
+// all terms that were ever issued, which is the shard's fencing token. leaderVersion is the
+// version of the leader's key on which the decision was based, or 0.
+func (e *Keeper) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
+	state := e.guard.Lock()
 	if state.Cache.Leaders[shard].Version != leaderVersion {
-		// Somebody acquired it since: with the newer version the precondition would hold,
-		// and the shard be taken from a living leader.
-		k.guard.Unlock()
+		// Another controller has acquired the shard since. A precondition on the newer version
+		// would hold, and the shard would be taken from a running leader.
+		e.guard.Unlock()
 		return
 	}
-	prepared := k.prepareAcquisition(state, shard)
-	k.guard.Unlock()
-	done, _, err := k.sync.Commit(ctx, commitShard, prepared.txn, store.PriorityLease)
-	if !done {
-		k.node.Log.Debug("shard not acquired", logkey.Shard(shard), logkey.Err(err))
+	prepared := e.prepareAcquisition(state, shard)
+	e.guard.Unlock()
+	committed, _, err := e.sync.Commit(ctx, commitShard, prepared.txn, store.PriorityLease)
+	if !committed {
+		e.node.Log.Debug("shard not acquired", logkey.Shard(shard), logkey.Err(err))
 		if err == nil {
-			// Overtaken, by another's acquisition that raised the term as a rule: after
-			// the end of all they come at once, and leases run meanwhile.
-			k.sync.WakeLeaseLoop()
+			// A conflict, usually with an acquisition of another shard that raised the term.
+			// After all controllers have failed, acquisitions come all at once. Retry soon, since
+			// the workers' leases run meanwhile.
+			e.sync.WakeLeaseLoop()
 		}
 		return
 	}
-	state = k.guard.Lock()
+	state = e.guard.Lock()
 	var fences []*agent.DirectCommand
 	if state.Agents.BeginLeadership(prepared.acquired) {
 		fences = state.DirectCommands.FenceShard(shard)
 	}
-	k.guard.Unlock()
-	k.commands.Send(ctx, fences)
+	e.guard.Unlock()
+	e.commands.Send(ctx, fences)
 }
 
-// prepareAcquisition puts together the transaction that acquires a shard.
-func (k *Keeper) prepareAcquisition(state *state.State, name string) acquisition {
-	me := k.node.Settings.HostName
+// prepareAcquisition builds the transaction that acquires a shard.
+func (e *Keeper) prepareAcquisition(state *state.State, name string) acquisition {
+	self := e.node.Settings.HostName
 	leader, hadLeader := state.Cache.Leaders[name]
 	capacity := state.Cache.Capacities[name]
 	term := state.Cache.Term + 1
-	clean := stoppedAnswering(capacity.Record, me)
+	clean := predecessorsStopped(capacity.Record, self)
 	txn := statecache.NewTransaction()
 	txn.Require(statecache.LeaderKey(name), leader.Version)
 	txn.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
 	txn.Require(statecache.CapacityKey(name), capacity.Version)
 	txn.Put(statecache.TermKey, term)
-	leaderRecord := shard.LeaderRecord{Node: me, Incarnation: k.node.Incarnation, Term: term}
+	leaderRecord := shard.LeaderRecord{Node: self, Incarnation: e.node.Incarnation, Term: term}
 	txn.PutWithLease(statecache.LeaderKey(name), leaderRecord, state.Leadership.LeaseID())
 	txn.Put(statecache.CapacityKey(name), shard.CapacityRecord{
 		Term:                 term,
-		Leader:               me,
+		Leader:               self,
 		PredecessorMayAnswer: !clean,
 		Free:                 shard.FreeCapacity{},
 		QuotaUse:             state.Capacity.QuotaUseOf(name),
@@ -136,46 +138,46 @@
 	}
 }
 
-// stoppedAnswering reports whether all earlier leaders of a shard have surely stopped answering
-// its workers, as its capacity record tells. It guards against a new leader that counts a
-// worker's lease as over while an earlier one still renews it.
+// predecessorsStopped reports whether all earlier leaders of a shard have certainly stopped
+// answering its workers, according to its capacity record. It guards against a new leader that
+// treats a worker's lease as expired while an earlier leader still renews it.
 //
-// An earlier life of this process has ended, and a leader that released the shard
-// has stopped answering; any other may go on for its grace. So may one before
-// those, if they did not live to see its grace out: the doubt stays with the
-// record, or a quick restart of ours would drop it.
-func stoppedAnswering(capacity *shard.CapacityRecord, me string) bool {
+// An earlier incarnation of this process has ended, and a leader that released the shard has
+// stopped answering. Any other leader may continue to answer for its grace period. A leader
+// before those may too, if its successors did not last until its grace period had ended. So the
+// uncertainty stays in the record; otherwise a quick restart of this process would lose it.
+func predecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
 	if capacity == nil {
 		return true // it was never led
 	}
-	return (capacity.Leader == me || capacity.Released) && !capacity.PredecessorMayAnswer
+	return (capacity.Leader == self || capacity.Released) && !capacity.PredecessorMayAnswer
 }
 
-// releaseShard releases a shard to its home controller in an orderly way: answers
-// stop first, then the release is committed.
-func (k *Keeper) releaseShard(ctx context.Context, shard string) {
-	state := k.guard.Lock()
+// releaseShard releases a shard in an orderly way: the answers to its workers stop first, then
+// the release is committed.
+func (e *Keeper) releaseShard(ctx context.Context, shard string) {
+	state := e.guard.Lock()
 	released, txn := prepareRelease(state, shard)
-	k.guard.Unlock()
+	e.guard.Unlock()
 	if released == nil {
 		return
 	}
-	done, _, err := k.sync.Commit(ctx, commitShard, txn, store.PriorityLease)
-	state = k.guard.Lock()
-	defer k.guard.Unlock()
-	if done {
-		k.node.Log.Info("shard released", logkey.Shard(shard), logkey.Term(released.Term))
+	committed, _, err := e.sync.Commit(ctx, commitShard, txn, store.PriorityLease)
+	state = e.guard.Lock()
+	defer e.guard.Unlock()
+	if committed {
+		e.node.Log.Info("shard released", logkey.Shard(shard), logkey.Term(released.Term))
 		state.Agents.DropLeadership(shard)
 		return
 	}
-	// In doubt it stays unanswered until the replica shows who leads it.
+	// If the outcome is unknown, workers stay unanswered until the replica shows the shard's leader.
 	if !errors.Is(err, store.ErrUnknown) {
 		released.CancelRelease()
 	}
 }
 
-// prepareRelease stops the answers to a shard's workers and puts together the transaction that
-// releases the shard. It returns nil if there is nothing to release.
+// prepareRelease stops the answers to a shard's workers and builds the transaction that releases
+// the shard. It returns nil if there is nothing to release.
 func prepareRelease(state *state.State, shard string) (*leadership.Leadership, *statecache.Transaction) {
 	leadership, capacity := state.Leadership.Known(shard), state.Cache.Capacities[shard]
 	if leadership == nil || capacity.Record == nil {
