--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,9 +1,9 @@
-// Package membership asks the other controllers what they see of the state service and what
-// they have done while this one can't reach it, and answers the same. It picks the peer
-// that users' requests are forwarded to meanwhile.
+// Package membership queries the other controllers, while this one cannot reach the state service,
+// about whether they reach it and what they have done, and answers the same queries. It selects
+// the peer to which users' requests are forwarded meanwhile.
 //
-// It guards against two failures: an outage of the state service for all, in which leaders may go
-// on answering workers for as long as all controllers acknowledge what they did, and a refusal of
-// this node alone, in which a peer can still serve its users. No lock is held while a peer is
-// asked.
+// It guards against two failures. In an outage of the state service for all controllers, leaders
+// may continue to answer workers for as long as all controllers acknowledge their actions. If the
+// state service refuses only this node, a peer can still serve its users. No lock is held while a
+// peer is queried.
 package membership
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,58 +10,58 @@
 	"violetturn/internal/timing"
 )
 
-// Parts of the lease's time.
+// Intervals as fractions of the lease time.
 const (
-	askingRoundsPerLease = 8 // rounds of asking the peers while the state service is out of reach
-	askDeadlinesPerLease = 4 // waits for one peer's answer
+	queryRoundsPerLease   = 8 // interval between rounds of queries while the state service is unreachable
+	queryTimeoutsPerLease = 4 // timeout for one peer's reply
 )
 
-// Membership asks the peers what they see of the state service and what they have done, and
-// answers the same. What it learns is in the guarded state. Its methods may be called from any
-// goroutine.
+// Membership queries the peers about whether they reach the state service and what they have
+// done, and answers the same queries. It stores the replies in the guarded state. Its methods may
+// be called from any goroutine.
 type Membership struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
 }
 
-// New makes the membership of a controller that has asked nobody yet.
+// New creates the membership of a controller that has not queried any peer yet.
 func New(info *node.Info, guard *state.Guard, services *external.Services) *Membership {
 	return &Membership{node: info, guard: guard, services: services}
 }
 
-// PeerLoop asks the peers while the state service is out of reach, until ctx is done.
+// PeerLoop queries the peers while the state service is unreachable, until ctx is done.
 func (m *Membership) PeerLoop(ctx context.Context) {
-	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/askingRoundsPerLease) {
+	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/queryRoundsPerLease) {
 		if !m.storeReachable() {
 			m.AskPeers(ctx)
 		}
 	}
 }
 
-// AskPeers asks every peer whether it reaches the state service, and what it has done
-// that this node can't see meanwhile.
+// AskPeers queries each peer about whether it reaches the state service, and what it has done
+// that this node cannot read meanwhile.
 func (m *Membership) AskPeers(ctx context.Context) {
 	for _, member := range m.node.Settings.Members {
-		m.askPeer(ctx, member.HostName, member.Addr)
+		m.queryPeer(ctx, member.HostName, member.Addr)
 	}
 	state := m.guard.Lock()
 	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
 	m.guard.Unlock()
 }
 
-// askPeer asks one peer what it sees of the state service and what it has done since the
-// revision that this node has read up to.
-func (m *Membership) askPeer(ctx context.Context, name, addr string) {
+// queryPeer queries one peer about whether it reaches the state service, and what it has done
+// since the revision up to which this node has read the changes.
+func (m *Membership) queryPeer(ctx context.Context, name, addr string) {
 	state := m.guard.Lock()
 	request := &peer.Request{
 		Kind:  peer.Request_KIND_ACKNOWLEDGE,
 		From:  m.node.Settings.HostName,
 		Since: state.Cache.Revision,
 	}
-	asked := m.node.Now()
+	requestedAt := m.node.Now()
 	m.guard.Unlock()
-	deadline := m.node.Settings.ControllerLeaseTTL() / askDeadlinesPerLease
+	deadline := m.node.Settings.ControllerLeaseTTL() / queryTimeoutsPerLease
 	reply, err := m.services.Peers.Ask(ctx, addr, request, deadline)
 	state = m.guard.Lock()
 	defer m.guard.Unlock()
@@ -70,11 +70,11 @@
 		return
 	}
 	state.Reachability.Peers[name] = reply.GetStoreReached()
-	state.Leadership.NoteAcknowledgement(name, reply.GetAcknowledgement(), asked)
+	state.Leadership.NoteAcknowledgement(name, reply.GetAcknowledgement(), requestedAt)
 }
 
-// ForwardingPeer returns the address of a peer that can serve users for us while we can't reach
-// the state service; "" when we can, or nobody else can.
+// ForwardingPeer returns the address of a peer that can serve users for this node while the state
+// service is unreachable. It returns "" if this node reaches the state service, or no peer does.
 func (m *Membership) ForwardingPeer() string {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
@@ -89,8 +89,8 @@
 	return ""
 }
 
-// ServesForPeer reports whether a peer's request is to be carried out: it asks for more
-// than what we see of the state service and have done, and we can serve it.
+// ServesForPeer reports whether this node carries out a peer's request: the request is not
+// answered by PeerStatus alone, and this node can serve it.
 func (m *Membership) ServesForPeer(request *peer.Request) bool {
 	switch request.GetKind() {
 	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
@@ -101,8 +101,8 @@
 	return m.canServe()
 }
 
-// PeerStatus answers a peer what this node sees of the state service and, if asked, what
-// it has done.
+// PeerStatus returns the reply to a peer: whether this node can serve users and, if requested,
+// what it has done.
 func (m *Membership) PeerStatus(request *peer.Request) *peer.Reply {
 	reply := &peer.Reply{StoreReached: m.canServe()}
 	if request.GetKind() == peer.Request_KIND_ACKNOWLEDGE {
@@ -114,14 +114,14 @@
 }
 
 // canServe reports whether this node can serve users, its own and those of peers: it reaches the
-// state service and its replica is whole.
+// state service and its replica is fully loaded.
 func (m *Membership) canServe() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
 	return state.Cache.Loaded && state.Reachability.StoreReachable
 }
 
-// storeReachable reports whether the state service served our last request.
+// storeReachable reports whether the state service responded to this node's last request.
 func (m *Membership) storeReachable() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
