--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -88,7 +88,7 @@
 		wantBegun    bool
 		wantAnswered time.Time
 	}{
-		{"clean", AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}, true, f.now},
+		{"predecessors stopped", AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}, true, f.now},
 		{"predecessor may answer", AcquiredShard{Shard: "n0", Term: testTerm}, true, f.now.Add(grace)},
 		{"superseded", AcquiredShard{Shard: "n0", Term: testTerm - 1, Clean: true}, false, time.Time{}},
 	} {
@@ -184,7 +184,8 @@
 	f.now = f.now.Add(mismatchDelayLags * lag)
 	f.Listing().Note(listed, f.now, lag)
 	if f.Unregistered().Count() != 0 || !f.Listing().Has("i-000002") {
-		t.Fatalf("%d unregistered machines, i-000002 listed %t; want 0 and true", f.Unregistered().Count(), f.Listing().Has("i-000002"))
+		t.Fatalf("%d unregistered machines, i-000002 listed %t; want 0 and true",
+			f.Unregistered().Count(), f.Listing().Has("i-000002"))
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -36,7 +36,7 @@
 	commands *commands.Sender
 }
 
-// NewKeeper creates a keeper that has no lease yet.
+// NewKeeper creates an elector that has no lease yet.
 func NewKeeper(
 	info *node.Info, guard *state.Guard, services *external.Services, sync *storesync.Sync, commands *commands.Sender,
 ) *Keeper {
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -117,7 +117,7 @@
 	leader, hadLeader := state.Cache.Leaders[name]
 	capacity := state.Cache.Capacities[name]
 	term := state.Cache.Term + 1
-	clean := predecessorsStopped(capacity.Record, self)
+	predecessorsStopped := havePredecessorsStopped(capacity.Record, self)
 	txn := statecache.NewTransaction()
 	txn.Require(statecache.LeaderKey(name), leader.Version)
 	txn.Require(statecache.TermKey, state.Cache.Versions[statecache.TermKey])
@@ -128,17 +128,17 @@
 	txn.Put(statecache.CapacityKey(name), shard.CapacityRecord{
 		Term:                 term,
 		Leader:               self,
-		PredecessorMayAnswer: !clean,
+		PredecessorMayAnswer: !predecessorsStopped,
 		Free:                 shard.FreeCapacity{},
 		QuotaUse:             state.Capacity.QuotaUseOf(name),
 	})
 	return acquisition{
 		txn:      txn,
-		acquired: agent.AcquiredShard{Shard: name, Term: term, Clean: clean, HadLeader: hadLeader},
+		acquired: agent.AcquiredShard{Shard: name, Term: term, Clean: predecessorsStopped, HadLeader: hadLeader},
 	}
 }
 
-// predecessorsStopped reports whether all earlier leaders of a shard have certainly stopped
+// havePredecessorsStopped reports whether all earlier leaders of a shard have certainly stopped
 // answering its workers, according to its capacity record. It guards against a new leader that
 // treats a worker's lease as expired while an earlier leader still renews it.
 //
@@ -146,7 +146,7 @@
 // stopped answering. Any other leader may continue to answer for its grace period. A leader
 // before those may too, if its successors did not last until its grace period had ended. So the
 // uncertainty stays in the record; otherwise a quick restart of this process would lose it.
-func predecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
+func havePredecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
 	if capacity == nil {
 		return true // it was never led
 	}
