--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -29,7 +29,7 @@
 	if plan.controllerCountChanged {
 		e.services.Store.SetControllers(plan.controllerCount)
 	}
-	e.commands.Probe(ctx, plan.probes)
+	e.commands.ProbeWorkers(ctx, plan.probes)
 	if plan.registration != nil {
 		_, _, err := e.sync.Commit(ctx, commitNode, plan.registration, store.PriorityLease)
 		if errors.Is(err, store.ErrNoLease) {
@@ -108,7 +108,7 @@
 		fences = state.DirectCommands.FenceShard(shard)
 	}
 	e.guard.Unlock()
-	e.commands.Send(ctx, fences)
+	e.commands.SendAll(ctx, fences)
 }
 
 // prepareAcquisition builds the transaction that acquires a shard.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -82,7 +82,7 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Wake: wake,
+		FreeCapacity: s.Room, Estimates: estimates, Zones: s.Zones, Accounts: s.Capacity, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
@@ -99,7 +99,7 @@
 func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
 // JobEnded implements statecache.Observer: users ask how their jobs ended.
-func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
+func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
 
 // TasksChanged implements statecache.Observer: the machine's worker has something to be told.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
