--- a/internal/schema/doc.go
+++ b/internal/schema/doc.go
@@ -1,5 +1,5 @@
-// Package schema decides which forms of records may be written and how large they may be, while
-// controllers of two versions run side by side and the state service's limits may fall. Nothing
-// else asks which version a peer has. Its Editor collects changes of jobs' records for one
-// transaction. The lock of internal/state guards it.
+// Package schema decides which record formats may be written and how large records may be, while
+// controllers of two versions run side by side and the limits of the state service may be lowered.
+// No other package checks the version of a peer. Editor collects changes to job records for one
+// transaction. All state of the package is guarded by the lock of internal/state.
 package schema
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -5,79 +5,78 @@
 	"violetturn/internal/statecache"
 )
 
-// The state service's limits of one transaction beside those of the settings (PROTOCOL): four
-// preconditions for each change, and 64 KiB, of which a quarter is left for what the sums
-// below miss.
+// Limits that the state service sets on one transaction in addition to those of the settings
+// (PROTOCOL): four preconditions for each change, and 64 KiB. A quarter of the 64 KiB is reserved
+// for bytes that the estimates below leave out.
 const (
 	preconditionsPerChange = 4
 	maxTransactionBytes    = 48 << 10
 )
 
-// Bytes that a transaction takes, by what is in it, rounded up.
+// Estimated sizes of the parts of a transaction, rounded up.
 const (
-	changeBytes    = 512 // of a change and its precondition, the record aside
-	inlineJobBytes = 768 // of a main record that holds its task range
+	changeBytes    = 512 // a change with its precondition, without the record
+	inlineJobBytes = 768 // a main record that contains its task range
 	placementBytes = 64
 )
 
-// RangeID names a task range of a job, of its present generation.
+// RangeID identifies a task range of the current generation of a job's records.
 type RangeID struct {
 	UID   string
 	Index int
 }
 
-// Editor collects changes of jobs' records for one transaction. Records are copied when they
-// are first asked for; what is done to the copies is written by Transaction. Use
-// State.NewRecordEditor.
+// Editor collects changes to job records for one transaction. It copies a record on first access;
+// callers change the copies, and Transaction writes them. Create it with State.NewRecordEditor.
 type Editor struct {
 	Txn        *statecache.Transaction
-	Records    map[string]*job.Record // the copies, by job; nil: the job is archived
-	Deletes    map[RangeID]bool       // task ranges whose records are dropped
-	Changes    int                    // so far
+	Records    map[string]*job.Record // copies of main records, by job; nil if the job is archived
+	Deletes    map[RangeID]bool       // edited task ranges whose records are deleted
+	Changes    int                    // number of changes so far
 	MaxChanges int
-	Outgrown   bool // some record outgrew a value: nothing of this is to be committed
+	Outgrown   bool // a record exceeds the size of a value; the transaction must not be committed
 
-	schema *State
-	jobs   map[string]*statecache.Job
-	ranges map[RangeID]*job.TaskRange
+	schema       *State
+	editedJobs   map[string]*statecache.Job
+	editedRanges map[RangeID]*job.TaskRange
 }
 
-// NewRecordEditor makes an editor for a transaction of as many changes as may be sent now.
+// NewRecordEditor returns an editor for a transaction with at most MaxChanges changes.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
-		Txn:        statecache.NewTransaction(),
-		Records:    map[string]*job.Record{},
-		Deletes:    map[RangeID]bool{},
-		MaxChanges: s.MaxChanges(),
-		schema:     s,
-		jobs:       map[string]*statecache.Job{},
-		ranges:     map[RangeID]*job.TaskRange{},
+		Txn:          statecache.NewTransaction(),
+		Records:      map[string]*job.Record{},
+		Deletes:      map[RangeID]bool{},
+		MaxChanges:   s.MaxChanges(),
+		schema:       s,
+		editedJobs:   map[string]*statecache.Job{},
+		editedRanges: map[RangeID]*job.TaskRange{},
 	}
 }
 
-// Record returns a copy of the job's main record to be changed.
+// Record returns the editor's copy of the job's main record, which the caller may change.
 func (e *Editor) Record(j *statecache.Job) *job.Record {
 	uid := j.Record.Spec.UID
 	record := e.Records[uid]
 	if record == nil {
 		record = j.Record.Copy()
-		e.Records[uid], e.jobs[uid] = record, j
+		e.Records[uid], e.editedJobs[uid] = record, j
 		e.Txn.Require(statecache.JobKey(uid), j.Version)
 		e.Changes++
 	}
 	return record
 }
 
-// TaskRange returns a copy of a task range to be changed.
+// TaskRange returns the editor's copy of a task range, which the caller may change.
 func (e *Editor) TaskRange(j *statecache.Job, index int) *job.TaskRange {
 	id := RangeID{UID: j.Record.Spec.UID, Index: index}
-	if tasks := e.ranges[id]; tasks != nil {
+	if tasks := e.editedRanges[id]; tasks != nil {
 		return tasks
 	}
 	tasks := j.Ranges[index].Record.Copy()
-	e.ranges[id], e.jobs[id.UID] = tasks, j
-	// The main record's version covers a gang's tasks and those of a job that is being
-	// split, wherever they are recorded.
+	e.editedRanges[id], e.editedJobs[id.UID] = tasks, j
+	// The main record is rewritten with every change to the tasks of a gang or of a spread job
+	// whose records were split, so that its version covers them in whichever record they are.
 	e.Txn.Require(statecache.JobKey(id.UID), j.Version)
 	if j.Record.Inline || j.RecordCoversTasks() {
 		e.Record(j)
@@ -89,10 +88,10 @@
 	return tasks
 }
 
-// RangeCost returns how many changes TaskRange would add.
+// RangeCost returns the number of changes that TaskRange would add.
 func (e *Editor) RangeCost(j *statecache.Job, index int) int {
 	uid := j.Record.Spec.UID
-	if e.ranges[RangeID{UID: uid, Index: index}] != nil {
+	if e.editedRanges[RangeID{UID: uid, Index: index}] != nil {
 		return 0
 	}
 	cost := 0
@@ -105,7 +104,7 @@
 	return cost
 }
 
-// DeleteRange drops the record of a task range of a job that is over.
+// DeleteRange deletes the record of a task range of a finished job.
 func (e *Editor) DeleteRange(j *statecache.Job, index int) {
 	uid := j.Record.Spec.UID
 	e.Txn.Require(statecache.JobKey(uid), j.Version)
@@ -114,7 +113,7 @@
 	e.Changes++
 }
 
-// Archive drops a job's main record and writes how the job ended.
+// Archive deletes a job's main record and writes its final state.
 func (e *Editor) Archive(j *statecache.Job, final job.FinalState) {
 	uid := j.Record.Spec.UID
 	e.Record(j)
@@ -125,7 +124,8 @@
 	e.Changes++
 }
 
-// StopTask has a task leave its machine; of a gang all tasks leave, and save together.
+// StopTask marks a task as stopping. For a gang it marks the whole attempt, so that all tasks save
+// and leave their machines together.
 func (e *Editor) StopTask(j *statecache.Job, task *statecache.PlacedTask) {
 	if j.IsGang() {
 		e.Record(j).Gang.Stopping = true
@@ -134,7 +134,7 @@
 	e.TaskRange(j, task.RangeIndex).Placements[task.Index].Stopping = true
 }
 
-// StopCost returns how many changes StopTask would add.
+// StopCost returns the number of changes that StopTask would add.
 func (e *Editor) StopCost(j *statecache.Job, task *statecache.PlacedTask) int {
 	if !j.IsGang() {
 		return e.RangeCost(j, task.RangeIndex)
@@ -145,35 +145,35 @@
 	return 1
 }
 
-// IsFull reports whether so many more changes, besides so many of other records, would pass
-// the limits of a transaction.
-func (e *Editor) IsFull(more, others int) bool {
+// IsFull reports whether the transaction would exceed its limits with extraChanges more changes to
+// job records and otherRecords changes to other records.
+func (e *Editor) IsFull(extraChanges, otherRecords int) bool {
 	limits := e.schema.TransactionLimits()
-	if e.Changes+more+others > e.MaxChanges {
+	if e.Changes+extraChanges+otherRecords > e.MaxChanges {
 		return true
 	}
-	if e.Txn.Preconditions()+2*more+others > preconditionsPerChange*limits.TxnOps {
+	if e.Txn.Preconditions()+2*extraChanges+otherRecords > preconditionsPerChange*limits.TxnOps {
 		return true
 	}
-	const largeRecords = 2 // at most so many of the other records fill a value
-	size := e.rangeBytes() + changeBytes*float64(e.Changes+more)
-	return size+limits.ValueKB*bytesPerKB*float64(min(others, largeRecords)) > maxTransactionBytes
+	const largeRecords = 2 // at most this many of the other records are as large as a value may be
+	size := e.rangeBytes() + changeBytes*float64(e.Changes+extraChanges)
+	return size+limits.ValueKB*bytesPerKB*float64(min(otherRecords, largeRecords)) > maxTransactionBytes
 }
 
-// rangeBytes returns about how many bytes the task ranges take.
+// rangeBytes estimates the bytes of the edited task ranges.
 func (e *Editor) rangeBytes() float64 {
 	size := 0.0
-	for id, tasks := range e.ranges {
+	for id, tasks := range e.editedRanges {
 		size += float64(placementBytes*len(tasks.Placements) + len(tasks.DoneBits))
-		if e.jobs[id.UID].Record.Inline {
+		if e.editedJobs[id.UID].Record.Inline {
 			size += inlineJobBytes
 		}
 	}
 	return size
 }
 
-// Transaction writes the copies and returns the transaction. It sets Outgrown, and has the
-// job's records split, if one is larger than a value may be.
+// Transaction adds the edited records to the transaction and returns it. If a record exceeds the
+// maximum size, it sets Outgrown and requests that the job's records be split.
 func (e *Editor) Transaction() *statecache.Transaction {
 	e.putRanges()
 	for uid, record := range e.Records {
@@ -185,15 +185,16 @@
 	return e.Txn
 }
 
-// putRanges writes the task ranges, those of jobs that keep them inside into the main record.
+// putRanges adds the edited task ranges to the transaction. The task range of an inline job is
+// stored in its main record.
 func (e *Editor) putRanges() {
-	for id, tasks := range e.ranges {
-		j, record := e.jobs[id.UID], e.Records[id.UID]
+	for id, tasks := range e.editedRanges {
+		j, record := e.editedJobs[id.UID], e.Records[id.UID]
 		key := statecache.TaskRangeKey(id.UID, j.Record.Generation, id.Index)
 		switch {
 		case j.Record.Inline && record != nil:
 			record.InlineRange = tasks
-		case j.Record.Inline: // archived
+		case j.Record.Inline: // the job is archived, and the range is deleted with its main record
 		case e.Deletes[id]:
 			e.Txn.Delete(key)
 		default:
@@ -202,12 +203,12 @@
 	}
 }
 
-// checkSizes looks for records that are larger than a value may be.
+// checkSizes requests a split for each job with a record that exceeds the maximum size.
 func (e *Editor) checkSizes() {
-	most := e.schema.MaxRecordBytes()
-	for uid, j := range e.jobs {
+	maxBytes := e.schema.MaxRecordBytes()
+	for uid, j := range e.editedJobs {
 		for _, key := range e.Txn.Keys() {
-			if e.Txn.Size(key) > most && statecache.IsRecordOf(uid, key) {
+			if e.Txn.Size(key) > maxBytes && statecache.IsRecordOf(uid, key) {
 				e.schema.RequestSplit(j)
 				e.Outgrown = true
 			}
--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -8,36 +8,37 @@
 	"violetturn/internal/statecache"
 )
 
-// minTxnOps is how many changes the longest step that can't be divided takes: a placement
-// with its shard's record and its team's.
+// minTxnOps is the number of changes of the largest step that can't be divided: a placement with
+// the records of its shard and its team.
 const minTxnOps = 4
 
-// valueSlackBytes is what a value keeps free, for what its service may count beyond the
-// JSON that is sent.
+// valueSlackBytes is left free in each value because the state service may count more bytes than
+// those of the JSON sent to it.
 const valueSlackBytes = 32
 
-// bytesPerKB are the bytes of the unit in which the settings give sizes.
+// bytesPerKB is the number of bytes in the unit of the sizes in the settings.
 const bytesPerKB = 1024
 
-// TransactionLimits returns the limits within which records and transactions are made: those
-// that hold whatever the state service's become. Records that the version before made larger
-// are kept at their size while it may still write them, and split afterwards.
+// TransactionLimits returns the limits for new records and transactions. They hold under both the
+// current and the announced limits of the state service. Larger records written by the previous
+// version keep their size as long as a controller of that version may write them, and are split
+// afterwards.
 func (s *State) TransactionLimits() config.StateLimits {
 	limits := s.node.Settings.LowestLimits()
-	if s.acceptedTxnOps > 0 {
-		limits.TxnOps = min(limits.TxnOps, s.acceptedTxnOps)
+	if s.reducedTxnOps > 0 {
+		limits.TxnOps = min(limits.TxnOps, s.reducedTxnOps)
 	}
 	return limits
 }
 
-// MaxChanges returns how many changes a transaction may have now: what the budget holds, so
-// that one of many changes does not keep others waiting for as long as it takes to earn
-// them, and at least as many as one step needs.
+// MaxChanges returns how many changes a transaction may have now. It is bounded by the available
+// write budget, so that a large transaction does not delay others until the budget has refilled,
+// but is at least what one step needs.
 func (s *State) MaxChanges() int {
 	return min(s.TransactionLimits().TxnOps, max(minTxnOps, s.budget.Available()))
 }
 
-// MaxRecordBytes returns how large the record of a job may be made.
+// MaxRecordBytes returns the maximum size of a job's record.
 func (s *State) MaxRecordBytes() int {
 	limits := s.node.Settings.LowestLimits()
 	if !s.Upgraded() && !s.limitsLowered {
@@ -46,27 +47,28 @@
 	return int(limits.ValueKB*bytesPerKB) - valueSlackBytes
 }
 
-// MaxValueBytes returns how many bytes of a value records may use that grow later: seven
-// eighths.
-func (s *State) MaxValueBytes() int { return growingValueBytes(s.node.Settings.LowestLimits().ValueKB) }
+// MaxValueBytes returns the maximum size of a new record that may grow later: seven eighths of a
+// value.
+func (s *State) MaxValueBytes() int { return growableBytes(s.node.Settings.LowestLimits().ValueKB) }
 
-// MaxPageBytes is MaxValueBytes for pages of machines, which the version before makes of
-// today's size.
+// MaxPageBytes is the equivalent of MaxValueBytes for machine pages. The previous version sizes
+// pages by the current limits.
 func (s *State) MaxPageBytes() int {
-	if s.fitsLowestLimits() {
+	if s.usesLowestLimits() {
 		return s.MaxValueBytes()
 	}
-	return growingValueBytes(s.node.Settings.Facts.State.ValueKB)
+	return growableBytes(s.node.Settings.Facts.State.ValueKB)
 }
 
-func growingValueBytes(valueKB float64) int { return int(valueKB * bytesPerKB * 7 / 8) }
+// growableBytes returns seven eighths of the size of a value.
+func growableBytes(valueKB float64) int { return int(valueKB * bytesPerKB * 7 / 8) }
 
-// fitsLowestLimits reports whether pages are made for the coming limits: no controller of
-// the version before has to find them by their names, or they are in force.
-func (s *State) fitsLowestLimits() bool { return s.Upgraded() || s.limitsLowered }
+// usesLowestLimits reports whether machine pages are sized by the lowest limits: either no
+// controller of the previous version has to derive their names, or the lower limits are in force.
+func (s *State) usesLowestLimits() bool { return s.Upgraded() || s.limitsLowered }
 
-// LowerLimits notes that the state service refused what was larger than its coming limits.
-// It reports whether that is news.
+// LowerLimits records that the state service refused a transaction that was too large, so that its
+// announced lower limits are taken to be in force. It reports whether this changed anything.
 func (s *State) LowerLimits() bool {
 	if s.limitsLowered {
 		return false
@@ -75,20 +77,21 @@
 	return true
 }
 
-// AcceptFewer notes that the state service refused so many changes though they were within
-// the announced limits: fewer are tried, down to what the longest step needs.
-func (s *State) AcceptFewer(changes int) { s.acceptedTxnOps = max(changes-1, minTxnOps) }
+// AcceptFewer records that the state service refused a transaction with this many changes although
+// it was within the announced limits. It lowers the maximum to one change less, but not below what
+// the largest step needs.
+func (s *State) AcceptFewer(changes int) { s.reducedTxnOps = max(changes-1, minTxnOps) }
 
-// RequestSplit has a job's records split before its tasks change again.
+// RequestSplit requests that a job's records be split before its tasks change again.
 func (s *State) RequestSplit(j *statecache.Job) {
 	s.splitRequests[j.Record.Spec.UID] = j.Record.Generation + 1
 }
 
-// WithdrawSplit drops the request to split a job's records.
+// WithdrawSplit removes the request to split a job's records.
 func (s *State) WithdrawSplit(uid string) { delete(s.splitRequests, uid) }
 
-// SplitRequests returns the jobs whose records are to be split, in order. Requests that were
-// carried out, or whose jobs are over, are dropped.
+// SplitRequests returns the jobs whose records are to be split, in order. It removes requests that
+// were carried out or whose jobs have finished.
 func (s *State) SplitRequests() []string {
 	maps.DeleteFunc(s.splitRequests, func(uid string, _ int) bool {
 		j := s.cache.Jobs[uid]
@@ -97,11 +100,11 @@
 	return slices.Sorted(maps.Keys(s.splitRequests))
 }
 
-// splitRequested reports whether a job's records are to be split.
+// splitRequested reports whether a split of the job's current records is requested.
 func (s *State) splitRequested(j *statecache.Job) bool {
 	return s.splitRequests[j.Record.Spec.UID] == j.Record.Generation+1
 }
 
-// IsBlocked reports whether a job's tasks may not change now: its records are being split, or
-// have to be before they can grow (see internal/splitter).
+// IsBlocked reports whether changes to a job's tasks are blocked because its records are being
+// split or have to be split before they can grow (see internal/splitter).
 func (s *State) IsBlocked(j *statecache.Job) bool { return j.Record.Frozen || s.splitRequested(j) }
--- a/internal/schema/pages.go
+++ b/internal/schema/pages.go
@@ -7,29 +7,28 @@
 	"violetturn/internal/statecache"
 )
 
-// Bytes of one machine in a page at most, and for how many machines a value has to have room
-// so that pages leave out two characters of their names.
+// Machine names are grouped into pages by prefix (see statecache.PageID).
 const (
-	machineBytes       = 160
-	coarsePageMachines = 100
+	maxMachineBytes    = 160 // maximum size of one machine in a page
+	coarsePageMachines = 100 // pages are coarse if a value can hold at least this many machines
 )
 
-// PageFor returns the name of the page of a machine to be written. The version before works
-// the name out from today's limits.
+// PageFor returns the ID of the page to which a machine's record is written. The previous version
+// derives it from the current limits.
 func (s *State) PageFor(host string) string {
 	limits := s.node.Settings.Facts.State.StateLimits
-	if s.fitsLowestLimits() {
+	if s.usesLowestLimits() {
 		limits = s.node.Settings.LowestLimits()
 	}
-	if limits.ValueKB*bytesPerKB >= coarsePageMachines*machineBytes {
+	if limits.ValueKB*bytesPerKB >= coarsePageMachines*maxMachineBytes {
 		return statecache.PageID(host, statecache.CoarsestPageCut)
 	}
 	return statecache.PageID(host, statecache.FinestPageCut)
 }
 
-// OpenPage returns the name and a copy of a machine's page to be changed, and makes the
-// transaction conditional on what the copy rests on. A fine page that is new takes over what
-// a coarser one has of its machines: from then on it alone counts for them.
+// OpenPage returns the ID and a copy of a machine's page, which the caller may change, and adds
+// preconditions on the versions that the copy is based on. A new fine page starts with the entries
+// of its machines in the coarser page, and supersedes the coarser page for them once it is written.
 func (s *State) OpenPage(txn *statecache.Transaction, host string) (id string, page shard.Page) {
 	id = s.PageFor(host)
 	txn.Require(statecache.MachinePageKey(id), s.cache.Pages[id].Version)
@@ -52,19 +51,19 @@
 	return id, page
 }
 
-// ClosePage writes a page, or drops an empty one, unless a coarser one would speak for its
-// machines again.
+// ClosePage adds a write of the page to the transaction. It deletes an empty page, unless a coarser
+// page still has entries for its machines, which would become valid again.
 func (s *State) ClosePage(txn *statecache.Transaction, id string, page shard.Page) {
-	if len(page) == 0 && !s.hidesCoarser(txn, id) {
+	if len(page) == 0 && !s.supersedesCoarserPage(txn, id) {
 		txn.Delete(statecache.MachinePageKey(id))
 		return
 	}
 	txn.Put(statecache.MachinePageKey(id), page)
 }
 
-// hidesCoarser reports whether a page stands for machines that a coarser one names, and makes
-// the transaction conditional on that coarser one.
-func (s *State) hidesCoarser(txn *statecache.Transaction, id string) bool {
+// supersedesCoarserPage reports whether a coarser page has entries for machines of this page. If
+// there is a coarser page, it adds a precondition on it to the transaction.
+func (s *State) supersedesCoarserPage(txn *statecache.Transaction, id string) bool {
 	coarserID, ok := statecache.CoarserPageID(id)
 	coarser := s.cache.Pages[coarserID]
 	if !ok || coarser.Record == nil || coarserID == id {
@@ -79,12 +78,12 @@
 	return false
 }
 
-// DeleteObsoletePage adds to an empty transaction the delete of a page that says nothing
-// more: a coarse one all of whose machines finer pages speak for, or an empty one that hid
-// one. It reports whether there was one.
+// DeleteObsoletePage adds the deletion of one obsolete page to an empty transaction, and reports
+// whether there was one. Obsolete are a coarse page that finer pages supersede for all of its
+// machines, and an empty page that has no coarser page.
 func (s *State) DeleteObsoletePage(txn *statecache.Transaction) bool {
 	for id, page := range s.cache.Pages {
-		obsolete := s.isHidden(id, *page.Record)
+		obsolete := s.isSuperseded(id, *page.Record)
 		if coarser, ok := statecache.CoarserPageID(id); ok && len(*page.Record) == 0 {
 			txn.Require(statecache.MachinePageKey(coarser), 0)
 			obsolete = s.cache.Pages[coarser].Record == nil
@@ -99,8 +98,8 @@
 	return false
 }
 
-// isHidden reports whether finer pages speak for all machines of a page.
-func (s *State) isHidden(id string, page shard.Page) bool {
+// isSuperseded reports whether finer pages supersede a page for all of its machines.
+func (s *State) isSuperseded(id string, page shard.Page) bool {
 	for host := range page {
 		finer := statecache.PageID(host, statecache.FinestPageCut)
 		if id != statecache.PageID(host, statecache.CoarsestPageCut) || s.cache.Pages[finer].Record == nil {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -7,66 +7,69 @@
 	"violetturn/internal/statecache"
 )
 
-// Version is the newest version of records' forms that this program reads and writes. The
-// program before it says nothing of versions and loses what it doesn't know when it rewrites
-// a record, so all forms that it doesn't know are decided here.
+// Version is the newest version of the record formats that this program reads and writes. The
+// previous program records no version and loses unknown fields when it rewrites a record, so this
+// package decides on the use of every format that the previous program can't read.
 const Version = 2
 
-// WriteBudget tells how many changes may be sent to the state service now.
+// WriteBudget provides the number of changes that may be sent to the state service now.
 type WriteBudget interface {
 	Available() int
 }
 
-// State decides which forms of records may be written, and how large. Use New.
+// State decides which record formats may be written and how large records may be. Create it with
+// New.
 type State struct {
 	node   *node.Info
 	cache  *statecache.Cache
 	budget WriteBudget
 
-	limitsLowered  bool           // the state service has refused what was larger than its coming limits
-	acceptedTxnOps int            // changes in a transaction that it took, fewer than announced; 0: as announced
-	splitRequests  map[string]int // jobs with a record that outgrew a value: the generation to be split into
+	limitsLowered bool           // the announced lower limits are in force: the state service refused a larger transaction
+	reducedTxnOps int            // maximum changes per transaction if lower than announced; 0: as announced
+	splitRequests map[string]int // by job with an oversized record: the generation that the split creates
 }
 
-// New makes a State that has met no refusal.
+// New returns a State without recorded refusals of the state service.
 func New(info *node.Info, cache *statecache.Cache, budget WriteBudget) *State {
 	return &State{node: info, cache: cache, budget: budget, splitRequests: map[string]int{}}
 }
 
-// Upgraded reports whether every configured controller, living or not, has shown that it
-// reads this version's forms. Each leaves a capability record that outlives it, so that one
-// alone after the end of all still knows. One whose node record shows an older version
-// (somebody went back to it) counts as not upgraded whatever its capability record says.
+// Upgraded reports whether every configured controller, running or not, has recorded that it reads
+// the formats of this version. The capability record of a controller remains when the controller
+// ends, so that a single controller can decide this after all others have stopped. A controller
+// whose node record shows an older version (it was rolled back) counts as not upgraded, whatever
+// its capability record contains.
 func (s *State) Upgraded() bool {
 	for _, name := range s.node.Shards {
 		node := s.cache.Nodes[name].Record
-		if !s.hasLeftVersion(name) || node != nil && node.SchemaVersion < Version {
+		if !s.supportsCurrentVersion(name) || node != nil && node.SchemaVersion < Version {
 			return false
 		}
 	}
 	return s.cache.Loaded
 }
 
-// IsDowngraded reports whether a controller runs the version before although all had been
-// upgraded: it would lose what it doesn't know, so nothing is handed to it.
+// IsDowngraded reports whether a controller runs the previous version although all controllers had
+// been upgraded. It would lose unknown fields of records, so no shard is transferred to it.
 func (s *State) IsDowngraded(name string) bool {
 	node := s.cache.Nodes[name].Record
 	if node == nil || node.SchemaVersion >= Version {
 		return false
 	}
-	return !slices.ContainsFunc(s.node.Shards, func(x string) bool { return !s.hasLeftVersion(x) })
+	return !slices.ContainsFunc(s.node.Shards, func(member string) bool { return !s.supportsCurrentVersion(member) })
 }
 
-// hasLeftVersion reports whether a controller's capability record names this version.
-func (s *State) hasLeftVersion(name string) bool {
+// supportsCurrentVersion reports whether a controller's capability record has this version or a
+// later one.
+func (s *State) supportsCurrentVersion(name string) bool {
 	capability := s.cache.Capabilities[name].Record
 	return capability != nil && capability.SchemaVersion >= Version
 }
 
-// FeatureEnabled reports whether a feature is on: here, and at every configured controller,
-// living or not, as its capability record says. One whose node record shows it without the
-// feature, because it was started without or is of a version that doesn't know it, has it
-// off everywhere.
+// FeatureEnabled reports whether a feature is enabled in this process and, according to the
+// capability records, on every configured controller, running or not. A controller whose node
+// record lacks the feature, because it was started without it or its version does not support it,
+// disables the feature everywhere.
 func (s *State) FeatureEnabled(feature string) bool {
 	if !slices.Contains(s.node.Features.Names(), feature) {
 		return false
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,3 +1,3 @@
-// Package state joins all that a controller's lock guards, and has that lock: the state is
-// reachable only through Guard.Lock. No lock is held across I/O.
+// Package state combines all in-memory state of a controller and the lock that guards it: the state
+// is accessible only through Guard.Lock. The lock is never held across I/O.
 package state
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -8,78 +8,78 @@
 	"time"
 )
 
-// Guard is a controller's state behind its lock: nothing reaches the state but through
-// Lock, so that whoever has it holds the lock. No lock is held across I/O. With a meter it
-// records which functions hold the lock, for how long, and how long they waited to get it.
+// Guard is a controller's state with its lock. The state is accessible only through Lock, so that
+// code that uses it holds the lock. The lock is never held across I/O. With a meter, Guard records
+// which functions hold the lock, for how long, and how long they waited to acquire it.
 type Guard struct {
-	state  *State
-	mutex  sync.Mutex
-	meter  *lockMeter // nil: nothing is recorded
-	holder uintptr    // return address in the function that holds the lock
-	since  time.Time  // when it got the lock
+	state    *State
+	mutex    sync.Mutex
+	meter    *lockMeter // nil: lock use is not recorded
+	holder   uintptr    // return address in the function that holds the lock
+	lockedAt time.Time  // when the holder acquired the lock; zero if it is not held or was acquired without a meter
 }
 
-// NewGuard puts a state behind a lock.
+// NewGuard returns a Guard of a state.
 func NewGuard(state *State) *Guard { return &Guard{state: state} }
 
-// StartMeter records from now on how the lock is used. It is called before the state is.
+// StartMeter starts to record lock use. It must be called before the state is used.
 func (g *Guard) StartMeter() { g.meter = newLockMeter() }
 
-// LockUses returns what was recorded since StartMeter or the last call, by function, the
-// longest in all first.
+// LockUses returns the lock use since StartMeter or the last call, by function, in descending order
+// of the total time that the lock was held.
 func (g *Guard) LockUses() []LockUse {
 	g.Lock()
 	defer g.Unlock()
-	return g.meter.take()
+	return g.meter.drain()
 }
 
-// Lock takes the lock and returns the state, which is not to be used after Unlock.
+// Lock acquires the lock and returns the state, which must not be used after Unlock.
 func (g *Guard) Lock() *State {
 	if g.meter == nil {
 		g.mutex.Lock()
 		return g.state
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	g.mutex.Lock()
-	g.since = time.Now()
-	g.holder = callerOf(2)
-	g.meter.waited(g.holder, g.since.Sub(asked))
+	g.lockedAt = time.Now()
+	g.holder = returnAddress(2)
+	g.meter.recordWait(g.holder, g.lockedAt.Sub(requestedAt))
 	return g.state
 }
 
 // Unlock releases the lock.
 func (g *Guard) Unlock() {
-	if g.meter != nil && !g.since.IsZero() {
-		g.meter.held(g.holder, time.Since(g.since))
-		g.since = time.Time{}
+	if g.meter != nil && !g.lockedAt.IsZero() {
+		g.meter.recordHold(g.holder, time.Since(g.lockedAt))
+		g.lockedAt = time.Time{}
 	}
 	g.mutex.Unlock()
 }
 
-// callerOf returns the return address so many frames above its caller.
-func callerOf(frames int) uintptr {
-	var counters [1]uintptr
-	runtime.Callers(frames+1, counters[:])
-	return counters[0]
+// returnAddress returns the return address that is the given number of frames above its caller.
+func returnAddress(frames int) uintptr {
+	var returnAddresses [1]uintptr
+	runtime.Callers(frames+1, returnAddresses[:])
+	return returnAddresses[0]
 }
 
-// lockMeter sums up how a lock is used. The lock itself guards it.
+// lockMeter sums up the use of a lock by holder. It is guarded by that lock.
 type lockMeter struct {
 	byHolder map[uintptr]*LockUse
 }
 
-// LockUse is what one function made of the state's lock.
+// LockUse is the use of the state's lock by one function.
 type LockUse struct {
 	Function string
 	Holds    int
-	Held     time.Duration // in all
-	Longest  time.Duration // a single hold
-	Waited   time.Duration // in all, before it got the lock
+	Held     time.Duration // total
+	Longest  time.Duration // the longest single hold
+	Waited   time.Duration // total time spent waiting for the lock
 }
 
 func newLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
 
-func (m *lockMeter) use(holder uintptr) *LockUse {
+func (m *lockMeter) useOf(holder uintptr) *LockUse {
 	use := m.byHolder[holder]
 	if use == nil {
 		use = &LockUse{}
@@ -88,18 +88,18 @@
 	return use
 }
 
-func (m *lockMeter) waited(holder uintptr, d time.Duration) { m.use(holder).Waited += d }
+func (m *lockMeter) recordWait(holder uintptr, d time.Duration) { m.useOf(holder).Waited += d }
 
-func (m *lockMeter) held(holder uintptr, d time.Duration) {
-	use := m.use(holder)
+func (m *lockMeter) recordHold(holder uintptr, d time.Duration) {
+	use := m.useOf(holder)
 	use.Holds++
 	use.Held += d
 	use.Longest = max(use.Longest, d)
 }
 
-// Take returns what was recorded, by function, the longest in all first, and begins
-// anew.
-func (m *lockMeter) take() []LockUse {
+// drain returns the recorded uses by function, in descending order of the total time that the lock
+// was held, and clears them.
+func (m *lockMeter) drain() []LockUse {
 	byFunction := map[string]*LockUse{}
 	for holder, use := range m.byHolder {
 		frame, _ := runtime.CallersFrames([]uintptr{holder}).Next()
--- a/internal/state/guard_test.go
+++ b/internal/state/guard_test.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// A metered lock tells holds apart by the function that took it, deferred unlocks
-// included, and begins anew when it was read; without a meter it only locks.
-func TestLockMeter(t *testing.T) {
-	var l Guard
-	if !lockPlainly(&l) {
-		t.Fatal("not locked")
+// A metered lock counts holds by the function that acquired the lock, also if the unlock is
+// deferred, and draining the meter clears the counts. Without a meter the lock works as usual.
+func TestLockMeterCountsHoldsByFunction(t *testing.T) {
+	var guard Guard
+	if !lockAndUnlock(&guard) {
+		t.Fatal("Lock did not acquire the mutex")
 	}
-	l.meter = newLockMeter()
+	guard.meter = newLockMeter()
 	for range 3 {
-		lockDeferred(&l)
+		lockWithDeferredUnlock(&guard)
 	}
-	lockPlainly(&l)
+	lockAndUnlock(&guard)
 	counts := map[string]int{}
-	for _, use := range l.meter.take() {
+	for _, use := range guard.meter.drain() {
 		counts[use.Function[strings.LastIndex(use.Function, ".")+1:]] = use.Holds
 		if use.Longest > use.Held || use.Held < 0 || use.Waited < 0 {
-			t.Errorf("%+v", use)
+			t.Errorf("lock use is inconsistent: %+v", use)
 		}
 	}
-	if counts["lockDeferred"] != 3 || counts["lockPlainly"] != 1 || len(counts) != 2 {
-		t.Errorf("holds by function: %v", counts)
+	if counts["lockWithDeferredUnlock"] != 3 || counts["lockAndUnlock"] != 1 || len(counts) != 2 {
+		t.Errorf("holds by function: %v, want 3 of lockWithDeferredUnlock and 1 of lockAndUnlock", counts)
 	}
-	if uses := l.meter.take(); len(uses) != 0 {
-		t.Errorf("%v are left", uses)
+	if uses := guard.meter.drain(); len(uses) != 0 {
+		t.Errorf("lock uses after draining: %v, want none", uses)
 	}
 }
 
-func lockDeferred(l *Guard) {
-	l.Lock()
-	defer l.Unlock()
+func lockWithDeferredUnlock(guard *Guard) {
+	guard.Lock()
+	defer guard.Unlock()
 }
 
-func lockPlainly(l *Guard) (held bool) {
-	l.Lock()
-	held = !l.mutex.TryLock()
-	l.Unlock()
+func lockAndUnlock(guard *Guard) (held bool) {
+	guard.Lock()
+	held = !guard.mutex.TryLock()
+	guard.Unlock()
 	return held
 }
 
-// A lock that was taken before it was metered can be released: nothing is counted for it.
-func TestLockMeterBeginsWhileHeld(t *testing.T) {
-	var l Guard
-	l.Lock()
-	l.meter = newLockMeter()
-	l.Unlock()
-	if uses := l.meter.take(); len(uses) != 0 {
-		t.Errorf("%v", uses)
+// A lock that was acquired before the meter was set can be released; the meter does not count it.
+func TestLockMeterStartedWhileLockIsHeld(t *testing.T) {
+	var guard Guard
+	guard.Lock()
+	guard.meter = newLockMeter()
+	guard.Unlock()
+	if uses := guard.meter.drain(); len(uses) != 0 {
+		t.Errorf("lock uses of a hold that began before the meter was set: %v, want none", uses)
 	}
-	lockPlainly(&l)
-	if uses := l.meter.take(); len(uses) != 1 || uses[0].Held > time.Hour {
-		t.Errorf("%v", uses)
+	lockAndUnlock(&guard)
+	if uses := guard.meter.drain(); len(uses) != 1 || uses[0].Held > time.Hour {
+		t.Errorf("lock uses: %v, want one, of at most an hour", uses)
 	}
 }
--- a/internal/state/reachability.go
+++ b/internal/state/reachability.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Reachability is what this controller knows of whether it, and its peers, reach the state
-// service. A controller can't tell an outage of all from a refusal of itself alone; peers can.
+// Reachability records whether this controller and its peers reach the state service. A controller
+// can't tell on its own whether the service is down or refuses only this controller; the answers of
+// its peers show it.
 type Reachability struct {
-	StoreReachable bool            // our last request was served
-	Since          time.Time       // since when that is so
-	PeersAsked     bool            // the peers have been asked since
-	Peers          map[string]bool // peers that answer, and whether they reach the state service
+	StoreReachable bool            // the state service served this controller's last request
+	Since          time.Time       // when StoreReachable last changed
+	PeersAsked     bool            // all peers were queried since then, while the state service was unreachable
+	Peers          map[string]bool // by each peer that answered: whether it reaches the state service
 }
 
-// NoteStoreAnswer notes whether the state service served a request. It reports whether that
-// is another outcome than the last.
+// NoteStoreAnswer records whether the state service served a request. It reports whether the result
+// differs from that of the previous request.
 func (r *Reachability) NoteStoreAnswer(served bool, now time.Time) (changed bool) {
 	if r.StoreReachable == served {
 		return false
@@ -21,8 +22,8 @@
 	return true
 }
 
-// IsolatedFor reports whether this controller has reached neither the state service nor any
-// peer for longer than a time.
+// IsolatedFor reports whether this controller has not reached the state service for longer than d
+// and no peer has answered.
 func (r *Reachability) IsolatedFor(d time.Duration, now time.Time) bool {
 	return !r.StoreReachable && now.Sub(r.Since) > d && r.PeersAsked && len(r.Peers) == 0
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,30 +19,30 @@
 	"violetturn/internal/zonestate"
 )
 
-// State is all that the controller's lock guards, lower layers first: each part knows only
-// those above it in this list. Use New.
+// State is all the state that the controller's lock guards, in order of its layers, the lowest
+// first: each component depends only on those above it in this list. Create it with New.
 type State struct {
 	Cache          *statecache.Cache      // live records of the state service
-	Schema         *schema.State          // forms and sizes in which records may be written
+	Schema         *schema.State          // permitted formats and sizes of records
 	Leadership     *leadership.Table      // shards that this controller leads
-	Catalog        *catalog.Catalog       // what the cloud offers
+	Catalog        *catalog.Catalog       // machine types that the cloud offers
 	Agents         *agent.Registry        // workers of the shards that this controller leads
-	DirectCommands *agent.DirectCommands  // what is sent to workers beside their heartbeats
-	Room           *capacity.Room         // what machines have free
+	DirectCommands *agent.DirectCommands  // commands sent to workers outside of heartbeat responses
+	Room           *capacity.Room         // free capacity of machines
 	Zones          *zonestate.Zones       // health of zones
 	Capacity       *capacity.Accounts     // capacity records and quotas
-	Scheduler      *scheduler.Scheduler   // plans
-	Autoscaler     *autoscaler.Autoscaler // rentals and returns
-	Reconciler     *reconcile.Reconciler  // answers to heartbeats
-	Splitter       *splitter.Splitter     // records that outgrow the limits
-	FinalStates    *finalstate.Cache      // how jobs ended
+	Scheduler      *scheduler.Scheduler   // placement of tasks
+	Autoscaler     *autoscaler.Autoscaler // rentals and returns of machines
+	Reconciler     *reconcile.Reconciler  // responses to heartbeats
+	Splitter       *splitter.Splitter     // splits of records that exceed the limits
+	FinalStates    *finalstate.Cache      // final states of finished jobs
 
 	Stats        Stats
 	Reachability Reachability
 }
 
-// New makes the state of a controller that has read nothing yet. The state gives wake when
-// there is something to decide.
+// New returns the state of a controller that has read no records yet. The state notifies wake when
+// a new decision may be necessary.
 func New(info *node.Info, wake notify.Signal, budget schema.WriteBudget) *State {
 	s := &State{
 		Cache:        statecache.New(info.Log),
@@ -54,14 +54,14 @@
 	s.Schema = schema.New(info, s.Cache, budget)
 	s.Leadership = leadership.NewTable(info, s.Cache, s.Schema)
 	s.Splitter = splitter.New(info, s.Cache, s.Schema, s.Leadership)
-	s.addMachines(info, wake)
-	s.addDecisions(info, wake)
+	s.addMachineState(info, wake)
+	s.addDecisionMakers(info, wake)
 	s.Cache.Observe(s)
 	return s
 }
 
-// addMachines adds what is known of machines.
-func (s *State) addMachines(info *node.Info, wake notify.Signal) {
+// addMachineState creates the components that keep the state of machines and zones.
+func (s *State) addMachineState(info *node.Info, wake notify.Signal) {
 	s.Agents = agent.NewRegistry(agent.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
 	})
@@ -77,8 +77,8 @@
 	})
 }
 
-// addDecisions adds what decides.
-func (s *State) addDecisions(info *node.Info, wake notify.Signal) {
+// addDecisionMakers creates the components that make decisions.
+func (s *State) addDecisionMakers(info *node.Info, wake notify.Signal) {
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
@@ -95,16 +95,18 @@
 	})
 }
 
-// JobAdded implements statecache.Observer: arrivals tell what is expected of their class.
+// JobAdded implements statecache.Observer. It records the arrival, from which future arrivals of
+// the job's class are estimated.
 func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
-// JobEnded implements statecache.Observer: users ask how their jobs ended.
+// JobEnded implements statecache.Observer. It caches the final state of the job for users' queries.
 func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
 
-// TasksChanged implements statecache.Observer: the machine's worker has something to be told.
+// TasksChanged implements statecache.Observer. It requests a heartbeat from the machine's worker,
+// whose response contains the new commands.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
 
-// DropFinishedJobs drops what is remembered of jobs that are over.
+// DropFinishedJobs removes the in-memory state of finished jobs.
 func (s *State) DropFinishedJobs() {
 	s.Scheduler.DropFinishedJobs()
 	s.Agents.Gangs().DropEnded()
--- a/internal/state/stats.go
+++ b/internal/state/stats.go
@@ -5,19 +5,19 @@
 // CommitStats counts the transactions of one purpose.
 type CommitStats struct {
 	Transactions     int
-	Writes           int // changes in them
+	Writes           int // changes in these transactions
 	Conflicts        int // transactions whose preconditions did not hold
-	ConflictedWrites int // changes in those
+	ConflictedWrites int // changes in transactions whose preconditions did not hold
 	Failed           int // transactions that were refused or whose outcome is unknown
 }
 
-// Stats counts transactions by purpose, since the last summary.
+// Stats counts transactions by purpose since the last summary in the log.
 type Stats struct {
 	Commits        map[string]CommitStats
 	DeregisteredAt time.Time // when machines were last deregistered
 }
 
-// CountCommitted counts a transaction of so many changes that committed.
+// CountCommitted counts a committed transaction with the given number of changes.
 func (s *Stats) CountCommitted(purpose string, changes int) { s.count(purpose, changes, CommitStats{}) }
 
 // CountConflict counts a transaction whose preconditions did not hold.
@@ -30,7 +30,7 @@
 	s.count(purpose, changes, CommitStats{Failed: 1})
 }
 
-// count adds a transaction of so many changes, and what became of it.
+// count adds a transaction with the given number of changes and the counts of its outcome.
 func (s *Stats) count(purpose string, changes int, outcome CommitStats) {
 	sum := s.Commits[purpose]
 	sum.Transactions++
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -12,24 +12,24 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Versioned is a record as the cache has it, with the version of its key.
+// Versioned is a cached record with the version of its key.
 type Versioned[T any] struct {
-	Record  *T // nil: there is none
+	Record  *T // nil: there is no record
 	Version uint64
-	Size    int // bytes of the recorded form
+	Size    int // encoded size in bytes
 }
 
-// Cache is the copy of the live records. Use New.
+// Cache is the copy of the live records. Create it with New.
 type Cache struct {
 	Progress
 	JobIndex
 	MachineIndex
 	PlacementIndex
 
-	Term         uint64 // the highest that was ever given out
+	Term         uint64 // the highest term ever issued
 	Capacities   map[string]Versioned[shard.CapacityRecord]
 	Leaders      map[string]Versioned[shard.LeaderRecord] // by shard
-	Nodes        map[string]Versioned[shard.NodeRecord]   // living controllers
+	Nodes        map[string]Versioned[shard.NodeRecord]   // running controllers
 	Capabilities map[string]Versioned[shard.CapabilityRecord]
 	Quotas       map[string]Versioned[shard.QuotaRecord] // by QuotaID
 	Zones        map[string]Versioned[zonehealth.Record] // by ZoneID
@@ -38,38 +38,38 @@
 	observer Observer
 }
 
-// Progress is up to where the cache has taken changes in.
+// Progress is the point up to which the cache has applied changes.
 type Progress struct {
 	Loaded        bool              // all live records were read, and no change was missed since
-	ChangesReadAt time.Time         // all changes until then are in
-	Revision      uint64            // all changes up to here are in
-	Versions      map[string]uint64 // of present keys
+	ChangesReadAt time.Time         // all changes made before this time are applied
+	Revision      uint64            // all changes up to this revision are applied
+	Versions      map[string]uint64 // versions of the existing keys
 
-	loading bool              // a full list is being taken in
-	dropped map[string]uint64 // versions of keys dropped at revisions beyond Revision
+	loading         bool              // a full list is being applied
+	deletedVersions map[string]uint64 // by deleted key: the revision of its deletion, if later than Revision
 }
 
-// Observer hears of changes that others than the cache keep track of. It is called while a
-// change is taken in, under whatever guards the cache.
+// Observer is notified of changes that other packages track. It is called while a change is
+// applied, with the lock that guards the cache held.
 type Observer interface {
-	JobAdded(record *job.Record)               // a job has appeared
-	JobEnded(uid string, final job.FinalState) // a job is over
-	TasksChanged(host string)                  // tasks were placed on a machine, or are to stop
+	JobAdded(record *job.Record)               // a job was added
+	JobEnded(uid string, final job.FinalState) // a job has ended
+	TasksChanged(host string)                  // tasks on a machine were placed, or may have to start or stop
 }
 
-// noObserver is the observer of a cache that nobody observes.
-type noObserver struct{}
+// nopObserver is the observer of a cache for which none was set.
+type nopObserver struct{}
 
-func (noObserver) JobAdded(*job.Record) {}
+func (nopObserver) JobAdded(*job.Record) {}
 
-func (noObserver) JobEnded(string, job.FinalState) {}
+func (nopObserver) JobEnded(string, job.FinalState) {}
 
-func (noObserver) TasksChanged(string) {}
+func (nopObserver) TasksChanged(string) {}
 
-// New makes an empty cache that is not loaded.
+// New returns an empty cache that is not loaded.
 func New(log *slog.Logger) *Cache {
 	return &Cache{
-		Progress:       Progress{Versions: map[string]uint64{}, dropped: map[string]uint64{}},
+		Progress:       Progress{Versions: map[string]uint64{}, deletedVersions: map[string]uint64{}},
 		JobIndex:       newJobIndex(),
 		MachineIndex:   newMachineIndex(),
 		PlacementIndex: newPlacementIndex(),
@@ -80,24 +80,23 @@
 		Quotas:         map[string]Versioned[shard.QuotaRecord]{},
 		Zones:          map[string]Versioned[zonehealth.Record]{},
 		log:            log,
-		observer:       noObserver{},
+		observer:       nopObserver{},
 	}
 }
 
-// Observe has an observer hear of the changes from now on.
+// Observe sets the observer that is notified of changes from now on.
 func (c *Cache) Observe(o Observer) { c.observer = o }
 
-// Apply takes in one change; value is nil if the key was dropped. Changes reach the cache
-// from own commits, from the watch and from read barriers, in no common order, so each key
-// moves only forward. A change that is not newer than the revision up to which all is in
-// comes from an answer that was late: a key that it writes may have been dropped since,
-// would come back, and no later change would ever remove it, so that every transaction that
-// rests on it would fail.
+// Apply applies one change; value is nil if the key was deleted. Changes come from this
+// controller's commits, from the watch and from read barriers, without a common order, so the
+// version of a key may only increase. A change at or below Revision comes from a late response and
+// is ignored: its key may have been deleted meanwhile. Applying it would restore the key, no later
+// change would ever remove it, and every transaction based on it would fail.
 func (c *Cache) Apply(key string, value json.RawMessage, version uint64) {
 	c.applyRecord(key, value, version, nil)
 }
 
-// ApplyCommitted takes in a transaction that was committed at a revision.
+// ApplyCommitted applies a transaction that was committed at a revision.
 func (c *Cache) ApplyCommitted(t *Transaction, revision uint64) {
 	for key, value := range t.writes {
 		c.applyRecord(key, value, revision, t.capacities[key])
@@ -107,16 +106,16 @@
 	}
 }
 
-// applyRecord is Apply for a change whose capacity record, the largest there is, need not be
-// parsed again: capacity is nil for others than own commits.
+// applyRecord is Apply with an already decoded capacity record, so that this largest kind of record
+// need not be parsed again. capacity is non-nil only for this controller's own commits.
 func (c *Cache) applyRecord(key string, value json.RawMessage, version uint64, capacity *shard.CapacityRecord) {
-	if !c.accepts(key, version) {
+	if !c.isNewer(key, version) {
 		return
 	}
-	c.noteVersion(key, value != nil, version)
+	c.recordVersion(key, value != nil, version)
 	if key == TermKey {
 		c.Term = 0
-		_ = json.Unmarshal(value, &c.Term) // a term that can't be read fails the precondition of its next use
+		_ = json.Unmarshal(value, &c.Term) // if the term is malformed, the precondition of its next use fails
 		return
 	}
 	if len(key) < len(jobPrefix) {
@@ -132,28 +131,28 @@
 	}
 }
 
-// accepts reports whether a change is news.
-func (c *Cache) accepts(key string, version uint64) bool {
+// isNewer reports whether a change of a live record is newer than the cache.
+func (c *Cache) isNewer(key string, version uint64) bool {
 	if version <= c.Revision && !c.loading {
 		return false
 	}
-	return version > c.Versions[key] && version > c.dropped[key] && strings.HasPrefix(key, LivePrefix)
+	return version > c.Versions[key] && version > c.deletedVersions[key] && strings.HasPrefix(key, LivePrefix)
 }
 
-// noteVersion notes the version at which a key was written, or dropped.
-func (c *Cache) noteVersion(key string, present bool, version uint64) {
+// recordVersion stores the version at which a key was written or deleted.
+func (c *Cache) recordVersion(key string, present bool, version uint64) {
 	if present {
 		c.Versions[key] = version
-		delete(c.dropped, key)
+		delete(c.deletedVersions, key)
 		return
 	}
 	delete(c.Versions, key)
 	if version > c.Revision {
-		c.dropped[key] = version
+		c.deletedVersions[key] = version
 	}
 }
 
-// applyKind takes in a change of a record of one kind.
+// applyKind applies a change of a record of the given kind.
 func (c *Cache) applyKind(kind, id string, value json.RawMessage, version uint64) error {
 	switch kind {
 	case jobPrefix:
@@ -163,24 +162,24 @@
 	case machinePagePrefix:
 		return c.applyPage(id, value, version)
 	case capacityPrefix:
-		return applyTo(c.Capacities, id, value, version)
+		return applyToMap(c.Capacities, id, value, version)
 	case leaderPrefix:
-		return applyTo(c.Leaders, id, value, version)
+		return applyToMap(c.Leaders, id, value, version)
 	case nodePrefix:
-		return applyTo(c.Nodes, id, value, version)
+		return applyToMap(c.Nodes, id, value, version)
 	case quotaPrefix:
-		return applyTo(c.Quotas, id, value, version)
+		return applyToMap(c.Quotas, id, value, version)
 	case capabilityPrefix:
-		return applyTo(c.Capabilities, id, value, version)
+		return applyToMap(c.Capabilities, id, value, version)
 	case zonePrefix:
-		return applyTo(c.Zones, id, value, version)
+		return applyToMap(c.Zones, id, value, version)
 	}
-	return nil // of a later version
+	return nil // a kind of record of a later version
 }
 
-// applyTo takes a change of a record into a map of records. A record that can't be read
-// leaves what there is.
-func applyTo[T any](records map[string]Versioned[T], id string, value json.RawMessage, version uint64) error {
+// applyToMap applies a change of a record to a map of records. If the new record is malformed, the
+// old one stays.
+func applyToMap[T any](records map[string]Versioned[T], id string, value json.RawMessage, version uint64) error {
 	if value == nil {
 		delete(records, id)
 		return nil
@@ -193,21 +192,22 @@
 	return nil
 }
 
-// Advance notes that all changes up to a revision have been applied.
+// Advance records that all changes up to a revision have been applied.
 func (c *Cache) Advance(revision uint64) {
 	if revision <= c.Revision {
 		return
 	}
 	c.Revision = revision
-	for key, version := range c.dropped {
+	for key, version := range c.deletedVersions {
 		if version <= revision {
-			delete(c.dropped, key)
+			delete(c.deletedVersions, key)
 		}
 	}
 }
 
-// Reload takes in a full list that was asked for at a time, and whose first page was of a
-// revision. Changes in between may have been missed: how jobs ended is not known.
+// Reload applies a full list of the live records, which was requested at readAt and whose first page
+// was of the given revision. Since earlier changes may have been missed, the final states of jobs
+// that are no longer listed are unknown and the observer is not notified of them.
 func (c *Cache) Reload(items []store.Item, revision uint64, readAt time.Time) {
 	c.loading = true
 	defer func() { c.loading = false }()
@@ -221,13 +221,13 @@
 			c.Apply(key, nil, max(revision, version+1))
 		}
 	}
-	c.forgetCancellations(revision)
+	c.resetCancellations(revision)
 	c.Advance(revision)
 	c.ChangesReadAt = readAt
 	c.Loaded = true
 }
 
-// ApplyChanges takes in the changes up to a revision, which were asked for at a time.
+// ApplyChanges applies the changes up to a revision, which were requested at readAt.
 func (c *Cache) ApplyChanges(changes []store.Change, revision uint64, readAt time.Time) {
 	for _, change := range changes {
 		if change.Drop != "" {
@@ -242,5 +242,5 @@
 	}
 }
 
-// Unload notes that changes were missed: all records are to be read anew.
+// Unload marks the cache as not loaded because changes were missed: all records must be read again.
 func (c *Cache) Unload() { c.Loaded = false }
--- a/internal/statecache/cancellations.go
+++ b/internal/statecache/cancellations.go
@@ -1,37 +1,37 @@
 package statecache
 
-// cancellation is a job that was cancelled, and the revision at which that was seen.
+// cancellation is a cancelled job and the revision of its cancellation.
 type cancellation struct {
 	uid      string
 	revision uint64
 }
 
-// MaxCancellations bounds the cancellations that are kept to be told to peers: entries of
-// some tens of bytes, a quarter of what a message may hold. Who asks from before them is
-// told that this controller can't say.
+// MaxCancellations bounds the cancellations that are kept to be reported to peers: entries of some
+// tens of bytes each, a quarter of the maximum message size. A request about a revision before the
+// kept ones is answered as incomplete.
 const MaxCancellations = 1024
 
-// NoteCancellation notes a job that was cancelled, seen at a revision.
+// NoteCancellation records that a job was cancelled at a revision.
 func (x *JobIndex) NoteCancellation(uid string, revision uint64) {
 	x.cancellations = append(x.cancellations, cancellation{uid, revision})
 	excess := len(x.cancellations) - MaxCancellations
 	if excess <= 0 {
 		return
 	}
-	for _, c := range x.cancellations[:excess] { // not in order of their revisions
+	for _, c := range x.cancellations[:excess] { // not sorted by revision
 		x.cancellationsCompleteFrom = max(x.cancellationsCompleteFrom, c.revision)
 	}
 	x.cancellations = append(x.cancellations[:0], x.cancellations[excess:]...)
 }
 
-// forgetCancellations notes that changes up to a revision were missed: jobs that were
-// cancelled meanwhile and are over already are not known.
-func (x *JobIndex) forgetCancellations(revision uint64) {
+// resetCancellations clears the cancellations because changes up to a revision may have been missed:
+// jobs that were cancelled and have ended meanwhile are unknown.
+func (x *JobIndex) resetCancellations(revision uint64) {
 	x.cancellations, x.cancellationsCompleteFrom = nil, revision
 }
 
-// CancelledSince returns the jobs that were cancelled after a revision. complete is false if
-// not all of them are known.
+// CancelledSince returns the jobs that were cancelled after a revision. complete is false if some of
+// them may be missing.
 func (x *JobIndex) CancelledSince(revision uint64) (uids []string, complete bool) {
 	if revision < x.cancellationsCompleteFrom {
 		return nil, false
@@ -44,13 +44,13 @@
 	return uids, true
 }
 
-// NoteCancelledByPeer takes it from a peer that a job was cancelled, before its record shows
-// that.
+// NoteCancelledByPeer marks a job as cancelled that a peer reported as cancelled, before its cached
+// record shows it.
 func (c *Cache) NoteCancelledByPeer(uid string) {
 	j := c.Jobs[uid]
 	if j == nil || j.cancelledByPeer {
 		return
 	}
 	j.cancelledByPeer = true
-	c.noteTasksChanged(j)
+	c.notifyTasksChanged(j)
 }
--- a/internal/statecache/doc.go
+++ b/internal/statecache/doc.go
@@ -1,10 +1,10 @@
-// Package statecache is this controller's copy of the live records of the state service, with
-// the indexes that decisions need, and the transactions that change them.
+// Package statecache contains this controller's copy of the live records of the state service, with
+// the indexes that decisions use, and the transactions that change the records.
 //
-// Invariants: each key moves only forward in revision; what the cache shows was so at some
-// revision; a decision that rests on it is committed by compare-and-swap on the versions
-// that it rests on, so that a stale cache costs a conflict and no more.
+// Invariants: the revision of a key never decreases; each cached record was current at some
+// revision; a decision based on cached records is committed by compare-and-swap on their versions,
+// so that a stale cache causes a conflict and nothing worse.
 //
-// The exported maps are for reading: only this package changes them, when a change is
-// applied. The cache has no lock of its own; the lock of internal/state guards it.
+// Other packages only read the exported maps: this package changes them when it applies a change.
+// The cache has no lock of its own; it is guarded by the lock of internal/state.
 package statecache
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -8,27 +8,27 @@
 	"violetturn/internal/sched"
 )
 
-// Job is a living job with its task ranges.
+// Job is an unfinished job with its task ranges.
 type Job struct {
 	Record  *job.Record
-	Version uint64                           // of its main record
-	Size    int                              // bytes of its main record
-	Ranges  map[int]Versioned[job.TaskRange] // those of its present generation, by index
+	Version uint64                           // version of the main record
+	Size    int                              // size of the main record in bytes
+	Ranges  map[int]Versioned[job.TaskRange] // task ranges of the current generation, by index
 
-	pending         []TaskIndex // what is neither done nor placed; nil: to be worked out
-	cancelledByPeer bool        // a peer says that it was cancelled, though its record doesn't show it yet
+	pending         []TaskIndex // tasks that are neither done nor placed; nil: not computed
+	cancelledByPeer bool        // a peer reported the cancellation, which the cached record may not show yet
 }
 
 // IsGang reports whether the job's tasks start together.
 func (j *Job) IsGang() bool { return j.Record.Spec.Kind == api.Gang }
 
-// RecordCoversTasks reports whether the main record is written with every change of the
-// job's tasks, so that its version is that of all of them: of a gang, and of a spread job
-// whose records were split, whose zones are counted over several task ranges. A transaction
-// that is carried out late would otherwise place a task by an old count.
+// RecordCoversTasks reports whether the main record is written with every change of the job's tasks,
+// so that its version covers all of them. This holds for a gang, and for a spread job whose records
+// were split: its tasks per zone are counted over several task ranges, and a delayed transaction
+// would otherwise place a task by an outdated count.
 func (j *Job) RecordCoversTasks() bool { return j.IsGang() || j.Record.SpreadRangeSize > 0 }
 
-// CountPlaced returns how many tasks have a placement.
+// CountPlaced returns the number of tasks that have a placement.
 func (j *Job) CountPlaced() int {
 	n := 0
 	for _, r := range j.Ranges {
@@ -37,10 +37,10 @@
 	return n
 }
 
-// GangPhase returns how a gang's attempt stands.
+// GangPhase returns the phase of a gang's newest attempt.
 func (j *Job) GangPhase() job.GangPhase { return j.Record.Gang.Phase(j.CountPlaced()) }
 
-// IsCancelled reports whether the job was cancelled, as its record shows or a peer says.
+// IsCancelled reports whether the job was cancelled, according to its record or to a peer.
 func (j *Job) IsCancelled() bool { return j.Record.Cancelled || j.cancelledByPeer }
 
 // MustStop reports whether a placed task has to leave its machine.
@@ -48,26 +48,26 @@
 	return p.Stopping || j.IsCancelled() || j.IsGang() && j.Record.Gang.MustStop(p.Attempt)
 }
 
-// MayLaunch reports whether a placed task may be launched: of a gang only once all its
-// placements are reserved.
+// MayLaunch reports whether a placed task may be launched. The tasks of a gang may be launched only
+// once all placements of the attempt are reserved.
 func (j *Job) MayLaunch(p *job.Placement) bool {
 	return !j.MustStop(p) && (!j.IsGang() || j.Record.Gang.MayLaunch(p.Attempt))
 }
 
-// SavesOnStop reports whether tasks of the job that have to stop save their progress first:
-// of a gang only if all are told to, for the save fails without one of them.
+// SavesOnStop reports whether tasks of the job save their progress before they stop. The tasks of a
+// gang do so only if all of them are commanded to stop, because the save fails if one is missing.
 func (j *Job) SavesOnStop() bool {
 	gang := j.Record.Gang
 	return !j.IsCancelled() && j.Record.Spec.CheckpointS > 0 && (!j.IsGang() || gang != nil && gang.Stopping)
 }
 
-// PlacedAtMS returns when a task was placed, in milliseconds of the time of day.
+// PlacedAtMS returns when a task was placed, as Unix time in milliseconds.
 func (j *Job) PlacedAtMS(task *PlacedTask) int64 {
 	const millisecondsPerSecond = 1000
 	return j.Record.AcceptedMS + task.Placement.PlacedS*millisecondsPerSecond
 }
 
-// RangeRecord returns the key and version of the record that holds a task range.
+// RangeRecord returns the key and version of the record that contains a task range.
 func (j *Job) RangeRecord(index int) (key string, version uint64) {
 	if j.Record.Inline {
 		return JobKey(j.Record.Spec.UID), j.Version
@@ -75,10 +75,10 @@
 	return TaskRangeKey(j.Record.Spec.UID, j.Record.Generation, index), j.Ranges[index].Version
 }
 
-// finalState returns how a job ended whose record was just dropped, from the version before,
-// which is the last there was: each change of a record was seen, in order. A job is dropped
-// when it is cancelled and empty, or else done. So users who ask how it ended need no
-// further read.
+// finalState returns the final state of a job whose main record was just deleted, so that users'
+// queries for it need no further read. It derives it from the cached record, which is the last one
+// because the changes of a record are applied completely and in order. A job's record is deleted
+// when the job is cancelled and has no placed tasks, or else when the job is done.
 func (j *Job) finalState() job.FinalState {
 	if !j.Record.Cancelled || j.Record.Gang != nil && j.Record.Gang.Done {
 		return job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}
@@ -86,13 +86,13 @@
 	return job.FinalState{Phase: api.JobCancelled, Done: j.UserState(false).Done}
 }
 
-// UserState returns what users are told of the job. One that was cancelled is told so at
-// once, or, if confirmsEmpty (config.Settings.ConfirmsCancelWhenEmpty), when it has no task
-// left on a machine.
+// UserState returns the state of the job that is reported to users. A cancellation is reported at
+// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelWhenEmpty), when the job has no
+// task left on a machine.
 func (j *Job) UserState(confirmsEmpty bool) api.State {
 	state := api.State{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
 	gang := j.Record.Gang
-	if gang != nil && gang.Done { // committed, though not all of its records are gone yet
+	if gang != nil && gang.Done { // committed, although not all records of the job are deleted yet
 		return api.State{UID: state.UID, Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 	}
 	for index, r := range j.Ranges {
@@ -105,14 +105,14 @@
 	case j.Record.Cancelled && (state.Running == 0 || !confirmsEmpty):
 		state.Phase = api.JobCancelled
 	case j.IsGang() && (gang == nil || !gang.Launched):
-		state.Running = 0 // reserved placements run nothing yet
+		state.Running = 0 // tasks with reserved placements are not running yet
 	case state.Running > 0:
 		state.Phase = api.JobRunning
 	}
 	return state
 }
 
-// CompareAge orders jobs by when they were accepted, the older first.
+// CompareAge orders jobs by time of acceptance, the oldest first.
 func CompareAge(a, b *Job) int {
 	return cmp.Or(
 		cmp.Compare(a.Record.AcceptedMS, b.Record.AcceptedMS),
@@ -120,12 +120,12 @@
 	)
 }
 
-// ResourcesOf returns the room that a task of a job takes.
+// ResourcesOf returns the resources that a task of a job uses.
 func ResourcesOf(spec *api.Job) sched.Resources {
 	return sched.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemGB: spec.MemGB}
 }
 
-// TaskRequestOf returns what a task of a job asks of a machine.
+// TaskRequestOf returns the requirements of a task of a job on its machine.
 func TaskRequestOf(spec *api.Job) sched.TaskRequest {
 	return sched.TaskRequest{
 		Need:         ResourcesOf(spec),
--- a/internal/statecache/jobs.go
+++ b/internal/statecache/jobs.go
@@ -7,20 +7,20 @@
 	"violetturn/internal/job"
 )
 
-// JobIndex is the living jobs and the records of their tasks.
+// JobIndex contains the unfinished jobs and the records of their tasks.
 type JobIndex struct {
 	Jobs  map[string]*Job
-	Gangs map[string]bool // those of them whose tasks start together
+	Gangs map[string]bool // the jobs whose tasks start together
 
-	// TaskRanges has the records of task ranges as they are, those of earlier and coming
-	// splits and of jobs without a main record included.
+	// TaskRanges contains all records of task ranges, by job. It includes those of earlier
+	// generations, those of a split in progress, and those of jobs without a main record.
 	TaskRanges map[string]map[RangeKey]Versioned[job.TaskRange]
 
-	cancellations             []cancellation // the last ones
-	cancellationsCompleteFrom uint64         // all after that revision are among them
+	cancellations             []cancellation // the most recently recorded ones
+	cancellationsCompleteFrom uint64         // cancellations has all cancellations after this revision
 }
 
-// RangeKey names the record of a task range among those of its job.
+// RangeKey identifies the record of a task range among those of its job.
 type RangeKey struct{ Generation, Index int }
 
 func newJobIndex() JobIndex {
@@ -31,10 +31,10 @@
 	}
 }
 
-// applyJob takes in a change of a job's main record.
+// applyJob applies a change of a job's main record.
 func (c *Cache) applyJob(uid string, value json.RawMessage, version uint64) error {
 	if value == nil {
-		c.dropJob(uid, version)
+		c.removeJob(uid, version)
 		return nil
 	}
 	record, err := job.ParseRecord(value)
@@ -49,13 +49,13 @@
 	} else {
 		old = j.Record
 	}
-	c.noteTurn(uid, j, old, record, version)
+	c.applyJobTransition(uid, j, old, record, version)
 	j.Record, j.Version, j.Size, j.pending = record, version, len(value), nil
 	c.updateRanges(uid, j, old, version)
 	return nil
 }
 
-// addJob adds a job that has appeared.
+// addJob adds a new job to the index.
 func (c *Cache) addJob(uid string, j *Job, record *job.Record) {
 	c.Jobs[uid] = j
 	if record.Spec.Kind == api.Gang {
@@ -64,8 +64,8 @@
 	c.observer.JobAdded(record)
 }
 
-// dropJob drops a job whose main record was dropped.
-func (c *Cache) dropJob(uid string, version uint64) {
+// removeJob removes a job whose main record was deleted.
+func (c *Cache) removeJob(uid string, version uint64) {
 	j := c.Jobs[uid]
 	if j == nil {
 		return
@@ -80,20 +80,21 @@
 	delete(c.Gangs, uid)
 }
 
-// noteTurn notes what a new main record means for the job's placed tasks: from now on they
-// are of no use, or may start.
-func (c *Cache) noteTurn(uid string, j *Job, old, record *job.Record, version uint64) {
+// applyJobTransition handles a new main record that cancels the job or changes the state of its
+// gang: its placed tasks may have to stop, or may start.
+func (c *Cache) applyJobTransition(uid string, j *Job, old, record *job.Record, version uint64) {
 	cancelled := record.Cancelled && (old == nil || !old.Cancelled)
 	if old != nil && (cancelled || gangStateChanged(old.Gang, record.Gang)) {
-		c.noteTasksChanged(j)
+		c.notifyTasksChanged(j)
 	}
 	if cancelled {
 		c.NoteCancellation(uid, version)
 	}
 }
 
-// noteTasksChanged has the machines of a job's placed tasks looked at again.
-func (c *Cache) noteTasksChanged(j *Job) {
+// notifyTasksChanged invalidates the cached loads of the machines of a job's placed tasks and
+// notifies the observer.
+func (c *Cache) notifyTasksChanged(j *Job) {
 	for _, r := range j.Ranges {
 		for _, p := range r.Record.Placements {
 			delete(c.loads, p.Host)
@@ -106,7 +107,7 @@
 	}
 }
 
-// gangStateChanged reports whether what a gang's tasks are to do has changed.
+// gangStateChanged reports whether the states differ in what the gang's tasks have to do.
 func gangStateChanged(a, b *job.Gang) bool {
 	if a == nil || b == nil {
 		return a != b
@@ -114,8 +115,8 @@
 	return a.Attempt != b.Attempt || a.Launched != b.Launched || a.Stopping != b.Stopping || a.Ended != b.Ended || a.Done != b.Done
 }
 
-// updateRanges brings the job's task ranges in line with its new main record: with the range
-// inside it, or with the records of the generation that it names.
+// updateRanges updates the job's task ranges after a change of its main record: from its inline
+// range, or from the records of its generation.
 func (c *Cache) updateRanges(uid string, j *Job, old *job.Record, version uint64) {
 	record := j.Record
 	if record.Inline {
@@ -135,7 +136,7 @@
 	}
 }
 
-// applyTaskRange takes in a change of the record of a task range.
+// applyTaskRange applies a change of the record of a task range.
 func (c *Cache) applyTaskRange(id string, value json.RawMessage, version uint64) error {
 	uid, key, err := parseTaskRangeKey(id)
 	if err != nil {
@@ -147,15 +148,15 @@
 			return err
 		}
 	}
-	c.keepTaskRange(uid, key, r)
+	c.storeTaskRange(uid, key, r)
 	if j := c.Jobs[uid]; j != nil && !j.Record.Inline && j.Record.Generation == key.Generation {
 		c.setTaskRange(uid, j.Ranges, key.Index, r)
 	}
 	return nil
 }
 
-// keepTaskRange keeps the record of a task range as it is, or drops one that is gone.
-func (x *JobIndex) keepTaskRange(uid string, key RangeKey, r Versioned[job.TaskRange]) {
+// storeTaskRange stores the record of a task range in TaskRanges, or removes a deleted one.
+func (x *JobIndex) storeTaskRange(uid string, key RangeKey, r Versioned[job.TaskRange]) {
 	if r.Record == nil {
 		delete(x.TaskRanges[uid], key)
 		if len(x.TaskRanges[uid]) == 0 {
@@ -169,9 +170,9 @@
 	x.TaskRanges[uid][key] = r
 }
 
-// setTaskRange replaces a task range of a job and with it what is placed on machines.
+// setTaskRange replaces a task range of a job, and its placements in the index.
 func (c *Cache) setTaskRange(
-	uid string, ranges map[int]Versioned[job.TaskRange], index int, to Versioned[job.TaskRange],
+	uid string, ranges map[int]Versioned[job.TaskRange], index int, newRange Versioned[job.TaskRange],
 ) {
 	j := c.Jobs[uid]
 	if j != nil {
@@ -183,17 +184,17 @@
 			c.RemovePlacement(uid, index, i, p)
 		}
 	}
-	if to.Record == nil {
+	if newRange.Record == nil {
 		delete(ranges, index)
 		return
 	}
-	ranges[index] = to
-	for i, p := range to.Record.Placements {
+	ranges[index] = newRange
+	for i, p := range newRange.Record.Placements {
 		c.addPlacement(&PlacedTask{UID: uid, RangeIndex: index, Index: i, Placement: p})
 		if j != nil {
-			c.noteImage(p.Host, j.Record.Spec.Image)
+			c.recordImage(p.Host, j.Record.Spec.Image)
 		}
-		if before := old.PlacementOf(i); before == nil || *before != *p {
+		if previous := old.PlacementOf(i); previous == nil || *previous != *p {
 			c.observer.TasksChanged(p.Host)
 		}
 	}
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// LivePrefix is the prefix of all keys that every controller replicates. A job that is over
-// leaves one record elsewhere (FinalStateKey), which is read when it is asked for.
+// LivePrefix is the prefix of all keys that every controller replicates. A finished job leaves one
+// record under another prefix (FinalStateKey), which is read on demand.
 const LivePrefix = "live/"
 
-// TermKey is the key of the highest term that was ever given out.
+// TermKey is the key of the highest term ever issued.
 const TermKey = LivePrefix + "term"
 
-// The kinds of live records, by the prefix of their keys. All have one length.
+// Key prefixes of the kinds of live records. All have the same length.
 const (
 	jobPrefix         = LivePrefix + "j/"
 	taskRangePrefix   = LivePrefix + "t/"
@@ -31,11 +31,11 @@
 // JobKey returns the key of a job's main record.
 func JobKey(uid string) string { return jobPrefix + uid }
 
-// JobOfKey returns the job whose main record has a key; ok is false for other keys.
+// JobOfKey returns the job whose main record has the given key; ok is false for other keys.
 func JobOfKey(key string) (uid string, ok bool) { return strings.CutPrefix(key, jobPrefix) }
 
-// TaskRangeKey returns the key of the record of a task range of a job whose records were
-// split so many times.
+// TaskRangeKey returns the key of the record of a job's task range. generation is the number of
+// times that the job's records were split.
 func TaskRangeKey(uid string, generation, index int) string {
 	if generation == 0 {
 		return taskRangePrefix + uid + "/" + strconv.Itoa(index)
@@ -43,13 +43,12 @@
 	return taskRangePrefix + uid + "/g" + strconv.Itoa(generation) + "." + strconv.Itoa(index)
 }
 
-// IsRecordOf reports whether a key is that of a record of a job, its main record or one of a
-// task range.
+// IsRecordOf reports whether a key is that of a job's main record or of one of its task ranges.
 func IsRecordOf(uid, key string) bool {
 	return key == jobPrefix+uid || strings.HasPrefix(key, taskRangePrefix+uid+"/")
 }
 
-// parseTaskRangeKey reads what follows the prefix in the key of a task range.
+// parseTaskRangeKey parses the part of a task range's key that follows the prefix.
 func parseTaskRangeKey(id string) (uid string, key RangeKey, err error) {
 	uid, index, _ := strings.Cut(id, "/")
 	if generation, rest, ok := strings.Cut(index, "."); ok {
@@ -65,34 +64,33 @@
 // CapacityKey returns the key of a shard's capacity record.
 func CapacityKey(shard string) string { return capacityPrefix + shard }
 
-// LeaderKey returns the key of the record of a shard's leader, which is attached to the
-// leader's lease.
+// LeaderKey returns the key of the record of a shard's leader, which is attached to the leader's
+// lease.
 func LeaderKey(shard string) string { return leaderPrefix + shard }
 
-// NodeKey returns the key of the record of a living controller, which is attached to its
-// lease.
+// NodeKey returns the key of the record of a running controller, which is attached to its lease.
 func NodeKey(node string) string { return nodePrefix + node }
 
-// CapabilityKey returns the key of the record of which forms a controller reads, which stays
+// CapabilityKey returns the key of the record of the formats that a controller reads, which remains
 // when the controller ends.
 func CapabilityKey(node string) string { return capabilityPrefix + node }
 
-// MachinePageKey returns the key of a page of machines (see PageID).
+// MachinePageKey returns the key of a machine page (see PageID).
 func MachinePageKey(page string) string { return machinePagePrefix + page }
 
-// QuotaKey returns the key of the record of how a team's quota is shared among shards.
+// QuotaKey returns the key of the record that divides a team's quota among shards.
 func QuotaKey(team string) string { return quotaPrefix + QuotaID(team) }
 
-// QuotaID returns the name under which the cache has a team's quota record.
+// QuotaID returns the ID of a team's quota record in the cache.
 func QuotaID(team string) string { return url.PathEscape(team) }
 
 // ZoneKey returns the key of the record of a zone's health.
 func ZoneKey(zone string) string { return zonePrefix + ZoneID(zone) }
 
-// ZoneID returns the name under which the cache has a zone's health record.
+// ZoneID returns the ID of a zone's health record in the cache.
 func ZoneID(zone string) string { return url.PathEscape(zone) }
 
-// ZoneOfID returns the zone of a name under which the cache has its health record.
+// ZoneOfID returns the zone whose health record has the given ID.
 func ZoneOfID(id string) string {
 	zone, err := url.PathUnescape(id)
 	if err != nil {
@@ -101,5 +99,5 @@
 	return zone
 }
 
-// FinalStateKey returns the key of the record of how a job ended.
+// FinalStateKey returns the key of the record of a job's final state.
 func FinalStateKey(uid string) string { return finalStatePrefix + uid }
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -8,14 +8,14 @@
 	"violetturn/internal/shard"
 )
 
-// MachineIndex is the machines, by the pages that record them.
+// MachineIndex contains the machines and the pages in which they are recorded.
 type MachineIndex struct {
 	Pages      map[string]Versioned[shard.Page] // by PageID
-	Machines   map[string]*shard.Machine        // of all pages, by name
-	Images     map[string]map[string]bool       // by machine, images that tasks were put there with
-	Terminated map[string]bool                  // machines that were deregistered: their names never come back
+	Machines   map[string]*shard.Machine        // machines of all pages, by name
+	Images     map[string]map[string]bool       // by machine: images of the tasks that were placed on it
+	Terminated map[string]bool                  // deregistered machines; their names are never reused
 
-	sorted []string // names of Machines; nil: to be sorted anew
+	sortedNames []string // names of Machines in order; nil: not computed
 }
 
 func newMachineIndex() MachineIndex {
@@ -27,43 +27,43 @@
 	}
 }
 
-// A machine's page is named by what its name has in common with its neighbours': machines
-// come in groups with names in a row, so that a group is recorded with few changes. Pages
-// leave out one character of the name, or two where values have room for a hundred machines.
+// The ID of a machine's page is a prefix of the machine's name. Machines are rented in groups with
+// consecutive names, so that few changes record a whole group. The prefix lacks one character of the
+// name, or two if a value can hold a hundred machines.
 const (
 	FinestPageCut   = 1
 	CoarsestPageCut = 2
 )
 
-// PageID returns the name of the page of a machine that leaves out so many characters of its
-// name.
-func PageID(host string, cut int) string { return host[:max(len(host)-cut, 0)] + "-" }
+// PageID returns the ID of a machine's page: its name without the last suffixLen characters, and a
+// dash.
+func PageID(host string, suffixLen int) string { return host[:max(len(host)-suffixLen, 0)] + "-" }
 
-// CoarserPageID returns the name of the page that leaves out one character more of its
-// machines' names; ok is false if there is none.
+// CoarserPageID returns the ID of the page whose machine name prefix is one character shorter; ok is
+// false if there is none.
 func CoarserPageID(id string) (coarser string, ok bool) {
-	const shortest = 2 // a character of the name, and the dash
-	if len(id) <= shortest {
+	const shortestPageID = 2 // one character of the name, and the dash
+	if len(id) <= shortestPageID {
 		return "", false
 	}
 	return id[:len(id)-2] + "-", true
 }
 
-// applyPage takes in a page of machines. A finer page stands for its machines before a
-// coarser one that still names them.
+// applyPage applies a change of a machine page. A finer page takes precedence over a coarser one
+// that still has entries for its machines.
 func (c *Cache) applyPage(id string, value json.RawMessage, version uint64) error {
 	old := c.Pages[id]
-	if err := applyTo(c.Pages, id, value, version); err != nil {
+	if err := applyToMap(c.Pages, id, value, version); err != nil {
 		return err
 	}
-	c.sorted = nil
-	touched := map[string]bool{}
-	addNames(touched, old.Record)
-	addNames(touched, c.Pages[id].Record)
-	if coarser, ok := CoarserPageID(id); ok { // machines that it hides there, or does no more
-		addNames(touched, c.Pages[coarser].Record)
+	c.sortedNames = nil
+	affected := map[string]bool{}
+	addNames(affected, old.Record)
+	addNames(affected, c.Pages[id].Record)
+	if coarser, ok := CoarserPageID(id); ok { // this page may now supersede entries there, or no longer do so
+		addNames(affected, c.Pages[coarser].Record)
 	}
-	for host := range touched {
+	for host := range affected {
 		c.updateMachine(host)
 	}
 	return nil
@@ -79,47 +79,47 @@
 	}
 }
 
-// updateMachine brings a machine in line with the pages.
+// updateMachine updates a machine from the pages.
 func (c *Cache) updateMachine(host string) {
-	recorded, known := c.recordedMachine(host), c.Machines[host]
+	recorded, cached := c.recordedMachine(host), c.Machines[host]
 	if recorded == nil {
-		if known != nil {
+		if cached != nil {
 			delete(c.Machines, host)
 			delete(c.Images, host)
 			c.NoteTerminated(host)
 		}
 		return
 	}
-	if known != nil && recorded.Addr == "" {
-		recorded.Addr = known.Addr // learned from a heartbeat or from the cloud's list
+	if cached != nil && recorded.Addr == "" {
+		recorded.Addr = cached.Addr // received in a heartbeat or in the cloud's list of machines
 	}
 	c.Machines[host] = recorded
 }
 
-// recordedMachine returns a machine's record in the finest page that there is for it; nil if
-// that page lacks it.
+// recordedMachine returns a machine's record in the finest existing page for it; nil if that page
+// does not contain the machine.
 func (x *MachineIndex) recordedMachine(host string) *shard.Machine {
-	for cut := FinestPageCut; cut <= CoarsestPageCut; cut++ {
-		if page := x.Pages[PageID(host, cut)].Record; page != nil {
+	for suffixLen := FinestPageCut; suffixLen <= CoarsestPageCut; suffixLen++ {
+		if page := x.Pages[PageID(host, suffixLen)].Record; page != nil {
 			return (*page)[host]
 		}
 	}
 	return nil
 }
 
-// NoteAddress notes the address of a machine that was recorded before it was known.
+// NoteAddress sets the address of a machine whose record was written before the address was known.
 func (x *MachineIndex) NoteAddress(host, address string) { x.Machines[host].Addr = address }
 
-// MinTerminated is how many terminated machines are remembered at the least: names of some
-// ten bytes.
+// MinTerminated is the minimum number of terminated machines that are kept before old ones are
+// removed: names of some ten bytes each.
 const MinTerminated = 8192
 
-// NoteTerminated remembers that a machine is gone for good, so that a late copy of a
-// heartbeat does not bring it back. Beyond several times the fleet the older half is
-// forgotten: late copies are of machines that went not long ago.
+// NoteTerminated records that a machine was terminated, so that a delayed heartbeat does not register
+// it again. If the terminated machines exceed several times the number of machines, the older half
+// is removed: delayed heartbeats are from recently terminated machines.
 func (x *MachineIndex) NoteTerminated(host string) {
-	if most := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= most {
-		names := slices.Sorted(maps.Keys(x.Terminated)) // in the order of their creation
+	if limit := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= limit {
+		names := slices.Sorted(maps.Keys(x.Terminated)) // names sort by time of creation
 		for _, name := range names[:len(names)/2] {
 			delete(x.Terminated, name)
 		}
@@ -127,16 +127,16 @@
 	x.Terminated[host] = true
 }
 
-// MachineNames returns the names of all machines in order. Who changes the list copies it.
+// MachineNames returns the names of all machines in order. The caller must not change the slice.
 func (x *MachineIndex) MachineNames() []string {
-	if x.sorted == nil {
-		x.sorted = slices.Sorted(maps.Keys(x.Machines))
+	if x.sortedNames == nil {
+		x.sortedNames = slices.Sorted(maps.Keys(x.Machines))
 	}
-	return x.sorted
+	return x.sortedNames
 }
 
-// noteImage notes that a task with an image was put on a machine.
-func (x *MachineIndex) noteImage(host, image string) {
+// recordImage records that a task with an image was placed on a machine.
+func (x *MachineIndex) recordImage(host, image string) {
 	if x.Images[host] == nil {
 		x.Images[host] = map[string]bool{}
 	}
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -1,16 +1,16 @@
 package statecache
 
-// TaskIndex is a task of a job, by its range and its place there.
+// TaskIndex identifies a task of a job by the index of its range and its index within the range.
 type TaskIndex struct{ RangeIndex, Index int }
 
-// maxPendingTasks is how many tasks of one job are considered at once: what some sixteen thousand
-// machines of two accelerators take. A job may have more (api.MaxTasks); they follow when
-// some of these are placed.
+// maxPendingTasks bounds the tasks of one job that are considered at once: as many as some sixteen
+// thousand machines with two accelerators each can run. A job may have more (api.MaxTasks); they are
+// considered once some of these are placed.
 const maxPendingTasks = 1 << 15
 
-// PendingTasks returns the job's tasks that are neither done nor placed, at most
-// maxPendingTasks; all of a gang. Plans ask for those of all jobs, so they are kept until the
-// job changes. Who changes the list copies it.
+// PendingTasks returns the job's tasks that are neither done nor placed: all of a gang, otherwise at
+// most maxPendingTasks. The result is cached until the job changes, because each plan requests it
+// for all jobs. The caller must not change the slice.
 func (j *Job) PendingTasks() []TaskIndex {
 	if j.pending == nil {
 		j.pending = j.FindPending()
@@ -18,18 +18,18 @@
 	return j.pending
 }
 
-// FindPending works PendingTasks out anew. It is never nil.
+// FindPending computes PendingTasks without the cached result. The result is never nil.
 func (j *Job) FindPending() []TaskIndex {
 	pending := []TaskIndex{}
-	record, most := j.Record, maxPendingTasks
+	record, limit := j.Record, maxPendingTasks
 	if record.Frozen {
 		return pending
 	}
 	if j.IsGang() {
 		if !record.Gang.AcceptsPlacements() && (record.Gang.Done || j.CountPlaced() > 0) {
-			return pending // all of the attempt has to be over first
+			return pending // all tasks of the current attempt have to end first
 		}
-		most = record.Spec.Tasks
+		limit = record.Spec.Tasks
 	}
 	for index := range record.RangeCount() {
 		if record.RangeFinished(index) {
@@ -41,7 +41,7 @@
 				continue
 			}
 			pending = append(pending, TaskIndex{RangeIndex: index, Index: i})
-			if len(pending) == most {
+			if len(pending) == limit {
 				return pending
 			}
 		}
--- a/internal/statecache/placements.go
+++ b/internal/statecache/placements.go
@@ -8,18 +8,18 @@
 	"violetturn/internal/sched"
 )
 
-// PlacementIndex is what is placed on machines.
+// PlacementIndex contains the placements of tasks, by machine.
 type PlacementIndex struct {
 	Placements map[string]map[string]*PlacedTask // by machine and PlacementKey
 
-	loads map[string]*MachineLoad // by machine, while nothing changes there
+	loads map[string]*MachineLoad // cached loads by machine, valid until the machine's load changes
 }
 
 func newPlacementIndex() PlacementIndex {
 	return PlacementIndex{Placements: map[string]map[string]*PlacedTask{}, loads: map[string]*MachineLoad{}}
 }
 
-// PlacedTask is one placement, as its machine has it.
+// PlacedTask is a task with its placement on a machine.
 type PlacedTask struct {
 	UID        string
 	RangeIndex int
@@ -32,13 +32,14 @@
 	return api.TaskName(p.UID, p.RangeIndex*j.Record.RangeSize+p.Index)
 }
 
-// PlacementKey names a placement within this process. The task's own name needs the size of
-// the job's task ranges, which a task range without its job's record does not tell.
+// PlacementKey returns the key of a placement within this process. It is not the task's name, which
+// can't be computed from a task range without the job's main record: it depends on the size of the
+// job's task ranges.
 func PlacementKey(uid string, rangeIndex, index int) string {
 	return uid + "/" + strconv.Itoa(rangeIndex) + "/" + strconv.Itoa(index)
 }
 
-// addPlacement notes a placement of a task.
+// addPlacement adds a placement of a task to the index.
 func (x *PlacementIndex) addPlacement(task *PlacedTask) {
 	host := task.Placement.Host
 	if x.Placements[host] == nil {
@@ -48,7 +49,7 @@
 	x.Placements[host][PlacementKey(task.UID, task.RangeIndex, task.Index)] = task
 }
 
-// RemovePlacement notes that a task's placement is over.
+// RemovePlacement removes a placement of a task from the index.
 func (x *PlacementIndex) RemovePlacement(uid string, rangeIndex, index int, p *job.Placement) {
 	delete(x.loads, p.Host)
 	tasks := x.Placements[p.Host]
@@ -58,33 +59,33 @@
 	}
 }
 
-// Priorities is how many priorities jobs have.
+// Priorities is the number of job priorities.
 const Priorities = 4
 
-// MachineLoad is what is placed on a machine. It is worked out by internal/capacity, which
-// knows which tasks have ended, and kept here, where placements change.
+// MachineLoad is the load of a machine. It is computed by internal/capacity, which has the ended
+// tasks, and cached here, where placements change.
 type MachineLoad struct {
-	Used              sched.Resources             // of the tasks that are not over
-	Stopping          sched.Resources             // of those of them that are stopping
-	RunningByPriority [Priorities]sched.Resources // of the others
-	Services, Arrays  int                         // tasks that are not over, by their jobs' kind
-	LastPlacedMS      int64                       // when the last of the tasks was placed, in milliseconds of the time of day
+	Used              sched.Resources             // resources of the unfinished tasks
+	Stopping          sched.Resources             // resources of the unfinished tasks that have to stop
+	RunningByPriority [Priorities]sched.Resources // resources of the other unfinished tasks
+	Services, Arrays  int                         // number of unfinished tasks: of services, and of all other kinds of jobs
+	LastPlacedMS      int64                       // when the most recent of the tasks was placed, Unix time in milliseconds
 }
 
-// Load returns what was last kept for a machine; nil if something has changed there since.
+// Load returns the cached load of a machine; nil if there is none.
 func (x *PlacementIndex) Load(host string) *MachineLoad { return x.loads[host] }
 
-// KeepLoad keeps the load of a machine until something changes there.
+// KeepLoad caches the load of a machine until its placements change.
 func (x *PlacementIndex) KeepLoad(host string, load *MachineLoad) { x.loads[host] = load }
 
-// InvalidateLoad drops what was kept for a machine. Who changes what a load rests on, other
-// than by Apply, calls it: an attempt that has ended, an agent that is dropped.
+// InvalidateLoad removes the cached load of a machine. It must be called after changes that affect
+// the load without Apply: the end of an attempt, or the removal of an agent.
 func (x *PlacementIndex) InvalidateLoad(host string) { delete(x.loads, host) }
 
-// InvalidateLoads drops what was kept for all machines.
+// InvalidateLoads removes the cached loads of all machines.
 func (x *PlacementIndex) InvalidateLoads() { clear(x.loads) }
 
-// KeptLoads returns the machines whose loads are kept.
+// KeptLoads returns the names of the machines with a cached load.
 func (x *PlacementIndex) KeptLoads() []string {
 	hosts := make([]string, 0, len(x.loads))
 	for host := range x.loads {
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -8,19 +8,19 @@
 	"violetturn/internal/store"
 )
 
-// Transaction collects the preconditions and changes of one compare-and-swap, in the order
-// in which they are made. Use NewTransaction.
+// Transaction collects the preconditions and changes of one compare-and-swap, with the changes in
+// the order in which they are added. Create it with NewTransaction.
 type Transaction struct {
 	preconditions map[string]uint64
 	writes        map[string]json.RawMessage
-	leases        map[string]uint64 // of writes that are attached to one
+	leases        map[string]uint64 // leases to which writes are attached, by key
 	deletes       map[string]bool
 	order         []string // keys of writes and deletes
 
-	capacities map[string]*shard.CapacityRecord // of the writes, the capacity records as they were given
+	capacities map[string]*shard.CapacityRecord // written capacity records in decoded form, by key
 }
 
-// NewTransaction makes an empty transaction.
+// NewTransaction returns an empty transaction.
 func NewTransaction() *Transaction {
 	return &Transaction{
 		preconditions: map[string]uint64{},
@@ -31,16 +31,17 @@
 	}
 }
 
-// Require adds the precondition that a key has a version; 0: that it does not exist.
+// Require adds the precondition that a key has the given version; 0 requires that the key does not
+// exist.
 func (t *Transaction) Require(key string, version uint64) { t.preconditions[key] = version }
 
-// Preconditions returns how many preconditions there are.
+// Preconditions returns the number of preconditions.
 func (t *Transaction) Preconditions() int { return len(t.preconditions) }
 
-// ClearPreconditions drops all preconditions.
+// ClearPreconditions removes all preconditions.
 func (t *Transaction) ClearPreconditions() { clear(t.preconditions) }
 
-// Put writes a record.
+// Put adds a write of a record.
 func (t *Transaction) Put(key string, record any) {
 	if _, ok := t.writes[key]; !ok {
 		t.order = append(t.order, key)
@@ -48,19 +49,19 @@
 	t.writes[key] = api.JSON(record)
 }
 
-// PutWithLease writes a record that is dropped when a lease ends.
+// PutWithLease adds a write of a record that the state service deletes when a lease ends.
 func (t *Transaction) PutWithLease(key string, record any, leaseID uint64) {
 	t.Put(key, record)
 	t.leases[key] = leaseID
 }
 
-// PutCapacity writes a shard's capacity record, which nobody changes from now on.
+// PutCapacity adds a write of a shard's capacity record, which must not be changed afterwards.
 func (t *Transaction) PutCapacity(key string, record *shard.CapacityRecord) {
 	t.Put(key, record)
 	t.capacities[key] = record
 }
 
-// Delete drops a record, also one that was to be written.
+// Delete adds the deletion of a record. It replaces a write of the record in this transaction.
 func (t *Transaction) Delete(key string) {
 	if !t.deletes[key] {
 		t.order = append(t.order, key)
@@ -69,7 +70,7 @@
 	delete(t.writes, key)
 }
 
-// Changes returns how many writes and deletes there are.
+// Changes returns the number of writes and deletes.
 func (t *Transaction) Changes() int {
 	n := 0
 	for _, key := range t.order {
@@ -80,13 +81,13 @@
 	return n
 }
 
-// Size returns the bytes of the record to be written under a key; 0 if none is.
+// Size returns the size in bytes of the record to be written under a key; 0 if there is no write.
 func (t *Transaction) Size(key string) int { return len(t.writes[key]) }
 
-// Keys returns the keys of the changes, in order. A key may come twice.
+// Keys returns the keys of the changes, in order. A key may occur twice.
 func (t *Transaction) Keys() []string { return t.order }
 
-// Request returns the transaction as the state service takes it.
+// Request returns the transaction as a request to the state service.
 func (t *Transaction) Request() *store.Txn {
 	request := &store.Txn{Preconditions: []store.Precondition{}, Ops: []store.Op{}}
 	for key, version := range t.preconditions {
@@ -105,7 +106,7 @@
 	return request
 }
 
-// operation returns the change of a key; ok is false if there is none.
+// operation returns the write or deletion of a key; ok is false if there is none.
 func (t *Transaction) operation(key string) (op store.Op, ok bool) {
 	if t.deletes[key] {
 		return store.Op{Drop: key}, true
--- a/internal/storesync/barrier.go
+++ b/internal/storesync/barrier.go
@@ -9,15 +9,15 @@
 	"violetturn/internal/timing"
 )
 
-// readBarriers is the read of changes that is under way and the next one.
+// readBarriers coordinates the read of changes in progress and the next one.
 type readBarriers struct {
-	mu      sync.Mutex
-	last    time.Time    // when the last read was sent
-	next    *readBarrier // of those who asked after the read under way was sent; nil: nobody
-	reading bool
+	mu         sync.Mutex
+	lastSentAt time.Time    // when the last read was sent
+	next       *readBarrier // for callers that joined after the last read was sent; nil: there are none
+	reading    bool         // a goroutine is running reads
 }
 
-// readBarrier is one read of the changes and those who wait for it.
+// readBarrier is one read of the changes, shared by the callers that wait for it.
 type readBarrier struct {
 	done chan struct{} // closed by runReadBarrier
 	err  error         // set before done is closed
@@ -35,23 +35,23 @@
 	return b.next, run
 }
 
-// sinceLast returns how long ago the last read was sent.
-func (b *readBarriers) sinceLast(now time.Time) time.Duration {
+// sinceLastRead returns the time since the last read was sent.
+func (b *readBarriers) sinceLastRead(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Sub(b.last)
+	return now.Sub(b.lastSentAt)
 }
 
-// begin notes that a read is sent: who asks from now on waits for the next.
+// begin records that a read is being sent: callers that join from now on wait for the next one.
 func (b *readBarriers) begin(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next = nil
-	b.last = now
+	b.lastSentAt = now
 }
 
-// finish ends the read under way and returns the next one, which has to be run; nil if nobody
-// waits.
+// finish ends the current read and returns the next one, which the caller has to run; nil if no
+// caller waits for it.
 func (b *readBarriers) finish() *readBarrier {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,9 +59,9 @@
 	return b.next
 }
 
-// AwaitReadBarrier returns once the cache is at least as new as the call. One read serves all
-// that asked before it was sent; the first of them does it. It returns store.ErrRefused at
-// once while the state service is known not to answer.
+// AwaitReadBarrier returns once the cache contains all changes made before the call. One read
+// serves all callers that joined before it was sent. A caller runs the read itself if none is in
+// progress. It returns store.ErrRefused at once while the state service is unreachable.
 func (s *Sync) AwaitReadBarrier(ctx context.Context) error {
 	if !s.StoreReachable() {
 		return store.ErrRefused
@@ -78,13 +78,13 @@
 	}
 }
 
-// runReadBarrier reads the changes for those waiting and sees to it that others who came
-// meanwhile are read for next, in a goroutine that ends with the request's timeout.
+// runReadBarrier reads the changes for the waiting callers. For callers that joined meanwhile it
+// starts the next read in a goroutine bounded by the timeout of a user request.
 //
-// Reads are a little apart, so that the polls of hundreds of users take a fixed part of the
-// request budget; a lone question is not held up.
+// Reads are sent at least ReadInterval apart, so that the queries of hundreds of polling users use a
+// bounded part of the request rate. A single query is not delayed.
 func (s *Sync) runReadBarrier(ctx context.Context, barrier *readBarrier) {
-	wait := s.node.Settings.ReadInterval() - s.barriers.sinceLast(s.node.Now())
+	wait := s.node.Settings.ReadInterval() - s.barriers.sinceLastRead(s.node.Now())
 	if wait > 0 && !s.node.SteppedClock {
 		timing.Sleep(ctx, wait)
 	}
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -8,16 +8,17 @@
 	"violetturn/internal/store"
 )
 
-// Commit sends a transaction and takes its outcome into the cache. purpose names it in the
-// log's counts. done is false if it surely did not commit, and also if that is not known:
-// then err is store.ErrUnknown. conflicts are the keys whose versions differed.
+// Commit sends a transaction and applies its outcome to the cache. purpose is the name under which
+// the log summary counts it. committed is false if the transaction did not commit, and also if its
+// outcome is unknown, in which case err is store.ErrUnknown. conflicts are the keys whose versions
+// differed.
 func (s *Sync) Commit(
-	ctx context.Context, purpose string, txn *statecache.Transaction, p store.Priority,
-) (done bool, conflicts []string, err error) {
+	ctx context.Context, purpose string, txn *statecache.Transaction, priority store.Priority,
+) (committed bool, conflicts []string, err error) {
 	request := txn.Request()
-	result, err := s.services.Store.Commit(ctx, request, p)
+	result, err := s.services.Store.Commit(ctx, request, priority)
 	if err == nil && result.Committed {
-		s.takeCommitted(purpose, txn, result.Revision, len(request.Ops))
+		s.applyCommitted(purpose, txn, result.Revision, len(request.Ops))
 		return true, nil, nil
 	}
 	s.countFailure(purpose, len(request.Ops), err)
@@ -25,25 +26,24 @@
 		s.node.Log.Debug("transaction conflict", "for", purpose, "keys", result.Conflicts)
 	} else {
 		s.node.Log.Debug("commit failed", "err", err)
-		if s.noteTooLarge(err, request) {
-			return false, nil, nil // put together anew, smaller
+		if s.handleTooLarge(err, request) {
+			return false, nil, nil // the caller builds a new, smaller transaction
 		}
 	}
-	// Whether it was refused, met a conflict or has an unknown outcome: what was written shows
-	// in the changes.
+	// After a refusal, a conflict or an unknown outcome, the changes show what was written.
 	_ = s.AwaitReadBarrier(ctx)
 	return false, result.Conflicts, err
 }
 
-// takeCommitted takes a committed transaction into the cache.
-func (s *Sync) takeCommitted(purpose string, txn *statecache.Transaction, revision uint64, changes int) {
+// applyCommitted applies a committed transaction to the cache.
+func (s *Sync) applyCommitted(purpose string, txn *statecache.Transaction, revision uint64, changes int) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	state.Stats.CountCommitted(purpose, changes)
 	state.Cache.ApplyCommitted(txn, revision)
 }
 
-// countFailure counts a transaction that did not commit, or whose outcome is unknown.
+// countFailure counts a transaction that did not commit or whose outcome is unknown.
 func (s *Sync) countFailure(purpose string, changes int, err error) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
@@ -54,19 +54,19 @@
 	state.Stats.CountConflict(purpose, changes)
 }
 
-// noteTooLarge notes that the state service refused a transaction for its size or count of
-// changes: its limits have come down, further than was announced if the transaction was made
-// within those. Nothing is made as large again. It reports whether err is such a refusal, so
-// that a smaller form is left to try.
-func (s *Sync) noteTooLarge(err error, request *store.Txn) bool {
+// handleTooLarge handles a refusal of a transaction for its size or number of changes. It means
+// that the limits of the state service were lowered, and below the announced ones if the transaction
+// was within those. Later transactions are made smaller. It reports whether err is such a refusal,
+// so that a smaller transaction may succeed.
+func (s *Sync) handleTooLarge(err error, request *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
 	}
 	state := s.guard.Lock()
 	lowered := state.Schema.LowerLimits()
 	if !lowered {
-		// It was made within what was announced: fewer changes are tried, and the jobs in it
-		// are split.
+		// The transaction was within the announced limits: reduce the maximum number of changes,
+		// and split the records of the jobs in it.
 		state.Schema.AcceptFewer(len(request.Ops))
 		for _, op := range request.Ops {
 			if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
--- a/internal/storesync/reachability.go
+++ b/internal/storesync/reachability.go
@@ -1,6 +1,6 @@
 package storesync
 
-// NoteStoreAnswer notes whether the state service served a request.
+// NoteStoreAnswer records whether the state service served a request.
 func (s *Sync) NoteStoreAnswer(served bool) {
 	state := s.guard.Lock()
 	changed := state.Reachability.NoteStoreAnswer(served, s.node.Now())
@@ -10,7 +10,7 @@
 	}
 }
 
-// StoreReachable reports whether the state service served our last request.
+// StoreReachable reports whether the state service served this controller's last request.
 func (s *Sync) StoreReachable() bool {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -14,8 +14,8 @@
 	"violetturn/internal/timing"
 )
 
-// Sync keeps the cache in step with the state service and commits transactions. Use New. Its
-// methods may be called from any goroutine.
+// Sync keeps the cache up to date with the state service and commits transactions. Create it with
+// New. Its methods may be called from any goroutine.
 type Sync struct {
 	node       *node.Info
 	guard      *state.Guard
@@ -25,22 +25,22 @@
 	barriers   readBarriers
 }
 
-// New makes a Sync. It gives wake when the cache has changed.
+// New returns a Sync that notifies wake when the cache has changed.
 func New(info *node.Info, guard *state.Guard, services *external.Services, wake notify.Signal) *Sync {
 	return &Sync{node: info, guard: guard, services: services, wake: wake, leaderless: notify.NewSignal()}
 }
 
-// LeaderlessShard returns the signal that a shard may have no leader: it is to be looked at
-// now, not with the next renewal of the lease.
+// LeaderlessShard returns the signal that a shard may have no leader, so that its acquisition is
+// checked now instead of with the next lease renewal.
 func (s *Sync) LeaderlessShard() notify.Signal { return s.leaderless }
 
-// WakeLeaseLoop gives the signal of LeaderlessShard.
+// WakeLeaseLoop notifies the LeaderlessShard signal.
 func (s *Sync) WakeLeaseLoop() { s.leaderless.Notify() }
 
-// minWritesPerSecond is what a controller counts with however small its share is.
+// minWritesPerSecond is the lower bound of WritesPerSecond, however small the controller's share is.
 const minWritesPerSecond = 2
 
-// WritesPerSecond returns this controller's share of the changes of a second.
+// WritesPerSecond returns this controller's share of the state service's changes per second.
 func (s *Sync) WritesPerSecond() int {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
@@ -48,25 +48,25 @@
 	return max(minWritesPerSecond, int(share))
 }
 
-// MayActNow reports whether this controller may commit for the shards that it leads.
+// MayActNow reports whether this controller may now commit changes for the shards that it leads.
 func (s *Sync) MayActNow() bool {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	return state.Leadership.MayAct(s.node.Now())
 }
 
-// Watch keeps the cache in step until ctx ends: the paper's state change callback. It calls
-// changed after each round of changes.
+// Watch keeps the cache up to date until ctx is done: the state change callback of the paper. It
+// calls changed after each round of changes.
 func (s *Sync) Watch(ctx context.Context, changed func(context.Context)) {
 	for ctx.Err() == nil {
 		s.watchOnce(ctx, changed)
 	}
 }
 
-// retriesPerLease is into how many parts of a controller's lease failed reads are spaced.
+// retriesPerLease is how often a failed read is retried during the TTL of a controller's lease.
 const retriesPerLease = 8
 
-// watchOnce loads the cache if it is not loaded, or else waits for changes and applies them.
+// watchOnce loads the cache if it is not loaded, and otherwise waits for changes and applies them.
 func (s *Sync) watchOnce(ctx context.Context, changed func(context.Context)) {
 	retry := s.node.Settings.ControllerLeaseTTL() / retriesPerLease
 	loaded, since := s.progress()
@@ -85,32 +85,33 @@
 	timing.Sleep(ctx, s.node.Settings.DecisionInterval())
 }
 
-// progress returns whether the cache is loaded and up to which revision it has all changes.
+// progress returns whether the cache is loaded, and the revision up to which it has all changes.
 func (s *Sync) progress() (loaded bool, revision uint64) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	return state.Cache.Loaded, state.Cache.Revision
 }
 
-// Load reads all live records.
+// Load reads all live records into the cache.
 func (s *Sync) Load(ctx context.Context) error {
-	sent := s.node.Now()
+	requestedAt := s.node.Now()
 	items, revision, err := s.services.Store.List(ctx, statecache.LivePrefix)
 	if err != nil {
 		return err
 	}
 	state := s.guard.Lock()
-	state.Cache.Reload(items, revision, sent)
+	state.Cache.Reload(items, revision, requestedAt)
 	s.guard.Unlock()
 	s.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	s.wake.Notify()
-	s.WakeLeaseLoop() // after a restart ours wait to be acquired, and workers' leases run
+	s.WakeLeaseLoop() // after a restart, this controller's shards must be acquired before the workers' leases expire
 	return nil
 }
 
-// ApplyChanges takes in the changes after a revision; it waits up to block for some.
+// ApplyChanges reads the changes after a revision and applies them to the cache. If there are none,
+// it waits for some, up to block.
 func (s *Sync) ApplyChanges(ctx context.Context, since uint64, block time.Duration) error {
-	sent := s.node.Now()
+	requestedAt := s.node.Now()
 	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		state := s.guard.Lock()
@@ -122,7 +123,7 @@
 		return err
 	}
 	state := s.guard.Lock()
-	state.Cache.ApplyChanges(changes, revision, sent)
+	state.Cache.ApplyChanges(changes, revision, requestedAt)
 	leaderless := s.hasLeaderlessShard(state)
 	s.guard.Unlock()
 	if len(changes) > 0 {
@@ -144,8 +145,8 @@
 	return false
 }
 
-// ReadNewest brings the cache up to now for a decision, which need not share its read with
-// users. It returns store.ErrRefused if the cache is not loaded.
+// ReadNewest applies all changes up to now before a decision. Unlike AwaitReadBarrier it does not
+// share its read with other callers. It returns store.ErrRefused if the cache is not loaded.
 func (s *Sync) ReadNewest(ctx context.Context) error {
 	loaded, since := s.progress()
 	if !loaded {
