--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -67,8 +67,8 @@
 // controller of the previous version has to derive their names, or the lower limits are in force.
 func (s *State) usesLowestLimits() bool { return s.Upgraded() || s.limitsLowered }
 
-// LowerLimits records that the state service refused a transaction that was too large, so that its
-// announced lower limits are taken to be in force. It reports whether this changed anything.
+// LowerLimits records that the announced lower limits of the state service are in force, because it
+// refused a transaction as too large. It reports whether they were not yet recorded as in force.
 func (s *State) LowerLimits() bool {
 	if s.limitsLowered {
 		return false
--- a/internal/schema/pages.go
+++ b/internal/schema/pages.go
@@ -7,7 +7,7 @@
 	"violetturn/internal/statecache"
 )
 
-// Machine names are grouped into pages by prefix (see statecache.PageID).
+// Limits that determine how long the name prefix of a machine page is (see statecache.PageID).
 const (
 	maxMachineBytes    = 160 // maximum size of one machine in a page
 	coarsePageMachines = 100 // pages are coarse if a value can hold at least this many machines
@@ -79,8 +79,8 @@
 }
 
 // DeleteObsoletePage adds the deletion of one obsolete page to an empty transaction, and reports
-// whether there was one. Obsolete are a coarse page that finer pages supersede for all of its
-// machines, and an empty page that has no coarser page.
+// whether there was one. A page is obsolete if finer pages supersede it for all of its machines, or
+// if it is empty and has no coarser page.
 func (s *State) DeleteObsoletePage(txn *statecache.Transaction) bool {
 	for id, page := range s.cache.Pages {
 		obsolete := s.isSuperseded(id, *page.Record)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -102,8 +102,8 @@
 // JobEnded implements statecache.Observer. It caches the final state of the job for users' queries.
 func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
 
-// TasksChanged implements statecache.Observer. It requests a heartbeat from the machine's worker,
-// whose response contains the new commands.
+// TasksChanged implements statecache.Observer. It requests an early heartbeat from the machine's
+// worker, whose response contains the new commands.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
 
 // DropFinishedJobs removes the in-memory state of finished jobs.
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -34,7 +34,7 @@
 // checked now instead of with the next lease renewal.
 func (s *Sync) LeaderlessShard() notify.Signal { return s.leaderless }
 
-// WakeLeaseLoop notifies the LeaderlessShard signal.
+// WakeLeaseLoop notifies the signal that LeaderlessShard returns.
 func (s *Sync) WakeLeaseLoop() { s.leaderless.Notify() }
 
 // minWritesPerSecond is the lower bound of WritesPerSecond, however small the controller's share is.
@@ -104,7 +104,7 @@
 	s.guard.Unlock()
 	s.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	s.wake.Notify()
-	s.WakeLeaseLoop() // after a restart, this controller's shards must be acquired before the workers' leases expire
+	s.WakeLeaseLoop() // after a restart, its shards must be acquired before the workers' leases expire
 	return nil
 }
 
