--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -29,9 +29,9 @@
 	return &Sender{node: info, guard: guard, services: services}
 }
 
-// Probe asks workers whether they hear this node, each in a goroutine of its own that
+// ProbeWorkers asks workers whether they hear this node, each in a goroutine of its own that
 // ends with the answer or the client's deadline.
-func (s *Sender) Probe(ctx context.Context, addresses []string) {
+func (s *Sender) ProbeWorkers(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
 		s.node.RunAsync(func() { s.probeOne(ctx, addr) })
 	}
@@ -47,9 +47,9 @@
 	state.Leadership.Contact().NoteHeard(s.node.Now())
 }
 
-// Send sends prepared commands, each in a goroutine of its own that ends with the
+// SendAll sends prepared commands, each in a goroutine of its own that ends with the
 // answer or the client's deadline.
-func (s *Sender) Send(ctx context.Context, commands []*agent.DirectCommand) {
+func (s *Sender) SendAll(ctx context.Context, commands []*agent.DirectCommand) {
 	for _, command := range commands {
 		s.node.RunAsync(func() { s.sendOne(ctx, command) })
 	}
@@ -90,5 +90,5 @@
 	state := s.guard.Lock()
 	commands := state.DirectCommands.DueHeartbeatRequests(s.node.Now())
 	s.guard.Unlock()
-	s.Send(ctx, commands)
+	s.SendAll(ctx, commands)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -178,8 +178,8 @@
 	return []func(context.Context){
 		c.election.LeaseLoop,
 		c.watchLoop,
-		c.decisions.DecideLoop,
-		c.decisions.GangLoop,
+		c.decisions.Run,
+		c.decisions.RunGangPlacement,
 		c.scaling.AutoscaleLoop,
 		c.members.PeerLoop,
 		c.summaryLoop,
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -47,7 +47,7 @@
 	ends := s.Agents.EndedTasks(now)
 	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRanges) {
 		j := s.Cache.Jobs[id.UID]
-		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.EndsAreDue(id, ends[id], now) {
+		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.ShouldCommitEnds(id, ends[id], now) {
 			continue
 		}
 		if e.IsFull(endsCost(j), 0) {
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -29,7 +29,7 @@
 	if step.sharersChanged {
 		k.services.Store.SetControllers(step.sharers)
 	}
-	k.commands.Probe(ctx, step.probes)
+	k.commands.ProbeWorkers(ctx, step.probes)
 	if step.registration != nil {
 		_, _, err := k.sync.Commit(ctx, commitNode, step.registration, store.PriorityLease)
 		if errors.Is(err, store.ErrNoLease) {
@@ -106,7 +106,7 @@
 		fences = state.DirectCommands.FenceShard(shard)
 	}
 	k.guard.Unlock()
-	k.commands.Send(ctx, fences)
+	k.commands.SendAll(ctx, fences)
 }
 
 // prepareAcquisition puts together the transaction that acquires a shard.
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -13,7 +13,7 @@
 	state := l.guard.Lock()
 	decided := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.Send(ctx, decided.Fences)
+	l.commands.SendAll(ctx, decided.Fences)
 	if len(decided.Return) == 0 {
 		return
 	}
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -14,11 +14,11 @@
 // released at once.
 const quotaPressure = 3. / 4
 
-// EndsAreDue reports whether the ends of tasks of a task range are to be committed now. The end
+// ShouldCommitEnds reports whether the ends of tasks of a task range are to be committed now. The end
 // of a task that completed while others of its task range run on can wait for theirs, unless its
 // machine is to be returned or its team is near its limit. The end of a task that has to run
 // again can't wait, nor can the last one of a task range.
-func (s *Scheduler) EndsAreDue(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
+func (s *Scheduler) ShouldCommitEnds(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
 	job := s.cache.Jobs[id.UID]
 	taskRange := job.Ranges[id.Index].Record
 	if taskRange == nil {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -14,9 +14,9 @@
 // the shards' that it is on. As many are left to gangs while there are any.
 const GangClaimChanges = 3
 
-// WritesReservedForGangs returns how many changes other decisions leave for gangs: some if a
+// ChangesReservedForGangs returns how many changes other decisions leave for gangs: some if a
 // gang came lately.
-func (s *Scheduler) WritesReservedForGangs(now time.Time) float64 {
+func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
 	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -11,10 +11,10 @@
 
 // PlacementResult is a transaction that commits placements.
 type PlacementResult struct {
-	Transaction *statecache.Transaction  // nil: there is nothing to commit now
-	Remaining   []capacity.Placement     // those that it has no space for
-	Placed      []PlacementLog           // to be logged once it is committed
-	StopAlone   []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
+	Transaction    *statecache.Transaction  // nil: there is nothing to commit now
+	Remaining      []capacity.Placement     // those that it has no space for
+	Placed         []PlacementLog           // to be logged once it is committed
+	StopSeparately []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
 }
 
 // placementOutcome is what became of a placement that was to be added to a transaction.
@@ -78,7 +78,7 @@
 	for i := range todo {
 		outcome := t.add(&todo[i])
 		if outcome == placementTooLarge {
-			result.StopAlone = append(result.StopAlone, todo[i].Victims...)
+			result.StopSeparately = append(result.StopSeparately, todo[i].Victims...)
 		}
 		if outcome == transactionFull {
 			result.Remaining = append(result.Remaining, todo[i:]...)
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(t.placed) == 0 {
-		return PlacementResult{StopAlone: result.StopAlone}
+		return PlacementResult{StopSeparately: result.StopSeparately}
 	}
 	transaction := t.editor.Transaction()
 	if t.editor.Outgrown {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -82,7 +82,7 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Wake: wake,
+		FreeCapacity: s.Room, Estimates: estimates, Zones: s.Zones, Accounts: s.Capacity, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
@@ -100,7 +100,7 @@
 func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
 // JobEnded implements statecache.Observer. It caches the final state of the job for users' queries.
-func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
+func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
 
 // TasksChanged implements statecache.Observer. It requests an early heartbeat from the machine's
 // worker, whose response contains the new commands.
