--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -80,7 +80,7 @@
 			a.State = Responsive
 		}
 	}
-	a.UnheardAnswers = 0
+	a.UnacknowledgedAnswers = 0
 	if a.Heartbeat == nil || h.Newer(a.Heartbeat.AgentEpoch, a.Heartbeat.Sequence) {
 		a.Heartbeat = h
 	}
@@ -94,28 +94,28 @@
 	a.RaiseToken(now)
 }
 
-// MaxUnheardAnswers is the number of answers in a row that a worker may fail to receive before it
+// MaxUnacknowledgedAnswers is the number of answers in a row that a worker may fail to receive before it
 // is assumed to receive none. Single answers are lost now and then.
-const MaxUnheardAnswers = 3
+const MaxUnacknowledgedAnswers = 3
 
-// MayIntroduceTerm reports whether to answer a worker that has not shown the current term yet, so
+// MayAnswerOlderTerm reports whether to answer a worker that has not shown the current term yet, so
 // that the worker receives the term. It also counts the answer. A worker that keeps showing an
 // older term after several answers receives none of them: the answers do not renew its lease, and
 // counting them as renewals would delay the recovery of its tasks forever. leaseBound is the
 // bound of IsLeaseExpired, interval the time between heartbeats.
-func (a *Agent) MayIntroduceTerm(now time.Time, leaseBound, interval time.Duration) bool {
-	if a.UnheardAnswers >= MaxUnheardAnswers {
+func (a *Agent) MayAnswerOlderTerm(now time.Time, leaseBound, interval time.Duration) bool {
+	if a.UnacknowledgedAnswers >= MaxUnacknowledgedAnswers {
 		if a.IsLeaseExpired(now, leaseBound) {
-			a.UnheardAnswers = 0 // nothing runs on the machine any more, so the worker may be answered again
+			a.UnacknowledgedAnswers = 0 // nothing runs on the machine any more, so the worker may be answered again
 		}
 		return false
 	}
 	// A worker sends one heartbeat per interval, but many delayed copies of old heartbeats may reach
 	// a new leader at once. If each copy counted as an answer that the worker did not receive, a
 	// running worker would be refused.
-	if now.Sub(a.UnheardAt) >= interval/2 {
-		a.UnheardAnswers++
-		a.UnheardAt = now
+	if now.Sub(a.UnacknowledgedCountedAt) >= interval/2 {
+		a.UnacknowledgedAnswers++
+		a.UnacknowledgedCountedAt = now
 	}
 	return true
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -158,29 +158,29 @@
 
 // A worker that does not show the current term is answered for a few heartbeat intervals; copies
 // within an interval count once. After that it is not answered until its lease has expired.
-func TestMayIntroduceTerm_StopsWithoutAcknowledgement(t *testing.T) {
+func TestMayAnswerOlderTerm_StopsWithoutAcknowledgement(t *testing.T) {
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
-	for round := range MaxUnheardAnswers {
+	for round := range MaxUnacknowledgedAnswers {
 		now := start.Add(time.Duration(round) * interval)
 		for range 5 { // a heartbeat and its copies; only the first one is answered in the last round
-			if a.UnheardAnswers < MaxUnheardAnswers && !a.MayIntroduceTerm(now, bound, interval) {
+			if a.UnacknowledgedAnswers < MaxUnacknowledgedAnswers && !a.MayAnswerOlderTerm(now, bound, interval) {
 				t.Fatalf("the worker is not answered in round %d", round)
 			}
 		}
-		if a.UnheardAnswers != round+1 {
-			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnheardAnswers, round+1)
+		if a.UnacknowledgedAnswers != round+1 {
+			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnacknowledgedAnswers, round+1)
 		}
 	}
-	if a.MayIntroduceTerm(start.Add(bound), bound, interval) || a.UnheardAnswers != MaxUnheardAnswers {
+	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedAnswers != MaxUnacknowledgedAnswers {
 		t.Errorf("within its lease the worker is answered once more or the count changed: %d answers counted, want %d",
-			a.UnheardAnswers, MaxUnheardAnswers)
+			a.UnacknowledgedAnswers, MaxUnacknowledgedAnswers)
 	}
-	if a.MayIntroduceTerm(start.Add(bound+1), bound, interval) || a.UnheardAnswers != 0 {
-		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnheardAnswers)
+	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedAnswers != 0 {
+		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnacknowledgedAnswers)
 	}
-	if !a.MayIntroduceTerm(start.Add(bound+2), bound, interval) {
+	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
 		t.Error("the worker is not answered after its lease has expired")
 	}
 }
--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -31,8 +31,8 @@
 	return &CloudListing{registry: registry, unregisteredSince: map[string]time.Time{}}
 }
 
-// Has reports whether a machine is on the list and not listed as failed.
-func (c *CloudListing) Has(host string) bool { return c.listed[host] }
+// HasOperational reports whether a machine is on the list and not listed as failed.
+func (c *CloudListing) HasOperational(host string) bool { return c.listed[host] }
 
 // IsStarting reports whether the list shows a machine as starting.
 func (c *CloudListing) IsStarting(host string) bool { return c.starting[host] }
@@ -64,11 +64,11 @@
 	return now.Sub(c.unregisteredSince[host])
 }
 
-// Note stores the cloud's list, whose first page was read at readStartedAt, and compares it with
+// Update stores the cloud's list, whose first page was read at readStartedAt, and compares it with
 // the machine records. The list lags by up to lag and may be older than the previous one, so a
 // difference is only a hint: a request to return the machine gets the definite answer from the
 // cloud.
-func (c *CloudListing) Note(hosts []cloud.Host, readStartedAt time.Time, lag time.Duration) {
+func (c *CloudListing) Update(hosts []cloud.Host, readStartedAt time.Time, lag time.Duration) {
 	now, mismatchDelay := c.registry.node.Now(), mismatchDelayLags*lag
 	c.replace(hosts)
 	for _, host := range hosts {
@@ -93,7 +93,7 @@
 // may have been returned and still be listed.
 func (c *CloudListing) addUnregistered(host cloud.Host, now time.Time, mismatchDelay time.Duration) {
 	if c.unregisteredDuration(host.UID, now) > mismatchDelay && host.Phase != cloud.MachineFailed {
-		c.registry.unregistered.Note(host.UID, shard.Machine{
+		c.registry.unregistered.Add(host.UID, shard.Machine{
 			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
 		})
 	}
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -54,8 +54,8 @@
 	LastSeen      time.Time       // when a heartbeat was last accepted
 	LastCommandAt time.Time       // when a direct command was last sent
 
-	UnheardAnswers int       // heartbeat intervals in a row with an answer to a heartbeat that still showed an older term
-	UnheardAt      time.Time // when UnheardAnswers was last incremented
+	UnacknowledgedAnswers   int       // heartbeat intervals in a row with an answer to a heartbeat that still showed an older term
+	UnacknowledgedCountedAt time.Time // when UnacknowledgedAnswers was last incremented
 
 	fencedAt time.Time // when the worker first showed this term
 }
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -53,11 +53,11 @@
 // called without the lock.
 func (c *DirectCommand) Release() { <-c.slots }
 
-// Fence prepares the command that sends this leader's fencing token to a worker directly. From
+// PrepareFence prepares the command that sends this leader's fencing token to a worker directly. From
 // then on the worker drops the answers of earlier leaders. The worker's answer lists the tasks
 // that run there. Fence returns nil if the worker has shown this term, was sent a command within
 // the last heartbeat interval, or no slot is free.
-func (d *DirectCommands) Fence(host string) *DirectCommand {
+func (d *DirectCommands) PrepareFence(host string) *DirectCommand {
 	agent := d.registry.agents[host]
 	if agent == nil || agent.Fenced() {
 		return nil
@@ -68,14 +68,14 @@
 	return d.prepare(host, d.fenceSlots, api.CommandBatch{AgentEpoch: initialAgentEpoch, Commands: []api.Command{}})
 }
 
-// FenceShard prepares the fences of a shard's workers, as many as there are free slots.
-func (d *DirectCommands) FenceShard(shard string) []*DirectCommand {
+// PrepareShardFences prepares the fences of a shard's workers, as many as there are free slots.
+func (d *DirectCommands) PrepareShardFences(shard string) []*DirectCommand {
 	var fences []*DirectCommand
 	for host, machine := range d.registry.cache.Machines {
 		if machine.Shard != shard {
 			continue
 		}
-		if fence := d.Fence(host); fence != nil {
+		if fence := d.PrepareFence(host); fence != nil {
 			fences = append(fences, fence)
 		}
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -12,15 +12,15 @@
 // specifies.
 const HeartbeatTimeout = 4 * time.Second
 
-// MayIntroduceTerm reports whether to answer a worker that has not shown this term yet, and
+// MayAnswerOlderTerm reports whether to answer a worker that has not shown this term yet, and
 // counts the answer.
-func (r *Registry) MayIntroduceTerm(agent *Agent, now time.Time) bool {
-	return agent.MayIntroduceTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
+func (r *Registry) MayAnswerOlderTerm(agent *Agent, now time.Time) bool {
+	return agent.MayAnswerOlderTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
-// AcceptAnswer processes the heartbeat in a worker's answer to direct commands that were sent
+// AcceptCommandAnswer processes the heartbeat in a worker's answer to direct commands that were sent
 // under a term.
-func (r *Registry) AcceptAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
+func (r *Registry) AcceptCommandAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
 	if agent := r.agents[host]; agent != nil && agent.Term == term && heartbeat.Host == host {
 		r.AcceptHeartbeat(host, agent, heartbeat)
 	}
@@ -34,7 +34,7 @@
 	if !agent.Accept(heartbeat, now) {
 		return false
 	}
-	r.leadership.Contact().NoteHeard(now)
+	r.leadership.Contact().RecordContact(now)
 	agent.LastSeen = now
 	if agent.Unresponsive() && !wasUnresponsive {
 		r.node.Log.Info("worker unresponsive", logkey.Host(host),
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -2,9 +2,9 @@
 
 import "violetturn/internal/statecache"
 
-// InterruptionIsDue reports whether the cloud reclaims the machine so soon that a task of the job
+// IsInterruptionDue reports whether the cloud reclaims the machine so soon that a task of the job
 // must stop now. Until then the task continues to run, since it may complete.
-func (r *Registry) InterruptionIsDue(agent *Agent, j *statecache.Job) bool {
+func (r *Registry) IsInterruptionDue(agent *Agent, j *statecache.Job) bool {
 	if agent.Heartbeat == nil || agent.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
@@ -15,12 +15,12 @@
 	return *agent.Heartbeat.SpotNoticeS <= neededS
 }
 
-// GangInterruptionIsDue reports whether the cloud reclaims a machine with a task of a gang so
+// IsGangInterruptionDue reports whether the cloud reclaims a machine with a task of a gang so
 // soon that all tasks of the gang must save now.
-func (r *Registry) GangInterruptionIsDue(j *statecache.Job) bool {
+func (r *Registry) IsGangInterruptionDue(j *statecache.Job) bool {
 	for _, taskRange := range j.Ranges {
 		for _, placement := range taskRange.Record.Placements {
-			if agent := r.agents[placement.Host]; agent != nil && r.InterruptionIsDue(agent, j) {
+			if agent := r.agents[placement.Host]; agent != nil && r.IsInterruptionDue(agent, j) {
 				return true
 			}
 		}
--- a/internal/agent/machine_state.go
+++ b/internal/agent/machine_state.go
@@ -13,7 +13,7 @@
 const (
 	MachineIgnored MachineState = iota // the machine is booting, terminated, or cordoned and silent
 	MachineUnclear                     // no heartbeat has been received under this leader, and too little time has passed to tell
-	MachineUp                          // the machine sends heartbeats, and its worker carries out commands
+	MachineHealthy                     // the machine sends heartbeats, and its worker carries out commands
 	MachineLost                        // the machine should send heartbeats and carry out commands, but does not
 )
 
@@ -24,7 +24,7 @@
 		return "ignored"
 	case MachineUnclear:
 		return "unclear"
-	case MachineUp:
+	case MachineHealthy:
 		return "up"
 	case MachineLost:
 		return "lost"
@@ -43,7 +43,7 @@
 	case agent.Unresponsive(), agent.Fenced() && silent:
 		return MachineLost
 	case agent.Fenced():
-		return MachineUp
+		return MachineHealthy
 	case r.mayBeBooting(host, machine, now):
 		return MachineIgnored
 	case now.Sub(agent.CreatedAt) <= silenceLimit:
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -59,7 +59,7 @@
 	f.record.InlineRange = (*job.TaskRange)(nil).Copy()
 	f.record.InlineRange.Place(0, testHost, 0)
 	f.applyRecord(statecache.JobKey(testUID), f.record)
-	if !f.BeginLeadership(AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}) {
+	if !f.BeginLeadership(AcquiredShard{Shard: "n0", Term: testTerm, PredecessorsStopped: true}) {
 		t.Fatal("BeginLeadership returned false, want true")
 	}
 	return f
@@ -88,9 +88,9 @@
 		wantBegun    bool
 		wantAnswered time.Time
 	}{
-		{"predecessors stopped", AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}, true, f.now},
+		{"predecessors stopped", AcquiredShard{Shard: "n0", Term: testTerm, PredecessorsStopped: true}, true, f.now},
 		{"predecessor may answer", AcquiredShard{Shard: "n0", Term: testTerm}, true, f.now.Add(grace)},
-		{"superseded", AcquiredShard{Shard: "n0", Term: testTerm - 1, Clean: true}, false, time.Time{}},
+		{"superseded", AcquiredShard{Shard: "n0", Term: testTerm - 1, PredecessorsStopped: true}, false, time.Time{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
@@ -108,29 +108,29 @@
 
 // A worker is sent a fence until it has shown the term, at most once per heartbeat interval and
 // only if a slot is free.
-func TestFence_OncePerIntervalUntilTermIsShown(t *testing.T) {
+func TestPrepareFence_OncePerIntervalUntilTermIsShown(t *testing.T) {
 	f := newRegistryFixture(t)
-	fence := f.commands.Fence(testHost)
+	fence := f.commands.PrepareFence(testHost)
 	if fence == nil || fence.Addr != "worker:1" || fence.Batch.Token != shard.FencingToken(testTerm, 0) {
 		t.Fatalf("fence %+v, want one to worker:1 with the first token of the term", fence)
 	}
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("a second fence was prepared within a heartbeat interval")
 	}
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	for range minSlots - 1 {
 		f.commands.fenceSlots <- struct{}{}
 	}
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("a fence was prepared without a free slot")
 	}
 	fence.Release()
-	if f.commands.Fence(testHost) == nil {
+	if f.commands.PrepareFence(testHost) == nil {
 		t.Error("no fence was prepared after a slot was released")
 	}
 	f.receiveHeartbeat()
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("a fence was prepared for a worker that has shown the term")
 	}
 }
@@ -180,21 +180,21 @@
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
 	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
-	f.Listing().Note(listed, f.now, lag)
+	f.Listing().Update(listed, f.now, lag)
 	f.now = f.now.Add(mismatchDelayLags * lag)
-	f.Listing().Note(listed, f.now, lag)
-	if f.Unregistered().Count() != 0 || !f.Listing().Has("i-000002") {
+	f.Listing().Update(listed, f.now, lag)
+	if f.Unregistered().Count() != 0 || !f.Listing().HasOperational("i-000002") {
 		t.Fatalf("%d unregistered machines, i-000002 listed %t; want 0 and true",
-			f.Unregistered().Count(), f.Listing().Has("i-000002"))
+			f.Unregistered().Count(), f.Listing().HasOperational("i-000002"))
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
-	f.Listing().Note(listed, f.now, lag)
-	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().Has(testHost) {
+	f.Listing().Update(listed, f.now, lag)
+	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().HasOperational(testHost) {
 		t.Errorf("%d unregistered machines, failed machine cordoned %t, has %t; want 1, true, false",
-			f.Unregistered().Count(), f.Agent(testHost).Cordoned, f.Listing().Has(testHost))
+			f.Unregistered().Count(), f.Agent(testHost).Cordoned, f.Listing().HasOperational(testHost))
 	}
-	f.Listing().Note(listed[1:], f.now, lag)
+	f.Listing().Update(listed[1:], f.now, lag)
 	if missing := f.Agent(testHost).MissingFromLists; missing != failedMachineMisses+1 {
 		t.Errorf("machine is missing from %d lists, want %d", missing, failedMachineMisses+1)
 	}
--- a/internal/agent/running_gangs.go
+++ b/internal/agent/running_gangs.go
@@ -14,12 +14,12 @@
 	attempts map[string]uint64 // by gang, the attempt of the task most recently reported as running
 }
 
-// Note records that a task of an attempt of a gang was reported as running.
-func (g *RunningGangs) Note(uid string, attempt uint64) { g.attempts[uid] = attempt }
+// Record records that a task of an attempt of a gang was reported as running.
+func (g *RunningGangs) Record(uid string, attempt uint64) { g.attempts[uid] = attempt }
 
-// WasSeen reports whether the task of a gang that was most recently reported as running belonged
+// WasRunning reports whether the task of a gang that was most recently reported as running belonged
 // to the attempt.
-func (g *RunningGangs) WasSeen(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
+func (g *RunningGangs) WasRunning(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
 
 // DropEnded removes the entries of gangs that no longer have a record.
 func (g *RunningGangs) DropEnded() {
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -11,8 +11,8 @@
 // task in between, at which the machine is assumed to be faulty and is cordoned.
 const failedJobsToCordon = 2
 
-// NoteTaskEnd logs the end of a task and records what it implies about the task's machine.
-func (r *Registry) NoteTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
+// HandleTaskEnd logs the end of a task and records what it implies about the task's machine.
+func (r *Registry) HandleTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
 	if !task.Cause.Known() {
 		r.node.Log.Error("unknown exit cause reported", logkey.Host(host), logkey.Cause(task.Cause.String()))
 	}
--- a/internal/agent/unregistered.go
+++ b/internal/agent/unregistered.go
@@ -21,12 +21,12 @@
 	return &UnregisteredMachines{cache: cache, wake: wake, machines: map[string]shard.Machine{}}
 }
 
-// Note adds a machine without a record, to be registered in a shard of its zone. A machine whose
+// Add adds a machine without a record, to be registered in a shard of its zone. A machine whose
 // record was removed is terminated and names are never reused, so it is ignored: a heartbeat
 // delayed by a network partition or a lagging list must not register it again as a machine that
 // counts as upcoming capacity. Callers add only machines that the cloud lists, which bounds their
 // number.
-func (u *UnregisteredMachines) Note(host string, machine shard.Machine) {
+func (u *UnregisteredMachines) Add(host string, machine shard.Machine) {
 	if u.cache.Terminated[host] {
 		return
 	}
@@ -37,8 +37,8 @@
 	u.wake.Notify()
 }
 
-// NoteRented adds a machine that was just rented, or replaces its entry.
-func (u *UnregisteredMachines) NoteRented(host string, machine shard.Machine) {
+// SetRented adds a machine that was just rented, or replaces its entry.
+func (u *UnregisteredMachines) SetRented(host string, machine shard.Machine) {
 	u.machines[host] = machine
 }
 
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -90,7 +90,7 @@
 		a.node.Log.Info("machines rented",
 			"request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "hosts", hosts)
 		for _, host := range hosts {
-			a.agents.Unregistered().NoteRented(host, shard.Machine{
+			a.agents.Unregistered().SetRented(host, shard.Machine{
 				MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: by.Shard,
 			})
 		}
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -44,7 +44,7 @@
 	}
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Leadership.Contact().NoteHeard(s.node.Now())
+	state.Leadership.Contact().RecordContact(s.node.Now())
 }
 
 // SendAll sends prepared commands, each in a goroutine of its own that ends with the response or at
@@ -79,7 +79,7 @@
 func (s *Sender) acceptAnswer(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Agents.AcceptAnswer(command.Host, command.Term, heartbeat)
+	state.Agents.AcceptCommandAnswer(command.Host, command.Term, heartbeat)
 }
 
 // RequestHeartbeats makes workers whose tasks have changed send a heartbeat at once: launches are
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -235,7 +235,7 @@
 	}
 	ctx := context.Background()
 	if !n.controller.sync.StoreReachable() {
-		n.controller.members.AskPeers(ctx)
+		n.controller.members.QueryPeers(ctx)
 	}
 	if n.state().Cache.Loaded {
 		_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -38,7 +38,7 @@
 
 	sync      *storesync.Sync
 	commands  *commands.Sender
-	election  *election.Keeper
+	election  *election.Elector
 	members   *membership.Membership
 	frontend  *frontend.Frontend
 	decisions *decisions.Loop
@@ -125,7 +125,7 @@
 	c := &Controller{node: info, guard: guard, services: services}
 	c.sync = storesync.New(info, guard, services, wake)
 	c.commands = commands.NewSender(info, guard, services)
-	c.election = election.NewKeeper(info, guard, services, c.sync, c.commands)
+	c.election = election.NewElector(info, guard, services, c.sync, c.commands)
 	c.members = membership.New(info, guard, services)
 	c.frontend = frontend.New(frontend.Deps{
 		Node: info, Guard: guard, Services: services, Sync: c.sync, Members: c.members, Wake: wake, GangAccepted: gangAccepted,
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -137,7 +137,7 @@
 // hearMachines has every machine have sent a heartbeat just now.
 func (s *largeShard) hearMachines() {
 	for h := range s.testState().Cache.Machines {
-		a := s.testState().Agents.Ensure(h, s.testState().Leadership.Known("n0"))
+		a := s.testState().Agents.Ensure(h, s.testState().Leadership.Lookup("n0"))
 		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: h}
 	}
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -44,7 +44,7 @@
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	for i := range 60 {
-		c.testState().Agents.Unregistered().NoteRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
+		c.testState().Agents.Unregistered().SetRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
 	before := s.world.Store.Writes
 	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -68,13 +68,13 @@
 func checkAcknowledgedUntil(t *testing.T, c *Controller) {
 	t.Helper()
 	now := c.node.Now()
-	c.testState().Leadership.NoteAcknowledgement("n1", &peer.Acknowledgement{Complete: true}, now)
+	c.testState().Leadership.RecordAcknowledgement("n1", &peer.Acknowledgement{Complete: true}, now)
 	if !c.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("one peer of two acknowledges for both")
 	}
-	c.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{Complete: true}, now.Add(-time.Second))
-	c.testState().Leadership.NoteAcknowledgement("n2", nil, now)
-	c.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{}, now)
+	c.testState().Leadership.RecordAcknowledgement("n2", &peer.Acknowledgement{Complete: true}, now.Add(-time.Second))
+	c.testState().Leadership.RecordAcknowledgement("n2", nil, now)
+	c.testState().Leadership.RecordAcknowledgement("n2", &peer.Acknowledgement{}, now)
 	if got := c.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("acknowledged until %v, not the oldest response's %v", got, now.Add(-time.Second))
 	}
--- a/internal/decisions/archive.go
+++ b/internal/decisions/archive.go
@@ -40,7 +40,7 @@
 		if !ready {
 			continue
 		}
-		s.Leadership.Require(editor.Txn, j.Record.Shard)
+		s.Leadership.RequireLeadership(editor.Txn, j.Record.Shard)
 		// No task can be placed in the meantime: that would require the job not to be cancelled.
 		if deleteRanges(editor, j) && !editor.IsFull(archiveWrites, 0) {
 			editor.Archive(j, finalState)
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		edits.add(host, page)
-		s.Leadership.Require(edits.transaction, m.Shard)
+		s.Leadership.RequireLeadership(edits.transaction, m.Shard)
 		edits.transaction.Require(statecache.CapacityKey(m.Shard), s.Cache.Capacities[m.Shard].Version)
 		delete(page, host)
 		plan.hosts = append(plan.hosts, host)
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -44,7 +44,7 @@
 func planTaskEnds(s *state.State, now time.Time) taskEndsPlan {
 	var plan taskEndsPlan
 	editor := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(editor.Txn)
+	s.Leadership.RequireLeaderships(editor.Txn)
 	ends := s.Agents.EndedTasks(now)
 	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRangeIDs) {
 		j := s.Cache.Jobs[id.UID]
@@ -83,7 +83,7 @@
 	spec := &j.Record.Spec
 	taskRange := editor.TaskRange(j, id.Index)
 	for _, ended := range ends {
-		taskRange.EndAttempt(ended.Task.Index, ended.End.Attempt, ended.End.Done && spec.Kind == api.Array, ended.End.Failed)
+		taskRange.EndAttempt(ended.Task.Index, ended.Attempt.Attempt, ended.Attempt.Done && spec.Kind == api.Array, ended.Attempt.Failed)
 	}
 	if spec.Kind != api.Array || j.Record.Cancelled || taskRange.DoneCount() < j.Record.RangeLen(id.Index) {
 		return false
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -84,7 +84,7 @@
 		endsByJob[id.UID] = append(endsByJob[id.UID], ends...)
 	}
 	editor := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(editor.Txn)
+	s.Leadership.RequireLeaderships(editor.Txn)
 	for _, uid := range slices.Sorted(maps.Keys(s.Cache.Gangs)) {
 		j := s.Cache.Jobs[uid]
 		if s.Schema.IsBlocked(j) || j.Record.Gang == nil {
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -56,7 +56,7 @@
 		plan.transaction.Put(key, next)
 		plan.changedRecords[zone] = next
 	}
-	s.Leadership.RequireAll(plan.transaction)
+	s.Leadership.RequireLeaderships(plan.transaction)
 	return plan
 }
 
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -26,9 +26,9 @@
 // revokeTimeout limits how long a shutdown waits for the lease to be revoked.
 const revokeTimeout = time.Second
 
-// Keeper maintains this controller's lease, and acquires and releases shards. One goroutine uses
+// Elector maintains this controller's lease, and acquires and releases shards. One goroutine uses
 // it; its state is in the guarded state.
-type Keeper struct {
+type Elector struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
@@ -36,16 +36,16 @@
 	commands *commands.Sender
 }
 
-// NewKeeper creates an elector that has no lease yet.
-func NewKeeper(
+// NewElector creates an elector that has no lease yet.
+func NewElector(
 	info *node.Info, guard *state.Guard, services *external.Services, sync *storesync.Sync, commands *commands.Sender,
-) *Keeper {
-	return &Keeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
+) *Elector {
+	return &Elector{node: info, guard: guard, services: services, sync: sync, commands: commands}
 }
 
 // LeaseLoop maintains this node's lease, and with it the shards that the node leads, until ctx is
 // done.
-func (e *Keeper) LeaseLoop(ctx context.Context) {
+func (e *Elector) LeaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(e.MaintainLease(ctx))
 		select {
@@ -60,7 +60,7 @@
 
 // MaintainLease requests or renews the lease once, and then acquires and releases shards. It
 // returns how long to wait before the next call.
-func (e *Keeper) MaintainLease(ctx context.Context) time.Duration {
+func (e *Elector) MaintainLease(ctx context.Context) time.Duration {
 	ttl := e.node.Settings.ControllerLeaseTTL()
 	sentAt := e.node.Now()
 	err := e.ensureLease(ctx, ttl)
@@ -79,7 +79,7 @@
 
 // ensureLease renews the lease, or requests one if there is none. It returns store.ErrNoLease if
 // the lease was lost.
-func (e *Keeper) ensureLease(ctx context.Context, ttl time.Duration) error {
+func (e *Elector) ensureLease(ctx context.Context, ttl time.Duration) error {
 	state := e.guard.Lock()
 	leaseID := state.Leadership.LeaseID()
 	e.guard.Unlock()
@@ -94,7 +94,7 @@
 }
 
 // grantLease requests a lease. Its errors are never store.ErrNoLease.
-func (e *Keeper) grantLease(ctx context.Context, ttl time.Duration) error {
+func (e *Elector) grantLease(ctx context.Context, ttl time.Duration) error {
 	leaseID, err := e.services.Store.GrantLease(ctx, ttl)
 	if err != nil {
 		return err
@@ -108,17 +108,17 @@
 
 // handleLostLease drops all state that this node held under a lease that has ended, since others
 // may lead its shards already.
-func (e *Keeper) handleLostLease(leaseID uint64) {
+func (e *Elector) handleLostLease(leaseID uint64) {
 	e.node.Log.Info("lease lost", logkey.Lease(leaseID))
 	state := e.guard.Lock()
-	state.Leadership.LoseLease()
+	state.Leadership.DropExpiredLease()
 	state.Agents.DropAll()
 	e.guard.Unlock()
 }
 
 // extendLease records that the lease was granted or renewed by a request sent at sentAt. It
 // reports whether the replica needs to read the newest changes.
-func (e *Keeper) extendLease(sentAt time.Time, ttl time.Duration) (replicaStale bool) {
+func (e *Elector) extendLease(sentAt time.Time, ttl time.Duration) (replicaStale bool) {
 	state := e.guard.Lock()
 	defer e.guard.Unlock()
 	state.Leadership.ExtendLease(sentAt.Add(ttl - ttl/clockMarginDivisor))
@@ -127,9 +127,9 @@
 
 // RevokeLease ends the lease during an orderly shutdown, so that other controllers take over at
 // once.
-func (e *Keeper) RevokeLease() {
+func (e *Elector) RevokeLease() {
 	state := e.guard.Lock()
-	leaseID := state.Leadership.RevokeLease()
+	leaseID := state.Leadership.ClearLease()
 	e.guard.Unlock()
 	if leaseID == 0 {
 		return
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -21,7 +21,7 @@
 
 // maintainLeaderships registers this node, releases shards to their home controllers, and
 // acquires shards without a leader.
-func (e *Keeper) maintainLeaderships(ctx context.Context) {
+func (e *Elector) maintainLeaderships(ctx context.Context) {
 	plan, ok := e.planLeaderships()
 	if !ok {
 		return
@@ -55,7 +55,7 @@
 
 // planLeaderships decides under the lock what to do. ok is false while the replica is not fully
 // loaded.
-func (e *Keeper) planLeaderships() (plan leadershipPlan, ok bool) {
+func (e *Elector) planLeaderships() (plan leadershipPlan, ok bool) {
 	now := e.node.Now()
 	state := e.guard.Lock()
 	defer e.guard.Unlock()
@@ -64,7 +64,7 @@
 	}
 	state.Agents.DropLostLeaderships()
 	plan.controllerCountChanged = state.Leadership.Rates().Update(now)
-	plan.controllerCount = state.Leadership.Rates().Sharers()
+	plan.controllerCount = state.Leadership.Rates().ControllerCount()
 	releaseAll, probes := state.DirectCommands.CheckWorkerContact(now)
 	plan.probes = probes
 	plan.registration = state.Leadership.Registration()
@@ -81,7 +81,7 @@
 // AcquireShard acquires a shard: it writes the leader's key under the lease, with a term above
 // all terms that were ever issued, which is the shard's fencing token. leaderVersion is the
 // version of the leader's key on which the decision was based, or 0.
-func (e *Keeper) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
+func (e *Elector) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
 	state := e.guard.Lock()
 	if state.Cache.Leaders[shard].Version != leaderVersion {
 		// Another controller has acquired the shard since. A precondition on the newer version
@@ -105,14 +105,14 @@
 	state = e.guard.Lock()
 	var fences []*agent.DirectCommand
 	if state.Agents.BeginLeadership(prepared.acquired) {
-		fences = state.DirectCommands.FenceShard(shard)
+		fences = state.DirectCommands.PrepareShardFences(shard)
 	}
 	e.guard.Unlock()
 	e.commands.SendAll(ctx, fences)
 }
 
 // prepareAcquisition builds the transaction that acquires a shard.
-func (e *Keeper) prepareAcquisition(state *state.State, name string) acquisition {
+func (e *Elector) prepareAcquisition(state *state.State, name string) acquisition {
 	self := e.node.Settings.HostName
 	leader, hadLeader := state.Cache.Leaders[name]
 	capacity := state.Cache.Capacities[name]
@@ -134,7 +134,7 @@
 	})
 	return acquisition{
 		txn:      txn,
-		acquired: agent.AcquiredShard{Shard: name, Term: term, Clean: predecessorsStopped, HadLeader: hadLeader},
+		acquired: agent.AcquiredShard{Shard: name, Term: term, PredecessorsStopped: predecessorsStopped, HadLeader: hadLeader},
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // releaseShard releases a shard in an orderly way: the answers to its workers stop first, then
 // the release is committed.
-func (e *Keeper) releaseShard(ctx context.Context, shard string) {
+func (e *Elector) releaseShard(ctx context.Context, shard string) {
 	state := e.guard.Lock()
 	released, txn := prepareRelease(state, shard)
 	e.guard.Unlock()
@@ -179,7 +179,7 @@
 // prepareRelease stops the answers to a shard's workers and builds the transaction that releases
 // the shard. It returns nil if there is nothing to release.
 func prepareRelease(state *state.State, shard string) (*leadership.Leadership, *statecache.Transaction) {
-	leadership, capacity := state.Leadership.Known(shard), state.Cache.Capacities[shard]
+	leadership, capacity := state.Leadership.Lookup(shard), state.Cache.Capacities[shard]
 	if leadership == nil || capacity.Record == nil {
 		return nil, nil
 	}
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -49,10 +49,10 @@
 	return latest
 }
 
-// NoteAcknowledgement applies a peer's acknowledgement. It was requested at requestedAt, for the
+// RecordAcknowledgement applies a peer's acknowledgement. It was requested at requestedAt, for the
 // time after the replica's revision at that moment. An acknowledgement that is not complete is
 // ignored.
-func (t *Table) NoteAcknowledgement(node string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
+func (t *Table) RecordAcknowledgement(node string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
 	if !acknowledgement.GetComplete() || !t.cache.Loaded {
 		return
 	}
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -27,15 +27,15 @@
 	hasContact    bool      // some worker responds
 }
 
-// MinSilent is a minimum for two counts. A node counts as unreachable only after this many
+// MinSilentCount is a minimum for two counts. A node counts as unreachable only after this many
 // consecutive checks, one per renewal of its lease, without a response of a worker, so that a
 // node that was itself suspended can first receive heartbeats again. At least this many machines
 // must be silent: one or two silent machines are as likely to have failed themselves, and each
 // change of the leader restarts the wait for the end of their leases.
-const MinSilent = 3
+const MinSilentCount = 3
 
-// NoteHeard records that a worker reached this node.
-func (c *WorkerContact) NoteHeard(now time.Time) {
+// RecordContact records that a worker reached this node.
+func (c *WorkerContact) RecordContact(now time.Time) {
 	if c.unreachable {
 		c.node.Log.Info("heartbeats reach this controller again")
 	}
@@ -48,9 +48,9 @@
 // Unreachable reports whether no worker reaches this node although some are expected to.
 func (c *WorkerContact) Unreachable() bool { return c.unreachable }
 
-// HeardSince reports whether workers reach this node and one responded at the given time or
+// HasContactSince reports whether workers reach this node and one responded at the given time or
 // later.
-func (c *WorkerContact) HeardSince(since time.Time) bool {
+func (c *WorkerContact) HasContactSince(since time.Time) bool {
 	return !c.unreachable && !c.lastContactAt.Before(since)
 }
 
@@ -64,18 +64,18 @@
 		return
 	}
 	c.silentChecks++
-	if c.silentChecks < MinSilent {
+	if c.silentChecks < MinSilentCount {
 		return
 	}
 	c.hasContact = false
-	if countExpected() >= MinSilent {
+	if countExpected() >= MinSilentCount {
 		c.unreachable = true
 		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastHeard(c.lastContactAt))
 	}
 }
 
-// PeerHears reports whether the record of another running controller shows contact with workers.
-func (c *WorkerContact) PeerHears() bool {
+// PeerHasContact reports whether the record of another running controller shows contact with workers.
+func (c *WorkerContact) PeerHasContact() bool {
 	for _, controller := range c.node.Shards {
 		record := c.cache.Nodes[controller].Record
 		if controller != c.node.Settings.HostName && record != nil && record.HearsWorkers {
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -18,16 +18,16 @@
 // ExtendLease records the time until which the lease is certainly valid.
 func (t *Table) ExtendLease(until time.Time) { t.lease.validUntil = until }
 
-// RevokeLease clears the lease, which the caller then revokes in an orderly way, and returns its
+// ClearLease clears the lease, which the caller then revokes in an orderly way, and returns its
 // ID, 0 if there was none.
-func (t *Table) RevokeLease() uint64 {
+func (t *Table) ClearLease() uint64 {
 	id := t.lease.id
 	t.lease = lease{}
 	return id
 }
 
-// LoseLease clears a lease that has ended, and ends all leaderships.
-func (t *Table) LoseLease() {
+// DropExpiredLease clears a lease that has ended, and ends all leaderships.
+func (t *Table) DropExpiredLease() {
 	t.lease = lease{}
 	clear(t.byShard)
 }
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Sharers returns how many controllers share the rate limits.
-func (r *RateSharing) Sharers() int { return r.controllerCount }
+// ControllerCount returns how many controllers share the rate limits.
+func (r *RateSharing) ControllerCount() int { return r.controllerCount }
 
 // Update counts the controllers that share the rate limits and reports whether their number has
 // changed. A controller that runs alone may use the whole rate. An absent controller counts until
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -73,11 +73,11 @@
 	}{
 		{"just begun", func(*tableFixture) {}, true},
 		{"leadership of another shard", func(f *tableFixture) { f.End("n1"); f.setLeader("n2", "n0") }, false},
-		{"being released", func(f *tableFixture) { f.Known("n1").BeginRelease() }, false},
-		{"release did not commit", func(f *tableFixture) { f.Known("n1").BeginRelease(); f.Known("n1").CancelRelease() }, true},
-		{"successor reported", func(f *tableFixture) { f.Known("n1").successor = "n2" }, false},
+		{"being released", func(f *tableFixture) { f.Lookup("n1").BeginRelease() }, false},
+		{"release did not commit", func(f *tableFixture) { f.Lookup("n1").BeginRelease(); f.Lookup("n1").CancelRelease() }, true},
+		{"successor reported", func(f *tableFixture) { f.Lookup("n1").successor = "n2" }, false},
 		{"another leader's key", func(f *tableFixture) { f.setLeader("n1", "n1") }, false},
-		{"lease lost", func(f *tableFixture) { f.LoseLease() }, false},
+		{"lease lost", func(f *tableFixture) { f.DropExpiredLease() }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			f.setLeader("n1", "n0")
 			test.change(f)
 			txn := statecache.NewTransaction()
-			f.RequireAll(txn)
+			f.RequireLeaderships(txn)
 			required := slices.ContainsFunc(txn.Request().Preconditions, func(p store.Precondition) bool {
 				return p.Key == statecache.LeaderKey("n1")
 			})
@@ -107,7 +107,7 @@
 		want   bool
 	}{
 		{"within the lease", 0, func(*tableFixture) {}, true},
-		{"without a lease", 0, func(f *tableFixture) { f.LoseLease() }, false},
+		{"without a lease", 0, func(f *tableFixture) { f.DropExpiredLease() }, false},
 		{"replica not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
 		{"within the grace", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
 		{"after the grace", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
@@ -147,7 +147,7 @@
 		{"reacquires after a lost response", func(f *tableFixture) { f.setLeader("n0", "n0"); f.End("n0") }, 0, false, []string{"n0"}, nil},
 		{"reacquires if a worker has received a higher term", func(f *tableFixture) {
 			f.setLeader("n0", "n0")
-			f.Known("n0").RequestNewTerm()
+			f.Lookup("n0").RequestNewTerm()
 		}, 0, false, []string{"n0"}, nil},
 		{"releases to a running peer", func(f *tableFixture) {
 			f.setLeader("n0", "n0")
@@ -177,36 +177,36 @@
 func TestRateSharing_CountsAbsentControllersForLeaseTime(t *testing.T) {
 	f := newTableFixture(t)
 	f.registerNode("n1")
-	if f.Rates().Update(f.now) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d controllers share the rates at the start, want 3", f.Rates().Sharers())
+	if f.Rates().Update(f.now) || f.Rates().ControllerCount() != 3 {
+		t.Fatalf("%d controllers share the rates at the start, want 3", f.Rates().ControllerCount())
 	}
 	later := f.now.Add(f.node.Settings.ControllerLeaseTTL())
-	if !f.Rates().Update(later) || f.Rates().Sharers() != 2 {
-		t.Fatalf("%d controllers share the rates without n2, want 2", f.Rates().Sharers())
+	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 2 {
+		t.Fatalf("%d controllers share the rates without n2, want 2", f.Rates().ControllerCount())
 	}
 	f.registerNode("n2")
-	if !f.Rates().Update(later) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d controllers share the rates after n2 has returned, want 3", f.Rates().Sharers())
+	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 3 {
+		t.Fatalf("%d controllers share the rates after n2 has returned, want 3", f.Rates().ControllerCount())
 	}
 }
 
-// A node is unreachable after MinSilent consecutive checks without contact if at least MinSilent
+// A node is unreachable after MinSilentCount consecutive checks without contact if at least MinSilentCount
 // workers are expected to respond, until a worker responds.
 func TestCheckSilence_RequiresEnoughSilentWorkers(t *testing.T) {
-	for _, expected := range []int{MinSilent - 1, MinSilent} {
+	for _, expected := range []int{MinSilentCount - 1, MinSilentCount} {
 		f := newTableFixture(t)
-		f.Contact().NoteHeard(f.now)
+		f.Contact().RecordContact(f.now)
 		silent := f.now.Add(time.Minute)
-		for range MinSilent - 1 {
-			f.Contact().CheckSilence(silent, func() int { t.Errorf("expected workers counted before check %d", MinSilent); return 0 })
+		for range MinSilentCount - 1 {
+			f.Contact().CheckSilence(silent, func() int { t.Errorf("expected workers counted before check %d", MinSilentCount); return 0 })
 		}
 		f.Contact().CheckSilence(silent, func() int { return expected })
-		if got, want := f.Contact().Unreachable(), expected == MinSilent; got != want || f.contact.hasContact {
+		if got, want := f.Contact().Unreachable(), expected == MinSilentCount; got != want || f.contact.hasContact {
 			t.Errorf("%d silent workers: unreachable %t, has contact %t; want unreachable %t, no contact",
 				expected, got, f.contact.hasContact, want)
 		}
-		f.Contact().NoteHeard(silent)
-		if f.Contact().Unreachable() || !f.Contact().HeardSince(silent) || f.Contact().HeardSince(silent.Add(1)) {
+		f.Contact().RecordContact(silent)
+		if f.Contact().Unreachable() || !f.Contact().HasContactSince(silent) || f.Contact().HasContactSince(silent.Add(1)) {
 			t.Errorf("%d silent workers, then a response at %s: contact %+v, want reachable since then",
 				expected, silent, f.contact.contactState)
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,14 +34,14 @@
 func (m *Membership) PeerLoop(ctx context.Context) {
 	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/queryRoundsPerLease) {
 		if !m.storeReachable() {
-			m.AskPeers(ctx)
+			m.QueryPeers(ctx)
 		}
 	}
 }
 
-// AskPeers queries each peer about whether it reaches the state service, and what it has done
+// QueryPeers queries each peer about whether it reaches the state service, and what it has done
 // that this node cannot read meanwhile.
-func (m *Membership) AskPeers(ctx context.Context) {
+func (m *Membership) QueryPeers(ctx context.Context) {
 	for _, member := range m.node.Settings.Members {
 		m.queryPeer(ctx, member.HostName, member.Addr)
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	state.Reachability.Peers[name] = reply.GetStoreReached()
-	state.Leadership.NoteAcknowledgement(name, reply.GetAcknowledgement(), requestedAt)
+	state.Leadership.RecordAcknowledgement(name, reply.GetAcknowledgement(), requestedAt)
 }
 
 // ForwardingPeer returns the address of a peer that can serve users for this node while the state
@@ -89,9 +89,9 @@
 	return ""
 }
 
-// ServesForPeer reports whether this node carries out a peer's request: the request is not
+// ShouldServePeer reports whether this node carries out a peer's request: the request is not
 // answered by PeerStatus alone, and this node can serve it.
-func (m *Membership) ServesForPeer(request *peer.Request) bool {
+func (m *Membership) ShouldServePeer(request *peer.Request) bool {
 	switch request.GetKind() {
 	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
 		return false
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -87,10 +87,10 @@
 
 // compareTask compares a committed task with the report of its attempt.
 func (c *comparison) compareTask(placementKey string, placed *statecache.PlacedTask, j *statecache.Job) {
-	task := committedTask{placementKey: placementKey, placed: placed, job: j, attempt: agent.AttemptOf(placed, j)}
+	task := committedTask{placementKey: placementKey, placed: placed, job: j, attempt: agent.AttemptIDOf(placed, j)}
 	task.mustStop = j.MustStop(placed.Placement)
 	if !j.IsGang() { // gangs are stopped as a whole or not at all
-		task.mustStop = task.mustStop || c.worker.Cordoned || c.reconciler.agents.InterruptionIsDue(c.worker, j)
+		task.mustStop = task.mustStop || c.worker.Cordoned || c.reconciler.agents.IsInterruptionDue(c.worker, j)
 	}
 	c.desired[task.attempt] = true
 	if reported := c.reported[task.attempt]; reported != nil {
@@ -129,7 +129,7 @@
 	c.reconciler.node.Log.Info("task running",
 		logkey.Task(attempt.Task), logkey.Attempt(attempt.Attempt), logkey.Host(c.heartbeat.Host))
 	if task.job.IsGang() {
-		c.reconciler.agents.Gangs().Note(task.placed.UID, attempt.Attempt)
+		c.reconciler.agents.Gangs().Record(task.placed.UID, attempt.Attempt)
 	}
 }
 
@@ -160,7 +160,7 @@
 	if done && firstRun.Attempt == attempt && spec.EstimateS > 0 {
 		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimateS)
 	}
-	c.reconciler.agents.NoteTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
+	c.reconciler.agents.HandleTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
 
 // compareAbsent handles a committed task that the worker does not report.
@@ -196,7 +196,7 @@
 // it, that the worker is considered to ignore launches.
 func (c *comparison) ignoresLaunches(task committedTask) bool {
 	pending := c.worker.PendingLaunches[task.placementKey]
-	return pending.Attempt == task.attempt.Attempt && pending.Answers >= agent.MaxUnheardAnswers
+	return pending.Attempt == task.attempt.Attempt && pending.SentAnswers >= agent.MaxUnacknowledgedAnswers
 }
 
 // markUnresponsive marks the worker as unresponsive, if it is not marked yet.
@@ -206,13 +206,13 @@
 	}
 	c.worker.BecomeUnresponsive(c.now)
 	c.reconciler.node.Log.Info("worker ignores launches", logkey.Host(c.heartbeat.Host),
-		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].Answers))
+		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].SentAnswers))
 }
 
 // endAttempt records that the attempt of the placement with the key has ended.
 func (c *comparison) endAttempt(placementKey string, end agent.EndedAttempt) {
 	end.EndedAt = c.now
-	c.reconciler.agents.NoteEnd(c.heartbeat.Host, c.worker, placementKey, end)
+	c.reconciler.agents.RecordAttemptEnd(c.heartbeat.Host, c.worker, placementKey, end)
 	c.reconciler.wake.Notify()
 }
 
@@ -246,8 +246,8 @@
 			continue
 		}
 		c.free = c.free.Sub(task.resources())
-		pending.Answers++
-		pending.Blocked = 0
+		pending.SentAnswers++
+		pending.BlockedHeartbeats = 0
 		c.worker.PendingLaunches[task.placementKey] = pending
 		c.commands = append(c.commands, task.attempt.Command(api.Launch))
 	}
@@ -257,12 +257,12 @@
 // after several in a row. This happens when a peer claims the capacity of a completed task whose
 // end is not committed yet, after that capacity was assigned to another task.
 func (c *comparison) recordBlockedLaunch(task committedTask, pending agent.PendingLaunch) {
-	pending.Blocked++
+	pending.BlockedHeartbeats++
 	if c.tasksStopping {
-		pending.Blocked = 0
+		pending.BlockedHeartbeats = 0
 	}
 	c.worker.PendingLaunches[task.placementKey] = pending
-	if pending.Blocked >= agent.MaxUnheardAnswers {
+	if pending.BlockedHeartbeats >= agent.MaxUnacknowledgedAnswers {
 		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: task.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -42,7 +42,7 @@
 	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(heartbeat.Token) < leadership.Term {
-		if !r.agents.MayIntroduceTerm(worker, now) {
+		if !r.agents.MayAnswerOlderTerm(worker, now) {
 			return respond.Busy
 		}
 	} else if r.agents.AcceptHeartbeat(heartbeat.Host, worker, heartbeat) {
@@ -56,10 +56,10 @@
 // Otherwise the heartbeat may be a copy that arrives long after the machine was terminated, when
 // its record is gone.
 func (r *Reconciler) queueRegistration(heartbeat *api.Heartbeat) {
-	if !r.agents.Listing().Has(heartbeat.Host) {
+	if !r.agents.Listing().HasOperational(heartbeat.Host) {
 		return
 	}
-	r.agents.Unregistered().Note(heartbeat.Host, shard.Machine{
+	r.agents.Unregistered().Add(heartbeat.Host, shard.Machine{
 		MachineType: heartbeat.MachineType, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Addr: heartbeat.Addr,
 	})
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -179,12 +179,12 @@
 // it becomes unresponsive, and its attempts end.
 func TestWorkerThatIgnoresLaunchesBecomesUnresponsive(t *testing.T) {
 	f := newFixture(t)
-	for sequence := range uint64(agent.MaxUnheardAnswers) {
+	for sequence := range uint64(agent.MaxUnacknowledgedAnswers) {
 		if got := f.commandsForHeartbeat(sequence + 1); len(got) != 2 {
 			t.Fatalf("heartbeat %d got %d commands, want 2: %s", sequence+1, len(got), api.JSON(got))
 		}
 	}
-	got := f.commandsForHeartbeat(agent.MaxUnheardAnswers + 1)
+	got := f.commandsForHeartbeat(agent.MaxUnacknowledgedAnswers + 1)
 	worker := f.agents.Agent(host)
 	if len(got) != 0 || !worker.Unresponsive() || len(worker.EndedAttempts) != 2 {
 		t.Errorf("got commands %s, unresponsive %t, ended attempts %v; want no commands, true, 2 attempts",
@@ -209,7 +209,7 @@
 		{"unknown machine", func(_ *fixture, h *api.Heartbeat) { h.Host = "i-000002" }, busy},
 		{"copy of an earlier heartbeat", func(f *fixture, h *api.Heartbeat) { f.AnswerHeartbeat(h, f.now) }, busy},
 		{"shard lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.End("n0") }, misdirected},
-		{"lease lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.RevokeLease() }, misdirected},
+		{"lease lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.ClearLease() }, misdirected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -87,7 +87,7 @@
 		return transactionFull
 	}
 	pending.Apply()
-	t.scheduler.leadership.Require(t.editor.Txn, t.job.Record.Shard)
+	t.scheduler.leadership.RequireLeadership(t.editor.Txn, t.job.Record.Shard)
 	taskRange := t.editor.TaskRange(t.job, placement.RangeIndex)
 	record := t.editor.Record(t.job)
 	if len(t.placed) == 0 {
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -138,7 +138,7 @@
 // place adds a placement to the job's records and returns its log entry.
 func (t *placementTransaction) place(job *statecache.Job, placement *capacity.Placement) PlacementLog {
 	spec := &job.Record.Spec
-	t.scheduler.leadership.Require(t.editor.Txn, job.Record.Shard)
+	t.scheduler.leadership.RequireLeadership(t.editor.Txn, job.Record.Shard)
 	t.editor.Txn.Require(statecache.JobKey(spec.UID), job.Version)
 	taskRange := t.editor.TaskRange(job, placement.RangeIndex)
 	if spec.Together && job.Record.Zone == "" {
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -32,7 +32,7 @@
 		return true
 	}
 	if job.Record.Cancelled {
-		return now.Sub(ends[0].End.EndedAt) > s.node.Settings.WorkerLease()
+		return now.Sub(ends[0].Attempt.EndedAt) > s.node.Settings.WorkerLease()
 	}
 	for _, ended := range ends {
 		if s.mustCommitNow(ended, now) {
@@ -59,10 +59,10 @@
 // to run again, its machine is to be returned or is gone, or the end has waited for two leases.
 func (s *Scheduler) mustCommitNow(ended agent.EndedTask, now time.Time) bool {
 	worker := s.agents.Agent(ended.Task.Placement.Host)
-	if !ended.End.Done || worker == nil || worker.Cordoned || worker.Terminated {
+	if !ended.Attempt.Done || worker == nil || worker.Cordoned || worker.Terminated {
 		return true
 	}
-	return now.Sub(ended.End.EndedAt) > 2*s.node.Settings.WorkerLease()
+	return now.Sub(ended.Attempt.EndedAt) > 2*s.node.Settings.WorkerLease()
 }
 
 // isNearLimit reports whether the shards hold so much of a team's limit that its tasks may soon
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -44,7 +44,7 @@
 func (s *Sync) WritesPerSecond() int {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	share := s.node.Settings.LowestLimits().WriteRPS / float64(state.Leadership.Rates().Sharers())
+	share := s.node.Settings.LowestLimits().WriteRPS / float64(state.Leadership.Rates().ControllerCount())
 	return max(minWritesPerSecond, int(share))
 }
 
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -35,7 +35,7 @@
 		case agent.MachineIgnored:
 		case agent.MachineUnclear:
 			observation.Unclear++
-		case agent.MachineUp:
+		case agent.MachineHealthy:
 			observation.Up++
 			observed.Up[machine.Zone] = append(observed.Up[machine.Zone], host)
 		case agent.MachineLost:
@@ -45,7 +45,7 @@
 		// Until its end is committed a task is placed, and waits in no queue: room for it is
 		// kept also while a new leader has not heard of its machine yet, and when the machine
 		// is known to be lost.
-		if state != agent.MachineUp {
+		if state != agent.MachineHealthy {
 			z.addWaiting(waiting, host, machine)
 		}
 	}
@@ -62,7 +62,7 @@
 	observations := Observations{}
 	for _, zone := range z.node.Settings.Facts.Zones {
 		observations[zone] = map[string]zonehealth.Observation{}
-		for _, name := range z.leadership.KnownShards() {
+		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
 				observations[zone][name] = zonehealth.Observation{Refused: z.catalog.CloudRefuses(zone, now)}
 			}
@@ -143,7 +143,7 @@
 // hasOutsideObserver reports whether this controller can say that a zone is down, not itself cut
 // off: it hears workers now, and it or a peer at home in another zone hears some of another zone.
 func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
-	if !z.leadership.Contact().HeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
+	if !z.leadership.Contact().HasContactSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, byShard := range z.observations {
