--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -79,7 +79,7 @@
 		}
 		delete(c.unregisteredSince, host.UID)
 		if machine.Addr == "" {
-			c.registry.cache.NoteAddress(host.UID, host.Addr)
+			c.registry.cache.SetAddress(host.UID, host.Addr)
 		}
 		if leadership := c.registry.leadership.InForce(machine.Shard); leadership != nil {
 			c.updateListedAgent(host, leadership)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -207,7 +207,7 @@
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.world.Store,
 		Node:          n.name,
-		OnServed:      n.controller.sync.NoteStoreAnswer,
+		OnServed:      n.controller.sync.RecordStoreAnswer,
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,7 +97,7 @@
 		Limits:      store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
 		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
 		Controllers: settings.Facts.Size,
-		OnAnswer:    c.sync.NoteStoreAnswer,
+		OnAnswer:    c.sync.RecordStoreAnswer,
 	})
 	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
 	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -86,8 +86,8 @@
 	for i := range machines {
 		host := machineName(i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
-		id := statecache.PageID(host, statecache.CoarsestPageCut)
-		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageCut) {
+		id := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
+		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageSuffixLen) {
 			s.apply(statecache.MachinePageKey(id), page)
 			page = shard.Page{}
 		}
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -31,14 +31,14 @@
 	if v := c.testState().Leadership.Acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), cancelled) {
 		t.Errorf("what it confirmed is not told: %v", v)
 	}
-	if err := c.sync.ReadNewest(context.Background()); err != nil {
+	if err := c.sync.RefreshCache(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if v := c.testState().Leadership.Acknowledgement(c.testState().Cache.Revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
 		t.Errorf("told what the asker has read: %v", v)
 	}
 	for i := range statecache.MaxCancellations {
-		c.testState().Cache.NoteCancellation("run-9", c.testState().Cache.Revision+uint64(i)+1)
+		c.testState().Cache.RecordCancellation("run-9", c.testState().Cache.Revision+uint64(i)+1)
 	}
 	if c.testState().Leadership.Acknowledgement(before).GetComplete() {
 		t.Error("it says that it told all, and has dropped some")
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -108,14 +108,14 @@
 		t.Fatal(err)
 	}
 	c.testState().Leadership.BeginLease(leaseID)
-	for len(c.sync.LeaderlessShard()) > 0 {
-		<-c.sync.LeaderlessShard()
+	for len(c.sync.LeaderlessShardSignal()) > 0 {
+		<-c.sync.LeaderlessShardSignal()
 	}
 	old := c.testState().Cache.Leaders["n1"].Version
 	first := s.nodes[0]
 	first.controller.election.AcquireShard(context.Background(), "n0", first.state().Cache.Leaders["n0"].Version) // raises the term
 	c.election.AcquireShard(context.Background(), "n1", old)
-	if c.testState().Leadership.Lookup("n1") != nil || len(c.sync.LeaderlessShard()) != 1 {
-		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Lookup("n1") != nil, len(c.sync.LeaderlessShard()))
+	if c.testState().Leadership.Lookup("n1") != nil || len(c.sync.LeaderlessShardSignal()) != 1 {
+		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Lookup("n1") != nil, len(c.sync.LeaderlessShardSignal()))
 	}
 }
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -63,7 +63,7 @@
 // committed now, which takes at least the minimum.
 func (l *Loop) prepareCommit(ctx context.Context, writes, minimum int, priority store.Priority) (available int, ok bool) {
 	available = l.awaitWrites(ctx, writes, priority)
-	if available < minimum || !l.sync.MayActNow() || l.sync.ReadNewest(ctx) != nil {
+	if available < minimum || !l.sync.MayActNow() || l.sync.RefreshCache(ctx) != nil {
 		return available, false
 	}
 	return available, true
@@ -78,8 +78,8 @@
 // newRecordsPlan returns the plan with the changes that an editor has collected.
 func newRecordsPlan(editor *schema.Editor) recordsPlan {
 	transaction := editor.Transaction()
-	if editor.Changes == 0 || editor.Outgrown {
-		return recordsPlan{recordTooLarge: editor.Outgrown}
+	if editor.Changes == 0 || editor.HasOversizedRecord {
+		return recordsPlan{recordTooLarge: editor.HasOversizedRecord}
 	}
 	return recordsPlan{transaction: transaction}
 }
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -106,7 +106,7 @@
 	// Under load the write budget limits the rate of transactions. What accumulates while the
 	// budget refills is committed in a few large transactions instead of many small ones.
 	if !l.sync.MayActNow() || l.awaitWrites(ctx, l.targetTransactionWrites(), store.PriorityDecision) < minDecisionWrites ||
-		l.sync.ReadNewest(ctx) != nil {
+		l.sync.RefreshCache(ctx) != nil {
 		return
 	}
 	for _, step := range decisionSteps {
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -48,7 +48,7 @@
 	ends := s.Agents.EndedTasks(now)
 	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRangeIDs) {
 		j := s.Cache.Jobs[id.UID]
-		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.ShouldCommitEnds(id, ends[id], now) {
+		if j.Record.Spec.Kind == api.Gang || s.Schema.TasksBlocked(j) || !s.Scheduler.ShouldCommitEnds(id, ends[id], now) {
 			continue
 		}
 		if editor.IsFull(taskEndsCost(j), 0) {
@@ -90,7 +90,7 @@
 	}
 	record := editor.Record(j)
 	record.FinishRange(id.Index)
-	editor.Deletes[id] = true
+	editor.DeletedRanges[id] = true
 	if !record.Complete() {
 		return false
 	}
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -87,7 +87,7 @@
 	s.Leadership.RequireLeaderships(editor.Txn)
 	for _, uid := range slices.Sorted(maps.Keys(s.Cache.Gangs)) {
 		j := s.Cache.Jobs[uid]
-		if s.Schema.IsBlocked(j) || j.Record.Gang == nil {
+		if s.Schema.TasksBlocked(j) || j.Record.Gang == nil {
 			continue
 		}
 		if editor.IsFull(minGangUpdateWrites, 0) {
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -35,19 +35,19 @@
 // openPage returns the page of a machine for editing. It returns false if the transaction has no
 // space for another page.
 func (e *pageEdits) openPage(host string) (page shard.Page, ok bool) {
-	if page, ok = e.pages[e.schema.PageFor(host)]; ok {
+	if page, ok = e.pages[e.schema.PageIDFor(host)]; ok {
 		return page, true
 	}
 	if len(e.pages) >= e.schema.MaxChanges() || e.bytes > e.maxBytesToOpen {
 		return nil, false
 	}
-	_, page = e.schema.OpenPage(e.transaction, host)
+	_, page = e.schema.EditPage(e.transaction, host)
 	return page, true
 }
 
 // add adds the page of a machine to the changed pages.
 func (e *pageEdits) add(host string, page shard.Page) {
-	id := e.schema.PageFor(host)
+	id := e.schema.PageIDFor(host)
 	if _, added := e.pages[id]; !added {
 		e.pages[id] = page
 		e.bytes += len(api.JSON(page))
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -50,7 +50,7 @@
 		timer := time.NewTimer(e.MaintainLease(ctx))
 		select {
 		case <-timer.C:
-		case <-e.sync.LeaderlessShard(): // this node may be the next to acquire the shard
+		case <-e.sync.LeaderlessShardSignal(): // this node may be the next to acquire the shard
 			timing.Sleep(ctx, e.node.Settings.ControllerLeaseTTL()/leaderlessPausesPerLease)
 		case <-ctx.Done():
 		}
@@ -71,7 +71,7 @@
 		return ttl / retriesPerLease
 	}
 	if e.extendLease(sentAt, ttl) { // once partitioned, this node may answer for a time that counts from the last read
-		_ = e.sync.ReadNewest(ctx)
+		_ = e.sync.RefreshCache(ctx)
 	}
 	e.maintainLeaderships(ctx)
 	return ttl / renewalsPerLease
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -98,7 +98,7 @@
 			// A conflict, usually with an acquisition of another shard that raised the term.
 			// After all controllers have failed, acquisitions come all at once. Retry soon, since
 			// the workers' leases run meanwhile.
-			e.sync.WakeLeaseLoop()
+			e.sync.NotifyLeaderlessShard()
 		}
 		return
 	}
@@ -116,7 +116,7 @@
 	self := e.node.Settings.HostName
 	leader, hadLeader := state.Cache.Leaders[name]
 	capacity := state.Cache.Capacities[name]
-	term := state.Cache.Term + 1
+	term := state.Cache.HighestTerm + 1
 	predecessorsStopped := havePredecessorsStopped(capacity.Record, self)
 	txn := statecache.NewTransaction()
 	txn.Require(statecache.LeaderKey(name), leader.Version)
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, uid := range acknowledgement.GetCancelled() {
-		t.cache.NoteCancelledByPeer(uid)
+		t.cache.MarkCancelledByPeer(uid)
 	}
 	for _, leader := range acknowledgement.GetShardLeaders() {
 		t.recordSuccessor(leader)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -46,7 +46,7 @@
 		m.queryPeer(ctx, member.HostName, member.Addr)
 	}
 	state := m.guard.Lock()
-	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
+	state.Reachability.PeersQueried = !state.Reachability.StoreReachable
 	m.guard.Unlock()
 }
 
@@ -66,10 +66,10 @@
 	state = m.guard.Lock()
 	defer m.guard.Unlock()
 	if err != nil {
-		delete(state.Reachability.Peers, name)
+		delete(state.Reachability.StoreReachableByPeer, name)
 		return
 	}
-	state.Reachability.Peers[name] = reply.GetStoreReached()
+	state.Reachability.StoreReachableByPeer[name] = reply.GetStoreReached()
 	state.Leadership.RecordAcknowledgement(name, reply.GetAcknowledgement(), requestedAt)
 }
 
@@ -82,7 +82,7 @@
 		return ""
 	}
 	for _, member := range m.node.Settings.Members {
-		if state.Reachability.Peers[member.HostName] {
+		if state.Reachability.StoreReachableByPeer[member.HostName] {
 			return member.Addr
 		}
 	}
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -37,7 +37,7 @@
 		return respond.Misdirected("")
 	}
 	if machine.Addr != heartbeat.Addr && heartbeat.Addr != "" {
-		r.cache.NoteAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before the address was known
+		r.cache.SetAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before the address was known
 	}
 	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
@@ -69,7 +69,7 @@
 // least as high as the token's, another controller has acquired the shard since or tried to, and
 // the shard is to be acquired again under a new term.
 func (r *Reconciler) handleHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
-	if shard.TokenTerm(heartbeat.Token) <= r.cache.Term {
+	if shard.TokenTerm(heartbeat.Token) <= r.cache.HighestTerm {
 		leadership.RequestNewTerm()
 	}
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -63,7 +63,7 @@
 	leaderships.ExtendLease(f.now.Add(time.Minute))
 	version := f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: term})
 	leaderships.Begin("n0", &leadership.Leadership{Term: term, Version: version, PredecessorAnswersUntil: f.now})
-	page := statecache.PageID(host, statecache.CoarsestPageCut)
+	page := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 	f.apply(statecache.MachinePageKey(page), shard.Page{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
 	f.record = &job.Record{
 		Spec: api.Job{
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -137,7 +137,7 @@
 		t.editor.Record(t.job).Gang.Launch(secondsSinceAccepted(t.job, t.now))
 	}
 	transaction := t.editor.Transaction()
-	if t.editor.Outgrown {
+	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
 	t.claims.Write(transaction)
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -30,7 +30,7 @@
 // CanStop reports whether a task can still be stopped: its job is not blocked, and the attempt is
 // still placed and not stopping already.
 func (s *Scheduler) CanStop(job *statecache.Job, task *statecache.PlacedTask) bool {
-	if job == nil || s.schema.IsBlocked(job) {
+	if job == nil || s.schema.TasksBlocked(job) {
 		return false
 	}
 	placement := job.Ranges[task.RangeIndex].Record.PlacementOf(task.Index)
@@ -90,7 +90,7 @@
 		return PlacementResult{StopSeparately: result.StopSeparately}
 	}
 	transaction := t.editor.Transaction()
-	if t.editor.Outgrown {
+	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
 	t.claims.Write(transaction)
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -106,7 +106,7 @@
 	p.placement = p.newPlacementStage()
 	for _, entry := range p.queue {
 		isBackingOff := entry.ledLocally && s.isBackingOff(entry, p.now)
-		if isBackingOff || s.schema.IsBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
+		if isBackingOff || s.schema.TasksBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
 			continue
 		}
 		p.jobs = append(p.jobs, &waitingJob{
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -29,12 +29,12 @@
 // Editor collects changes to job records for one transaction. It copies a record on first access;
 // callers change the copies, and Transaction writes them. Create it with State.NewRecordEditor.
 type Editor struct {
-	Txn        *statecache.Transaction
-	Records    map[string]*job.Record // copies of main records, by job; nil if the job is archived
-	Deletes    map[RangeID]bool       // edited task ranges whose records are deleted
-	Changes    int                    // number of changes so far
-	MaxChanges int
-	Outgrown   bool // a record exceeds the size of a value; the transaction must not be committed
+	Txn                *statecache.Transaction
+	Records            map[string]*job.Record // copies of main records, by job; nil if the job is archived
+	DeletedRanges      map[RangeID]bool       // edited task ranges whose records are deleted
+	Changes            int                    // number of changes so far
+	MaxChanges         int
+	HasOversizedRecord bool // a record exceeds the size of a value; the transaction must not be committed
 
 	schema       *State
 	editedJobs   map[string]*statecache.Job
@@ -44,13 +44,13 @@
 // NewRecordEditor returns an editor for a transaction with at most MaxChanges changes.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
-		Txn:          statecache.NewTransaction(),
-		Records:      map[string]*job.Record{},
-		Deletes:      map[RangeID]bool{},
-		MaxChanges:   s.MaxChanges(),
-		schema:       s,
-		editedJobs:   map[string]*statecache.Job{},
-		editedRanges: map[RangeID]*job.TaskRange{},
+		Txn:           statecache.NewTransaction(),
+		Records:       map[string]*job.Record{},
+		DeletedRanges: map[RangeID]bool{},
+		MaxChanges:    s.MaxChanges(),
+		schema:        s,
+		editedJobs:    map[string]*statecache.Job{},
+		editedRanges:  map[RangeID]*job.TaskRange{},
 	}
 }
 
@@ -195,7 +195,7 @@
 		case j.Record.Inline && record != nil:
 			record.InlineRange = tasks
 		case j.Record.Inline: // the job is archived, and the range is deleted with its main record
-		case e.Deletes[id]:
+		case e.DeletedRanges[id]:
 			e.Txn.Delete(key)
 		default:
 			e.Txn.Put(key, tasks)
@@ -210,7 +210,7 @@
 		for _, key := range e.Txn.Keys() {
 			if e.Txn.Size(key) > maxBytes && statecache.IsRecordOf(uid, key) {
 				e.schema.RequestSplit(j)
-				e.Outgrown = true
+				e.HasOversizedRecord = true
 			}
 		}
 	}
--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -41,21 +41,21 @@
 // MaxRecordBytes returns the maximum size of a job's record.
 func (s *State) MaxRecordBytes() int {
 	limits := s.node.Settings.LowestLimits()
-	if !s.Upgraded() && !s.limitsLowered {
+	if !s.AllUpgraded() && !s.limitsLowered {
 		limits = s.node.Settings.Facts.State.StateLimits
 	}
 	return int(limits.ValueKB*bytesPerKB) - valueSlackBytes
 }
 
-// MaxValueBytes returns the maximum size of a new record that may grow later: seven eighths of a
+// MaxGrowableBytes returns the maximum size of a new record that may grow later: seven eighths of a
 // value.
-func (s *State) MaxValueBytes() int { return growableBytes(s.node.Settings.LowestLimits().ValueKB) }
+func (s *State) MaxGrowableBytes() int { return growableBytes(s.node.Settings.LowestLimits().ValueKB) }
 
 // MaxPageBytes is the equivalent of MaxValueBytes for machine pages. The previous version sizes
 // pages by the current limits.
 func (s *State) MaxPageBytes() int {
 	if s.usesLowestLimits() {
-		return s.MaxValueBytes()
+		return s.MaxGrowableBytes()
 	}
 	return growableBytes(s.node.Settings.Facts.State.ValueKB)
 }
@@ -65,7 +65,7 @@
 
 // usesLowestLimits reports whether machine pages are sized by the lowest limits: either no
 // controller of the previous version has to derive their names, or the lower limits are in force.
-func (s *State) usesLowestLimits() bool { return s.Upgraded() || s.limitsLowered }
+func (s *State) usesLowestLimits() bool { return s.AllUpgraded() || s.limitsLowered }
 
 // LowerLimits records that the announced lower limits of the state service are in force, because it
 // refused a transaction as too large. It reports whether they were not yet recorded as in force.
@@ -77,18 +77,18 @@
 	return true
 }
 
-// AcceptFewer records that the state service refused a transaction with this many changes although
+// ReduceMaxChanges records that the state service refused a transaction with this many changes although
 // it was within the announced limits. It lowers the maximum to one change less, but not below what
 // the largest step needs.
-func (s *State) AcceptFewer(changes int) { s.reducedTxnOps = max(changes-1, minTxnOps) }
+func (s *State) ReduceMaxChanges(changes int) { s.reducedTxnOps = max(changes-1, minTxnOps) }
 
 // RequestSplit requests that a job's records be split before its tasks change again.
 func (s *State) RequestSplit(j *statecache.Job) {
 	s.splitRequests[j.Record.Spec.UID] = j.Record.Generation + 1
 }
 
-// WithdrawSplit removes the request to split a job's records.
-func (s *State) WithdrawSplit(uid string) { delete(s.splitRequests, uid) }
+// CancelSplitRequest removes the request to split a job's records.
+func (s *State) CancelSplitRequest(uid string) { delete(s.splitRequests, uid) }
 
 // SplitRequests returns the jobs whose records are to be split, in order. It removes requests that
 // were carried out or whose jobs have finished.
@@ -105,6 +105,6 @@
 	return s.splitRequests[j.Record.Spec.UID] == j.Record.Generation+1
 }
 
-// IsBlocked reports whether changes to a job's tasks are blocked because its records are being
+// TasksBlocked reports whether changes to a job's tasks are blocked because its records are being
 // split or have to be split before they can grow (see internal/splitter).
-func (s *State) IsBlocked(j *statecache.Job) bool { return j.Record.Frozen || s.splitRequested(j) }
+func (s *State) TasksBlocked(j *statecache.Job) bool { return j.Record.Frozen || s.splitRequested(j) }
--- a/internal/schema/pages.go
+++ b/internal/schema/pages.go
@@ -13,47 +13,47 @@
 	coarsePageMachines = 100 // pages are coarse if a value can hold at least this many machines
 )
 
-// PageFor returns the ID of the page to which a machine's record is written. The previous version
+// PageIDFor returns the ID of the page to which a machine's record is written. The previous version
 // derives it from the current limits.
-func (s *State) PageFor(host string) string {
+func (s *State) PageIDFor(host string) string {
 	limits := s.node.Settings.Facts.State.StateLimits
 	if s.usesLowestLimits() {
 		limits = s.node.Settings.LowestLimits()
 	}
 	if limits.ValueKB*bytesPerKB >= coarsePageMachines*maxMachineBytes {
-		return statecache.PageID(host, statecache.CoarsestPageCut)
+		return statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 	}
-	return statecache.PageID(host, statecache.FinestPageCut)
+	return statecache.PageID(host, statecache.FinestPageSuffixLen)
 }
 
-// OpenPage returns the ID and a copy of a machine's page, which the caller may change, and adds
+// EditPage returns the ID and a copy of a machine's page, which the caller may change, and adds
 // preconditions on the versions that the copy is based on. A new fine page starts with the entries
 // of its machines in the coarser page, and supersedes the coarser page for them once it is written.
-func (s *State) OpenPage(txn *statecache.Transaction, host string) (id string, page shard.Page) {
-	id = s.PageFor(host)
+func (s *State) EditPage(txn *statecache.Transaction, host string) (id string, page shard.Page) {
+	id = s.PageIDFor(host)
 	txn.Require(statecache.MachinePageKey(id), s.cache.Pages[id].Version)
 	page = shard.Page{}
 	if recorded := s.cache.Pages[id].Record; recorded != nil {
 		maps.Copy(page, *recorded)
 		return id, page
 	}
-	coarsest := statecache.PageID(host, statecache.CoarsestPageCut)
+	coarsest := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 	coarser := s.cache.Pages[coarsest]
 	if id == coarsest || coarser.Record == nil {
 		return id, page
 	}
 	txn.Require(statecache.MachinePageKey(coarsest), coarser.Version)
 	for name, machine := range *coarser.Record {
-		if statecache.PageID(name, statecache.FinestPageCut) == id {
+		if statecache.PageID(name, statecache.FinestPageSuffixLen) == id {
 			page[name] = machine
 		}
 	}
 	return id, page
 }
 
-// ClosePage adds a write of the page to the transaction. It deletes an empty page, unless a coarser
+// PutPage adds a write of the page to the transaction. It deletes an empty page, unless a coarser
 // page still has entries for its machines, which would become valid again.
-func (s *State) ClosePage(txn *statecache.Transaction, id string, page shard.Page) {
+func (s *State) PutPage(txn *statecache.Transaction, id string, page shard.Page) {
 	if len(page) == 0 && !s.supersedesCoarserPage(txn, id) {
 		txn.Delete(statecache.MachinePageKey(id))
 		return
@@ -71,7 +71,7 @@
 	}
 	txn.Require(statecache.MachinePageKey(coarserID), coarser.Version)
 	for host := range *coarser.Record {
-		if statecache.PageID(host, statecache.FinestPageCut) == id {
+		if statecache.PageID(host, statecache.FinestPageSuffixLen) == id {
 			return true
 		}
 	}
@@ -101,8 +101,8 @@
 // isSuperseded reports whether finer pages supersede a page for all of its machines.
 func (s *State) isSuperseded(id string, page shard.Page) bool {
 	for host := range page {
-		finer := statecache.PageID(host, statecache.FinestPageCut)
-		if id != statecache.PageID(host, statecache.CoarsestPageCut) || s.cache.Pages[finer].Record == nil {
+		finer := statecache.PageID(host, statecache.FinestPageSuffixLen)
+		if id != statecache.PageID(host, statecache.CoarsestPageSuffixLen) || s.cache.Pages[finer].Record == nil {
 			return false
 		}
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -34,12 +34,12 @@
 	return &State{node: info, cache: cache, budget: budget, splitRequests: map[string]int{}}
 }
 
-// Upgraded reports whether every configured controller, running or not, has recorded that it reads
+// AllUpgraded reports whether every configured controller, running or not, has recorded that it reads
 // the formats of this version. The capability record of a controller remains when the controller
 // ends, so that a single controller can decide this after all others have stopped. A controller
 // whose node record shows an older version (it was rolled back) counts as not upgraded, whatever
 // its capability record contains.
-func (s *State) Upgraded() bool {
+func (s *State) AllUpgraded() bool {
 	for _, name := range s.node.Shards {
 		node := s.cache.Nodes[name].Record
 		if !s.supportsCurrentVersion(name) || node != nil && node.SchemaVersion < Version {
@@ -83,5 +83,5 @@
 			return false
 		}
 	}
-	return s.Upgraded()
+	return s.AllUpgraded()
 }
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -70,11 +70,11 @@
 
 // LockUse is the use of the state's lock by one function.
 type LockUse struct {
-	Function string
-	Holds    int
-	Held     time.Duration // total
-	Longest  time.Duration // the longest single hold
-	Waited   time.Duration // total time spent waiting for the lock
+	Function    string
+	Holds       int
+	TotalHeld   time.Duration // total
+	LongestHold time.Duration // the longest single hold
+	TotalWaited time.Duration // total time spent waiting for the lock
 }
 
 func newLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
@@ -88,13 +88,13 @@
 	return use
 }
 
-func (m *lockMeter) recordWait(holder uintptr, d time.Duration) { m.useOf(holder).Waited += d }
+func (m *lockMeter) recordWait(holder uintptr, d time.Duration) { m.useOf(holder).TotalWaited += d }
 
 func (m *lockMeter) recordHold(holder uintptr, d time.Duration) {
 	use := m.useOf(holder)
 	use.Holds++
-	use.Held += d
-	use.Longest = max(use.Longest, d)
+	use.TotalHeld += d
+	use.LongestHold = max(use.LongestHold, d)
 }
 
 // drain returns the recorded uses by function, in descending order of the total time that the lock
@@ -109,9 +109,9 @@
 			byFunction[frame.Function] = sum
 		}
 		sum.Holds += use.Holds
-		sum.Held += use.Held
-		sum.Longest = max(sum.Longest, use.Longest)
-		sum.Waited += use.Waited
+		sum.TotalHeld += use.TotalHeld
+		sum.LongestHold = max(sum.LongestHold, use.LongestHold)
+		sum.TotalWaited += use.TotalWaited
 	}
 	clear(m.byHolder)
 	uses := make([]LockUse, 0, len(byFunction))
@@ -119,7 +119,7 @@
 		uses = append(uses, *use)
 	}
 	slices.SortFunc(uses, func(a, b LockUse) int {
-		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Function, b.Function))
+		return cmp.Or(cmp.Compare(b.TotalHeld, a.TotalHeld), cmp.Compare(a.Function, b.Function))
 	})
 	return uses
 }
--- a/internal/state/guard_test.go
+++ b/internal/state/guard_test.go
@@ -21,7 +21,7 @@
 	counts := map[string]int{}
 	for _, use := range guard.meter.drain() {
 		counts[use.Function[strings.LastIndex(use.Function, ".")+1:]] = use.Holds
-		if use.Longest > use.Held || use.Held < 0 || use.Waited < 0 {
+		if use.LongestHold > use.TotalHeld || use.TotalHeld < 0 || use.TotalWaited < 0 {
 			t.Errorf("lock use is inconsistent: %+v", use)
 		}
 	}
@@ -55,7 +55,7 @@
 		t.Errorf("lock uses of a hold that began before the meter was set: %v, want none", uses)
 	}
 	lockAndUnlock(&guard)
-	if uses := guard.meter.drain(); len(uses) != 1 || uses[0].Held > time.Hour {
+	if uses := guard.meter.drain(); len(uses) != 1 || uses[0].TotalHeld > time.Hour {
 		t.Errorf("lock uses: %v, want one, of at most an hour", uses)
 	}
 }
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -26,7 +26,7 @@
 	MachineIndex
 	PlacementIndex
 
-	Term         uint64 // the highest term ever issued
+	HighestTerm  uint64 // the highest term ever issued
 	Capacities   map[string]Versioned[shard.CapacityRecord]
 	Leaders      map[string]Versioned[shard.LeaderRecord] // by shard
 	Nodes        map[string]Versioned[shard.NodeRecord]   // running controllers
@@ -84,8 +84,8 @@
 	}
 }
 
-// Observe sets the observer that is notified of changes from now on.
-func (c *Cache) Observe(o Observer) { c.observer = o }
+// SetObserver sets the observer that is notified of changes from now on.
+func (c *Cache) SetObserver(o Observer) { c.observer = o }
 
 // Apply applies one change; value is nil if the key was deleted. Changes come from this
 // controller's commits, from the watch and from read barriers, without a common order, so the
@@ -114,8 +114,8 @@
 	}
 	c.recordVersion(key, value != nil, version)
 	if key == TermKey {
-		c.Term = 0
-		_ = json.Unmarshal(value, &c.Term) // if the term is malformed, the precondition of its next use fails
+		c.HighestTerm = 0
+		_ = json.Unmarshal(value, &c.HighestTerm) // if the term is malformed, the precondition of its next use fails
 		return
 	}
 	if len(key) < len(jobPrefix) {
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// Advance records that all changes up to a revision have been applied.
-func (c *Cache) Advance(revision uint64) {
+// AdvanceRevision records that all changes up to a revision have been applied.
+func (c *Cache) AdvanceRevision(revision uint64) {
 	if revision <= c.Revision {
 		return
 	}
@@ -222,7 +222,7 @@
 		}
 	}
 	c.resetCancellations(revision)
-	c.Advance(revision)
+	c.AdvanceRevision(revision)
 	c.ChangesReadAt = readAt
 	c.Loaded = true
 }
@@ -236,11 +236,11 @@
 			c.Apply(change.Write, change.Value, change.Version)
 		}
 	}
-	c.Advance(revision)
+	c.AdvanceRevision(revision)
 	if readAt.After(c.ChangesReadAt) {
 		c.ChangesReadAt = readAt
 	}
 }
 
-// Unload marks the cache as not loaded because changes were missed: all records must be read again.
-func (c *Cache) Unload() { c.Loaded = false }
+// MarkNotLoaded marks the cache as not loaded because changes were missed: all records must be read again.
+func (c *Cache) MarkNotLoaded() { c.Loaded = false }
--- a/internal/statecache/cancellations.go
+++ b/internal/statecache/cancellations.go
@@ -11,8 +11,8 @@
 // kept ones is answered as incomplete.
 const MaxCancellations = 1024
 
-// NoteCancellation records that a job was cancelled at a revision.
-func (x *JobIndex) NoteCancellation(uid string, revision uint64) {
+// RecordCancellation records that a job was cancelled at a revision.
+func (x *JobIndex) RecordCancellation(uid string, revision uint64) {
 	x.cancellations = append(x.cancellations, cancellation{uid, revision})
 	excess := len(x.cancellations) - MaxCancellations
 	if excess <= 0 {
@@ -44,9 +44,9 @@
 	return uids, true
 }
 
-// NoteCancelledByPeer marks a job as cancelled that a peer reported as cancelled, before its cached
+// MarkCancelledByPeer marks a job as cancelled that a peer reported as cancelled, before its cached
 // record shows it.
-func (c *Cache) NoteCancelledByPeer(uid string) {
+func (c *Cache) MarkCancelledByPeer(uid string) {
 	j := c.Jobs[uid]
 	if j == nil || j.cancelledByPeer {
 		return
--- a/internal/statecache/jobs.go
+++ b/internal/statecache/jobs.go
@@ -88,7 +88,7 @@
 		c.notifyTasksChanged(j)
 	}
 	if cancelled {
-		c.NoteCancellation(uid, version)
+		c.RecordCancellation(uid, version)
 	}
 }
 
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -10,20 +10,20 @@
 
 // MachineIndex contains the machines and the pages in which they are recorded.
 type MachineIndex struct {
-	Pages      map[string]Versioned[shard.Page] // by PageID
-	Machines   map[string]*shard.Machine        // machines of all pages, by name
-	Images     map[string]map[string]bool       // by machine: images of the tasks that were placed on it
-	Terminated map[string]bool                  // deregistered machines; their names are never reused
+	Pages        map[string]Versioned[shard.Page] // by PageID
+	Machines     map[string]*shard.Machine        // machines of all pages, by name
+	PlacedImages map[string]map[string]bool       // by machine: images of the tasks that were placed on it
+	Terminated   map[string]bool                  // deregistered machines; their names are never reused
 
 	sortedNames []string // names of Machines in order; nil: not computed
 }
 
 func newMachineIndex() MachineIndex {
 	return MachineIndex{
-		Pages:      map[string]Versioned[shard.Page]{},
-		Machines:   map[string]*shard.Machine{},
-		Images:     map[string]map[string]bool{},
-		Terminated: map[string]bool{},
+		Pages:        map[string]Versioned[shard.Page]{},
+		Machines:     map[string]*shard.Machine{},
+		PlacedImages: map[string]map[string]bool{},
+		Terminated:   map[string]bool{},
 	}
 }
 
@@ -31,8 +31,8 @@
 // consecutive names, so that few changes record a whole group. The prefix lacks one character of the
 // name, or two if a value can hold a hundred machines.
 const (
-	FinestPageCut   = 1
-	CoarsestPageCut = 2
+	FinestPageSuffixLen   = 1
+	CoarsestPageSuffixLen = 2
 )
 
 // PageID returns the ID of a machine's page: its name without the last suffixLen characters, and a
@@ -85,8 +85,8 @@
 	if recorded == nil {
 		if cached != nil {
 			delete(c.Machines, host)
-			delete(c.Images, host)
-			c.NoteTerminated(host)
+			delete(c.PlacedImages, host)
+			c.RecordTerminated(host)
 		}
 		return
 	}
@@ -99,7 +99,7 @@
 // recordedMachine returns a machine's record in the finest existing page for it; nil if that page
 // does not contain the machine.
 func (x *MachineIndex) recordedMachine(host string) *shard.Machine {
-	for suffixLen := FinestPageCut; suffixLen <= CoarsestPageCut; suffixLen++ {
+	for suffixLen := FinestPageSuffixLen; suffixLen <= CoarsestPageSuffixLen; suffixLen++ {
 		if page := x.Pages[PageID(host, suffixLen)].Record; page != nil {
 			return (*page)[host]
 		}
@@ -107,17 +107,17 @@
 	return nil
 }
 
-// NoteAddress sets the address of a machine whose record was written before the address was known.
-func (x *MachineIndex) NoteAddress(host, address string) { x.Machines[host].Addr = address }
+// SetAddress sets the address of a machine whose record was written before the address was known.
+func (x *MachineIndex) SetAddress(host, address string) { x.Machines[host].Addr = address }
 
 // MinTerminated is the minimum number of terminated machines that are kept before old ones are
 // removed: names of some ten bytes each.
 const MinTerminated = 8192
 
-// NoteTerminated records that a machine was terminated, so that a delayed heartbeat does not register
+// RecordTerminated records that a machine was terminated, so that a delayed heartbeat does not register
 // it again. If the terminated machines exceed several times the number of machines, the older half
 // is removed: delayed heartbeats are from recently terminated machines.
-func (x *MachineIndex) NoteTerminated(host string) {
+func (x *MachineIndex) RecordTerminated(host string) {
 	if limit := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= limit {
 		names := slices.Sorted(maps.Keys(x.Terminated)) // names sort by time of creation
 		for _, name := range names[:len(names)/2] {
@@ -137,8 +137,8 @@
 
 // recordImage records that a task with an image was placed on a machine.
 func (x *MachineIndex) recordImage(host, image string) {
-	if x.Images[host] == nil {
-		x.Images[host] = map[string]bool{}
+	if x.PlacedImages[host] == nil {
+		x.PlacedImages[host] = map[string]bool{}
 	}
-	x.Images[host][image] = true
+	x.PlacedImages[host][image] = true
 }
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -13,13 +13,13 @@
 // for all jobs. The caller must not change the slice.
 func (j *Job) PendingTasks() []TaskIndex {
 	if j.pending == nil {
-		j.pending = j.FindPending()
+		j.pending = j.ComputePendingTasks()
 	}
 	return j.pending
 }
 
-// FindPending computes PendingTasks without the cached result. The result is never nil.
-func (j *Job) FindPending() []TaskIndex {
+// ComputePendingTasks computes PendingTasks without the cached result. The result is never nil.
+func (j *Job) ComputePendingTasks() []TaskIndex {
 	pending := []TaskIndex{}
 	record, limit := j.Record, maxPendingTasks
 	if record.Frozen {
--- a/internal/statecache/placements.go
+++ b/internal/statecache/placements.go
@@ -59,24 +59,24 @@
 	}
 }
 
-// Priorities is the number of job priorities.
-const Priorities = 4
+// NumPriorities is the number of job priorities.
+const NumPriorities = 4
 
 // MachineLoad is the load of a machine. It is computed by internal/capacity, which has the ended
 // tasks, and cached here, where placements change.
 type MachineLoad struct {
-	Used              sched.Resources             // resources of the unfinished tasks
-	Stopping          sched.Resources             // resources of the unfinished tasks that have to stop
-	RunningByPriority [Priorities]sched.Resources // resources of the other unfinished tasks
-	Services, Arrays  int                         // number of unfinished tasks: of services, and of all other kinds of jobs
-	LastPlacedMS      int64                       // when the most recent of the tasks was placed, Unix time in milliseconds
+	Used              sched.Resources                // resources of the unfinished tasks
+	Stopping          sched.Resources                // resources of the unfinished tasks that have to stop
+	RunningByPriority [NumPriorities]sched.Resources // resources of the other unfinished tasks
+	Services, Arrays  int                            // number of unfinished tasks: of services, and of all other kinds of jobs
+	LastPlacedMS      int64                          // when the most recent of the tasks was placed, Unix time in milliseconds
 }
 
-// Load returns the cached load of a machine; nil if there is none.
-func (x *PlacementIndex) Load(host string) *MachineLoad { return x.loads[host] }
+// CachedLoad returns the cached load of a machine; nil if there is none.
+func (x *PlacementIndex) CachedLoad(host string) *MachineLoad { return x.loads[host] }
 
-// KeepLoad caches the load of a machine until its placements change.
-func (x *PlacementIndex) KeepLoad(host string, load *MachineLoad) { x.loads[host] = load }
+// CacheLoad caches the load of a machine until its placements change.
+func (x *PlacementIndex) CacheLoad(host string, load *MachineLoad) { x.loads[host] = load }
 
 // InvalidateLoad removes the cached load of a machine. It must be called after changes that affect
 // the load without Apply: the end of an attempt, or the removal of an agent.
@@ -85,8 +85,8 @@
 // InvalidateLoads removes the cached loads of all machines.
 func (x *PlacementIndex) InvalidateLoads() { clear(x.loads) }
 
-// KeptLoads returns the names of the machines with a cached load.
-func (x *PlacementIndex) KeptLoads() []string {
+// MachinesWithCachedLoad returns the names of the machines with a cached load.
+func (x *PlacementIndex) MachinesWithCachedLoad() []string {
 	hosts := make([]string, 0, len(x.loads))
 	for host := range x.loads {
 		hosts = append(hosts, host)
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -67,7 +67,7 @@
 	if !lowered {
 		// The transaction was within the announced limits: reduce the maximum number of changes,
 		// and split the records of the jobs in it.
-		state.Schema.AcceptFewer(len(request.Ops))
+		state.Schema.ReduceMaxChanges(len(request.Ops))
 		for _, op := range request.Ops {
 			if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
 				state.Schema.RequestSplit(state.Cache.Jobs[uid])
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -30,12 +30,12 @@
 	return &Sync{node: info, guard: guard, services: services, wake: wake, leaderless: notify.NewSignal()}
 }
 
-// LeaderlessShard returns the signal that a shard may have no leader, so that its acquisition is
+// LeaderlessShardSignal returns the signal that a shard may have no leader, so that its acquisition is
 // checked now instead of with the next lease renewal.
-func (s *Sync) LeaderlessShard() notify.Signal { return s.leaderless }
+func (s *Sync) LeaderlessShardSignal() notify.Signal { return s.leaderless }
 
-// WakeLeaseLoop notifies the signal that LeaderlessShard returns.
-func (s *Sync) WakeLeaseLoop() { s.leaderless.Notify() }
+// NotifyLeaderlessShard notifies the signal that LeaderlessShardSignal returns.
+func (s *Sync) NotifyLeaderlessShard() { s.leaderless.Notify() }
 
 // minWritesPerSecond is the lower bound of WritesPerSecond, however small the controller's share is.
 const minWritesPerSecond = 2
@@ -104,7 +104,7 @@
 	s.guard.Unlock()
 	s.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	s.wake.Notify()
-	s.WakeLeaseLoop() // after a restart, its shards must be acquired before the workers' leases expire
+	s.NotifyLeaderlessShard() // after a restart, its shards must be acquired before the workers' leases expire
 	return nil
 }
 
@@ -115,7 +115,7 @@
 	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		state := s.guard.Lock()
-		state.Cache.Unload()
+		state.Cache.MarkNotLoaded()
 		s.guard.Unlock()
 		return err
 	}
@@ -130,7 +130,7 @@
 		s.wake.Notify()
 	}
 	if leaderless {
-		s.WakeLeaseLoop()
+		s.NotifyLeaderlessShard()
 	}
 	return nil
 }
@@ -145,9 +145,9 @@
 	return false
 }
 
-// ReadNewest applies all changes up to now before a decision. Unlike AwaitReadBarrier it does not
+// RefreshCache applies all changes up to now before a decision. Unlike AwaitReadBarrier it does not
 // share its read with other callers. It returns store.ErrRefused if the cache is not loaded.
-func (s *Sync) ReadNewest(ctx context.Context) error {
+func (s *Sync) RefreshCache(ctx context.Context) error {
 	loaded, since := s.progress()
 	if !loaded {
 		return store.ErrRefused
