--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,13 +1,13 @@
-// Package recovery decides which work may take which room of a zone that was down and is
-// recovering. Production work goes first: room is reserved for those of its tasks that wait for
-// lost machines, and work below it follows by a slow start. It is pure: the caller gives it
-// the state of zones and a view of the machines.
+// Package recovery decides how much of the capacity of a restricted zone (down or recovering) each
+// kind of work may use. Production work goes first: capacity is reserved for its tasks that wait for
+// lost machines. Other work is admitted by a slow start. The package is pure: the caller passes in the
+// state of the zones and a view of the machines.
 //
 // Invariants:
-//   - work below production never takes more of a restricted zone than its slow start allows;
-//   - work that competes for nothing that production needs is not restricted;
-//   - a zone reserves at most its ReservableShare of the free machines, so that nothing waits
-//     for ever.
+//   - work below production never uses more of a restricted zone than the slow start allows;
+//   - work that does not compete with production for machines is not restricted;
+//   - a zone reserves at most its ReservableShare of the free machines, so that no work waits
+//     forever.
 package recovery
 
 import (
@@ -15,54 +15,54 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Zone is a zone that is down or recovering.
+// Zone is the state of a zone that is down or recovering.
 type Zone struct {
-	SlowStartShare  float64             // share of its machines that work below production may have taken since it came back
-	MachinesBefore  float64             // machines that it had before it went down
-	Taken           float64             // by work below production since it came back, in machines
-	Waiting         []zonehealth.Demand // production tasks that wait for lost machines there
-	ReservableShare float64             // share of the free machines that may be reserved for those
+	SlowStartShare  float64             // share of its machines that work below production may have used since it returned
+	MachinesBefore  float64             // number of its machines before it went down
+	Taken           float64             // machines used by work below production since it returned
+	Waiting         []zonehealth.Demand // production tasks that wait for its lost machines
+	ReservableShare float64             // share of the free machines that may be reserved for those tasks
 }
 
-// Admission is what work below production may still take of zones. A nil one restricts
-// nothing.
+// Admission tracks how much of the restricted zones work below production may still use. A nil
+// Admission restricts nothing.
 type Admission struct {
-	zones        map[string]*Zone
-	protected    []sched.Resources // what a task of production work needs, by size
-	machineTypes []sched.Resources // sizes of machines that there are
+	zones          map[string]*Zone
+	protectedNeeds []sched.Resources // resources that a production task needs, one entry per size
+	machineSizes   []sched.Resources // capacities of the machine types
 }
 
-// NewAdmission returns an admission; nil if no zone is restricted or there is no production
-// work to protect. protected are the sizes of its tasks, machineTypes those of machines.
-func NewAdmission(zones map[string]*Zone, protected, machineTypes []sched.Resources) *Admission {
-	if len(zones) == 0 || len(protected) == 0 {
+// NewAdmission returns an Admission, or nil if no zone is restricted or there is no production work
+// to protect. protectedNeeds are the sizes of production tasks, machineSizes those of machine types.
+func NewAdmission(zones map[string]*Zone, protectedNeeds, machineSizes []sched.Resources) *Admission {
+	if len(zones) == 0 || len(protectedNeeds) == 0 {
 		return nil
 	}
-	return &Admission{zones: zones, protected: protected, machineTypes: machineTypes}
+	return &Admission{zones: zones, protectedNeeds: protectedNeeds, machineSizes: machineSizes}
 }
 
-// Copy returns an independent admission, for a trial.
+// Copy returns an independent copy, on which admissions can be tried.
 func (a *Admission) Copy() *Admission {
 	if a == nil {
 		return nil
 	}
-	trial := *a
-	trial.zones = make(map[string]*Zone, len(a.zones))
+	clone := *a
+	clone.zones = make(map[string]*Zone, len(a.zones))
 	for name, z := range a.zones {
-		own := *z
-		trial.zones[name] = &own
+		zoneCopy := *z
+		clone.zones[name] = &zoneCopy
 	}
-	return &trial
+	return &clone
 }
 
-// Competes reports whether a task of work below production could take what production needs:
-// some machine fits both. allowed tells for the index of a machine type whether the task may
-// run on it.
+// Competes reports whether a task below production could use capacity that production needs, that is
+// whether a machine type that is allowed for the task fits both it and a production task. allowed
+// reports, by the index of a machine type, whether the task may run on it.
 func (a *Admission) Competes(need sched.Resources, allowed func(machineType int) bool) bool {
 	if a == nil {
 		return false
 	}
-	for i, machine := range a.machineTypes {
+	for i, machine := range a.machineSizes {
 		if machine.Fits(need) && allowed(i) && a.fitsProtected(machine) {
 			return true
 		}
@@ -70,9 +70,9 @@
 	return false
 }
 
-// fitsProtected reports whether a machine fits a task of production work.
+// fitsProtected reports whether a machine fits a production task of any size.
 func (a *Admission) fitsProtected(machine sched.Resources) bool {
-	for _, need := range a.protected {
+	for _, need := range a.protectedNeeds {
 		if machine.Fits(need) {
 			return true
 		}
@@ -80,23 +80,23 @@
 	return false
 }
 
-// Admits reports whether work below production may take so much of a zone, in machines.
+// Admits reports whether work below production may use the given number of machines of a zone.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
 	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
-// epsilon absorbs the rounding of sums of fractions.
+// epsilon absorbs the rounding errors in sums of fractions.
 const epsilon = 1e-9
 
-// Admit counts what work below production takes of a zone, in machines.
+// Admit adds to the number of machines that work below production uses in a zone.
 func (a *Admission) Admit(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
 		z.Taken += machines
 	}
 }
 
-// zone returns a restricted zone, nil if it is not restricted.
+// zone returns the state of a restricted zone, or nil if the zone is not restricted.
 func (a *Admission) zone(name string) *Zone {
 	if a == nil {
 		return nil
@@ -104,10 +104,11 @@
 	return a.zones[name]
 }
 
-// MachineShare returns how much of the smallest machine that fits it a task takes, in machines.
-func MachineShare(need sched.Resources, machineTypes []sched.Resources) float64 {
+// MachineShare returns the share of a machine that a task uses: its lowest dominantShare among the
+// machine types that fit it, or 1 if none does.
+func MachineShare(need sched.Resources, machineSizes []sched.Resources) float64 {
 	share := 1.0
-	for _, machine := range machineTypes {
+	for _, machine := range machineSizes {
 		if machine.Fits(need) {
 			share = min(share, dominantShare(need, machine))
 		}
@@ -115,7 +116,7 @@
 	return share
 }
 
-// dominantShare returns the largest share that a task takes of any resource of a machine.
+// dominantShare returns the largest share that a task uses of any resource of a machine.
 func dominantShare(need, machine sched.Resources) float64 {
 	share := 0.0
 	for _, amount := range [...]struct{ need, machine float64 }{
@@ -128,9 +129,9 @@
 	return share
 }
 
-// Reserve reserves room for production tasks that wait for lost machines: it subtracts their
-// needs from the room of the hosts in their zones, in the order in which they would be placed.
-// A task that finds no room there reserves none. It returns the number of tasks with room.
+// Reserve reserves capacity for production tasks that wait for lost machines. It subtracts their
+// needs from the free capacity of the hosts in their zones, in placement order, and skips tasks that
+// do not fit. It returns the number of tasks with a reservation.
 func (a *Admission) Reserve(hosts []*sched.Host) (reserved int) {
 	if a == nil {
 		return 0
@@ -152,10 +153,10 @@
 		}
 	}
 	reservable = reservable[:int(float64(len(reservable))*z.ReservableShare+0.5)]
-	for _, d := range z.Waiting {
-		request := sched.TaskRequest{Need: d.Need, Spot: d.Spot, Service: true}
+	for _, demand := range z.Waiting {
+		request := sched.TaskRequest{Need: demand.Need, Spot: demand.Spot, Service: true}
 		ranking := sched.NewRanking(nil, reservable, &request)
-		for range d.Tasks {
+		for range demand.Tasks {
 			h := ranking.Best(nil)
 			if h == nil {
 				break
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,40 +12,40 @@
 
 var machine = sched.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
 
-// Whatever work below production asks for, it never takes more than the slow start of a zone allows,
-// and a trial on a copy takes nothing.
-func TestSlowStartShareBinds(t *testing.T) {
+// Work below production never uses more of a zone than the slow start allows, and admissions tried on a
+// copy do not count.
+func TestAdmit_NeverExceedsSlowStartShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		z := &Zone{
+		zone := &Zone{
 			SlowStartShare: rapid.Float64Range(0, 1.2).Draw(t, "share"),
 			MachinesBefore: float64(rapid.IntRange(0, 40).Draw(t, "machines")),
 		}
-		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
+		admission := NewAdmission(map[string]*Zone{"x": zone}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		for range rapid.IntRange(0, 60).Draw(t, "tasks") {
 			need := sched.Resources{
 				CPUs: float64(rapid.IntRange(1, 12).Draw(t, "cpus")),
 				GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
 			}
 			share := MachineShare(need, []sched.Resources{machine})
-			if trial := a.Copy(); trial.Admits("x", share) {
+			if trial := admission.Copy(); trial.Admits("x", share) {
 				trial.Admit("x", share)
 			}
-			if !a.Admits("y", share) {
-				t.Fatal("another zone is restricted")
+			if !admission.Admits("y", share) {
+				t.Fatal("Admits() = false for an unrestricted zone, want true")
 			}
-			if a.Admits("x", share) {
-				a.Admit("x", share)
+			if admission.Admits("x", share) {
+				admission.Admit("x", share)
 			}
 		}
-		if z.SlowStartShare < 1 && z.Taken > z.SlowStartShare*z.MachinesBefore+1e-6 {
-			t.Fatalf("%g of %g machines taken with a share of %g", z.Taken, z.MachinesBefore, z.SlowStartShare)
+		if zone.SlowStartShare < 1 && zone.Taken > zone.SlowStartShare*zone.MachinesBefore+1e-6 {
+			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.Taken, zone.MachinesBefore, zone.SlowStartShare)
 		}
 	})
 }
 
-// Room is reserved for as many production tasks as there is room for, no machine gives more
-// than it has, and a share of the machines is left alone.
-func TestReserve(t *testing.T) {
+// Reserve reserves capacity for as many production tasks as fit, takes no more from a machine than it
+// has free, and leaves the machines outside the reservable share and outside the zone alone.
+func TestReserve_LimitsToFreeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []*sched.Host
 		slots := 0
@@ -61,46 +61,46 @@
 		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
 		reservable := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "reservable")
-		z := &Zone{
+		zone := &Zone{
 			MachinesBefore:  float64(n),
 			ReservableShare: reservable,
 			Waiting:         []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
 		}
-		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
-		reserved := a.Reserve(append(hosts, other))
+		admission := NewAdmission(map[string]*Zone{"x": zone}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
+		reserved := admission.Reserve(append(hosts, other))
 		if reservable == 1 && reserved != min(tasks, slots) {
-			t.Fatalf("room reserved for %d tasks of %d, there is some for %d", reserved, tasks, slots)
+			t.Fatalf("Reserve() = %d of %d tasks, want %d (capacity for %d)", reserved, tasks, min(tasks, slots), slots)
 		}
 		left := 0
 		for _, h := range hosts {
 			if h.Free.CPUs < 0 || h.Free.GPUs < 0 || h.Free.MemGB < 0 {
-				t.Fatalf("%s has %v left", h.Name, h.Free)
+				t.Fatalf("%s has %v free, want no negative amount", h.Name, h.Free)
 			}
 			left += int(h.Free.GPUs)
 		}
 		if left != slots-reserved || other.Free != machine {
-			t.Fatalf("%d of %d left with %d reserved; another zone's machine has %v", left, slots, reserved, other.Free)
+			t.Fatalf("%d of %d GPUs left with %d reserved; machine of another zone has %v free", left, slots, reserved, other.Free)
 		}
 	})
 }
 
-// Work on machines that production does not fit competes for nothing.
-func TestCompetes(t *testing.T) {
+// Work that can only run on machines too small for production tasks does not compete with production.
+func TestCompetes_OnlyWhereProductionFits(t *testing.T) {
 	small := sched.Resources{CPUs: 8, MemGB: 32}
 	types := []sched.Resources{machine, small}
-	a := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
+	admission := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
-	if !a.Competes(need, func(int) bool { return true }) {
-		t.Error("work on machines with accelerators competes for nothing")
+	if !admission.Competes(need, func(int) bool { return true }) {
+		t.Error("Competes() = false for a machine type that fits production, want true")
 	}
-	if a.Competes(need, func(i int) bool { return i == 1 }) {
-		t.Error("work on machines without accelerators competes")
+	if admission.Competes(need, func(i int) bool { return i == 1 }) {
+		t.Error("Competes() = true for a machine type that does not fit production, want false")
 	}
 	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
-		t.Error("there is an admission with nothing to protect, or no zone restricted")
+		t.Error("NewAdmission() is not nil without protected sizes or without restricted zones")
 	}
-	var none *Admission
-	if !none.Admits("x", 1) || none.Competes(need, nil) || none.Reserve(nil) != 0 {
-		t.Error("no admission restricts")
+	var nilAdmission *Admission
+	if !nilAdmission.Admits("x", 1) || nilAdmission.Competes(need, nil) || nilAdmission.Reserve(nil) != 0 {
+		t.Error("nil Admission restricts work, want no restriction")
 	}
 }
--- a/internal/sched/chooser.go
+++ b/internal/sched/chooser.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-// Chooser finds machines for the tasks of one job after the other, in shards: in the
-// job's own shard first and then in the peers' shards in random order (work stealing). It
-// returns the fullest fit of the first shard that has room.
+// Chooser selects machines for the tasks of one job after another. It searches the job's own shard
+// first and then the peers' shards in random order (work stealing), and returns the best fit of the
+// first shard in which a machine fits.
 type Chooser struct {
-	shards   map[string][]*Host
-	random   *rand.Rand
-	names    []string
-	request  *TaskRequest
-	order    []string   // the shards in the order of the present job
-	rankings []*Ranking // of the first shards in that order, made when they are asked
-	reusable []*Ranking // of earlier jobs
+	shards     map[string][]*Host
+	random     *rand.Rand
+	shardNames []string
+	request    *TaskRequest
+	shardOrder []string   // search order for the current job
+	rankings   []*Ranking // of the first shards in that order, each created when first searched
+	reusable   []*Ranking // rankings of earlier jobs whose memory can be reused
 }
 
-// NewChooser returns a chooser among machines by shard.
+// NewChooser returns a Chooser over the given machines, which are grouped by shard.
 func NewChooser(shards map[string][]*Host, random *rand.Rand) *Chooser {
-	return &Chooser{shards: shards, random: random, names: slices.Sorted(maps.Keys(shards))}
+	return &Chooser{shards: shards, random: random, shardNames: slices.Sorted(maps.Keys(shards))}
 }
 
-// Begin turns to the tasks of another job, one of the given shard.
-func (c *Chooser) Begin(own string, a *TaskRequest) {
-	c.request = a
+// Begin starts the selection for another job, which belongs to the shard ownShard.
+func (c *Chooser) Begin(ownShard string, request *TaskRequest) {
+	c.request = request
 	c.reusable = append(c.reusable, c.rankings...)
 	c.rankings = c.rankings[:0]
-	c.order = append(c.order[:0], own)
-	for _, name := range c.names {
-		if name != own {
-			c.order = append(c.order, name)
+	c.shardOrder = append(c.shardOrder[:0], ownShard)
+	for _, name := range c.shardNames {
+		if name != ownShard {
+			c.shardOrder = append(c.shardOrder, name)
 		}
 	}
-	peers := c.order[1:]
+	peers := c.shardOrder[1:]
 	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 }
 
-// Next returns the machine for the job's next task, nil if there is none. zoneAllowed is that
-// of Ranking.Best.
+// Next returns the machine for the job's next task, or nil if none fits. zoneAllowed is passed to
+// Ranking.Best.
 func (c *Chooser) Next(zoneAllowed func(zone string) bool) *Host {
-	for i, name := range c.order {
+	for i, name := range c.shardOrder {
 		if i == len(c.rankings) {
-			c.rankings = append(c.rankings, NewRanking(c.reuse(), c.shards[name], c.request))
+			c.rankings = append(c.rankings, NewRanking(c.popReusable(), c.shards[name], c.request))
 		}
 		if h := c.rankings[i].Best(zoneAllowed); h != nil {
 			return h
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// reuse returns a ranking of an earlier job, nil if there is none.
-func (c *Chooser) reuse() *Ranking {
+// popReusable removes and returns a ranking of an earlier job, or nil if there is none.
+func (c *Chooser) popReusable() *Ranking {
 	last := len(c.reusable) - 1
 	if last < 0 {
 		return nil
 	}
-	old := c.reusable[last]
+	ranking := c.reusable[last]
 	c.reusable = c.reusable[:last]
-	return old
+	return ranking
 }
--- a/internal/sched/chooser_test.go
+++ b/internal/sched/chooser_test.go
@@ -7,28 +7,29 @@
 	"pgregory.net/rapid"
 )
 
-// The own shard comes first; room anywhere is found, also for a second job by the same chooser.
-func TestChooserPrefersOwnShard(t *testing.T) {
+// The chooser prefers the job's own shard and finds any machine that fits in a peer's shard, also for a
+// second job.
+func TestChooser_PrefersOwnShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
-		c := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
+		chooser := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
 		for range 2 {
-			a := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
-			c.Begin("own", a)
+			request := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
+			chooser.Begin("own", request)
 			for range 4 {
-				got := c.Next(nil)
-				own := FullestFit(shards["own"], a)
-				if own != nil && got != own {
-					t.Fatal("not the own shard's")
+				got := chooser.Next(nil)
+				ownFit := FullestFit(shards["own"], request)
+				if ownFit != nil && got != ownFit {
+					t.Fatalf("Next() = %v, want %s of the own shard", got, ownFit.Name)
 				}
-				if got == nil && (FullestFit(shards["p"], a) != nil || FullestFit(shards["q"], a) != nil) {
-					t.Fatal("room of a peer not found")
+				if got == nil && (FullestFit(shards["p"], request) != nil || FullestFit(shards["q"], request) != nil) {
+					t.Fatal("Next() = nil, want a machine of a peer's shard that fits")
 				}
 				if got == nil {
 					break
 				}
-				got.Free = got.Free.Sub(a.Need)
+				got.Free = got.Free.Sub(request.Need)
 			}
 		}
 	})
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -2,58 +2,58 @@
 
 import "math"
 
-// fitKey orders the machines that fit a task: the lower, the better.
+// fitKey is the sort key of a machine that fits a task: a lower key is a better fit.
 type fitKey uint64
 
-// The bits of a fitKey. The bits between mixedBit and imageFirstBit say how empty the machine
-// would be left, in steps of epsilon.
+// The bits of a fitKey. The bits between mixedKindsBit and imageFirstBit hold the share of the machine
+// that would stay free, in steps of epsilon.
 const (
-	ordinaryBit    fitKey = 1 << iota // not a spot machine
-	noImageBit                        // it lacks the task's image
-	mixedBit                          // it has tasks of the other kind
-	emptinessShift        = iota
+	onDemandBit     fitKey = 1 << iota // not a spot machine
+	missingImageBit                    // the machine lacks the task's image
+	mixedKindsBit                      // it runs tasks of the other job kind
+	freeShareShift         = iota
 
-	// imageFirstBit is above all others: the machine lacks the image of a task that would miss
-	// its start objective by fetching it.
+	// imageFirstBit outranks all others. It is set if the machine lacks the image and the task would
+	// miss its start objective by fetching it.
 	imageFirstBit fitKey = 1 << 62
 )
 
-// fitKeyOf returns how well a machine fits a task: the fullest first; among equals one
-// without tasks of the other kind, then one that has the image, then a spot one, so
-// that ordinary machines stay for those that need them. Only a task that would miss its start
-// objective by fetching its image looks for the image before fullness. ok is false if the
-// machine has no room, lacks an image that it must have, or is not allowed; zones that the
-// job's other tasks leave are not looked at.
-func fitKeyOf(h *Host, a *TaskRequest) (key fitKey, ok bool) {
-	if !h.Free.Fits(a.Need) || !a.allowsKind(h.MachineType, h.Zone, h.Spot) {
+// fitKeyOf returns the sort key of a machine for a task. The machine that would be left fullest
+// comes first. Ties go to a machine without tasks of the other kind, then to one that has the
+// image, then to a spot machine, which leaves on-demand machines to tasks that require them. The
+// image outranks fullness only for a task that would miss its start objective by fetching it. ok is
+// false if the machine lacks capacity or a required image, or is not allowed. Zones excluded
+// because of the job's other tasks (ZoneAllowed) are not checked.
+func fitKeyOf(h *Host, request *TaskRequest) (key fitKey, ok bool) {
+	if !h.Free.Fits(request.Need) || !request.allowsMachine(h.MachineType, h.Zone, h.Spot) {
 		return 0, false
 	}
-	return completeFitKey(emptinessKey(h, a), h, a)
+	return completeFitKey(freeShareKey(h, request), h, request)
 }
 
-// emptinessKey returns the bits of a fitKey that say how empty the machine would be left.
-func emptinessKey(h *Host, a *TaskRequest) fitKey {
-	return fitKey(math.Round(max(emptyShare(h, a.Need), 0)/epsilon)) << emptinessShift
+// freeShareKey returns the bits of a fitKey that hold the share of the machine that would stay free.
+func freeShareKey(h *Host, request *TaskRequest) fitKey {
+	return fitKey(math.Round(max(freeShareAfter(h, request.Need), 0)/epsilon)) << freeShareShift
 }
 
-// completeFitKey adds the other bits to the emptiness of a machine with room. ok is false if
-// the machine lacks an image that it must have.
-func completeFitKey(key fitKey, h *Host, a *TaskRequest) (complete fitKey, ok bool) {
-	hasImage := len(h.Images) > 0 && h.Images[a.Image]
-	if a.RequireImage && !hasImage {
+// completeFitKey adds the other bits to the free share key of a machine with enough capacity. ok is
+// false if the machine lacks a required image.
+func completeFitKey(key fitKey, h *Host, request *TaskRequest) (complete fitKey, ok bool) {
+	hasImage := len(h.Images) > 0 && h.Images[request.Image]
+	if request.RequireImage && !hasImage {
 		return 0, false
 	}
-	if otherKindTasks(h, a) > 0 {
-		key |= mixedBit
+	if otherKindTasks(h, request) > 0 {
+		key |= mixedKindsBit
 	}
 	if !hasImage {
-		key |= noImageBit
-		if a.PreferImage {
+		key |= missingImageBit
+		if request.PreferImage {
 			key |= imageFirstBit
 		}
 	}
 	if !h.Spot {
-		key |= ordinaryBit
+		key |= onDemandBit
 	}
 	return key, true
 }
@@ -64,30 +64,30 @@
 	host *Host
 }
 
-// before reports whether x fits better than y, by name among equals.
+// before reports whether x fits better than y. Ties are ordered by machine name.
 func (x candidate) before(y candidate) bool {
 	return x.key < y.key || x.key == y.key && x.host.Name < y.host.Name
 }
 
-// FullestFit returns the machine that fits the task best by fitKeyOf, nil if none does.
-func FullestFit(hosts []*Host, a *TaskRequest) *Host {
+// FullestFit returns the machine with the lowest fitKey for the task, or nil if none fits.
+func FullestFit(hosts []*Host, request *TaskRequest) *Host {
 	var best candidate
 	for _, h := range hosts {
-		if !h.Free.Fits(a.Need) || !a.allowsKind(h.MachineType, h.Zone, h.Spot) {
+		if !h.Free.Fits(request.Need) || !request.allowsMachine(h.MachineType, h.Zone, h.Spot) {
 			continue
 		}
-		key := emptinessKey(h, a)
-		// One that would be left emptier than the best so far is worse whatever else it
-		// has; looking its image up is the most expensive step.
-		if best.host != nil && !a.PreferImage && key > best.key {
+		key := freeShareKey(h, request)
+		// A machine that would be left emptier than the best so far is worse whatever its other
+		// bits. Skipping it avoids the image lookup, the most expensive step.
+		if best.host != nil && !request.PreferImage && key > best.key {
 			continue
 		}
-		key, ok := completeFitKey(key, h, a)
-		if !ok || a.ZoneAllowed != nil && !a.ZoneAllowed(h.Zone) {
+		key, ok := completeFitKey(key, h, request)
+		if !ok || request.ZoneAllowed != nil && !request.ZoneAllowed(h.Zone) {
 			continue
 		}
-		if x := (candidate{key, h}); best.host == nil || x.before(best) {
-			best = x
+		if current := (candidate{key, h}); best.host == nil || current.before(best) {
+			best = current
 		}
 	}
 	return best.host
--- a/internal/sched/fit_test.go
+++ b/internal/sched/fit_test.go
@@ -6,24 +6,24 @@
 	"pgregory.net/rapid"
 )
 
-// The fullest fit is a machine that fits and is allowed, and no other such
-// machine is left fuller.
+// FullestFit returns a machine that fits and is allowed, and no other such machine would be left
+// fuller.
 func TestFullestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
-		a := &TaskRequest{
+		request := &TaskRequest{
 			Need: drawResources(t, "need", 6),
 			Spot: rapid.Bool().Draw(t, "spot"),
 			Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
 		}
-		got := FullestFit(hosts, a)
+		got := FullestFit(hosts, request)
 		for _, h := range hosts {
-			fits := h.Free.Fits(a.Need) && (a.Spot || !h.Spot) && (a.Zone == "" || a.Zone == h.Zone)
+			fits := h.Free.Fits(request.Need) && (request.Spot || !h.Spot) && (request.Zone == "" || request.Zone == h.Zone)
 			if got == h && !fits {
-				t.Fatalf("%+v does not fit", *h)
+				t.Fatalf("FullestFit() = %+v, which does not fit", *h)
 			}
-			if fits && (got == nil || emptyShare(h, a.Need) < emptyShare(got, a.Need)-epsilon) {
-				t.Fatalf("%+v is fuller", *h)
+			if fits && (got == nil || freeShareAfter(h, request.Need) < freeShareAfter(got, request.Need)-epsilon) {
+				t.Fatalf("FullestFit() = %v, want the fuller machine %+v", got, *h)
 			}
 		}
 	})
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// GangTask is a task of a gang that needs a machine.
+// GangTask is a gang task that needs a machine.
 type GangTask struct {
-	ZoneAllowed func(zone string) bool // the zones that the job's other tasks leave it; nil: any
-	Assigned    func(zone string)      // is called with the zone that the task was assigned to; may be nil
+	ZoneAllowed func(zone string) bool // zones allowed given the job's other tasks; nil: any
+	Assigned    func(zone string)      // called with the zone of the assigned machine; may be nil
 }
 
-// CountFits returns how many tasks, at most most, fit into the room of machines that the job
-// may use.
-func CountFits(hosts []*Host, a *TaskRequest, most int) int {
-	n := 0
+// CountFits returns how many tasks fit into the free capacity of the machines that the job may use,
+// counting up to maxTasks.
+func CountFits(hosts []*Host, request *TaskRequest, maxTasks int) int {
+	count := 0
 	for _, h := range hosts {
-		if !a.Allows(h.MachineType, h.Zone, h.Spot) {
+		if !request.Allows(h.MachineType, h.Zone, h.Spot) {
 			continue
 		}
-		for free := h.Free; n < most && free.Fits(a.Need); n++ {
-			free = free.Sub(a.Need)
+		for free := h.Free; count < maxTasks && free.Fits(request.Need); count++ {
+			free = free.Sub(request.Need)
 		}
 	}
-	return n
+	return count
 }
 
-// AssignGang returns a machine for each of the tasks, which start together, nil for one that
-// finds none. It subtracts what it assigns from the machines' room.
+// AssignGang returns a machine for each of the tasks, which start together, and nil for each task
+// that does not fit. It subtracts the assigned resources from the machines' free capacity.
 //
-// The shards are in the order in which they are asked, the own one first, so that few records
-// change. In a shard, machines that can start a task soon come first (the last one decides
-// when all run), then those that already have one of the tasks (fewer machines that the gang
-// can be lost with, and one fetch for all), then the fullest fit, which leaves room beside
-// accelerators to those who need them.
-func AssignGang(shards [][]*Host, a *TaskRequest, tasks []GangTask) []*Host {
+// The shards are in search order, the job's own shard first, so that few records change. Within a
+// shard, machines that can start a task soonest come first, since the gang runs only once its last
+// task has started. Ties go to machines that already have a task of this gang (fewer machines whose
+// loss ends the gang, and one image fetch for all their tasks), then to the machine that would be left
+// fullest, which keeps free capacity beside GPUs for the tasks that need them.
+func AssignGang(shards [][]*Host, request *TaskRequest, tasks []GangTask) []*Host {
 	assigned := make([]*Host, len(tasks))
-	taken := map[*Host]bool{}
+	gangHosts := map[*Host]bool{}
 	for i, task := range tasks {
-		request := *a
+		taskRequest := *request
 		if task.ZoneAllowed != nil {
-			request.ZoneAllowed = task.ZoneAllowed
+			taskRequest.ZoneAllowed = task.ZoneAllowed
 		}
 		for _, hosts := range shards {
-			if h := soonest(hosts, &request, taken); h != nil {
+			if h := bestGangHost(hosts, &taskRequest, gangHosts); h != nil {
 				assigned[i] = h
-				taken[h] = true
-				h.Free = h.Free.Sub(a.Need)
+				gangHosts[h] = true
+				h.Free = h.Free.Sub(request.Need)
 				if task.Assigned != nil {
 					task.Assigned(h.Zone)
 				}
@@ -57,26 +57,26 @@
 	return assigned
 }
 
-// Unassign adds back to the machines' room what AssignGang subtracted.
-func Unassign(hosts []*Host, a *TaskRequest) {
+// Unassign adds the resources that AssignGang subtracted back to the machines' free capacity.
+func Unassign(hosts []*Host, request *TaskRequest) {
 	for _, h := range hosts {
 		if h != nil {
-			h.Free = h.Free.Add(a.Need)
+			h.Free = h.Free.Add(request.Need)
 		}
 	}
 }
 
-// soonest returns the machine of one shard for the next task of a gang, nil if none fits.
-func soonest(hosts []*Host, a *TaskRequest, taken map[*Host]bool) *Host {
+// bestGangHost returns the machine of one shard for a gang's next task, or nil if none fits.
+func bestGangHost(hosts []*Host, request *TaskRequest, gangHosts map[*Host]bool) *Host {
 	delay := func(h *Host) float64 {
-		if taken[h] { // another of the tasks fetches the image there
+		if gangHosts[h] { // another task of the gang already fetches the image there
 			return h.StartDelayS
 		}
-		return startDelayOn(h, a)
+		return startDelayOn(h, request)
 	}
 	var best *Host
 	for _, h := range hosts {
-		if !h.Free.Fits(a.Need) || !a.Allows(h.MachineType, h.Zone, h.Spot) {
+		if !h.Free.Fits(request.Need) || !request.Allows(h.MachineType, h.Zone, h.Spot) {
 			continue
 		}
 		if best == nil {
@@ -85,8 +85,8 @@
 		}
 		if c := cmp.Or(
 			cmp.Compare(delay(h), delay(best)),
-			-CompareBool(taken[h], taken[best]),
-			cmp.Compare(emptyShare(h, a.Need), emptyShare(best, a.Need)),
+			-CompareBool(gangHosts[h], gangHosts[best]),
+			cmp.Compare(freeShareAfter(h, request.Need), freeShareAfter(best, request.Need)),
 			cmp.Compare(h.Name, best.Name),
 		); c < 0 {
 			best = h
@@ -95,12 +95,12 @@
 	return best
 }
 
-// startDelayOn returns the seconds that a task takes to start on a machine, as far as is known.
-func startDelayOn(h *Host, a *TaskRequest) float64 {
-	if h.Images[a.Image] {
+// startDelayOn estimates how many seconds a task takes to start on a machine.
+func startDelayOn(h *Host, request *TaskRequest) float64 {
+	if h.Images[request.Image] {
 		return h.StartDelayS
 	}
-	return h.StartDelayS + a.FetchS
+	return h.StartDelayS + request.FetchS
 }
 
 // CompareBool orders false before true.
@@ -114,19 +114,19 @@
 	return -1
 }
 
-// StartDelay returns the seconds that the last of some tasks takes to start on the machines
-// that they are assigned to, as far as is known.
-func StartDelay(hosts []*Host, a *TaskRequest) float64 {
-	longest := 0.0
+// StartDelay estimates how many seconds pass until the last of the tasks starts on its assigned
+// machine.
+func StartDelay(hosts []*Host, request *TaskRequest) float64 {
+	maxDelay := 0.0
 	for _, h := range hosts {
 		if h != nil {
-			longest = max(longest, startDelayOn(h, a))
+			maxDelay = max(maxDelay, startDelayOn(h, request))
 		}
 	}
-	return longest
+	return maxDelay
 }
 
-// CountUnassigned returns the number of tasks that found no machine.
+// CountUnassigned returns the number of tasks without a machine.
 func CountUnassigned(hosts []*Host) int {
 	n := 0
 	for _, h := range hosts {
@@ -137,7 +137,7 @@
 	return n
 }
 
-// CountShards returns the number of shards that the machines belong to.
+// CountShards returns the number of shards to which the machines belong.
 func CountShards(hosts []*Host) int {
 	var shards []string
 	for _, h := range hosts {
--- a/internal/sched/gang_assign_test.go
+++ b/internal/sched/gang_assign_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// Machines assigned to a gang give no more room than there is, leave none empty that had some, and
-// unassigning them restores all.
-func TestAssignGang(t *testing.T) {
+// AssignGang assigns no more than the free capacity, uses all of it if tasks remain, and Unassign
+// restores it.
+func TestAssignGang_UsesAllFittingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", FetchS: 3}
+		request := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", FetchS: 3}
 		shards := [][]*Host{nil, nil}
 		var all []*Host
 		before := map[*Host]Resources{}
@@ -34,28 +34,28 @@
 			all, before[h] = append(all, h), h.Free
 		}
 		n := rapid.IntRange(1, 12).Draw(t, "tasks")
-		most := CountFits(all, a, 100)
-		found := AssignGang(shards, a, make([]GangTask, n))
-		if got := n - CountUnassigned(found); got != min(n, most) {
-			t.Fatalf("%d tasks of %d have a machine where %d fit", got, n, most)
+		fitting := CountFits(all, request, 100)
+		assigned := AssignGang(shards, request, make([]GangTask, n))
+		if got := n - CountUnassigned(assigned); got != min(n, fitting) {
+			t.Fatalf("assigned %d of %d tasks, want %d (capacity for %d)", got, n, min(n, fitting), fitting)
 		}
 		for h := range before {
 			if h.Free.CPUs < -epsilon {
-				t.Fatalf("%s is overfull", h.Name)
+				t.Fatalf("%s has %v CPUs free, want at least 0", h.Name, h.Free.CPUs)
 			}
 		}
-		Unassign(found, a)
-		for h, f := range before {
-			if !h.Free.ApproxEqual(f) {
-				t.Fatalf("%s has %v, had %v", h.Name, h.Free, f)
+		Unassign(assigned, request)
+		for h, freeBefore := range before {
+			if !h.Free.ApproxEqual(freeBefore) {
+				t.Fatalf("%s has %v free after Unassign, want %v", h.Name, h.Free, freeBefore)
 			}
 		}
 	})
 }
 
-// A task of a gang goes to the machine where it starts soonest, then where another of the gang
-// is, then to the fullest.
-func TestAssignGangOrder(t *testing.T) {
+// A gang task is assigned to the machine where it starts soonest; ties go to a machine with another
+// task of the gang, then to the fullest machine.
+func TestAssignGang_PrefersSoonestStart(t *testing.T) {
 	capacity, need := Resources{CPUs: 8, MemGB: 64}, Resources{CPUs: 2, MemGB: 4}
 	host := func(name string, freeCPUs, startDelayS float64, images ...string) *Host {
 		h := &Host{Name: name, Cap: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS}
@@ -65,27 +65,27 @@
 		}
 		return h
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		hosts []*Host
 		tasks int
 		want  []string
 	}{
-		{"the fullest", []*Host{host("a", 8, 0), host("b", 4, 0)}, 1, []string{"b"}},
-		{"one that has the image", []*Host{host("a", 8, 0, "i"), host("b", 4, 0)}, 1, []string{"a"}},
-		{"one that can start", []*Host{host("a", 8, 0), host("b", 4, 5)}, 1, []string{"a"}},
-		{"where the gang is", []*Host{host("a", 8, 0), host("b", 4, 0)}, 3, []string{"b", "b", "a"}},
-		{"where its fetch is under way", []*Host{host("a", 8, 1, "i"), host("b", 4, 0)}, 3, []string{"a", "a", "a"}},
-		{"the first of equals", []*Host{host("b", 4, 0), host("a", 4, 0)}, 1, []string{"a"}},
+		{"fullest machine", []*Host{host("a", 8, 0), host("b", 4, 0)}, 1, []string{"b"}},
+		{"machine with the image", []*Host{host("a", 8, 0, "i"), host("b", 4, 0)}, 1, []string{"a"}},
+		{"machine without start delay", []*Host{host("a", 8, 0), host("b", 4, 5)}, 1, []string{"a"}},
+		{"machine that has a task of the gang", []*Host{host("a", 8, 0), host("b", 4, 0)}, 3, []string{"b", "b", "a"}},
+		{"machine that already fetches the image for the gang", []*Host{host("a", 8, 1, "i"), host("b", 4, 0)}, 3, []string{"a", "a", "a"}},
+		{"first name among equals", []*Host{host("b", 4, 0), host("a", 4, 0)}, 1, []string{"a"}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			request := &TaskRequest{Need: need, Image: "i", FetchS: 3}
 			var got []string
-			for _, h := range AssignGang([][]*Host{x.hosts}, request, make([]GangTask, x.tasks)) {
+			for _, h := range AssignGang([][]*Host{test.hosts}, request, make([]GangTask, test.tasks)) {
 				got = append(got, h.Name)
 			}
-			if !slices.Equal(got, x.want) {
-				t.Errorf("tasks go to %v, not %v", got, x.want)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("AssignGang() assigned %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// GangRetry is the retry state of a gang that looks for room, after Algorithm 2 of the paper:
-// it claims what the shards have, up to what is missing, sleeps after it found them empty, and
-// after too many misses in a row releases all its claims and begins again, before newer gangs.
-// It starts nothing until room for all tasks is claimed.
+// GangRetry is the retry state of a gang that waits for capacity, after Algorithm 2 of the paper. The
+// gang claims free capacity in the shards, up to what it still lacks, and delays its next attempt
+// when it found none. After too many misses in a row it releases all its claims and starts over,
+// ahead of newer gangs. None of its tasks starts until capacity for all of them is claimed.
 type GangRetry struct {
-	MaxMisses int           // misses in a row that are borne
-	Sleep     time.Duration // after each miss
-	Released  bool          // it has begun again: it goes before newer ones
+	MaxMisses int           // misses in a row that are allowed before the claims are released
+	Sleep     time.Duration // delay after each miss
+	Released  bool          // the gang has released its claims and started over, so it precedes newer gangs
 
 	consecutiveMisses int
-	sleepUntil        time.Time
+	delayedUntil      time.Time
 }
 
-// The values that docs/design.md begins with.
+// The initial values, as docs/design.md gives them.
 const (
 	InitialSleep     = time.Second
 	InitialMaxMisses = 3
 )
 
-// NewGangRetry returns the state of a gang that has not looked for room.
+// NewGangRetry returns the state of a gang that has not searched for capacity yet.
 func NewGangRetry() *GangRetry { return &GangRetry{MaxMisses: InitialMaxMisses, Sleep: InitialSleep} }
 
-// Claimed records that room was claimed.
-func (g *GangRetry) Claimed() { g.consecutiveMisses, g.sleepUntil = 0, time.Time{} }
+// Claimed records that the gang claimed capacity: it resets the misses and the delay.
+func (g *GangRetry) Claimed() { g.consecutiveMisses, g.delayedUntil = 0, time.Time{} }
 
-// Missed records that the gang, while it holds claims, found too little room. It reports
-// whether all its claims are to be released. A miss while it sleeps does not count.
+// Missed records that a gang that holds claims found too little capacity. It reports whether the
+// gang must release all its claims. Misses during the delay after a miss do not count.
 func (g *GangRetry) Missed(now time.Time) (release bool) {
-	if now.Before(g.sleepUntil) {
+	if now.Before(g.delayedUntil) {
 		return false
 	}
 	g.consecutiveMisses++
-	g.sleepUntil = now.Add(g.Sleep)
+	g.delayedUntil = now.Add(g.Sleep)
 	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -7,34 +7,33 @@
 	"pgregory.net/rapid"
 )
 
-// The gang of the paper's Algorithm 2: it sleeps after a miss, what it sees while it
-// sleeps is none, and it releases all claims after more misses in a row than the retry
-// count.
-func TestGangRetry(t *testing.T) {
+// After a miss the gang delays its next attempt, as in Algorithm 2 of the paper. Misses during the delay
+// do not count, and the gang releases all its claims after more consecutive misses than the limit.
+func TestGangRetry_ReleasesAfterTooManyMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		g := NewGangRetry()
+		retry := NewGangRetry()
 		misses := 0
-		var until time.Time
+		var delayedUntil time.Time
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(_ *rapid.T) {
-				g.Claimed()
-				misses, until = 0, time.Time{}
+				retry.Claimed()
+				misses, delayedUntil = 0, time.Time{}
 			},
 			"miss": func(t *rapid.T) {
-				asleep := now.Before(until)
-				if !asleep {
+				delayed := now.Before(delayedUntil)
+				if !delayed {
 					misses++
-					until = now.Add(InitialSleep)
+					delayedUntil = now.Add(InitialSleep)
 				}
-				rel := g.Missed(now)
-				if rel != (!asleep && misses > InitialMaxMisses) {
-					t.Fatalf("releases %t after %d misses, asleep %t", rel, misses, asleep)
+				release := retry.Missed(now)
+				if release != (!delayed && misses > InitialMaxMisses) {
+					t.Fatalf("Missed() = %t, want %t; misses %d, delayed %t", release, !release, misses, delayed)
 				}
-				if rel {
+				if release {
 					misses = 0
-					if !g.Released {
-						t.Fatal("does not go before newer ones")
+					if !retry.Released {
+						t.Fatal("Released = false after the claims were released, want true")
 					}
 				}
 			},
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -1,72 +1,73 @@
-// Package sched makes the pure scheduling decisions: which machine a task is assigned to,
-// which tasks are preempted, how a gang looks for room, what is rented, and how much of a
-// team's quota a shard holds.
+// Package sched makes the scheduling decisions as pure functions: which machine a task is assigned
+// to, which tasks are preempted, how a gang retries its search for capacity, which machines are
+// rented, and how much of a team's quota a shard holds.
 //
 // Invariants:
-//   - no decision does I/O; clocks and random numbers come from the caller, and the same input
+//   - no decision does I/O; times and random sources come from the caller, and the same input
 //     gives the same decision;
-//   - no task is assigned to a machine that lacks room for it or that its job does not allow;
-//   - nothing is preempted for room that would not be enough;
-//   - what the shards hold of a quota is never more than the limit.
+//   - a task is only assigned to a machine that has enough free capacity and that its job allows;
+//   - tasks are preempted only if that frees enough capacity;
+//   - the shares of a quota that the shards hold never exceed the limit in total.
 package sched
 
 import "slices"
 
-// Host is a machine as a decision sees it.
+// Host is the view of a machine on which decisions are made.
 type Host struct {
 	Name, Shard, MachineType, Zone string
 	Spot                           bool
 	Cap, Free                      Resources
-	Stopping                       Resources       // of tasks that were told to stop
-	Images                         map[string]bool // images that it likely has
-	Services, Arrays               int             // tasks on it, by the kind of their jobs
-	StartDelayS                    float64         // seconds until it can start a task, as far as is known
+	Stopping                       Resources       // resources of tasks that were sent a stop command
+	Images                         map[string]bool // images that the machine probably has
+	Services, Arrays               int             // number of its tasks, by the kind of their jobs
+	StartDelayS                    float64         // estimated seconds until it can start a task
 }
 
-// TaskRequest is what one task of a job asks of a machine.
+// TaskRequest is what one task of a job requires of a machine.
 type TaskRequest struct {
 	Need         Resources
 	MachineTypes []string // nil: any
 	Zone         string   // "": any
-	Spot         bool     // spot machines will do
+	Spot         bool     // spot machines are allowed
 	Image        string
-	Service      bool                   // a service's replica
+	Service      bool                   // the task is a replica of a service
 	FetchS       float64                // seconds that fetching its image takes
-	PreferImage  bool                   // fetching its image would make it miss its start objective
-	RequireImage bool                   // only a machine that has its image will do
-	ZoneAllowed  func(zone string) bool // the zones that the job's other tasks leave it; nil: any
+	PreferImage  bool                   // fetching the image would make the task miss its start objective
+	RequireImage bool                   // only machines that have the image are allowed
+	ZoneAllowed  func(zone string) bool // zones allowed given the job's other tasks; nil: any
 }
 
-// Allows reports whether the task may run on such a machine, room aside.
-func (a *TaskRequest) Allows(machineType, zone string, spot bool) bool {
-	return a.allowsKind(machineType, zone, spot) && (a.ZoneAllowed == nil || a.ZoneAllowed(zone))
+// Allows reports whether the task may run on such a machine. It does not check free capacity.
+func (r *TaskRequest) Allows(machineType, zone string, spot bool) bool {
+	return r.allowsMachine(machineType, zone, spot) && (r.ZoneAllowed == nil || r.ZoneAllowed(zone))
 }
 
-// allowsKind is Allows without regard to the job's other tasks.
-func (a *TaskRequest) allowsKind(machineType, zone string, spot bool) bool {
-	return (a.MachineTypes == nil || slices.Contains(a.MachineTypes, machineType)) &&
-		(a.Zone == "" || a.Zone == zone) && (a.Spot || !spot)
+// allowsMachine is Allows without the check of ZoneAllowed.
+func (r *TaskRequest) allowsMachine(machineType, zone string, spot bool) bool {
+	return (r.MachineTypes == nil || slices.Contains(r.MachineTypes, machineType)) &&
+		(r.Zone == "" || r.Zone == zone) && (r.Spot || !spot)
 }
 
-// otherKindTasks returns the number of tasks of the other kind on a machine. Services' replicas
-// stay and arrays' tasks end: kept apart, machines empty out and can be returned.
-func otherKindTasks(h *Host, a *TaskRequest) int {
-	if a.Service {
+// otherKindTasks returns the number of a machine's tasks that are of the other job kind. Replicas of
+// services stay and tasks of arrays end. When the kinds are kept apart, machines with array tasks
+// become empty and can be returned.
+func otherKindTasks(h *Host, request *TaskRequest) int {
+	if request.Service {
 		return h.Arrays
 	}
 	return h.Services
 }
 
-// emptyShare returns how empty a machine would be after taking the task: the larger of the
-// shares of its processors and its accelerators that would stay free.
-func emptyShare(h *Host, need Resources) float64 {
-	left := h.Free.Sub(need)
+// freeShareAfter returns how empty a machine would be after it takes the task: the larger of the
+// shares of its CPUs and its GPUs that would stay free.
+func freeShareAfter(h *Host, need Resources) float64 {
+	remaining := h.Free.Sub(need)
 	share := 0.0
 	if h.Cap.CPUs > 0 {
-		share = left.CPUs / h.Cap.CPUs
+		share = remaining.CPUs / h.Cap.CPUs
 	}
 	if h.Cap.GPUs > 0 {
-		share = max(share, left.GPUs/h.Cap.GPUs)
+		share = max(share, remaining.GPUs/h.Cap.GPUs)
 	}
 	return share
 }
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-// Victim is a task that could be preempted for another.
+// Victim is a task that could be preempted for another task.
 type Victim struct {
 	Task string
-	Room Resources // that its end frees
-	Cost float64   // work that stopping it loses
-	Ref  int       // the caller's own number for it
+	Room Resources // resources that stopping it frees
+	Cost float64   // work that is lost by stopping it
+	Ref  int       // index by which the caller identifies it
 }
 
-// Preempt returns the tasks on one machine to stop so that a task finds room there, losing
-// the least work, and the work that is lost. It returns none when even all of them would not
-// be enough: room that does not help is not taken. It sorts victims.
+// Preempt returns the tasks on one machine to stop so that a task fits there, choosing those that lose
+// the least work, and the amount of work lost. It returns none if stopping all of them would not free
+// enough: capacity that does not make the task fit is not freed. It sorts victims.
 func Preempt(free, need Resources, victims []Victim) ([]Victim, float64) {
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Task, b.Task))
 	})
-	var taken []Victim
+	var selected []Victim
 	for _, v := range victims {
 		if free.Fits(need) {
 			break
 		}
 		free = free.Add(v.Room)
-		taken = append(taken, v)
+		selected = append(selected, v)
 	}
 	if !free.Fits(need) {
 		return nil, 0
 	}
-	return withoutNeedless(free, need, taken)
+	return dropUnneeded(free, need, selected)
 }
 
-// withoutNeedless leaves out victims that a later, larger one has made needless, and returns
-// the others and their cost.
-func withoutNeedless(free, need Resources, taken []Victim) ([]Victim, float64) {
+// dropUnneeded removes victims that are no longer needed because a larger one was selected after
+// them. It returns the others and their total cost.
+func dropUnneeded(free, need Resources, selected []Victim) ([]Victim, float64) {
 	cost := 0.0
-	for i := 0; i < len(taken); {
-		if less := free.Sub(taken[i].Room); less.Fits(need) {
-			free = less
-			taken = slices.Delete(taken, i, i+1)
+	for i := 0; i < len(selected); {
+		if reduced := free.Sub(selected[i].Room); reduced.Fits(need) {
+			free = reduced
+			selected = slices.Delete(selected, i, i+1)
 			continue
 		}
-		cost += taken[i].Cost
+		cost += selected[i].Cost
 		i++
 	}
-	return taken, cost
+	return selected, cost
 }
--- a/internal/sched/preempt_test.go
+++ b/internal/sched/preempt_test.go
@@ -8,36 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-// Nobody is stopped for room that is not enough, and nobody needlessly.
-func TestPreempt(t *testing.T) {
+// Preempt stops no task if even all victims would not free enough, and no task that is not needed.
+func TestPreempt_SelectsOnlyNeededVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		free, need := drawResources(t, "free", 4), drawResources(t, "need", 8)
-		var v []Victim
-		all := free
+		var victims []Victim
+		freeWithoutAny := free
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
-			v = append(
-				v,
+			victims = append(
+				victims,
 				Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
 			)
-			all = all.Add(v[i].Room)
+			freeWithoutAny = freeWithoutAny.Add(victims[i].Room)
 		}
-		take, _ := Preempt(free, need, slices.Clone(v))
-		if free.Fits(need) && len(take) > 0 {
-			t.Fatal("stopped for room that was free")
+		selected, _ := Preempt(free, need, slices.Clone(victims))
+		if free.Fits(need) && len(selected) > 0 {
+			t.Fatalf("Preempt() = %v, want none: %v fits into the free capacity %v", selected, need, free)
 		}
-		got := free
-		for _, x := range take {
-			got = got.Add(x.Room)
+		freed := free
+		for _, victim := range selected {
+			freed = freed.Add(victim.Room)
 		}
-		if len(take) > 0 && !got.Fits(need) {
-			t.Fatal("stopped for nothing")
+		if len(selected) > 0 && !freed.Fits(need) {
+			t.Fatalf("Preempt() = %v frees up to %v, too little for %v", selected, freed, need)
 		}
-		if !free.Fits(need) && all.Fits(need) && len(take) == 0 {
-			t.Fatal("room that could be made was not")
+		if !free.Fits(need) && freeWithoutAny.Fits(need) && len(selected) == 0 {
+			t.Fatalf("Preempt() selects no victim, although stopping all of them frees %v, enough for %v", freeWithoutAny, need)
 		}
-		for _, x := range take {
-			if got.Sub(x.Room).Fits(need) {
-				t.Fatal("stopped needlessly")
+		for _, victim := range selected {
+			if freed.Sub(victim.Room).Fits(need) {
+				t.Fatalf("Preempt() selects %v, which is not needed", victim)
 			}
 		}
 	})
--- a/internal/sched/quota.go
+++ b/internal/sched/quota.go
@@ -2,60 +2,59 @@
 
 import "math"
 
-// quotaSteps is the number of steps that a limit is divided into: a shard reserves a team's
-// limit in such steps, so that most placements there change no record but the
-// shard's own.
+// quotaSteps is the number of steps into which a limit is divided. A shard reserves a team's limit in
+// whole steps, so that most placements in the shard change no record but the shard's own.
 const quotaSteps = 32
 
-// nearLimit is the share of a limit from which it counts as near.
-const nearLimit = 3. / 4
-
-// excessSteps is the number of steps unused from which a shard gives some back.
-const excessSteps = 3
-
-// QuotaShare returns the share of a team's limit that a shard should hold for what the
-// team's tasks use there, while the other shards hold others: a step more than is
-// used while the limit is far away, exactly what is used when it is near, so
-// that no shard keeps from others what it does not use. ok is false if the limit does not
-// leave as much as is used. An amount without a limit is 0 in limit.
-func QuotaShare(limit, others, use Resources) (share Resources, ok bool) {
-	cpus, cpusLeft := quotaShareOf(limit.CPUs, others.CPUs, use.CPUs)
-	gpus, gpusLeft := quotaShareOf(limit.GPUs, others.GPUs, use.GPUs)
-	return Resources{CPUs: cpus, GPUs: gpus}, cpusLeft && gpusLeft
+// nearLimitShare is the share of a limit from which usage counts as near the limit.
+const nearLimitShare = 3. / 4
+
+// maxUnusedSteps is the number of unused steps above which a shard releases some of its share.
+const maxUnusedSteps = 3
+
+// QuotaShare returns the share of a team's limit that a shard should hold for what the team's tasks
+// use there, given the shares that the other shards hold. Far from the limit it is the usage
+// rounded up plus one step. Near the limit it is exactly the usage, so that no shard withholds from
+// others what it does not use. ok is false if the limit leaves less than the usage. A limit of 0
+// means that the resource is not limited.
+func QuotaShare(limit, heldByOthers, used Resources) (share Resources, ok bool) {
+	cpus, cpusOK := quotaShareOfResource(limit.CPUs, heldByOthers.CPUs, used.CPUs)
+	gpus, gpusOK := quotaShareOfResource(limit.GPUs, heldByOthers.GPUs, used.GPUs)
+	return Resources{CPUs: cpus, GPUs: gpus}, cpusOK && gpusOK
 }
 
-// quotaShareOf is QuotaShare for one kind of resource.
-func quotaShareOf(limit, others, use float64) (share float64, ok bool) {
+// quotaShareOfResource is QuotaShare for one kind of resource.
+func quotaShareOfResource(limit, heldByOthers, used float64) (share float64, ok bool) {
 	if limit <= 0 {
 		return 0, true
 	}
-	if use > limit-others+epsilon {
-		return use, false
+	if used > limit-heldByOthers+epsilon {
+		return used, false
 	}
 	step := limit / quotaSteps
-	share = math.Ceil(use/step+1) * step
-	if others+share > limit*nearLimit {
-		return use, true
+	share = math.Ceil(used/step+1) * step
+	if heldByOthers+share > limit*nearLimitShare {
+		return used, true
 	}
 	return share, true
 }
 
-// HoldsExcessQuota reports whether a shard holds so much more of a limit than is used there
-// that it should give some back.
-func HoldsExcessQuota(limit, others, held, use Resources) bool {
-	return holdsExcess(limit.CPUs, others.CPUs, held.CPUs, use.CPUs) ||
-		holdsExcess(limit.GPUs, others.GPUs, held.GPUs, use.GPUs)
+// HoldsExcessQuota reports whether a shard holds so much more of a limit than is used there that it
+// should release some.
+func HoldsExcessQuota(limit, heldByOthers, held, used Resources) bool {
+	return holdsExcess(limit.CPUs, heldByOthers.CPUs, held.CPUs, used.CPUs) ||
+		holdsExcess(limit.GPUs, heldByOthers.GPUs, held.GPUs, used.GPUs)
 }
 
 // holdsExcess is HoldsExcessQuota for one kind of resource.
-func holdsExcess(limit, others, held, use float64) bool {
-	if limit <= 0 || held <= use+epsilon {
+func holdsExcess(limit, heldByOthers, held, used float64) bool {
+	if limit <= 0 || held <= used+epsilon {
 		return false
 	}
-	return others+held > limit*nearLimit || held-use > limit*excessSteps/quotaSteps
+	return heldByOthers+held > limit*nearLimitShare || held-used > limit*maxUnusedSteps/quotaSteps
 }
 
-// WithinQuota reports whether use is within a held share, where there is a limit.
-func WithinQuota(limit, held, use Resources) bool {
-	return (limit.CPUs <= 0 || use.CPUs <= held.CPUs+epsilon) && (limit.GPUs <= 0 || use.GPUs <= held.GPUs+epsilon)
+// WithinQuota reports whether the usage is within the held share for each resource that has a limit.
+func WithinQuota(limit, held, used Resources) bool {
+	return (limit.CPUs <= 0 || used.CPUs <= held.CPUs+epsilon) && (limit.GPUs <= 0 || used.GPUs <= held.GPUs+epsilon)
 }
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -6,42 +6,41 @@
 	"pgregory.net/rapid"
 )
 
-// Shares of a limit, acquired and released by shards in any order, never sum up to
-// more than the limit, cover what is used, and keep little from the others when
-// the limit is near.
-func TestQuotaShares(t *testing.T) {
+// The shares that shards acquire and release in any order never exceed the limit in total, cover the
+// usage, and withhold little from other shards near the limit.
+func TestQuotaShare_SumNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Resources{GPUs: float64(rapid.IntRange(1, 200).Draw(t, "limit"))}
-		held, use := [3]Resources{}, [3]Resources{}
+		held, used := [3]Resources{}, [3]Resources{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			p := rapid.IntRange(0, 2).Draw(t, "shard")
-			others := held[(p+1)%3].Add(held[(p+2)%3])
-			want := max(0, use[p].GPUs+float64(rapid.IntRange(-9, 9).Draw(t, "change")))
-			if n := (Resources{GPUs: want}); WithinQuota(limit, held[p], n) {
-				use[p] = n
-			} else if h, ok := QuotaShare(limit, others, n); ok {
-				held[p], use[p] = h, n
-			} else if others.GPUs+want <= limit.GPUs {
-				t.Fatalf("%v refused of %v with %v held elsewhere", want, limit.GPUs, others.GPUs)
+			shard := rapid.IntRange(0, 2).Draw(t, "shard")
+			heldByOthers := held[(shard+1)%3].Add(held[(shard+2)%3])
+			wantGPUs := max(0, used[shard].GPUs+float64(rapid.IntRange(-9, 9).Draw(t, "change")))
+			if wanted := (Resources{GPUs: wantGPUs}); WithinQuota(limit, held[shard], wanted) {
+				used[shard] = wanted
+			} else if share, ok := QuotaShare(limit, heldByOthers, wanted); ok {
+				held[shard], used[shard] = share, wanted
+			} else if heldByOthers.GPUs+wantGPUs <= limit.GPUs {
+				t.Fatalf("QuotaShare() refuses %v of the limit %v with %v held by other shards", wantGPUs, limit.GPUs, heldByOthers.GPUs)
 			}
-			if HoldsExcessQuota(limit, others, held[p], use[p]) {
-				h, ok := QuotaShare(limit, others, use[p])
+			if HoldsExcessQuota(limit, heldByOthers, held[shard], used[shard]) {
+				share, ok := QuotaShare(limit, heldByOthers, used[shard])
 				if !ok {
-					t.Fatal("can't release the excess")
+					t.Fatal("QuotaShare() = not ok for a shard that holds excess quota")
 				}
-				if held[p] = h; HoldsExcessQuota(limit, others, h, use[p]) {
-					t.Fatal("releases too little")
+				if held[shard] = share; HoldsExcessQuota(limit, heldByOthers, share, used[shard]) {
+					t.Fatal("HoldsExcessQuota() = true after the excess was released, want false")
 				}
 			}
 			sum := 0.0
-			for q := range 3 {
-				sum += held[q].GPUs
-				if !WithinQuota(limit, held[q], use[q]) {
-					t.Fatalf("uses %v of %v", use[q], held[q])
+			for i := range 3 {
+				sum += held[i].GPUs
+				if !WithinQuota(limit, held[i], used[i]) {
+					t.Fatalf("shard %d uses %v, more than its share %v", i, used[i], held[i])
 				}
 			}
 			if sum > limit.GPUs+epsilon {
-				t.Fatalf("%v held of %v", sum, limit.GPUs)
+				t.Fatalf("shards hold %v GPUs, want at most %v", sum, limit.GPUs)
 			}
 		}
 	})
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// candidates is a heap of machines, the best on top.
+// candidates is a heap of machines with the best fit on top.
 type candidates []candidate
 
 func (c candidates) Len() int           { return len(c) }
@@ -10,48 +10,48 @@
 func (c candidates) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(x any) {
-	*c = append(*c, x.(candidate)) //nolint:errcheck // container/heap pushes what Ranking gives it: candidates
+func (c *candidates) Push(value any) {
+	*c = append(*c, value.(candidate)) //nolint:errcheck // container/heap only pushes what Ranking passes, a candidate
 }
 
 // Pop implements heap.Interface.
 func (c *candidates) Pop() any {
 	last := len(*c) - 1
-	x := (*c)[last]
+	removed := (*c)[last]
 	*c = (*c)[:last]
-	return x
+	return removed
 }
 
-// Ranking finds machines for the tasks of one job, which all ask for the same, one after
-// the other. It looks over the machines once, not once for each task: a task that is assigned
-// to the best machine leaves it fuller, so that it stays the best until it is full.
+// Ranking selects machines for the tasks of one job, which all have the same requirements, one after
+// another. It evaluates each machine once instead of once per task: a machine that gets a task becomes
+// fuller, and so stays the best until it is full.
 //
-// The room of the machines may change only by what the ranking's own tasks take.
+// While a Ranking is in use, only its own tasks may reduce the machines' free capacity.
 type Ranking struct {
 	request *TaskRequest
-	zones   []zoneCandidates // by zone, for the zones that are allowed differ from task to task
+	zones   []zoneCandidates // by zone, because the allowed zones differ from task to task
 }
 
-// zoneCandidates are the machines of one zone.
+// zoneCandidates holds the machines of one zone.
 type zoneCandidates struct {
 	zone string
 	candidates
 }
 
-// NewRanking returns a ranking of machines. It reuses the memory of r, an earlier ranking that is
-// invalid from then on; nil will do.
-func NewRanking(r *Ranking, hosts []*Host, a *TaskRequest) *Ranking {
+// NewRanking returns a ranking of machines. It reuses the memory of r, an earlier ranking that must
+// not be used any more; r may be nil.
+func NewRanking(r *Ranking, hosts []*Host, request *TaskRequest) *Ranking {
 	if r == nil {
 		r = &Ranking{}
 	}
-	r.request = a
+	r.request = request
 	for i := range r.zones {
 		r.zones[i].candidates = r.zones[i].candidates[:0]
 	}
 	for _, h := range hosts {
-		if key, ok := fitKeyOf(h, a); ok {
-			at := r.zoneCandidatesOf(h.Zone)
-			at.candidates = append(at.candidates, candidate{key, h})
+		if key, ok := fitKeyOf(h, request); ok {
+			inZone := r.zoneCandidatesOf(h.Zone)
+			inZone.candidates = append(inZone.candidates, candidate{key, h})
 		}
 	}
 	for i := range r.zones {
@@ -70,16 +70,16 @@
 	return &r.zones[len(r.zones)-1]
 }
 
-// Add adds a machine.
+// Add adds a machine to the ranking if it fits.
 func (r *Ranking) Add(h *Host) {
 	if key, ok := fitKeyOf(h, r.request); ok {
 		heap.Push(&r.zoneCandidatesOf(h.Zone).candidates, candidate{key, h})
 	}
 }
 
-// Best returns the machine for the next task, nil if none fits. A caller that assigns the task
-// to it subtracts the task's need from its room before it asks again. zoneAllowed tells which
-// zones will do; nil allows all.
+// Best returns the machine for the next task, or nil if none fits. A caller that assigns the task to
+// it must subtract the task's need from its free capacity before the next call. zoneAllowed reports
+// which zones the task may use; nil allows all.
 func (r *Ranking) Best(zoneAllowed func(zone string) bool) *Host {
 	var best candidate
 	for i := range r.zones {
@@ -90,8 +90,8 @@
 		if len(z.candidates) == 0 || zoneAllowed != nil && !zoneAllowed(z.zone) {
 			continue
 		}
-		if x := z.candidates[0]; best.host == nil || x.before(best) {
-			best = x
+		if current := z.candidates[0]; best.host == nil || current.before(best) {
+			best = current
 		}
 	}
 	return best.host
--- a/internal/sched/ranking_test.go
+++ b/internal/sched/ranking_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Tasks of a job go where one look for each of them would have put them, however the
-// zones that its other tasks leave change from task to task.
-func TestRankingIsRepeatedFullestFit(t *testing.T) {
+// Ranking assigns the tasks of a job to the same machines as a separate FullestFit per task, also if the
+// zones that the job's other tasks leave differ from task to task.
+func TestRanking_MatchesRepeatedFullestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		for _, h := range hosts {
@@ -17,12 +17,12 @@
 				h.Images = map[string]bool{"i": true}
 			}
 		}
-		plain := make([]*Host, len(hosts))
+		copies := make([]*Host, len(hosts))
 		for i, h := range hosts {
-			same := *h
-			plain[i] = &same
+			hostCopy := *h
+			copies[i] = &hostCopy
 		}
-		a := &TaskRequest{
+		request := &TaskRequest{
 			Need:         drawResources(t, "need", 6),
 			Spot:         rapid.Bool().Draw(t, "spot"),
 			Zone:         rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
@@ -31,24 +31,24 @@
 			RequireImage: rapid.Bool().Draw(t, "requires its image"),
 			Service:      rapid.Bool().Draw(t, "service"),
 		}
-		r := NewRanking(nil, nil, &TaskRequest{})
-		r = NewRanking(r, hosts[:len(hosts)/2], a)
+		ranking := NewRanking(nil, nil, &TaskRequest{})
+		ranking = NewRanking(ranking, hosts[:len(hosts)/2], request)
 		for _, h := range hosts[len(hosts)/2:] {
-			r.Add(h)
+			ranking.Add(h)
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "tasks") {
-			barred := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "barred")
-			one := *a
-			one.ZoneAllowed = func(zone string) bool { return zone != barred }
-			got, want := r.Best(one.ZoneAllowed), FullestFit(plain, &one)
+			excludedZone := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "barred")
+			taskRequest := *request
+			taskRequest.ZoneAllowed = func(zone string) bool { return zone != excludedZone }
+			got, want := ranking.Best(taskRequest.ZoneAllowed), FullestFit(copies, &taskRequest)
 			if (got == nil) != (want == nil) || got != nil && got.Name != want.Name {
-				t.Fatalf("%v, one look gives %v", got, want)
+				t.Fatalf("Best() = %v, want %v as from FullestFit()", got, want)
 			}
 			if got == nil {
 				continue
 			}
 			for _, h := range []*Host{got, want} {
-				if h.Free = h.Free.Sub(a.Need); a.Service {
+				if h.Free = h.Free.Sub(request.Need); request.Service {
 					h.Services++
 				} else {
 					h.Arrays++
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Offer is a machine type in one zone, ordinary or spot, that can be rented.
+// Offer is a machine type that can be rented in one zone, as an on-demand or a spot machine.
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
@@ -10,113 +10,113 @@
 	Price             float64
 }
 
-// UnmetDemand is a job's tasks that found no room.
+// UnmetDemand is a number of tasks of one job that lack capacity.
 type UnmetDemand struct {
 	Request  TaskRequest
 	Count    int
-	Assigned func(zone string) // is called with each task's zone, for Request.ZoneAllowed; may be nil
+	Assigned func(zone string) // called with the zone of each task, for Request.ZoneAllowed; may be nil
 }
 
-// RentalOrder is a number of machines to rent.
+// RentalOrder is an offer and the number of machines to rent of it.
 type RentalOrder struct {
 	Offer Offer
 	Count int
 }
 
-// PlanRentals returns what to rent for the unmet tasks, after assigning tasks to the machines
-// that are coming already, whose room it subtracts from. Of the offers that fit, the one that
-// is cheapest for the task is taken; the zone home breaks a tie.
-func PlanRentals(unmet []UnmetDemand, coming []*Host, offers []Offer, home string) []RentalOrder {
-	p := &rentPlan{hosts: hostsWithRoom(coming, unmet), offers: offers, home: home}
+// PlanRentals returns what to rent for the unmet tasks. It first assigns tasks to the machines that
+// are being provisioned, and subtracts from their free capacity. Of the offers that fit, it takes
+// the one with the lowest price per task; ties go to preferredZone.
+func PlanRentals(unmet []UnmetDemand, provisioning []*Host, offers []Offer, preferredZone string) []RentalOrder {
+	plan := &rentPlan{hosts: hostsWithCapacity(provisioning, unmet), offers: offers, preferredZone: preferredZone}
 	for i := range unmet {
-		p.fill(&unmet[i])
+		plan.placeDemand(&unmet[i])
 	}
-	return p.orders
+	return plan.orders
 }
 
-// rentPlan is the state of PlanRentals.
+// rentPlan is the working state of PlanRentals.
 type rentPlan struct {
-	hosts  []*Host // coming and to be rented, with room
-	full   []*Host // without processors or accelerators left: only tasks without accelerators look at them
-	offers []Offer
-	home   string
-	orders []RentalOrder
+	hosts         []*Host // provisioning and ordered machines with free capacity
+	fullHosts     []*Host // no CPUs or no GPUs left: searched only for tasks without GPUs
+	offers        []Offer
+	preferredZone string
+	orders        []RentalOrder
 
-	ranking, rankingFull *Ranking
+	ranking, fullRanking *Ranking
 }
 
-// fill finds room for one job's tasks.
-func (p *rentPlan) fill(u *UnmetDemand) {
-	p.ranking = NewRanking(p.ranking, p.hosts, &u.Request)
-	if u.Request.Need.GPUs == 0 {
-		p.rankingFull = NewRanking(p.rankingFull, p.full, &u.Request)
+// placeDemand assigns the tasks of one job to machines, and orders machines for those that do not fit.
+func (p *rentPlan) placeDemand(demand *UnmetDemand) {
+	p.ranking = NewRanking(p.ranking, p.hosts, &demand.Request)
+	if demand.Request.Need.GPUs == 0 {
+		p.fullRanking = NewRanking(p.fullRanking, p.fullHosts, &demand.Request)
 	}
-	for range u.Count {
-		h := p.ranking.Best(u.Request.ZoneAllowed)
-		if h == nil && u.Request.Need.GPUs == 0 {
-			h = p.rankingFull.Best(u.Request.ZoneAllowed)
+	for range demand.Count {
+		h := p.ranking.Best(demand.Request.ZoneAllowed)
+		if h == nil && demand.Request.Need.GPUs == 0 {
+			h = p.fullRanking.Best(demand.Request.ZoneAllowed)
 		}
 		if h == nil {
-			offer := cheapestOffer(p.offers, &u.Request, p.home)
+			offer := cheapestOffer(p.offers, &demand.Request, p.preferredZone)
 			if offer == nil {
 				break
 			}
-			h = p.rent(offer)
+			h = p.orderMachine(offer)
 			p.ranking.Add(h)
 		}
-		h.Free = h.Free.Sub(u.Request.Need)
-		if u.Assigned != nil {
-			u.Assigned(h.Zone)
+		h.Free = h.Free.Sub(demand.Request.Need)
+		if demand.Assigned != nil {
+			demand.Assigned(h.Zone)
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
 		full := h.Free.CPUs < epsilon || h.Cap.GPUs > 0 && h.Free.GPUs < epsilon
 		if full {
-			p.full = append(p.full, h)
+			p.fullHosts = append(p.fullHosts, h)
 		}
 		return full
 	})
 }
 
-// rent adds a machine of an offer to the orders and returns it.
-func (p *rentPlan) rent(o *Offer) *Host {
-	h := &Host{Name: "new", MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot, Cap: o.Cap, Free: o.Cap}
+// orderMachine adds a machine of an offer to the orders and returns it.
+func (p *rentPlan) orderMachine(offer *Offer) *Host {
+	h := &Host{Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Cap: offer.Cap, Free: offer.Cap}
 	p.hosts = append(p.hosts, h)
-	at := slices.IndexFunc(p.orders, func(x RentalOrder) bool { return x.Offer == *o })
-	if at < 0 {
-		p.orders = append(p.orders, RentalOrder{Offer: *o})
-		at = len(p.orders) - 1
+	index := slices.IndexFunc(p.orders, func(order RentalOrder) bool { return order.Offer == *offer })
+	if index < 0 {
+		p.orders = append(p.orders, RentalOrder{Offer: *offer})
+		index = len(p.orders) - 1
 	}
-	p.orders[at].Count++
+	p.orders[index].Count++
 	return h
 }
 
-// hostsWithRoom returns the machines that may have room for some of the tasks: most have
-// none, and each task is compared with all that are left.
-func hostsWithRoom(hosts []*Host, unmet []UnmetDemand) []*Host {
+// hostsWithCapacity returns the machines that may fit some of the tasks. Most have no free capacity,
+// and each task is compared with all machines that remain.
+func hostsWithCapacity(hosts []*Host, unmet []UnmetDemand) []*Host {
 	if len(unmet) == 0 {
 		return nil
 	}
-	least := unmet[0].Request.Need
+	smallestNeed := unmet[0].Request.Need
 	for _, u := range unmet[1:] {
-		n := u.Request.Need
-		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemGB, n.MemGB)}
+		need := u.Request.Need
+		smallestNeed = Resources{min(smallestNeed.CPUs, need.CPUs), min(smallestNeed.GPUs, need.GPUs), min(smallestNeed.MemGB, need.MemGB)}
 	}
-	var out []*Host
+	var fitting []*Host
 	for _, h := range hosts {
-		if h.Free.Fits(least) {
-			out = append(out, h)
+		if h.Free.Fits(smallestNeed) {
+			fitting = append(fitting, h)
 		}
 	}
-	return out
+	return fitting
 }
 
-// mostTasksPerMachine bounds tasksPerMachine for tasks that need nothing.
-const mostTasksPerMachine = 1000
+// maxTasksPerMachine limits tasksPerMachine for tasks that need no resources.
+const maxTasksPerMachine = 1000
 
-// tasksPerMachine returns the number of such tasks that fit into an empty machine.
+// tasksPerMachine returns the number of such tasks that fit on an empty machine.
 func tasksPerMachine(capacity, need Resources) float64 {
-	tasks := float64(mostTasksPerMachine)
+	tasks := float64(maxTasksPerMachine)
 	for _, amount := range [...]struct{ capacity, need float64 }{
 		{capacity.CPUs, need.CPUs}, {capacity.GPUs, need.GPUs}, {capacity.MemGB, need.MemGB},
 	} {
@@ -127,20 +127,20 @@
 	return tasks
 }
 
-// cheapestOffer returns the offer whose price for one task is lowest, nil if none fits. Among
-// equals one in the zone home wins.
-func cheapestOffer(offers []Offer, a *TaskRequest, home string) *Offer {
+// cheapestOffer returns the offer with the lowest price per task, or nil if none fits. Ties go to an
+// offer in preferredZone.
+func cheapestOffer(offers []Offer, request *TaskRequest, preferredZone string) *Offer {
 	var best *Offer
 	var bestCost float64
 	for i := range offers {
-		o := &offers[i]
-		if !o.Cap.Fits(a.Need) || !a.Allows(o.MachineType, o.Zone, o.Spot) {
+		offer := &offers[i]
+		if !offer.Cap.Fits(request.Need) || !request.Allows(offer.MachineType, offer.Zone, offer.Spot) {
 			continue
 		}
-		cost := o.Price / tasksPerMachine(o.Cap, a.Need)
-		nearer := best != nil && o.Zone == home && best.Zone != home
-		if best == nil || cost < bestCost-epsilon || nearer && cost < bestCost+epsilon {
-			best, bestCost = o, cost
+		cost := offer.Price / tasksPerMachine(offer.Cap, request.Need)
+		movesToPreferredZone := best != nil && offer.Zone == preferredZone && best.Zone != preferredZone
+		if best == nil || cost < bestCost-epsilon || movesToPreferredZone && cost < bestCost+epsilon {
+			best, bestCost = offer, cost
 		}
 	}
 	return best
--- a/internal/sched/rental_test.go
+++ b/internal/sched/rental_test.go
@@ -6,34 +6,34 @@
 	"pgregory.net/rapid"
 )
 
-// What is rented, with what is coming, holds all unmet tasks that an offer fits,
-// and no machine is rented that stays empty.
-func TestPlanRentals(t *testing.T) {
+// The rented and provisioning machines hold all unmet tasks that fit an offer, and no rented machine
+// stays empty.
+func TestPlanRentals_CoversUnmetDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Resources{4, 2, 8}
-		offers := []Offer{{"m", "x", false, c, 3}, {"m", "x", true, c, 1}, {"m", "y", false, c, 3}}
-		u := []UnmetDemand{{
+		capacity := Resources{4, 2, 8}
+		offers := []Offer{{"m", "x", false, capacity, 3}, {"m", "x", true, capacity, 1}, {"m", "y", false, capacity, 3}}
+		unmet := []UnmetDemand{{
 			Request: TaskRequest{Need: Resources{1, 1, 1}, Spot: rapid.Bool().Draw(t, "spot")},
 			Count:   rapid.IntRange(0, 9).Draw(t, "count"),
 		}}
-		coming := []*Host{}
+		provisioning := []*Host{}
 		for range rapid.IntRange(0, 2).Draw(t, "coming") {
-			coming = append(coming, &Host{Name: "c", MachineType: "m", Zone: "x", Cap: c, Free: c})
+			provisioning = append(provisioning, &Host{Name: "c", MachineType: "m", Zone: "x", Cap: capacity, Free: capacity})
 		}
-		slots := 2 * len(coming)
-		n := 0
-		for _, o := range PlanRentals(u, coming, offers, "y") {
-			n += o.Count
-			if o.Offer.Spot != u[0].Request.Spot || !o.Offer.Spot && o.Offer.Zone != "y" {
-				t.Fatalf("not the cheapest, or not at home: %+v", o)
+		slots := 2 * len(provisioning)
+		rented := 0
+		for _, order := range PlanRentals(unmet, provisioning, offers, "y") {
+			rented += order.Count
+			if order.Offer.Spot != unmet[0].Request.Spot || !order.Offer.Spot && order.Offer.Zone != "y" {
+				t.Fatalf("PlanRentals() orders %+v, want the cheapest offer in the preferred zone", order)
 			}
 		}
-		want := max(0, u[0].Count-slots)
-		if n != (want+1)/2 {
-			t.Fatalf("%d machines for %d tasks", n, want)
+		unplaced := max(0, unmet[0].Count-slots)
+		if rented != (unplaced+1)/2 {
+			t.Fatalf("PlanRentals() orders %d machines for %d tasks, want %d", rented, unplaced, (unplaced+1)/2)
 		}
-		if got := PlanRentals(u, nil, nil, "y"); got != nil {
-			t.Fatalf("rented without offers: %v", got)
+		if got := PlanRentals(unmet, nil, nil, "y"); got != nil {
+			t.Fatalf("PlanRentals() without offers = %v, want nil", got)
 		}
 	})
 }
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// Resources is an amount of what a machine has or a task needs.
+// Resources is an amount of resources that a machine has or a task needs.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// epsilon absorbs rounding: amounts are decimal fractions, and sums of them are not exact.
+// epsilon absorbs rounding errors: amounts are decimal fractions, and their sums are not exact.
 const epsilon = 1e-6
 
 // Fits reports whether need fits into r.
@@ -17,7 +17,7 @@
 	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemGB <= r.MemGB+epsilon
 }
 
-// Sub returns r less n.
+// Sub returns r minus n.
 func (r Resources) Sub(n Resources) Resources {
 	return Resources{r.CPUs - n.CPUs, r.GPUs - n.GPUs, r.MemGB - n.MemGB}
 }
@@ -27,29 +27,29 @@
 	return Resources{r.CPUs + n.CPUs, r.GPUs + n.GPUs, r.MemGB + n.MemGB}
 }
 
-// Scale returns k times r.
+// Scale returns r multiplied by k.
 func (r Resources) Scale(k float64) Resources { return Resources{r.CPUs * k, r.GPUs * k, r.MemGB * k} }
 
-// ApproxEqual reports whether two amounts are equal except for rounding.
+// ApproxEqual reports whether two amounts are equal apart from rounding errors.
 func (r Resources) ApproxEqual(o Resources) bool { return r.Fits(o) && o.Fits(r) }
 
-// Compare orders amounts by processors, then accelerators, then memory.
+// Compare orders amounts by CPUs, then GPUs, then memory.
 func (r Resources) Compare(o Resources) int {
 	return cmp.Or(cmp.Compare(r.CPUs, o.CPUs), cmp.Compare(r.GPUs, o.GPUs), cmp.Compare(r.MemGB, o.MemGB))
 }
 
-// Rounded returns r as it is recorded, to six decimals: that keeps sums of decimal fractions
-// from growing tails in the records. Amounts below zero are not rounded evenly.
+// Rounded returns r rounded to six decimals, as it is recorded. Without it, sums of decimal fractions
+// would collect more and more digits in the records. Negative amounts are not rounded evenly.
 func (r Resources) Rounded() Resources {
 	return Resources{round(r.CPUs), round(r.GPUs), round(r.MemGB)}
 }
 
-// roundingSteps is the number of steps in an amount of 1.
+// roundingSteps is the number of rounding steps in an amount of 1.
 const roundingSteps = 1e6
 
-func round(x float64) float64 { return float64(int64(x*roundingSteps+0.5)) / roundingSteps }
+func round(amount float64) float64 { return float64(int64(amount*roundingSteps+0.5)) / roundingSteps }
 
-// recordedResources is the recorded form: processors, accelerators, memory.
+// recordedResources is the recorded form: CPUs, GPUs, memory.
 type recordedResources [3]float64
 
 // MarshalJSON implements json.Marshaler. It does not round.
--- a/internal/sched/resources_test.go
+++ b/internal/sched/resources_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Resources are recorded as three numbers and read back the same; rounding is apart.
-func TestResourcesForm(t *testing.T) {
-	for _, x := range []struct {
+// Resources are encoded as three numbers without rounding, and decoded to the same value.
+func TestResources_JSONRoundTrip(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		amount Resources
 		form   string
@@ -18,19 +18,19 @@
 		{"not rounded", Resources{CPUs: 0.30000000000000004}, `[0.30000000000000004,0,0]`},
 		{"rounded", Resources{CPUs: 0.30000000000000004, MemGB: 1. / 3}.Rounded(), `[0.3,0,0.333333]`},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			raw, err := json.Marshal(x.amount)
-			if err != nil || string(raw) != x.form {
-				t.Errorf("recorded as %s, %v", raw, err)
+		t.Run(test.name, func(t *testing.T) {
+			raw, err := json.Marshal(test.amount)
+			if err != nil || string(raw) != test.form {
+				t.Errorf("Marshal() = %s, %v; want %s", raw, err, test.form)
 			}
-			var back Resources
-			if err := json.Unmarshal([]byte(x.form), &back); err != nil || back != x.amount {
-				t.Errorf("read as %v, %v", back, err)
+			var decoded Resources
+			if err := json.Unmarshal([]byte(test.form), &decoded); err != nil || decoded != test.amount {
+				t.Errorf("Unmarshal() = %v, %v; want %v", decoded, err, test.amount)
 			}
 		})
 	}
 	var r Resources
 	if err := json.Unmarshal([]byte(`{"cpus":1}`), &r); err == nil {
-		t.Error("an object is read as resources")
+		t.Error("Unmarshal() of a JSON object succeeded, want an error")
 	}
 }
--- a/internal/sched/seed_test.go
+++ b/internal/sched/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Generated inputs are the same every time; -rapid.seed draws others.
+// The fixed seed makes generated inputs the same in every run; -rapid.seed selects others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/zonehealth/judge.go
+++ b/internal/zonehealth/judge.go
@@ -1,113 +1,116 @@
-// Package zonehealth judges whether a zone is up, down or coming back. It is a pure state
-// machine over one record of the state service that all controllers share: what the leaders
-// of shards observe of the zone's machines, and the state that follows. A change is committed by
-// conditional write on the record, so that of several controllers one wins and a late one
-// is refused; Record.Transitions rises with each change of what work may be placed in the zone.
+// Package zonehealth evaluates whether a zone is up, down or recovering. It is a pure state machine
+// over one record of the state service that all controllers share. The record holds what the leaders
+// of shards observe of the zone's machines, and the state that results. A change is committed by a
+// conditional write on the record: if several controllers write, one succeeds and the writes based on
+// an older version are refused. Record.Transitions increases with each change of the set of work that
+// may be placed in the zone.
 //
 // Invariants:
-//   - a zone goes down only with an observer: the controller that says so hears machines of
-//     another zone, so that one that is itself cut off never does;
-//   - neither Down nor Recovering outlasts Limits.Longest while controllers can write;
-//   - Record.Transitions never falls, and Record.SlowStartShare is halved by a failure soon
+//   - a zone enters Down only if the evaluating controller has an observer, that is, receives
+//     heartbeats from machines of another zone, so that a partitioned controller never declares a
+//     zone down;
+//   - neither Down nor Recovering lasts longer than Limits.Longest while controllers can write;
+//   - Record.Transitions never decreases, and a failure soon after another halves
+//     Record.SlowStartShare.
 //     after another.
 package zonehealth
 
 import "time"
 
-// minMachines is how many machines a zone must have to be judged: one or two are as likely
-// lost by themselves.
-const minMachines = 3
+// minZoneMachines is the number of machines that a zone must have to be evaluated: the loss of one or
+// two machines is as likely to have a cause of its own.
+const minZoneMachines = 3
 
-// returnShare is the share of the machines there were before that have to be back for a
-// zone to be recovering.
-const returnShare = 1. / 16
+// returnedShare is the share of the machines before the failure that must have returned for a zone to
+// be recovering.
+const returnedShare = 1. / 16
 
-// Judge returns the record as it is to be now, by what its observations say. hasObserver tells
-// whether the controller that judges hears machines of another zone.
+// Judge returns the record with the state that follows from its observations. hasObserver tells
+// whether the evaluating controller receives heartbeats from machines of another zone.
 func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
-	lasted := now.Sub(time.UnixMilli(r.SinceMS))
-	j := judgement{next: &next, sum: r.Sum(), lasted: lasted, now: now, hasObserver: hasObserver, limits: limits}
-	if j.mostUnclear() && lasted < limits.Longest && !j.machinesReturned() {
-		// A shard has just changed hands: what its new leader has not heard of yet is
-		// neither lost nor back. What it has heard of is.
+	stateAge := now.Sub(time.UnixMilli(r.SinceMS))
+	e := evaluation{next: &next, total: r.Sum(), stateAge: stateAge, now: now, hasObserver: hasObserver, limits: limits}
+	if e.mostUnknown() && stateAge < limits.Longest && !e.machinesReturned() {
+		// A shard has just changed its leader. Machines from which the new leader has not received a
+		// heartbeat yet count neither as lost nor as returned; the others do count.
 		return next
 	}
 	switch r.State {
 	case Suspect:
-		j.suspect()
+		e.evaluateSuspect()
 	case Down:
-		j.down()
+		e.evaluateDown()
 	case Recovering:
-		j.recovering()
+		e.evaluateRecovering()
 	case Healthy:
-		j.healthy()
-	default: // a state that this version doesn't know
-		j.healthy()
+		e.evaluateHealthy()
+	default: // a state that this version does not know
+		e.evaluateHealthy()
 	}
 	return next
 }
 
-// judgement is what a change of state rests on, and the record that it changes.
-type judgement struct {
+// evaluation holds the inputs of a state change and the record that it changes.
+type evaluation struct {
 	next        *Record
-	sum         Observation
-	lasted      time.Duration // of the present state
+	total       Observation
+	stateAge    time.Duration // time in the current state
 	now         time.Time
 	hasObserver bool
 	limits      *Limits
 }
 
-// mostUnclear reports whether at least half of the machines are unclear.
-func (j *judgement) mostUnclear() bool {
-	return j.sum.Unclear > 0 && 2*j.sum.Unclear >= j.sum.Up+j.sum.Lost+j.sum.Unclear
+// mostUnknown reports whether the state of at least half of the machines is not known yet.
+func (e *evaluation) mostUnknown() bool {
+	return e.total.Unclear > 0 && 2*e.total.Unclear >= e.total.Up+e.total.Lost+e.total.Unclear
 }
 
-// machinesReturned reports whether machines of a zone that is down are back.
-func (j *judgement) machinesReturned() bool {
-	back := j.sum.Up - min(j.next.Watermark, j.sum.Up)
-	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.MachinesBefore)))
+// machinesReturned reports whether enough machines of a zone that is down have returned.
+func (e *evaluation) machinesReturned() bool {
+	returned := e.total.Up - min(e.next.Watermark, e.total.Up)
+	return e.next.State == Down && returned >= max(1, int(returnedShare*float64(e.next.MachinesBefore)))
 }
 
-func (j *judgement) healthy() {
-	if j.sum.Up+j.sum.Lost >= minMachines && j.sum.LostShare() >= j.limits.SuspectShare {
-		j.next.enter(Suspect, j.now)
+func (e *evaluation) evaluateHealthy() {
+	if e.total.Up+e.total.Lost >= minZoneMachines && e.total.LostShare() >= e.limits.SuspectShare {
+		e.next.enterState(Suspect, e.now)
 	}
 }
 
-func (j *judgement) suspect() {
-	confirm := j.limits.Confirm
-	if j.next.Refused() {
-		confirm /= 2 // the cloud says the same
+func (e *evaluation) evaluateSuspect() {
+	confirmAfter := e.limits.Confirm
+	if e.next.Refused() {
+		confirmAfter /= 2 // refused rentals support the suspicion
 	}
-	share := j.sum.LostShare()
-	over := share < j.limits.SuspectShare/2 || share < j.limits.DownShare && j.lasted >= j.limits.Longest
+	share := e.total.LostShare()
+	cleared := share < e.limits.SuspectShare/2 || share < e.limits.DownShare && e.stateAge >= e.limits.Longest
 	switch {
-	case over:
-		j.next.enter(Healthy, j.now)
-	case share >= j.limits.DownShare && j.lasted >= confirm && j.hasObserver:
-		j.next.goDown(j.sum, j.now, j.limits)
+	case cleared:
+		e.next.enterState(Healthy, e.now)
+	case share >= e.limits.DownShare && e.stateAge >= confirmAfter && e.hasObserver:
+		e.next.enterDown(e.total, e.now, e.limits)
 	}
 }
 
-func (j *judgement) down() {
-	j.next.Watermark = min(j.next.Watermark, j.sum.Up)
-	if j.machinesReturned() || j.sum.Lost == 0 || j.lasted >= j.limits.Longest {
-		j.next.enter(Recovering, j.now)
-		j.next.Transitions++
-		j.next.Watermark = j.sum.Up
+func (e *evaluation) evaluateDown() {
+	e.next.Watermark = min(e.next.Watermark, e.total.Up)
+	if e.machinesReturned() || e.total.Lost == 0 || e.stateAge >= e.limits.Longest {
+		e.next.enterState(Recovering, e.now)
+		e.next.Transitions++
+		e.next.Watermark = e.total.Up
 	}
 }
 
-func (j *judgement) recovering() {
-	j.next.Watermark = max(j.next.Watermark, j.sum.Up)
-	fell := float64(j.sum.Up) <= float64(j.next.Watermark)*(1-j.limits.DownShare)
-	if fell && j.next.Watermark > 0 && j.sum.Lost > 0 && j.hasObserver {
-		j.next.goDown(j.sum, j.now, j.limits) // again, in the middle of the recovery
+func (e *evaluation) evaluateRecovering() {
+	e.next.Watermark = max(e.next.Watermark, e.total.Up)
+	failedAgain := float64(e.total.Up) <= float64(e.next.Watermark)*(1-e.limits.DownShare)
+	if failedAgain && e.next.Watermark > 0 && e.total.Lost > 0 && e.hasObserver {
+		e.next.enterDown(e.total, e.now, e.limits) // it failed again during the recovery
 		return
 	}
-	open := j.next.productionServed(j.limits) && j.next.AdmissionShare(j.now, j.limits) >= 1
-	if open || j.lasted >= j.limits.Longest {
-		j.next.enter(Healthy, j.now)
+	fullyOpen := e.next.productionServed(e.limits) && e.next.AdmissionShare(e.now, e.limits) >= 1
+	if fullyOpen || e.stateAge >= e.limits.Longest {
+		e.next.enterState(Healthy, e.now)
 	}
 }
--- a/internal/zonehealth/judge_test.go
+++ b/internal/zonehealth/judge_test.go
@@ -19,112 +19,114 @@
 	}
 }
 
-// recordStore is a record under conditional write.
+// recordStore holds a record that is updated by conditional writes.
 type recordStore struct {
 	record  Record
 	version int
 }
 
-// testController sees some machines of the zone, keeps a copy of the record and writes what it
-// makes of it, on the version that it read.
+// testController observes some machines of the zone. It caches the record, evaluates the cached copy and
+// writes the result on the condition that the version has not changed.
 type testController struct {
-	shard       string
-	observation Observation
-	hasObserver bool
-	read        Record
-	version     int
+	shard         string
+	observation   Observation
+	hasObserver   bool
+	cached        Record
+	cachedVersion int
 }
 
-func (c *testController) catchUp(s *recordStore) { c.read, c.version = s.record, s.version }
+func (c *testController) refresh(store *recordStore) {
+	c.cached, c.cachedVersion = store.record, store.version
+}
 
-// write judges by the copy, and reports whether the store took it.
-func (c *testController) write(s *recordStore, now time.Time) bool {
-	with := c.read.WithObservation(c.shard, c.observation)
-	next := with.Judge(now, c.hasObserver, testLimits())
-	if c.version != s.version {
+// evaluateAndWrite evaluates the cached record, and reports whether the store accepted the write.
+func (c *testController) evaluateAndWrite(store *recordStore, now time.Time) bool {
+	updated := c.cached.WithObservation(c.shard, c.observation)
+	next := updated.Judge(now, c.hasObserver, testLimits())
+	if c.cachedVersion != store.version {
 		return false
 	}
-	s.record = next
-	s.version++
-	c.catchUp(s)
+	store.record = next
+	store.version++
+	c.refresh(store)
 	return true
 }
 
-// checkStep checks what may change from one record to the next.
+// checkStep checks the invariants between two successive records.
 func checkStep(t *rapid.T, before, after *Record, hasObserver bool) {
 	if after.Transitions < before.Transitions {
-		t.Fatalf("the number of transitions falls from %d to %d", before.Transitions, after.Transitions)
+		t.Fatalf("Transitions decreased from %d to %d", before.Transitions, after.Transitions)
 	}
 	if after.State == Down && before.State != Down && !hasObserver {
-		t.Fatal("down without an observer")
+		t.Fatal("zone entered Down without an observer")
 	}
-	turned := after.State != before.State && (after.Restricts() || before.State == Down)
-	if turned && after.Transitions == before.Transitions {
-		t.Fatalf("%s to %s without a transition counted", before.State, after.State)
+	placementChanged := after.State != before.State && (after.Restricts() || before.State == Down)
+	if placementChanged && after.Transitions == before.Transitions {
+		t.Fatalf("state changed from %s to %s without an increase of Transitions", before.State, after.State)
 	}
 	if after.Restricts() && after.SlowStartShare > testLimits().FirstShare {
-		t.Fatalf("a slow start begins with %g", after.SlowStartShare)
+		t.Fatalf("SlowStartShare = %g, want at most %g", after.SlowStartShare, testLimits().FirstShare)
 	}
 }
 
-// Three controllers see machines lost and found in any order, read late, write with old
-// views and lose their observer: the number of transitions only rises, nobody without an observer has the
-// zone down, each failure soon after another halves the slow start, and once nothing more
-// happens the zone is open to all work within three times the longest a state lasts.
-func TestAnyOrder(t *testing.T) {
+// Three controllers observe machines lost and returned in any order, read late, write from old copies
+// and lose their observer. Transitions never decreases, no controller without an observer declares the
+// zone down, each failure soon after another halves the slow start, and once nothing changes any more
+// the zone is open to all work within three times the maximum duration of a state.
+func TestEvaluate_InAnyOrderReopensZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &recordStore{}
+		store := &recordStore{}
 		now := time.Unix(1_800_000_000, 0)
-		var nodes []*testController
+		var controllers []*testController
 		for i := range 3 {
-			nodes = append(nodes, &testController{shard: fmt.Sprintf("n%d", i)})
+			controllers = append(controllers, &testController{shard: fmt.Sprintf("n%d", i)})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds")) * time.Second)
-			c := nodes[rapid.IntRange(0, 2).Draw(t, "controller")]
+			c := controllers[rapid.IntRange(0, 2).Draw(t, "controller")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				all := rapid.IntRange(0, 40).Draw(t, "machines")
-				up := rapid.IntRange(0, all).Draw(t, "up")
-				c.observation = Observation{Up: up, Lost: all - up, Refused: rapid.Bool().Draw(t, "refused")}
-				if up < all && rapid.Bool().Draw(t, "waiting") {
-					c.observation.Waiting = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: all - up}}
+				machines := rapid.IntRange(0, 40).Draw(t, "machines")
+				up := rapid.IntRange(0, machines).Draw(t, "up")
+				c.observation = Observation{Up: up, Lost: machines - up, Refused: rapid.Bool().Draw(t, "refused")}
+				if up < machines && rapid.Bool().Draw(t, "waiting") {
+					c.observation.Waiting = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: machines - up}}
 				}
 			case 1:
 				c.hasObserver = rapid.Bool().Draw(t, "observer")
 			case 2:
-				c.catchUp(s)
+				c.refresh(store)
 			case 3:
-				before := s.record
-				stale := c.version != s.version
-				if c.write(s, now) == stale {
-					t.Fatal("a write on an old version was taken, or one on the newest refused")
+				before := store.record
+				stale := c.cachedVersion != store.version
+				if c.evaluateAndWrite(store, now) == stale {
+					t.Fatal("a write on an old version was accepted, or one on the newest was refused")
 				}
-				checkStep(t, &before, &s.record, c.hasObserver)
+				checkStep(t, &before, &store.record, c.hasObserver)
 			}
 		}
-		open := false
-		for range 300 { // nothing more happens
+		opened := false
+		for range 300 { // no further changes
 			now = now.Add(time.Second)
-			for _, c := range nodes {
-				c.catchUp(s)
-				before := s.record
-				c.write(s, now)
-				checkStep(t, &before, &s.record, c.hasObserver)
+			for _, c := range controllers {
+				c.refresh(store)
+				before := store.record
+				c.evaluateAndWrite(store, now)
+				checkStep(t, &before, &store.record, c.hasObserver)
 			}
-			open = open || s.record.AdmissionShare(now, testLimits()) >= 1
+			opened = opened || store.record.AdmissionShare(now, testLimits()) >= 1
 		}
-		if !open {
-			t.Fatalf("work below production is kept out for ever: %+v", s.record)
+		if !opened {
+			t.Fatalf("work below production stays restricted with no further changes: %+v", store.record)
 		}
 	})
 }
 
-// sequence returns the record after what one leader observes, and the states on the way.
-func sequence(hasObserver bool, observations ...Observation) (r Record, states []State) {
+// evaluateSequence returns the record after the observations of one leader, and the state after each.
+func evaluateSequence(hasObserver bool, observations ...Observation) (r Record, states []State) {
 	now := time.Unix(1_800_000_000, 0)
-	for _, s := range observations {
-		r = r.WithObservation("p", s)
+	for _, observation := range observations {
+		r = r.WithObservation("p", observation)
 		r = r.Judge(now, hasObserver, testLimits())
 		states = append(states, r.State)
 		now = now.Add(6 * time.Second)
@@ -132,12 +134,12 @@
 	return r, states
 }
 
-// The zone's ways: down and back; back by half; back and down again, the second time in
-// the middle of the recovery.
-func TestSequences(t *testing.T) {
-	well, lost, half := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
-	few := Observation{Up: 4, Lost: 16}
-	for _, x := range []struct {
+// The sequences of states of a zone: failure and return, return of half of the machines, and a second
+// failure during the recovery.
+func TestEvaluate_StateSequences(t *testing.T) {
+	allUp, allLost, halfUp := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
+	fourUp := Observation{Up: 4, Lost: 16}
+	for _, test := range []struct {
 		name           string
 		hasObserver    bool
 		observations   []Observation
@@ -145,63 +147,71 @@
 		transitions    uint64
 		slowStartShare float64
 	}{
-		{"down and back", true, []Observation{well, lost, lost, well}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
-		{"half returns", true, []Observation{well, lost, lost, half, half}, []State{"", Suspect, Down, Recovering, Recovering}, 2, 1. / 16},
+		{"down and back", true, []Observation{allUp, allLost, allLost, allUp}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
+		{
+			"half returns", true,
+			[]Observation{allUp, allLost, allLost, halfUp, halfUp},
+			[]State{"", Suspect, Down, Recovering, Recovering},
+			2, 1. / 16,
+		},
 		{
 			"down again in the recovery", true,
-			[]Observation{lost, lost, few, half, lost},
+			[]Observation{allLost, allLost, fourUp, halfUp, allLost},
 			[]State{Suspect, Down, Recovering, Recovering, Down},
 			3, 1. / 32,
 		},
-		{"a short loss", true, []Observation{well, lost, well}, []State{"", Suspect, Healthy}, 0, 0},
+		{"short loss", true, []Observation{allUp, allLost, allUp}, []State{"", Suspect, Healthy}, 0, 0},
 		{
-			"one zone only, or cut off itself", false,
-			[]Observation{lost, lost, lost, lost},
+			"only one zone, or controller partitioned", false,
+			[]Observation{allLost, allLost, allLost, allLost},
 			[]State{Suspect, Suspect, Suspect, Suspect},
 			0, 0,
 		},
 		{"two machines", true, []Observation{{Lost: 2}, {Lost: 2}}, []State{"", ""}, 0, 0},
-		{"all given up", true, []Observation{lost, lost, {}}, []State{Suspect, Down, Recovering}, 2, 1. / 16},
+		{"all lost machines removed", true, []Observation{allLost, allLost, {}}, []State{Suspect, Down, Recovering}, 2, 1. / 16},
 		{
-			"a new leader has heard of nobody yet", true,
-			[]Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Lost: 5}, lost},
+			"new leader without heartbeats", true,
+			[]Observation{allLost, allLost, {Unclear: 20}, {Unclear: 15, Lost: 5}, allLost},
 			[]State{Suspect, Down, Down, Down, Down},
 			1, 1. / 16,
 		},
 		{
-			"a new leader hears of some", true,
-			[]Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
+			"new leader with some heartbeats", true,
+			[]Observation{allLost, allLost, {Unclear: 20}, {Unclear: 15, Up: 5}},
 			[]State{Suspect, Down, Down, Recovering},
 			2, 1. / 16,
 		},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			r, states := sequence(x.hasObserver, x.observations...)
-			if d := cmp.Diff(x.states, states); d != "" {
-				t.Error(d)
+		t.Run(test.name, func(t *testing.T) {
+			r, states := evaluateSequence(test.hasObserver, test.observations...)
+			if diff := cmp.Diff(test.states, states); diff != "" {
+				t.Error(diff)
 			}
-			if r.Transitions != x.transitions || r.SlowStartShare != x.slowStartShare {
-				t.Errorf("%d transitions, slow start with %g", r.Transitions, r.SlowStartShare)
+			if r.Transitions != test.transitions || r.SlowStartShare != test.slowStartShare {
+				t.Errorf(
+					"Transitions = %d, SlowStartShare = %g; want %d, %g",
+					r.Transitions, r.SlowStartShare, test.transitions, test.slowStartShare,
+				)
 			}
 		})
 	}
 }
 
-// A slow start opens the zone step by step, the same for all who read the record.
-func TestAdmissionShare(t *testing.T) {
-	at := time.Unix(1_800_000_000, 0)
-	recovering := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
+// A slow start opens the zone in steps, and every reader of the record computes the same share.
+func TestAdmissionShare_DoublesUntilOpen(t *testing.T) {
+	start := time.Unix(1_800_000_000, 0)
+	recovering := Record{State: Recovering, SinceMS: start.UnixMilli(), SlowStartShare: 1. / 16}
 	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
 	served := recovering.WithObservation("n0", Observation{Up: 9, Lost: 1})
 	unserved := recovering.WithObservation("n0", waiting)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		record Record
 		after  time.Duration
 		share  float64
 	}{
-		{"nearly all back, nothing waits", served, 4 * time.Second, 1. / 2},
-		{"before the start, by another clock", unserved, -time.Second, 1. / 16},
+		{"nearly all returned, nothing waits", served, 4 * time.Second, 1. / 2},
+		{"before the start because of clock skew", unserved, -time.Second, 1. / 16},
 		{"at the start", unserved, 0, 1. / 16},
 		{"doubled once", unserved, 5 * time.Second, 1. / 8},
 		{"doubled twice", unserved, 11 * time.Second, 1. / 4},
@@ -210,16 +220,16 @@
 		{"down", Record{State: Down}, 0, 0},
 		{"healthy", Record{}, 0, 1},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if got := x.record.AdmissionShare(at.Add(x.after), testLimits()); got != x.share {
-				t.Errorf("%g, not %g", got, x.share)
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.record.AdmissionShare(start.Add(test.after), testLimits()); got != test.share {
+				t.Errorf("AdmissionShare() = %g, want %g", got, test.share)
 			}
 		})
 	}
 }
 
-// The record reads back the same, and what a later version adds does not harm.
-func TestRecordForm(t *testing.T) {
+// A record has a fixed JSON form, and is decoded to the same value.
+func TestRecord_JSONRoundTrip(t *testing.T) {
 	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
 		State: Down, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
@@ -229,13 +239,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Record
-	if err := json.Unmarshal(raw, &back); err != nil || cmp.Diff(r, back) != "" {
-		t.Error(err, cmp.Diff(r, back))
+	var decoded Record
+	if err := json.Unmarshal(raw, &decoded); err != nil || cmp.Diff(r, decoded) != "" {
+		t.Error(err, cmp.Diff(r, decoded))
 	}
 	const form = `{"s":"down","n":7,"at":3,"f":2,"w":0.25,"b":9,"m":1,` +
 		`"p":{"n0":{"u":1,"x":8,"f":true,"w":[{"r":[4,1,29],"l":true,"n":3}]}}}`
 	if string(raw) != form {
-		t.Errorf("recorded as %s", raw)
+		t.Errorf("Marshal() = %s, want %s", raw, form)
 	}
 }
--- a/internal/zonehealth/observation.go
+++ b/internal/zonehealth/observation.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/sched"
 )
 
-// Demand is production work that waits for lost machines of the zone: a number of tasks of one
+// Demand is production work that waits for lost machines of the zone: a number of tasks of the same
 // size.
 type Demand struct {
 	Need  sched.Resources `json:"r"`
@@ -14,22 +14,22 @@
 	Tasks int             `json:"n"`
 }
 
-// Observation is what the leader of a shard observes of its machines in the zone.
+// Observation is what the leader of a shard observes of the shard's machines in the zone.
 type Observation struct {
 	Up      int      `json:"u"`
 	Lost    int      `json:"x"`
-	Unclear int      `json:"c,omitempty"` // a new leader has not heard from them yet
-	Refused bool     `json:"f,omitempty"` // the cloud rents nothing there
+	Unclear int      `json:"c,omitempty"` // no heartbeat received yet by a new leader
+	Refused bool     `json:"f,omitempty"` // the cloud refuses rentals there
 	Waiting []Demand `json:"w,omitempty"`
 }
 
-// Equal reports whether two observations say the same.
+// Equal reports whether two observations are equal.
 func (o Observation) Equal(other Observation) bool {
 	return o.Up == other.Up && o.Lost == other.Lost && o.Unclear == other.Unclear && o.Refused == other.Refused &&
 		slices.Equal(o.Waiting, other.Waiting)
 }
 
-// LostShare returns the share of the machines that are lost, the unclear ones aside.
+// LostShare returns the share of the machines that are lost, not counting unclear ones.
 func (o Observation) LostShare() float64 {
 	if o.Lost == 0 {
 		return 0
@@ -37,5 +37,5 @@
 	return float64(o.Lost) / float64(o.Up+o.Lost)
 }
 
-// Empty reports whether the shard has no machines in the zone and no demand for them.
+// Empty reports whether the shard has no machines in the zone and no waiting production work.
 func (o Observation) Empty() bool { return o.Up+o.Lost+o.Unclear == 0 && len(o.Waiting) == 0 }
--- a/internal/zonehealth/record.go
+++ b/internal/zonehealth/record.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// State is what a zone is taken for. The zero value counts as Healthy.
+// State is the health of a zone as evaluated. The zero value counts as Healthy.
 type State string
 
-// The states of a zone. Only Down and Recovering restrict what may be placed.
+// The states of a zone. Only Down and Recovering restrict what may be placed there.
 const (
 	Healthy    State = "healthy"
-	Suspect    State = "suspect"    // some machines are lost, perhaps for another reason
-	Down       State = "down"       // most are lost, and other zones' are not
-	Recovering State = "recovering" // machines come back
+	Suspect    State = "suspect"    // some machines are lost, possibly for reasons other than the zone
+	Down       State = "down"       // most machines are lost, and those of other zones are not
+	Recovering State = "recovering" // machines are returning
 )
 
-// Record is a zone's record. The zero record is that of a healthy zone without observations.
+// Record is the record of a zone. The zero value is that of a healthy zone without observations.
 type Record struct {
 	State          State                  `json:"s"`
-	Transitions    uint64                 `json:"n"`           // rises whenever the zone goes down or comes back
+	Transitions    uint64                 `json:"n"`           // increases whenever the zone goes down or starts to recover
 	SinceMS        int64                  `json:"at"`          // when the state began, Unix time in milliseconds
-	FailedMS       int64                  `json:"f,omitempty"` // when it went down last, Unix time in milliseconds
-	SlowStartShare float64                `json:"w,omitempty"` // share of the zone that work below production may take at first
-	MachinesBefore int                    `json:"b,omitempty"` // machines that it had when it went down
-	Watermark      int                    `json:"m,omitempty"` // while down the fewest, while recovering the most that were up
+	FailedMS       int64                  `json:"f,omitempty"` // when the zone last went down, Unix time in milliseconds
+	SlowStartShare float64                `json:"w,omitempty"` // share of the zone that work below production may use at first
+	MachinesBefore int                    `json:"b,omitempty"` // number of machines when it went down
+	Watermark      int                    `json:"m,omitempty"` // fewest machines up while down, most machines up while recovering
 	Observations   map[string]Observation `json:"p,omitempty"` // by shard
 }
 
-// Limits are the bounds between the states.
+// Limits are the thresholds and durations that govern state changes and the slow start.
 type Limits struct {
 	SuspectShare, DownShare float64       // shares of the machines that are lost
-	Confirm                 time.Duration // most are lost for so long before the zone is down
-	FirstShare, LeastShare  float64       // of the machines, at the beginning of a slow start
-	DoubleEvery             time.Duration // the slow start's share doubles so often
-	Longest                 time.Duration // that Down and Recovering last
+	Confirm                 time.Duration // how long most machines must be lost before the zone is down
+	FirstShare, LeastShare  float64       // shares of the machines: initial value of a slow start, and its minimum after repeated failures
+	DoubleEvery             time.Duration // interval at which the share of the slow start doubles
+	Longest                 time.Duration // maximum duration of Down and of Recovering
 }
 
 // Restricts reports whether the state restricts what may be placed in the zone.
 func (r *Record) Restricts() bool { return r.State == Down || r.State == Recovering }
 
-// WithObservation returns a copy of the record with what the leader of a shard observes now.
+// WithObservation returns a copy of the record with the current observation of a shard's leader.
 func (r *Record) WithObservation(shard string, observation Observation) Record {
 	next := *r
 	next.Observations = make(map[string]Observation, len(r.Observations)+1)
@@ -52,18 +52,18 @@
 	return next
 }
 
-// Sum returns the machines that are up, lost and unclear, over all shards.
+// Sum returns the number of machines that are up, lost and unclear over all shards.
 func (r *Record) Sum() Observation {
-	var sum Observation
+	var total Observation
 	for _, o := range r.Observations {
-		sum.Up += o.Up
-		sum.Lost += o.Lost
-		sum.Unclear += o.Unclear
+		total.Up += o.Up
+		total.Lost += o.Lost
+		total.Unclear += o.Unclear
 	}
-	return sum
+	return total
 }
 
-// Refused reports whether the cloud refuses machines there to the leader of any shard.
+// Refused reports whether the cloud refuses rentals in the zone to the leader of any shard.
 func (r *Record) Refused() bool {
 	for _, o := range r.Observations {
 		if o.Refused {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Waiting reports whether production work waits for lost machines.
+// Waiting reports whether production work waits for lost machines of the zone.
 func (r *Record) Waiting() bool {
 	for _, o := range r.Observations {
 		if len(o.Waiting) > 0 {
@@ -83,25 +83,25 @@
 	return false
 }
 
-// enter begins a state. Of a healthy zone nothing is kept but how it last failed.
-func (r *Record) enter(state State, now time.Time) {
+// enterState starts a state. A healthy zone keeps only the facts of its last failure.
+func (r *Record) enterState(state State, now time.Time) {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	if state == Healthy {
 		r.Observations, r.MachinesBefore, r.Watermark = nil, 0, 0
 	}
 }
 
-// goDown enters Down. A failure soon after another halves the slow start.
-func (r *Record) goDown(sum Observation, now time.Time, limits *Limits) {
-	again := r.FailedMS > 0 && now.Sub(time.UnixMilli(r.FailedMS)) < 2*limits.Longest
-	if again && r.SlowStartShare > 0 {
+// enterDown enters Down. A failure soon after another halves the initial share of the slow start.
+func (r *Record) enterDown(total Observation, now time.Time, limits *Limits) {
+	soonAfterAnother := r.FailedMS > 0 && now.Sub(time.UnixMilli(r.FailedMS)) < 2*limits.Longest
+	if soonAfterAnother && r.SlowStartShare > 0 {
 		r.SlowStartShare = max(limits.LeastShare, r.SlowStartShare/2)
 	} else {
 		r.SlowStartShare = limits.FirstShare
 	}
-	r.MachinesBefore = max(sum.Up+sum.Lost, 1)
-	r.Watermark = sum.Up
+	r.MachinesBefore = max(total.Up+total.Lost, 1)
+	r.Watermark = total.Up
 	r.FailedMS = now.UnixMilli()
 	r.Transitions++
-	r.enter(Down, now)
+	r.enterState(Down, now)
 }
--- a/internal/zonehealth/slow_start.go
+++ b/internal/zonehealth/slow_start.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// fastStartFactor is by how much sooner the share of a slow start doubles while nearly all machines
-// are back and no production work waits for the others.
+// fastStartFactor is the factor by which a slow start is faster while nearly all machines have returned
+// and no production work waits for the others.
 const fastStartFactor = 4
 
-// AdmissionShare returns the share of the zone's machines that work below production may have
-// taken since the zone came back: none while it is down, then a share that doubles, 1 and more
-// without limit. It follows from the record and the time of day, so that all controllers
-// have the same without a write.
+// AdmissionShare returns the share of the zone's machines that work below production may have used
+// since the zone returned: 0 while the zone is down, then a share that doubles at intervals; 1 or more
+// means no restriction. It depends only on the record and the time of day, so that all controllers
+// compute the same share without a write.
 func (r *Record) AdmissionShare(now time.Time, limits *Limits) float64 {
 	switch r.State {
 	case Down:
@@ -21,27 +21,27 @@
 	return 1
 }
 
-// slowStartShare is AdmissionShare of a recovering zone.
+// slowStartShare is AdmissionShare for a recovering zone.
 func (r *Record) slowStartShare(now time.Time, limits *Limits) float64 {
 	share := r.SlowStartShare
 	if share <= 0 {
 		share = limits.FirstShare
 	}
-	every := limits.DoubleEvery
+	interval := limits.DoubleEvery
 	if r.productionServed(limits) {
-		every /= fastStartFactor // no production work to keep room for: only fetches and starts are spread out
+		interval /= fastStartFactor // no capacity to keep for production: only image fetches and starts are spread out
 	}
-	passed := max(now.Sub(time.UnixMilli(r.SinceMS)), 0)
-	for ; passed >= every && share < 1; passed -= every {
+	elapsed := max(now.Sub(time.UnixMilli(r.SinceMS)), 0)
+	for ; elapsed >= interval && share < 1; elapsed -= interval {
 		share *= 2
 	}
 	return share
 }
 
-// productionServed reports whether nearly all machines are back and no production work waits
-// for the others.
+// productionServed reports whether nearly all machines have returned and no production work waits for
+// the others.
 func (r *Record) productionServed(limits *Limits) bool {
-	sum := r.Sum()
-	away := float64(sum.Lost + sum.Unclear)
-	return !r.Waiting() && away <= limits.SuspectShare*float64(sum.Up+sum.Lost+sum.Unclear)
+	total := r.Sum()
+	notUp := float64(total.Lost + total.Unclear)
+	return !r.Waiting() && notUp <= limits.SuspectShare*float64(total.Up+total.Lost+total.Unclear)
 }
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -12,26 +12,26 @@
 	"violetturn/internal/zonehealth"
 )
 
-// JobAdmission is what a job below production may take of zones that are down or recovering. A
-// nil one admits everything.
+// JobAdmission is what a job below production may use of zones that are down or recovering. A nil
+// JobAdmission admits everything.
 type JobAdmission struct {
 	admission    *recovery.Admission
-	machineShare float64 // of a machine that one of its tasks takes
+	machineShare float64 // share of a machine that one of its tasks uses
 }
 
-// Admits reports whether a task of the job may go to a zone.
+// Admits reports whether a task of the job may be placed in a zone.
 func (a *JobAdmission) Admits(zone string) bool {
 	return a == nil || a.admission.Admits(zone, a.machineShare)
 }
 
-// Admit counts a task of the job that goes to a zone.
+// Admit records that a task of the job is placed in a zone.
 func (a *JobAdmission) Admit(zone string) {
 	if a != nil {
 		a.admission.Admit(zone, a.machineShare)
 	}
 }
 
-// Trial returns an admission to try things on.
+// Trial returns a copy of the admission on which placements can be tried.
 func (a *JobAdmission) Trial() *recovery.Admission {
 	if a == nil {
 		return nil
@@ -39,12 +39,12 @@
 	return a.admission.Copy()
 }
 
-// AdmissionOf returns what a job may take; nil if nothing restricts it.
+// AdmissionOf returns what a job may use, or nil if nothing restricts it.
 func (z *Zones) AdmissionOf(job *statecache.Job, admission *recovery.Admission) *JobAdmission {
 	return z.AdmissionOfSpec(&job.Record.Spec, admission)
 }
 
-// AdmissionOfSpec is AdmissionOf for a job that is only described.
+// AdmissionOfSpec is AdmissionOf for a job of which only the spec is given.
 func (z *Zones) AdmissionOfSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
 	if admission == nil || isProduction(spec) {
 		return nil
@@ -60,8 +60,8 @@
 	return &JobAdmission{admission: admission, machineShare: recovery.MachineShare(size, z.catalog.MachineSizes())}
 }
 
-// Admission returns what work below production may take of zones that are down or recovering;
-// nil if none is, or the feature is off.
+// Admission returns what work below production may use of zones that are down or recovering. It is
+// nil if no zone is, or if the feature is off.
 func (z *Zones) Admission(now time.Time) *recovery.Admission {
 	if len(z.cache.Zones) == 0 || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
@@ -70,18 +70,18 @@
 	for id := range z.cache.Zones {
 		name := statecache.ZoneOfID(id)
 		if record := z.RestrictedZone(name, now); record != nil {
-			zones[name] = z.recoveryOf(name, record, now)
+			zones[name] = z.recoveryZone(name, record, now)
 		}
 	}
 	if len(zones) == 0 {
 		return nil
 	}
-	z.countAdmitted(zones)
+	z.countUsedMachines(zones)
 	return recovery.NewAdmission(zones, z.protectedSizes(zones), z.catalog.MachineSizes())
 }
 
-// recoveryOf returns how far the recovery of a zone is.
-func (z *Zones) recoveryOf(name string, record *zonehealth.Record, now time.Time) *recovery.Zone {
+// recoveryZone returns the state of a restricted zone as package recovery requires it.
+func (z *Zones) recoveryZone(name string, record *zonehealth.Record, now time.Time) *recovery.Zone {
 	zone := &recovery.Zone{
 		SlowStartShare:  record.AdmissionShare(now, z.limits()),
 		MachinesBefore:  float64(record.MachinesBefore),
@@ -89,24 +89,24 @@
 		Waiting:         z.waitingProduction(name, record),
 	}
 	settings := &z.node.Features.ZoneRecovery
-	lasted := now.Sub(time.UnixMilli(record.SinceMS)).Seconds()
-	if record.State == zonehealth.Recovering && lasted >= settings.ProgressAfter*z.node.Settings.WorkerLease().Seconds() {
+	stateAge := now.Sub(time.UnixMilli(record.SinceMS)).Seconds()
+	if record.State == zonehealth.Recovering && stateAge >= settings.ProgressAfter*z.node.Settings.WorkerLease().Seconds() {
 		zone.ReservableShare = 1 - settings.ProgressShare
 	}
 	return zone
 }
 
-// waitingProduction returns the production tasks that wait for lost machines of a zone: of own
-// shards as last observed, of peers' as they recorded.
+// waitingProduction returns the production tasks that wait for lost machines of a zone: for shards that
+// this controller leads as it last observed them, for peers' shards as the record has them.
 func (z *Zones) waitingProduction(zone string, record *zonehealth.Record) []zonehealth.Demand {
 	var waiting []zonehealth.Demand
-	own := z.observations[zone]
+	ownObservations := z.observations[zone]
 	for shardName, observation := range record.Observations {
-		if _, observed := own[shardName]; !observed || !z.leadership.Leads(shardName) {
+		if _, observed := ownObservations[shardName]; !observed || !z.leadership.Leads(shardName) {
 			waiting = append(waiting, observation.Waiting...)
 		}
 	}
-	for shardName, observation := range own {
+	for shardName, observation := range ownObservations {
 		if z.leadership.Leads(shardName) {
 			waiting = append(waiting, observation.Waiting...)
 		}
@@ -114,44 +114,44 @@
 	return waiting
 }
 
-// countAdmitted counts what work below production has taken of zones since they came back.
-// What was placed before and went on is not counted.
-func (z *Zones) countAdmitted(zones map[string]*recovery.Zone) {
+// countUsedMachines counts the machines that work below production has used in each zone since the
+// zone's state began. Tasks that were placed before and kept running are not counted.
+func (z *Zones) countUsedMachines(zones map[string]*recovery.Zone) {
 	sizes := z.catalog.MachineSizes()
 	for host, tasks := range z.cache.Placements {
 		machine := z.cache.Machines[host]
 		if machine == nil || zones[machine.Zone] == nil {
 			continue
 		}
-		since := z.cache.Zones[statecache.ZoneID(machine.Zone)].Record.SinceMS
+		stateSinceMS := z.cache.Zones[statecache.ZoneID(machine.Zone)].Record.SinceMS
 		for _, task := range tasks {
 			job := z.cache.Jobs[task.UID]
 			if job == nil || isProduction(&job.Record.Spec) {
 				continue
 			}
-			if job.PlacedAtMS(task) >= since {
+			if job.PlacedAtMS(task) >= stateSinceMS {
 				zones[machine.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&job.Record.Spec), sizes)
 			}
 		}
 	}
 }
 
-// protectedSizes returns the sizes of production tasks.
+// protectedSizes returns the distinct sizes of production tasks.
 func (z *Zones) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
 	var sizes []sched.Resources
-	add := func(size sched.Resources) {
+	addSize := func(size sched.Resources) {
 		if !slices.Contains(sizes, size) {
 			sizes = append(sizes, size)
 		}
 	}
 	for _, job := range z.cache.Jobs {
 		if isProduction(&job.Record.Spec) && !job.Record.Cancelled {
-			add(statecache.ResourcesOf(&job.Record.Spec))
+			addSize(statecache.ResourcesOf(&job.Record.Spec))
 		}
 	}
 	for _, zone := range zones {
 		for _, demand := range zone.Waiting {
-			add(demand.Need)
+			addSize(demand.Need)
 		}
 	}
 	return sizes
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -11,25 +11,25 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Observations is what this controller sees of zones, by zone and own shard.
+// Observations are the observations of this controller, by zone and by shard that it leads.
 type Observations map[string]map[string]zonehealth.Observation
 
-// Observed is what a look at all machines of own shards shows.
+// Observed is the result of a scan of all machines in the shards that this controller leads.
 type Observed struct {
 	Observations Observations
-	Up           map[string][]string // machines that are up, by zone
+	Up           map[string][]string // names of machines that are up, by zone
 }
 
-// Observe looks at the machines of own shards. It changes nothing.
+// Observe scans the machines of the shards that this controller leads. It changes no state.
 func (z *Zones) Observe(now time.Time) Observed {
-	observed := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
-	waiting := waitingTasks{}
+	result := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
+	waitingCounts := waitingTaskCounts{}
 	for host, machine := range z.cache.Machines {
-		worker, ofZone := z.agents.Agent(host), observed.Observations[machine.Zone]
-		if ofZone == nil || worker == nil || !z.leadership.Leads(machine.Shard) {
+		worker, byShard := z.agents.Agent(host), result.Observations[machine.Zone]
+		if byShard == nil || worker == nil || !z.leadership.Leads(machine.Shard) {
 			continue
 		}
-		observation := ofZone[machine.Shard]
+		observation := byShard[machine.Shard]
 		state := z.agents.ObservedState(host, machine, worker, now)
 		switch state {
 		case agent.MachineIgnored:
@@ -37,27 +37,27 @@
 			observation.Unclear++
 		case agent.MachineUp:
 			observation.Up++
-			observed.Up[machine.Zone] = append(observed.Up[machine.Zone], host)
+			result.Up[machine.Zone] = append(result.Up[machine.Zone], host)
 		case agent.MachineLost:
 			observation.Lost++
 		}
-		ofZone[machine.Shard] = observation
-		// Until its end is committed a task is placed, and waits in no queue: room for it is
-		// kept also while a new leader has not heard of its machine yet, and when the machine
-		// is known to be lost.
+		byShard[machine.Shard] = observation
+		// Until the end of a task is committed it counts as placed and is in no queue. Capacity for
+		// it is reserved even if a new leader has not received a heartbeat from its machine yet, or
+		// if the machine is lost.
 		if state != agent.MachineUp {
-			z.addWaiting(waiting, host, machine)
+			z.countWaitingTasks(waitingCounts, host, machine)
 		}
 	}
-	for of, tasks := range waiting {
-		observation := observed.Observations[of.zone][of.shard]
-		observation.Waiting = sortedDemand(tasks)
-		observed.Observations[of.zone][of.shard] = observation
+	for key, counts := range waitingCounts {
+		observation := result.Observations[key.zone][key.shard]
+		observation.Waiting = sortedDemand(counts)
+		result.Observations[key.zone][key.shard] = observation
 	}
-	return observed
+	return result
 }
 
-// emptyObservations returns the zones and own shards before any machine is looked at.
+// emptyObservations returns observations without machines for all zones and led shards.
 func (z *Zones) emptyObservations(now time.Time) Observations {
 	observations := Observations{}
 	for _, zone := range z.node.Settings.Facts.Zones {
@@ -71,34 +71,34 @@
 	return observations
 }
 
-// zoneShard is a zone and an own shard.
+// zoneShard identifies a shard that this controller leads, within a zone.
 type zoneShard struct{ zone, shard string }
 
-// waitingTasks counts production tasks of machines that are not heard from, by size.
-type waitingTasks map[zoneShard]map[zonehealth.Demand]int
+// waitingTaskCounts counts the production tasks on machines that are not up, by size.
+type waitingTaskCounts map[zoneShard]map[zonehealth.Demand]int
 
-// addWaiting counts the production tasks of a machine that is not heard from.
-func (z *Zones) addWaiting(waiting waitingTasks, host string, machine *shard.Machine) {
-	of := zoneShard{zone: machine.Zone, shard: machine.Shard}
+// countWaitingTasks adds the production tasks of a machine that is not up to counts.
+func (z *Zones) countWaitingTasks(counts waitingTaskCounts, host string, machine *shard.Machine) {
+	key := zoneShard{zone: machine.Zone, shard: machine.Shard}
 	for _, task := range z.cache.Placements[host] {
 		job := z.cache.Jobs[task.UID]
 		if job == nil || job.MustStop(task.Placement) || !isProduction(&job.Record.Spec) {
 			continue
 		}
-		if waiting[of] == nil {
-			waiting[of] = map[zonehealth.Demand]int{}
+		if counts[key] == nil {
+			counts[key] = map[zonehealth.Demand]int{}
 		}
-		waiting[of][demandOf(&job.Record.Spec)]++
+		counts[key][demandOf(&job.Record.Spec)]++
 	}
 }
 
-// maxDemandSizes bounds the sizes of tasks in a zone's record: there are few.
+// maxDemandSizes limits the number of task sizes in a zone's record. Few sizes occur.
 const maxDemandSizes = 8
 
-// sortedDemand lists tasks by size, those of most first.
-func sortedDemand(tasks map[zonehealth.Demand]int) []zonehealth.Demand {
-	demands := make([]zonehealth.Demand, 0, len(tasks))
-	for demand, count := range tasks {
+// sortedDemand lists the task sizes, the most frequent first.
+func sortedDemand(counts map[zonehealth.Demand]int) []zonehealth.Demand {
+	demands := make([]zonehealth.Demand, 0, len(counts))
+	for demand, count := range counts {
 		demand.Tasks = count
 		demands = append(demands, demand)
 	}
@@ -111,43 +111,44 @@
 	return demands[:min(len(demands), maxDemandSizes)]
 }
 
-// demandOf returns the size of a job's tasks as zones' records keep it.
+// demandOf returns the size of a job's tasks in the form of zone records.
 func demandOf(spec *api.Job) zonehealth.Demand {
 	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
 }
 
-// Judge returns a zone's record as it is to be, and whether that is to be written.
+// Judge returns a zone's new record and whether it must be written.
 func (z *Zones) Judge(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := z.limits()
-	var before zonehealth.Record
+	var current zonehealth.Record
 	if record := z.cache.Zones[statecache.ZoneID(zone)].Record; record != nil {
-		before = *record
+		current = *record
 	}
 	if len(z.observations[zone]) == 0 {
-		return before, false
+		return current, false
 	}
-	seen := before
+	updated := current
 	for shardName, observation := range z.observations[zone] {
-		recorded, isRecorded := before.Observations[shardName]
-		if !before.Restricts() && before.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
-			observation = zonehealth.Observation{} // all is well: that needs no record
+		recorded, isRecorded := current.Observations[shardName]
+		if !current.Restricts() && current.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
+			observation = zonehealth.Observation{} // a healthy zone needs no record
 		}
 		if isRecorded != !observation.Empty() || !observation.Equal(recorded) {
-			seen, changed = seen.WithObservation(shardName, observation), true
+			updated, changed = updated.WithObservation(shardName, observation), true
 		}
 	}
-	next = seen.Judge(now, z.hasOutsideObserver(zone, now), limits)
-	return next, changed || next.State != before.State
+	next = updated.Judge(now, z.hasOutsideObserver(zone, now), limits)
+	return next, changed || next.State != current.State
 }
 
-// hasOutsideObserver reports whether this controller can say that a zone is down, not itself cut
-// off: it hears workers now, and it or a peer at home in another zone hears some of another zone.
+// hasOutsideObserver reports whether this controller may declare a zone down because it is not
+// partitioned itself: it has just received heartbeats from workers, and either most machines of
+// another zone are up in its shards or a controller located in another zone receives heartbeats.
 func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
 	if !z.leadership.Contact().HeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, byShard := range z.observations {
-		if other != zone && z.isUp(byShard) {
+		if other != zone && z.isMostlyUp(byShard) {
 			return true
 		}
 	}
@@ -159,12 +160,12 @@
 	return false
 }
 
-// isUp reports whether a zone's machines are up but for few.
-func (z *Zones) isUp(byShard map[string]zonehealth.Observation) bool {
-	var all zonehealth.Observation
+// isMostlyUp reports whether all but a few machines of a zone are up.
+func (z *Zones) isMostlyUp(byShard map[string]zonehealth.Observation) bool {
+	var total zonehealth.Observation
 	for _, observation := range byShard {
-		all.Up += observation.Up
-		all.Lost += observation.Lost
+		total.Up += observation.Up
+		total.Lost += observation.Lost
 	}
-	return all.Up > 0 && all.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
+	return total.Up > 0 && total.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
 }
--- a/internal/zonestate/observation_test.go
+++ b/internal/zonestate/observation_test.go
@@ -8,9 +8,9 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Sizes that most tasks have come first, and equal numbers have one order whoever lists them: a
-// zone's record is written only when it changes. A record keeps a few sizes.
-func TestSortedDemand(t *testing.T) {
+// A zone's record is written only when it changes. The demand list must therefore not depend on map
+// order: the most frequent sizes come first, and ties have a fixed order. It is limited to a few sizes.
+func TestSortedDemand_IsDeterministicAndBounded(t *testing.T) {
 	size := func(cpus float64) zonehealth.Demand {
 		return zonehealth.Demand{Need: sched.Resources{CPUs: cpus, MemGB: 1}}
 	}
@@ -25,21 +25,21 @@
 		demand.Tasks = counts[cpus]
 		want = append(want, demand)
 	}
-	for range 20 { // the order of a map differs from run to run
+	for range 20 { // map iteration order differs between runs
 		if got := sortedDemand(tasks); !slices.Equal(got, want) {
-			t.Fatalf("%v, not %v", got, want)
+			t.Fatalf("sortedDemand() = %v, want %v", got, want)
 		}
 	}
 }
 
-// Nothing restricts a job without an admission.
-func TestNoAdmissionAdmitsAll(t *testing.T) {
-	var none *JobAdmission
-	none.Admit("x")
-	if !none.Admits("x") {
-		t.Error("a zone is closed")
+// A nil JobAdmission restricts nothing.
+func TestNilJobAdmission_AdmitsAll(t *testing.T) {
+	var nilAdmission *JobAdmission
+	nilAdmission.Admit("x")
+	if !nilAdmission.Admits("x") {
+		t.Error("nil JobAdmission.Admits() = false, want true")
 	}
-	if none.Trial() != nil {
-		t.Error("a trial restricts")
+	if nilAdmission.Trial() != nil {
+		t.Error("nil JobAdmission.Trial() is not nil")
 	}
 }
--- a/internal/zonestate/slow_start.go
+++ b/internal/zonestate/slow_start.go
@@ -9,10 +9,10 @@
 	"violetturn/internal/zonehealth"
 )
 
-// IsHeldBack reports whether a task below production that its machine no longer has, and that
-// was lost when its zone went down, does not start again in place yet. All at once they would
-// fill the zone ahead of production work whose machines have not returned. A gang is one
-// whole: it ends and starts anew by its own rules.
+// IsHeldBack reports whether a task below production that is missing on its machine, and was placed
+// before its zone went down, must not restart in place yet. If all such tasks restarted at once, they
+// would fill the zone before production work whose machines have not returned. Gangs are exempt: a
+// gang ends and restarts as a whole by its own rules.
 func (z *Zones) IsHeldBack(host string, task *statecache.PlacedTask, job *statecache.Job, now time.Time) bool {
 	machine := z.cache.Machines[host]
 	if len(z.cache.Zones) == 0 || machine == nil || job.IsGang() {
@@ -22,16 +22,16 @@
 	if record == nil || isProduction(&job.Record.Spec) {
 		return false
 	}
-	return job.PlacedAtMS(task) < record.FailedMS && !z.admitted[host]
+	return job.PlacedAtMS(task) < record.FailedMS && !z.admittedHosts[host]
 }
 
-// AdmittedMachines returns on which machines of recovering zones tasks start again in place, of
-// those that are up, by zone: as large a share as the slow start has come to, less what the
-// production work that waits there needs. They are admitted in the order of their names, so that
-// another leader has the same.
-func (z *Zones) AdmittedMachines(up map[string][]string, now time.Time) map[string]bool {
+// AdmittedMachines returns the machines of recovering zones on which tasks may restart in place, out
+// of the given machines that are up, by zone. In each zone that is the current share of the slow start,
+// or what the waiting production work leaves if that is less. Machines are admitted in the order of
+// their names, so that another leader admits the same ones.
+func (z *Zones) AdmittedMachines(upHosts map[string][]string, now time.Time) map[string]bool {
 	admitted := map[string]bool{}
-	for zone, hosts := range up {
+	for zone, hosts := range upHosts {
 		record := z.RestrictedZone(zone, now)
 		if record == nil {
 			continue
@@ -45,13 +45,13 @@
 	return admitted
 }
 
-// admittedShare returns on which share of a zone's machines that are up tasks start again.
-func (z *Zones) admittedShare(zone string, record *zonehealth.Record, up int, now time.Time) float64 {
+// admittedShare returns the share of a zone's machines that are up on which tasks may restart.
+func (z *Zones) admittedShare(zone string, record *zonehealth.Record, upCount int, now time.Time) float64 {
 	sizes := z.catalog.MachineSizes()
-	needed := 0.0 // machines, by the production work that waits
+	neededMachines := 0.0 // machines that the waiting production work needs
 	for _, demand := range z.waitingProduction(zone, record) {
-		needed += float64(demand.Tasks) * recovery.MachineShare(demand.Need, sizes)
+		neededMachines += float64(demand.Tasks) * recovery.MachineShare(demand.Need, sizes)
 	}
-	all := float64(max(record.Sum().Up, up))
-	return min(record.AdmissionShare(now, z.limits()), max(all-needed, 0)/all, 1)
+	upMachines := float64(max(record.Sum().Up, upCount))
+	return min(record.AdmissionShare(now, z.limits()), max(upMachines-neededMachines, 0)/upMachines, 1)
 }
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -16,10 +16,10 @@
 	"violetturn/internal/zonehealth"
 )
 
-// ProductionPriority is the priority of production work.
+// ProductionPriority is the priority level of production work.
 const ProductionPriority = 0
 
-// Zones is what this controller sees of zones. The lock of internal/state guards it.
+// Zones holds this controller's observations of zones. The lock of internal/state protects it.
 type Zones struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -28,12 +28,12 @@
 	catalog    *catalog.Catalog
 	agents     *agent.Registry
 
-	observedAt   time.Time
-	observations Observations
-	admitted     map[string]bool // machines of recovering zones where tasks start again in place
+	lastObservedAt time.Time
+	observations   Observations
+	admittedHosts  map[string]bool // machines of recovering zones on which tasks may restart in place
 }
 
-// Deps is what zones read.
+// Deps are the components that Zones reads.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -43,36 +43,37 @@
 	Agents     *agent.Registry
 }
 
-// New returns zones that have not been observed.
-func New(d Deps) *Zones {
+// New returns a Zones without observations.
+func New(deps Deps) *Zones {
 	return &Zones{
-		node:       d.Node,
-		cache:      d.Cache,
-		schema:     d.Schema,
-		leadership: d.Leadership,
-		catalog:    d.Catalog,
-		agents:     d.Agents,
+		node:       deps.Node,
+		cache:      deps.Cache,
+		schema:     deps.Schema,
+		leadership: deps.Leadership,
+		catalog:    deps.Catalog,
+		agents:     deps.Agents,
 	}
 }
 
-// ObservationIsDue reports whether the zones are to be observed again: once in a heartbeat
-// interval, if the feature is on.
+// ObservationIsDue reports whether the zones must be observed again: once per heartbeat interval, if
+// the feature is on.
 func (z *Zones) ObservationIsDue(now time.Time) bool {
-	return now.Sub(z.observedAt) >= z.node.Settings.HeartbeatInterval() && z.schema.FeatureEnabled(features.ZoneRecoveryName)
+	return now.Sub(z.lastObservedAt) >= z.node.Settings.HeartbeatInterval() && z.schema.FeatureEnabled(features.ZoneRecoveryName)
 }
 
-// Update observes the zones and works out on which machines tasks start again in place.
+// Update observes the zones and computes on which machines tasks may restart in place.
 func (z *Zones) Update(now time.Time) {
 	observed := z.Observe(now)
-	z.observedAt, z.observations = now, observed.Observations
-	z.admitted = z.AdmittedMachines(observed.Up, now)
+	z.lastObservedAt, z.observations = now, observed.Observations
+	z.admittedHosts = z.AdmittedMachines(observed.Up, now)
 }
 
-// Observed lists the zones that were observed, by name.
+// Observed returns the names of the observed zones in sorted order.
 func (z *Zones) Observed() []string { return slices.Sorted(maps.Keys(z.observations)) }
 
-// RestrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
-// feature is off. It ends also if nobody can write that it does.
+// RestrictedZone returns the record of a zone that is down or recovering, or nil if the zone is neither
+// or the feature is off. The restriction also ends after the maximum duration of the state, even if no
+// controller can write that.
 func (z *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
 	record := z.cache.Zones[statecache.ZoneID(zone)].Record
 	if record == nil || !record.Restricts() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
@@ -84,18 +85,18 @@
 	return record
 }
 
-// limits returns the bounds between the states of zones.
+// limits returns the limits for evaluating zones, as configured.
 func (z *Zones) limits() *zonehealth.Limits {
-	recovery := &z.node.Features.ZoneRecovery
-	leases := func(n float64) time.Duration { return time.Duration(n * float64(z.node.Settings.WorkerLease())) }
+	settings := &z.node.Features.ZoneRecovery
+	leaseMultiple := func(n float64) time.Duration { return time.Duration(n * float64(z.node.Settings.WorkerLease())) }
 	return &zonehealth.Limits{
-		SuspectShare: recovery.SuspectShare,
-		DownShare:    recovery.DownShare,
-		Confirm:      leases(recovery.Confirm),
-		FirstShare:   recovery.FirstShare,
-		LeastShare:   recovery.LeastShare,
-		DoubleEvery:  leases(recovery.DoubleEvery),
-		Longest:      leases(recovery.Longest),
+		SuspectShare: settings.SuspectShare,
+		DownShare:    settings.DownShare,
+		Confirm:      leaseMultiple(settings.Confirm),
+		FirstShare:   settings.FirstShare,
+		LeastShare:   settings.LeastShare,
+		DoubleEvery:  leaseMultiple(settings.DoubleEvery),
+		Longest:      leaseMultiple(settings.Longest),
 	}
 }
 
