--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -91,10 +91,10 @@
 	admission := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
 	if !admission.Competes(need, func(int) bool { return true }) {
-		t.Error("Competes() = false for a machine type that fits production, want true")
+		t.Error("work does not compete with production on a machine type that fits production")
 	}
 	if admission.Competes(need, func(i int) bool { return i == 1 }) {
-		t.Error("Competes() = true for a machine type that does not fit production, want false")
+		t.Error("work competes with production on a machine type that does not fit production")
 	}
 	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
 		t.Error("NewAdmission() is not nil without protected sizes or without restricted zones")
--- a/internal/sched/chooser.go
+++ b/internal/sched/chooser.go
@@ -19,7 +19,7 @@
 	reusable   []*Ranking // rankings of earlier jobs whose memory can be reused
 }
 
-// NewChooser returns a Chooser over the given machines, which are grouped by shard.
+// NewChooser returns a selector of machines, which are grouped by shard.
 func NewChooser(shards map[string][]*Host, random *rand.Rand) *Chooser {
 	return &Chooser{shards: shards, random: random, shardNames: slices.Sorted(maps.Keys(shards))}
 }
--- a/internal/sched/chooser_test.go
+++ b/internal/sched/chooser_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The chooser prefers the job's own shard and finds any machine that fits in a peer's shard, also for a
-// second job.
+// A machine of the job's own shard is preferred, and a machine that fits is found in any peer's shard,
+// also for a second job.
 func TestChooser_PrefersOwnShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
@@ -21,10 +21,10 @@
 				got := chooser.Next(nil)
 				ownFit := FullestFit(shards["own"], request)
 				if ownFit != nil && got != ownFit {
-					t.Fatalf("Next() = %v, want %s of the own shard", got, ownFit.Name)
+					t.Fatalf("selected %v, want %s of the own shard", got, ownFit.Name)
 				}
 				if got == nil && (FullestFit(shards["p"], request) != nil || FullestFit(shards["q"], request) != nil) {
-					t.Fatal("Next() = nil, want a machine of a peer's shard that fits")
+					t.Fatal("no machine selected, want a machine of a peer's shard that fits")
 				}
 				if got == nil {
 					break
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -28,12 +28,12 @@
 				}
 				release := retry.Missed(now)
 				if release != (!delayed && misses > InitialMaxMisses) {
-					t.Fatalf("Missed() = %t, want %t; misses %d, delayed %t", release, !release, misses, delayed)
+					t.Fatalf("claims must be released: %t, want %t; misses %d, delayed %t", release, !release, misses, delayed)
 				}
 				if release {
 					misses = 0
 					if !retry.Released {
-						t.Fatal("Released = false after the claims were released, want true")
+						t.Fatal("gang not marked as having released its claims")
 					}
 				}
 			},
--- a/internal/sched/preempt_test.go
+++ b/internal/sched/preempt_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Preempt stops no task if even all victims would not free enough, and no task that is not needed.
+// No task is stopped if even all victims would not free enough, and none that is not needed.
 func TestPreempt_SelectsOnlyNeededVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		free, need := drawResources(t, "free", 4), drawResources(t, "need", 8)
@@ -23,21 +23,21 @@
 		}
 		selected, _ := Preempt(free, need, slices.Clone(victims))
 		if free.Fits(need) && len(selected) > 0 {
-			t.Fatalf("Preempt() = %v, want none: %v fits into the free capacity %v", selected, need, free)
+			t.Fatalf("selected victims %v, want none: %v fits into the free capacity %v", selected, need, free)
 		}
 		freed := free
 		for _, victim := range selected {
 			freed = freed.Add(victim.Room)
 		}
 		if len(selected) > 0 && !freed.Fits(need) {
-			t.Fatalf("Preempt() = %v frees up to %v, too little for %v", selected, freed, need)
+			t.Fatalf("stopping the selected victims %v leaves %v free, too little for %v", selected, freed, need)
 		}
 		if !free.Fits(need) && freeWithoutAny.Fits(need) && len(selected) == 0 {
-			t.Fatalf("Preempt() selects no victim, although stopping all of them frees %v, enough for %v", freeWithoutAny, need)
+			t.Fatalf("no victim selected, although stopping all of them leaves %v free, enough for %v", freeWithoutAny, need)
 		}
 		for _, victim := range selected {
 			if freed.Sub(victim.Room).Fits(need) {
-				t.Fatalf("Preempt() selects %v, which is not needed", victim)
+				t.Fatalf("selected victim %v, which is not needed", victim)
 			}
 		}
 	})
--- a/internal/zonehealth/evaluation.go
+++ b/internal/zonehealth/evaluation.go
@@ -31,7 +31,7 @@
 	next := *r
 	stateAge := now.Sub(time.UnixMilli(r.SinceMS))
 	e := evaluation{next: &next, total: r.Sum(), stateAge: stateAge, now: now, hasObserver: hasObserver, limits: limits}
-	if e.mostUnknown() && stateAge < limits.Longest && !e.machinesReturned() {
+	if e.mostUnclear() && stateAge < limits.Longest && !e.machinesReturned() {
 		// A shard has just changed its leader. Machines from which the new leader has not received a
 		// heartbeat yet count neither as lost nor as returned; the others do count.
 		return next
@@ -61,8 +61,8 @@
 	limits      *Limits
 }
 
-// mostUnknown reports whether the state of at least half of the machines is not known yet.
-func (e *evaluation) mostUnknown() bool {
+// mostUnclear reports whether the state of at least half of the machines is not known yet.
+func (e *evaluation) mostUnclear() bool {
 	return e.total.Unclear > 0 && 2*e.total.Unclear >= e.total.Up+e.total.Lost+e.total.Unclear
 }
 
--- a/internal/zonehealth/observation.go
+++ b/internal/zonehealth/observation.go
@@ -25,8 +25,8 @@
 
 // Equal reports whether two observations are equal.
 func (o Observation) Equal(other Observation) bool {
-	return o.Up == other.Up && o.Lost == other.Lost && o.Unclear == other.Unclear && o.Refused == other.Refused &&
-		slices.Equal(o.Waiting, other.Waiting)
+	return o.Up == other.Up && o.Lost == other.Lost && o.Unclear == other.Unclear &&
+		o.Refused == other.Refused && slices.Equal(o.Waiting, other.Waiting)
 }
 
 // LostShare returns the share of the machines that are lost, not counting unclear ones.
--- a/internal/zonehealth/record.go
+++ b/internal/zonehealth/record.go
@@ -29,7 +29,7 @@
 type Limits struct {
 	SuspectShare, DownShare float64       // shares of the machines that are lost
 	Confirm                 time.Duration // how long most machines must be lost before the zone is down
-	FirstShare, LeastShare  float64       // shares of the machines: initial value of a slow start, and its minimum after repeated failures
+	FirstShare, LeastShare  float64       // initial shares of a slow start: normal value, and minimum after repeated failures
 	DoubleEvery             time.Duration // interval at which the share of the slow start doubles
 	Longest                 time.Duration // maximum duration of Down and of Recovering
 }
--- a/internal/zonestate/observation_test.go
+++ b/internal/zonestate/observation_test.go
@@ -40,6 +40,6 @@
 		t.Error("nil JobAdmission.Admits() = false, want true")
 	}
 	if nilAdmission.Trial() != nil {
-		t.Error("nil JobAdmission.Trial() is not nil")
+		t.Error("copy of a nil JobAdmission is not nil")
 	}
 }
