--- a/internal/sched/host_selector_test.go
+++ b/internal/sched/host_selector_test.go
@@ -13,12 +13,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
-		chooser := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
+		selector := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
 		for range 2 {
 			request := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
-			chooser.Begin("own", request)
+			selector.Begin("own", request)
 			for range 4 {
-				got := chooser.Next(nil)
+				got := selector.Next(nil)
 				ownFit := FullestFit(shards["own"], request)
 				if ownFit != nil && got != ownFit {
 					t.Fatalf("selected %v, want %s of the own shard", got, ownFit.Name)
--- a/internal/zonehealth/evaluation.go
+++ b/internal/zonehealth/evaluation.go
@@ -6,13 +6,12 @@
 // may be placed in the zone.
 //
 // Invariants:
-//   - a zone enters Down only if the evaluating controller has an observer, that is, receives
-//     heartbeats from machines of another zone, so that a partitioned controller never declares a
-//     zone down;
+//   - a zone enters Down only if the evaluating controller has an observer, that is, contact with
+//     machines of another zone (its own or a peer's), so that a partitioned controller never
+//     declares a zone down;
 //   - neither Down nor Recovering lasts longer than Limits.Longest while controllers can write;
 //   - Record.Transitions never decreases, and a failure soon after another halves
 //     Record.SlowStartShare.
-//     after another.
 package zonehealth
 
 import "time"
@@ -26,7 +25,7 @@
 const returnedShare = 1. / 16
 
 // Judge returns the record with the state that follows from its observations. hasObserver tells
-// whether the evaluating controller receives heartbeats from machines of another zone.
+// whether machines of another zone are in contact with the evaluating controller or a peer.
 func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
 	stateAge := now.Sub(time.UnixMilli(r.SinceMS))
