--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -130,7 +130,7 @@
 func (r *ScaleInReview) remaining() []*sched.Host {
 	if r.hosts == nil {
 		plan := r.autoscaler.scheduler.Plan(r.now)
-		r.hosts, r.reserved = plan.Remaining, plan.ReservedHosts
+		r.hosts, r.reserved = plan.RemainingHosts, plan.ReservedHosts
 	}
 	return r.hosts
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -100,7 +100,7 @@
 	}
 	for _, x := range withReaders {
 		c.testState().Agents.Drop(x.Host)
-		leadership := c.testState().Leadership.Known(c.testState().Cache.Machines[x.Host].Shard)
+		leadership := c.testState().Leadership.Lookup(c.testState().Cache.Machines[x.Host].Shard)
 		c.testState().Agents.Ensure(x.Host, leadership).LastAnswered = c.node.Now()
 	}
 	if n := waiting(); n != readerTasks {
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -55,7 +55,7 @@
 		plan.transaction.Put(key, next)
 		plan.changed[zone] = next
 	}
-	s.Leadership.RequireAll(plan.transaction)
+	s.Leadership.RequireLeaderships(plan.transaction)
 	return plan
 }
 
--- a/internal/scheduler/gang_table.go
+++ b/internal/scheduler/gang_table.go
@@ -58,12 +58,12 @@
 	return search != nil && search.retry.Released
 }
 
-// NoteGangClaimed notes that room was claimed for a gang: the misses before no longer count.
-func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.search(uid).retry.Claimed() }
+// RecordGangClaimed notes that room was claimed for a gang: the misses before no longer count.
+func (s *Scheduler) RecordGangClaimed(uid string) { s.gangs.search(uid).retry.Claimed() }
 
-// LookOutOfTurn reports whether room for a gang is to be looked for now, between the regular
+// AllowImmediateSearch reports whether room for a gang is to be looked for now, between the regular
 // decisions, and notes that it is. It is not so again until the pause is over.
-func (s *Scheduler) LookOutOfTurn(uid string, now time.Time, pause time.Duration) bool {
+func (s *Scheduler) AllowImmediateSearch(uid string, now time.Time, pause time.Duration) bool {
 	search := s.gangs.search(uid)
 	if now.Sub(search.lookedOutOfTurn) <= pause {
 		return false
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -66,7 +66,7 @@
 			Cap:         size,
 			Free:        free,
 			Stopping:    load.Stopping,
-			Images:      s.cache.Images[name],
+			Images:      s.cache.PlacedImages[name],
 			Services:    load.Services,
 			Arrays:      load.Arrays,
 			StartDelayS: s.room.StartDelay(name, load, now),
--- a/internal/scheduler/planner_seeking.go
+++ b/internal/scheduler/planner_seeking.go
@@ -92,7 +92,7 @@
 func (p *planner) seekRoomFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
 	if !job.entry.led {
-		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxUnmet)})
+		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxUnmet)})
 		return
 	}
 	isGang := p.gangSearches[job] != nil
@@ -123,7 +123,7 @@
 	}
 	p.dropFullHosts()
 	if len(left) == 0 {
-		p.plan.Stops = append(p.plan.Stops, stops...)
+		p.plan.GangVictims = append(p.plan.GangVictims, stops...)
 		return
 	}
 	if isGang {
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -35,7 +35,7 @@
 		case agent.MachineIgnored:
 		case agent.MachineUnclear:
 			observation.Unclear++
-		case agent.MachineUp:
+		case agent.MachineHealthy:
 			observation.Up++
 			result.Up[machine.Zone] = append(result.Up[machine.Zone], host)
 		case agent.MachineLost:
@@ -45,7 +45,7 @@
 		// Until the end of a task is committed it counts as placed and is in no queue. Capacity for
 		// it is reserved even if a new leader has not received a heartbeat from its machine yet, or
 		// if the machine is lost.
-		if state != agent.MachineUp {
+		if state != agent.MachineHealthy {
 			z.countWaitingTasks(waitingCounts, host, machine)
 		}
 	}
@@ -62,7 +62,7 @@
 	observations := Observations{}
 	for _, zone := range z.node.Settings.Facts.Zones {
 		observations[zone] = map[string]zonehealth.Observation{}
-		for _, name := range z.leadership.KnownShards() {
+		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
 				observations[zone][name] = zonehealth.Observation{Refused: z.catalog.CloudRefuses(zone, now)}
 			}
@@ -144,7 +144,7 @@
 // partitioned itself: it has just received heartbeats from workers, and either most machines of
 // another zone are up in its shards or a controller located in another zone receives heartbeats.
 func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
-	if !z.leadership.Contact().HeardSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
+	if !z.leadership.Contact().HasContactSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, byShard := range z.observations {
