--- /dev/null
+++ b/internal/sched/host_selector_test.go
@@ -0,0 +1,36 @@
+package sched
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// A machine of the job's own shard is preferred, and a machine that fits is found in any peer's shard,
+// also for a second job.
+func TestChooser_PrefersOwnShard(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
+		seed := rapid.Uint64().Draw(t, "seed")
+		selector := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
+		for range 2 {
+			request := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
+			selector.Begin("own", request)
+			for range 4 {
+				got := selector.Next(nil)
+				ownFit := FullestFit(shards["own"], request)
+				if ownFit != nil && got != ownFit {
+					t.Fatalf("selected %v, want %s of the own shard", got, ownFit.Name)
+				}
+				if got == nil && (FullestFit(shards["p"], request) != nil || FullestFit(shards["q"], request) != nil) {
+					t.Fatal("no machine selected, want a machine of a peer's shard that fits")
+				}
+				if got == nil {
+					break
+				}
+				got.Free = got.Free.Sub(request.Need)
+			}
+		}
+	})
+}
