--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -183,7 +183,7 @@
 			MachineType: machine.MachineType,
 			Zone:        machine.Zone,
 			Spot:        machine.Spot,
-			Cap:         size,
+			Capacity:    size,
 			Free:        size,
 		})
 	}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -17,11 +17,11 @@
 
 // Zone is the state of a zone that is down or recovering.
 type Zone struct {
-	SlowStartShare  float64             // share of its machines that work below production may have used since it returned
-	MachinesBefore  float64             // number of its machines before it went down
-	Taken           float64             // machines used by work below production since it returned
-	Waiting         []zonehealth.Demand // production tasks that wait for its lost machines
-	ReservableShare float64             // share of the free machines that may be reserved for those tasks
+	SlowStartShare    float64             // share of its machines that work below production may have used since it returned
+	MachinesBefore    float64             // number of its machines before it went down
+	UsedMachines      float64             // machines used by work below production since it returned
+	WaitingProduction []zonehealth.Demand // production tasks that wait for its lost machines
+	ReservableShare   float64             // share of the free machines that may be reserved for those tasks
 }
 
 // Admission tracks how much of the restricted zones work below production may still use. A nil
@@ -55,10 +55,10 @@
 	return &clone
 }
 
-// Competes reports whether a task below production could use capacity that production needs, that is
+// CompetesWithProduction reports whether a task below production could use capacity that production needs, that is
 // whether a machine type that is allowed for the task fits both it and a production task. allowed
 // reports, by the index of a machine type, whether the task may run on it.
-func (a *Admission) Competes(need sched.Resources, allowed func(machineType int) bool) bool {
+func (a *Admission) CompetesWithProduction(need sched.Resources, allowed func(machineType int) bool) bool {
 	if a == nil {
 		return false
 	}
@@ -83,16 +83,16 @@
 // Admits reports whether work below production may use the given number of machines of a zone.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
-	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
+	return z == nil || z.SlowStartShare >= 1 || z.UsedMachines+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
 // epsilon absorbs the rounding errors in sums of fractions.
 const epsilon = 1e-9
 
-// Admit adds to the number of machines that work below production uses in a zone.
-func (a *Admission) Admit(zone string, machines float64) {
+// RecordAdmitted adds to the number of machines that work below production uses in a zone.
+func (a *Admission) RecordAdmitted(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
-		z.Taken += machines
+		z.UsedMachines += machines
 	}
 }
 
@@ -143,7 +143,7 @@
 }
 
 func (z *Zone) reserve(name string, hosts []*sched.Host) (reserved int) {
-	if len(z.Waiting) == 0 {
+	if len(z.WaitingProduction) == 0 {
 		return 0
 	}
 	var reservable []*sched.Host
@@ -153,8 +153,8 @@
 		}
 	}
 	reservable = reservable[:int(float64(len(reservable))*z.ReservableShare+0.5)]
-	for _, demand := range z.Waiting {
-		request := sched.TaskRequest{Need: demand.Need, Spot: demand.Spot, Service: true}
+	for _, demand := range z.WaitingProduction {
+		request := sched.TaskRequest{Need: demand.Need, AllowSpot: demand.Spot, Service: true}
 		ranking := sched.NewRanking(nil, reservable, &request)
 		for range demand.Tasks {
 			h := ranking.Best(nil)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -28,17 +28,17 @@
 			}
 			share := MachineShare(need, []sched.Resources{machine})
 			if trial := admission.Copy(); trial.Admits("x", share) {
-				trial.Admit("x", share)
+				trial.RecordAdmitted("x", share)
 			}
 			if !admission.Admits("y", share) {
 				t.Fatal("Admits() = false for an unrestricted zone, want true")
 			}
 			if admission.Admits("x", share) {
-				admission.Admit("x", share)
+				admission.RecordAdmitted("x", share)
 			}
 		}
-		if zone.SlowStartShare < 1 && zone.Taken > zone.SlowStartShare*zone.MachinesBefore+1e-6 {
-			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.Taken, zone.MachinesBefore, zone.SlowStartShare)
+		if zone.SlowStartShare < 1 && zone.UsedMachines > zone.SlowStartShare*zone.MachinesBefore+1e-6 {
+			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.UsedMachines, zone.MachinesBefore, zone.SlowStartShare)
 		}
 	})
 }
@@ -53,18 +53,18 @@
 		for i := range n {
 			gpus := float64(rapid.IntRange(0, 2).Draw(t, "free"))
 			hosts = append(hosts, &sched.Host{
-				Name: fmt.Sprintf("i-%06d", i), Zone: "x", MachineType: "m", Cap: machine,
+				Name: fmt.Sprintf("i-%06d", i), Zone: "x", MachineType: "m", Capacity: machine,
 				Free: sched.Resources{CPUs: 6 * gpus, GPUs: gpus, MemGB: 48 * gpus},
 			})
 			slots += int(gpus)
 		}
-		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
+		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Capacity: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
 		reservable := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "reservable")
 		zone := &Zone{
-			MachinesBefore:  float64(n),
-			ReservableShare: reservable,
-			Waiting:         []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
+			MachinesBefore:    float64(n),
+			ReservableShare:   reservable,
+			WaitingProduction: []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
 		}
 		admission := NewAdmission(map[string]*Zone{"x": zone}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		reserved := admission.Reserve(append(hosts, other))
@@ -90,17 +90,17 @@
 	types := []sched.Resources{machine, small}
 	admission := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
-	if !admission.Competes(need, func(int) bool { return true }) {
+	if !admission.CompetesWithProduction(need, func(int) bool { return true }) {
 		t.Error("work does not compete with production on a machine type that fits production")
 	}
-	if admission.Competes(need, func(i int) bool { return i == 1 }) {
+	if admission.CompetesWithProduction(need, func(i int) bool { return i == 1 }) {
 		t.Error("work competes with production on a machine type that does not fit production")
 	}
 	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
 		t.Error("NewAdmission() is not nil without protected sizes or without restricted zones")
 	}
 	var nilAdmission *Admission
-	if !nilAdmission.Admits("x", 1) || nilAdmission.Competes(need, nil) || nilAdmission.Reserve(nil) != 0 {
+	if !nilAdmission.Admits("x", 1) || nilAdmission.CompetesWithProduction(need, nil) || nilAdmission.Reserve(nil) != 0 {
 		t.Error("nil Admission restricts work, want no restriction")
 	}
 }
--- a/internal/sched/fit_test.go
+++ b/internal/sched/fit_test.go
@@ -12,13 +12,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		request := &TaskRequest{
-			Need: drawResources(t, "need", 6),
-			Spot: rapid.Bool().Draw(t, "spot"),
-			Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Need:      drawResources(t, "need", 6),
+			AllowSpot: rapid.Bool().Draw(t, "spot"),
+			Zone:      rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
 		}
 		got := FullestFit(hosts, request)
 		for _, h := range hosts {
-			fits := h.Free.Fits(request.Need) && (request.Spot || !h.Spot) && (request.Zone == "" || request.Zone == h.Zone)
+			fits := h.Free.Fits(request.Need) && (request.AllowSpot || !h.Spot) && (request.Zone == "" || request.Zone == h.Zone)
 			if got == h && !fits {
 				t.Fatalf("FullestFit() = %+v, which does not fit", *h)
 			}
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -100,7 +100,7 @@
 	if h.Images[request.Image] {
 		return h.StartDelayS
 	}
-	return h.StartDelayS + request.FetchS
+	return h.StartDelayS + request.ImageFetchS
 }
 
 // CompareBool orders false before true.
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -7,9 +7,9 @@
 // when it found none. After too many misses in a row it releases all its claims and starts over,
 // ahead of newer gangs. None of its tasks starts until capacity for all of them is claimed.
 type GangRetry struct {
-	MaxMisses int           // misses in a row that are allowed before the claims are released
-	Sleep     time.Duration // delay after each miss
-	Released  bool          // the gang has released its claims and started over, so it precedes newer gangs
+	MaxMisses         int           // misses in a row that are allowed before the claims are released
+	RetryDelay        time.Duration // delay after each miss
+	HasReleasedClaims bool          // the gang has released its claims and started over, so it precedes newer gangs
 
 	consecutiveMisses int
 	delayedUntil      time.Time
@@ -17,27 +17,29 @@
 
 // The initial values, as docs/design.md gives them.
 const (
-	InitialSleep     = time.Second
-	InitialMaxMisses = 3
+	InitialRetryDelay = time.Second
+	InitialMaxMisses  = 3
 )
 
 // NewGangRetry returns the state of a gang that has not searched for capacity yet.
-func NewGangRetry() *GangRetry { return &GangRetry{MaxMisses: InitialMaxMisses, Sleep: InitialSleep} }
+func NewGangRetry() *GangRetry {
+	return &GangRetry{MaxMisses: InitialMaxMisses, RetryDelay: InitialRetryDelay}
+}
 
-// Claimed records that the gang claimed capacity: it resets the misses and the delay.
-func (g *GangRetry) Claimed() { g.consecutiveMisses, g.delayedUntil = 0, time.Time{} }
+// RecordClaim records that the gang claimed capacity: it resets the misses and the delay.
+func (g *GangRetry) RecordClaim() { g.consecutiveMisses, g.delayedUntil = 0, time.Time{} }
 
-// Missed records that a gang that holds claims found too little capacity. It reports whether the
+// RecordMiss records that a gang that holds claims found too little capacity. It reports whether the
 // gang must release all its claims. Misses during the delay after a miss do not count.
-func (g *GangRetry) Missed(now time.Time) (release bool) {
+func (g *GangRetry) RecordMiss(now time.Time) (release bool) {
 	if now.Before(g.delayedUntil) {
 		return false
 	}
 	g.consecutiveMisses++
-	g.delayedUntil = now.Add(g.Sleep)
+	g.delayedUntil = now.Add(g.RetryDelay)
 	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
-	g.consecutiveMisses, g.Released = 0, true
+	g.consecutiveMisses, g.HasReleasedClaims = 0, true
 	return true
 }
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -17,22 +17,22 @@
 		var delayedUntil time.Time
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(_ *rapid.T) {
-				retry.Claimed()
+				retry.RecordClaim()
 				misses, delayedUntil = 0, time.Time{}
 			},
 			"miss": func(t *rapid.T) {
 				delayed := now.Before(delayedUntil)
 				if !delayed {
 					misses++
-					delayedUntil = now.Add(InitialSleep)
+					delayedUntil = now.Add(InitialRetryDelay)
 				}
-				release := retry.Missed(now)
+				release := retry.RecordMiss(now)
 				if release != (!delayed && misses > InitialMaxMisses) {
 					t.Fatalf("claims must be released: %t, want %t; misses %d, delayed %t", release, !release, misses, delayed)
 				}
 				if release {
 					misses = 0
-					if !retry.Released {
+					if !retry.HasReleasedClaims {
 						t.Fatal("gang not marked as having released its claims")
 					}
 				}
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -16,10 +16,10 @@
 type Host struct {
 	Name, Shard, MachineType, Zone string
 	Spot                           bool
-	Cap, Free                      Resources
+	Capacity, Free                 Resources
 	Stopping                       Resources       // resources of tasks that were sent a stop command
 	Images                         map[string]bool // images that the machine probably has
-	Services, Arrays               int             // number of its tasks, by the kind of their jobs
+	ServiceTasks, ArrayTasks       int             // number of its tasks, by the kind of their jobs
 	StartDelayS                    float64         // estimated seconds until it can start a task
 }
 
@@ -28,10 +28,10 @@
 	Need         Resources
 	MachineTypes []string // nil: any
 	Zone         string   // "": any
-	Spot         bool     // spot machines are allowed
+	AllowSpot    bool     // spot machines are allowed
 	Image        string
 	Service      bool                   // the task is a replica of a service
-	FetchS       float64                // seconds that fetching its image takes
+	ImageFetchS  float64                // seconds that fetching its image takes
 	PreferImage  bool                   // fetching the image would make the task miss its start objective
 	RequireImage bool                   // only machines that have the image are allowed
 	ZoneAllowed  func(zone string) bool // zones allowed given the job's other tasks; nil: any
@@ -45,7 +45,7 @@
 // allowsMachine is Allows without the check of ZoneAllowed.
 func (r *TaskRequest) allowsMachine(machineType, zone string, spot bool) bool {
 	return (r.MachineTypes == nil || slices.Contains(r.MachineTypes, machineType)) &&
-		(r.Zone == "" || r.Zone == zone) && (r.Spot || !spot)
+		(r.Zone == "" || r.Zone == zone) && (r.AllowSpot || !spot)
 }
 
 // otherKindTasks returns the number of a machine's tasks that are of the other job kind. Replicas of
@@ -53,9 +53,9 @@
 // become empty and can be returned.
 func otherKindTasks(h *Host, request *TaskRequest) int {
 	if request.Service {
-		return h.Arrays
+		return h.ArrayTasks
 	}
-	return h.Services
+	return h.ServiceTasks
 }
 
 // freeShareAfter returns how empty a machine would be after it takes the task: the larger of the
@@ -63,11 +63,11 @@
 func freeShareAfter(h *Host, need Resources) float64 {
 	remaining := h.Free.Sub(need)
 	share := 0.0
-	if h.Cap.CPUs > 0 {
-		share = remaining.CPUs / h.Cap.CPUs
+	if h.Capacity.CPUs > 0 {
+		share = remaining.CPUs / h.Capacity.CPUs
 	}
-	if h.Cap.GPUs > 0 {
-		share = max(share, remaining.GPUs/h.Cap.GPUs)
+	if h.Capacity.GPUs > 0 {
+		share = max(share, remaining.GPUs/h.Capacity.GPUs)
 	}
 	return share
 }
--- a/internal/sched/host_selector.go
+++ b/internal/sched/host_selector.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Chooser selects machines for the tasks of one job after another. It searches the job's own shard
+// HostSelector selects machines for the tasks of one job after another. It searches the job's own shard
 // first and then the peers' shards in random order (work stealing), and returns the best fit of the
 // first shard in which a machine fits.
-type Chooser struct {
+type HostSelector struct {
 	shards     map[string][]*Host
 	random     *rand.Rand
 	shardNames []string
@@ -19,13 +19,13 @@
 	reusable   []*Ranking // rankings of earlier jobs whose memory can be reused
 }
 
-// NewChooser returns a selector of machines, which are grouped by shard.
-func NewChooser(shards map[string][]*Host, random *rand.Rand) *Chooser {
-	return &Chooser{shards: shards, random: random, shardNames: slices.Sorted(maps.Keys(shards))}
+// NewHostSelector returns a selector of machines, which are grouped by shard.
+func NewHostSelector(shards map[string][]*Host, random *rand.Rand) *HostSelector {
+	return &HostSelector{shards: shards, random: random, shardNames: slices.Sorted(maps.Keys(shards))}
 }
 
-// Begin starts the selection for another job, which belongs to the shard ownShard.
-func (c *Chooser) Begin(ownShard string, request *TaskRequest) {
+// BeginJob starts the selection for another job, which belongs to the shard ownShard.
+func (c *HostSelector) BeginJob(ownShard string, request *TaskRequest) {
 	c.request = request
 	c.reusable = append(c.reusable, c.rankings...)
 	c.rankings = c.rankings[:0]
@@ -39,9 +39,9 @@
 	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 }
 
-// Next returns the machine for the job's next task, or nil if none fits. zoneAllowed is passed to
+// NextHost returns the machine for the job's next task, or nil if none fits. zoneAllowed is passed to
 // Ranking.Best.
-func (c *Chooser) Next(zoneAllowed func(zone string) bool) *Host {
+func (c *HostSelector) NextHost(zoneAllowed func(zone string) bool) *Host {
 	for i, name := range c.shardOrder {
 		if i == len(c.rankings) {
 			c.rankings = append(c.rankings, NewRanking(c.popReusable(), c.shards[name], c.request))
@@ -54,7 +54,7 @@
 }
 
 // popReusable removes and returns a ranking of an earlier job, or nil if there is none.
-func (c *Chooser) popReusable() *Ranking {
+func (c *HostSelector) popReusable() *Ranking {
 	last := len(c.reusable) - 1
 	if last < 0 {
 		return nil
--- a/internal/sched/host_selector_test.go
+++ b/internal/sched/host_selector_test.go
@@ -9,16 +9,16 @@
 
 // A machine of the job's own shard is preferred, and a machine that fits is found in any peer's shard,
 // also for a second job.
-func TestChooser_PrefersOwnShard(t *testing.T) {
+func TestHostSelector_PrefersOwnShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
-		selector := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
+		selector := NewHostSelector(shards, rand.New(rand.NewPCG(seed, 1)))
 		for range 2 {
-			request := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
-			selector.Begin("own", request)
+			request := &TaskRequest{Need: drawResources(t, "need", 6), AllowSpot: true}
+			selector.BeginJob("own", request)
 			for range 4 {
-				got := selector.Next(nil)
+				got := selector.NextHost(nil)
 				ownFit := FullestFit(shards["own"], request)
 				if ownFit != nil && got != ownFit {
 					t.Fatalf("selected %v, want %s of the own shard", got, ownFit.Name)
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -7,16 +7,16 @@
 
 // Victim is a task that could be preempted for another task.
 type Victim struct {
-	Task string
-	Room Resources // resources that stopping it frees
-	Cost float64   // work that is lost by stopping it
-	Ref  int       // index by which the caller identifies it
+	Task           string
+	FreedResources Resources // resources that stopping it frees
+	Cost           float64   // work that is lost by stopping it
+	Index          int       // index by which the caller identifies it
 }
 
-// Preempt returns the tasks on one machine to stop so that a task fits there, choosing those that lose
+// SelectVictims returns the tasks on one machine to stop so that a task fits there, choosing those that lose
 // the least work, and the amount of work lost. It returns none if stopping all of them would not free
 // enough: capacity that does not make the task fit is not freed. It sorts victims.
-func Preempt(free, need Resources, victims []Victim) ([]Victim, float64) {
+func SelectVictims(free, need Resources, victims []Victim) ([]Victim, float64) {
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Task, b.Task))
 	})
@@ -25,7 +25,7 @@
 		if free.Fits(need) {
 			break
 		}
-		free = free.Add(v.Room)
+		free = free.Add(v.FreedResources)
 		selected = append(selected, v)
 	}
 	if !free.Fits(need) {
@@ -39,7 +39,7 @@
 func dropUnneeded(free, need Resources, selected []Victim) ([]Victim, float64) {
 	cost := 0.0
 	for i := 0; i < len(selected); {
-		if reduced := free.Sub(selected[i].Room); reduced.Fits(need) {
+		if reduced := free.Sub(selected[i].FreedResources); reduced.Fits(need) {
 			free = reduced
 			selected = slices.Delete(selected, i, i+1)
 			continue
--- a/internal/sched/preempt_test.go
+++ b/internal/sched/preempt_test.go
@@ -9,7 +9,7 @@
 )
 
 // No task is stopped if even all victims would not free enough, and none that is not needed.
-func TestPreempt_SelectsOnlyNeededVictims(t *testing.T) {
+func TestSelectVictims_SelectsOnlyNeeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		free, need := drawResources(t, "free", 4), drawResources(t, "need", 8)
 		var victims []Victim
@@ -17,17 +17,17 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
 			victims = append(
 				victims,
-				Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
+				Victim{Task: fmt.Sprint(i), FreedResources: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
 			)
-			freeWithoutAny = freeWithoutAny.Add(victims[i].Room)
+			freeWithoutAny = freeWithoutAny.Add(victims[i].FreedResources)
 		}
-		selected, _ := Preempt(free, need, slices.Clone(victims))
+		selected, _ := SelectVictims(free, need, slices.Clone(victims))
 		if free.Fits(need) && len(selected) > 0 {
 			t.Fatalf("selected victims %v, want none: %v fits into the free capacity %v", selected, need, free)
 		}
 		freed := free
 		for _, victim := range selected {
-			freed = freed.Add(victim.Room)
+			freed = freed.Add(victim.FreedResources)
 		}
 		if len(selected) > 0 && !freed.Fits(need) {
 			t.Fatalf("stopping the selected victims %v leaves %v free, too little for %v", selected, freed, need)
@@ -36,7 +36,7 @@
 			t.Fatalf("no victim selected, although stopping all of them leaves %v free, enough for %v", freeWithoutAny, need)
 		}
 		for _, victim := range selected {
-			if freed.Sub(victim.Room).Fits(need) {
+			if freed.Sub(victim.FreedResources).Fits(need) {
 				t.Fatalf("selected victim %v, which is not needed", victim)
 			}
 		}
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -6,7 +6,7 @@
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
-	Cap               Resources
+	Capacity          Resources
 	Price             float64
 }
 
@@ -70,7 +70,7 @@
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
-		full := h.Free.CPUs < epsilon || h.Cap.GPUs > 0 && h.Free.GPUs < epsilon
+		full := h.Free.CPUs < epsilon || h.Capacity.GPUs > 0 && h.Free.GPUs < epsilon
 		if full {
 			p.fullHosts = append(p.fullHosts, h)
 		}
@@ -80,7 +80,7 @@
 
 // orderMachine adds a machine of an offer to the orders and returns it.
 func (p *rentPlan) orderMachine(offer *Offer) *Host {
-	h := &Host{Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Cap: offer.Cap, Free: offer.Cap}
+	h := &Host{Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Capacity: offer.Capacity, Free: offer.Capacity}
 	p.hosts = append(p.hosts, h)
 	index := slices.IndexFunc(p.orders, func(order RentalOrder) bool { return order.Offer == *offer })
 	if index < 0 {
@@ -134,10 +134,10 @@
 	var bestCost float64
 	for i := range offers {
 		offer := &offers[i]
-		if !offer.Cap.Fits(request.Need) || !request.Allows(offer.MachineType, offer.Zone, offer.Spot) {
+		if !offer.Capacity.Fits(request.Need) || !request.Allows(offer.MachineType, offer.Zone, offer.Spot) {
 			continue
 		}
-		cost := offer.Price / tasksPerMachine(offer.Cap, request.Need)
+		cost := offer.Price / tasksPerMachine(offer.Capacity, request.Need)
 		movesToPreferredZone := best != nil && offer.Zone == preferredZone && best.Zone != preferredZone
 		if best == nil || cost < bestCost-epsilon || movesToPreferredZone && cost < bestCost+epsilon {
 			best, bestCost = offer, cost
--- a/internal/sched/rental_test.go
+++ b/internal/sched/rental_test.go
@@ -13,18 +13,18 @@
 		capacity := Resources{4, 2, 8}
 		offers := []Offer{{"m", "x", false, capacity, 3}, {"m", "x", true, capacity, 1}, {"m", "y", false, capacity, 3}}
 		unmet := []UnmetDemand{{
-			Request: TaskRequest{Need: Resources{1, 1, 1}, Spot: rapid.Bool().Draw(t, "spot")},
+			Request: TaskRequest{Need: Resources{1, 1, 1}, AllowSpot: rapid.Bool().Draw(t, "spot")},
 			Count:   rapid.IntRange(0, 9).Draw(t, "count"),
 		}}
 		provisioning := []*Host{}
 		for range rapid.IntRange(0, 2).Draw(t, "coming") {
-			provisioning = append(provisioning, &Host{Name: "c", MachineType: "m", Zone: "x", Cap: capacity, Free: capacity})
+			provisioning = append(provisioning, &Host{Name: "c", MachineType: "m", Zone: "x", Capacity: capacity, Free: capacity})
 		}
 		slots := 2 * len(provisioning)
 		rented := 0
 		for _, order := range PlanRentals(unmet, provisioning, offers, "y") {
 			rented += order.Count
-			if order.Offer.Spot != unmet[0].Request.Spot || !order.Offer.Spot && order.Offer.Zone != "y" {
+			if order.Offer.Spot != unmet[0].Request.AllowSpot || !order.Offer.Spot && order.Offer.Zone != "y" {
 				t.Fatalf("PlanRentals() orders %+v, want the cheapest offer in the preferred zone", order)
 			}
 		}
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -181,7 +181,7 @@
 // assign tries to assign all tasks, one group of machines after the other, and leaves the
 // machines' free capacity unchanged.
 func (g *gangSearch) assign(groups [][]*sched.Host, request *sched.TaskRequest) []*sched.Host {
-	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zoneConstraint.admission.Trial())
+	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zoneConstraint.admission.CopyAdmission())
 	var tasks []sched.GangTask
 	for _, task := range g.job.tasks {
 		tasks = append(tasks, sched.GangTask{
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -127,8 +127,8 @@
 	s := p.scheduler
 	spec := &job.Record.Spec
 	request := statecache.TaskRequestOf(spec)
-	request.FetchS = s.catalog.FetchSeconds(spec)
-	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.FetchS)
+	request.ImageFetchS = s.catalog.FetchSeconds(spec)
+	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.ImageFetchS)
 	request.PreferImage = slack < s.node.Settings.HeartbeatInterval().Seconds()
 	return request
 }
--- a/internal/zonehealth/evaluation.go
+++ b/internal/zonehealth/evaluation.go
@@ -9,7 +9,7 @@
 //   - a zone enters Down only if the evaluating controller has an observer, that is, contact with
 //     machines of another zone (its own or a peer's), so that a partitioned controller never
 //     declares a zone down;
-//   - neither Down nor Recovering lasts longer than Limits.Longest while controllers can write;
+//   - neither Down nor Recovering lasts longer than Limits.MaxStateDuration while controllers can write;
 //   - Record.Transitions never decreases, and a failure soon after another halves
 //     Record.SlowStartShare.
 package zonehealth
@@ -24,13 +24,13 @@
 // be recovering.
 const returnedShare = 1. / 16
 
-// Judge returns the record with the state that follows from its observations. hasObserver tells
+// Evaluate returns the record with the state that follows from its observations. hasObserver tells
 // whether machines of another zone are in contact with the evaluating controller or a peer.
-func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
+func (r *Record) Evaluate(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
 	stateAge := now.Sub(time.UnixMilli(r.SinceMS))
-	e := evaluation{next: &next, total: r.Sum(), stateAge: stateAge, now: now, hasObserver: hasObserver, limits: limits}
-	if e.mostUnclear() && stateAge < limits.Longest && !e.machinesReturned() {
+	e := evaluation{next: &next, total: r.TotalObservation(), stateAge: stateAge, now: now, hasObserver: hasObserver, limits: limits}
+	if e.mostUnclear() && stateAge < limits.MaxStateDuration && !e.machinesReturned() {
 		// A shard has just changed its leader. Machines from which the new leader has not received a
 		// heartbeat yet count neither as lost nor as returned; the others do count.
 		return next
@@ -62,28 +62,28 @@
 
 // mostUnclear reports whether the state of at least half of the machines is not known yet.
 func (e *evaluation) mostUnclear() bool {
-	return e.total.Unclear > 0 && 2*e.total.Unclear >= e.total.Up+e.total.Lost+e.total.Unclear
+	return e.total.Unclear > 0 && 2*e.total.Unclear >= e.total.Healthy+e.total.Lost+e.total.Unclear
 }
 
 // machinesReturned reports whether enough machines of a zone that is down have returned.
 func (e *evaluation) machinesReturned() bool {
-	returned := e.total.Up - min(e.next.Watermark, e.total.Up)
-	return e.next.State == Down && returned >= max(1, int(returnedShare*float64(e.next.MachinesBefore)))
+	returned := e.total.Healthy - min(e.next.HealthyWatermark, e.total.Healthy)
+	return e.next.State == Down && returned >= max(1, int(returnedShare*float64(e.next.MachinesBeforeFailure)))
 }
 
 func (e *evaluation) evaluateHealthy() {
-	if e.total.Up+e.total.Lost >= minZoneMachines && e.total.LostShare() >= e.limits.SuspectShare {
+	if e.total.Healthy+e.total.Lost >= minZoneMachines && e.total.LostShare() >= e.limits.SuspectShare {
 		e.next.enterState(Suspect, e.now)
 	}
 }
 
 func (e *evaluation) evaluateSuspect() {
-	confirmAfter := e.limits.Confirm
-	if e.next.Refused() {
+	confirmAfter := e.limits.ConfirmAfter
+	if e.next.RentalsRefused() {
 		confirmAfter /= 2 // refused rentals support the suspicion
 	}
 	share := e.total.LostShare()
-	cleared := share < e.limits.SuspectShare/2 || share < e.limits.DownShare && e.stateAge >= e.limits.Longest
+	cleared := share < e.limits.SuspectShare/2 || share < e.limits.DownShare && e.stateAge >= e.limits.MaxStateDuration
 	switch {
 	case cleared:
 		e.next.enterState(Healthy, e.now)
@@ -93,23 +93,23 @@
 }
 
 func (e *evaluation) evaluateDown() {
-	e.next.Watermark = min(e.next.Watermark, e.total.Up)
-	if e.machinesReturned() || e.total.Lost == 0 || e.stateAge >= e.limits.Longest {
+	e.next.HealthyWatermark = min(e.next.HealthyWatermark, e.total.Healthy)
+	if e.machinesReturned() || e.total.Lost == 0 || e.stateAge >= e.limits.MaxStateDuration {
 		e.next.enterState(Recovering, e.now)
 		e.next.Transitions++
-		e.next.Watermark = e.total.Up
+		e.next.HealthyWatermark = e.total.Healthy
 	}
 }
 
 func (e *evaluation) evaluateRecovering() {
-	e.next.Watermark = max(e.next.Watermark, e.total.Up)
-	failedAgain := float64(e.total.Up) <= float64(e.next.Watermark)*(1-e.limits.DownShare)
-	if failedAgain && e.next.Watermark > 0 && e.total.Lost > 0 && e.hasObserver {
+	e.next.HealthyWatermark = max(e.next.HealthyWatermark, e.total.Healthy)
+	failedAgain := float64(e.total.Healthy) <= float64(e.next.HealthyWatermark)*(1-e.limits.DownShare)
+	if failedAgain && e.next.HealthyWatermark > 0 && e.total.Lost > 0 && e.hasObserver {
 		e.next.enterDown(e.total, e.now, e.limits) // it failed again during the recovery
 		return
 	}
 	fullyOpen := e.next.productionServed(e.limits) && e.next.AdmissionShare(e.now, e.limits) >= 1
-	if fullyOpen || e.stateAge >= e.limits.Longest {
+	if fullyOpen || e.stateAge >= e.limits.MaxStateDuration {
 		e.next.enterState(Healthy, e.now)
 	}
 }
--- a/internal/zonehealth/evaluation_test.go
+++ b/internal/zonehealth/evaluation_test.go
@@ -14,8 +14,8 @@
 
 func testLimits() *Limits {
 	return &Limits{
-		SuspectShare: 0.25, DownShare: 0.5, Confirm: 5 * time.Second, FirstShare: 1. / 16, LeastShare: 1. / 64,
-		DoubleEvery: 5 * time.Second, Longest: 80 * time.Second,
+		SuspectShare: 0.25, DownShare: 0.5, ConfirmAfter: 5 * time.Second, InitialShare: 1. / 16, MinInitialShare: 1. / 64,
+		DoublingInterval: 5 * time.Second, MaxStateDuration: 80 * time.Second,
 	}
 }
 
@@ -42,7 +42,7 @@
 // evaluateAndWrite evaluates the cached record, and reports whether the store accepted the write.
 func (c *testController) evaluateAndWrite(store *recordStore, now time.Time) bool {
 	updated := c.cached.WithObservation(c.shard, c.observation)
-	next := updated.Judge(now, c.hasObserver, testLimits())
+	next := updated.Evaluate(now, c.hasObserver, testLimits())
 	if c.cachedVersion != store.version {
 		return false
 	}
@@ -60,12 +60,12 @@
 	if after.State == Down && before.State != Down && !hasObserver {
 		t.Fatal("zone entered Down without an observer")
 	}
-	placementChanged := after.State != before.State && (after.Restricts() || before.State == Down)
+	placementChanged := after.State != before.State && (after.RestrictsPlacement() || before.State == Down)
 	if placementChanged && after.Transitions == before.Transitions {
 		t.Fatalf("state changed from %s to %s without an increase of Transitions", before.State, after.State)
 	}
-	if after.Restricts() && after.SlowStartShare > testLimits().FirstShare {
-		t.Fatalf("SlowStartShare = %g, want at most %g", after.SlowStartShare, testLimits().FirstShare)
+	if after.RestrictsPlacement() && after.SlowStartShare > testLimits().InitialShare {
+		t.Fatalf("SlowStartShare = %g, want at most %g", after.SlowStartShare, testLimits().InitialShare)
 	}
 }
 
@@ -88,9 +88,9 @@
 			case 0:
 				machines := rapid.IntRange(0, 40).Draw(t, "machines")
 				up := rapid.IntRange(0, machines).Draw(t, "up")
-				c.observation = Observation{Up: up, Lost: machines - up, Refused: rapid.Bool().Draw(t, "refused")}
+				c.observation = Observation{Healthy: up, Lost: machines - up, RentalsRefused: rapid.Bool().Draw(t, "refused")}
 				if up < machines && rapid.Bool().Draw(t, "waiting") {
-					c.observation.Waiting = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: machines - up}}
+					c.observation.WaitingProduction = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: machines - up}}
 				}
 			case 1:
 				c.hasObserver = rapid.Bool().Draw(t, "observer")
@@ -127,7 +127,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	for _, observation := range observations {
 		r = r.WithObservation("p", observation)
-		r = r.Judge(now, hasObserver, testLimits())
+		r = r.Evaluate(now, hasObserver, testLimits())
 		states = append(states, r.State)
 		now = now.Add(6 * time.Second)
 	}
@@ -137,8 +137,8 @@
 // The sequences of states of a zone: failure and return, return of half of the machines, and a second
 // failure during the recovery.
 func TestEvaluate_StateSequences(t *testing.T) {
-	allUp, allLost, halfUp := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
-	fourUp := Observation{Up: 4, Lost: 16}
+	allUp, allLost, halfUp := Observation{Healthy: 20}, Observation{Lost: 20}, Observation{Healthy: 10, Lost: 10}
+	fourUp := Observation{Healthy: 4, Lost: 16}
 	for _, test := range []struct {
 		name           string
 		hasObserver    bool
@@ -177,7 +177,7 @@
 		},
 		{
 			"new leader with some heartbeats", true,
-			[]Observation{allLost, allLost, {Unclear: 20}, {Unclear: 15, Up: 5}},
+			[]Observation{allLost, allLost, {Unclear: 20}, {Unclear: 15, Healthy: 5}},
 			[]State{Suspect, Down, Down, Recovering},
 			2, 1. / 16,
 		},
@@ -201,8 +201,8 @@
 func TestAdmissionShare_DoublesUntilOpen(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	recovering := Record{State: Recovering, SinceMS: start.UnixMilli(), SlowStartShare: 1. / 16}
-	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
-	served := recovering.WithObservation("n0", Observation{Up: 9, Lost: 1})
+	waiting := Observation{Lost: 1, WaitingProduction: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
+	served := recovering.WithObservation("n0", Observation{Healthy: 9, Lost: 1})
 	unserved := recovering.WithObservation("n0", waiting)
 	for _, test := range []struct {
 		name   string
@@ -232,8 +232,8 @@
 func TestRecord_JSONRoundTrip(t *testing.T) {
 	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
-		State: Down, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
-		Observations: map[string]Observation{"n0": {Up: 1, Lost: 8, Refused: true, Waiting: waiting}},
+		State: Down, Transitions: 7, SinceMS: 3, LastFailedMS: 2, SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
+		Observations: map[string]Observation{"n0": {Healthy: 1, Lost: 8, RentalsRefused: true, WaitingProduction: waiting}},
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
--- a/internal/zonehealth/record.go
+++ b/internal/zonehealth/record.go
@@ -15,27 +15,27 @@
 
 // Record is the record of a zone. The zero value is that of a healthy zone without observations.
 type Record struct {
-	State          State                  `json:"s"`
-	Transitions    uint64                 `json:"n"`           // increases whenever the zone goes down or starts to recover
-	SinceMS        int64                  `json:"at"`          // when the state began, Unix time in milliseconds
-	FailedMS       int64                  `json:"f,omitempty"` // when the zone last went down, Unix time in milliseconds
-	SlowStartShare float64                `json:"w,omitempty"` // share of the zone that work below production may use at first
-	MachinesBefore int                    `json:"b,omitempty"` // number of machines when it went down
-	Watermark      int                    `json:"m,omitempty"` // fewest machines up while down, most machines up while recovering
-	Observations   map[string]Observation `json:"p,omitempty"` // by shard
+	State                 State                  `json:"s"`
+	Transitions           uint64                 `json:"n"`           // increases whenever the zone goes down or starts to recover
+	SinceMS               int64                  `json:"at"`          // when the state began, Unix time in milliseconds
+	LastFailedMS          int64                  `json:"f,omitempty"` // when the zone last went down, Unix time in milliseconds
+	SlowStartShare        float64                `json:"w,omitempty"` // share of the zone that work below production may use at first
+	MachinesBeforeFailure int                    `json:"b,omitempty"` // number of machines when it went down
+	HealthyWatermark      int                    `json:"m,omitempty"` // fewest machines up while down, most machines up while recovering
+	Observations          map[string]Observation `json:"p,omitempty"` // by shard
 }
 
 // Limits are the thresholds and durations that govern state changes and the slow start.
 type Limits struct {
-	SuspectShare, DownShare float64       // shares of the machines that are lost
-	Confirm                 time.Duration // how long most machines must be lost before the zone is down
-	FirstShare, LeastShare  float64       // initial shares of a slow start: normal value, and minimum after repeated failures
-	DoubleEvery             time.Duration // interval at which the share of the slow start doubles
-	Longest                 time.Duration // maximum duration of Down and of Recovering
+	SuspectShare, DownShare       float64       // shares of the machines that are lost
+	ConfirmAfter                  time.Duration // how long most machines must be lost before the zone is down
+	InitialShare, MinInitialShare float64       // initial shares of a slow start: normal value, and minimum after repeated failures
+	DoublingInterval              time.Duration // interval at which the share of the slow start doubles
+	MaxStateDuration              time.Duration // maximum duration of Down and of Recovering
 }
 
-// Restricts reports whether the state restricts what may be placed in the zone.
-func (r *Record) Restricts() bool { return r.State == Down || r.State == Recovering }
+// RestrictsPlacement reports whether the state restricts what may be placed in the zone.
+func (r *Record) RestrictsPlacement() bool { return r.State == Down || r.State == Recovering }
 
 // WithObservation returns a copy of the record with the current observation of a shard's leader.
 func (r *Record) WithObservation(shard string, observation Observation) Record {
@@ -44,7 +44,7 @@
 	for name, o := range r.Observations {
 		next.Observations[name] = o
 	}
-	if observation.Empty() {
+	if observation.IsEmpty() {
 		delete(next.Observations, shard)
 	} else {
 		next.Observations[shard] = observation
@@ -52,31 +52,31 @@
 	return next
 }
 
-// Sum returns the number of machines that are up, lost and unclear over all shards.
-func (r *Record) Sum() Observation {
+// TotalObservation returns the number of machines that are up, lost and unclear over all shards.
+func (r *Record) TotalObservation() Observation {
 	var total Observation
 	for _, o := range r.Observations {
-		total.Up += o.Up
+		total.Healthy += o.Healthy
 		total.Lost += o.Lost
 		total.Unclear += o.Unclear
 	}
 	return total
 }
 
-// Refused reports whether the cloud refuses rentals in the zone to the leader of any shard.
-func (r *Record) Refused() bool {
+// RentalsRefused reports whether the cloud refuses rentals in the zone to the leader of any shard.
+func (r *Record) RentalsRefused() bool {
 	for _, o := range r.Observations {
-		if o.Refused {
+		if o.RentalsRefused {
 			return true
 		}
 	}
 	return false
 }
 
-// Waiting reports whether production work waits for lost machines of the zone.
-func (r *Record) Waiting() bool {
+// HasWaitingProduction reports whether production work waits for lost machines of the zone.
+func (r *Record) HasWaitingProduction() bool {
 	for _, o := range r.Observations {
-		if len(o.Waiting) > 0 {
+		if len(o.WaitingProduction) > 0 {
 			return true
 		}
 	}
@@ -87,21 +87,21 @@
 func (r *Record) enterState(state State, now time.Time) {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	if state == Healthy {
-		r.Observations, r.MachinesBefore, r.Watermark = nil, 0, 0
+		r.Observations, r.MachinesBeforeFailure, r.HealthyWatermark = nil, 0, 0
 	}
 }
 
 // enterDown enters Down. A failure soon after another halves the initial share of the slow start.
 func (r *Record) enterDown(total Observation, now time.Time, limits *Limits) {
-	soonAfterAnother := r.FailedMS > 0 && now.Sub(time.UnixMilli(r.FailedMS)) < 2*limits.Longest
+	soonAfterAnother := r.LastFailedMS > 0 && now.Sub(time.UnixMilli(r.LastFailedMS)) < 2*limits.MaxStateDuration
 	if soonAfterAnother && r.SlowStartShare > 0 {
-		r.SlowStartShare = max(limits.LeastShare, r.SlowStartShare/2)
+		r.SlowStartShare = max(limits.MinInitialShare, r.SlowStartShare/2)
 	} else {
-		r.SlowStartShare = limits.FirstShare
+		r.SlowStartShare = limits.InitialShare
 	}
-	r.MachinesBefore = max(total.Up+total.Lost, 1)
-	r.Watermark = total.Up
-	r.FailedMS = now.UnixMilli()
+	r.MachinesBeforeFailure = max(total.Healthy+total.Lost, 1)
+	r.HealthyWatermark = total.Healthy
+	r.LastFailedMS = now.UnixMilli()
 	r.Transitions++
 	r.enterState(Down, now)
 }
--- a/internal/zonehealth/slow_start.go
+++ b/internal/zonehealth/slow_start.go
@@ -25,9 +25,9 @@
 func (r *Record) slowStartShare(now time.Time, limits *Limits) float64 {
 	share := r.SlowStartShare
 	if share <= 0 {
-		share = limits.FirstShare
+		share = limits.InitialShare
 	}
-	interval := limits.DoubleEvery
+	interval := limits.DoublingInterval
 	if r.productionServed(limits) {
 		interval /= fastStartFactor // no capacity to keep for production: only image fetches and starts are spread out
 	}
@@ -41,7 +41,7 @@
 // productionServed reports whether nearly all machines have returned and no production work waits for
 // the others.
 func (r *Record) productionServed(limits *Limits) bool {
-	total := r.Sum()
+	total := r.TotalObservation()
 	notUp := float64(total.Lost + total.Unclear)
-	return !r.Waiting() && notUp <= limits.SuspectShare*float64(total.Up+total.Lost+total.Unclear)
+	return !r.HasWaitingProduction() && notUp <= limits.SuspectShare*float64(total.Healthy+total.Lost+total.Unclear)
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -14,15 +14,15 @@
 // Observations are the observations of this controller, by zone and by shard that it leads.
 type Observations map[string]map[string]zonehealth.Observation
 
-// Observed is the result of a scan of all machines in the shards that this controller leads.
-type Observed struct {
+// ObservationResult is the result of a scan of all machines in the shards that this controller leads.
+type ObservationResult struct {
 	Observations Observations
-	Up           map[string][]string // names of machines that are up, by zone
+	HealthyHosts map[string][]string // names of machines that are up, by zone
 }
 
 // Observe scans the machines of the shards that this controller leads. It changes no state.
-func (z *Zones) Observe(now time.Time) Observed {
-	result := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
+func (z *Zones) Observe(now time.Time) ObservationResult {
+	result := ObservationResult{Observations: z.emptyObservations(now), HealthyHosts: map[string][]string{}}
 	waitingCounts := waitingTaskCounts{}
 	for host, machine := range z.cache.Machines {
 		worker, byShard := z.agents.Agent(host), result.Observations[machine.Zone]
@@ -36,8 +36,8 @@
 		case agent.MachineUnclear:
 			observation.Unclear++
 		case agent.MachineHealthy:
-			observation.Up++
-			result.Up[machine.Zone] = append(result.Up[machine.Zone], host)
+			observation.Healthy++
+			result.HealthyHosts[machine.Zone] = append(result.HealthyHosts[machine.Zone], host)
 		case agent.MachineLost:
 			observation.Lost++
 		}
@@ -51,7 +51,7 @@
 	}
 	for key, counts := range waitingCounts {
 		observation := result.Observations[key.zone][key.shard]
-		observation.Waiting = sortedDemand(counts)
+		observation.WaitingProduction = sortedDemand(counts)
 		result.Observations[key.zone][key.shard] = observation
 	}
 	return result
@@ -64,7 +64,7 @@
 		observations[zone] = map[string]zonehealth.Observation{}
 		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
-				observations[zone][name] = zonehealth.Observation{Refused: z.catalog.CloudRefuses(zone, now)}
+				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.CloudRefuses(zone, now)}
 			}
 		}
 	}
@@ -116,8 +116,8 @@
 	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
 }
 
-// Judge returns a zone's new record and whether it must be written.
-func (z *Zones) Judge(zone string, now time.Time) (next zonehealth.Record, changed bool) {
+// Evaluate returns a zone's new record and whether it must be written.
+func (z *Zones) Evaluate(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := z.limits()
 	var current zonehealth.Record
 	if record := z.cache.Zones[statecache.ZoneID(zone)].Record; record != nil {
@@ -129,14 +129,14 @@
 	updated := current
 	for shardName, observation := range z.observations[zone] {
 		recorded, isRecorded := current.Observations[shardName]
-		if !current.Restricts() && current.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
+		if !current.RestrictsPlacement() && current.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
 			observation = zonehealth.Observation{} // a healthy zone needs no record
 		}
-		if isRecorded != !observation.Empty() || !observation.Equal(recorded) {
+		if isRecorded != !observation.IsEmpty() || !observation.Equal(recorded) {
 			updated, changed = updated.WithObservation(shardName, observation), true
 		}
 	}
-	next = updated.Judge(now, z.hasOutsideObserver(zone, now), limits)
+	next = updated.Evaluate(now, z.hasOutsideObserver(zone, now), limits)
 	return next, changed || next.State != current.State
 }
 
@@ -164,8 +164,8 @@
 func (z *Zones) isMostlyUp(byShard map[string]zonehealth.Observation) bool {
 	var total zonehealth.Observation
 	for _, observation := range byShard {
-		total.Up += observation.Up
+		total.Healthy += observation.Healthy
 		total.Lost += observation.Lost
 	}
-	return total.Up > 0 && total.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
+	return total.Healthy > 0 && total.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
 }
--- a/internal/zonestate/observation_test.go
+++ b/internal/zonestate/observation_test.go
@@ -35,11 +35,11 @@
 // A nil JobAdmission restricts nothing.
 func TestNilJobAdmission_AdmitsAll(t *testing.T) {
 	var nilAdmission *JobAdmission
-	nilAdmission.Admit("x")
+	nilAdmission.RecordAdmitted("x")
 	if !nilAdmission.Admits("x") {
 		t.Error("nil JobAdmission.Admits() = false, want true")
 	}
-	if nilAdmission.Trial() != nil {
+	if nilAdmission.CopyAdmission() != nil {
 		t.Error("copy of a nil JobAdmission is not nil")
 	}
 }
--- a/internal/zonestate/slow_start.go
+++ b/internal/zonestate/slow_start.go
@@ -9,20 +9,20 @@
 	"violetturn/internal/zonehealth"
 )
 
-// IsHeldBack reports whether a task below production that is missing on its machine, and was placed
+// IsRestartDelayed reports whether a task below production that is missing on its machine, and was placed
 // before its zone went down, must not restart in place yet. If all such tasks restarted at once, they
 // would fill the zone before production work whose machines have not returned. Gangs are exempt: a
 // gang ends and restarts as a whole by its own rules.
-func (z *Zones) IsHeldBack(host string, task *statecache.PlacedTask, job *statecache.Job, now time.Time) bool {
+func (z *Zones) IsRestartDelayed(host string, task *statecache.PlacedTask, job *statecache.Job, now time.Time) bool {
 	machine := z.cache.Machines[host]
 	if len(z.cache.Zones) == 0 || machine == nil || job.IsGang() {
 		return false
 	}
-	record := z.RestrictedZone(machine.Zone, now)
+	record := z.RestrictedZoneRecord(machine.Zone, now)
 	if record == nil || isProduction(&job.Record.Spec) {
 		return false
 	}
-	return job.PlacedAtMS(task) < record.FailedMS && !z.admittedHosts[host]
+	return job.PlacedAtMS(task) < record.LastFailedMS && !z.admittedHosts[host]
 }
 
 // AdmittedMachines returns the machines of recovering zones on which tasks may restart in place, out
@@ -32,7 +32,7 @@
 func (z *Zones) AdmittedMachines(upHosts map[string][]string, now time.Time) map[string]bool {
 	admitted := map[string]bool{}
 	for zone, hosts := range upHosts {
-		record := z.RestrictedZone(zone, now)
+		record := z.RestrictedZoneRecord(zone, now)
 		if record == nil {
 			continue
 		}
@@ -52,6 +52,6 @@
 	for _, demand := range z.waitingProduction(zone, record) {
 		neededMachines += float64(demand.Tasks) * recovery.MachineShare(demand.Need, sizes)
 	}
-	upMachines := float64(max(record.Sum().Up, upCount))
+	upMachines := float64(max(record.TotalObservation().Healthy, upCount))
 	return min(record.AdmissionShare(now, z.limits()), max(upMachines-neededMachines, 0)/upMachines, 1)
 }
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// ObservationIsDue reports whether the zones must be observed again: once per heartbeat interval, if
+// IsObservationDue reports whether the zones must be observed again: once per heartbeat interval, if
 // the feature is on.
-func (z *Zones) ObservationIsDue(now time.Time) bool {
+func (z *Zones) IsObservationDue(now time.Time) bool {
 	return now.Sub(z.lastObservedAt) >= z.node.Settings.HeartbeatInterval() && z.schema.FeatureEnabled(features.ZoneRecoveryName)
 }
 
@@ -65,21 +65,21 @@
 func (z *Zones) Update(now time.Time) {
 	observed := z.Observe(now)
 	z.lastObservedAt, z.observations = now, observed.Observations
-	z.admittedHosts = z.AdmittedMachines(observed.Up, now)
+	z.admittedHosts = z.AdmittedMachines(observed.HealthyHosts, now)
 }
 
-// Observed returns the names of the observed zones in sorted order.
-func (z *Zones) Observed() []string { return slices.Sorted(maps.Keys(z.observations)) }
+// ObservedZones returns the names of the observed zones in sorted order.
+func (z *Zones) ObservedZones() []string { return slices.Sorted(maps.Keys(z.observations)) }
 
-// RestrictedZone returns the record of a zone that is down or recovering, or nil if the zone is neither
+// RestrictedZoneRecord returns the record of a zone that is down or recovering, or nil if the zone is neither
 // or the feature is off. The restriction also ends after the maximum duration of the state, even if no
 // controller can write that.
-func (z *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
+func (z *Zones) RestrictedZoneRecord(zone string, now time.Time) *zonehealth.Record {
 	record := z.cache.Zones[statecache.ZoneID(zone)].Record
-	if record == nil || !record.Restricts() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
+	if record == nil || !record.RestrictsPlacement() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
-	if now.Sub(time.UnixMilli(record.SinceMS)) >= z.limits().Longest {
+	if now.Sub(time.UnixMilli(record.SinceMS)) >= z.limits().MaxStateDuration {
 		return nil
 	}
 	return record
@@ -90,13 +90,13 @@
 	settings := &z.node.Features.ZoneRecovery
 	leaseMultiple := func(n float64) time.Duration { return time.Duration(n * float64(z.node.Settings.WorkerLease())) }
 	return &zonehealth.Limits{
-		SuspectShare: settings.SuspectShare,
-		DownShare:    settings.DownShare,
-		Confirm:      leaseMultiple(settings.Confirm),
-		FirstShare:   settings.FirstShare,
-		LeastShare:   settings.LeastShare,
-		DoubleEvery:  leaseMultiple(settings.DoubleEvery),
-		Longest:      leaseMultiple(settings.Longest),
+		SuspectShare:     settings.SuspectShare,
+		DownShare:        settings.DownShare,
+		ConfirmAfter:     leaseMultiple(settings.Confirm),
+		InitialShare:     settings.FirstShare,
+		MinInitialShare:  settings.LeastShare,
+		DoublingInterval: leaseMultiple(settings.DoubleEvery),
+		MaxStateDuration: leaseMultiple(settings.Longest),
 	}
 }
 
