--- a/internal/job/finished_ranges.go
+++ b/internal/job/finished_ranges.go
@@ -21,18 +21,18 @@
 	if r.RangeFinished(n) {
 		return
 	}
-	var all []int
+	var intervals []int
 	for i := range r.RangeCount() {
 		if i != n && !r.RangeFinished(i) {
 			continue
 		}
-		if k := len(all); k > 0 && all[k-1] == i {
-			all[k-1] = i + 1
+		if bounds := len(intervals); bounds > 0 && intervals[bounds-1] == i {
+			intervals[bounds-1] = i + 1
 		} else {
-			all = append(all, i, i+1)
+			intervals = append(intervals, i, i+1)
 		}
 	}
-	r.FinishedRanges = all
+	r.FinishedRanges = intervals
 }
 
 // Complete reports whether every task range is finished.
@@ -40,7 +40,7 @@
 	return len(r.FinishedRanges) == 2 && r.FinishedRanges[0] == 0 && r.FinishedRanges[1] == r.RangeCount()
 }
 
-// FinishedTasks returns the number of tasks in finished task ranges.
+// FinishedTasks returns the number of tasks in finished task ranges. Done tasks of other ranges aren't counted.
 func (r *Record) FinishedTasks() int {
 	n := 0
 	for i := 0; i+1 < len(r.FinishedRanges); i += 2 {
--- a/internal/job/finished_ranges_test.go
+++ b/internal/job/finished_ranges_test.go
@@ -8,32 +8,34 @@
 	"violetturn/internal/api"
 )
 
-// Finished task ranges are counted right in whatever order they finish, also by the record
-// that is read back.
-func TestFinishRange(t *testing.T) {
+// Finished task ranges are counted correctly in whatever order they finish, also after the record
+// was encoded and decoded.
+func TestFinishRange_CountsTasksInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &Record{Spec: api.Job{Tasks: rapid.IntRange(1, 300).Draw(t, "tasks")}, RangeSize: rapid.IntRange(1, 40).Draw(t, "range size")}
-		order := rapid.Permutation(firstNumbers(r.RangeCount())).Draw(t, "order")
+		order := rapid.Permutation(numbersBelow(r.RangeCount())).Draw(t, "order")
 		tasks := 0
 		for i, n := range order {
 			if r.Complete() || r.RangeFinished(n) {
-				t.Fatal("too early")
+				t.Fatalf("before FinishRange(%d): Complete() = %t, RangeFinished(%d) = %t, want both false",
+					n, r.Complete(), n, r.RangeFinished(n))
 			}
 			r.FinishRange(n)
 			tasks += r.RangeLen(n)
 			if !r.RangeFinished(n) || r.FinishedTasks() != tasks || r.Complete() != (i == len(order)-1) {
-				t.Fatalf("%v after %v", r.FinishedRanges, order[:i+1])
+				t.Fatalf("after FinishRange of %v: ranges %v, RangeFinished(%d) = %t, FinishedTasks() = %d, want %d, Complete() = %t",
+					order[:i+1], r.FinishedRanges, n, r.RangeFinished(n), r.FinishedTasks(), tasks, r.Complete())
 			}
 			var err error
 			if r, err = ParseRecord(api.JSON(r)); err != nil {
-				t.Fatal(err)
+				t.Fatalf("ParseRecord: %v", err)
 			}
 		}
 	})
 }
 
-// firstNumbers returns 0 to n-1.
-func firstNumbers(n int) []int {
+// numbersBelow returns the numbers from 0 to n-1.
+func numbersBelow(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -6,31 +6,32 @@
 	"pgregory.net/rapid"
 )
 
-// gangModel is a gang's attempt with a plain model of its placements.
+// gangModel is a gang together with a simple model of its placements.
 type gangModel struct {
 	gang        *Gang
-	placed      map[int]uint64 // attempt numbers of the tasks that have a placement
+	placed      map[int]uint64 // attempt numbers of the placed tasks
 	lastAttempt uint64
 
-	// as of the check before
+	// State at the previous check.
 	phaseBefore   GangPhase
 	attemptBefore uint64
 }
 
+// gangModelTasks is the number of tasks of the gang in a gangModel.
 const gangModelTasks = 4
 
-func (m *gangModel) put(t *rapid.T) {
+func (m *gangModel) place(t *rapid.T) {
 	if !m.gang.AcceptsPlacements() && len(m.placed) > 0 || m.gang.Done {
-		t.Skip("all of the attempt has to be over first")
+		t.Skip("the attempt accepts no placements until all its tasks have exited")
 	}
 	task := rapid.IntRange(0, gangModelTasks-1).Draw(t, "task")
-	if _, there := m.placed[task]; there {
-		t.Skip("placed")
+	if _, placed := m.placed[task]; placed {
+		t.Skip("the task is placed already")
 	}
-	fresh := len(m.placed) == 0
+	firstPlacement := len(m.placed) == 0
 	attempt := m.gang.BeginAttempt(len(m.placed))
-	if fresh && attempt <= m.lastAttempt || !fresh && attempt != m.lastAttempt {
-		t.Fatalf("attempt %d after %d, new %t", attempt, m.lastAttempt, fresh)
+	if firstPlacement && attempt <= m.lastAttempt || !firstPlacement && attempt != m.lastAttempt {
+		t.Fatalf("placement under attempt %d after attempt %d; want a higher number: %t (else the same)", attempt, m.lastAttempt, firstPlacement)
 	}
 	m.lastAttempt, m.placed[task] = attempt, attempt
 }
@@ -41,15 +42,15 @@
 	}
 }
 
-func (m *gangModel) end(t *rapid.T) {
+func (m *gangModel) endTask(t *rapid.T) {
 	task := rapid.IntRange(0, gangModelTasks-1).Draw(t, "task")
-	attempt, there := m.placed[task]
-	if !there {
-		t.Skip("not placed")
+	attempt, placed := m.placed[task]
+	if !placed {
+		t.Skip("the task is not placed")
 	}
 	reason := ExitReason(rapid.IntRange(0, int(ExitDone)).Draw(t, "how"))
 	if reason == ExitDone && !m.gang.Launched {
-		t.Skip("never started")
+		t.Skip("a task that was never started can't complete")
 	}
 	gathering := rapid.Bool().Draw(t, "gathering")
 	before := *m.gang
@@ -58,34 +59,34 @@
 	checkTaskEnded(t, &before, m.gang, reason, gathering)
 }
 
-// checkTaskEnded checks what the end of a task of the present attempt may change.
+// checkTaskEnded checks the change of the state by the end of a task of the current attempt.
 func checkTaskEnded(t *rapid.T, before, after *Gang, reason ExitReason, gathering bool) {
 	t.Helper()
-	goesOn := before.Launched && !after.Ended && !after.Done
+	continues := before.Launched && !after.Ended && !after.Done
 	switch {
 	case reason == ExitDone && !after.Done:
-		t.Fatal("one is done and not all are")
-	case reason == ExitPeerLost && goesOn:
-		t.Fatal("goes on without a task")
-	case !gathering && goesOn:
-		t.Fatal("a running gang goes on without a task")
+		t.Fatal("the gang is not done after one of its tasks is done")
+	case reason == ExitPeerLost && continues:
+		t.Fatal("the attempt continues after a task exited because of another task")
+	case !gathering && continues:
+		t.Fatal("a running attempt continues without one of its tasks")
 	case after.ErrorStreak > before.ErrorStreak+1 || before.Ended && after.ErrorStreak > before.ErrorStreak:
-		t.Fatal("errors of one attempt count once")
+		t.Fatalf("ErrorStreak rose from %d to %d, want errors of one attempt to count once", before.ErrorStreak, after.ErrorStreak)
 	}
 }
 
-// late ends a task of an attempt that is long over.
-func (m *gangModel) late(t *rapid.T) {
+// endTaskOfEarlierAttempt reports the end of a task of the previous attempt.
+func (m *gangModel) endTaskOfEarlierAttempt(t *rapid.T) {
 	if m.lastAttempt < 2 || m.gang.Done {
-		t.Skip("none")
+		t.Skip("there is no earlier attempt, or the gang is done")
 	}
 	before := *m.gang
 	if m.gang.TaskEnded(m.lastAttempt-1, ExitDone, true); *m.gang != before {
-		t.Fatal("an old attempt decides about the new one")
+		t.Fatalf("state after a task of an earlier attempt ended: %+v, want it unchanged: %+v", *m.gang, before)
 	}
 }
 
-func (m *gangModel) halt(*rapid.T) {
+func (m *gangModel) stop(*rapid.T) {
 	if m.gang.Phase(len(m.placed)) == GangLaunched {
 		m.gang.Stopping = true
 	}
@@ -95,52 +96,54 @@
 	phase := m.gang.Phase(len(m.placed))
 	sameAttempt := m.gang.Attempt == m.attemptBefore
 	if sameAttempt && phase != GangIdle && m.phaseBefore != GangIdle && phase < m.phaseBefore {
-		t.Fatalf("from %s back to %s", m.phaseBefore, phase)
+		t.Fatalf("phase %s after %s within one attempt, want no earlier phase", phase, m.phaseBefore)
 	}
 	if m.gang.Attempt < m.attemptBefore {
-		t.Fatal("numbers only rise")
+		t.Fatalf("attempt %d after %d, want no lower number", m.gang.Attempt, m.attemptBefore)
 	}
 	m.phaseBefore, m.attemptBefore = phase, m.gang.Attempt
 	for _, attempt := range m.placed {
 		if m.gang.MayLaunch(attempt) && (m.gang.MustStop(attempt) || !m.gang.Launched) {
-			t.Fatal("starts what has to leave or is only reserved")
+			t.Fatalf("MayLaunch(%d) = true with MustStop() = %t and Launched = %t, want false",
+				attempt, m.gang.MustStop(attempt), m.gang.Launched)
 		}
 	}
 }
 
-// An attempt of a gang against its states: nothing starts before all is reserved, it never
-// goes back, numbers only rise, and what is over or done stays so until the next begins.
-func TestGangStates(t *testing.T) {
+// Random changes of a gang keep its invariants: no task may be launched before all are placed, an
+// attempt never returns to an earlier phase, attempt numbers only rise, and an ended attempt stays
+// ended until the next one begins.
+func TestGang_KeepsInvariantsOfPhasesAndAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &gangModel{gang: &Gang{}, placed: map[int]uint64{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"put":     m.put,
-			"launch":  m.launch,
-			"end":     m.end,
-			"late":    m.late,
-			"halt":    m.halt,
-			"give up": func(*rapid.T) { m.gang.Abandon() },
-			"":        m.check,
+			"place":          m.place,
+			"launch":         m.launch,
+			"end task":       m.endTask,
+			"late end":       m.endTaskOfEarlierAttempt,
+			"halt":           m.stop,
+			"gang abandoned": func(*rapid.T) { m.gang.Abandon() },
+			"":               m.check,
 		})
 	})
 }
 
-// The values of the phases are in the order in which an attempt goes through them; names in
-// the log are distinct.
-func TestGangNames(t *testing.T) {
+// The values of the phases are in the order in which an attempt passes through them, and each phase
+// and exit reason has its own name in the log.
+func TestGangPhaseAndExitReason_NamesAndOrder(t *testing.T) {
 	phases := map[GangPhase]string{
 		GangIdle: "idle", GangReserving: "reserving", GangLaunched: "launched",
 		GangStopping: "stopping", GangEnding: "ending", GangDone: "done", GangDone + 1: "unknown",
 	}
 	for phase, name := range phases {
 		if phase.String() != name {
-			t.Errorf("phase %d is called %s, not %s", uint8(phase), phase, name)
+			t.Errorf("GangPhase(%d).String() = %s, want %s", uint8(phase), phase, name)
 		}
 	}
 	ordered := []GangPhase{GangReserving, GangLaunched, GangStopping, GangEnding, GangDone}
 	for i, phase := range ordered[1:] {
 		if ordered[i] >= phase {
-			t.Errorf("phases are out of order: %s and %s", ordered[i], phase)
+			t.Errorf("phase %s has a value not above that of %s", phase, ordered[i])
 		}
 	}
 	reasons := map[ExitReason]string{
@@ -149,7 +152,7 @@
 	}
 	for reason, name := range reasons {
 		if reason.String() != name {
-			t.Errorf("reason %d is called %s, not %s", uint8(reason), reason, name)
+			t.Errorf("ExitReason(%d).String() = %s, want %s", uint8(reason), reason, name)
 		}
 	}
 }
--- a/internal/job/layout.go
+++ b/internal/job/layout.go
@@ -2,44 +2,46 @@
 
 import "violetturn/internal/api"
 
-// Sizes in bytes of recorded forms, at most.
+// Upper bounds in bytes of parts of encoded records.
 const (
 	placementBytes      = 80  // one placement, with a host name of 20 bytes
 	densePlacementBytes = 48  // one placement, with a host name of 10 bytes
-	recordExtraBytes    = 256 // what a main record gains after its acceptance, placements aside
-	gangExtraBytes      = 128 // what the main record of a gang gains besides
+	recordGrowthBytes   = 256 // growth of a main record after the job was accepted, except for placements
+	gangGrowthBytes     = 128 // additional growth of a gang's main record
 )
 
 const (
-	bytesPerKB    = 1024
-	mostRangeSize = 512 // tasks in a task range, however large a value may be
+	bytesPerKB   = 1024
+	maxRangeSize = 512 // tasks in a task range, however large the limit on values
 )
 
-// ChooseLayout decides how the job's tasks are recorded, for values of at most valueKB KiB and
-// a record that has size bytes now. A job whose tasks all fit into its main record needs no
-// other one, which halves its writes. dense assumes host names of usual length; a record that
-// outgrows a value all the same is split, which the version in production can't do.
+// ChooseLayout sets the size of the job's task ranges, and whether its tasks are recorded in the
+// main record, for values of at most valueKB KiB and a main record of size bytes. A job whose
+// tasks all fit into its main record needs no other record, which halves its writes.
+//
+// dense selects the lower estimate per placement, for host names of usual length. A record that
+// exceeds the limit nevertheless is split, which the version in production can't do.
 func (r *Record) ChooseLayout(valueKB float64, size int, dense bool) {
-	perTask := placementBytes
+	bytesPerTask := placementBytes
 	if dense {
-		perTask = densePlacementBytes
+		bytesPerTask = densePlacementBytes
 	}
-	r.RangeSize = rangeSizeFor(valueKB, perTask)
+	r.RangeSize = rangeSizeFor(valueKB, bytesPerTask)
 	if r.Spec.Kind == api.Gang {
-		size += gangExtraBytes
+		size += gangGrowthBytes
 	}
-	if r.Spec.Tasks <= r.RangeSize && size+r.Spec.Tasks*perTask+recordExtraBytes <= int(valueKB*bytesPerKB) {
+	if r.Spec.Tasks <= r.RangeSize && size+r.Spec.Tasks*bytesPerTask+recordGrowthBytes <= int(valueKB*bytesPerKB) {
 		r.Inline = true
 	}
 }
 
-// TaskRangeSize returns the number of tasks in a task range, such that its record fits a
-// value of valueKB KiB even with every task placed.
+// TaskRangeSize returns the number of tasks in a task range whose record fits a value of
+// valueKB KiB even with every task placed.
 func TaskRangeSize(valueKB float64) int { return rangeSizeFor(valueKB, placementBytes) }
 
-// rangeSizeFor returns an even number of tasks, so that a spread job can have half of a range
-// in each of two zones.
-func rangeSizeFor(valueKB float64, perTask int) int {
-	even := int(valueKB*bytesPerKB) / perTask / 2 * 2
-	return min(max(even, 2), mostRangeSize)
+// rangeSizeFor returns the number of tasks in a task range. The number is even, so that a spread
+// job can have half of a range in each of two zones.
+func rangeSizeFor(valueKB float64, bytesPerTask int) int {
+	tasks := int(valueKB*bytesPerKB) / bytesPerTask / 2 * 2
+	return min(max(tasks, 2), maxRangeSize)
 }
--- a/internal/job/layout_test.go
+++ b/internal/job/layout_test.go
@@ -10,41 +10,41 @@
 	"violetturn/internal/api"
 )
 
-// A task range's record stays within a value of the state service even with every
-// task placed and the numbers large, and reads back the same.
-func TestTaskRangeRecordFits(t *testing.T) {
+// The record of a task range fits into a value of the state service even with every task placed
+// and large attempt numbers, and decodes to the same task range.
+func TestTaskRangeRecord_FitsValueWhenAllPlaced(t *testing.T) {
 	for _, kb := range []float64{1, 4, 16, 64} {
 		t.Run(fmt.Sprintf("%g KiB", kb), func(t *testing.T) {
 			n := TaskRangeSize(kb)
 			if n%2 != 0 {
-				t.Errorf("ranges of %d can't be spread by halves", n)
+				t.Errorf("TaskRangeSize(%g) = %d, want an even number, for two zones with half of the range each", kb, n)
 			}
 			tasks := (*TaskRange)(nil).Copy()
 			tasks.LastAttempt = 1 << 30
-			placeAll(tasks, n)
+			placeAndStopAll(tasks, n)
 			raw := api.JSON(tasks)
 			if len(raw) > int(kb*1024) {
-				t.Errorf("record of %d tasks has %d bytes", n, len(raw))
+				t.Errorf("record of %d tasks has %d bytes, want at most %d", n, len(raw), int(kb*1024))
 			}
-			back, err := ParseTaskRange(raw)
-			if err != nil || cmp.Diff(tasks, back) != "" {
-				t.Errorf("reads back as %v, %v", back, err)
+			decoded, err := ParseTaskRange(raw)
+			if err != nil || cmp.Diff(tasks, decoded) != "" {
+				t.Errorf("ParseTaskRange() = %v, %v, want %v", decoded, err, tasks)
 			}
 		})
 	}
 }
 
-// placeAll places n tasks with long names of hosts and has them leave again.
-func placeAll(tasks *TaskRange, n int) {
+// placeAndStopAll places n tasks on machines with long host names and marks them as stopping.
+func placeAndStopAll(tasks *TaskRange, n int) {
 	for i := range n {
 		tasks.Place(i, fmt.Sprintf("i-%012d", i), 1<<20)
 		tasks.Placements[i].Stopping = true
 	}
 }
 
-// A job whose tasks are kept in its main record never outgrows a value, however
-// its tasks are placed.
-func TestInlineRecordFits(t *testing.T) {
+// The main record of a job that holds the job's tasks never exceeds the size limit of a value,
+// however the tasks are placed.
+func TestInlineRecord_FitsValueWhenAllPlaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := float64(rapid.IntRange(1, 16).Draw(t, "kb"))
 		r := &Record{
@@ -63,9 +63,9 @@
 		r.Zone, r.Cancelled, r.FinishedRanges = "zone-of-some-length", true, []int{0, 1}
 		r.InlineRange = (*TaskRange)(nil).Copy()
 		r.InlineRange.LastAttempt, r.InlineRange.Errors = 1<<40, 1<<20
-		placeAll(r.InlineRange, r.Spec.Tasks)
+		placeAndStopAll(r.InlineRange, r.Spec.Tasks)
 		if raw := api.JSON(r); len(raw) > int(kb*1024) {
-			t.Fatalf("%d bytes of %g KiB with %d tasks", len(raw), kb, r.Spec.Tasks)
+			t.Fatalf("record of %d tasks has %d bytes, want at most %g KiB", r.Spec.Tasks, len(raw), kb)
 		}
 	})
 }
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -1,14 +1,14 @@
 package job
 
-// Placement is the machine that an unfinished task was assigned to.
+// Placement assigns an unfinished task to a machine.
 type Placement struct {
 	Attempt  uint64 `json:"t"`
 	Host     string `json:"m"`
-	Stopping bool   `json:"s,omitempty"` // it is to leave the machine
-	PlacedS  int64  `json:"a,omitempty"` // when it was placed, seconds after the job's acceptance
+	Stopping bool   `json:"s,omitempty"` // the task is to be stopped
+	PlacedS  int64  `json:"a,omitempty"` // when the task was placed, in seconds after the job was accepted
 }
 
-// PlacementOf returns where task i is placed, nil if nowhere.
+// PlacementOf returns the placement of task i, nil if it has none.
 func (t *TaskRange) PlacementOf(i int) *Placement {
 	if t == nil {
 		return nil
@@ -16,7 +16,7 @@
 	return t.Placements[i]
 }
 
-// Place places task i on a machine, atS seconds after the job's acceptance, and returns the
+// Place places task i on a machine, atS seconds after the job was accepted, and returns the
 // number of the new attempt.
 func (t *TaskRange) Place(i int, host string, atS int64) uint64 {
 	t.LastAttempt++
@@ -24,14 +24,14 @@
 	return t.LastAttempt
 }
 
-// PlaceAttempt places task i of a gang under the attempt number that all its tasks have.
+// PlaceAttempt places task i of a gang under the attempt number that all tasks of the gang share.
 func (t *TaskRange) PlaceAttempt(i int, host string, attempt uint64, atS int64) {
 	t.LastAttempt = max(t.LastAttempt, attempt)
 	t.Placements[i] = &Placement{Attempt: attempt, Host: host, PlacedS: atS}
 }
 
-// EndAttempt removes the placement of task i. It reports whether attempt was the task's
-// present one; if not, nothing changes.
+// EndAttempt removes the placement of task i and records whether the task is done or has failed.
+// It reports whether the placement has the given attempt number; if not, it changes nothing.
 func (t *TaskRange) EndAttempt(i int, attempt uint64, done, failed bool) bool {
 	p := t.Placements[i]
 	if p == nil || p.Attempt != attempt {
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -1,17 +1,17 @@
-// Package job holds the records of a job and the changes that they allow.
+// Package job defines the records of a job and the operations that change them.
 //
-// A living job has one main record (Record) and one record (TaskRange) for each range of its
-// tasks that was ever touched; a small job keeps its only task range in the main record. A job
-// that is over has one short record (FinalState). The package does no I/O and reads no clock.
+// An unfinished job has one main record (Record) and one record (TaskRange) for each range of
+// its tasks that was ever changed; a small job keeps its only task range in the main record. A
+// finished job has one short record (FinalState). The package does no I/O and reads no clock.
 //
 // Invariants:
-//   - attempt numbers of a task range, and of a gang, only rise, so that no attempt of a task is
-//     ever confused with another;
+//   - attempt numbers of a task range, and of a gang, only rise, so that each attempt of a task
+//     has a number of its own;
 //   - a task that is done stays done, and has no placement;
-//   - a record fits a value of the state service however its tasks are placed, or it can be
-//     split so that its records do;
-//   - splitting changes nothing that the records say of any task;
-//   - the recorded form of each type is fixed (see package golden).
+//   - a record fits into a value of the state service however its tasks are placed, or it can be
+//     split into records that do;
+//   - splitting preserves the recorded state of every task;
+//   - the encoding of each record type is fixed (see package golden).
 package job
 
 import (
@@ -22,34 +22,35 @@
 	"violetturn/internal/api"
 )
 
-// Record is a living job's main record.
+// Record is the main record of an unfinished job.
 type Record struct {
 	Spec           api.Job    `json:"r"`
 	Shard          string     `json:"p"`           // the shard whose leader places its tasks
-	AcceptedMS     int64      `json:"at"`          // when it was accepted, Unix time in milliseconds
+	AcceptedMS     int64      `json:"at"`          // when the job was accepted, Unix time in milliseconds
 	RangeSize      int        `json:"k"`           // tasks in a task range; the last range may have fewer
-	Cancelled      bool       `json:"w,omitempty"` // some of its tasks may still be on machines
-	FinishedRanges []int      `json:"f,omitempty"` // task ranges that are done, as intervals [from, to, from, to, ...)
-	Zone           string     `json:"z,omitempty"` // the zone of a job whose tasks run in one zone, once chosen
-	Inline         bool       `json:"i,omitempty"` // its only task range is kept here, not in a record of its own
-	InlineRange    *TaskRange `json:"o,omitempty"` // that task range, once touched
+	Cancelled      bool       `json:"w,omitempty"` // the job was cancelled; some of its tasks may still be on machines
+	FinishedRanges []int      `json:"f,omitempty"` // finished task ranges as half-open intervals: from, to, from, to, ...
+	Zone           string     `json:"z,omitempty"` // the zone chosen for a job whose tasks all run in one zone
+	Inline         bool       `json:"i,omitempty"` // the job's only task range is part of this record
+	InlineRange    *TaskRange `json:"o,omitempty"` // that task range, nil until it is first changed
 
-	// The version in production knows none of these and would lose them: they are
-	// written only once every configured controller has shown that it reads them.
-	Generation      int   `json:"n,omitempty"` // how often its task ranges were split into smaller ones
-	SpreadRangeSize int   `json:"h,omitempty"` // of a spread job that was split: the range size by which its zones are counted
-	Frozen          bool  `json:"x,omitempty"` // its task ranges are being split: nothing else changes them
-	Gang            *Gang `json:"e,omitempty"` // of a gang: the state of its newest attempt
+	// The version in production doesn't decode these fields and would drop them when it
+	// rewrites the record. They are written only once every configured controller has shown
+	// that it reads them.
+	Generation      int   `json:"n,omitempty"` // how many times the task ranges were split into smaller ones
+	SpreadRangeSize int   `json:"h,omitempty"` // of a spread job that was split: the task range size before the split (see SpreadGroup)
+	Frozen          bool  `json:"x,omitempty"` // the task ranges are being split; nothing else may change them
+	Gang            *Gang `json:"e,omitempty"` // state of the newest attempt, if the job is a gang
 }
 
-// FinalState is what remains recorded of a job that is over.
+// FinalState is the record that remains of a finished job.
 type FinalState struct {
 	Phase api.JobPhase `json:"phase"`
-	Done  int          `json:"done"` // tasks that are done
+	Done  int          `json:"done"` // number of done tasks
 }
 
-// ParseRecord decodes a main record. It returns an error if the record is malformed or
-// describes a job without tasks.
+// ParseRecord decodes a main record. It returns an error if the record is malformed, or ErrNoTasks
+// if it describes a job without tasks.
 func ParseRecord(raw []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
@@ -59,21 +60,21 @@
 		return nil, fmt.Errorf("job record of %q: %w", r.Spec.UID, ErrNoTasks)
 	}
 	if r.InlineRange != nil {
-		if err := r.InlineRange.check(); err != nil {
+		if err := r.InlineRange.validate(); err != nil {
 			return nil, fmt.Errorf("job record of %q: %w", r.Spec.UID, err)
 		}
 	}
 	return &r, nil
 }
 
-// Copy returns a copy of the record that can be changed. It shares the inline task range,
-// which TaskRange.Copy copies.
+// Copy returns a copy of the record that can be changed independently, except for the inline task
+// range: both share it, and TaskRange.Copy copies it.
 func (r *Record) Copy() *Record {
-	c := *r
-	c.FinishedRanges = slices.Clone(r.FinishedRanges)
+	copied := *r
+	copied.FinishedRanges = slices.Clone(r.FinishedRanges)
 	if r.Gang != nil {
-		g := *r.Gang
-		c.Gang = &g
+		gang := *r.Gang
+		copied.Gang = &gang
 	}
-	return &c
+	return &copied
 }
--- a/internal/job/split_test.go
+++ b/internal/job/split_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawTaskRanges returns a job's record with finished task ranges marked, and its task ranges
-// after some placements and ends.
+// drawTaskRanges returns a job's main record, and its task ranges by index after a random number of
+// placements, some of whose tasks are done.
 func drawTaskRanges(t *rapid.T) (*Record, map[int]*TaskRange) {
 	r := &Record{RangeSize: TaskRangeSize(float64(rapid.IntRange(1, 32).Draw(t, "kb")))}
 	r.Spec.Tasks = rapid.IntRange(1, 3*r.RangeSize).Draw(t, "tasks")
@@ -33,55 +33,58 @@
 	return r, ranges
 }
 
-// A record split into smaller task ranges says of each task what it said before, and a
-// later attempt's number is above all earlier ones.
-func TestSplitKeepsTasks(t *testing.T) {
+// A split into smaller task ranges preserves the state of each task, and the last attempt number of
+// a smaller range isn't below that of the range before.
+func TestSplit_PreservesTaskStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, ranges := drawTaskRanges(t)
 		old := r.Copy()
 		size := r.SplitSize(float64(rapid.IntRange(1, 4).Draw(t, "new kb")))
 		if size%2 != 0 || r.RangeSize%size != 0 {
-			t.Fatalf("ranges of %d into %d", r.RangeSize, size)
+			t.Fatalf("SplitSize() = %d, want an even divisor of %d", size, r.RangeSize)
 		}
 		r.Split(size)
 		if r.Complete() != old.Complete() || r.FinishedTasks() != old.FinishedTasks() {
-			t.Fatalf("finished %v of %d, were %v of %d", r.FinishedRanges, r.RangeSize, old.FinishedRanges, old.RangeSize)
+			t.Fatalf("finished ranges after the split: %v of size %d; before: %v of size %d",
+				r.FinishedRanges, r.RangeSize, old.FinishedRanges, old.RangeSize)
 		}
 		for task := range r.Spec.Tasks {
-			n, was := task/size, task/old.RangeSize
-			if r.RangeFinished(n) != old.RangeFinished(was) {
-				t.Fatalf("task %d is finished %t, was %t", task, r.RangeFinished(n), old.RangeFinished(was))
+			n, oldRange := task/size, task/old.RangeSize
+			if r.RangeFinished(n) != old.RangeFinished(oldRange) {
+				t.Fatalf("range of task %d finished: %t after the split, want %t", task, r.RangeFinished(n), old.RangeFinished(oldRange))
 			}
-			before := ranges[was]
-			after := before.Slice(n*size-was*old.RangeSize, r.RangeLen(n))
+			before := ranges[oldRange]
+			after := before.Slice(n*size-oldRange*old.RangeSize, r.RangeLen(n))
 			i, j := task%size, task%old.RangeSize
 			if after.Done(i) != before.Done(j) || (after.PlacementOf(i) == nil) != (before.PlacementOf(j) == nil) {
-				t.Fatalf("task %d has changed", task)
+				t.Fatalf("task %d after the split: done %t, placement %v; before: done %t, placement %v",
+					task, after.Done(i), after.PlacementOf(i), before.Done(j), before.PlacementOf(j))
 			}
 			if after != nil && after.LastAttempt < before.LastAttempt {
-				t.Fatal("numbers fall")
+				t.Fatalf("LastAttempt of range %d after the split = %d, want at least %d", n, after.LastAttempt, before.LastAttempt)
 			}
 		}
 	})
 }
 
-// Where task ranges were split, a zone's share of a spread job is counted as before the split.
-func TestSpreadGroup(t *testing.T) {
-	for _, x := range []struct {
+// After a split, the groups of a spread job of which at most half may be in one zone are those of
+// before the split.
+func TestSpreadGroup_UnchangedBySplit(t *testing.T) {
+	for _, test := range []struct {
 		name         string
 		record       Record
 		rangeIndex   int
 		group, tasks int
 	}{
-		{"first of whole ranges", Record{RangeSize: 8}, 0, 0, 8},
-		{"last, a short one", Record{RangeSize: 8}, 2, 2, 4},
-		{"split, second half of the first group", Record{RangeSize: 4, SpreadRangeSize: 8}, 1, 0, 8},
-		{"split, the short group", Record{RangeSize: 4, SpreadRangeSize: 8}, 4, 2, 4},
+		{"not split, first range", Record{RangeSize: 8}, 0, 0, 8},
+		{"not split, shorter last range", Record{RangeSize: 8}, 2, 2, 4},
+		{"split, second range of the first group", Record{RangeSize: 4, SpreadRangeSize: 8}, 1, 0, 8},
+		{"split, shorter last group", Record{RangeSize: 4, SpreadRangeSize: 8}, 4, 2, 4},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			x.record.Spec.Tasks = 20
-			if group, tasks := x.record.SpreadGroup(x.rangeIndex); group != x.group || tasks != x.tasks {
-				t.Errorf("group %d of %d tasks, not %d of %d", group, tasks, x.group, x.tasks)
+		t.Run(test.name, func(t *testing.T) {
+			test.record.Spec.Tasks = 20
+			if group, tasks := test.record.SpreadGroup(test.rangeIndex); group != test.group || tasks != test.tasks {
+				t.Errorf("SpreadGroup(%d) = %d, %d tasks, want %d, %d tasks", test.rangeIndex, group, tasks, test.group, test.tasks)
 			}
 		})
 	}
--- a/internal/job/task_range.go
+++ b/internal/job/task_range.go
@@ -7,14 +7,14 @@
 	"math/bits"
 )
 
-// TaskRange is the record of a range of consecutive tasks of one job. Its methods count the
-// tasks from the start of the range. A nil task range is one that was never touched; the
+// TaskRange is the record of a range of consecutive tasks of one job. Its methods number the
+// tasks from the start of the range. A nil task range is one that was never changed; the
 // methods that only read accept it.
 type TaskRange struct {
-	LastAttempt uint64             `json:"c,omitempty"` // the last attempt number given out in this range
-	Errors      int                `json:"e,omitempty"` // failures in a row
-	DoneBits    string             `json:"d,omitempty"` // done tasks, a bit each, base64
-	Placements  map[int]*Placement `json:"p,omitempty"` // unfinished tasks that are on a machine, or may be
+	LastAttempt uint64             `json:"c,omitempty"` // the highest attempt number assigned in this range
+	Errors      int                `json:"e,omitempty"` // consecutive failures of tasks of this range
+	DoneBits    string             `json:"d,omitempty"` // bitmap of the done tasks in base64
+	Placements  map[int]*Placement `json:"p,omitempty"` // by task, placements of the unfinished tasks that are or may be on a machine
 }
 
 // ParseTaskRange decodes a task range's record. It returns an error if the record is malformed.
@@ -23,15 +23,15 @@
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return nil, fmt.Errorf("decoding a task range: %w", err)
 	}
-	if err := t.check(); err != nil {
+	if err := t.validate(); err != nil {
 		return nil, err
 	}
 	return &t, nil
 }
 
-// check returns an error if the done bits are malformed. It makes the placements ready to be
-// added to.
-func (t *TaskRange) check() error {
+// validate returns an error if the bitmap of done tasks is malformed. It also initializes a nil map
+// of placements, so that entries can be added.
+func (t *TaskRange) validate() error {
 	if _, err := base64.RawStdEncoding.DecodeString(t.DoneBits); err != nil {
 		return fmt.Errorf("decoding the done tasks: %w", err)
 	}
@@ -41,24 +41,24 @@
 	return nil
 }
 
-// Copy returns a copy of the record that can be changed, an empty one of a nil task range.
+// Copy returns an independent copy of the record, or an empty record for a nil task range.
 func (t *TaskRange) Copy() *TaskRange {
 	if t == nil {
 		return &TaskRange{Placements: map[int]*Placement{}}
 	}
-	c := *t
-	c.Placements = make(map[int]*Placement, len(t.Placements))
+	copied := *t
+	copied.Placements = make(map[int]*Placement, len(t.Placements))
 	for i, p := range t.Placements {
-		own := *p
-		c.Placements[i] = &own
+		placement := *p
+		copied.Placements[i] = &placement
 	}
-	return &c
+	return &copied
 }
 
 // Done reports whether task i is done.
 func (t *TaskRange) Done(i int) bool { return t != nil && hasBit(t.decodeDone(), i) }
 
-// DoneFlags returns for each of the first n tasks whether it is done.
+// DoneFlags reports for each of the first n tasks whether it is done.
 func (t *TaskRange) DoneFlags(n int) []bool {
 	flags := make([]bool, n)
 	if t == nil {
@@ -84,7 +84,7 @@
 }
 
 func (t *TaskRange) decodeDone() []byte {
-	b, _ := base64.RawStdEncoding.DecodeString(t.DoneBits) // checked when the record was read
+	b, _ := base64.RawStdEncoding.DecodeString(t.DoneBits) // validated when the record was parsed
 	return b
 }
 
@@ -97,5 +97,5 @@
 	t.DoneBits = base64.RawStdEncoding.EncodeToString(b)
 }
 
-// hasBit reports whether bit i of b is set; bits past its end are not.
+// hasBit reports whether bit i of b is set. Bits past the end of b count as unset.
 func hasBit(b []byte, i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
--- a/internal/job/task_range_test.go
+++ b/internal/job/task_range_test.go
@@ -11,8 +11,9 @@
 	"violetturn/internal/api"
 )
 
-// The task range against a plain model of its tasks.
-func TestTaskRangeModel(t *testing.T) {
+// A task range has the same done and placed tasks as a simple model after random placements, ends of
+// attempts and decodings. Attempt numbers rise, and only the end of a task's current attempt counts.
+func TestTaskRange_MatchesModel(t *testing.T) {
 	const tasks = 41
 	rapid.Check(t, func(t *rapid.T) {
 		r := (*TaskRange)(nil).Copy()
@@ -20,14 +21,14 @@
 		placed := map[int]uint64{}
 		last := uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
-			"put": func(t *rapid.T) {
+			"place": func(t *rapid.T) {
 				i := rapid.IntRange(0, tasks-1).Draw(t, "task")
 				if done[i] || placed[i] != 0 {
 					t.Skip()
 				}
 				placed[i] = r.Place(i, "h", 0)
 				if placed[i] <= last {
-					t.Fatal("attempt numbers must rise")
+					t.Fatalf("Place(%d) = attempt %d, want more than %d", i, placed[i], last)
 				}
 				last = placed[i]
 			},
@@ -37,69 +38,69 @@
 				ok := rapid.Bool().Draw(t, "done")
 				present := placed[i] != 0 && placed[i] == attempt
 				if r.EndAttempt(i, attempt, ok, !ok) != present {
-					t.Fatal("an end of another attempt counts, or this one's does not")
+					t.Fatalf("EndAttempt(%d, %d) = %t, want %t", i, attempt, !present, present)
 				}
 				if present {
 					delete(placed, i)
 					done[i] = ok
 				}
 			},
-			"reread": func(t *rapid.T) {
-				back, err := ParseTaskRange(api.JSON(r))
+			"reparse": func(t *rapid.T) {
+				decoded, err := ParseTaskRange(api.JSON(r))
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("ParseTaskRange: %v", err)
 				}
-				r = back.Copy()
+				r = decoded.Copy()
 			},
 			"": func(t *rapid.T) { checkTaskRange(t, r, done, tasks, len(placed)) },
 		})
 	})
 }
 
-// checkTaskRange checks that a task range has the done tasks and the number of placements of
-// a model.
+// checkTaskRange checks the done tasks and the number of placements of a task range against those of
+// the model.
 func checkTaskRange(t *rapid.T, r *TaskRange, done map[int]bool, tasks, placed int) {
 	t.Helper()
 	flags := r.DoneFlags(tasks)
 	n := 0
 	for i := range tasks {
 		if r.Done(i) != done[i] || flags[i] != done[i] {
-			t.Fatalf("task %d done: %t", i, done[i])
+			t.Fatalf("task %d: Done() = %t, DoneFlags() = %t, want %t", i, r.Done(i), flags[i], done[i])
 		}
 		if done[i] {
 			n++
 		}
 	}
 	if n != r.DoneCount() || placed != len(r.Placements) {
-		t.Fatal("counts")
+		t.Fatalf("DoneCount() = %d, want %d; %d placements, want %d", r.DoneCount(), n, len(r.Placements), placed)
 	}
 }
 
-// A malformed record is refused, with an error that tells what is wrong.
-func TestParseRefuses(t *testing.T) {
+// A malformed record is rejected with an error that wraps its cause.
+func TestParse_RejectsMalformedRecords(t *testing.T) {
 	parseRecord := func(raw []byte) error { _, err := ParseRecord(raw); return err }
 	parseRange := func(raw []byte) error { _, err := ParseTaskRange(raw); return err }
 	var syntax *json.SyntaxError
 	var badBits base64.CorruptInputError
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		parse func(raw []byte) error
 		raw   string
 		is    func(error) bool
 	}{
-		{"record, no JSON", parseRecord, `{`, func(err error) bool { return errors.As(err, &syntax) }},
+		{"record, invalid JSON", parseRecord, `{`, func(err error) bool { return errors.As(err, &syntax) }},
 		{"record, no tasks", parseRecord, `{"k":4,"r":{}}`, func(err error) bool { return errors.Is(err, ErrNoTasks) }},
-		{"record, empty ranges", parseRecord, `{"r":{"pieces":3}}`, func(err error) bool { return errors.Is(err, ErrNoTasks) }},
+		{"record, no range size", parseRecord, `{"r":{"pieces":3}}`, func(err error) bool { return errors.Is(err, ErrNoTasks) }},
 		{
-			"record, inline range with bad bits", parseRecord, `{"k":4,"r":{"pieces":3},"o":{"d":"?"}}`,
+			"record, inline range with malformed base64", parseRecord, `{"k":4,"r":{"pieces":3},"o":{"d":"?"}}`,
 			func(err error) bool { return errors.As(err, &badBits) },
 		},
-		{"task range, no JSON", parseRange, `{`, func(err error) bool { return errors.As(err, &syntax) }},
-		{"task range, bad bits", parseRange, `{"d":"?"}`, func(err error) bool { return errors.As(err, &badBits) }},
+		{"task range, invalid JSON", parseRange, `{`, func(err error) bool { return errors.As(err, &syntax) }},
+		{"task range, malformed base64", parseRange, `{"d":"?"}`, func(err error) bool { return errors.As(err, &badBits) }},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if err := x.parse([]byte(x.raw)); !x.is(err) {
-				t.Errorf("error is %v", err)
+		t.Run(test.name, func(t *testing.T) {
+			if err := test.parse([]byte(test.raw)); !test.is(err) {
+				t.Errorf("parsing %s: error %v, want another one", test.raw, err)
 			}
 		})
 	}
--- a/internal/shard/capacity_trim.go
+++ b/internal/shard/capacity_trim.go
@@ -8,30 +8,32 @@
 	"violetturn/internal/sched"
 )
 
-// PeerDemand is how many tasks of one size other controllers are likely to look for.
+// PeerDemand is the number of tasks of one size that other controllers are likely to place on
+// machines of this shard.
 type PeerDemand struct {
 	Need  sched.Resources
 	Tasks float64
 }
 
-// Bytes of the recorded form of a free capacity, rounded up.
+// Upper bounds in bytes of parts of an encoded FreeCapacity.
 const (
-	amountBytes = 60 // of an amount and what surrounds its group
-	nameBytes   = 4  // around a machine's name
-	emptyBytes  = 2  // without machines
+	groupOverheadBytes = 60 // a group of machines without their names: the resources and the syntax around them
+	nameOverheadBytes  = 4  // the syntax around a machine's name
+	emptyRecordBytes   = 2  // a record without machines
 )
 
-// mostDemands is how many sizes of tasks a selection looks at, the most wanted ones.
-const mostDemands = 8
+// maxDemands is the number of task sizes that a selection considers, those with the most tasks.
+const maxDemands = 8
 
-// mostSlots bounds how many tasks of a size are counted on one machine.
-const mostSlots = 1000
+// maxTasksPerMachine is the highest number of tasks of a size that is counted for one machine.
+const maxTasksPerMachine = 1000
 
-// FitsIn reports whether the recorded form surely takes at most size bytes.
+// FitsIn reports whether the encoding certainly has at most size bytes. It uses upper bounds, so it
+// may report false for an encoding that just fits.
 func (f FreeCapacity) FitsIn(size int) bool {
-	bytes := emptyBytes
+	bytes := emptyRecordBytes
 	for name := range f {
-		bytes += len(name) + nameBytes
+		bytes += len(name) + nameOverheadBytes
 	}
 	if bytes > size {
 		return false
@@ -40,58 +42,58 @@
 	for _, amount := range f {
 		amounts[amount] = true
 	}
-	return bytes+len(amounts)*amountBytes <= size
+	return bytes+len(amounts)*groupOverheadBytes <= size
 }
 
-// TrimTo removes machines until the recorded form surely takes at most size bytes, and
-// returns how many it removed. What stays is what peers most likely take: as much room for
-// the demand as the bytes can name, and then the machines with most accelerators and
-// processors.
+// TrimTo removes machines until the encoding certainly has at most size bytes, and returns the
+// number of machines removed. It keeps the machines that peers are most likely to use: first
+// machines that fit the demand, then those with the most accelerators and processors.
 //
-// Without a demand, or where that order alone has room for more of it, only the order
-// counts.
+// Without a demand, or if the machines with the most accelerators and processors alone fit at
+// least as many tasks of it, TrimTo keeps just those.
 func (f FreeCapacity) TrimTo(size int, demand []PeerDemand) (removed int) {
 	if f.FitsIn(size) {
 		return 0
 	}
-	order := byCapacity(f)
-	plain := newSelection(f, size)
-	plain.fill(order)
-	best := plain
+	order := sortedByCapacity(f)
+	byCapacity := newSelection(f, size)
+	byCapacity.fill(order)
+	best := byCapacity
 	if len(demand) > 0 {
-		wanted := newDemandSelection(f, order, size, demand)
-		if wanted.tasksServed(wanted.demand) > plain.tasksServed(wanted.demand) {
-			best = wanted
+		byDemand := newDemandSelection(f, order, size, demand)
+		if byDemand.tasksServed(byDemand.demand) > byCapacity.tasksServed(byDemand.demand) {
+			best = byDemand
 		}
 	}
-	removed = len(f) - len(best.kept)
-	maps.DeleteFunc(f, func(name string, _ sched.Resources) bool { return !best.kept[name] })
+	removed = len(f) - len(best.selected)
+	maps.DeleteFunc(f, func(name string, _ sched.Resources) bool { return !best.selected[name] })
 	return removed
 }
 
-// machineSelection is a choice of machines whose recorded form takes at most size bytes.
+// machineSelection is a set of machines whose encoded free capacity has at most size bytes.
 type machineSelection struct {
 	capacity FreeCapacity
 	size     int
-	demand   []PeerDemand // the most wanted sizes of tasks
-	kept     map[string]bool
-	amounts  map[sched.Resources]bool // of the kept machines
+	demand   []PeerDemand // the task sizes with the most tasks
+	selected map[string]bool
+	amounts  map[sched.Resources]bool // the distinct free resources of the selected machines
 	bytes    int
 }
 
 // newSelection returns a selection without machines.
 func newSelection(capacity FreeCapacity, size int) *machineSelection {
-	most := min(len(capacity), size/nameBytes)
+	maxMachines := min(len(capacity), size/nameOverheadBytes)
 	return &machineSelection{
-		capacity: capacity, size: size, kept: make(map[string]bool, most), amounts: map[sched.Resources]bool{}, bytes: emptyBytes,
+		capacity: capacity, size: size, selected: make(map[string]bool, maxMachines),
+		amounts: map[sched.Resources]bool{}, bytes: emptyRecordBytes,
 	}
 }
 
-// newDemandSelection chooses machines for the demand, each size of task in proportion to how
-// much of it is wanted, and fills up with the others in their order.
+// newDemandSelection selects machines for the demand, for each task size in proportion to its
+// number of tasks, and then adds other machines in the given order.
 func newDemandSelection(capacity FreeCapacity, order []machineCapacity, size int, demand []PeerDemand) *machineSelection {
 	s := newSelection(capacity, size)
-	s.demand = mostWanted(demand)
+	s.demand = highestDemands(demand)
 	queues := make([]demandQueue, len(s.demand))
 	for i, d := range s.demand {
 		queues[i] = demandQueue{tasks: d.Tasks, candidates: candidatesByFit(capacity, d.Need)}
@@ -101,24 +103,24 @@
 		if next == nil {
 			break
 		}
-		best := next.candidates[0]
+		machine := next.candidates[0]
 		next.candidates = next.candidates[1:]
-		if s.add(best.name) {
-			next.covered += best.slots
+		if s.add(machine.name) {
+			next.covered += machine.tasks
 		}
 	}
 	s.fill(order)
 	return s
 }
 
-// demandQueue is a size of task with the machines that could be kept for it.
+// demandQueue holds the demand for one task size and the machines that could be selected for it.
 type demandQueue struct {
-	tasks, covered float64     // wanted, and that the machines kept for it take
-	candidates     []candidate // those that take most first
+	tasks, covered float64     // number of tasks in demand, and that fit on the machines selected for them
+	candidates     []candidate // in descending order of tasks that fit
 }
 
-// leastCovered returns the queue with the lowest covered share of its tasks, nil if each has
-// enough or no more candidates.
+// leastCovered returns the queue with the lowest covered share of its tasks, nil if every queue is
+// fully covered or has no more candidates.
 func leastCovered(queues []demandQueue) *demandQueue {
 	var least *demandQueue
 	for i := range queues {
@@ -133,83 +135,83 @@
 	return least
 }
 
-// mostWanted returns the sizes of task that are wanted most.
-func mostWanted(demand []PeerDemand) []PeerDemand {
-	wanted := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
-	slices.SortStableFunc(wanted, func(a, b PeerDemand) int { return cmp.Compare(b.Tasks, a.Tasks) })
-	return wanted[:min(len(wanted), mostDemands)]
+// highestDemands returns the maxDemands task sizes with the most tasks, in descending order.
+func highestDemands(demand []PeerDemand) []PeerDemand {
+	positive := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
+	slices.SortStableFunc(positive, func(a, b PeerDemand) int { return cmp.Compare(b.Tasks, a.Tasks) })
+	return positive[:min(len(positive), maxDemands)]
 }
 
-// candidate is a machine with room for a number of tasks of a size.
+// candidate is a machine with the number of tasks of one size that fit on it.
 type candidate struct {
 	name  string
-	slots float64
+	tasks float64
 }
 
-// candidatesByFit returns the machines that take a task, those that take most first.
+// candidatesByFit returns the machines that a task fits on, in descending order of tasks that fit.
 func candidatesByFit(capacity FreeCapacity, need sched.Resources) []candidate {
 	var fitting []candidate
-	for name, room := range capacity {
-		if slots := countFits(room, need); slots > 0 {
-			fitting = append(fitting, candidate{name, slots})
+	for name, free := range capacity {
+		if tasks := countFits(free, need); tasks > 0 {
+			fitting = append(fitting, candidate{name, tasks})
 		}
 	}
 	slices.SortFunc(fitting, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(b.slots, a.slots), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.tasks, a.tasks), cmp.Compare(a.name, b.name))
 	})
 	return fitting
 }
 
-// countFits returns how many tasks fit into room.
-func countFits(room, need sched.Resources) float64 {
+// countFits returns how many tasks fit into the free resources, at most maxTasksPerMachine.
+func countFits(free, need sched.Resources) float64 {
 	n := 0.0
-	for room.Fits(need) && n < mostSlots {
-		room = room.Sub(need)
+	for free.Fits(need) && n < maxTasksPerMachine {
+		free = free.Sub(need)
 		n++
 	}
 	return n
 }
 
-// add keeps a machine if it still fits, and reports whether it does.
+// add selects a machine if the encoding still fits into size bytes, and reports whether it does.
 func (s *machineSelection) add(name string) bool {
 	amount := s.capacity[name]
 	cost := 0
-	if !s.kept[name] {
-		cost = len(name) + nameBytes
+	if !s.selected[name] {
+		cost = len(name) + nameOverheadBytes
 	}
 	if !s.amounts[amount] {
-		cost += amountBytes
+		cost += groupOverheadBytes
 	}
 	if s.bytes+cost > s.size {
 		return false
 	}
 	s.bytes += cost
-	s.kept[name], s.amounts[amount] = true, true
+	s.selected[name], s.amounts[amount] = true, true
 	return true
 }
 
-// fill keeps as many of the others as fit, in their order. It stops at the first that does
-// not fit, so that none with less room stays in the place of one with more.
+// fill selects further machines in the given order. It stops at the first that does not fit, so
+// that no machine with less free capacity is kept instead of one with more.
 func (s *machineSelection) fill(order []machineCapacity) {
 	for _, m := range order {
-		if !s.kept[m.name] && !s.add(m.name) {
+		if !s.selected[m.name] && !s.add(m.name) {
 			return
 		}
 	}
 }
 
-// tasksServed returns how many tasks of a demand the kept machines take.
+// tasksServed returns how many tasks of a demand fit on the selected machines.
 func (s *machineSelection) tasksServed(demand []PeerDemand) float64 {
-	free := make([]sched.Resources, 0, len(s.kept))
-	for _, name := range slices.Sorted(maps.Keys(s.kept)) {
+	free := make([]sched.Resources, 0, len(s.selected))
+	for _, name := range slices.Sorted(maps.Keys(s.selected)) {
 		free = append(free, s.capacity[name])
 	}
 	served := 0.0
 	for _, d := range demand {
-		for i, left := 0, d.Tasks; i < len(free) && left >= 1; i++ {
-			for left >= 1 && free[i].Fits(d.Need) {
+		for i, remaining := 0, d.Tasks; i < len(free) && remaining >= 1; i++ {
+			for remaining >= 1 && free[i].Fits(d.Need) {
 				free[i] = free[i].Sub(d.Need)
-				left--
+				remaining--
 				served++
 			}
 		}
@@ -217,14 +219,15 @@
 	return served
 }
 
-// machineCapacity is a machine with its room.
+// machineCapacity is a machine with its free resources.
 type machineCapacity struct {
 	name string
 	free sched.Resources
 }
 
-// byCapacity returns the machines, those with most accelerators and processors first.
-func byCapacity(capacity FreeCapacity) []machineCapacity {
+// sortedByCapacity returns the machines, those with the most accelerators first, then those with the
+// most processors.
+func sortedByCapacity(capacity FreeCapacity) []machineCapacity {
 	order := make([]machineCapacity, 0, len(capacity))
 	for name, amount := range capacity {
 		order = append(order, machineCapacity{name, amount})
--- a/internal/shard/capacity_trim_test.go
+++ b/internal/shard/capacity_trim_test.go
@@ -11,28 +11,30 @@
 	"violetturn/internal/sched"
 )
 
-// tasksServedBy counts, by a plain model, how many tasks of a demand machines take one by one.
-func tasksServedBy(room FreeCapacity, demand []PeerDemand) int {
-	free := maps.Clone(room)
+// tasksServedBy returns how many tasks of a demand fit on the machines, by a simple model that places
+// one task after another.
+func tasksServedBy(capacity FreeCapacity, demand []PeerDemand) int {
+	free := maps.Clone(capacity)
 	n := 0
-	for _, d := range mostWanted(demand) {
-		for left := int(d.Tasks); left > 0; left-- {
-			host := ""
-			for name, v := range free {
-				if v.Fits(d.Need) && (host == "" || name < host) {
-					host = name
+	for _, d := range highestDemands(demand) {
+		for remaining := int(d.Tasks); remaining > 0; remaining-- {
+			machine := ""
+			for name, resources := range free {
+				if resources.Fits(d.Need) && (machine == "" || name < machine) {
+					machine = name
 				}
 			}
-			if host == "" {
+			if machine == "" {
 				break
 			}
-			free[host] = free[host].Sub(d.Need).Rounded()
+			free[machine] = free[machine].Sub(d.Need).Rounded()
 			n++
 		}
 	}
 	return n
 }
 
+// drawDemand returns a random demand for tasks of one to three sizes.
 func drawDemand(t *rapid.T) []PeerDemand {
 	var demand []PeerDemand
 	for range rapid.IntRange(1, 3).Draw(t, "sizes") {
@@ -48,61 +50,63 @@
 	return demand
 }
 
-// A record that keeps what is wanted fits its value, says nothing that isn't so, and has
-// room for at least as much of the demand as one in the order of room alone.
-func TestTrimForDemand(t *testing.T) {
+// A free capacity trimmed for a demand fits into the given size, has the right resources for each
+// machine kept, and fits at least as many tasks of the demand as one trimmed without a demand.
+func TestTrimTo_ServesDemandAtLeastAsWellAsCapacityOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := FreeCapacity{}
+		capacity := FreeCapacity{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "machines") {
 			gpus := float64(rapid.IntRange(0, 2).Draw(t, "free gpus"))
-			room[fmt.Sprintf("i-%06d", i)] = sched.Resources{
+			capacity[fmt.Sprintf("i-%06d", i)] = sched.Resources{
 				CPUs: float64(rapid.IntRange(1, 16).Draw(t, "free cpus")), GPUs: gpus, MemGB: 8 + 16*gpus,
 			}
 		}
 		demand := drawDemand(t)
 		size := rapid.IntRange(100, 4<<10).Draw(t, "size")
-		plain, wanted := maps.Clone(room), maps.Clone(room)
-		plain.TrimTo(size, nil)
-		left := wanted.TrimTo(size, demand)
-		raw, err := json.Marshal(wanted)
+		byCapacity, byDemand := maps.Clone(capacity), maps.Clone(capacity)
+		byCapacity.TrimTo(size, nil)
+		removed := byDemand.TrimTo(size, demand)
+		raw, err := json.Marshal(byDemand)
 		if err != nil || len(raw) > size {
-			t.Fatalf("%d bytes of %d, %v", len(raw), size, err)
+			t.Fatalf("encoding after TrimTo has %d bytes, want at most %d; error %v", len(raw), size, err)
 		}
-		if left != len(room)-len(wanted) {
-			t.Fatalf("returns %d removed, not %d", left, len(room)-len(wanted))
+		if removed != len(capacity)-len(byDemand) {
+			t.Fatalf("TrimTo() = %d machines removed, want %d", removed, len(capacity)-len(byDemand))
 		}
-		for name, v := range wanted {
-			if room[name] != v {
-				t.Fatalf("%s is kept with %v, has %v", name, v, room[name])
+		for name, resources := range byDemand {
+			if capacity[name] != resources {
+				t.Fatalf("machine %s is kept with %v, want %v", name, resources, capacity[name])
 			}
 		}
-		if a, b := tasksServedBy(wanted, demand), tasksServedBy(plain, demand); a < b {
-			t.Fatalf("takes %d tasks, in the order of room alone %d", a, b)
+		if got, want := tasksServedBy(byDemand, demand), tasksServedBy(byCapacity, demand); got < want {
+			t.Fatalf("%d tasks fit after trimming for the demand, want at least the %d after trimming without it",
+				got, want)
 		}
 	})
 }
 
-// Where most machines with accelerators are free and a gang of processors is wanted,
-// which no machine with accelerators left would keep from it, some of both stay.
-func TestTrimKeepsSomeOfEachSize(t *testing.T) {
-	room := FreeCapacity{}
+// If the demand is for tasks with and without accelerators, machines of both kinds are kept, even
+// where the free machines with accelerators alone exceed the size limit. Otherwise peers find no
+// machine for the tasks without accelerators.
+func TestTrimTo_KeepsMachinesForEachDemandedSize(t *testing.T) {
+	capacity := FreeCapacity{}
 	for i := range 1300 {
-		room[fmt.Sprintf("i-%06d", i)] = sched.Resources{CPUs: 1, GPUs: 2, MemGB: 64} // accelerators, but hardly a processor
+		capacity[fmt.Sprintf("i-%06d", i)] = sched.Resources{CPUs: 1, GPUs: 2, MemGB: 64} // two accelerators, but only one processor
 	}
 	for i := range 100 {
-		room[fmt.Sprintf("i-1%05d", i)] = sched.Resources{CPUs: 12, MemGB: 96}
+		capacity[fmt.Sprintf("i-1%05d", i)] = sched.Resources{CPUs: 12, MemGB: 96}
 	}
 	demand := []PeerDemand{
 		{Need: sched.Resources{CPUs: 1, GPUs: 1, MemGB: 32}, Tasks: 20},
 		{Need: sched.Resources{CPUs: 2, MemGB: 12}, Tasks: 20},
 	}
-	plain := maps.Clone(room)
-	plain.TrimTo(2<<10, nil)
-	if n := tasksServedBy(plain, demand); n != 20 {
-		t.Fatalf("in the order of room alone %d tasks find room", n)
+	byCapacity := maps.Clone(capacity)
+	byCapacity.TrimTo(2<<10, nil)
+	if n := tasksServedBy(byCapacity, demand); n != 20 {
+		t.Fatalf("%d tasks fit after trimming without the demand, want 20", n)
 	}
-	room.TrimTo(2<<10, demand)
-	if n := tasksServedBy(room, demand); n != 40 {
-		t.Fatalf("%d of 40 tasks find room", n)
+	capacity.TrimTo(2<<10, demand)
+	if n := tasksServedBy(capacity, demand); n != 40 {
+		t.Fatalf("%d tasks fit after trimming for the demand, want 40", n)
 	}
 }
--- a/internal/shard/free_capacity.go
+++ b/internal/shard/free_capacity.go
@@ -9,31 +9,31 @@
 	"violetturn/internal/sched"
 )
 
-// FreeCapacity is the room of machines by name. Its recorded form names each amount
-// once with all the machines that have it: a shard of hundreds of machines has
-// to fit one value of the state service.
+// FreeCapacity holds the free resources of machines by machine name. Its encoding has each distinct
+// amount once, with the names of all machines that have it, so that a shard of hundreds of machines
+// fits into one value of the state service.
 type FreeCapacity map[string]sched.Resources
 
-// capacityGroup is the recorded form of the machines with the same room.
+// capacityGroup is the encoding of the machines with the same free resources.
 type capacityGroup struct {
-	Room  sched.Resources `json:"r"`
-	Hosts []string        `json:"h"`
+	Free     sched.Resources `json:"r"`
+	Machines []string        `json:"h"`
 }
 
-// MarshalJSON implements json.Marshaler. The form is the same for equal values: groups and
-// machines are in the order of the machines' names.
+// MarshalJSON implements json.Marshaler. Equal values have the same encoding: machines are sorted
+// by name, and groups by the name of their first machine.
 func (f FreeCapacity) MarshalJSON() ([]byte, error) {
-	at := map[sched.Resources]int{}
+	groupIndexes := map[sched.Resources]int{}
 	groups := []capacityGroup{}
-	for _, host := range slices.Sorted(maps.Keys(f)) {
-		room := f[host]
-		i, ok := at[room]
+	for _, machine := range slices.Sorted(maps.Keys(f)) {
+		free := f[machine]
+		i, ok := groupIndexes[free]
 		if !ok {
 			i = len(groups)
-			at[room] = i
-			groups = append(groups, capacityGroup{Room: room})
+			groupIndexes[free] = i
+			groups = append(groups, capacityGroup{Free: free})
 		}
-		groups[i].Hosts = append(groups[i].Hosts, host)
+		groups[i].Machines = append(groups[i].Machines, machine)
 	}
 	return json.Marshal(groups)
 }
@@ -46,8 +46,8 @@
 	}
 	*f = FreeCapacity{}
 	for _, g := range groups {
-		for _, host := range g.Hosts {
-			(*f)[host] = g.Room
+		for _, machine := range g.Machines {
+			(*f)[machine] = g.Free
 		}
 	}
 	return nil
--- a/internal/shard/free_capacity_test.go
+++ b/internal/shard/free_capacity_test.go
@@ -11,44 +11,44 @@
 	"violetturn/internal/sched"
 )
 
-// A shard's free room reads back the same, and after trimming its recorded form
-// fits: a record of hundreds of machines must not pass the limit of a value, and
-// what is removed has no more room than what stays.
-func TestFreeCapacityRecord(t *testing.T) {
+// An encoded free capacity decodes to the same value. After trimming, the encoding of hundreds of
+// machines is within the size limit of a value, and no removed machine has more free accelerators
+// than one that is kept.
+func TestFreeCapacity_RoundTripsAndFitsAfterTrim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := FreeCapacity{}
+		capacity := FreeCapacity{}
 		for i := range rapid.IntRange(0, 400).Draw(t, "machines") {
-			f[fmt.Sprintf("i-%06d", i)] = sched.Resources{
+			capacity[fmt.Sprintf("i-%06d", i)] = sched.Resources{
 				CPUs:  rapid.Float64Range(0, 96).Draw(t, "cpus"),
 				GPUs:  float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
 				MemGB: float64(rapid.IntRange(0, 3).Draw(t, "mem")),
 			}
 		}
-		raw, err := json.Marshal(f)
+		raw, err := json.Marshal(capacity)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding the free capacity: %v", err)
 		}
-		var g FreeCapacity
-		if err = json.Unmarshal(raw, &g); err != nil || cmp.Diff(f, g) != "" {
-			t.Fatalf("reads back differently: %v", err)
+		var decoded FreeCapacity
+		if err = json.Unmarshal(raw, &decoded); err != nil || cmp.Diff(capacity, decoded) != "" {
+			t.Fatalf("decoded %v, error %v, want %v", decoded, err, capacity)
 		}
 		size := rapid.IntRange(100, 16<<10).Draw(t, "size")
-		n := g.TrimTo(size, nil)
-		if raw, err = json.Marshal(g); err != nil || len(raw) > size {
-			t.Fatalf("%d bytes of %d, %v", len(raw), size, err)
+		removed := decoded.TrimTo(size, nil)
+		if raw, err = json.Marshal(decoded); err != nil || len(raw) > size {
+			t.Fatalf("encoding after TrimTo has %d bytes, want at most %d; error %v", len(raw), size, err)
 		}
-		if n != len(f)-len(g) {
-			t.Fatalf("returns %d removed, not %d", n, len(f)-len(g))
+		if removed != len(capacity)-len(decoded) {
+			t.Fatalf("TrimTo() = %d machines removed, want %d", removed, len(capacity)-len(decoded))
 		}
-		most := 0.0
-		for h, v := range f {
-			if _, in := g[h]; !in {
-				most = max(most, v.GPUs)
+		maxRemovedGPUs := 0.0
+		for machine, free := range capacity {
+			if _, remains := decoded[machine]; !remains {
+				maxRemovedGPUs = max(maxRemovedGPUs, free.GPUs)
 			}
 		}
-		for h, v := range g {
-			if v.GPUs < most {
-				t.Fatalf("%s stays with %v accelerators, one with %v is removed", h, v.GPUs, most)
+		for machine, free := range decoded {
+			if free.GPUs < maxRemovedGPUs {
+				t.Fatalf("machine %s is kept with %v free accelerators, one with %v is removed", machine, free.GPUs, maxRemovedGPUs)
 			}
 		}
 	})
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -1,14 +1,14 @@
-// Package shard holds the records of the shards into which the controllers
-// partition the machines: which controller leads a shard, what room its machines have, what
-// the machines are, and what teams' quotas the shard holds; and those of the controllers
-// themselves. It does no I/O.
+// Package shard defines the records of the shards into which the controllers partition the
+// machines: the controller that leads a shard, the free capacity of its machines, the machines
+// themselves, and the shard's part of each team's quota. It also defines the records of the
+// controllers. The package does no I/O.
 //
 // Invariants:
-//   - the recorded form of each type is fixed (see package golden);
-//   - terms rise globally, and every fencing token of a later term is above all of an earlier
-//     one;
-//   - the recorded form of a shard's free capacity fits one value of the state service, after
-//     trimming where needed.
+//   - the encoding of each record type is fixed (see package golden);
+//   - terms rise globally, and every fencing token of a later term is higher than all tokens of
+//     an earlier one;
+//   - the encoded free capacity of a shard fits into one value of the state service, if necessary
+//     after machines were removed from it.
 package shard
 
 import "violetturn/internal/sched"
@@ -17,41 +17,41 @@
 // is deleted when the lease ends.
 type LeaderRecord struct {
 	Node        string `json:"node"`
-	Incarnation uint64 `json:"inc"` // one run of the node's process
+	Incarnation uint64 `json:"inc"` // identifies one run of the leader's process
 	Term        uint64 `json:"term"`
 }
 
-// CapacityRecord is a shard's capacity record. Whoever places a task on a machine of
-// the shard, its leader or a peer that steals work, changes it in the same transaction, so
-// its version is what they contend for.
+// CapacityRecord is a shard's capacity record. Every controller that places a task on a machine of
+// the shard, be it the leader or a peer that steals work, changes this record in the same
+// transaction, so that of two conflicting placements one fails its precondition on the version.
 type CapacityRecord struct {
 	Term                 uint64                     `json:"term"`
-	Leader               string                     `json:"by"`            // the leader of that term
-	Released             bool                       `json:"rel,omitempty"` // that leader has stopped answering workers and said so
-	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the leader before may still answer workers, within its grace
-	Free                 FreeCapacity               `json:"free"`          // room of the machines that can take tasks
-	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team, what its tasks use in this shard
+	Leader               string                     `json:"by"`            // the leader in that term
+	Released             bool                       `json:"rel,omitempty"` // the leader released the shard and no longer answers workers
+	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the previous leader may answer workers until its grace ends
+	Free                 FreeCapacity               `json:"free"`          // of the machines that can run further tasks
+	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by team with a limit, the use by its tasks in this shard
 }
 
-// Machine is a machine's record: which shard it belongs to, and what it is.
+// Machine is the record of a machine: its shard and its properties.
 type Machine struct {
 	Shard        string `json:"p"`
 	MachineType  string `json:"b"`
 	Zone         string `json:"s"`
 	Spot         bool   `json:"l,omitempty"`
 	Addr         string `json:"a,omitempty"`
-	RentedFor    string `json:"f,omitempty"` // the shard that rented it for its jobs
-	RegisteredMS int64  `json:"at"`          // when it was registered, Unix time in milliseconds
+	RentedFor    string `json:"f,omitempty"` // the shard for whose jobs the machine was rented
+	RegisteredMS int64  `json:"at"`          // when the machine was registered, Unix time in milliseconds
 }
 
-// Page is the record of the machines whose names differ only in their last
-// characters: machines come in groups with names in a row, so that a group is
-// recorded with few changes.
+// Page is the record of the machines whose names differ only in their last characters, by name.
+// Machines come in groups with consecutive names, so that a group is recorded with few
+// writes.
 type Page map[string]*Machine
 
-// QuotaRecord is a team's record: the share of its limit that each shard may use. What
-// the team's tasks use in a shard is in the shard's capacity record, which changes
-// with every placement there; a share changes only together with that record.
+// QuotaRecord is the record of a team's quota: the share of its limit that each shard may use. The
+// resources that the team's tasks use in a shard are in the shard's CapacityRecord, which changes
+// with every placement there. A share changes only in the same transaction as that record.
 type QuotaRecord struct {
 	Held map[string]sched.Resources `json:"u"` // by shard
 }
--- a/internal/shard/tokens.go
+++ b/internal/shard/tokens.go
@@ -1,14 +1,14 @@
 package shard
 
-// sequenceBits is the number of low bits of a fencing token that count its raises within a term.
+// sequenceBits is the number of low bits of a fencing token that hold its sequence number within a term.
 const sequenceBits = 20
 
-// FencingToken returns the token of a term after the given number of raises. Terms rise
-// globally, so every token of a later term is above all of an earlier one; within its
-// term a leader raises a worker's token to have it send a heartbeat, or to see whether it
-// receives answers.
-func FencingToken(term, raises uint64) uint64 {
-	return term<<sequenceBits | min(raises, 1<<sequenceBits-1)
+// FencingToken returns the fencing token with the given sequence number within a term. Terms rise
+// globally, so every token of a later term is higher than all tokens of an earlier one. Within
+// its term, a leader increments a worker's sequence number to make the worker send a heartbeat,
+// or to check whether the worker receives responses.
+func FencingToken(term, sequence uint64) uint64 {
+	return term<<sequenceBits | min(sequence, 1<<sequenceBits-1)
 }
 
 // TokenTerm returns the term of a token.
--- a/internal/shard/tokens_test.go
+++ b/internal/shard/tokens_test.go
@@ -6,13 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-// Tokens of a later term are above all of an earlier one, and tell their term.
-func TestFencingToken(t *testing.T) {
+// A token of a later term is higher than any token of an earlier term, and TokenTerm returns the term.
+func TestFencingToken_RisesWithTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		term := rapid.Uint64Range(1, 1<<40).Draw(t, "term")
-		a, b := FencingToken(term, rapid.Uint64().Draw(t, "raises")), FencingToken(term+1, 0)
-		if TokenTerm(a) != term || TokenTerm(b) != term+1 || a >= b {
-			t.Fatalf("%d %d", a, b)
+		token, nextTermToken := FencingToken(term, rapid.Uint64().Draw(t, "raises")), FencingToken(term+1, 0)
+		if TokenTerm(token) != term || TokenTerm(nextTermToken) != term+1 || token >= nextTermToken {
+			t.Fatalf("term %d: token %d of term %d, first token %d of term %d of the next term",
+				term, token, TokenTerm(token), nextTermToken, TokenTerm(nextTermToken))
 		}
 	})
 }
--- a/internal/splitter/doc.go
+++ b/internal/splitter/doc.go
@@ -1,19 +1,20 @@
-// Package splitter splits the records of jobs that outgrow the state service's limits, and
-// collects the records that a split leaves behind. The lock of internal/state guards it.
+// Package splitter splits the records of jobs that exceed the size limit of a value in the state
+// service, and deletes the records that a split leaves behind. The lock of internal/state guards
+// the package's state.
 //
-// Records that the version before made for larger values can't be rewritten once the limits have
-// come down. So a job's tasks are split into smaller task ranges, in steps each of which is safe
-// alone:
+// Records that the previous version wrote under a higher limit on values can't be rewritten once
+// the limit is lowered. So a job's tasks are split into smaller task ranges, in steps each of which
+// is safe on its own:
 //
-//  1. A job whose tasks have records of their own is frozen by a write of its main record. Every
-//     placement and every end is committed under a precondition on that record, so those on
-//     their way fail and no new ones are made. (A job whose tasks are inside its main record
-//     needs no such step: its version covers them.)
-//  2. The small task ranges are written under keys of the next generation, which nobody reads
-//     yet, each under a precondition on the main record and on what it was copied from. One whose
-//     version is above both was copied from what there is.
-//  3. One write of the main record makes them the job's task ranges.
+//  1. If the job's task ranges are in separate records, the job is frozen by a write of its main
+//     record. Every placement and every end of a task is committed under a precondition on the main
+//     record, so transactions in flight fail and no new ones are made. A job whose tasks are inside
+//     its main record needs no such step, because the version of that record covers them.
+//  2. The smaller task ranges are written under keys of the next generation, which are not read yet,
+//     each under preconditions on the main record and on the record that it is copied from. A copy
+//     whose version is higher than both of theirs has the current contents and is not written again.
+//  3. A single write of the main record makes the copies the job's task ranges.
 //
-// What was written by a late transaction after the first step changes only records that no longer
-// count. The old records are deleted when there is time.
+// A late transaction that is committed after the first step can only change records that are no
+// longer in use. The old records are deleted later, as garbage.
 package splitter
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -6,22 +6,22 @@
 	"violetturn/internal/statecache"
 )
 
-// GarbageIsDue reports whether garbage is to be collected: now and then, since nothing waits for
-// it.
+// GarbageIsDue reports whether garbage is to be collected: a quarter of a worker lease after the
+// last collection. Nothing waits for it, so it need not be more often.
 func (s *Splitter) GarbageIsDue(now time.Time) bool {
-	return now.Sub(s.garbageCollectedAt) >= s.node.Settings.WorkerLease()/4
+	return now.Sub(s.lastGarbageCollection) >= s.node.Settings.WorkerLease()/4
 }
 
-// NoteGarbageCollected notes a collection that began at a time.
-func (s *Splitter) NoteGarbageCollected(began time.Time) { s.garbageCollectedAt = began }
+// NoteGarbageCollected records that garbage was collected, in a run that started at the given time.
+func (s *Splitter) NoteGarbageCollected(startedAt time.Time) { s.lastGarbageCollection = startedAt }
 
-// GarbageTransaction returns a transaction that deletes records of task ranges that no longer
-// count, as many as it takes: of an earlier generation of their job, or of a job that is over.
-// Nil if there are none.
+// GarbageTransaction returns a transaction that deletes unused records of task ranges, as many as fit
+// into it, or nil if there are none. A record is unused if its job is finished, has a later
+// generation of task ranges, or keeps the tasks of this generation in its main record.
 func (s *Splitter) GarbageTransaction() *statecache.Transaction {
 	t := statecache.NewTransaction()
 	for uid, ranges := range s.cache.TaskRanges {
-		if !s.collectsGarbageOf(s.cache.Jobs[uid]) {
+		if !s.isGarbageCollectorOf(s.cache.Jobs[uid]) {
 			continue
 		}
 		for key, taskRange := range ranges {
@@ -37,26 +37,26 @@
 	return t
 }
 
-// deletePreconditions is how many preconditions the deletion of a task range takes at most.
-const deletePreconditions = 2
+// maxPreconditionsPerDelete is the highest number of preconditions that the deletion of a task range adds.
+const maxPreconditionsPerDelete = 2
 
-// isFull reports whether a transaction takes no other deletion.
+// isFull reports whether no other deletion fits into a transaction.
 func (s *Splitter) isFull(t *statecache.Transaction) bool {
 	limits := s.schema.TransactionLimits()
-	return t.Changes() >= limits.TxnOps || t.Preconditions()+deletePreconditions > preconditionsPerChange*limits.TxnOps
+	return t.Changes() >= limits.TxnOps || t.Preconditions()+maxPreconditionsPerDelete > preconditionsPerWrite*limits.TxnOps
 }
 
-// collectsGarbageOf reports whether this node collects the garbage of a job: it leads the job's
-// shard, or the first shard for a job that is over, which is nil here.
-func (s *Splitter) collectsGarbageOf(j *statecache.Job) bool {
+// isGarbageCollectorOf reports whether this node deletes the garbage of a job: whether it leads the
+// job's shard or, for a finished job (j is nil), the first shard.
+func (s *Splitter) isGarbageCollectorOf(j *statecache.Job) bool {
 	if j == nil {
 		return s.leadership.Leads(s.node.Shards[0])
 	}
 	return s.leadership.Leads(j.Record.Shard)
 }
 
-// deleteGarbage deletes the record of a task range, unless it belongs to its job as that is, or
-// will be after the split under way.
+// deleteGarbage adds the deletion of a task range's record to the transaction, unless the job uses
+// the record or will use it after the split in progress.
 func (s *Splitter) deleteGarbage(t *statecache.Transaction, uid string, key statecache.RangeKey, version uint64) {
 	j := s.cache.Jobs[uid]
 	if j == nil {
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -10,40 +10,40 @@
 	"violetturn/internal/statecache"
 )
 
-// preconditionsPerChange is how many preconditions a transaction may have for each change that it
-// may have (PROTOCOL).
-const preconditionsPerChange = 4
+// preconditionsPerWrite is the number of preconditions that a transaction may have for each write
+// that it may have (PROTOCOL).
+const preconditionsPerWrite = 4
 
-// unrequestedIntervals is how many decision intervals are between two splits that nobody waits
-// for: they take a fraction of the changes.
-const unrequestedIntervals = 8
+// backgroundSplitIntervals is the number of decision intervals between the starts of two splits for
+// which no other write waits, so that these splits use only a fraction of the write budget.
+const backgroundSplitIntervals = 8
 
-// Splitter splits records that outgrow the limits, and collects what is left of them.
+// Splitter splits records that exceed the size limits and deletes the records that a split replaces.
 type Splitter struct {
 	node       *node.Info
 	cache      *statecache.Cache
 	schema     *schema.State
 	leadership *leadership.Table
 
-	splitAt            time.Time // when a job was last picked that nobody waits for
-	garbageCollectedAt time.Time
+	lastBackgroundSplit   time.Time // when a job was last chosen for whose split no other write waits
+	lastGarbageCollection time.Time
 }
 
-// New returns a splitter of the shards that leadership has this node lead.
+// New returns a splitter for the jobs of the shards that this node leads according to leadership.
 func New(node *node.Info, cache *statecache.Cache, schema *schema.State, leadership *leadership.Table) *Splitter {
 	return &Splitter{node: node, cache: cache, schema: schema, leadership: leadership}
 }
 
 // Step is the next step in splitting a job's records.
 type Step struct {
-	Transaction *statecache.Transaction // nil: the records can't be split further
+	Transaction *statecache.Transaction // nil if the records can't be split further
 	UID         string                  // of the job
-	RangeSize   int                     // tasks of a task range after the split
-	Last        bool                    // the job has its smaller records after this step
+	RangeSize   int                     // number of tasks in a task range after the split
+	Last        bool                    // this step completes the split
 }
 
-// NextStep returns the next step of a split, nil if there is nothing to split now. It is called
-// only once all controllers read what a split makes (see schema.State.Upgraded).
+// NextStep returns the next step of a split, nil if there is nothing to split now. It may be called
+// only once all controllers read the records of a split job (see schema.State.Upgraded).
 func (s *Splitter) NextStep() *Step {
 	j := s.nextJob()
 	if j == nil {
@@ -51,7 +51,7 @@
 	}
 	step := &Step{UID: j.Record.Spec.UID, RangeSize: j.Record.SplitSize(s.node.Settings.LowestLimits().ValueKB)}
 	if !j.Record.Inline && step.RangeSize >= j.Record.RangeSize {
-		// A record of the smallest task range is still too large: the job is left alone until it is over.
+		// The records stay too large even at the smallest size of task ranges, so the job is not split.
 		s.schema.WithdrawSplit(step.UID)
 		return step
 	}
@@ -65,7 +65,7 @@
 		return step
 	}
 	s.copyRanges(step.Transaction, j, step.RangeSize)
-	if step.Transaction.Changes() == 0 { // all are copied
+	if step.Transaction.Changes() == 0 { // all task ranges are copied
 		split := j.Record.Copy()
 		split.Split(step.RangeSize)
 		step.Transaction.Put(key, split)
@@ -74,15 +74,16 @@
 	return step
 }
 
-// nextJob picks the next job to be split, nil if none is to be now. Those whose changes wait
-// for it come first, then those whose split has begun; for the others there is time.
+// nextJob returns the next job to split, nil if there is none now. Jobs with a requested split come
+// first, because writes wait for it, then those whose split has begun, then the oldest of the other
+// jobs with oversized records, at most one every backgroundSplitIntervals decision intervals.
 func (s *Splitter) nextJob() *statecache.Job {
 	if requested := s.schema.SplitRequests(); len(requested) > 0 {
 		return s.cache.Jobs[requested[0]]
 	}
 	now := s.node.Now()
 	maxBytes := s.schema.MaxRecordBytes()
-	paused := now.Sub(s.splitAt) < unrequestedIntervals*s.node.Settings.DecisionInterval()
+	backgroundSplitDelayed := now.Sub(s.lastBackgroundSplit) < backgroundSplitIntervals*s.node.Settings.DecisionInterval()
 	var oldest *statecache.Job
 	for _, j := range s.cache.Jobs {
 		if !s.leadership.Leads(j.Record.Shard) {
@@ -91,21 +92,21 @@
 		if j.Record.Frozen {
 			return j
 		}
-		if paused || j.Record.Cancelled || oldest != nil && statecache.CompareAge(j, oldest) >= 0 {
+		if backgroundSplitDelayed || j.Record.Cancelled || oldest != nil && statecache.CompareAge(j, oldest) >= 0 {
 			continue
 		}
-		if s.mustSplit(j, maxBytes) {
+		if s.needsSplit(j, maxBytes) {
 			oldest = j
 		}
 	}
 	if oldest != nil {
-		s.splitAt = now
+		s.lastBackgroundSplit = now
 	}
 	return oldest
 }
 
-// mustSplit reports whether a job's records take more than so many bytes and can be made smaller.
-func (s *Splitter) mustSplit(j *statecache.Job, maxBytes int) bool {
+// needsSplit reports whether a record of the job has more than maxBytes bytes and can be made smaller.
+func (s *Splitter) needsSplit(j *statecache.Job, maxBytes int) bool {
 	if j.Record.Inline {
 		return j.Size > maxBytes
 	}
@@ -120,8 +121,8 @@
 	return false
 }
 
-// copyRanges adds task ranges of the next generation that stand for a job's, those that are not
-// there yet, until the transaction takes no more.
+// copyRanges adds writes of the job's task ranges of the next generation to the transaction, those
+// that aren't up to date yet, until the transaction is full.
 func (s *Splitter) copyRanges(t *statecache.Transaction, j *statecache.Job, size int) {
 	for index := range j.Ranges {
 		if !s.copyRange(t, j, index, size) {
@@ -130,25 +131,25 @@
 	}
 }
 
-// copyRange adds the task ranges of the next generation that stand for one of a job's, those that
-// are not there yet. It reports false when the transaction takes no more.
+// copyRange adds writes of the task ranges of the next generation that replace one task range of the
+// job, those that aren't up to date yet. It returns false if the transaction is full.
 func (s *Splitter) copyRange(t *statecache.Transaction, j *statecache.Job, index, size int) bool {
-	uid, perRange := j.Record.Spec.UID, j.Record.RangeSize/size
+	uid, slicesPerRange := j.Record.Spec.UID, j.Record.RangeSize/size
 	key, version := j.RangeRecord(index)
 	length := j.Record.RangeLen(index)
 	limits := s.schema.TransactionLimits()
 	for slice := 0; slice*size < length; slice++ {
-		copyKey := statecache.RangeKey{Generation: j.Record.Generation + 1, Index: index*perRange + slice}
-		old := s.cache.TaskRanges[uid][copyKey]
-		if old.Record != nil && old.Version > max(version, j.Version) {
-			continue // copied from what there is
+		destination := statecache.RangeKey{Generation: j.Record.Generation + 1, Index: index*slicesPerRange + slice}
+		existing := s.cache.TaskRanges[uid][destination]
+		if existing.Record != nil && existing.Version > max(version, j.Version) {
+			continue // it has the current contents
 		}
-		if t.Changes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerChange*limits.TxnOps-1 {
+		if t.Changes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerWrite*limits.TxnOps-1 {
 			return false
 		}
 		t.Require(key, version)
 		tasks := j.Ranges[index].Record.Slice(slice*size, min(size, length-slice*size))
-		t.Put(statecache.TaskRangeKey(uid, copyKey.Generation, copyKey.Index), tasks)
+		t.Put(statecache.TaskRangeKey(uid, destination.Generation, destination.Index), tasks)
 	}
 	return true
 }
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -17,12 +17,12 @@
 	"violetturn/internal/statecache"
 )
 
-// unlimitedWrites is a budget of changes that never runs out.
+// unlimitedWrites is a write budget that is never exhausted.
 type unlimitedWrites struct{}
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// fixture is the splitter of node n0, which leads the only shard. Values may have 2 KiB.
+// fixture is the splitter of node n0, which leads the only shard. The size limit of a value is 2 KiB.
 type fixture struct {
 	*Splitter
 	now     time.Time
@@ -39,29 +39,29 @@
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
 	cache := statecache.New(info.Log)
-	forms := schema.New(info, cache, unlimitedWrites{})
-	table := leadership.NewTable(info, cache, forms)
-	f.Splitter = New(info, cache, forms, table)
+	schemaState := schema.New(info, cache, unlimitedWrites{})
+	table := leadership.NewTable(info, cache, schemaState)
+	f.Splitter = New(info, cache, schemaState, table)
 	version := f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: 1})
 	table.Begin("n0", &leadership.Leadership{Term: 1, Version: version})
 	return f
 }
 
-// apply has the cache take in a record and returns its version.
+// apply writes a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.version++
 	f.cache.Apply(key, api.JSON(value), f.version)
 	return f.version
 }
 
-// commit has the cache take in a transaction.
+// commit applies a transaction to the cache.
 func (f *fixture) commit(t *statecache.Transaction) {
 	f.version++
 	f.cache.ApplyCommitted(t, f.version)
 }
 
-// addJob adds an array of 64 tasks in ranges of 32, each of which has a record of its own and its
-// first task placed.
+// addJob adds an array job of 64 tasks in two ranges of 32. Each range is in a separate record and
+// has its first task placed.
 func (f *fixture) addJob(uid string) {
 	record := &job.Record{
 		Spec:  api.Job{UID: uid, Kind: api.Array, Tasks: 64},
@@ -74,23 +74,23 @@
 	}
 }
 
-// split carries out the steps of a job's split and returns the number of them.
+// split runs all steps of a job's split and returns their number.
 func (f *fixture) split(t *testing.T, uid string, size int) (steps int) {
 	t.Helper()
 	for {
 		step := f.NextStep()
 		if step == nil || step.Transaction == nil {
-			t.Fatalf("step %d: nothing to do", steps)
+			t.Fatalf("step %d: NextStep() = %+v, want a transaction", steps, step)
 		}
 		if step.UID != uid || step.RangeSize != size {
 			t.Fatalf("step %d: job %s, ranges of %d, want %d", steps, step.UID, step.RangeSize, size)
 		}
 		if n := step.Transaction.Changes(); n == 0 || n > f.schema.TransactionLimits().TxnOps {
-			t.Fatalf("step %d: %d changes", steps, n)
+			t.Fatalf("step %d: transaction of %d writes, want 1 to %d", steps, n, f.schema.TransactionLimits().TxnOps)
 		}
 		f.commit(step.Transaction)
 		if steps == 0 && !f.cache.Jobs[uid].Record.Frozen {
-			t.Fatal("not frozen first")
+			t.Fatal("the first step did not freeze the job")
 		}
 		steps++
 		if step.Last {
@@ -99,9 +99,9 @@
 	}
 }
 
-// A split is: frozen, copied in as many transactions as it takes, and then in force with every
-// task where it was.
-func TestSplitInSteps(t *testing.T) {
+// A split freezes the job, copies its task ranges in several transactions and then replaces them.
+// Every task keeps its placement.
+func TestSplit_PreservesPlacementsOverSteps(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.addJob(uid)
@@ -110,20 +110,20 @@
 	steps := f.split(t, uid, size)
 	j := f.cache.Jobs[uid]
 	if j.Record.Frozen || j.Record.Generation != 1 || j.Record.RangeSize != size || len(j.Ranges) != 64/size {
-		t.Fatalf("after %d steps: %+v with %d task ranges", steps, j.Record, len(j.Ranges))
+		t.Fatalf("after %d steps: %+v with %d task ranges, want %d ranges of %d tasks", steps, j.Record, len(j.Ranges), 64/size, size)
 	}
 	for index, host := range map[int]string{0: "h0", 32 / size: "h1"} {
 		if p := j.Ranges[index].Record.PlacementOf(0); p == nil || p.Host != host {
-			t.Errorf("task range %d: %v, want a task on %s", index, p, host)
+			t.Errorf("placement of the first task of range %d: %v, want machine %s", index, p, host)
 		}
 	}
 	if f.NextStep() != nil {
-		t.Error("there is more to split")
+		t.Error("NextStep() after the split is not nil, want nothing left to split")
 	}
 }
 
-// What a split leaves behind is garbage, and nothing else is.
-func TestGarbageOfSplit(t *testing.T) {
+// After a split the records of the old task ranges, and no others, are deleted as garbage.
+func TestGarbageTransaction_DeletesOnlyReplacedRecords(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.addJob(uid)
@@ -131,20 +131,20 @@
 	f.split(t, uid, f.cache.Jobs[uid].Record.SplitSize(2))
 	garbage := f.GarbageTransaction()
 	if garbage == nil || garbage.Changes() != 2 {
-		t.Fatalf("garbage: %v", garbage)
+		t.Fatalf("GarbageTransaction() = %v, want 2 deletions", garbage)
 	}
 	keys := slices.Sorted(slices.Values(garbage.Keys()))
 	if want := []string{statecache.TaskRangeKey(uid, 0, 0), statecache.TaskRangeKey(uid, 0, 1)}; !slices.Equal(keys, want) {
-		t.Errorf("garbage: %v, want %v", keys, want)
+		t.Errorf("keys deleted as garbage: %v, want %v", keys, want)
 	}
 	f.commit(garbage)
 	if again := f.GarbageTransaction(); again != nil {
-		t.Errorf("garbage after it was collected: %v", again.Keys())
+		t.Errorf("garbage after the collection: %v, want none", again.Keys())
 	}
 }
 
-// A job that can't be made smaller is left alone, and its request is dropped.
-func TestSplitOfSmallestRanges(t *testing.T) {
+// A job whose task ranges already have the smallest size is not split, and the request is withdrawn.
+func TestNextStep_WithdrawsRequestForSmallestRanges(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.apply(statecache.JobKey(uid), &job.Record{
@@ -153,55 +153,56 @@
 	f.schema.RequestSplit(f.cache.Jobs[uid])
 	step := f.NextStep()
 	if step == nil || step.Transaction != nil || step.UID != uid {
-		t.Fatalf("step: %+v", step)
+		t.Fatalf("NextStep() = %+v, want job %s without a transaction", step, uid)
 	}
 	if next := f.NextStep(); next != nil {
-		t.Errorf("it is tried again: %+v", next)
+		t.Errorf("NextStep() after the request was withdrawn = %+v, want nil", next)
 	}
 }
 
-// Records of a job that is over are garbage; those of a split under way are not.
-func TestGarbage(t *testing.T) {
-	for _, x := range []struct {
+// Records of a finished job or of an unused generation are garbage; those of a split in progress are
+// not.
+func TestGarbageTransaction_ByJobState(t *testing.T) {
+	for _, test := range []struct {
 		name       string
-		record     *job.Record // nil: the job is over
+		record     *job.Record // nil if the job is finished
 		generation int
 		garbage    bool
 	}{
-		{"job is over", nil, 0, true},
-		{"in force", &job.Record{RangeSize: 32}, 0, false},
-		{"of the split under way", &job.Record{RangeSize: 32}, 1, false},
-		{"of an earlier generation", &job.Record{RangeSize: 32, Generation: 2}, 1, true},
+		{"job is finished", nil, 0, true},
+		{"current generation", &job.Record{RangeSize: 32}, 0, false},
+		{"next generation, split in progress", &job.Record{RangeSize: 32}, 1, false},
+		{"earlier generation", &job.Record{RangeSize: 32, Generation: 2}, 1, true},
 		{"tasks inside the main record", &job.Record{RangeSize: 32, Inline: true}, 0, true},
-		{"split under way, tasks inside the main record", &job.Record{RangeSize: 32, Inline: true}, 1, false},
+		{"next generation, tasks inside the main record", &job.Record{RangeSize: 32, Inline: true}, 1, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			const uid = "run-000001"
 			f := newFixture(t)
-			if x.record != nil {
-				x.record.Spec, x.record.Shard = api.Job{UID: uid, Kind: api.Array, Tasks: 64}, "n0"
-				f.apply(statecache.JobKey(uid), x.record)
+			if test.record != nil {
+				test.record.Spec, test.record.Shard = api.Job{UID: uid, Kind: api.Array, Tasks: 64}, "n0"
+				f.apply(statecache.JobKey(uid), test.record)
 			}
-			f.apply(statecache.TaskRangeKey(uid, x.generation, 0), &job.TaskRange{})
-			if got := f.GarbageTransaction() != nil; got != x.garbage {
-				t.Errorf("garbage: %t, want %t", got, x.garbage)
+			f.apply(statecache.TaskRangeKey(uid, test.generation, 0), &job.TaskRange{})
+			if got := f.GarbageTransaction() != nil; got != test.garbage {
+				t.Errorf("task range of generation %d is garbage: %t, want %t", test.generation, got, test.garbage)
 			}
 		})
 	}
 }
 
-// Garbage is collected a quarter of a lease apart.
-func TestGarbageIsDue(t *testing.T) {
+// Garbage is collected at intervals of a quarter of a worker lease.
+func TestGarbageCollection_DueEveryQuarterLease(t *testing.T) {
 	f := newFixture(t)
 	if !f.GarbageIsDue(f.now) {
-		t.Error("not due at first")
+		t.Error("garbage collection is not due although there was none before")
 	}
 	f.NoteGarbageCollected(f.now)
 	quarter := f.node.Settings.WorkerLease() / 4
 	if f.GarbageIsDue(f.now.Add(quarter - 1)) {
-		t.Error("due too early")
+		t.Error("garbage collection is due before a quarter of a lease has passed")
 	}
 	if !f.GarbageIsDue(f.now.Add(quarter)) {
-		t.Error("not due in time")
+		t.Error("garbage collection is not due after a quarter of a lease")
 	}
 }
