--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -31,7 +31,8 @@
 	firstPlacement := len(m.placed) == 0
 	attempt := m.gang.BeginAttempt(len(m.placed))
 	if firstPlacement && attempt <= m.lastAttempt || !firstPlacement && attempt != m.lastAttempt {
-		t.Fatalf("placement under attempt %d after attempt %d; want a higher number: %t (else the same)", attempt, m.lastAttempt, firstPlacement)
+		t.Fatalf("placement under attempt %d after attempt %d; want a higher number: %t (else the same)",
+			attempt, m.lastAttempt, firstPlacement)
 	}
 	m.lastAttempt, m.placed[task] = attempt, attempt
 }
--- a/internal/shard/capacity_trim_test.go
+++ b/internal/shard/capacity_trim_test.go
@@ -86,8 +86,8 @@
 }
 
 // If the demand is for tasks with and without accelerators, machines of both kinds are kept, even
-// where the free machines with accelerators alone exceed the size limit. Otherwise peers find no
-// machine for the tasks without accelerators.
+// where the free machines with accelerators alone exceed the size limit. Otherwise a peer finds
+// no machines for a gang that needs only processors.
 func TestTrimTo_KeepsMachinesForEachDemandedSize(t *testing.T) {
 	capacity := FreeCapacity{}
 	for i := range 1300 {
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -7,7 +7,7 @@
 )
 
 // GarbageIsDue reports whether garbage is to be collected: a quarter of a worker lease after the
-// last collection. Nothing waits for it, so it need not be more often.
+// last collection. Nothing waits for a collection, so it need not run more often.
 func (s *Splitter) GarbageIsDue(now time.Time) bool {
 	return now.Sub(s.lastGarbageCollection) >= s.node.Settings.WorkerLease()/4
 }
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -10,12 +10,13 @@
 	"violetturn/internal/statecache"
 )
 
-// preconditionsPerWrite is the number of preconditions that a transaction may have for each write
-// that it may have (PROTOCOL).
+// preconditionsPerWrite is the state service's limit on the preconditions of a transaction, as a
+// multiple of its limit on writes (PROTOCOL).
 const preconditionsPerWrite = 4
 
-// backgroundSplitIntervals is the number of decision intervals between the starts of two splits for
-// which no other write waits, so that these splits use only a fraction of the write budget.
+// backgroundSplitIntervals is the minimum number of decision intervals between the starts of two
+// splits that were not requested. No other write waits for these splits, so they may use only a
+// fraction of the write budget.
 const backgroundSplitIntervals = 8
 
 // Splitter splits records that exceed the size limits and deletes the records that a split replaces.
@@ -25,7 +26,7 @@
 	schema     *schema.State
 	leadership *leadership.Table
 
-	lastBackgroundSplit   time.Time // when a job was last chosen for whose split no other write waits
+	lastBackgroundSplit   time.Time // when nextJob last chose a job whose split was not requested
 	lastGarbageCollection time.Time
 }
 
@@ -51,7 +52,8 @@
 	}
 	step := &Step{UID: j.Record.Spec.UID, RangeSize: j.Record.SplitSize(s.node.Settings.LowestLimits().ValueKB)}
 	if !j.Record.Inline && step.RangeSize >= j.Record.RangeSize {
-		// The records stay too large even at the smallest size of task ranges, so the job is not split.
+		// A record would be too large even with the smallest task ranges: the job keeps its records
+		// until it is finished.
 		s.schema.WithdrawSplit(step.UID)
 		return step
 	}
