--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		tasks := int(math.Ceil(max(keep, a.growth(&demand, boot, now))))
-		allowed := a.zones.AdmissionOfSpec(demand.newest, admission)
+		allowed := a.zones.AdmissionForSpec(demand.newest, admission)
 		requests = append(requests, a.newHeadroomRequest(class, demand.newest, tasks, allowed))
 	}
 	return requests
@@ -184,7 +184,7 @@
 					break
 				}
 				host.Free = host.Free.Sub(demand.Request.Need)
-				if host.Services+host.Arrays == 0 {
+				if host.ServiceTasks+host.ArrayTasks == 0 {
 					machines[host.Name] = true
 				}
 			}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -43,7 +43,7 @@
 		// One that boots hears nothing and hangs the connection; all are fenced
 		// once when the shard is acquired, for the list is late.
 		if !worker.Fenced() && !a.agents.Listing().IsStarting(host) {
-			if command := a.commands.Fence(host); command != nil {
+			if command := a.commands.PrepareFence(host); command != nil {
 				decided.Fences = append(decided.Fences, command)
 			}
 		}
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -116,7 +116,7 @@
 	if worker.IdleSince.IsZero() {
 		worker.IdleSince = r.now
 	}
-	if r.autoscaler.zones.RestrictedZone(machine.Zone, r.now) != nil {
+	if r.autoscaler.zones.RestrictedZoneRecord(machine.Zone, r.now) != nil {
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
@@ -130,7 +130,7 @@
 func (r *ScaleInReview) remaining() []*sched.Host {
 	if r.hosts == nil {
 		plan := r.autoscaler.scheduler.Plan(r.now)
-		r.hosts, r.reserved = plan.Remaining, plan.ReservedHosts
+		r.hosts, r.reserved = plan.RemainingHosts, plan.ReservedHosts
 	}
 	return r.hosts
 }
@@ -178,7 +178,7 @@
 	if r.replicaHosts == nil {
 		r.replicaHosts = map[string][]*sched.Host{}
 		for _, host := range r.remaining() {
-			if host.Services > 0 {
+			if host.ServiceTasks > 0 {
 				r.replicaHosts[host.Zone] = append(r.replicaHosts[host.Zone], host)
 			}
 		}
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -37,16 +37,16 @@
 	if len(headroom) == 0 && !a.scheduler.HasPendingTasks() {
 		return nil
 	}
-	plan := a.scheduler.ReusePlan(now)
+	plan := a.scheduler.RecentPlan(now)
 	home := a.node.Settings.Zone
-	orders := sched.PlanRentals(plan.Unmet, a.room.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), home)
+	orders := sched.PlanRentals(plan.UnmetDemand, a.room.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), home)
 	if len(headroom) == 0 {
 		return orders
 	}
 	// What lacks room now, here and at the peers, has been rented for and takes its
 	// share of what is coming.
-	hosts := append(a.room.ProvisioningHosts(now, true), plan.Remaining...)
-	sched.PlanRentals(plan.AllUnmet, hosts, nil, "")
+	hosts := append(a.room.ProvisioningHosts(now, true), plan.RemainingHosts...)
+	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{at: now, tasks: map[string]int{}}
 	for _, wanted := range headroom {
 		room := a.room.WithPreemptibleRoom(hosts, wanted.priority)
@@ -90,7 +90,7 @@
 		a.node.Log.Info("machines rented",
 			"request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "hosts", hosts)
 		for _, host := range hosts {
-			a.agents.Unregistered().NoteRented(host, shard.Machine{
+			a.agents.Unregistered().SetRented(host, shard.Machine{
 				MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: by.Shard,
 			})
 		}
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -84,7 +84,7 @@
 // trimCapacity leaves out of a shard's free room what does not fit its record beside what
 // teams use, and returns how many machines that are.
 func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string]sched.Resources, now time.Time) (left int) {
-	size := a.schema.MaxValueBytes() - quotaUseBytes*len(use)
+	size := a.schema.MaxGrowableBytes() - quotaUseBytes*len(use)
 	if free.FitsIn(size) {
 		return 0
 	}
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -29,7 +29,7 @@
 // need; nil if none is due. Placements write these records anyway, so this is done at
 // intervals. tasksWait says whether tasks of own jobs wait for room.
 func (a *Accounts) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
-	for _, name := range a.leadership.KnownShards() {
+	for _, name := range a.leadership.Shards() {
 		record := a.cache.Capacities[name].Record
 		led := a.leadership.InForce(name)
 		if led == nil || record == nil || !a.catalog.IsKnown() {
@@ -50,7 +50,7 @@
 		if len(update.shares) == 0 && lately && tasksWait() && stillOffered(update.free, record.Free) {
 			continue
 		}
-		led.NoteCapacityRecorded(now)
+		led.MarkCapacityRecorded(now)
 		return a.updateTransaction(name, update)
 	}
 	return nil
@@ -99,7 +99,7 @@
 		delete(update.shares, team)
 	}
 	t := statecache.NewTransaction()
-	a.leadership.Require(t, shardName)
+	a.leadership.RequireLeadership(t, shardName)
 	a.putCapacityRecord(t, shardName, update.free, update.use)
 	a.putQuotaShares(t, map[string]map[string]sched.Resources{shardName: update.shares})
 	return t
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -40,7 +40,7 @@
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (placements, the jobs' records, ended attempts) drops it.
 func (r *Room) LoadOf(host string) *statecache.MachineLoad {
-	load := r.cache.Load(host)
+	load := r.cache.CachedLoad(host)
 	if load != nil {
 		return load
 	}
@@ -70,7 +70,7 @@
 			load.RunningByPriority[priority] = load.RunningByPriority[priority].Add(need)
 		}
 	}
-	r.cache.KeepLoad(host, load)
+	r.cache.CacheLoad(host, load)
 	return load
 }
 
@@ -183,7 +183,7 @@
 			MachineType: machine.MachineType,
 			Zone:        machine.Zone,
 			Spot:        machine.Spot,
-			Cap:         size,
+			Capacity:    size,
 			Free:        size,
 		})
 	}
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -34,7 +34,7 @@
 					MachineType: machineType.Name,
 					Zone:        zone,
 					Spot:        spot,
-					Cap:         size,
+					Capacity:    size,
 					Price:       PriceOf(machineType, spot),
 				}
 				if refused, ok := c.backoffs[keyOf(&offer)]; !ok || now.After(refused.until) {
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -96,7 +96,7 @@
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
 		}
 	}
-	if s.nodes[0].state().Schema.Upgraded() {
+	if s.nodes[0].state().Schema.AllUpgraded() {
 		t.Error("upgraded with one of the version in production")
 	}
 }
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -34,19 +34,19 @@
 
 // page returns a machine's page to be changed, or false if the transaction takes no other page.
 func (e *pageEdits) page(host string) (page shard.Page, ok bool) {
-	if page, ok = e.pages[e.schema.PageFor(host)]; ok {
+	if page, ok = e.pages[e.schema.PageIDFor(host)]; ok {
 		return page, true
 	}
 	if len(e.pages) >= e.schema.MaxChanges() || e.bytes > e.maxBytes {
 		return nil, false
 	}
-	_, page = e.schema.OpenPage(e.transaction, host)
+	_, page = e.schema.EditPage(e.transaction, host)
 	return page, true
 }
 
 // keep has a machine's page written with the others.
 func (e *pageEdits) keep(host string, page shard.Page) {
-	id := e.schema.PageFor(host)
+	id := e.schema.PageIDFor(host)
 	if _, kept := e.pages[id]; !kept {
 		e.pages[id] = page
 		e.bytes += len(api.JSON(page))
--- a/internal/decisions/splits.go
+++ b/internal/decisions/splits.go
@@ -10,7 +10,7 @@
 // garbage. It reports whether there is more to split.
 func (l *Loop) splitRecords(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	if !state.Schema.Upgraded() {
+	if !state.Schema.AllUpgraded() {
 		l.guard.Unlock()
 		return false
 	}
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -188,11 +188,11 @@
 func zoneRecords() []golden {
 	return []golden{
 		{"zonehealth.Record", &zonehealth.Record{
-			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2,
-			SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
+			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, LastFailedMS: 2,
+			SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
 			Observations: map[string]zonehealth.Observation{"n0": {
-				Up: 1, Lost: 8, Unclear: 2, Refused: true,
-				Waiting: []zonehealth.Demand{
+				Healthy: 1, Lost: 8, Unclear: 2, RentalsRefused: true,
+				WaitingProduction: []zonehealth.Demand{
 					{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3},
 				},
 			}},
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -48,7 +48,7 @@
 		{"shard.QuotaRecord empty", &shard.QuotaRecord{Held: map[string]sched.Resources{}}},
 		{"zonehealth.Record healthy", &zonehealth.Record{State: zonehealth.Healthy, Transitions: 2, SinceMS: 3}},
 		{"zonehealth.Record empty", &zonehealth.Record{}},
-		{"zonehealth.Observation", &zonehealth.Observation{Up: 1}},
+		{"zonehealth.Observation", &zonehealth.Observation{Healthy: 1}},
 		{"zonehealth.Demand", &zonehealth.Demand{Need: sched.Resources{CPUs: 0.5, GPUs: 0, MemGB: 1.25}, Tasks: 1}},
 		{"peer.Request health", &peer.Request{Kind: peer.Request_KIND_HEALTH}},
 		{"peer.Request submit", &peer.Request{Kind: peer.Request_KIND_SUBMIT, From: "n0", Body: []byte("b")}},
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -13,7 +13,7 @@
 	state := l.guard.Lock()
 	decided := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.Send(ctx, decided.Fences)
+	l.commands.SendAll(ctx, decided.Fences)
 	if len(decided.Return) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 // them that were refused may be had again.
 func noteReturned(s *state.State, hosts []string) {
 	for _, host := range hosts {
-		s.Agents.NoteTerminated(host)
+		s.Agents.MarkTerminated(host)
 		if m := s.Cache.Machines[host]; m != nil {
 			s.Catalog.ClearBackoff(&sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot})
 		}
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -44,7 +44,7 @@
 }
 
 // NextStep returns the next step of a split, nil if there is nothing to split now. It may be called
-// only once all controllers read the records of a split job (see schema.State.Upgraded).
+// only once all controllers read the records of a split job (see schema.State.AllUpgraded).
 func (s *Splitter) NextStep() *Step {
 	j := s.nextJob()
 	if j == nil {
@@ -54,7 +54,7 @@
 	if !j.Record.Inline && step.RangeSize >= j.Record.RangeSize {
 		// A record would be too large even with the smallest task ranges: the job keeps its records
 		// until it is finished.
-		s.schema.WithdrawSplit(step.UID)
+		s.schema.CancelSplitRequest(step.UID)
 		return step
 	}
 	key := statecache.JobKey(step.UID)
