--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -44,7 +44,7 @@
 		{"shard.FreeCapacity", &shard.FreeCapacity{"i-2": {CPUs: 0.1, MemGB: 0.25}, "i-1": {CPUs: 1e6, GPUs: 8, MemGB: 1e-6}}},
 		{"shard.FreeCapacity empty", &shard.FreeCapacity{}},
 		{"shard.Machine on demand", &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}},
-		{"shard.Page empty", &shard.Page{}},
+		{"shard.Page empty", &shard.MachinePage{}},
 		{"shard.QuotaRecord empty", &shard.QuotaRecord{Held: map[string]sched.Resources{}}},
 		{"zonehealth.Record healthy", &zonehealth.Record{State: zonehealth.Healthy, Transitions: 2, SinceMS: 3}},
 		{"zonehealth.Record empty", &zonehealth.Record{}},
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -124,10 +124,10 @@
 	return g == nil || !g.Stopping && !g.Ended && !g.Done
 }
 
-// BeginAttempt returns the attempt number for new placements of a gang that has the given number
-// of placed tasks. If the current attempt has ended or has no placements, BeginAttempt starts a
+// EnsureAttempt returns the attempt number for new placements of a gang that has the given number
+// of placed tasks. If the current attempt has ended or has no placements, EnsureAttempt starts a
 // new one with a higher number than any earlier attempt.
-func (g *Gang) BeginAttempt(placed int) uint64 {
+func (g *Gang) EnsureAttempt(placed int) uint64 {
 	if g.Ended || placed == 0 {
 		*g = Gang{Attempt: g.Attempt + 1, ErrorStreak: g.ErrorStreak, FailureStreak: g.FailureStreak}
 	}
@@ -142,11 +142,11 @@
 	}
 }
 
-// TaskEnded updates the state after a task of the given attempt ended and its placement was
+// RecordTaskEnd updates the state after a task of the given attempt ended and its placement was
 // removed. gathering reports whether the attempt is certainly still waiting for all its tasks to
 // start, with enough time left to replace one. The end of a task of an earlier attempt changes
 // nothing.
-func (g *Gang) TaskEnded(attempt uint64, reason ExitReason, gathering bool) {
+func (g *Gang) RecordTaskEnd(attempt uint64, reason ExitReason, gathering bool) {
 	switch {
 	case g.Done || attempt != g.Attempt:
 	case reason == ExitDone:
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -29,7 +29,7 @@
 		t.Skip("the task is placed already")
 	}
 	firstPlacement := len(m.placed) == 0
-	attempt := m.gang.BeginAttempt(len(m.placed))
+	attempt := m.gang.EnsureAttempt(len(m.placed))
 	if firstPlacement && attempt <= m.lastAttempt || !firstPlacement && attempt != m.lastAttempt {
 		t.Fatalf("placement under attempt %d after attempt %d; want a higher number: %t (else the same)",
 			attempt, m.lastAttempt, firstPlacement)
@@ -56,7 +56,7 @@
 	gathering := rapid.Bool().Draw(t, "gathering")
 	before := *m.gang
 	delete(m.placed, task)
-	m.gang.TaskEnded(attempt, reason, gathering)
+	m.gang.RecordTaskEnd(attempt, reason, gathering)
 	checkTaskEnded(t, &before, m.gang, reason, gathering)
 }
 
@@ -82,7 +82,7 @@
 		t.Skip("there is no earlier attempt, or the gang is done")
 	}
 	before := *m.gang
-	if m.gang.TaskEnded(m.lastAttempt-1, ExitDone, true); *m.gang != before {
+	if m.gang.RecordTaskEnd(m.lastAttempt-1, ExitDone, true); *m.gang != before {
 		t.Fatalf("state after a task of an earlier attempt ended: %+v, want it unchanged: %+v", *m.gang, before)
 	}
 }
--- a/internal/job/task_range.go
+++ b/internal/job/task_range.go
@@ -12,7 +12,7 @@
 // methods that only read accept it.
 type TaskRange struct {
 	LastAttempt uint64             `json:"c,omitempty"` // the highest attempt number assigned in this range
-	Errors      int                `json:"e,omitempty"` // consecutive failures of tasks of this range
+	ErrorStreak int                `json:"e,omitempty"` // consecutive failures of tasks of this range
 	DoneBits    string             `json:"d,omitempty"` // bitmap of the done tasks in base64
 	Placements  map[int]*Placement `json:"p,omitempty"` // by task, placements of the unfinished tasks that are or may be on a machine
 }
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -112,7 +112,7 @@
 		record.Gang = &job.Gang{}
 	}
 	previousAttempt := record.Gang.Attempt
-	t.attempt = record.Gang.BeginAttempt(t.placedBefore)
+	t.attempt = record.Gang.EnsureAttempt(t.placedBefore)
 	if t.attempt != previousAttempt {
 		record.Zone = ""
 	}
--- a/internal/shard/node_record.go
+++ b/internal/shard/node_record.go
@@ -7,7 +7,7 @@
 	Incarnation        uint64   `json:"inc"`         // identifies one run of the controller's process
 	Term               uint64   `json:"term"`        // always 0; the record once had the format of LeaderRecord
 	WorkersUnreachable bool     `json:"m,omitempty"` // workers can't reach the controller
-	HearsWorkers       bool     `json:"h,omitempty"` // at least one worker reaches the controller
+	HasWorkerContact   bool     `json:"h,omitempty"` // at least one worker reaches the controller
 	SchemaVersion      int      `json:"v,omitempty"` // the newest record formats that the controller reads
 	Features           []string `json:"f,omitempty"` // names of the enabled features
 }
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -44,10 +44,10 @@
 	RegisteredMS int64  `json:"at"`          // when the machine was registered, Unix time in milliseconds
 }
 
-// Page is the record of the machines whose names differ only in their last characters, by name.
+// MachinePage is the record of the machines whose names differ only in their last characters, by name.
 // Machines come in groups with consecutive names, so that a group is recorded with few
 // writes.
-type Page map[string]*Machine
+type MachinePage map[string]*Machine
 
 // QuotaRecord is the record of a team's quota: the share of its limit that each shard may use. The
 // resources that the team's tasks use in a shard are in the shard's CapacityRecord, which changes
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -6,14 +6,14 @@
 	"violetturn/internal/statecache"
 )
 
-// GarbageIsDue reports whether garbage is to be collected: a quarter of a worker lease after the
+// IsGarbageCollectionDue reports whether garbage is to be collected: a quarter of a worker lease after the
 // last collection. Nothing waits for a collection, so it need not run more often.
-func (s *Splitter) GarbageIsDue(now time.Time) bool {
+func (s *Splitter) IsGarbageCollectionDue(now time.Time) bool {
 	return now.Sub(s.lastGarbageCollection) >= s.node.Settings.WorkerLease()/4
 }
 
-// NoteGarbageCollected records that garbage was collected, in a run that started at the given time.
-func (s *Splitter) NoteGarbageCollected(startedAt time.Time) { s.lastGarbageCollection = startedAt }
+// RecordGarbageCollection records that garbage was collected, in a run that started at the given time.
+func (s *Splitter) RecordGarbageCollection(startedAt time.Time) { s.lastGarbageCollection = startedAt }
 
 // GarbageTransaction returns a transaction that deletes unused records of task ranges, as many as fit
 // into it, or nil if there are none. A record is unused if its job is finished, has a later
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -194,15 +194,15 @@
 // Garbage is collected at intervals of a quarter of a worker lease.
 func TestGarbageCollection_DueEveryQuarterLease(t *testing.T) {
 	f := newFixture(t)
-	if !f.GarbageIsDue(f.now) {
+	if !f.IsGarbageCollectionDue(f.now) {
 		t.Error("garbage collection is not due although there was none before")
 	}
-	f.NoteGarbageCollected(f.now)
+	f.RecordGarbageCollection(f.now)
 	quarter := f.node.Settings.WorkerLease() / 4
-	if f.GarbageIsDue(f.now.Add(quarter - 1)) {
+	if f.IsGarbageCollectionDue(f.now.Add(quarter - 1)) {
 		t.Error("garbage collection is due before a quarter of a lease has passed")
 	}
-	if !f.GarbageIsDue(f.now.Add(quarter)) {
+	if !f.IsGarbageCollectionDue(f.now.Add(quarter)) {
 		t.Error("garbage collection is not due after a quarter of a lease")
 	}
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, member := range z.node.Settings.Members {
-		if record := z.cache.Nodes[member.HostName].Record; member.Zone != zone && record != nil && record.HearsWorkers {
+		if record := z.cache.Nodes[member.HostName].Record; member.Zone != zone && record != nil && record.HasWorkerContact {
 			return true
 		}
 	}
