--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -53,7 +53,8 @@
 	}
 	s.runRound()
 	other.controller.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old leader's key
-	if s.leaderOf("n0") != successor || other.state().Leadership.Lookup("n0") != nil || c.testState().Leadership.Lookup("n1").Term != before {
+	if s.leaderOf("n0") != successor || other.state().Leadership.Lookup("n0") != nil ||
+		c.testState().Leadership.Lookup("n1").Term != before {
 		t.Fatal("the shard changed its leader")
 	}
 }
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -43,7 +43,8 @@
 	s.runUntil(t, 4, "all three share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 3 })
 	s.nodes[1].running, s.nodes[2].running = false, false
 	s.runUntil(t, 20, "alone", func() bool {
-		return c.testState().Leadership.Rates().ControllerCount() == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
+		return c.testState().Leadership.Rates().ControllerCount() == 1 &&
+			c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.startNode(2)
 	s.runUntil(t, 20, "two share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 2 })
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -38,7 +38,8 @@
 			}
 		}
 		if zone.SlowStartShare < 1 && zone.UsedMachines > zone.SlowStartShare*zone.MachinesBefore+1e-6 {
-			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.UsedMachines, zone.MachinesBefore, zone.SlowStartShare)
+			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.UsedMachines, zone.MachinesBefore,
+				zone.SlowStartShare)
 		}
 	})
 }
--- a/internal/sched/preempt_test.go
+++ b/internal/sched/preempt_test.go
@@ -17,7 +17,10 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
 			victims = append(
 				victims,
-				Victim{Task: fmt.Sprint(i), FreedResources: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
+				Victim{
+					Task: fmt.Sprint(i), FreedResources: drawResources(t, "room", 6),
+					Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost")),
+				},
 			)
 			freeWithoutAny = freeWithoutAny.Add(victims[i].FreedResources)
 		}
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -80,7 +80,10 @@
 
 // orderMachine adds a machine of an offer to the orders and returns it.
 func (p *rentPlan) orderMachine(offer *Offer) *Host {
-	h := &Host{Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Capacity: offer.Capacity, Free: offer.Capacity}
+	h := &Host{
+		Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Capacity: offer.Capacity,
+		Free: offer.Capacity,
+	}
 	p.hosts = append(p.hosts, h)
 	index := slices.IndexFunc(p.orders, func(order RentalOrder) bool { return order.Offer == *offer })
 	if index < 0 {
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -92,7 +92,8 @@
 func (p *planner) reclaimCapacityFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
 	if !job.entry.ledLocally {
-		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
+		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand,
+			sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
 		return
 	}
 	isGang := p.gangSearches[job] != nil
