--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,28 +15,28 @@
 	"violetturn/internal/zonestate"
 )
 
-// Autoscaler decides what to rent and what to return, and remembers between rounds when it last
-// looked. The lock of internal/state guards it.
+// Autoscaler decides which machines to rent and which to return. It records when its periodic
+// checks last ran. The lock of internal/state guards it.
 type Autoscaler struct {
-	node       *node.Info
-	cache      *statecache.Cache
-	leadership *leadership.Table
-	catalog    *catalog.Catalog
-	agents     *agent.Registry
-	commands   *agent.DirectCommands
-	room       *capacity.Room
-	estimates  *estimate.Estimates
-	zones      *zonestate.Zones
-	accounts   *capacity.Accounts
-	scheduler  *scheduler.Scheduler
-	wake       notify.Signal
+	node         *node.Info
+	cache        *statecache.Cache
+	leadership   *leadership.Table
+	catalog      *catalog.Catalog
+	agents       *agent.Registry
+	commands     *agent.DirectCommands
+	freeCapacity *capacity.Room
+	estimates    *estimate.Estimates
+	zones        *zonestate.Zones
+	accounts     *capacity.Accounts
+	scheduler    *scheduler.Scheduler
+	wake         notify.Signal
 
-	sufficient sufficientHeadroom
-	reviewedAt time.Time // when machines were last reviewed for scale-in
-	migratedAt time.Time // when replicas were last migrated to save a machine
+	lastSufficient sufficientHeadroom
+	reviewedAt     time.Time // when machines were last reviewed for scale-in
+	migratedAt     time.Time // when a machine was last cordoned to migrate its replicas
 }
 
-// Deps is what an autoscaler reads.
+// Deps are the dependencies of an Autoscaler.
 type Deps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -52,29 +52,30 @@
 	Wake       notify.Signal
 }
 
-// New returns an autoscaler that has not looked yet.
+// New returns an autoscaler that has not run any check.
 func New(d Deps) *Autoscaler {
 	return &Autoscaler{
-		node:       d.Node,
-		cache:      d.Cache,
-		leadership: d.Leadership,
-		catalog:    d.Catalog,
-		agents:     d.Agents,
-		commands:   d.Commands,
-		room:       d.Room,
-		estimates:  d.Estimates,
-		zones:      d.Zones,
-		accounts:   d.Capacity,
-		scheduler:  d.Scheduler,
-		wake:       d.Wake,
+		node:         d.Node,
+		cache:        d.Cache,
+		leadership:   d.Leadership,
+		catalog:      d.Catalog,
+		agents:       d.Agents,
+		commands:     d.Commands,
+		freeCapacity: d.Room,
+		estimates:    d.Estimates,
+		zones:        d.Zones,
+		accounts:     d.Capacity,
+		scheduler:    d.Scheduler,
+		wake:         d.Wake,
 	}
 }
 
-// shareOfBoot is the share of a boot for which expensive looks may be put off.
-const shareOfBoot = 16
+// checksPerBoot divides the shortest boot time into the minimum interval between two expensive
+// checks.
+const checksPerBoot = 16
 
-// isLookDue reports whether a look that may wait a little, compared with the time that a machine
-// takes to boot, is due again.
-func (a *Autoscaler) isLookDue(last, now time.Time) bool {
-	return now.Sub(last) >= a.catalog.ShortestBoot()/shareOfBoot
+// isCheckDue reports whether a periodic check is due again. A check may be delayed by a time that
+// is short compared with the boot time of a machine.
+func (a *Autoscaler) isCheckDue(lastCheck, now time.Time) bool {
+	return now.Sub(lastCheck) >= a.catalog.ShortestBoot()/checksPerBoot
 }
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,6 +1,6 @@
-// Package autoscaler decides how many machines are to be rented for what lacks room and for
-// headroom, and which machines are to be returned. It does no I/O; internal/scaling calls the
-// cloud. A machine is returned only once it is cordoned, holds no placement and is offered to
-// no peer, or once both the cloud's lists and its worker's silence say that it is terminated. The
-// lock of internal/state guards it.
+// Package autoscaler decides how many machines to rent, for tasks that lack capacity and for
+// headroom, and which machines to return. It does no I/O; internal/scaling calls the cloud. A
+// machine is returned only if it is cordoned, holds no placement and is not offered to peers, or if
+// it is missing from the cloud's lists and its worker sends no heartbeats, so that it counts as
+// terminated. The lock of internal/state guards it.
 package autoscaler
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -13,52 +13,55 @@
 	"violetturn/internal/zonestate"
 )
 
-// HeadroomRequest is room to be kept for a class of jobs, by zone if they are spread, and the
-// priority of the work that it is kept for.
+// HeadroomRequest is the capacity to keep free for one class of jobs, divided by zone if its jobs
+// are spread over zones, with the priority of those jobs.
 type HeadroomRequest struct {
 	class    string
 	priority int
-	requests []sched.UnmetDemand
+	demands  []sched.UnmetDemand
 }
 
-// tasks counts the tasks that room is kept for.
-func (h *HeadroomRequest) tasks() int {
+// taskCount returns the number of tasks to keep capacity for.
+func (h *HeadroomRequest) taskCount() int {
 	count := 0
-	for i := range h.requests {
-		count += h.requests[i].Count
+	for i := range h.demands {
+		count += h.demands[i].Count
 	}
 	return count
 }
 
-// classDemand is what came lately of a class of jobs.
+// classDemand describes the recent arrivals of one class of jobs.
 type classDemand struct {
-	class        string
-	arrivals     []capacity.Arrival // all that are remembered, the oldest first
-	newest       *api.Job           // nil: none came lately
-	sumOfSquares float64            // of the numbers of tasks of those that came lately
+	class             string
+	arrivals          []capacity.Arrival // all recorded arrivals, oldest first
+	newestSpec        *api.Job           // of the newest recent arrival; nil: no recent arrival
+	sumOfSquaredTasks float64            // of the task counts of recent arrivals
 }
 
-// newClassDemand sums up what came of a class in the last few boots.
+// newClassDemand summarizes the arrivals of a class during the last capacity.ArrivalWindows boot
+// times.
 func newClassDemand(class string, arrivals []capacity.Arrival, boot time.Duration, now time.Time) classDemand {
 	demand := classDemand{class: class, arrivals: arrivals}
 	for _, arrival := range arrivals {
 		if now.Sub(arrival.At) < capacity.ArrivalWindows*boot {
-			demand.sumOfSquares += arrival.Tasks * arrival.Tasks
-			demand.newest = arrival.Spec
+			demand.sumOfSquaredTasks += arrival.Tasks * arrival.Tasks
+			demand.newestSpec = arrival.Spec
 		}
 	}
 	return demand
 }
 
-// fluctuation returns by how many tasks what comes during a boot fluctuates.
-func (d *classDemand) fluctuation() float64 {
-	return math.Sqrt(d.sumOfSquares / capacity.ArrivalWindows)
+// deviation estimates the standard deviation of the number of tasks that arrive during one boot
+// time.
+func (d *classDemand) deviation() float64 {
+	return math.Sqrt(d.sumOfSquaredTasks / capacity.ArrivalWindows)
 }
 
-// headroom returns which tasks to keep room for that have not come yet: of classes
-// whose jobs can't wait for a machine to boot, as many as arrivals fluctuate by
-// while one does. What ends in that time makes room for the average.
-func (a *Autoscaler) headroom(now time.Time) []HeadroomRequest {
+// headroomRequests returns the capacity to keep free for tasks that have not arrived yet. Classes
+// whose jobs cannot wait for a machine to boot get capacity for the deviation of arrivals during
+// one boot time. No capacity is kept for the average number of arrivals, because tasks that end in
+// the same time free it.
+func (a *Autoscaler) headroomRequests(now time.Time) []HeadroomRequest {
 	boot := a.catalog.ShortestBoot()
 	if boot == 0 {
 		return nil
@@ -67,23 +70,24 @@
 	var requests []HeadroomRequest
 	for class, arrivals := range a.accounts.Arrivals().ByClass() {
 		demand := newClassDemand(class, arrivals, boot, now)
-		if demand.newest == nil {
+		if demand.newestSpec == nil {
 			continue
 		}
-		keep := a.policyHeadroom(&demand, boot)
-		if keep == 0 {
+		policyTasks := a.policyHeadroom(&demand, boot)
+		if policyTasks == 0 {
 			continue
 		}
-		tasks := int(math.Ceil(max(keep, a.growth(&demand, boot, now))))
-		allowed := a.zones.AdmissionOfSpec(demand.newest, admission)
-		requests = append(requests, a.newHeadroomRequest(class, demand.newest, tasks, allowed))
+		tasks := int(math.Ceil(max(policyTasks, a.expectedGrowth(&demand, boot, now))))
+		jobAdmission := a.zones.AdmissionOfSpec(demand.newestSpec, admission)
+		requests = append(requests, a.newHeadroomRequest(class, demand.newestSpec, tasks, jobAdmission))
 	}
 	return requests
 }
 
-// policyHeadroom returns for how many tasks of a class the policy keeps room; 0 for none.
+// policyHeadroom returns the number of tasks of a class that the policy keeps capacity for; 0 for
+// none.
 func (a *Autoscaler) policyHeadroom(demand *classDemand, boot time.Duration) float64 {
-	spec := demand.newest
+	spec := demand.newestSpec
 	priority := spec.Priority.Level()
 	slack := min(a.estimates.WaitingSlack(demand.class, spec, a.catalog.FetchSeconds(spec)), estimate.UnlimitedSeconds)
 	variables := config.JobVariables{
@@ -96,64 +100,66 @@
 		GPUs:     spec.GPUs,
 		CPUs:     spec.CPUs,
 	}
-	return a.node.Policy.Headroom(variables, demand.fluctuation(), boot.Seconds(), slack)
+	return a.node.Policy.Headroom(variables, demand.deviation(), boot.Seconds(), slack)
 }
 
-// newHeadroomRequest asks for room for tasks like those of a job, but not in a zone that is closed
-// to work below production (allowed, nil if none is). Each zone takes its share of a spread job.
-func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, allowed *zonestate.JobAdmission) HeadroomRequest {
+// newHeadroomRequest requests capacity for a number of tasks like those of a job, except in zones
+// that are closed to jobs below production priority; admission is nil if no zone is. For a job that
+// is spread over zones, the tasks are divided equally among the zones.
+func (a *Autoscaler) newHeadroomRequest(class string, spec *api.Job, tasks int, admission *zonestate.JobAdmission) HeadroomRequest {
 	priority := spec.Priority.Level()
 	headroom := HeadroomRequest{class: class, priority: priority}
-	request := statecache.TaskRequestOf(spec)
-	if allowed != nil {
-		request.ZoneAllowed = allowed.Admits
+	taskRequest := statecache.TaskRequestOf(spec)
+	if admission != nil {
+		taskRequest.ZoneAllowed = admission.Admits
 	}
 	if !spec.Spread {
-		headroom.requests = []sched.UnmetDemand{{Request: request, Count: tasks}}
+		headroom.demands = []sched.UnmetDemand{{Request: taskRequest, Count: tasks}}
 		return headroom
 	}
 	zones := a.node.Settings.Facts.Zones
 	for _, zone := range zones {
-		if request.Zone == "" || request.Zone == zone {
-			inZone := request
-			inZone.Zone = zone
-			share := (tasks + len(zones) - 1) / len(zones)
-			headroom.requests = append(headroom.requests, sched.UnmetDemand{Request: inZone, Count: share})
+		if taskRequest.Zone == "" || taskRequest.Zone == zone {
+			zoneRequest := taskRequest
+			zoneRequest.Zone = zone
+			tasksPerZone := (tasks + len(zones) - 1) / len(zones)
+			headroom.demands = append(headroom.demands, sched.UnmetDemand{Request: zoneRequest, Count: tasksPerZone})
 		}
 	}
 	return headroom
 }
 
-// minJobsForRate is from how many jobs on their rate says something.
+// minJobsForRate is the minimum number of jobs from which an arrival rate is computed.
 const minJobsForRate = 8
 
-// growth returns by how many tasks a class's arrays will outgrow the room that their running
-// tasks leave while a machine boots: at the start of a day, or when more come
-// than before, whoever waits for them to find no room rents a boot too late. The
-// rate is that of the newer half of what was seen, so that what came at once in
-// the beginning does not count.
-func (a *Autoscaler) growth(demand *classDemand, boot time.Duration, now time.Time) float64 {
+// expectedGrowth returns by how many tasks the array jobs of a class are expected to exceed, during
+// one boot time, the capacity that their running tasks free. At the start of a day, or when the
+// arrival rate rises, renting only once tasks fail to fit would be one boot time too late. The rate
+// is that of the newer half of the observed period, so that a burst at its beginning does not
+// count.
+func (a *Autoscaler) expectedGrowth(demand *classDemand, boot time.Duration, now time.Time) float64 {
 	arrivals := demand.arrivals
 	if len(arrivals) == 0 || arrivals[len(arrivals)-1].Spec.Kind != api.Array {
 		return 0
 	}
-	half := min(now.Sub(arrivals[0].At), capacity.ArrivalWindows*boot) / 2
+	window := min(now.Sub(arrivals[0].At), capacity.ArrivalWindows*boot) / 2
 	jobs, tasks := 0, 0.0
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) < half {
+		if now.Sub(arrival.At) < window {
 			jobs++
 			tasks += arrival.Tasks
 		}
 	}
-	if jobs < minJobsForRate || half < boot/8 {
+	if jobs < minJobsForRate || window < boot/8 {
 		return 0
 	}
-	expected := tasks / half.Seconds() * boot.Seconds()
-	return max(expected-float64(a.countEnding(demand.class, boot, now)), 0)
+	expectedTasks := tasks / window.Seconds() * boot.Seconds()
+	return max(expectedTasks-float64(a.countEndingTasks(demand.class, boot, now)), 0)
 }
 
-// countEnding counts the running tasks of a class that are expected to end while a machine boots.
-func (a *Autoscaler) countEnding(class string, boot time.Duration, now time.Time) int {
+// countEndingTasks counts the running tasks of a class that are expected to end within one boot
+// time.
+func (a *Autoscaler) countEndingTasks(class string, boot time.Duration, now time.Time) int {
 	ending := 0
 	for _, tasks := range a.cache.Placements {
 		for _, task := range tasks {
@@ -161,8 +167,8 @@
 			if job == nil || job.Record.Spec.Class != class {
 				continue
 			}
-			ran := now.Sub(time.UnixMilli(job.PlacedAtMS(task)))
-			if (ran + boot).Seconds() > a.estimates.EstimatedRuntime(&job.Record.Spec) {
+			elapsed := now.Sub(time.UnixMilli(job.PlacedAtMS(task)))
+			if (elapsed + boot).Seconds() > a.estimates.EstimatedRuntime(&job.Record.Spec) {
 				ending++
 			}
 		}
@@ -170,14 +176,15 @@
 	return ending
 }
 
-// headroomMachines returns the idle machines that belong to the headroom: what is to be
-// kept room for takes them after it has filled the others. It uses up the machines' room.
+// headroomMachines returns the idle machines that the headroom needs: those that its tasks would be
+// assigned to after the capacity of machines in use is exhausted. It subtracts the capacity that it
+// assigns from the hosts.
 func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
 	machines := map[string]bool{}
-	for _, headroom := range a.headroom(now) {
-		room := a.room.WithPreemptibleRoom(hosts, headroom.priority)
-		for _, demand := range headroom.requests {
-			ranking := sched.NewRanking(nil, room, &demand.Request)
+	for _, headroom := range a.headroomRequests(now) {
+		candidates := a.freeCapacity.WithPreemptibleRoom(hosts, headroom.priority)
+		for _, demand := range headroom.demands {
+			ranking := sched.NewRanking(nil, candidates, &demand.Request)
 			for range demand.Count {
 				host := ranking.Best(nil)
 				if host == nil {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -8,43 +8,45 @@
 	"violetturn/internal/cloud"
 )
 
-// ScaleIn is what a round of scaling in decided.
+// ScaleIn is the result of one scale-in decision.
 type ScaleIn struct {
-	Return []string               // machines to be returned to the cloud, by name
-	Fences []*agent.DirectCommand // to machines whose workers have not heard of this leader
+	Return []string               // names of the machines to return to the cloud
+	Fences []*agent.DirectCommand // to workers that have not shown this leader's term yet
 }
 
-// missesUntilTerminated is from how many of the cloud's lists in a row a machine has to be
-// missing until it counts as terminated.
+// missesUntilTerminated is the number of the cloud's consecutive lists without a machine after
+// which it counts as terminated.
 const missesUntilTerminated = 2
 
-// ScaleIn returns the machines of own shards that are to be returned. On the way it fences
-// those that have not heard of this leader, and reviews which are to be cordoned.
+// ScaleIn returns the machines of the shards that this controller leads that are to be returned. It
+// also prepares fence commands to workers that have not shown this leader's term, and reviews which
+// machines to cordon.
 func (a *Autoscaler) ScaleIn(now time.Time) ScaleIn {
-	var decided ScaleIn
+	var decision ScaleIn
 	if !a.leadership.MayAct(now) {
-		return decided
+		return decision
 	}
-	var review *ScaleInReview // nil: it may wait
-	if a.isLookDue(a.reviewedAt, now) {
+	var review *ScaleInReview // nil: the review is not due
+	if a.isCheckDue(a.reviewedAt, now) {
 		a.reviewedAt = now
 		review = a.NewReview(now)
 	}
 	for host, machine := range a.cache.Machines {
-		led := a.leadership.InForce(machine.Shard)
+		shardLeadership := a.leadership.InForce(machine.Shard)
 		record := a.cache.Capacities[machine.Shard].Record
-		if led == nil || record == nil {
+		if shardLeadership == nil || record == nil {
 			continue
 		}
-		worker := a.agents.Ensure(host, led)
+		worker := a.agents.Ensure(host, shardLeadership)
 		if worker.Terminated {
 			continue
 		}
-		// One that boots hears nothing and hangs the connection; all are fenced
-		// once when the shard is acquired, for the list is late.
+		// A starting machine answers nothing and a command to it blocks its connection, so it is
+		// not fenced. Every worker is fenced once when the shard is acquired, because the list
+		// lags.
 		if !worker.Fenced() && !a.agents.Listing().IsStarting(host) {
 			if command := a.commands.Fence(host); command != nil {
-				decided.Fences = append(decided.Fences, command)
+				decision.Fences = append(decision.Fences, command)
 			}
 		}
 		if review != nil {
@@ -52,17 +54,17 @@
 		}
 		_, offered := record.Free[host]
 		if a.isToReturn(host, worker, offered, now) {
-			decided.Return = append(decided.Return, host)
+			decision.Return = append(decision.Return, host)
 		}
 	}
-	slices.Sort(decided.Return)
-	decided.Return = decided.Return[:min(len(decided.Return), cloud.MaxReturn)]
-	return decided
+	slices.Sort(decision.Return)
+	decision.Return = decision.Return[:min(len(decision.Return), cloud.MaxReturn)]
+	return decision
 }
 
-// isToReturn reports whether a machine is to be returned: a cordoned one that holds no task and
-// that no peer can place on, or one that the cloud's lists show as terminated, which the return
-// proves.
+// isToReturn reports whether a machine is to be returned: either it is cordoned, holds no task and
+// no peer can place a task on it, or the cloud's lists lack it and its worker sends no heartbeats.
+// In the second case a successful return proves that the machine is terminated.
 func (a *Autoscaler) isToReturn(host string, worker *agent.Agent, offered bool, now time.Time) bool {
 	silent := now.Sub(worker.LastSeen) > 2*a.node.Settings.HeartbeatInterval()
 	if worker.MissingFromLists >= missesUntilTerminated && silent {
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -13,24 +13,24 @@
 	"violetturn/internal/statecache"
 )
 
-// ScaleInReview is a round of reviewing which machines are to be cordoned. What is idle or
-// underused is judged against a plan of all machines, the most expensive computation of a
-// controller: it is made once, if one of the machines asks for it.
+// ScaleInReview is one run of the check which machines to cordon. Idle and underused machines are
+// evaluated against a plan of all machines, which is the most expensive computation of a
+// controller. The plan is therefore made at most once, and only if a machine requires it.
 type ScaleInReview struct {
-	autoscaler   *Autoscaler
-	now          time.Time
-	hosts        []*sched.Host            // with the room that is left after what is to be placed
-	replicaHosts map[string][]*sched.Host // by zone, those of them with replicas
-	headroom     map[string]bool          // idle ones that the headroom needs
-	reserved     map[string]bool          // those that wait for the rest of a gang's room
+	autoscaler         *Autoscaler
+	now                time.Time
+	remainingHosts     []*sched.Host            // with the capacity that remains after a plan; nil: not planned yet
+	replicaHostsByZone map[string][]*sched.Host // remainingHosts with service replicas, by zone
+	headroomHosts      map[string]bool          // idle machines that the headroom needs
+	reservedHosts      map[string]bool          // machines reserved until a gang has all of its capacity
 }
 
-// NewReview begins a round.
+// NewReview returns a review that has evaluated no machine.
 func (a *Autoscaler) NewReview(now time.Time) *ScaleInReview {
 	return &ScaleInReview{autoscaler: a, now: now}
 }
 
-// Consider decides whether a machine is to be cordoned, so that it is returned once it is empty.
+// Consider evaluates one machine and cordons it if it is to be returned once it is empty.
 func (r *ScaleInReview) Consider(host string, machine *shard.Machine, worker *agent.Agent) {
 	_, machineType := r.autoscaler.catalog.MachineCapacity(machine.MachineType)
 	if machineType == nil || worker.Cordoned {
@@ -38,64 +38,66 @@
 	}
 	switch {
 	case !worker.Fenced():
-		r.considerUnheard(host, machine, machineType, worker)
+		r.evaluateUnfenced(host, machine, machineType, worker)
 	case worker.LeaseExpired:
-		r.considerSilent(host, worker)
+		r.evaluateExpired(host, worker)
 	case r.isBusy(host, worker):
-		r.considerBusy(host, bootOf(machineType), worker)
+		r.evaluateBusy(host, bootDuration(machineType), worker)
 	default:
-		r.considerIdle(host, machine, machineType, worker)
+		r.evaluateIdle(host, machine, machineType, worker)
 	}
 }
 
-func bootOf(machineType *cloud.MachineType) time.Duration {
+func bootDuration(machineType *cloud.MachineType) time.Duration {
 	return time.Duration(machineType.BootS * float64(time.Second))
 }
 
-// cordon keeps new tasks from a machine.
-func (r *ScaleInReview) cordon(host string, worker *agent.Agent, why string) {
+// cordon excludes a machine from new placements.
+func (r *ScaleInReview) cordon(host string, worker *agent.Agent, reason string) {
 	worker.Cordoned = true
-	r.autoscaler.node.Log.Info("machine cordoned", "host", host, "why", why)
+	r.autoscaler.node.Log.Info("machine cordoned", "host", host, "why", reason)
 	r.autoscaler.wake.Notify()
 }
 
-// considerUnheard cordons a machine whose worker was never heard under this leader. It has had
-// time to boot, and since this leader acquired the shard time to answer a fence: what an earlier
-// leader waited says nothing of a machine that came up under it, but one that was lost under it
-// must not be given the time of a whole boot once more.
-func (r *ScaleInReview) considerUnheard(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
+// evaluateUnfenced cordons a machine whose worker has sent no heartbeat under this term, although
+// the machine had time to boot and this leader has led its shard for long enough to receive a
+// response to a fence. The time under an earlier leader does not suffice, because the machine may
+// have been running under it. The boot time counts from registration, so that a machine lost under
+// an earlier leader is not given another whole boot.
+func (r *ScaleInReview) evaluateUnfenced(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
 	settings := r.autoscaler.node.Settings
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
-	led := r.now.Sub(worker.CreatedAt)
-	if age > 4*bootOf(machineType)+settings.WorkerLease() && led > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
+	termAge := r.now.Sub(worker.CreatedAt)
+	if age > 4*bootDuration(machineType)+settings.WorkerLease() && termAge > 2*settings.WorkerLeaseBound() {
+		r.cordon(host, worker, "never started, or no heartbeat since before the shard was acquired")
 	}
 }
 
-// considerSilent cordons a machine whose worker's lease has expired long ago. One that is just up
-// may be fenced before its first heartbeat was ever answered: it counts from the fence.
-func (r *ScaleInReview) considerSilent(host string, worker *agent.Agent) {
-	patience := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
-	if r.now.Sub(worker.LastAnswered) > patience && r.now.Sub(worker.LastSeen) > patience {
-		r.cordon(host, worker, "silent for long")
+// evaluateExpired cordons a machine whose worker lease expired long ago. A worker that has just
+// started may be fenced before any of its heartbeats was answered; its time then counts from the
+// response to the fence, which sets LastSeen.
+func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
+	silenceLimit := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
+	if r.now.Sub(worker.LastAnswered) > silenceLimit && r.now.Sub(worker.LastSeen) > silenceLimit {
+		r.cordon(host, worker, "no heartbeat for twice the worker lease bound")
 	}
 }
 
-// isBusy reports whether a machine has tasks that have not ended, by what is placed there or by
-// its worker's heartbeat.
+// isBusy reports whether a machine has unfinished tasks, by its placements or by its worker's
+// heartbeat.
 func (r *ScaleInReview) isBusy(host string, worker *agent.Agent) bool {
-	if r.autoscaler.room.UnfinishedTasks(host) > 0 {
+	if r.autoscaler.freeCapacity.UnfinishedTasks(host) > 0 {
 		return true
 	}
-	running := func(task api.TaskState) bool { return task.Phase != api.TaskEnded }
-	return worker.Heartbeat != nil && slices.ContainsFunc(worker.Heartbeat.Tasks, running)
+	isUnfinished := func(task api.TaskState) bool { return task.Phase != api.TaskEnded }
+	return worker.Heartbeat != nil && slices.ContainsFunc(worker.Heartbeat.Tasks, isUnfinished)
 }
 
-// considerBusy cordons a machine with nothing but a few replicas once they have fit elsewhere for
-// a while, one machine in the time of a boot.
-func (r *ScaleInReview) considerBusy(host string, boot time.Duration, worker *agent.Agent) {
+// evaluateBusy cordons a machine that holds only a few service replicas, once those have fit on
+// other machines for two boot times. At most one machine is cordoned this way per boot time.
+func (r *ScaleInReview) evaluateBusy(host string, boot time.Duration, worker *agent.Agent) {
 	worker.IdleSince = time.Time{}
-	if !r.canMigrate(host, boot) {
+	if !r.canMigrateReplicas(host, boot) {
 		worker.UnderusedSince = time.Time{}
 		return
 	}
@@ -109,10 +111,10 @@
 	}
 }
 
-// considerIdle cordons a machine that has been idle for as long as the policy keeps it, unless the
-// headroom or a gang needs it. In a zone that is down or recovering it is idle because room is
-// kept, or work held back, that will want it soon.
-func (r *ScaleInReview) considerIdle(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
+// evaluateIdle cordons a machine that has been idle for longer than the policy keeps it, unless the
+// headroom or a gang needs it. In a zone that is down or recovering, machines are idle because
+// their capacity is reserved or jobs are held back, and they will be needed soon.
+func (r *ScaleInReview) evaluateIdle(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
 	if worker.IdleSince.IsZero() {
 		worker.IdleSince = r.now
 	}
@@ -120,34 +122,35 @@
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
-	patience := r.autoscaler.node.Policy.Idle(machineType.BootS, price, machine.Spot)
-	if r.now.Sub(worker.IdleSince).Seconds() > patience && !r.isNeededIdle(host) {
+	idleLimitSeconds := r.autoscaler.node.Policy.Idle(machineType.BootS, price, machine.Spot)
+	if r.now.Sub(worker.IdleSince).Seconds() > idleLimitSeconds && !r.isNeededWhileIdle(host) {
 		r.cordon(host, worker, "idle")
 	}
 }
 
-// remaining returns the machines with the room that a plan leaves.
-func (r *ScaleInReview) remaining() []*sched.Host {
-	if r.hosts == nil {
+// planRemainingHosts returns all machines with the capacity that remains after a plan. It makes the
+// plan on its first call.
+func (r *ScaleInReview) planRemainingHosts() []*sched.Host {
+	if r.remainingHosts == nil {
 		plan := r.autoscaler.scheduler.Plan(r.now)
-		r.hosts, r.reserved = plan.Remaining, plan.ReservedHosts
+		r.remainingHosts, r.reservedHosts = plan.Remaining, plan.ReservedHosts
 	}
-	return r.hosts
+	return r.remainingHosts
 }
 
-// isNeededIdle reports whether a machine belongs to the headroom, or its room waits for the rest
-// of a gang's.
-func (r *ScaleInReview) isNeededIdle(host string) bool {
-	if r.headroom == nil {
-		r.headroom = r.autoscaler.headroomMachines(r.remaining(), r.now)
+// isNeededWhileIdle reports whether an idle machine is part of the headroom, or reserved for a gang
+// that does not have all of its capacity yet.
+func (r *ScaleInReview) isNeededWhileIdle(host string) bool {
+	if r.headroomHosts == nil {
+		r.headroomHosts = r.autoscaler.headroomMachines(r.planRemainingHosts(), r.now)
 	}
-	return r.headroom[host] || r.reserved[host]
+	return r.headroomHosts[host] || r.reservedHosts[host]
 }
 
-// canMigrate reports whether a machine holds nothing but a few replicas that have run
-// for a while and fit on machines in use elsewhere that have their images, so
-// that moving them costs seconds and saves a machine.
-func (r *ScaleInReview) canMigrate(host string, boot time.Duration) bool {
+// canMigrateReplicas reports whether a machine holds only a few service replicas that have run for
+// at least one boot time and that fit on other machines in use that have their images. Moving them
+// then takes seconds and saves a machine.
+func (r *ScaleInReview) canMigrateReplicas(host string, boot time.Duration) bool {
 	a := r.autoscaler
 	machine := a.cache.Machines[host]
 	size, _ := a.catalog.MachineCapacity(machine.MachineType)
@@ -170,39 +173,40 @@
 	for _, task := range a.cache.Placements[host] {
 		requests = append(requests, statecache.TaskRequestOf(&a.cache.Jobs[task.UID].Record.Spec))
 	}
-	return r.fitElsewhere(host, machine.Zone, requests) && !r.isNeededIdle(host)
+	return r.fitsElsewhere(host, machine.Zone, requests) && !r.isNeededWhileIdle(host)
 }
 
-// hostsWithReplicas returns the machines with replicas in a zone.
+// hostsWithReplicas returns the machines of a zone that hold service replicas.
 func (r *ScaleInReview) hostsWithReplicas(zone string) []*sched.Host {
-	if r.replicaHosts == nil {
-		r.replicaHosts = map[string][]*sched.Host{}
-		for _, host := range r.remaining() {
+	if r.replicaHostsByZone == nil {
+		r.replicaHostsByZone = map[string][]*sched.Host{}
+		for _, host := range r.planRemainingHosts() {
 			if host.Services > 0 {
-				r.replicaHosts[host.Zone] = append(r.replicaHosts[host.Zone], host)
+				r.replicaHostsByZone[host.Zone] = append(r.replicaHostsByZone[host.Zone], host)
 			}
 		}
 	}
-	return r.replicaHosts[zone]
+	return r.replicaHostsByZone[zone]
 }
 
-// fitElsewhere reports whether the tasks would all fit on other machines with replicas in
-// the zone that have their images. It leaves the machines as they were.
-func (r *ScaleInReview) fitElsewhere(name, zone string, requests []sched.TaskRequest) bool {
+// fitsElsewhere reports whether all tasks fit on other machines of the zone that hold replicas and
+// have the tasks' images. It changes the hosts during the check and restores them before it
+// returns.
+func (r *ScaleInReview) fitsElsewhere(hostName, zone string, requests []sched.TaskRequest) bool {
 	hosts := r.hostsWithReplicas(zone)
-	var before []sched.Host // as they were, with what was tried on them
-	var tried []*sched.Host
+	var originals []sched.Host // copies of the modified hosts, in the order of the changes
+	var modified []*sched.Host
 	setFree := func(host *sched.Host, free sched.Resources) {
-		before, tried = append(before, *host), append(tried, host)
+		originals, modified = append(originals, *host), append(modified, host)
 		host.Free = free
 	}
 	defer func() {
-		for i := len(tried) - 1; i >= 0; i-- {
-			*tried[i] = before[i]
+		for i := len(modified) - 1; i >= 0; i-- {
+			*modified[i] = originals[i]
 		}
 	}()
 	for _, host := range hosts {
-		if host.Name == name {
+		if host.Name == hostName {
 			setFree(host, sched.Resources{})
 		}
 	}
--- a/internal/autoscaler/scale_in_review_test.go
+++ b/internal/autoscaler/scale_in_review_test.go
@@ -8,9 +8,10 @@
 	"violetturn/internal/sched"
 )
 
-// Whether a machine's replicas fit elsewhere is tried on the machines themselves and
-// taken back: the answer is that of a trial on copies, and nothing is left changed.
-func TestFitElsewhere(t *testing.T) {
+// fitsElsewhere tries placements on the hosts themselves. Its result must match a trial on copies,
+// and the hosts must be unchanged afterwards; otherwise later reviews of the same run use wrong
+// capacities.
+func TestFitsElsewhereMatchesTrialOnCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"x", "y"}
 		var hosts []*sched.Host
@@ -33,51 +34,52 @@
 				},
 			)
 		}
-		from := hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "from")]
+		source := hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "from")]
 		var requests []sched.TaskRequest
 		for range rapid.IntRange(0, 3).Draw(t, "tasks") {
-			n := float64(rapid.IntRange(1, 2).Draw(t, "gpus"))
+			amount := float64(rapid.IntRange(1, 2).Draw(t, "gpus"))
 			requests = append(
 				requests,
 				sched.TaskRequest{
-					Need:    sched.Resources{CPUs: n, GPUs: n, MemGB: n},
+					Need:    sched.Resources{CPUs: amount, GPUs: amount, MemGB: amount},
 					Image:   rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"),
 					Service: true,
 				},
 			)
 		}
-		want := fitOnCopies(hosts, from, requests)
+		want := fitsOnCopies(hosts, source, requests)
 		var before []sched.Resources
-		for _, h := range hosts {
-			before = append(before, h.Free)
+		for _, host := range hosts {
+			before = append(before, host.Free)
 		}
-		review := &ScaleInReview{hosts: hosts}
-		if got := review.fitElsewhere(from.Name, from.Zone, requests); got != want {
-			t.Fatalf("fits %t, on copies %t", got, want)
+		review := &ScaleInReview{remainingHosts: hosts}
+		if got := review.fitsElsewhere(source.Name, source.Zone, requests); got != want {
+			t.Fatalf("fitsElsewhere returned %t, want %t as on copies of the hosts", got, want)
 		}
-		for i, h := range hosts {
-			if h.Free != before[i] {
-				t.Fatalf("%s has %v left, had %v", h.Name, h.Free, before[i])
+		for i, host := range hosts {
+			if host.Free != before[i] {
+				t.Fatalf("host %s has %v free after the check, want %v as before", host.Name, host.Free, before[i])
 			}
 		}
 	})
 }
 
-// fitOnCopies reports whether tasks fit on the other machines of a zone, tried on copies.
-func fitOnCopies(hosts []*sched.Host, from *sched.Host, requests []sched.TaskRequest) bool {
+// fitsOnCopies reports whether the tasks fit on the other machines with replicas in the zone of
+// source, tried on copies.
+func fitsOnCopies(hosts []*sched.Host, source *sched.Host, requests []sched.TaskRequest) bool {
 	var others []*sched.Host
-	for _, h := range hosts {
-		if h != from && h.Services > 0 && h.Zone == from.Zone {
-			x := *h
-			others = append(others, &x)
+	for _, host := range hosts {
+		if host != source && host.Services > 0 && host.Zone == source.Zone {
+			hostCopy := *host
+			others = append(others, &hostCopy)
 		}
 	}
 	for i := range requests {
-		h := sched.FullestFit(others, &requests[i])
-		if h == nil || !h.Images[requests[i].Image] {
+		host := sched.FullestFit(others, &requests[i])
+		if host == nil || !host.Images[requests[i].Image] {
 			return false
 		}
-		h.Free = h.Free.Sub(requests[i].Need)
+		host.Free = host.Free.Sub(requests[i].Need)
 	}
 	return true
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -10,99 +10,104 @@
 	"violetturn/internal/shard"
 )
 
-// sufficientHeadroom is when there was enough headroom last, and for how many tasks by class.
+// sufficientHeadroom records when the headroom was last compared with the capacity, and for how
+// many tasks of each class it sufficed.
 type sufficientHeadroom struct {
-	at    time.Time
-	tasks map[string]int
+	checkedAt    time.Time
+	tasksByClass map[string]int
 }
 
-// DueHeadroom returns the room to be kept for what is still to come if this controller is to look
-// now whether there is enough of it: one controller does it for all. After there was enough, that
-// may wait a little, compared with a boot, unless more is wanted by now.
+// DueHeadroom returns the headroom to check and rent for now, or nil if no check is due. One
+// controller, the leader of the first shard, does this for all. A new check may be delayed by a
+// time that is short compared with a boot, unless a class needs headroom for more tasks than last
+// sufficed.
 func (a *Autoscaler) DueHeadroom(now time.Time) []HeadroomRequest {
 	if !a.leadership.Leads(a.node.Shards[0]) {
 		return nil
 	}
-	wanted := a.headroom(now)
-	more := slices.ContainsFunc(wanted, func(h HeadroomRequest) bool { return h.tasks() > a.sufficient.tasks[h.class] })
-	if !more && !a.isLookDue(a.sufficient.at, now) {
+	requests := a.headroomRequests(now)
+	grown := slices.ContainsFunc(requests, func(h HeadroomRequest) bool { return h.taskCount() > a.lastSufficient.tasksByClass[h.class] })
+	if !grown && !a.isCheckDue(a.lastSufficient.checkedAt, now) {
 		return nil
 	}
-	return wanted
+	return requests
 }
 
-// RentalOrders returns what to rent for what lacks room after the machines that are coming,
-// and for the headroom that is wanted.
+// RentalOrders returns the machines to rent for tasks that do not fit on existing and booting
+// machines, and for the headroom.
 func (a *Autoscaler) RentalOrders(now time.Time, headroom []HeadroomRequest) []sched.RentalOrder {
 	if len(headroom) == 0 && !a.scheduler.HasPendingTasks() {
 		return nil
 	}
 	plan := a.scheduler.ReusePlan(now)
-	home := a.node.Settings.Zone
-	orders := sched.PlanRentals(plan.Unmet, a.room.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), home)
+	homeZone := a.node.Settings.Zone
+	orders := sched.PlanRentals(plan.Unmet, a.freeCapacity.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), homeZone)
 	if len(headroom) == 0 {
 		return orders
 	}
-	// What lacks room now, here and at the peers, has been rented for and takes its
-	// share of what is coming.
-	hosts := append(a.room.ProvisioningHosts(now, true), plan.Remaining...)
+	// Tasks that lack capacity now, here and at the peers, have been rented for already, so they
+	// get their share of the booting machines before the headroom does.
+	hosts := append(a.freeCapacity.ProvisioningHosts(now, true), plan.Remaining...)
 	sched.PlanRentals(plan.AllUnmet, hosts, nil, "")
-	sufficient := sufficientHeadroom{at: now, tasks: map[string]int{}}
-	for _, wanted := range headroom {
-		room := a.room.WithPreemptibleRoom(hosts, wanted.priority)
-		more := sched.PlanRentals(wanted.requests, room, a.catalog.AvailableOffers(now), home)
-		if len(more) == 0 { // else again in the next round: one takes no more than the cloud gives at once
-			sufficient.tasks[wanted.class] = wanted.tasks()
+	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
+	for _, request := range headroom {
+		candidates := a.freeCapacity.WithPreemptibleRoom(hosts, request.priority)
+		additional := sched.PlanRentals(request.demands, candidates, a.catalog.AvailableOffers(now), homeZone)
+		if len(additional) == 0 { // otherwise the next run rents the rest, as one run's rentals are limited
+			sufficient.tasksByClass[request.class] = request.taskCount()
 		}
-		orders = append(orders, more...)
+		orders = append(orders, additional...)
 	}
-	a.sufficient = sufficient
+	a.lastSufficient = sufficient
 	return orders
 }
 
-// RentingShard is the shard that machines are rented for, and when that was decided.
+// RentingShard is the shard that machines are rented for, and the time of that decision.
 type RentingShard struct {
-	Shard string // "": this controller leads none
+	Shard string // "": this controller leads no shard
 	Term  uint64
 	At    time.Time
 }
 
-// RentingShard returns the shard that machines are rented for, this controller's home if it leads
-// that.
+// RentingShard returns the shard that machines are rented for: this controller's home shard if it
+// leads that, otherwise the first shard that it leads.
 func (a *Autoscaler) RentingShard(now time.Time) RentingShard {
 	renting := RentingShard{At: now}
 	for _, name := range a.node.Shards {
-		led := a.leadership.InForce(name)
-		if led != nil && (renting.Shard == "" || name == a.node.Settings.HostName) {
-			renting.Shard, renting.Term = name, led.Term
+		shardLeadership := a.leadership.InForce(name)
+		if shardLeadership != nil && (renting.Shard == "" || name == a.node.Settings.HostName) {
+			renting.Shard, renting.Term = name, shardLeadership.Term
 		}
 	}
 	return renting
 }
 
-// NoteRental records the cloud's answer to a rental, and reports whether it gave less than was
-// asked for. An error that is not cloud.ErrNoCapacity leaves open whether machines were rented.
-func (a *Autoscaler) NoteRental(r cloud.RentalRequest, hosts []string, err error, by RentingShard) (refused bool) {
-	offer := sched.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
+// NoteRental records the cloud's response to a rental request, and reports whether the cloud rented
+// fewer machines than requested. After an error other than cloud.ErrNoCapacity it is unknown
+// whether machines were rented.
+func (a *Autoscaler) NoteRental(request cloud.RentalRequest, hosts []string, err error, renting RentingShard) (refused bool) {
+	offer := sched.Offer{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 	switch {
 	case err == nil:
 		a.catalog.ClearBackoff(&offer)
 		a.node.Log.Info("machines rented",
-			"request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "hosts", hosts)
+			"request", request.Name, "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot,
+			"requested", request.Count, "hosts", hosts)
 		for _, host := range hosts {
 			a.agents.Unregistered().NoteRented(host, shard.Machine{
-				MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, RentedFor: by.Shard,
+				MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, RentedFor: renting.Shard,
 			})
 		}
-		refused = len(hosts) < r.Count
+		refused = len(hosts) < request.Count
 	case errors.Is(err, cloud.ErrNoCapacity):
-		a.node.Log.Info("rental refused", "request", r.Name, "machine_type", r.MachineType, "zone", r.Zone, "spot", r.Spot)
+		a.node.Log.Info("rental refused",
+			"request", request.Name, "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot)
 		refused = true
 	default:
-		a.node.Log.Info("rental outcome unknown", "request", r.Name, "err", err)
+		a.node.Log.Info("rental outcome unknown", "request", request.Name, "err", err)
 	}
 	if refused {
-		a.catalog.BackOff(&offer, by.At)
+		a.catalog.BackOff(&offer, renting.At)
 	}
 	return refused
 }
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -12,22 +12,22 @@
 	"violetturn/internal/statecache"
 )
 
-// Accounts is what shards offer to peers and what teams use of their limits. The lock of
-// internal/state guards it.
+// Accounts computes and writes what shards offer to peers and what teams use of their quotas. The
+// lock of internal/state guards it.
 type Accounts struct {
-	node       *node.Info
-	cache      *statecache.Cache
-	schema     *schema.State
-	leadership *leadership.Table
-	catalog    *catalog.Catalog
-	room       *Room
+	node         *node.Info
+	cache        *statecache.Cache
+	schema       *schema.State
+	leadership   *leadership.Table
+	catalog      *catalog.Catalog
+	freeCapacity *Room
 
 	arrivals       *Arrivals
-	demand         expectedDemand
-	quotaShortages map[string]bool // teams whose limit left too little for a placement
+	peerDemand     cachedPeerDemand
+	quotaShortages map[string]bool // teams whose quota did not suffice for a placement
 }
 
-// AccountDeps is what accounts read.
+// AccountDeps are the dependencies of Accounts.
 type AccountDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -37,7 +37,7 @@
 	Room       *Room
 }
 
-// NewAccounts returns accounts that have seen no job arrive.
+// NewAccounts returns accounts without any recorded arrival.
 func NewAccounts(d AccountDeps) *Accounts {
 	return &Accounts{
 		node:           d.Node,
@@ -45,46 +45,47 @@
 		schema:         d.Schema,
 		leadership:     d.Leadership,
 		catalog:        d.Catalog,
-		room:           d.Room,
+		freeCapacity:   d.Room,
 		arrivals:       newArrivals(d.Node, d.Catalog),
 		quotaShortages: map[string]bool{},
 	}
 }
 
-// Arrivals returns the jobs that came lately.
+// Arrivals returns the recent arrivals of jobs.
 func (a *Accounts) Arrivals() *Arrivals { return a.arrivals }
 
-// putCapacityRecord adds the write of a shard's capacity record to a transaction, on the version
-// that is known.
+// putCapacityRecord adds the write of a shard's capacity record to a transaction, conditional on
+// the cached version of the record.
 func (a *Accounts) putCapacityRecord(
-	t *statecache.Transaction, shardName string, free shard.FreeCapacity, use map[string]sched.Resources,
+	transaction *statecache.Transaction, shardName string, free shard.FreeCapacity, quotaUse map[string]sched.Resources,
 ) {
-	before := a.cache.Capacities[shardName]
-	t.Require(statecache.CapacityKey(shardName), before.Version)
+	current := a.cache.Capacities[shardName]
+	transaction.Require(statecache.CapacityKey(shardName), current.Version)
 	record := shard.CapacityRecord{
-		Term:                 before.Record.Term,
-		Leader:               before.Record.Leader,
-		PredecessorMayAnswer: before.Record.PredecessorMayAnswer,
+		Term:                 current.Record.Term,
+		Leader:               current.Record.Leader,
+		PredecessorMayAnswer: current.Record.PredecessorMayAnswer,
 		Free:                 free,
-		QuotaUse:             use,
+		QuotaUse:             quotaUse,
 	}
-	if led := a.leadership.InForce(shardName); led != nil && a.node.Now().After(led.PredecessorAnswersUntil) {
-		record.PredecessorMayAnswer = false // the grace of the leader before has ended
+	if shardLeadership := a.leadership.InForce(shardName); shardLeadership != nil &&
+		a.node.Now().After(shardLeadership.PredecessorAnswersUntil) {
+		record.PredecessorMayAnswer = false // the previous leader's grace period has ended
 	}
-	if left := a.trimCapacity(record.Free, use, a.node.Now()); left > 0 {
-		const why = "the capacity record is full; left out are those that peers are least likely to use"
-		a.node.Log.Info("machines not offered to peers", "shard", shardName, "machines", left, "why", why)
+	if omitted := a.trimCapacity(record.Free, quotaUse, a.node.Now()); omitted > 0 {
+		const reason = "the capacity record is full; the machines that peers are least likely to use are omitted"
+		a.node.Log.Info("machines not offered to peers", "shard", shardName, "machines", omitted, "why", reason)
 	}
-	t.PutCapacity(statecache.CapacityKey(shardName), &record)
+	transaction.PutCapacity(statecache.CapacityKey(shardName), &record)
 }
 
-// quotaUseBytes is what a team's use takes of a capacity record, at most.
-const quotaUseBytes = 128
+// maxQuotaUseBytes is the maximum size of one team's usage in a capacity record.
+const maxQuotaUseBytes = 128
 
-// trimCapacity leaves out of a shard's free room what does not fit its record beside what
-// teams use, and returns how many machines that are.
-func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string]sched.Resources, now time.Time) (left int) {
-	size := a.schema.MaxValueBytes() - quotaUseBytes*len(use)
+// trimCapacity removes machines from a shard's free capacity until it fits in the capacity record
+// together with the teams' usage, and returns how many it removed.
+func (a *Accounts) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
+	size := a.schema.MaxValueBytes() - maxQuotaUseBytes*len(quotaUse)
 	if free.FitsIn(size) {
 		return 0
 	}
--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -11,24 +11,26 @@
 	"violetturn/internal/node"
 )
 
-// MinArrivals is how many arrivals of a class are remembered at the least.
+// MinArrivals is the minimum of the limit on arrivals that are kept per class.
 const MinArrivals = 1024
 
-// ArrivalWindows is over how many boots arrivals are looked at.
+// ArrivalWindows is the number of boot times during which an arrival counts as recent.
 const ArrivalWindows = 4
 
-// maxClasses bounds the classes whose arrivals are remembered: users may name classes at will.
+// maxClasses bounds the number of classes whose arrivals are recorded, because users can name
+// classes freely.
 const maxClasses = 64
 
-// Arrival is a job that came.
+// Arrival is an accepted job.
 type Arrival struct {
 	At    time.Time
 	Spec  *api.Job
 	Tasks float64 // number of tasks
 }
 
-// Arrivals remembers the jobs that came lately, by class, the oldest first. Their number is
-// bounded by what can come in the time that is looked at. The lock of internal/state guards it.
+// Arrivals records recently accepted jobs by class, oldest first. The number of entries per class
+// is limited to the number of jobs that can be accepted within ArrivalWindows boot times, but at
+// least MinArrivals. The lock of internal/state guards it.
 type Arrivals struct {
 	node    *node.Info
 	catalog *catalog.Catalog
@@ -39,7 +41,7 @@
 	return &Arrivals{node: node, catalog: catalog, byClass: map[string][]Arrival{}}
 }
 
-// Note remembers a job that came.
+// Note records an accepted job.
 func (a *Arrivals) Note(record *job.Record) {
 	class := record.Spec.Class
 	if a.byClass[class] == nil && len(a.byClass) >= maxClasses {
@@ -56,18 +58,19 @@
 	a.byClass[class] = arrivals
 }
 
-// maxPerClass bounds the arrivals of a class that are remembered: each accepted job takes
-// a change of the state service, so more can't come in the time that is looked at.
+// maxPerClass returns the maximum number of arrivals to keep per class. Each accepted job is a
+// write to the state service, so its write rate bounds the number of jobs that are accepted within
+// ArrivalWindows boot times.
 func (a *Arrivals) maxPerClass() int {
 	window := ArrivalWindows * a.catalog.ShortestBoot().Seconds()
 	return max(MinArrivals, int(a.node.Settings.Facts.State.WriteRPS*window))
 }
 
-// ByClass returns the classes and their arrivals, the oldest first.
+// ByClass iterates over the classes and their arrivals, oldest first.
 func (a *Arrivals) ByClass() iter.Seq2[string, []Arrival] { return maps.All(a.byClass) }
 
-// CameSince reports whether the newest arrival of some class is a job of that kind and came
-// after that time.
+// CameSince reports whether, in any class, the newest arrival is a job of the given kind that was
+// accepted after since.
 func (a *Arrivals) CameSince(kind api.JobKind, since time.Time) bool {
 	for _, arrivals := range a.byClass {
 		if len(arrivals) == 0 {
--- a/internal/capacity/arrivals_test.go
+++ b/internal/capacity/arrivals_test.go
@@ -14,64 +14,65 @@
 	"violetturn/internal/node"
 )
 
-func testArrivals(t *testing.T) *Arrivals {
+func newTestArrivals(t *testing.T) *Arrivals {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return newArrivals(info, catalog.New(info))
 }
 
-func arrival(class string, kind api.JobKind, at time.Time, tasks int) *job.Record {
+func arrivalRecord(class string, kind api.JobKind, at time.Time, tasks int) *job.Record {
 	return &job.Record{Spec: api.Job{Class: class, Kind: kind, Tasks: tasks}, AcceptedMS: at.UnixMilli()}
 }
 
-// The newest arrivals of a class are remembered, the oldest first.
-func TestArrivalsOfAClassAreBounded(t *testing.T) {
-	a := testArrivals(t)
+// Only the newest MinArrivals arrivals of a class are kept, oldest first.
+func TestArrivalsKeepNewestPerClass(t *testing.T) {
+	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
-	const more = 3
-	for i := range MinArrivals + more {
-		a.Note(arrival("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
+	const excess = 3
+	for i := range MinArrivals + excess {
+		a.Note(arrivalRecord("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
 	}
 	for class, arrivals := range a.ByClass() {
 		if class != "a" || len(arrivals) != MinArrivals {
-			t.Fatalf("%d arrivals of %s", len(arrivals), class)
+			t.Fatalf("class %s has %d arrivals, want class a with %d", class, len(arrivals), MinArrivals)
 		}
 		oldest, newest := arrivals[0], arrivals[MinArrivals-1]
-		if oldest.Tasks != more || newest.Tasks != MinArrivals+more-1 || !oldest.At.Equal(now.Add(more*time.Second)) {
-			t.Errorf("from %+v to %+v", oldest, newest)
+		if oldest.Tasks != excess || newest.Tasks != MinArrivals+excess-1 || !oldest.At.Equal(now.Add(excess*time.Second)) {
+			t.Errorf("kept arrivals are from %+v to %+v, want %d to %d tasks", oldest, newest, excess, MinArrivals+excess-1)
 		}
 	}
 }
 
-// Users may name classes at will: not more than some are remembered.
-func TestClassesOfArrivalsAreBounded(t *testing.T) {
-	a := testArrivals(t)
+// Users can name classes freely, so the number of recorded classes must be bounded.
+func TestArrivalsBoundNumberOfClasses(t *testing.T) {
+	a := newTestArrivals(t)
 	for i := range 10 * maxClasses {
-		a.Note(arrival(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
+		a.Note(arrivalRecord(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
 		if len(a.byClass) > maxClasses {
-			t.Fatalf("%d classes are remembered", len(a.byClass))
+			t.Fatalf("%d classes are recorded, want at most %d", len(a.byClass), maxClasses)
 		}
 	}
 }
 
-// Only the newest arrival of each class counts, and its age to the moment.
-func TestCameSince(t *testing.T) {
-	a := testArrivals(t)
+// CameSince considers only the newest arrival of each class, and only if it is later than the given
+// time.
+func TestCameSinceUsesNewestArrivalOfClass(t *testing.T) {
+	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
 	if a.CameSince(api.Gang, now) {
-		t.Error("a gang came though none did")
+		t.Error("CameSince reports a gang before any arrival")
 	}
-	a.Note(arrival("a", api.Gang, now, 1))
-	a.Note(arrival("b", api.Array, now.Add(time.Minute), 1))
+	a.Note(arrivalRecord("a", api.Gang, now, 1))
+	a.Note(arrivalRecord("b", api.Array, now.Add(time.Minute), 1))
 	if !a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("the gang did not come")
+		t.Error("CameSince does not report a gang that arrived after the given time")
 	}
 	if a.CameSince(api.Gang, now) {
-		t.Error("the gang came after its time")
+		t.Error("CameSince reports a gang that arrived exactly at the given time")
 	}
-	a.Note(arrival("a", api.Array, now.Add(time.Minute), 1))
+	a.Note(arrivalRecord("a", api.Array, now.Add(time.Minute), 1))
 	if a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("a gang that is not the newest of its class counts")
+		t.Error("CameSince reports a gang that is not the newest arrival of its class")
 	}
 }
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -9,92 +9,95 @@
 	"violetturn/internal/statecache"
 )
 
-// Placement is a task and the machine that it is to be placed on.
+// Placement is a task and the machine to place it on.
 type Placement struct {
 	UID        string
 	RangeIndex int
 	Index      int // within the task range
 	Host       *sched.Host
 
-	Victims []*statecache.PlacedTask // tasks that have to leave the machine for it
+	Victims []*statecache.PlacedTask // tasks on the machine to be preempted for it
 }
 
-// shardClaim is what a transaction leaves of a shard's room, and what it changes of quotas.
+// shardClaim is a shard's free capacity and quota usage after a transaction.
 type shardClaim struct {
-	free   shard.FreeCapacity
-	use    map[string]sched.Resources // by limited team
-	shares map[string]sched.Resources // that the transaction changes, by team
+	free          shard.FreeCapacity
+	quotaUse      map[string]sched.Resources // by limited team
+	changedShares map[string]sched.Resources // quota shares that the transaction changes, by team
 }
 
-// openClaim opens a shard for placements: an own one with its room as it is, a
-// peer's as its record says; nil if it has no leader.
+// openClaim returns a claim on a shard with no capacity claimed yet; nil if the shard has no
+// leader. The free capacity of a shard that this controller leads is computed from its current
+// state, that of a peer's shard is read from its capacity record.
 func (a *Accounts) openClaim(shardName string, now time.Time) *shardClaim {
 	record := a.cache.Capacities[shardName].Record
 	if record == nil || a.cache.Leaders[shardName].Record == nil {
 		return nil
 	}
-	claim := &shardClaim{shares: map[string]sched.Resources{}}
+	claim := &shardClaim{changedShares: map[string]sched.Resources{}}
 	if a.leadership.Leads(shardName) {
-		claim.free = a.freeCapacity(shardName, now)
-		claim.use = a.QuotaUseOf(shardName)
+		claim.free = a.offeredCapacity(shardName, now)
+		claim.quotaUse = a.QuotaUseOf(shardName)
 		return claim
 	}
 	claim.free = shard.FreeCapacity{}
 	maps.Copy(claim.free, record.Free)
-	claim.use = map[string]sched.Resources{}
-	maps.Copy(claim.use, record.QuotaUse)
+	claim.quotaUse = map[string]sched.Resources{}
+	maps.Copy(claim.quotaUse, record.QuotaUse)
 	return claim
 }
 
-// Claims are the shards that a transaction claims room of. It lives for one transaction.
+// Claims are the capacity claims of one transaction, by shard. They are used for one transaction
+// only.
 type Claims struct {
 	accounts *Accounts
 	byShard  map[string]*shardClaim
-	changes  int // of capacity and quota records
+	writes   int // number of capacity and quota records to write
 }
 
-// NewClaims returns the claims of a transaction, none yet.
+// NewClaims returns empty claims for one transaction.
 func (a *Accounts) NewClaims() *Claims {
 	return &Claims{accounts: a, byShard: map[string]*shardClaim{}}
 }
 
-// Changes returns how many changes of capacity and quota records the claims make.
-func (c *Claims) Changes() int { return c.changes }
+// Changes returns the number of capacity and quota records that the claims write.
+func (c *Claims) Changes() int { return c.writes }
 
-// PendingClaim is a placement that was checked against what there is. Nothing is claimed before
-// Apply is called.
+// PendingClaim is a placement that was checked against the current free capacity and quota. It
+// claims nothing until Apply is called.
 type PendingClaim struct {
 	claims   *Claims
 	job      *statecache.Job
 	host     string
 	need     sched.Resources
-	replaces bool // tasks leave for it, so that what is free there is not known before they have
-
-	shard     string
-	claim     *shardClaim
-	opened    bool // the shard was not among the claims before
-	quota     quotaGrant
-	quotaUse  sched.Resources // of the team in the shard, with the task
-	available sched.Resources
+	preempts bool // other tasks are preempted for it; the machine's free capacity is unknown until they have ended
+
+	shard      string
+	claim      *shardClaim
+	opensShard bool // the claims do not include the shard yet
+	grant      quotaGrant
+	quotaUse   sched.Resources // the team's usage in the shard, including the task
+	free       sched.Resources // of the machine before the claim; unset if the claim preempts
 }
 
 // Job returns the job of the placement.
 func (p *PendingClaim) Job() *statecache.Job { return p.job }
 
-// Changes returns how many changes of capacity and quota records the claim adds.
+// Changes returns the number of additional capacity and quota records that the claim writes.
 func (p *PendingClaim) Changes() int {
-	changes := 0
-	if p.opened {
-		changes++
+	writes := 0
+	if p.opensShard {
+		writes++
 	}
-	if p.quota.grows {
-		changes++
+	if p.grant.growsShare {
+		writes++
 	}
-	return changes
+	return writes
 }
 
-// Check checks a placement against what there is now, and returns nil if its job or the room no
-// longer allow it: a plan may be older than the state.
+// Check checks a placement against the current state, which may be newer than the plan that the
+// placement comes from. It returns nil if the job's state, the free capacity or the team's quota
+// does not allow the placement.
 func (c *Claims) Check(placement Placement, now time.Time) *PendingClaim {
 	a := c.accounts
 	job := a.placeableJob(placement)
@@ -106,34 +109,34 @@
 		job:      job,
 		host:     placement.Host.Name,
 		need:     statecache.ResourcesOf(&job.Record.Spec),
-		replaces: len(placement.Victims) > 0,
+		preempts: len(placement.Victims) > 0,
 		shard:    placement.Host.Shard,
 		claim:    c.byShard[placement.Host.Shard],
 	}
 	if pending.claim == nil {
-		pending.claim, pending.opened = a.openClaim(pending.shard, now), true
+		pending.claim, pending.opensShard = a.openClaim(pending.shard, now), true
 		if pending.claim == nil {
 			return nil
 		}
 	}
-	if !pending.replaces {
+	if !pending.preempts {
 		free, offered := pending.claim.free[pending.host]
-		pending.available = free
-		if !offered || !pending.available.Fits(pending.need) {
+		pending.free = free
+		if !offered || !pending.free.Fits(pending.need) {
 			return nil
 		}
 	}
 	team := job.Record.Spec.Team
-	pending.quotaUse = pending.claim.use[team].Add(pending.need)
-	pending.quota = c.quotaGrantFor(team, pending.shard, pending.quotaUse, pending.claim.shares)
-	if !pending.quota.granted {
+	pending.quotaUse = pending.claim.quotaUse[team].Add(pending.need)
+	pending.grant = c.quotaGrantFor(team, pending.shard, pending.quotaUse, pending.claim.changedShares)
+	if !pending.grant.granted {
 		a.quotaShortages[team] = true
 		return nil
 	}
 	return pending
 }
 
-// placeableJob returns the job of a placement if this controller may place that task now.
+// placeableJob returns the job of a placement if this controller may place the task now, else nil.
 func (a *Accounts) placeableJob(placement Placement) *statecache.Job {
 	job := a.cache.Jobs[placement.UID]
 	if job == nil || job.Record.Cancelled || job.Record.RangeFinished(placement.RangeIndex) {
@@ -149,33 +152,33 @@
 	return job
 }
 
-// Apply claims the room.
+// Apply adds the placement to the claims.
 func (p *PendingClaim) Apply() {
-	if p.opened {
+	if p.opensShard {
 		p.claims.byShard[p.shard] = p.claim
-		p.claims.changes++
-	}
-	name := p.job.Record.Spec.Team
-	if team, _ := p.claims.accounts.node.Settings.Team(name); team.Limited() {
-		p.claim.use[name] = p.quotaUse.Rounded()
-		if p.quota.grows {
-			p.claim.shares[name] = p.quota.share
-			p.claims.changes++
+		p.claims.writes++
+	}
+	teamName := p.job.Record.Spec.Team
+	if team, _ := p.claims.accounts.node.Settings.Team(teamName); team.Limited() {
+		p.claim.quotaUse[teamName] = p.quotaUse.Rounded()
+		if p.grant.growsShare {
+			p.claim.changedShares[teamName] = p.grant.share
+			p.claims.writes++
 		}
 	}
-	if p.replaces {
-		delete(p.claim.free, p.host) // its leader offers what is free when the others have left
+	if p.preempts {
+		delete(p.claim.free, p.host) // its leader offers the capacity that is free once the preempted tasks have ended
 	} else {
-		p.claim.free[p.host] = p.available.Sub(p.need).Rounded()
+		p.claim.free[p.host] = p.free.Sub(p.need).Rounded()
 	}
 }
 
-// Write adds the shards' capacity records and shares to a transaction.
-func (c *Claims) Write(t *statecache.Transaction) {
-	shares := map[string]map[string]sched.Resources{}
+// Write adds the shards' capacity records and the changed quota shares to a transaction.
+func (c *Claims) Write(transaction *statecache.Transaction) {
+	sharesByShard := map[string]map[string]sched.Resources{}
 	for name, claim := range c.byShard {
-		c.accounts.putCapacityRecord(t, name, claim.free, claim.use)
-		shares[name] = claim.shares
+		c.accounts.putCapacityRecord(transaction, name, claim.free, claim.quotaUse)
+		sharesByShard[name] = claim.changedShares
 	}
-	c.accounts.putQuotaShares(t, shares)
+	c.accounts.putQuotaShares(transaction, sharesByShard)
 }
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -10,18 +10,19 @@
 	"violetturn/internal/statecache"
 )
 
-// expectedDemand is what room peers are likely to look for, as it was worked out last.
-type expectedDemand struct {
+// cachedPeerDemand is the most recently computed expected demand of peers.
+type cachedPeerDemand struct {
 	computedAt time.Time
-	sizes      []shard.PeerDemand
+	demands    []shard.PeerDemand
 }
 
-// expectedPeerDemand returns what room peers are likely to look for in the shards of this
-// controller: what their jobs wait for now, and what came lately. It decides which machines a
-// shard's record names when it can't name all. It is worked out once in a heartbeat interval.
+// expectedPeerDemand returns the capacity that peers are likely to claim in the shards of this
+// controller, from the pending tasks of their jobs and from recent arrivals. It decides which
+// machines a capacity record names if it cannot name all. The result is computed at most once per
+// heartbeat interval.
 func (a *Accounts) expectedPeerDemand(now time.Time) []shard.PeerDemand {
-	if !a.demand.computedAt.IsZero() && now.Sub(a.demand.computedAt) < a.node.Settings.HeartbeatInterval() {
-		return a.demand.sizes
+	if !a.peerDemand.computedAt.IsZero() && now.Sub(a.peerDemand.computedAt) < a.node.Settings.HeartbeatInterval() {
+		return a.peerDemand.demands
 	}
 	tasks := map[sched.Resources]float64{}
 	for _, job := range a.cache.Jobs {
@@ -32,19 +33,19 @@
 	for _, arrivals := range a.arrivals.ByClass() {
 		for _, arrival := range arrivals {
 			if now.Sub(arrival.At) < ArrivalWindows*a.catalog.ShortestBoot() {
-				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindows // in the time of a boot
+				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindows // average per boot time
 			}
 		}
 	}
-	sizes := make([]shard.PeerDemand, 0, len(tasks))
+	demands := make([]shard.PeerDemand, 0, len(tasks))
 	for _, size := range slices.SortedFunc(maps.Keys(tasks), compareResources) {
-		sizes = append(sizes, shard.PeerDemand{Need: size, Tasks: tasks[size]})
+		demands = append(demands, shard.PeerDemand{Need: size, Tasks: tasks[size]})
 	}
-	a.demand = expectedDemand{computedAt: now, sizes: sizes}
-	return sizes
+	a.peerDemand = cachedPeerDemand{computedAt: now, demands: demands}
+	return demands
 }
 
-// compareResources orders amounts.
+// compareResources orders resources by GPUs, then CPUs, then memory.
 func compareResources(a, b sched.Resources) int {
 	return slices.Compare([]float64{a.GPUs, a.CPUs, a.MemGB}, []float64{b.GPUs, b.CPUs, b.MemGB})
 }
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,14 +1,14 @@
-// Package capacity accounts for room: what machines have free, what a shard's capacity record
-// offers to peers, what teams use of their quotas, and the claims of one transaction on all of
-// these.
+// Package capacity accounts for capacity and quotas: what machines have free, what a shard's
+// capacity record offers to peers, what teams use of their quotas, and the claims that one
+// transaction makes on all of these.
 //
 // Invariants:
-//   - the shares of a quota that the shards hold never exceed the quota in sum: a share is changed
-//     only in one write with the capacity record of the shard that uses it;
-//   - each transaction that claims room writes the capacity record of the room's shard on the
-//     version that it was read with, so that of two claims on the same room one fails;
-//   - a capacity record fits the state service's limit on values: machines that peers are least
-//     likely to use are left out.
+//   - the shares of a quota that shards hold never exceed the quota in sum: a share is changed only
+//     in the same transaction as the capacity record of the shard that uses it;
+//   - each transaction that claims capacity writes the capacity record of the shard, conditional on
+//     the version that was read, so that one of two concurrent claims on the same capacity fails;
+//   - a capacity record stays within the state service's size limit of a value: the machines that
+//     peers are least likely to use are omitted.
 //
 // The lock of internal/state guards all of it.
 package capacity
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -11,13 +11,14 @@
 	"violetturn/internal/statecache"
 )
 
-// HeldQuota is what shards hold of a team's limit.
+// HeldQuota is how a team's quota is divided between one shard and all others.
 type HeldQuota struct {
-	Held   sched.Resources // by the shard in question
-	Others sched.Resources // by all others together
+	Held   sched.Resources // by the shard
+	Others sched.Resources // sum over all other shards
 }
 
-// QuotaShares returns what a shard holds of a team's limit, and what the others hold.
+// QuotaShares returns the share of a team's quota that a shard holds, and the sum of the other
+// shards' shares.
 func (a *Accounts) QuotaShares(team, shardName string) HeldQuota {
 	var quota HeldQuota
 	record := a.cache.Quotas[statecache.QuotaID(team)].Record
@@ -34,23 +35,23 @@
 	return quota
 }
 
-// QuotaLimitOf returns a team's limit; 0 of a resource is no limit.
+// QuotaLimitOf returns a team's limit; a resource of 0 is unlimited.
 func QuotaLimitOf(team config.Team) sched.Resources {
 	return sched.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 }
 
-// quotaGrant is whether a team may use so much in a shard.
+// quotaGrant is the decision whether a team may use an amount of resources in a shard.
 type quotaGrant struct {
-	granted bool
-	grows   bool            // only with a larger share than the shard holds
-	share   sched.Resources // that share
+	granted    bool
+	growsShare bool            // granted only if the shard gets a larger share than it holds
+	share      sched.Resources // the larger share
 }
 
-// quotaGrantFor decides whether a team may use so much in a shard, by the share of its
-// limit that the shard holds, or will hold after growing it; with other shards'
-// growth in the same transaction. grown are the shares of this shard that the transaction has
-// changed so far.
-func (c *Claims) quotaGrantFor(teamName, shardName string, use sched.Resources, grown map[string]sched.Resources) quotaGrant {
+// quotaGrantFor decides whether a team's usage in a shard may be quotaUse. It is granted if the
+// share that the shard holds covers it, or if the share can grow to cover it while the other shards
+// keep theirs, including their growth in the same transaction. changedShares are the shares of this
+// shard that the transaction has changed so far.
+func (c *Claims) quotaGrantFor(teamName, shardName string, quotaUse sched.Resources, changedShares map[string]sched.Resources) quotaGrant {
 	a := c.accounts
 	team, _ := a.node.Settings.Team(teamName)
 	if !team.Limited() {
@@ -58,24 +59,24 @@
 	}
 	quota := a.QuotaShares(teamName, shardName)
 	for other, claim := range c.byShard {
-		if share, ok := claim.shares[teamName]; ok && other != shardName {
-			before := a.QuotaShares(teamName, other).Held
-			quota.Others = quota.Others.Add(share).Sub(before)
+		if share, ok := claim.changedShares[teamName]; ok && other != shardName {
+			committed := a.QuotaShares(teamName, other).Held
+			quota.Others = quota.Others.Add(share).Sub(committed)
 		}
 	}
-	if share, ok := grown[teamName]; ok {
+	if share, ok := changedShares[teamName]; ok {
 		quota.Held = share
 	}
 	limit := QuotaLimitOf(team)
-	if sched.WithinQuota(limit, quota.Held, use) {
+	if sched.WithinQuota(limit, quota.Held, quotaUse) {
 		return quotaGrant{granted: true}
 	}
-	share, ok := sched.QuotaShare(limit, quota.Others, use)
-	return quotaGrant{granted: ok, grows: true, share: share}
+	share, ok := sched.QuotaShare(limit, quota.Others, quotaUse)
+	return quotaGrant{granted: ok, growsShare: true, share: share}
 }
 
-// QuotaUseOf sums what limited teams' tasks use in a shard, ended ones that are not
-// yet committed as such included: another leader might start them anew.
+// QuotaUseOf returns the usage of limited teams in a shard. It includes tasks that have ended but
+// are not committed as ended yet, because another leader might start them again.
 func (a *Accounts) QuotaUseOf(shardName string) map[string]sched.Resources {
 	use := map[string]sched.Resources{}
 	if !a.node.Settings.HasTeamLimits() {
@@ -101,17 +102,17 @@
 	return use
 }
 
-// putQuotaShares adds to a transaction what shards hold of teams' limits from now on, by shard
-// and team. It goes only with writes of those shards' capacity records.
-func (a *Accounts) putQuotaShares(t *statecache.Transaction, shares map[string]map[string]sched.Resources) {
+// putQuotaShares adds the writes of changed quota shares, by shard and team, to a transaction. The
+// transaction must also write the capacity records of those shards.
+func (a *Accounts) putQuotaShares(transaction *statecache.Transaction, sharesByShard map[string]map[string]sched.Resources) {
 	records := map[string]shard.QuotaRecord{}
-	for shardName, byTeam := range shares {
+	for shardName, byTeam := range sharesByShard {
 		for team, share := range byTeam {
 			record, ok := records[team]
 			if !ok {
 				record = shard.QuotaRecord{Held: map[string]sched.Resources{}}
-				if before := a.cache.Quotas[statecache.QuotaID(team)].Record; before != nil {
-					maps.Copy(record.Held, before.Held)
+				if committed := a.cache.Quotas[statecache.QuotaID(team)].Record; committed != nil {
+					maps.Copy(record.Held, committed.Held)
 				}
 				records[team] = record
 			}
@@ -119,16 +120,16 @@
 		}
 	}
 	for team, record := range records {
-		t.Require(statecache.QuotaKey(team), a.cache.Quotas[statecache.QuotaID(team)].Version)
-		t.Put(statecache.QuotaKey(team), record)
+		transaction.Require(statecache.QuotaKey(team), a.cache.Quotas[statecache.QuotaID(team)].Version)
+		transaction.Put(statecache.QuotaKey(team), record)
 	}
 }
 
-// ReclaimTransaction returns a transaction that takes back what shards hold of a team's limit and
-// don't use, for a team that had too little for a placement; nil if there is nothing. A gang needs
-// all of a limit at once, when the shards hold too little yet to return their surplus by
-// themselves. Each shard's record is written with its share, so that no placement there rests on
-// the old one.
+// ReclaimTransaction returns a transaction that takes back the unused quota shares of a team whose
+// quota did not suffice for a placement; nil if there is nothing to take back. A gang may need its
+// team's whole limit at once, although each shard's unused share is too small for the shard to
+// return it on its own. The transaction writes each shard's capacity record together with
+// its share, so that no concurrent placement there relies on the old share.
 func (a *Accounts) ReclaimTransaction(now time.Time) *statecache.Transaction {
 	claims := a.NewClaims()
 	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
@@ -141,13 +142,13 @@
 	if len(claims.byShard) == 0 {
 		return nil
 	}
-	t := statecache.NewTransaction()
-	claims.Write(t)
-	return t
+	transaction := statecache.NewTransaction()
+	claims.Write(transaction)
+	return transaction
 }
 
-// reclaimShares claims the shards that hold more of a team's limit than is used there, as many
-// as a transaction takes beside the team's record.
+// reclaimShares adds the shards that hold more of a team's quota than is used there to the claims,
+// up to the number of records that a transaction can write besides the team's quota record.
 func (a *Accounts) reclaimShares(claims *Claims, team string, now time.Time) {
 	for _, name := range a.node.Shards {
 		held := a.QuotaShares(team, name).Held
@@ -156,23 +157,23 @@
 		if claim == nil || full {
 			continue
 		}
-		use := claim.use[team]
+		use := claim.quotaUse[team]
 		if !use.Fits(sched.Resources{CPUs: held.CPUs, GPUs: held.GPUs}) {
-			claim.shares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
+			claim.changedShares[team] = sched.Resources{CPUs: use.CPUs, GPUs: use.GPUs}
 			claims.byShard[name] = claim
 		}
 	}
 }
 
-// CountsAgainstQuota reports whether what a gang's tasks use counts against a limit: the room of one
-// on a machine whose worker does not answer may still be used, done or not, so its record is kept
-// until all have been heard of.
+// CountsAgainstQuota reports whether the tasks of a gang count against a quota. Even after the gang
+// has finished, a task on a machine whose worker does not respond may still use its capacity, so
+// the gang's record is kept until the ends of all its tasks have been received.
 func (a *Accounts) CountsAgainstQuota(job *statecache.Job) bool {
 	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
 	return team.Limited()
 }
 
-// TeamUse returns what a team's tasks use in all, by the shards' capacity records.
+// TeamUse returns the total usage of a team according to the shards' capacity records.
 func (a *Accounts) TeamUse(team string) sched.Resources {
 	var use sched.Resources
 	for _, capacity := range a.cache.Capacities {
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -10,115 +10,121 @@
 	"violetturn/internal/statecache"
 )
 
-// After how many decision intervals an own shard's capacity record may be written again by
-// itself, and after how many if that only offers more room while own jobs wait for it.
+// Minimum number of decision intervals between two refreshes of the capacity record of a shard that
+// this controller leads: in general, and while tasks of this controller's jobs wait for capacity
+// and the refresh would only offer more of it.
 const (
-	refreshIntervals       = 6
-	refreshIntervalsOfMore = 24
+	refreshIntervals               = 6
+	refreshIntervalsWhileTasksWait = 24
 )
 
-// capacityUpdate is an own shard's capacity record as it is to be.
+// capacityUpdate is the new content of the capacity record of a shard that this controller leads.
 type capacityUpdate struct {
-	free   shard.FreeCapacity         // before it is cut to what the record takes
-	use    map[string]sched.Resources // by limited team
-	shares map[string]sched.Resources // of quotas that are returned, by team
+	free          shard.FreeCapacity         // before it is trimmed to the size limit of the record
+	quotaUse      map[string]sched.Resources // by limited team
+	reducedShares map[string]sched.Resources // shares of quotas after returning what is not needed, by team
 }
 
-// RefreshTransaction returns a transaction that brings the capacity record of an own shard up to
-// date whose machines or their room have changed, and returns what it holds of quotas beyond its
-// need; nil if none is due. Placements write these records anyway, so this is done at
-// intervals. tasksWait says whether tasks of own jobs wait for room.
+// RefreshTransaction returns a transaction that updates the capacity record of a shard that this
+// controller leads, if the shard's machines or their free capacity have changed, and that returns
+// the shard's unneeded quota shares; nil if no refresh is due. Placements write these records
+// anyway, so refreshes are only made at intervals. tasksWait reports whether tasks of this
+// controller's jobs wait for capacity.
 func (a *Accounts) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
 	for _, name := range a.leadership.KnownShards() {
 		record := a.cache.Capacities[name].Record
-		led := a.leadership.InForce(name)
-		if led == nil || record == nil || !a.catalog.IsKnown() {
+		inForce := a.leadership.InForce(name)
+		if inForce == nil || record == nil || !a.catalog.IsKnown() {
 			continue
 		}
-		sinceLast := led.CapacityRecordAge(now)
+		sinceLast := inForce.CapacityRecordAge(now)
 		if sinceLast < refreshIntervals*a.node.Settings.DecisionInterval() {
 			continue
 		}
 		update := a.newCapacityUpdate(name, now)
-		if a.isRecorded(update, record, led, now) {
+		if a.isUpToDate(update, record, inForce, now) {
 			continue
 		}
-		// More room than the record says is news for peers only, and while own jobs wait
-		// for room they use it first: that is offered less often, and so is another choice of
-		// machines where not all can be named. Less room is recorded at once.
-		lately := sinceLast < refreshIntervalsOfMore*a.node.Settings.DecisionInterval()
-		if len(update.shares) == 0 && lately && tasksWait() && stillOffered(update.free, record.Free) {
+		// Additional free capacity matters to peers only, and waiting tasks of this controller's
+		// jobs use it first. It is therefore offered less often while tasks wait, as is a different
+		// selection of machines where the record cannot name all. A decrease of capacity is
+		// recorded without that delay.
+		recent := sinceLast < refreshIntervalsWhileTasksWait*a.node.Settings.DecisionInterval()
+		if len(update.reducedShares) == 0 && recent && tasksWait() && offersRemainValid(update.free, record.Free) {
 			continue
 		}
-		led.NoteCapacityRecorded(now)
+		inForce.NoteCapacityRecorded(now)
 		return a.updateTransaction(name, update)
 	}
 	return nil
 }
 
-// newCapacityUpdate works out an own shard's capacity record from what is placed there.
+// newCapacityUpdate computes the capacity record of a shard that this controller leads from the
+// placements on its machines.
 func (a *Accounts) newCapacityUpdate(shardName string, now time.Time) capacityUpdate {
 	update := capacityUpdate{
-		free:   a.freeCapacity(shardName, now),
-		use:    a.QuotaUseOf(shardName),
-		shares: map[string]sched.Resources{},
+		free:          a.offeredCapacity(shardName, now),
+		quotaUse:      a.QuotaUseOf(shardName),
+		reducedShares: map[string]sched.Resources{},
 	}
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
-		use := update.use[team.Name]
+		use := update.quotaUse[team.Name]
 		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.Others, held.Held, use) {
 			continue
 		}
-		if less, ok := sched.QuotaShare(QuotaLimitOf(team), held.Others, use); ok {
-			update.shares[team.Name] = less
+		if share, ok := sched.QuotaShare(QuotaLimitOf(team), held.Others, use); ok {
+			update.reducedShares[team.Name] = share
 		}
 	}
 	return update
 }
 
-// isRecorded reports whether a shard's capacity record says all that an update would write.
-func (a *Accounts) isRecorded(update capacityUpdate, record *shard.CapacityRecord, led *leadership.Leadership, now time.Time) bool {
+// isUpToDate reports whether a shard's capacity record already contains all that an update would
+// write.
+func (a *Accounts) isUpToDate(update capacityUpdate, record *shard.CapacityRecord, inForce *leadership.Leadership, now time.Time) bool {
 	free := update.free
-	if len(record.Free) < len(free) { // as it would be recorded
+	if len(record.Free) < len(free) { // compare with what would be recorded
 		free = maps.Clone(free)
-		a.trimCapacity(free, update.use, now)
+		a.trimCapacity(free, update.quotaUse, now)
 	}
-	if !maps.Equal(free, record.Free) || !maps.Equal(update.use, record.QuotaUse) || len(update.shares) > 0 {
+	if !maps.Equal(free, record.Free) || !maps.Equal(update.quotaUse, record.QuotaUse) || len(update.reducedShares) > 0 {
 		return false
 	}
-	return !record.PredecessorMayAnswer || !now.After(led.PredecessorAnswersUntil)
+	return !record.PredecessorMayAnswer || !now.After(inForce.PredecessorAnswersUntil)
 }
 
-// updateTransaction writes an own shard's capacity record and returns as many teams' quotas as a
-// transaction takes.
+// updateTransaction returns a transaction that writes a shard's capacity record and as many of the
+// reduced quota shares as its operation limit allows.
 func (a *Accounts) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
-	for team := range update.shares {
-		if len(update.shares) < a.schema.TransactionLimits().TxnOps {
+	for team := range update.reducedShares {
+		if len(update.reducedShares) < a.schema.TransactionLimits().TxnOps {
 			break
 		}
-		delete(update.shares, team)
+		delete(update.reducedShares, team)
 	}
-	t := statecache.NewTransaction()
-	a.leadership.Require(t, shardName)
-	a.putCapacityRecord(t, shardName, update.free, update.use)
-	a.putQuotaShares(t, map[string]map[string]sched.Resources{shardName: update.shares})
-	return t
+	transaction := statecache.NewTransaction()
+	a.leadership.Require(transaction, shardName)
+	a.putCapacityRecord(transaction, shardName, update.free, update.quotaUse)
+	a.putQuotaShares(transaction, map[string]map[string]sched.Resources{shardName: update.reducedShares})
+	return transaction
 }
 
-// freeCapacity returns the free room of an own shard's machines as its capacity record offers it.
-func (a *Accounts) freeCapacity(shardName string, now time.Time) shard.FreeCapacity {
+// offeredCapacity returns the free capacity of the machines of a shard that this controller leads,
+// rounded as in its capacity record.
+func (a *Accounts) offeredCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
-	for host, room := range a.room.freeInShard(shardName, now) {
-		free[host] = room.Rounded()
+	for host, amount := range a.freeCapacity.freeInShard(shardName, now) {
+		free[host] = amount.Rounded()
 	}
 	return free
 }
 
-// stillOffered reports whether every machine that is offered has the room that it is offered
-// with.
-func stillOffered(now, offered shard.FreeCapacity) bool {
-	for host, room := range offered {
-		if has, ok := now[host]; !ok || !has.Fits(room) {
+// offersRemainValid reports whether every offered machine still has at least the capacity that it
+// is offered with.
+func offersRemainValid(current, offered shard.FreeCapacity) bool {
+	for host, amount := range offered {
+		if available, ok := current[host]; !ok || !available.Fits(amount) {
 			return false
 		}
 	}
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Room is what is placed on machines and what room they have left. It keeps nothing itself: what
-// is worked out stands in the cache of internal/statecache. The lock of internal/state guards it.
+// Room computes what is placed on machines and what capacity they have free. It has no state of its
+// own: computed loads are cached in internal/statecache. The lock of internal/state guards it.
 type Room struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -22,7 +22,7 @@
 	agents     *agent.Registry
 }
 
-// RoomDeps is what a room reads.
+// RoomDeps are the dependencies of a Room.
 type RoomDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -31,14 +31,14 @@
 	Agents     *agent.Registry
 }
 
-// NewRoom returns the room of the machines in a cache.
+// NewRoom returns a Room for the machines in a cache.
 func NewRoom(d RoomDeps) *Room {
 	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
 }
 
-// LoadOf returns what is placed on a machine. A plan asks for that of all machines,
-// so it is worked out only when something has changed there: whoever changes what
-// it rests on (placements, the jobs' records, ended attempts) drops it.
+// LoadOf returns the load of a machine. A plan reads the loads of all machines, so a load is cached
+// until something that it depends on changes (placements, the jobs' records, ended attempts); the
+// code that makes such a change removes the cached load.
 func (r *Room) LoadOf(host string) *statecache.MachineLoad {
 	load := r.cache.Load(host)
 	if load != nil {
@@ -74,46 +74,50 @@
 	return load
 }
 
-// UnfinishedTasks counts the tasks on a machine that have not ended.
+// UnfinishedTasks returns the number of unfinished tasks on a machine.
 func (r *Room) UnfinishedTasks(host string) int {
 	load := r.LoadOf(host)
 	return load.Services + load.Arrays
 }
 
-// StartDelay estimates how many seconds a start on a machine waits for the worker's next
-// heartbeat: one whose token was raised a moment ago can't be made to send one by another raise.
-// On a peer's machine that is so if a task was placed there.
+// StartDelay estimates the seconds until a machine's worker sends the heartbeat whose answer can
+// start a task. A raised token makes a worker send a heartbeat early, but another raise shortly
+// afterwards does not. For a peer's machine, the time of the last placement on it stands for the
+// last raise.
 func (r *Room) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
-	raised := time.UnixMilli(load.LastPlacedMS)
+	tokenChangedAt := time.UnixMilli(load.LastPlacedMS)
 	if worker := r.agents.Agent(host); worker != nil {
-		raised = worker.LastTokenChange()
+		tokenChangedAt = worker.LastTokenChange()
 	}
-	if now.Sub(raised) < r.node.Settings.WorkerLease()/2 {
+	if now.Sub(tokenChangedAt) < r.node.Settings.WorkerLease()/2 {
 		return r.node.Settings.HeartbeatInterval().Seconds() / 2
 	}
 	return 0
 }
 
-// WithPreemptibleRoom returns copies of the machines with the room of tasks of a lower priority
-// added to what is free: that need not be kept, it can be taken when needed.
+// WithPreemptibleRoom returns copies of the machines whose free capacity includes that of tasks of
+// lower priority: headroom need not be kept there, because those tasks can be preempted when it is
+// needed.
 func (r *Room) WithPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
 	copies := make([]sched.Host, len(hosts)) // one allocation for all
-	out := make([]*sched.Host, len(hosts))
+	pointers := make([]*sched.Host, len(hosts))
 	for i, host := range hosts {
 		copies[i] = *host
 		load := r.LoadOf(host.Name)
 		for lower := priority + 1; lower < len(load.RunningByPriority); lower++ {
 			copies[i].Free = copies[i].Free.Add(load.RunningByPriority[lower])
 		}
-		out[i] = &copies[i]
+		pointers[i] = &copies[i]
 	}
-	return out
+	return pointers
 }
 
-// maxMissedHeartbeats is after how many heartbeat intervals without one a machine gets no tasks.
+// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a
+// machine gets no tasks.
 const maxMissedHeartbeats = 3
 
-// isSchedulable reports whether a machine of an own shard can take tasks.
+// isSchedulable reports whether tasks may be placed on a machine of a shard that this controller
+// leads.
 func (r *Room) isSchedulable(host string, now time.Time) bool {
 	worker := r.agents.Agent(host)
 	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
@@ -123,26 +127,28 @@
 		now.Sub(worker.LastSeen) < maxMissedHeartbeats*r.node.Settings.HeartbeatInterval()
 }
 
-// freeInShard computes the free room of the usable machines of an own shard from the
-// committed placements, less those that have ended. A machine without any is left out.
+// freeInShard returns the free capacity of the schedulable machines of a shard that this controller
+// leads, computed from the committed placements without those whose tasks have ended. Machines
+// without free capacity are omitted.
 func (r *Room) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
 	for _, host := range r.cache.MachineNames() {
 		if r.cache.Machines[host].Shard != shardName {
 			continue
 		}
-		if room, _, ok := r.FreeOnMachine(host, now); ok {
-			free[host] = room
+		if amount, _, ok := r.FreeOnMachine(host, now); ok {
+			free[host] = amount
 		}
 	}
 	return free
 }
 
-// minFree is the least of a resource that counts as free: sums of decimal fractions are not exact.
+// minFree is the amount of a resource up to which a machine counts as full, because sums of decimal
+// fractions are not exact.
 const minFree = 1e-6
 
-// FreeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
-// false if it has none or can't take tasks.
+// FreeOnMachine returns the free capacity and the size of a machine of a shard that this controller
+// leads; ok is false if the machine has no free capacity or cannot take tasks.
 func (r *Room) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
 	if !r.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
@@ -155,8 +161,8 @@
 	return free, size, free.CPUs > minFree && free.MemGB > minFree
 }
 
-// ProvisioningHosts lists the machines that have not come up yet: those rented for this
-// controller's shards, or all.
+// ProvisioningHosts returns the machines that are still booting: all, or those rented for this
+// controller's shards.
 func (r *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var hosts []*sched.Host
 	for name, machine := range r.cache.Machines {
@@ -168,14 +174,14 @@
 		if machineType == nil || record == nil {
 			continue
 		}
-		if _, up := record.Free[name]; up {
+		if _, offered := record.Free[name]; offered {
 			continue
 		}
 		if worker := r.agents.Agent(name); worker != nil && worker.Fenced() {
 			continue
 		}
 		if float64(now.UnixMilli()-machine.RegisteredMS)/1000 > 2*machineType.BootS {
-			continue // late: it may never come
+			continue // overdue: it may never start
 		}
 		hosts = append(hosts, &sched.Host{
 			Name:        name,
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -8,29 +8,30 @@
 	"violetturn/internal/sched"
 )
 
-// Catalog is the machine types that the cloud has, and which offers it refused lately. The lock
-// of internal/state guards it.
+// Catalog contains the cloud's machine types, and the offers that the cloud refused recently. The
+// lock of internal/state guards it.
 type Catalog struct {
 	node         *node.Info
 	machineTypes []cloud.MachineType
 	backoffs     map[offerKey]backoff
 }
 
-// New returns a catalog that has not been read yet.
+// New returns an empty catalog; the machine types are set by SetMachineTypes.
 func New(node *node.Info) *Catalog {
 	return &Catalog{node: node, backoffs: map[offerKey]backoff{}}
 }
 
-// SetMachineTypes replaces the machine types by those that the cloud has now.
+// SetMachineTypes replaces the machine types by those that the cloud offers now.
 func (c *Catalog) SetMachineTypes(types []cloud.MachineType) { c.machineTypes = types }
 
-// MachineTypes returns the machine types in the cloud's order, none before they were read.
+// MachineTypes returns the machine types in the cloud's order; none if they have not been read yet.
 func (c *Catalog) MachineTypes() []cloud.MachineType { return c.machineTypes }
 
 // IsKnown reports whether the machine types have been read.
 func (c *Catalog) IsKnown() bool { return len(c.machineTypes) > 0 }
 
-// ShortestBoot returns how long the machine type that boots fastest takes; 0 if none is known.
+// ShortestBoot returns the boot time of the machine type that boots fastest; 0 if the machine types
+// have not been read yet.
 func (c *Catalog) ShortestBoot() time.Duration {
 	shortest := 0.0
 	for i := range c.machineTypes {
@@ -38,15 +39,15 @@
 			shortest = boot
 		}
 	}
-	return seconds(shortest)
+	return durationOfSeconds(shortest)
 }
 
-// MachineCapacity returns the size of a machine type and what the cloud says of it; nil if it is
-// not known.
+// MachineCapacity returns the size and the cloud's description of a machine type; nil if the
+// catalog does not contain it.
 func (c *Catalog) MachineCapacity(machineType string) (sched.Resources, *cloud.MachineType) {
 	for i := range c.machineTypes {
-		if known := &c.machineTypes[i]; known.Name == machineType {
-			return sizeOf(known), known
+		if candidate := &c.machineTypes[i]; candidate.Name == machineType {
+			return resourcesOf(candidate), candidate
 		}
 	}
 	return sched.Resources{}, nil
@@ -56,12 +57,12 @@
 func (c *Catalog) MachineSizes() []sched.Resources {
 	sizes := make([]sched.Resources, 0, len(c.machineTypes))
 	for i := range c.machineTypes {
-		sizes = append(sizes, sizeOf(&c.machineTypes[i]))
+		sizes = append(sizes, resourcesOf(&c.machineTypes[i]))
 	}
 	return sizes
 }
 
-// PriceOf returns the price of a machine of that type.
+// PriceOf returns the price of a machine of the given type, as a spot machine or not.
 func PriceOf(machineType *cloud.MachineType, spot bool) float64 {
 	if spot {
 		return machineType.SpotPrice
@@ -69,8 +70,8 @@
 	return machineType.Price
 }
 
-func sizeOf(machineType *cloud.MachineType) sched.Resources {
+func resourcesOf(machineType *cloud.MachineType) sched.Resources {
 	return sched.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemGB}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,9 +13,9 @@
 	"violetturn/internal/sched"
 )
 
-// testCatalog returns a catalog of a small machine type in one zone and a large one in two, and a
-// team with a limit.
-func testCatalog(t *testing.T) *Catalog {
+// newTestCatalog returns a catalog with a small machine type in one zone and a large one in two
+// zones, and settings with one limited and one unlimited team.
+func newTestCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
@@ -29,104 +29,105 @@
 }
 
 func TestRejectionReason(t *testing.T) {
-	c := testCatalog(t)
+	c := newTestCatalog(t)
 	const (
-		fitsNone  = "fits no allowed machine type"
-		overLimit = "more than the team's limit"
-		cantBe    = "can't be scattered"
+		noMachineType    = "fits no allowed machine type"
+		exceedsTeamLimit = "more than the team's limit"
+		cannotSpread     = "can't be scattered"
 	)
 	for name, test := range map[string]struct {
 		spec api.Job
 		want string
 	}{
-		"fits":                      {api.Job{Team: "free", Kind: api.Array, Tasks: 9, CPUs: 1, MemGB: 1}, ""},
-		"no such team":              {api.Job{Team: "other", Kind: api.Array, Tasks: 1, CPUs: 1}, "unknown team"},
-		"too large":                 {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 17}, fitsNone},
-		"no such machine type":      {api.Job{Team: "free", Kind: api.Array, Tasks: 1, MachineTypes: []string{"other"}}, fitsNone},
-		"one task beyond the limit": {api.Job{Team: "limited", Kind: api.Array, Tasks: 1, GPUs: 5}, overLimit},
-		"an array's tasks may wait": {api.Job{Team: "limited", Kind: api.Array, Tasks: 9, GPUs: 1}, ""},
-		"a gang's tasks may not":    {api.Job{Team: "limited", Kind: api.Gang, Tasks: 5, GPUs: 1}, overLimit},
-		"spread over two zones":     {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 8, Spread: true}, ""},
-		"spread in one zone":        {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Zone: "x", Spread: true}, cantBe},
-		"spread and together":       {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, Together: true}, cantBe},
-		"one task is spread":        {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 1, Zone: "x", Spread: true}, ""},
+		"fits":                    {api.Job{Team: "free", Kind: api.Array, Tasks: 9, CPUs: 1, MemGB: 1}, ""},
+		"no such team":            {api.Job{Team: "other", Kind: api.Array, Tasks: 1, CPUs: 1}, "unknown team"},
+		"too large":               {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 17}, noMachineType},
+		"no such machine type":    {api.Job{Team: "free", Kind: api.Array, Tasks: 1, MachineTypes: []string{"other"}}, noMachineType},
+		"one task over the limit": {api.Job{Team: "limited", Kind: api.Array, Tasks: 1, GPUs: 5}, exceedsTeamLimit},
+		"array over the limit":    {api.Job{Team: "limited", Kind: api.Array, Tasks: 9, GPUs: 1}, ""},
+		"gang over the limit":     {api.Job{Team: "limited", Kind: api.Gang, Tasks: 5, GPUs: 1}, exceedsTeamLimit},
+		"spread over two zones":   {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 8, Spread: true}, ""},
+		"spread in one zone":      {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Zone: "x", Spread: true}, cannotSpread},
+		"spread and together":     {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, Together: true}, cannotSpread},
+		"one task is spread":      {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 1, Zone: "x", Spread: true}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.RejectionReason(&test.spec); got != test.want {
-				t.Errorf("%q, not %q", got, test.want)
+				t.Errorf("rejection reason is %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// A refused offer is not available for a quarter of a boot, then for twice as long, up to two
-// boots; the same machine type elsewhere, or not spot, is. A rental clears that.
-func TestRefusedOffer(t *testing.T) {
-	c := testCatalog(t)
+// A refused offer is unavailable for a quarter of the boot time, then twice as long after each
+// refusal, up to two boot times. Other offers stay available: the same machine type in another
+// zone, or not as a spot machine. A successful rental clears the backoff.
+func TestRefusedOfferBacksOff(t *testing.T) {
+	c := newTestCatalog(t)
 	now := time.Unix(1_800_000_000, 0)
 	refused := sched.Offer{MachineType: "large", Zone: "y", Spot: true}
 	available := func(at time.Time) bool {
 		for _, offer := range c.AvailableOffers(at) {
-			if keyOf(&offer) == keyOf(&refused) {
+			if offerKeyOf(&offer) == offerKeyOf(&refused) {
 				return true
 			}
 		}
 		return false
 	}
 	if got := len(c.AvailableOffers(now)); got != 6 || !available(now) {
-		t.Fatalf("%d offers, not 6", got)
+		t.Fatalf("%d offers, want 6 with %+v available", got, refused)
 	}
-	for i, pause := range []time.Duration{15, 30, 60, 120, 120} {
-		pause *= time.Second
+	for i, delay := range []time.Duration{15, 30, 60, 120, 120} {
+		delay *= time.Second
 		c.BackOff(&refused, now)
-		if available(now) || available(now.Add(pause)) || !available(now.Add(pause+1)) {
-			t.Errorf("refusal %d: not away for %v", i+1, pause)
+		if available(now) || available(now.Add(delay)) || !available(now.Add(delay+1)) {
+			t.Errorf("refusal %d: offer is not unavailable for exactly %v", i+1, delay)
 		}
 	}
 	if got := len(c.AvailableOffers(now)); got != 5 {
-		t.Errorf("%d offers beside the refused one, not 5", got)
+		t.Errorf("%d offers besides the refused one, want 5", got)
 	}
 	c.ClearBackoff(&refused)
 	if !available(now) {
-		t.Error("not available though it was rented")
+		t.Error("offer is not available after ClearBackoff")
 	}
 }
 
-func TestCloudRefuses(t *testing.T) {
-	c := testCatalog(t)
+func TestCloudRefusesWhenAllOffersOfZoneAreRefused(t *testing.T) {
+	c := newTestCatalog(t)
 	now := time.Unix(1_800_000_000, 0)
 	for _, spot := range []bool{false, true} {
 		if c.CloudRefuses("y", now) {
-			t.Errorf("refuses y though an offer is left")
+			t.Errorf("CloudRefuses is true for zone y although one of its offers was not refused")
 		}
 		c.BackOff(&sched.Offer{MachineType: "large", Zone: "y", Spot: spot}, now)
 	}
 	if !c.CloudRefuses("y", now) || c.CloudRefuses("x", now) {
-		t.Errorf("refuses: x %t, y %t", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
+		t.Errorf("CloudRefuses is %t for zone x and %t for zone y, want false and true", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
 	}
 	if New(c.node).CloudRefuses("y", now) {
-		t.Error("refuses before the machine types are known")
+		t.Error("CloudRefuses is true before the machine types are read")
 	}
 }
 
-func TestMachineTypes(t *testing.T) {
-	c := testCatalog(t)
+func TestMachineTypeLookups(t *testing.T) {
+	c := newTestCatalog(t)
 	if got := c.ShortestBoot(); got != 40*time.Second {
-		t.Errorf("shortest boot %v", got)
+		t.Errorf("shortest boot time is %v, want 40s", got)
 	}
 	if got := New(c.node).ShortestBoot(); got != 0 {
-		t.Errorf("shortest boot of no machine type %v", got)
+		t.Errorf("shortest boot time without machine types is %v, want 0", got)
 	}
 	if size, found := c.MachineCapacity("large"); found == nil || size != (sched.Resources{CPUs: 16, GPUs: 2, MemGB: 64}) {
-		t.Errorf("large: %v, %v", size, found)
+		t.Errorf("machine type large has size %v and description %v, want 16 CPUs, 2 GPUs and 64 GB", size, found)
 	}
 	if size, found := c.MachineCapacity("other"); found != nil || size != (sched.Resources{}) {
-		t.Errorf("other: %v, %v", size, found)
+		t.Errorf("unknown machine type has size %v and description %v, want none", size, found)
 	}
 	if got := c.FetchSeconds(&api.Job{ImageGB: 7}); got != 3.5 {
-		t.Errorf("fetches for %v seconds", got)
+		t.Errorf("fetching takes %v seconds, want 3.5", got)
 	}
 	if got := New(c.node).FetchSeconds(&api.Job{ImageGB: 7}); got != 0 {
-		t.Errorf("fetches for %v seconds though no rate is known", got)
+		t.Errorf("fetching takes %v seconds without a known rate, want 0", got)
 	}
 }
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -5,23 +5,24 @@
 	"violetturn/internal/statecache"
 )
 
-// quotaTolerance is by how much a sum may pass a limit: sums of decimal fractions are not exact.
+// quotaTolerance is the amount by which a sum may exceed a limit, because sums of decimal fractions
+// are not exact.
 const quotaTolerance = 1e-6
 
-// FetchSeconds returns how many seconds fetching a job's image takes at least; 0 if that is not
-// known.
+// FetchSeconds returns the minimum number of seconds that fetching a job's image takes; 0 if no
+// fetch rate is known.
 func (c *Catalog) FetchSeconds(spec *api.Job) float64 {
-	fastest := 0.0
+	fastestGBPerS := 0.0
 	for i := range c.machineTypes {
-		fastest = max(fastest, c.machineTypes[i].FetchGBPerS)
+		fastestGBPerS = max(fastestGBPerS, c.machineTypes[i].FetchGBPerS)
 	}
-	if fastest <= 0 {
+	if fastestGBPerS <= 0 {
 		return 0
 	}
-	return spec.ImageGB / fastest
+	return spec.ImageGB / fastestGBPerS
 }
 
-// RejectionReason returns why a job can never run, "" if it can. Users read it.
+// RejectionReason returns why a job can never run, or "" if it can. The reason is shown to users.
 func (c *Catalog) RejectionReason(spec *api.Job) string {
 	team, ok := c.node.Settings.Team(spec.Team)
 	if !ok {
@@ -40,23 +41,24 @@
 	return ""
 }
 
-// exceedsLimit reports whether what has to run of a job at once is more than its team's limits,
-// 0 for none: one task of an array, all of any other job.
+// exceedsLimit reports whether the part of a job that must run at the same time exceeds its team's
+// limits: one task of an array, all tasks of any other job. A limit of 0 means unlimited.
 func exceedsLimit(spec *api.Job, cpusMax, gpusMax float64) bool {
-	atOnce := 1.0
+	concurrentTasks := 1.0
 	if spec.Kind != api.Array {
-		atOnce = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	return cpusMax > 0 && spec.CPUs*atOnce > cpusMax+quotaTolerance || gpusMax > 0 && spec.GPUs*atOnce > gpusMax+quotaTolerance
+	return cpusMax > 0 && spec.CPUs*concurrentTasks > cpusMax+quotaTolerance ||
+		gpusMax > 0 && spec.GPUs*concurrentTasks > gpusMax+quotaTolerance
 }
 
-// zonesFor returns the zones with a machine type that a task of a job may run on.
+// zonesFor returns the zones that have a machine type on which a task of the job may run.
 func (c *Catalog) zonesFor(spec *api.Job) map[string]bool {
 	request := statecache.TaskRequestOf(spec)
 	zones := map[string]bool{}
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
-		if !sizeOf(machineType).Fits(request.Need) {
+		if !resourcesOf(machineType).Fits(request.Need) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -6,28 +6,29 @@
 	"violetturn/internal/sched"
 )
 
-// offerKey names an offer, whatever it costs at the moment.
+// offerKey identifies an offer regardless of its current price.
 type offerKey struct {
 	machineType, zone string
 	spot              bool
 }
 
-func keyOf(offer *sched.Offer) offerKey {
+func offerKeyOf(offer *sched.Offer) offerKey {
 	return offerKey{machineType: offer.MachineType, zone: offer.Zone, spot: offer.Spot}
 }
 
-// backoff is when a refused offer may be asked for again, and how long the pause was.
+// backoff is the time until which a refused offer is not requested again, and the delay that led to
+// it.
 type backoff struct {
 	until time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-// AvailableOffers lists what can be rented, without what was refused lately.
+// AvailableOffers returns all offers except those that were refused recently.
 func (c *Catalog) AvailableOffers(now time.Time) []sched.Offer {
 	var offers []sched.Offer
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
-		size := sizeOf(machineType)
+		size := resourcesOf(machineType)
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
 				offer := sched.Offer{
@@ -37,7 +38,7 @@
 					Cap:         size,
 					Price:       PriceOf(machineType, spot),
 				}
-				if refused, ok := c.backoffs[keyOf(&offer)]; !ok || now.After(refused.until) {
+				if entry, ok := c.backoffs[offerKeyOf(&offer)]; !ok || now.After(entry.until) {
 					offers = append(offers, offer)
 				}
 			}
@@ -46,27 +47,30 @@
 	return offers
 }
 
-// BackOff keeps an offer that was refused from being asked for again at once, ever longer: what
-// was refused seldom comes back sooner than a machine would boot.
+// BackOff delays further requests for a refused offer. The delay doubles with each refusal, from a
+// quarter of the boot time up to two boot times, because a refused offer seldom becomes available
+// sooner than a machine would boot.
 func (c *Catalog) BackOff(offer *sched.Offer, now time.Time) {
 	boot := c.node.Settings.WorkerLease()
 	if _, machineType := c.MachineCapacity(offer.MachineType); machineType != nil {
-		boot = seconds(machineType.BootS)
+		boot = durationOfSeconds(machineType.BootS)
 	}
-	entry := c.backoffs[keyOf(offer)]
-	entry.pause = min(max(2*entry.pause, boot/4), 2*boot)
-	entry.until = now.Add(entry.pause)
-	c.backoffs[keyOf(offer)] = entry
+	entry := c.backoffs[offerKeyOf(offer)]
+	entry.delay = min(max(2*entry.delay, boot/4), 2*boot)
+	entry.until = now.Add(entry.delay)
+	c.backoffs[offerKeyOf(offer)] = entry
 }
 
-// ClearBackoff lets an offer be asked for again: the cloud gave such a machine, or got one back.
-func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, keyOf(offer)) }
+// ClearBackoff makes an offer available again, after the cloud rented such a machine or received
+// one back.
+func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, offerKeyOf(offer)) }
 
-// CloudRefuses reports whether the cloud refuses all that it could rent in a zone.
+// CloudRefuses reports whether the cloud recently refused every offer of a zone. It is false before
+// the machine types are read.
 func (c *Catalog) CloudRefuses(zone string, now time.Time) bool {
-	offered := false
+	available := false
 	for _, offer := range c.AvailableOffers(now) {
-		offered = offered || offer.Zone == zone
+		available = available || offer.Zone == zone
 	}
-	return c.IsKnown() && !offered
+	return c.IsKnown() && !available
 }
--- a/internal/estimate/doc.go
+++ b/internal/estimate/doc.go
@@ -1,4 +1,4 @@
-// Package estimate says how long tasks run, corrected by what their class's tasks took, and how
-// long jobs may wait and take by their deadlines and the settings' objectives. The lock of
-// internal/state guards it.
+// Package estimate estimates how long tasks run, with the users' estimates corrected by the
+// observed run times of the class, and how long jobs may wait and run given their deadlines and the
+// objectives in the settings. The lock of internal/state guards it.
 package estimate
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -8,13 +8,14 @@
 	"violetturn/internal/node"
 )
 
-// UnlimitedSeconds stands for a time without end: a deadline or a slack where there is none.
+// UnlimitedSeconds is the deadline or slack of a job that has none.
 const UnlimitedSeconds = 1e9
 
-// maxClasses bounds the classes that are remembered: users may name classes at will.
+// maxClasses bounds the number of classes with a recorded bias, because users can name classes
+// freely.
 const maxClasses = 64
 
-// Bounds of a single observation, and the weight that a new one has against those before.
+// Bounds of a single observed ratio, and the weights of a new ratio and of the previous bias.
 const (
 	minBias        = 0.1
 	maxBias        = 10
@@ -22,20 +23,20 @@
 	pastBiasWeight = 1 - newBiasWeight
 )
 
-// Estimates is how long tasks run and how long jobs may wait and take. The lock of
+// Estimates estimates how long tasks run and how long jobs may wait and run. The lock of
 // internal/state guards it.
 type Estimates struct {
 	node        *node.Info
-	runtimeBias map[string]float64 // by class, run times divided by their users' estimates
+	runtimeBias map[string]float64 // by class, average ratio of run time to the users' estimate
 }
 
-// New returns estimates that have observed no task.
+// New returns estimates without any observation.
 func New(node *node.Info) *Estimates {
 	return &Estimates{node: node, runtimeBias: map[string]float64{}}
 }
 
-// ObserveRuntime learns from a task's run time divided by its user's estimate. The estimates of a
-// class are often mostly too high or mostly too low.
+// ObserveRuntime updates the bias of a class with the ratio of a task's run time to its user's
+// estimate. The estimates in one class are often mostly too high or mostly too low.
 func (e *Estimates) ObserveRuntime(class string, ratio float64) {
 	past, known := e.runtimeBias[class]
 	if !known && len(e.runtimeBias) >= maxClasses {
@@ -48,8 +49,8 @@
 	e.runtimeBias[class] = ratio
 }
 
-// EstimatedRuntime returns how many seconds a task of the job is expected to run, once it has its
-// image.
+// EstimatedRuntime returns the expected run time of a task of the job in seconds, without the time
+// to fetch its image.
 func (e *Estimates) EstimatedRuntime(spec *api.Job) float64 {
 	if bias, known := e.runtimeBias[spec.Class]; known {
 		return spec.EstimateS * bias
@@ -57,8 +58,8 @@
 	return spec.EstimateS
 }
 
-// DeadlineSeconds returns when a job should be complete, in seconds from its submission;
-// UnlimitedSeconds if nothing asks for it.
+// DeadlineSeconds returns the time by which a job should be finished, in seconds from its
+// submission; UnlimitedSeconds if neither its deadline nor an objective sets one.
 func (e *Estimates) DeadlineSeconds(spec *api.Job) float64 {
 	deadline := float64(UnlimitedSeconds)
 	if spec.DeadlineS != nil {
@@ -72,9 +73,8 @@
 	return deadline
 }
 
-// WaitingSlack returns how many seconds a job of the class can wait before it misses its
-// deadline or an objective, when fetching its image takes so many seconds; infinity if it has
-// none.
+// WaitingSlack returns how many seconds a job of the class can wait without missing its deadline or
+// an objective, if fetching its image takes fetchSeconds; infinity if it has neither.
 func (e *Estimates) WaitingSlack(class string, spec *api.Job, fetchSeconds float64) float64 {
 	slack := math.Inf(1)
 	if spec.DeadlineS != nil {
@@ -92,7 +92,7 @@
 		}
 	}
 	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
-		slack = min(slack, 2*e.node.Settings.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
+		slack = min(slack, 2*e.node.Settings.HeartbeatInterval().Seconds()) // tasks within a team's guarantee need not wait
 	}
 	return slack
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/node"
 )
 
-func testEstimates(t *testing.T) *Estimates {
+func newTestEstimates(t *testing.T) *Estimates {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
@@ -25,30 +25,30 @@
 }
 
 func TestDeadlineSeconds(t *testing.T) {
-	e := testEstimates(t)
+	e := newTestEstimates(t)
 	early, late := 100.0, 900.0
 	for name, test := range map[string]struct {
 		spec api.Job
 		want float64
 	}{
-		"none":                           {api.Job{Kind: api.Array, Class: "other"}, UnlimitedSeconds},
-		"its own":                        {api.Job{Kind: api.Array, Class: "other", DeadlineS: &late}, late},
-		"its class's":                    {api.Job{Kind: api.Array, Class: "nightly"}, 500},
-		"the earlier of both, its own":   {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &early}, early},
-		"the earlier of both, class's":   {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &late}, 500},
-		"a service is never complete":    {api.Job{Kind: api.Service, Class: "nightly"}, UnlimitedSeconds},
-		"waiting is no matter of theirs": {api.Job{Kind: api.Array, Class: "interactive"}, UnlimitedSeconds},
+		"none":                                {api.Job{Kind: api.Array, Class: "other"}, UnlimitedSeconds},
+		"job deadline":                        {api.Job{Kind: api.Array, Class: "other", DeadlineS: &late}, late},
+		"class objective":                     {api.Job{Kind: api.Array, Class: "nightly"}, 500},
+		"job deadline before class objective": {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &early}, early},
+		"class objective before job deadline": {api.Job{Kind: api.Array, Class: "nightly", DeadlineS: &late}, 500},
+		"a service never finishes":            {api.Job{Kind: api.Service, Class: "nightly"}, UnlimitedSeconds},
+		"a wait objective is no deadline":     {api.Job{Kind: api.Array, Class: "interactive"}, UnlimitedSeconds},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := e.DeadlineSeconds(&test.spec); got != test.want {
-				t.Errorf("%v, not %v", got, test.want)
+				t.Errorf("deadline is %v seconds, want %v", got, test.want)
 			}
 		})
 	}
 }
 
 func TestWaitingSlack(t *testing.T) {
-	e := testEstimates(t)
+	e := newTestEstimates(t)
 	deadline := 100.0
 	const fetch = 5
 	for name, test := range map[string]struct {
@@ -65,21 +65,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := e.WaitingSlack(test.spec.Class, &test.spec, fetch); got != test.want {
-				t.Errorf("%v, not %v", got, test.want)
+				t.Errorf("slack is %v seconds, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A class's run times correct the estimates of its jobs: the first one wholly, later ones a
-// tenth each, and none by more than ten times.
-func TestEstimatedRuntime(t *testing.T) {
-	e := testEstimates(t)
+// The observed run times of a class correct its users' estimates: the first observation counts
+// fully, each later one a tenth, and no ratio counts as more than ten or less than a tenth.
+func TestEstimatedRuntimeCorrectsUserEstimate(t *testing.T) {
+	e := newTestEstimates(t)
 	spec := &api.Job{Class: "a", EstimateS: 100}
 	expect := func(want float64) {
 		t.Helper()
 		if got := e.EstimatedRuntime(spec); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v seconds, not %v", got, want)
+			t.Errorf("estimated run time is %v seconds, want %v", got, want)
 		}
 	}
 	expect(100)
@@ -95,13 +95,13 @@
 	expect(10)
 }
 
-// Users may name classes at will: not more than some are remembered.
-func TestClassesAreBounded(t *testing.T) {
-	e := testEstimates(t)
+// Users can name classes freely, so the number of recorded classes must be bounded.
+func TestRuntimeBiasBoundsNumberOfClasses(t *testing.T) {
+	e := newTestEstimates(t)
 	for i := range 10 * maxClasses {
 		e.ObserveRuntime(fmt.Sprint(i), 2)
 		if len(e.runtimeBias) > maxClasses {
-			t.Fatalf("%d classes are remembered", len(e.runtimeBias))
+			t.Fatalf("%d classes are recorded, want at most %d", len(e.runtimeBias), maxClasses)
 		}
 	}
 }
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -8,24 +8,24 @@
 	"violetturn/internal/config"
 )
 
-// machineList is what is remembered of the cloud's list of machines.
+// machineList is the state of reading the cloud's list of machines.
 type machineList struct {
-	listing cloud.Listing // the list, as far as it has been read
-	readAt  time.Time     // when it was last read to its end
+	listing cloud.Listing // the pages that have been read so far
+	readAt  time.Time     // when the list was last read completely
 }
 
-// listTimeoutIntervals is after how many intervals between two listings one that can't be finished
-// is abandoned.
+// listTimeoutIntervals is the number of intervals between two listings after which an unfinished
+// listing is abandoned.
 const listTimeoutIntervals = 4
 
-// readMachineList reads what a round may read of the cloud's list, if it is time for one. A fleet
-// of some thousand machines takes several rounds.
+// readMachineList reads up to config.CloudCallsPerRound pages of the cloud's list, if a listing is
+// due or unfinished. Listing a few thousand machines takes several runs.
 func (l *Loop) readMachineList(ctx context.Context, now time.Time) {
 	list := &l.list
 	lag := time.Duration(l.node.Settings.Facts.Cloud.ListLagS * float64(time.Second))
 	interval := max(lag, l.node.Settings.HeartbeatInterval())
 	if list.listing.Active() && now.Sub(list.listing.Began) > listTimeoutIntervals*interval {
-		list.listing.Abandon() // the cloud did not answer meanwhile
+		list.listing.Abandon() // the cloud did not respond in time
 	}
 	if !list.listing.Active() && now.Sub(list.readAt) <= interval {
 		return
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -11,23 +11,24 @@
 	"violetturn/internal/sched"
 )
 
-// rentals is what is remembered of rental requests.
+// rentals is the state of the rental requests.
 type rentals struct {
-	unanswered map[sched.Offer]cloud.RentalRequest // requests in doubt: each is repeated under its name
-	requests   int                                 // names used for requests so far
+	unresolved   map[sched.Offer]cloud.RentalRequest // requests with unknown outcome: each is repeated under its name
+	requestCount int                                 // number of request names used so far
 }
 
-// rentalOutcome is what became of an order of machines.
+// rentalOutcome is the result of renting for one order.
 type rentalOutcome uint8
 
 const (
-	rentalServed  rentalOutcome = iota // all were rented, or as many as a round may ask for
-	rentalRefused                      // the cloud gave fewer than were asked for
-	rentalInDoubt                      // a request had no answer
+	rentalFulfilled      rentalOutcome = iota // all machines were rented, or as many as one run may request
+	rentalRefused                             // the cloud rented fewer machines than requested
+	rentalOutcomeUnknown                      // a request got no response
 )
 
-// scaleOut rents what lacks room. It reports whether an offer was refused, so that another may do.
-func (l *Loop) scaleOut(ctx context.Context, headroom []autoscaler.HeadroomRequest) (again bool) {
+// scaleOut rents machines for tasks that lack capacity and for the headroom. It reports whether an
+// offer was refused, so that another offer should be tried.
+func (l *Loop) scaleOut(ctx context.Context, headroom []autoscaler.HeadroomRequest) (retry bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
 	orders := state.Autoscaler.RentalOrders(now, headroom)
@@ -38,49 +39,49 @@
 	}
 	for _, order := range orders {
 		switch l.rentMachines(ctx, order, renting) {
-		case rentalServed:
+		case rentalFulfilled:
 		case rentalRefused:
-			again = true
-		case rentalInDoubt:
+			retry = true
+		case rentalOutcomeUnknown:
 			return false
 		}
 	}
 	l.decisions.RegisterMachines(ctx)
-	return again
+	return retry
 }
 
-// rentMachines rents the machines of one order, in as many requests as a round may take: one
-// request returns cloud.MaxRental machines at most.
+// rentMachines rents the machines of one order, in up to config.CloudCallsPerRound requests of at
+// most cloud.MaxRental machines each.
 func (l *Loop) rentMachines(ctx context.Context, order sched.RentalOrder, renting autoscaler.RentingShard) rentalOutcome {
-	wanted := order.Count
-	for calls := 0; wanted > 0 && calls < config.CloudCallsPerRound; calls++ {
-		request, unanswered := l.rentals.unanswered[order.Offer]
-		if !unanswered {
-			request = l.newRequest(order.Offer, min(wanted, cloud.MaxRental), renting)
+	remaining := order.Count
+	for calls := 0; remaining > 0 && calls < config.CloudCallsPerRound; calls++ {
+		request, unresolved := l.rentals.unresolved[order.Offer]
+		if !unresolved {
+			request = l.newRentalRequest(order.Offer, min(remaining, cloud.MaxRental), renting)
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, request)
 		state := l.guard.Lock()
 		refused := state.Autoscaler.NoteRental(request, hosts, err, renting)
 		l.guard.Unlock()
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-			l.rentals.unanswered[order.Offer] = request
-			return rentalInDoubt
+			l.rentals.unresolved[order.Offer] = request
+			return rentalOutcomeUnknown
 		}
-		delete(l.rentals.unanswered, order.Offer)
+		delete(l.rentals.unresolved, order.Offer)
 		if refused {
 			return rentalRefused
 		}
-		wanted -= len(hosts)
+		remaining -= len(hosts)
 	}
-	return rentalServed
+	return rentalFulfilled
 }
 
-// newRequest makes a rental request under a name of its own: shard, term and number, which no
-// other node or life of one ever uses.
-func (l *Loop) newRequest(offer sched.Offer, count int, renting autoscaler.RentingShard) cloud.RentalRequest {
-	l.rentals.requests++
+// newRentalRequest returns a rental request with a unique name. The name consists of shard, term
+// and a number, so that no other controller, and no later incarnation of this one, uses it.
+func (l *Loop) newRentalRequest(offer sched.Offer, count int, renting autoscaler.RentingShard) cloud.RentalRequest {
+	l.rentals.requestCount++
 	return cloud.RentalRequest{
-		Name:        fmt.Sprintf("%s-%d-%d", renting.Shard, renting.Term, l.rentals.requests),
+		Name:        fmt.Sprintf("%s-%d-%d", renting.Shard, renting.Term, l.rentals.requestCount),
 		MachineType: offer.MachineType,
 		Zone:        offer.Zone,
 		Spot:        offer.Spot,
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -7,34 +7,34 @@
 	"violetturn/internal/state"
 )
 
-// scaleIn fences workers that have not heard of this leader, and returns machines that are not
-// needed. A return that fails is decided anew in the next round.
+// scaleIn fences workers that have not shown this leader's term, and returns machines that are not
+// needed. After a failed return, the next run decides anew.
 func (l *Loop) scaleIn(ctx context.Context) {
 	state := l.guard.Lock()
-	decided := state.Autoscaler.ScaleIn(l.node.Now())
+	decision := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.Send(ctx, decided.Fences)
-	if len(decided.Return) == 0 {
+	l.commands.Send(ctx, decision.Fences)
+	if len(decision.Return) == 0 {
 		return
 	}
-	if err := l.services.Cloud.Return(ctx, decided.Return); err != nil {
-		l.node.Log.Info("machines not returned", "hosts", decided.Return, "err", err)
+	if err := l.services.Cloud.Return(ctx, decision.Return); err != nil {
+		l.node.Log.Info("machines not returned", "hosts", decision.Return, "err", err)
 		return
 	}
 	state = l.guard.Lock()
-	noteReturned(state, decided.Return)
+	recordReturned(state, decision.Return)
 	l.guard.Unlock()
-	l.node.Log.Info("machines returned", "hosts", decided.Return)
+	l.node.Log.Info("machines returned", "hosts", decision.Return)
 	l.wake.Notify()
 }
 
-// noteReturned notes machines that the cloud has taken back: they are terminated, and offers like
-// them that were refused may be had again.
-func noteReturned(s *state.State, hosts []string) {
+// recordReturned marks returned machines as terminated, and makes refused offers like them
+// available again.
+func recordReturned(s *state.State, hosts []string) {
 	for _, host := range hosts {
 		s.Agents.NoteTerminated(host)
-		if m := s.Cache.Machines[host]; m != nil {
-			s.Catalog.ClearBackoff(&sched.Offer{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot})
+		if machine := s.Cache.Machines[host]; machine != nil {
+			s.Catalog.ClearBackoff(&sched.Offer{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot})
 		}
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -22,14 +22,14 @@
 	services  *external.Services
 	commands  *commands.Sender
 	decisions *decisions.Loop
-	wake      notify.Signal // there is something to decide
+	wake      notify.Signal // wakes the decision loop
 
-	typesReadAt time.Time // when the machine types were last read; zero: never
-	list        machineList
-	rentals     rentals
+	machineTypesReadAt time.Time // when the machine types were last read; zero: never
+	list               machineList
+	rentals            rentals
 }
 
-// Deps is what a Loop rests on.
+// Deps are the dependencies of a Loop.
 type Deps struct {
 	Node      *node.Info
 	Guard     *state.Guard
@@ -39,15 +39,15 @@
 	Wake      notify.Signal
 }
 
-// New returns a Loop that has asked the cloud nothing yet.
+// New returns a Loop that has sent no request to the cloud yet.
 func New(d Deps) *Loop {
 	return &Loop{
 		node: d.Node, guard: d.Guard, services: d.Services, commands: d.Commands, decisions: d.Decisions, wake: d.Wake,
-		rentals: rentals{unanswered: map[sched.Offer]cloud.RentalRequest{}},
+		rentals: rentals{unresolved: map[sched.Offer]cloud.RentalRequest{}},
 	}
 }
 
-// AutoscaleLoop rents, lists and returns machines at intervals, until ctx ends.
+// AutoscaleLoop calls Autoscale at intervals until ctx ends.
 func (l *Loop) AutoscaleLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.Autoscale(ctx)
@@ -56,22 +56,23 @@
 }
 
 const (
-	// maxRentalRounds is how often a round looks for offers: a refusal is followed at once by the
-	// next best offer.
-	maxRentalRounds = 6
-	// typesLeases is for how many worker leases the machine types are used before they are read again.
-	typesLeases = 2
+	// maxRentalAttempts is the maximum number of rental decisions in one run. After a refusal, the
+	// next best offer is tried at once.
+	maxRentalAttempts = 6
+	// machineTypesMaxAgeLeases is the number of worker leases after which the machine types are
+	// read again.
+	machineTypesMaxAgeLeases = 2
 )
 
-// Autoscale does one round: it rents what lacks room, reads the list of machines and returns those
-// that are not needed.
+// Autoscale makes one run: it rents machines for tasks that lack capacity and for headroom, reads
+// the list of machines, and returns machines that are not needed.
 func (l *Loop) Autoscale(ctx context.Context) {
 	now := l.node.Now()
 	l.readMachineTypes(ctx, now)
 	state := l.guard.Lock()
 	headroom := state.Autoscaler.DueHeadroom(now)
 	l.guard.Unlock()
-	for range maxRentalRounds {
+	for range maxRentalAttempts {
 		if !l.scaleOut(ctx, headroom) {
 			break
 		}
@@ -80,9 +81,9 @@
 	l.scaleIn(ctx)
 }
 
-// readMachineTypes reads the cloud's machine types if it is time to.
+// readMachineTypes reads the cloud's machine types if they have not been read or are too old.
 func (l *Loop) readMachineTypes(ctx context.Context, now time.Time) {
-	if !l.typesReadAt.IsZero() && now.Sub(l.typesReadAt) <= typesLeases*l.node.Settings.WorkerLease() {
+	if !l.machineTypesReadAt.IsZero() && now.Sub(l.machineTypesReadAt) <= machineTypesMaxAgeLeases*l.node.Settings.WorkerLease() {
 		return
 	}
 	types, err := l.services.Cloud.MachineTypes(ctx)
@@ -90,7 +91,7 @@
 		l.node.Log.Debug("machine types not read", "err", err)
 		return
 	}
-	l.typesReadAt = now
+	l.machineTypesReadAt = now
 	state := l.guard.Lock()
 	state.Catalog.SetMachineTypes(types)
 	l.guard.Unlock()
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -18,36 +18,37 @@
 	"violetturn/internal/state"
 )
 
-// unlimitedWrites is a budget of changes that never runs out.
+// unlimitedWrites is a write budget that is never exhausted.
 type unlimitedWrites struct{}
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// scriptedCloud answers rentals as its script says, and fully when that has ended.
+// scriptedCloud answers rentals with the responses of its script, and rents all requested machines
+// once the script is exhausted.
 type scriptedCloud struct {
-	script   []rentalAnswer
+	script   []rentalResponse
 	requests []cloud.RentalRequest
-	failing  bool // types and lists are not served
-	pages    int  // reads of the list
+	failing  bool // reads of machine types and lists fail
+	pages    int  // number of list pages read
 }
 
-// rentalAnswer is the answer to one rental.
-type rentalAnswer struct {
+// rentalResponse is the response to one rental request.
+type rentalResponse struct {
 	hosts int
 	err   error
 }
 
-func (c *scriptedCloud) Rent(_ context.Context, r cloud.RentalRequest) ([]string, error) {
-	c.requests = append(c.requests, r)
-	answer := rentalAnswer{hosts: r.Count}
+func (c *scriptedCloud) Rent(_ context.Context, request cloud.RentalRequest) ([]string, error) {
+	c.requests = append(c.requests, request)
+	response := rentalResponse{hosts: request.Count}
 	if len(c.script) > 0 {
-		answer, c.script = c.script[0], c.script[1:]
+		response, c.script = c.script[0], c.script[1:]
 	}
 	var hosts []string
-	for i := range answer.hosts {
-		hosts = append(hosts, fmt.Sprintf("%s-%d", r.Name, i))
+	for i := range response.hosts {
+		hosts = append(hosts, fmt.Sprintf("%s-%d", request.Name, i))
 	}
-	return hosts, answer.err
+	return hosts, response.err
 }
 
 func (c *scriptedCloud) MachineTypes(context.Context) ([]cloud.MachineType, error) {
@@ -67,7 +68,7 @@
 	return nil, false, nil
 }
 
-// newLoop returns the loop of node n0 with a scripted cloud. It leads no shard.
+// newLoop returns the loop of controller n0 with a scripted cloud. It leads no shard.
 func newLoop(t *testing.T, scripted *scriptedCloud) *Loop {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
@@ -82,114 +83,117 @@
 	})
 }
 
-// An order is split into requests of what one may ask for, and ends with the first that isn't
-// served.
-func TestRentMachines(t *testing.T) {
+// An order is split into requests of at most the number of machines that one request may have. The
+// first request that is not fulfilled ends the order.
+func TestRentMachinesSplitsOrderAndStopsAtFirstFailure(t *testing.T) {
 	offer := sched.Offer{MachineType: "m", Zone: "x", Spot: true}
-	for _, x := range []struct {
-		name     string
-		count    int
-		script   []rentalAnswer
-		want     rentalOutcome
-		requests []int // counts of machines
-		inDoubt  bool
+	for _, test := range []struct {
+		name           string
+		count          int
+		script         []rentalResponse
+		want           rentalOutcome
+		requests       []int // counts of machines
+		outcomeUnknown bool
 	}{
-		{"none wanted", 0, nil, rentalServed, nil, false},
-		{"served at once", 3, nil, rentalServed, []int{3}, false},
-		{"more than a request may ask for", 70, nil, rentalServed, []int{50, 20}, false},
-		{"more than a round may ask for", 200, nil, rentalServed, []int{50, 50}, false},
-		{"fewer than asked for", 70, []rentalAnswer{{hosts: 10}}, rentalRefused, []int{50}, false},
-		{"refused", 3, []rentalAnswer{{err: cloud.ErrNoCapacity}}, rentalRefused, []int{3}, false},
-		{"refused at last", 70, []rentalAnswer{{hosts: 50}, {err: cloud.ErrNoCapacity}}, rentalRefused, []int{50, 20}, false},
-		{"no answer", 70, []rentalAnswer{{err: cloud.ErrUnavailable}}, rentalInDoubt, []int{50}, true},
+		{"no machines ordered", 0, nil, rentalFulfilled, nil, false},
+		{"fulfilled by one request", 3, nil, rentalFulfilled, []int{3}, false},
+		{"more than one request may have", 70, nil, rentalFulfilled, []int{50, 20}, false},
+		{"more than one run may request", 200, nil, rentalFulfilled, []int{50, 50}, false},
+		{"fewer than requested", 70, []rentalResponse{{hosts: 10}}, rentalRefused, []int{50}, false},
+		{"refused", 3, []rentalResponse{{err: cloud.ErrNoCapacity}}, rentalRefused, []int{3}, false},
+		{"second request refused", 70, []rentalResponse{{hosts: 50}, {err: cloud.ErrNoCapacity}}, rentalRefused, []int{50, 20}, false},
+		{"no response", 70, []rentalResponse{{err: cloud.ErrUnavailable}}, rentalOutcomeUnknown, []int{50}, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			scripted := &scriptedCloud{script: x.script}
+		t.Run(test.name, func(t *testing.T) {
+			scripted := &scriptedCloud{script: test.script}
 			l := newLoop(t, scripted)
 			renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
-			got := l.rentMachines(t.Context(), sched.RentalOrder{Offer: offer, Count: x.count}, renting)
-			if got != x.want {
-				t.Errorf("outcome %d, want %d", got, x.want)
+			got := l.rentMachines(t.Context(), sched.RentalOrder{Offer: offer, Count: test.count}, renting)
+			if got != test.want {
+				t.Errorf("outcome %d, want %d", got, test.want)
 			}
 			var counts []int
-			for i, r := range scripted.requests {
-				counts = append(counts, r.Count)
-				if want := fmt.Sprintf("n0-7-%d", i+1); r.Name != want || r.MachineType != "m" || r.Zone != "x" || !r.Spot {
-					t.Errorf("request %d: %+v, want the name %s", i, r, want)
+			for i, request := range scripted.requests {
+				counts = append(counts, request.Count)
+				if want := fmt.Sprintf("n0-7-%d", i+1); request.Name != want ||
+					request.MachineType != "m" || request.Zone != "x" || !request.Spot {
+					t.Errorf("request %d is %+v, want name %s, type m, zone x, spot", i, request, want)
 				}
 			}
-			if !slices.Equal(counts, x.requests) {
-				t.Errorf("requests of %v, want %v", counts, x.requests)
+			if !slices.Equal(counts, test.requests) {
+				t.Errorf("requested counts are %v, want %v", counts, test.requests)
 			}
-			if _, unanswered := l.rentals.unanswered[offer]; unanswered != x.inDoubt {
-				t.Errorf("in doubt: %t", unanswered)
+			if _, unresolved := l.rentals.unresolved[offer]; unresolved != test.outcomeUnknown {
+				t.Errorf("request is unresolved: %t, want %t", unresolved, test.outcomeUnknown)
 			}
 		})
 	}
 }
 
-// A request in doubt is repeated as it was, whatever is wanted by then, until it has an answer.
-func TestRentalInDoubtIsRepeated(t *testing.T) {
-	scripted := &scriptedCloud{script: []rentalAnswer{{err: cloud.ErrUnavailable}, {err: cloud.ErrUnavailable}, {hosts: 4}}}
+// A request with unknown outcome is repeated unchanged until it gets a response, even if the order
+// or the term has changed meanwhile. Otherwise the cloud could rent the machines twice.
+func TestRentalWithUnknownOutcomeIsRepeated(t *testing.T) {
+	scripted := &scriptedCloud{script: []rentalResponse{{err: cloud.ErrUnavailable}, {err: cloud.ErrUnavailable}, {hosts: 4}}}
 	l := newLoop(t, scripted)
 	renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
 	order := sched.RentalOrder{Offer: sched.Offer{MachineType: "m", Zone: "x"}, Count: 4}
-	for i, want := range []rentalOutcome{rentalInDoubt, rentalInDoubt, rentalServed} {
+	for i, want := range []rentalOutcome{rentalOutcomeUnknown, rentalOutcomeUnknown, rentalFulfilled} {
 		if got := l.rentMachines(t.Context(), order, renting); got != want {
-			t.Fatalf("round %d: outcome %d, want %d", i, got, want)
+			t.Fatalf("attempt %d: outcome %d, want %d", i, got, want)
 		}
-		if r := scripted.requests[i]; r != scripted.requests[0] {
-			t.Errorf("round %d: %+v, want %+v again", i, r, scripted.requests[0])
+		if request := scripted.requests[i]; request != scripted.requests[0] {
+			t.Errorf("attempt %d: request is %+v, want %+v again", i, request, scripted.requests[0])
 		}
 		order.Count, renting.Term = 1, renting.Term+1
 	}
-	if len(l.rentals.unanswered) != 0 {
-		t.Errorf("in doubt after an answer: %v", l.rentals.unanswered)
+	if len(l.rentals.unresolved) != 0 {
+		t.Errorf("unresolved requests after a response: %v, want none", l.rentals.unresolved)
 	}
 	order.Count = 1
 	l.rentMachines(t.Context(), order, renting)
-	if r := scripted.requests[3]; r.Name == scripted.requests[0].Name || r.Count != 1 {
-		t.Errorf("next request: %+v", r)
+	if request := scripted.requests[3]; request.Name == scripted.requests[0].Name || request.Count != 1 {
+		t.Errorf("next request is %+v, want a new name and a count of 1", request)
 	}
 }
 
-// The machine types and the list are read when they are old, and again at once after a failure.
-func TestCloudIsReadAtIntervals(t *testing.T) {
+// The machine types and the list are read again once they are too old, and by the next run after a
+// failed read.
+func TestCloudReadsRepeatWhenStaleOrFailed(t *testing.T) {
 	scripted := &scriptedCloud{failing: true}
 	l := newLoop(t, scripted)
 	now := time.Unix(1_800_000_000, 0)
 	l.node.Now = func() time.Time { return now }
-	known := func() bool {
+	machineTypesRead := func() bool {
 		state := l.guard.Lock()
 		defer l.guard.Unlock()
 		return len(state.Catalog.MachineTypes()) > 0
 	}
-	read := func() {
+	readCloud := func() {
 		l.readMachineTypes(t.Context(), now)
 		l.readMachineList(t.Context(), now)
 	}
-	if read(); known() || scripted.pages != 1 {
-		t.Errorf("failing: types known %t, list read %d times", known(), scripted.pages)
+	if readCloud(); machineTypesRead() || scripted.pages != 1 {
+		t.Errorf("failing cloud: machine types read %t, %d list pages read, want false and 1", machineTypesRead(), scripted.pages)
 	}
 	scripted.failing = false
-	if read(); !known() || scripted.pages != 2 {
-		t.Errorf("served: types known %t, list read %d times", known(), scripted.pages)
+	if readCloud(); !machineTypesRead() || scripted.pages != 2 {
+		t.Errorf("working cloud: machine types read %t, %d list pages read, want true and 2", machineTypesRead(), scripted.pages)
 	}
-	now = now.Add(2 * time.Second) // the list's lag
-	if read(); scripted.pages != 2 {
-		t.Errorf("list read too early")
+	now = now.Add(2 * time.Second) // the lag of the list
+	if readCloud(); scripted.pages != 2 {
+		t.Errorf("%d list pages read within the lag, want 2", scripted.pages)
 	}
 	now = now.Add(1)
-	if read(); scripted.pages != 3 {
-		t.Errorf("list not read in time")
+	if readCloud(); scripted.pages != 3 {
+		t.Errorf("%d list pages read after the lag, want 3", scripted.pages)
 	}
-	readAt := l.typesReadAt
-	now = readAt.Add(typesLeases * l.node.Settings.WorkerLease())
-	if read(); !l.typesReadAt.Equal(readAt) {
-		t.Errorf("types read too early")
+	readAt := l.machineTypesReadAt
+	now = readAt.Add(machineTypesMaxAgeLeases * l.node.Settings.WorkerLease())
+	if readCloud(); !l.machineTypesReadAt.Equal(readAt) {
+		t.Errorf("machine types read again before they were too old")
 	}
 	now = now.Add(1)
-	if read(); !l.typesReadAt.Equal(now) {
-		t.Errorf("types not read in time")
+	if readCloud(); !l.machineTypesReadAt.Equal(now) {
+		t.Errorf("machine types not read again although they were too old")
 	}
 }
