--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -27,7 +27,7 @@
 	freeCapacity *capacity.Room
 	estimates    *estimate.Estimates
 	zones        *zonestate.Zones
-	accounts     *capacity.Accounts
+	accounting   *capacity.Accounts
 	scheduler    *scheduler.Scheduler
 	wake         notify.Signal
 
@@ -64,7 +64,7 @@
 		freeCapacity: d.Room,
 		estimates:    d.Estimates,
 		zones:        d.Zones,
-		accounts:     d.Capacity,
+		accounting:   d.Capacity,
 		scheduler:    d.Scheduler,
 		wake:         d.Wake,
 	}
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -68,7 +68,7 @@
 	}
 	admission := a.zones.Admission(now)
 	var requests []HeadroomRequest
-	for class, arrivals := range a.accounts.Arrivals().ByClass() {
+	for class, arrivals := range a.accounting.Arrivals().ByClass() {
 		demand := newClassDemand(class, arrivals, boot, now)
 		if demand.newestSpec == nil {
 			continue
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -69,7 +69,7 @@
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
 	termAge := r.now.Sub(worker.CreatedAt)
 	if age > 4*bootDuration(machineType)+settings.WorkerLease() && termAge > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "never started, or no heartbeat since before the shard was acquired")
+		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
 	}
 }
 
@@ -79,7 +79,7 @@
 func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
 	silenceLimit := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
 	if r.now.Sub(worker.LastAnswered) > silenceLimit && r.now.Sub(worker.LastSeen) > silenceLimit {
-		r.cordon(host, worker, "no heartbeat for twice the worker lease bound")
+		r.cordon(host, worker, "silent for long")
 	}
 }
 
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -27,7 +27,7 @@
 	quotaShortages map[string]bool // teams whose quota did not suffice for a placement
 }
 
-// AccountDeps are the dependencies of Accounts.
+// AccountDeps are the dependencies that NewAccounts takes.
 type AccountDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -37,7 +37,7 @@
 	Room       *Room
 }
 
-// NewAccounts returns accounts without any recorded arrival.
+// NewAccounts returns the accounting of capacity and quotas, without any recorded arrival.
 func NewAccounts(d AccountDeps) *Accounts {
 	return &Accounts{
 		node:           d.Node,
@@ -85,9 +85,9 @@
 // trimCapacity removes machines from a shard's free capacity until it fits in the capacity record
 // together with the teams' usage, and returns how many it removed.
 func (a *Accounts) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
-	size := a.schema.MaxValueBytes() - maxQuotaUseBytes*len(quotaUse)
-	if free.FitsIn(size) {
+	maxBytes := a.schema.MaxValueBytes() - maxQuotaUseBytes*len(quotaUse)
+	if free.FitsIn(maxBytes) {
 		return 0
 	}
-	return free.TrimTo(size, a.expectedPeerDemand(now))
+	return free.TrimTo(maxBytes, a.expectedPeerDemand(now))
 }
--- a/internal/capacity/arrivals_test.go
+++ b/internal/capacity/arrivals_test.go
@@ -55,24 +55,23 @@
 	}
 }
 
-// CameSince considers only the newest arrival of each class, and only if it is later than the given
-// time.
-func TestCameSinceUsesNewestArrivalOfClass(t *testing.T) {
+// Only the newest arrival of each class is considered, and only if it is later than the given time.
+func TestArrivedSinceUsesNewestArrivalOfClass(t *testing.T) {
 	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
 	if a.CameSince(api.Gang, now) {
-		t.Error("CameSince reports a gang before any arrival")
+		t.Error("a gang arrival is reported before any arrival")
 	}
 	a.Note(arrivalRecord("a", api.Gang, now, 1))
 	a.Note(arrivalRecord("b", api.Array, now.Add(time.Minute), 1))
 	if !a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("CameSince does not report a gang that arrived after the given time")
+		t.Error("a gang that arrived after the given time is not reported")
 	}
 	if a.CameSince(api.Gang, now) {
-		t.Error("CameSince reports a gang that arrived exactly at the given time")
+		t.Error("a gang that arrived exactly at the given time is reported")
 	}
 	a.Note(arrivalRecord("a", api.Array, now.Add(time.Minute), 1))
 	if a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("CameSince reports a gang that is not the newest arrival of its class")
+		t.Error("a gang that is not the newest arrival of its class is reported")
 	}
 }
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -50,14 +50,14 @@
 // Claims are the capacity claims of one transaction, by shard. They are used for one transaction
 // only.
 type Claims struct {
-	accounts *Accounts
-	byShard  map[string]*shardClaim
-	writes   int // number of capacity and quota records to write
+	accounting *Accounts
+	byShard    map[string]*shardClaim
+	writes     int // number of capacity and quota records to write
 }
 
 // NewClaims returns empty claims for one transaction.
 func (a *Accounts) NewClaims() *Claims {
-	return &Claims{accounts: a, byShard: map[string]*shardClaim{}}
+	return &Claims{accounting: a, byShard: map[string]*shardClaim{}}
 }
 
 // Changes returns the number of capacity and quota records that the claims write.
@@ -99,7 +99,7 @@
 // placement comes from. It returns nil if the job's state, the free capacity or the team's quota
 // does not allow the placement.
 func (c *Claims) Check(placement Placement, now time.Time) *PendingClaim {
-	a := c.accounts
+	a := c.accounting
 	job := a.placeableJob(placement)
 	if job == nil {
 		return nil
@@ -159,7 +159,7 @@
 		p.claims.writes++
 	}
 	teamName := p.job.Record.Spec.Team
-	if team, _ := p.claims.accounts.node.Settings.Team(teamName); team.Limited() {
+	if team, _ := p.claims.accounting.node.Settings.Team(teamName); team.Limited() {
 		p.claim.quotaUse[teamName] = p.quotaUse.Rounded()
 		if p.grant.growsShare {
 			p.claim.changedShares[teamName] = p.grant.share
@@ -177,8 +177,8 @@
 func (c *Claims) Write(transaction *statecache.Transaction) {
 	sharesByShard := map[string]map[string]sched.Resources{}
 	for name, claim := range c.byShard {
-		c.accounts.putCapacityRecord(transaction, name, claim.free, claim.quotaUse)
+		c.accounting.putCapacityRecord(transaction, name, claim.free, claim.quotaUse)
 		sharesByShard[name] = claim.changedShares
 	}
-	c.accounts.putQuotaShares(transaction, sharesByShard)
+	c.accounting.putQuotaShares(transaction, sharesByShard)
 }
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -52,7 +52,7 @@
 // keep theirs, including their growth in the same transaction. changedShares are the shares of this
 // shard that the transaction has changed so far.
 func (c *Claims) quotaGrantFor(teamName, shardName string, quotaUse sched.Resources, changedShares map[string]sched.Resources) quotaGrant {
-	a := c.accounts
+	a := c.accounting
 	team, _ := a.node.Settings.Team(teamName)
 	if !team.Limited() {
 		return quotaGrant{granted: true}
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -22,7 +22,7 @@
 	agents     *agent.Registry
 }
 
-// RoomDeps are the dependencies of a Room.
+// RoomDeps are the dependencies that NewRoom takes.
 type RoomDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
@@ -31,7 +31,7 @@
 	Agents     *agent.Registry
 }
 
-// NewRoom returns a Room for the machines in a cache.
+// NewRoom returns the capacity calculator for the machines in a cache.
 func NewRoom(d RoomDeps) *Room {
 	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -93,20 +93,20 @@
 	}
 }
 
-func TestCloudRefusesWhenAllOffersOfZoneAreRefused(t *testing.T) {
+func TestZoneIsRefusedOnlyWhenAllItsOffersAre(t *testing.T) {
 	c := newTestCatalog(t)
 	now := time.Unix(1_800_000_000, 0)
 	for _, spot := range []bool{false, true} {
 		if c.CloudRefuses("y", now) {
-			t.Errorf("CloudRefuses is true for zone y although one of its offers was not refused")
+			t.Errorf("zone y counts as refused although one of its offers was not refused")
 		}
 		c.BackOff(&sched.Offer{MachineType: "large", Zone: "y", Spot: spot}, now)
 	}
 	if !c.CloudRefuses("y", now) || c.CloudRefuses("x", now) {
-		t.Errorf("CloudRefuses is %t for zone x and %t for zone y, want false and true", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
+		t.Errorf("refused: zone x %t, zone y %t, want false and true", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
 	}
 	if New(c.node).CloudRefuses("y", now) {
-		t.Error("CloudRefuses is true before the machine types are read")
+		t.Error("zone y counts as refused before the machine types are read")
 	}
 }
 
