--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -59,8 +59,8 @@
 
 // headroomRequests returns the capacity to keep free for tasks that have not arrived yet. Classes
 // whose jobs cannot wait for a machine to boot get capacity for the deviation of arrivals during
-// one boot time. No capacity is kept for the average number of arrivals, because tasks that end in
-// the same time free it.
+// one boot time, by the policy, or for their expected growth if that is larger. No capacity is kept
+// for the average number of arrivals, because tasks that end in the same time free it.
 func (a *Autoscaler) headroomRequests(now time.Time) []HeadroomRequest {
 	boot := a.catalog.ShortestBoot()
 	if boot == 0 {
