--- a/cmd/violetturn/profile.go
+++ b/cmd/violetturn/profile.go
@@ -56,8 +56,8 @@
 	}
 	for _, use := range c.LockUses() {
 		if _, err := fmt.Fprintf(
-			f, "%-80s held %12v in all, %10v at most, %8d times; waited %12v in all\n", use.Function, use.Held,
-			use.Longest, use.Holds, use.Waited,
+			f, "%-80s held %12v in all, %10v at most, %8d times; waited %12v in all\n", use.Function, use.TotalHeld,
+			use.LongestHold, use.Holds, use.TotalWaited,
 		); err != nil {
 			return errors.Join(err, f.Close())
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -77,7 +77,7 @@
 			a.State = Responsive
 		}
 	}
-	a.UnheardAnswers = 0
+	a.UnacknowledgedAnswers = 0
 	if a.Heartbeat == nil || h.Newer(a.Heartbeat.AgentEpoch, a.Heartbeat.Sequence) {
 		a.Heartbeat = h
 	}
@@ -91,28 +91,28 @@
 	a.RaiseToken(now)
 }
 
-// MaxUnheardAnswers is how often in a row a worker may show that it did not receive an
+// MaxUnacknowledgedAnswers is how often in a row a worker may show that it did not receive an
 // answer before it counts as one that receives none: answers get lost now and then.
-const MaxUnheardAnswers = 3
+const MaxUnacknowledgedAnswers = 3
 
-// MayIntroduceTerm reports whether a worker that has not seen this term yet is to be
+// MayAnswerOlderTerm reports whether a worker that has not seen this term yet is to be
 // answered, so that it learns the term, and counts the answer. A worker that was answered
 // and reports as before receives nothing: our answers renew no lease there, and to count them
 // would keep its tasks waiting for ever. leaseBound is that of IsLeaseExpired, interval the
 // time between heartbeats.
-func (a *Agent) MayIntroduceTerm(now time.Time, leaseBound, interval time.Duration) bool {
-	if a.UnheardAnswers >= MaxUnheardAnswers {
+func (a *Agent) MayAnswerOlderTerm(now time.Time, leaseBound, interval time.Duration) bool {
+	if a.UnacknowledgedAnswers >= MaxUnacknowledgedAnswers {
 		if a.IsLeaseExpired(now, leaseBound) {
-			a.UnheardAnswers = 0 // nothing runs there any more: it may try again
+			a.UnacknowledgedAnswers = 0 // nothing runs there any more: it may try again
 		}
 		return false
 	}
 	// A worker's own heartbeats come in rounds. Copies of old ones come at once, and
 	// many may have been kept for a new leader: counted as answers that the worker
 	// did not receive, they would have it refused while it lives.
-	if now.Sub(a.UnheardAt) >= interval/2 {
-		a.UnheardAnswers++
-		a.UnheardAt = now
+	if now.Sub(a.UnacknowledgedCountedAt) >= interval/2 {
+		a.UnacknowledgedAnswers++
+		a.UnacknowledgedCountedAt = now
 	}
 	return true
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -159,24 +159,24 @@
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
-	for round := range MaxUnheardAnswers {
+	for round := range MaxUnacknowledgedAnswers {
 		now := start.Add(time.Duration(round) * interval)
 		for range 5 { // a heartbeat and copies of it; the last round's first answer is the last one
-			if a.UnheardAnswers < MaxUnheardAnswers && !a.MayIntroduceTerm(now, bound, interval) {
+			if a.UnacknowledgedAnswers < MaxUnacknowledgedAnswers && !a.MayAnswerOlderTerm(now, bound, interval) {
 				t.Fatalf("not told in round %d", round)
 			}
 		}
-		if a.UnheardAnswers != round+1 {
-			t.Fatalf("%d answers counted in %d rounds", a.UnheardAnswers, round+1)
+		if a.UnacknowledgedAnswers != round+1 {
+			t.Fatalf("%d answers counted in %d rounds", a.UnacknowledgedAnswers, round+1)
 		}
 	}
-	if a.MayIntroduceTerm(start.Add(bound), bound, interval) || a.UnheardAnswers != MaxUnheardAnswers {
+	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedAnswers != MaxUnacknowledgedAnswers {
 		t.Error("answered on, within its lease")
 	}
-	if a.MayIntroduceTerm(start.Add(bound+1), bound, interval) || a.UnheardAnswers != 0 {
+	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedAnswers != 0 {
 		t.Error("answered at once when its lease has expired, or refused for ever")
 	}
-	if !a.MayIntroduceTerm(start.Add(bound+2), bound, interval) {
+	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
 		t.Error("refused after its lease has expired")
 	}
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -31,7 +31,7 @@
 
 // PendingLaunch counts the answers that carried the launch of an attempt.
 type PendingLaunch struct {
-	Attempt uint64
-	Answers int
-	Blocked int // heartbeats in a row that left no room for it, nor any that is about to be left
+	Attempt           uint64
+	SentAnswers       int
+	BlockedHeartbeats int // heartbeats in a row that left no room for it, nor any that is about to be left
 }
--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -30,8 +30,8 @@
 	return &CloudListing{registry: registry, unknownSince: map[string]time.Time{}}
 }
 
-// Has reports whether the list has a machine, and not as failed.
-func (c *CloudListing) Has(host string) bool { return c.listed[host] }
+// HasOperational reports whether the list has a machine, and not as failed.
+func (c *CloudListing) HasOperational(host string) bool { return c.listed[host] }
 
 // IsStarting reports whether the list shows a machine as starting.
 func (c *CloudListing) IsStarting(host string) bool { return c.starting[host] }
@@ -63,10 +63,10 @@
 	return now.Sub(c.unknownSince[host])
 }
 
-// Note takes in the cloud's list, whose first page was read at the time began. It lags
+// Update takes in the cloud's list, whose first page was read at the time began. It lags
 // by up to lag and may be older than the last one, so it only raises questions: the cloud's answer
 // to a return settles them.
-func (c *CloudListing) Note(hosts []cloud.Host, began time.Time, lag time.Duration) {
+func (c *CloudListing) Update(hosts []cloud.Host, began time.Time, lag time.Duration) {
 	now, patience := c.registry.node.Now(), patienceLags*lag
 	c.replace(hosts)
 	for _, host := range hosts {
@@ -77,7 +77,7 @@
 		}
 		delete(c.unknownSince, host.UID)
 		if machine.Addr == "" {
-			c.registry.cache.NoteAddress(host.UID, host.Addr)
+			c.registry.cache.SetAddress(host.UID, host.Addr)
 		}
 		if leadership := c.registry.leadership.InForce(machine.Shard); leadership != nil {
 			c.noteListed(host, leadership)
@@ -90,7 +90,7 @@
 // by a peer, or been returned and be listed still, so it has to stay on the list for a while.
 func (c *CloudListing) noteUnknownListed(host cloud.Host, now time.Time, patience time.Duration) {
 	if c.unknownFor(host.UID, now) > patience && host.Phase != cloud.MachineFailed {
-		c.registry.unregistered.Note(host.UID, shard.Machine{
+		c.registry.unregistered.Add(host.UID, shard.Machine{
 			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
 		})
 	}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -11,8 +11,8 @@
 	Attempt uint64
 }
 
-// AttemptOf names the attempt of a placed task of a job.
-func AttemptOf(task *statecache.PlacedTask, j *statecache.Job) AttemptID {
+// AttemptIDOf names the attempt of a placed task of a job.
+func AttemptIDOf(task *statecache.PlacedTask, j *statecache.Job) AttemptID {
 	return AttemptID{Task: task.TaskName(j), Attempt: task.Placement.Attempt}
 }
 
@@ -43,7 +43,7 @@
 	commands := []api.Command{}
 	for _, task := range r.cache.Placements[host] {
 		if j := r.cache.Jobs[task.UID]; j != nil && j.IsCancelled() {
-			commands = append(commands, r.StopCommand(j, AttemptOf(task, j)))
+			commands = append(commands, r.StopCommand(j, AttemptIDOf(task, j)))
 		}
 	}
 	return commands
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -54,8 +54,8 @@
 	LastSeen      time.Time       // when one was last accepted
 	LastCommandAt time.Time       // when a direct command was last sent
 
-	UnheardAnswers int       // answers to heartbeats that showed an older term still, in as many rounds
-	UnheardAt      time.Time // when that was last counted
+	UnacknowledgedAnswers   int       // answers to heartbeats that showed an older term still, in as many rounds
+	UnacknowledgedCountedAt time.Time // when that was last counted
 
 	fencedAt time.Time // since when it is not unfenced
 }
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -53,10 +53,10 @@
 // called without the lock.
 func (c *DirectCommand) Release() { <-c.slots }
 
-// Fence prepares the command that tells a worker our fencing token directly, so that an
+// PrepareFence prepares the command that tells a worker our fencing token directly, so that an
 // earlier leader's answers are dropped from then on; its answer shows what runs there. It returns
 // nil if the worker has seen this term, was sent a command a moment ago, or no slot is free.
-func (d *DirectCommands) Fence(host string) *DirectCommand {
+func (d *DirectCommands) PrepareFence(host string) *DirectCommand {
 	agent := d.registry.agents[host]
 	if agent == nil || agent.Fenced() {
 		return nil
@@ -67,14 +67,14 @@
 	return d.prepare(host, d.fenceSlots, api.CommandBatch{AgentEpoch: anyAgentEpoch, Commands: []api.Command{}})
 }
 
-// FenceShard prepares the fences of a shard's workers, as many as there are free slots.
-func (d *DirectCommands) FenceShard(shard string) []*DirectCommand {
+// PrepareShardFences prepares the fences of a shard's workers, as many as there are free slots.
+func (d *DirectCommands) PrepareShardFences(shard string) []*DirectCommand {
 	var fences []*DirectCommand
 	for host, machine := range d.registry.cache.Machines {
 		if machine.Shard != shard {
 			continue
 		}
-		if fence := d.Fence(host); fence != nil {
+		if fence := d.PrepareFence(host); fence != nil {
 			fences = append(fences, fence)
 		}
 	}
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -11,8 +11,8 @@
 
 // EndedTask is a committed placement whose attempt is over.
 type EndedTask struct {
-	Task *statecache.PlacedTask
-	End  EndedAttempt
+	Task    *statecache.PlacedTask
+	Attempt EndedAttempt
 }
 
 // IsCompleted reports whether a placed task has completed, though that need not be
@@ -27,8 +27,8 @@
 	return found && end.Done && end.Attempt == task.Placement.Attempt
 }
 
-// NoteEnd notes that the attempt of the placement with the key is over.
-func (r *Registry) NoteEnd(host string, agent *Agent, key string, end EndedAttempt) {
+// RecordAttemptEnd notes that the attempt of the placement with the key is over.
+func (r *Registry) RecordAttemptEnd(host string, agent *Agent, key string, end EndedAttempt) {
 	agent.EndedAttempts[key] = end
 	r.cache.InvalidateLoad(host)
 }
@@ -52,11 +52,11 @@
 			end, found := agent.EndedAttempts[key]
 			if !found && expired {
 				end, found = EndedAttempt{Attempt: task.Placement.Attempt, EndedAt: now}, true
-				r.NoteEnd(host, agent, key, end)
+				r.RecordAttemptEnd(host, agent, key, end)
 			}
 			if found && r.cache.Jobs[task.UID] != nil {
 				id := schema.RangeID{UID: task.UID, Index: task.RangeIndex}
-				ended[id] = append(ended[id], EndedTask{Task: task, End: end})
+				ended[id] = append(ended[id], EndedTask{Task: task, Attempt: end})
 			}
 		}
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -11,14 +11,14 @@
 // HeartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
 const HeartbeatTimeout = 4 * time.Second
 
-// MayIntroduceTerm reports whether a worker that has not seen this term yet is to be answered,
+// MayAnswerOlderTerm reports whether a worker that has not seen this term yet is to be answered,
 // and counts the answer.
-func (r *Registry) MayIntroduceTerm(agent *Agent, now time.Time) bool {
-	return agent.MayIntroduceTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
+func (r *Registry) MayAnswerOlderTerm(agent *Agent, now time.Time) bool {
+	return agent.MayAnswerOlderTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
-// AcceptAnswer takes in the heartbeat that a worker answered direct commands of a term with.
-func (r *Registry) AcceptAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
+// AcceptCommandAnswer takes in the heartbeat that a worker answered direct commands of a term with.
+func (r *Registry) AcceptCommandAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
 	if agent := r.agents[host]; agent != nil && agent.Term == term && heartbeat.Host == host {
 		r.AcceptHeartbeat(host, agent, heartbeat)
 	}
@@ -32,7 +32,7 @@
 	if !agent.Accept(heartbeat, now) {
 		return false
 	}
-	r.leadership.Contact().NoteHeard(now)
+	r.leadership.Contact().RecordContact(now)
 	agent.LastSeen = now
 	if agent.Unresponsive() && !wasUnresponsive {
 		r.node.Log.Info("worker unresponsive", logkey.Host(host),
--- a/internal/agent/immediate_commands.go
+++ b/internal/agent/immediate_commands.go
@@ -22,7 +22,7 @@
 		if j == nil {
 			continue
 		}
-		attempt := AttemptOf(task, j)
+		attempt := AttemptIDOf(task, j)
 		phase, present := reported[attempt]
 		delete(reported, attempt)
 		switch {
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -2,9 +2,9 @@
 
 import "violetturn/internal/statecache"
 
-// InterruptionIsDue reports whether the cloud takes the machine away so soon that a task of the
+// IsInterruptionDue reports whether the cloud takes the machine away so soon that a task of the
 // job has to leave now; until then it runs on, for it may complete.
-func (r *Registry) InterruptionIsDue(agent *Agent, j *statecache.Job) bool {
+func (r *Registry) IsInterruptionDue(agent *Agent, j *statecache.Job) bool {
 	if agent.Heartbeat == nil || agent.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
@@ -15,12 +15,12 @@
 	return *agent.Heartbeat.SpotNoticeS <= needed
 }
 
-// GangInterruptionIsDue reports whether a machine with a task of a gang is taken away so soon that
+// IsGangInterruptionDue reports whether a machine with a task of a gang is taken away so soon that
 // all of them have to save now.
-func (r *Registry) GangInterruptionIsDue(j *statecache.Job) bool {
+func (r *Registry) IsGangInterruptionDue(j *statecache.Job) bool {
 	for _, taskRange := range j.Ranges {
 		for _, placement := range taskRange.Record.Placements {
-			if agent := r.agents[placement.Host]; agent != nil && r.InterruptionIsDue(agent, j) {
+			if agent := r.agents[placement.Host]; agent != nil && r.IsInterruptionDue(agent, j) {
 				return true
 			}
 		}
--- a/internal/agent/machine_state.go
+++ b/internal/agent/machine_state.go
@@ -13,7 +13,7 @@
 const (
 	MachineIgnored MachineState = iota // it boots, or is going back
 	MachineUnclear                     // not heard of yet under this leader
-	MachineUp                          // it sends heartbeats and obeys
+	MachineHealthy                     // it sends heartbeats and obeys
 	MachineLost                        // it should send heartbeats or obey, and does not
 )
 
@@ -24,7 +24,7 @@
 		return "ignored"
 	case MachineUnclear:
 		return "unclear"
-	case MachineUp:
+	case MachineHealthy:
 		return "up"
 	case MachineLost:
 		return "lost"
@@ -42,7 +42,7 @@
 	case agent.Unresponsive(), agent.Fenced() && silent:
 		return MachineLost
 	case agent.Fenced():
-		return MachineUp
+		return MachineHealthy
 	case r.mayBoot(host, machine, now):
 		return MachineIgnored
 	case now.Sub(agent.CreatedAt) <= patience:
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -83,8 +83,8 @@
 	r.cache.InvalidateLoad(host)
 }
 
-// NoteTerminated notes that the cloud has confirmed the end of a machine.
-func (r *Registry) NoteTerminated(host string) {
+// MarkTerminated notes that the cloud has confirmed the end of a machine.
+func (r *Registry) MarkTerminated(host string) {
 	if agent := r.agents[host]; agent != nil {
 		agent.Terminated = true
 	}
@@ -98,10 +98,10 @@
 
 // AcquiredShard is a shard whose acquisition was committed.
 type AcquiredShard struct {
-	Shard     string
-	Term      uint64
-	Clean     bool // no earlier leader can still be answering workers
-	HadLeader bool // until now
+	Shard               string
+	Term                uint64
+	PredecessorsStopped bool // no earlier leader can still be answering workers
+	HadLeader           bool // until now
 }
 
 // BeginLeadership begins the leadership of a shard that was acquired, with an agent for each of
@@ -114,12 +114,12 @@
 	}
 	r.DropLeadership(shard)
 	begun := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
-	if !acquired.Clean {
+	if !acquired.PredecessorsStopped {
 		begun.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGrace())
 	}
 	r.leadership.Begin(shard, begun)
 	r.node.Log.Info("shard acquired", logkey.Shard(shard), logkey.Term(acquired.Term),
-		logkey.HadLeader(acquired.HadLeader), logkey.Clean(acquired.Clean))
+		logkey.HadLeader(acquired.HadLeader), logkey.Clean(acquired.PredecessorsStopped))
 	for host, machine := range r.cache.Machines {
 		if machine.Shard == shard {
 			r.Ensure(host, begun)
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -51,15 +51,15 @@
 		Node: info, Cache: cache, Leadership: leaders, Catalog: catalog.New(info), Wake: notify.NewSignal(),
 	})
 	f.commands = NewDirectCommands(f.Registry)
-	page := statecache.PageID(testHost, statecache.CoarsestPageCut)
-	f.apply(statecache.MachinePageKey(page), shard.Page{testHost: {Shard: "n0", Addr: "worker:1"}})
+	page := statecache.PageID(testHost, statecache.CoarsestPageSuffixLen)
+	f.apply(statecache.MachinePageKey(page), shard.MachinePage{testHost: {Shard: "n0", Addr: "worker:1"}})
 	f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: testTerm})
 	f.record = &job.Record{Spec: api.Job{UID: testUID, Kind: api.Array, Priority: api.Standard, Tasks: 1}, Shard: "n0"}
 	f.record.ChooseLayout(64, 500, false)
 	f.record.InlineRange = (*job.TaskRange)(nil).Copy()
 	f.record.InlineRange.Place(0, testHost, 0)
 	f.apply(statecache.JobKey(testUID), f.record)
-	if !f.BeginLeadership(AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}) {
+	if !f.BeginLeadership(AcquiredShard{Shard: "n0", Term: testTerm, PredecessorsStopped: true}) {
 		t.Fatal("the leadership did not begin")
 	}
 	return f
@@ -87,9 +87,9 @@
 		begins   bool
 		answered time.Time
 	}{
-		{"clean", AcquiredShard{Shard: "n0", Term: testTerm, Clean: true}, true, f.now},
+		{"clean", AcquiredShard{Shard: "n0", Term: testTerm, PredecessorsStopped: true}, true, f.now},
 		{"in doubt", AcquiredShard{Shard: "n0", Term: testTerm}, true, f.now.Add(grace)},
-		{"overtaken", AcquiredShard{Shard: "n0", Term: testTerm - 1, Clean: true}, false, time.Time{}},
+		{"overtaken", AcquiredShard{Shard: "n0", Term: testTerm - 1, PredecessorsStopped: true}, false, time.Time{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
@@ -109,27 +109,27 @@
 // there are slots.
 func TestFence(t *testing.T) {
 	f := newRegistryFixture(t)
-	fence := f.commands.Fence(testHost)
+	fence := f.commands.PrepareFence(testHost)
 	if fence == nil || fence.Addr != "worker:1" || fence.Batch.Token != shard.FencingToken(testTerm, 0) {
 		t.Fatalf("fence %+v", fence)
 	}
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("fenced again at once")
 	}
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	for range minSlots - 1 {
 		f.commands.fenceSlots <- struct{}{}
 	}
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("fenced without a slot")
 	}
 	fence.Release()
-	if f.commands.Fence(testHost) == nil {
+	if f.commands.PrepareFence(testHost) == nil {
 		t.Error("not fenced although a slot was released")
 	}
 	f.hear()
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
-	if f.commands.Fence(testHost) != nil {
+	if f.commands.PrepareFence(testHost) != nil {
 		t.Error("fenced although it has seen the term")
 	}
 }
@@ -177,19 +177,19 @@
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
 	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
-	f.Listing().Note(listed, f.now, lag)
+	f.Listing().Update(listed, f.now, lag)
 	f.now = f.now.Add(patienceLags * lag)
-	f.Listing().Note(listed, f.now, lag)
-	if f.Unregistered().Count() != 0 || !f.Listing().Has("i-000002") {
+	f.Listing().Update(listed, f.now, lag)
+	if f.Unregistered().Count() != 0 || !f.Listing().HasOperational("i-000002") {
 		t.Fatal("registered too early, or not listed")
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
-	f.Listing().Note(listed, f.now, lag)
-	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().Has(testHost) {
+	f.Listing().Update(listed, f.now, lag)
+	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().HasOperational(testHost) {
 		t.Errorf("%d unregistered, cordoned %t", f.Unregistered().Count(), f.Agent(testHost).Cordoned)
 	}
-	f.Listing().Note(listed[1:], f.now, lag)
+	f.Listing().Update(listed[1:], f.now, lag)
 	if missing := f.Agent(testHost).MissingFromLists; missing != missingWhenFailed+1 {
 		t.Errorf("missing from %d lists", missing)
 	}
--- a/internal/agent/running_gangs.go
+++ b/internal/agent/running_gangs.go
@@ -13,11 +13,11 @@
 	attempts map[string]uint64 // by gang, the attempt of the last task that was seen running
 }
 
-// Note notes that a task of an attempt of a gang was seen running.
-func (g *RunningGangs) Note(uid string, attempt uint64) { g.attempts[uid] = attempt }
+// Record notes that a task of an attempt of a gang was seen running.
+func (g *RunningGangs) Record(uid string, attempt uint64) { g.attempts[uid] = attempt }
 
-// WasSeen reports whether the last task of a gang that was seen running was of the attempt.
-func (g *RunningGangs) WasSeen(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
+// WasRunning reports whether the last task of a gang that was seen running was of the attempt.
+func (g *RunningGangs) WasRunning(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
 
 // DropEnded drops what is known of gangs that have no record any more.
 func (g *RunningGangs) DropEnded() {
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -11,8 +11,8 @@
 // until the machine is held to be at fault.
 const maxFailedJobs = 2
 
-// NoteTaskEnd notes what a task's end says of its machine.
-func (r *Registry) NoteTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
+// HandleTaskEnd notes what a task's end says of its machine.
+func (r *Registry) HandleTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
 	if !task.Cause.Known() {
 		r.node.Log.Error("unknown exit cause reported", logkey.Host(host), logkey.Cause(task.Cause.String()))
 	}
--- a/internal/agent/unregistered.go
+++ b/internal/agent/unregistered.go
@@ -21,12 +21,12 @@
 	return &UnregisteredMachines{cache: cache, wake: wake, machines: map[string]shard.Machine{}}
 }
 
-// Note notes a machine that has no record, to be registered in a shard of its
+// Add notes a machine that has no record, to be registered in a shard of its
 // zone. One whose record was dropped is terminated, and names are never used again:
 // a heartbeat that a network partition held back, or a list that lags, must not bring it back
 // as a machine that counts as coming room. Only machines that the cloud lists come here, which
 // bounds how many there are.
-func (u *UnregisteredMachines) Note(host string, machine shard.Machine) {
+func (u *UnregisteredMachines) Add(host string, machine shard.Machine) {
 	if u.cache.Terminated[host] {
 		return
 	}
@@ -37,8 +37,8 @@
 	u.wake.Notify()
 }
 
-// NoteRented notes a machine that was just rented, in place of what is known of it.
-func (u *UnregisteredMachines) NoteRented(host string, machine shard.Machine) {
+// SetRented notes a machine that was just rented, in place of what is known of it.
+func (u *UnregisteredMachines) SetRented(host string, machine shard.Machine) {
 	u.machines[host] = machine
 }
 
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -21,7 +21,7 @@
 	} else {
 		contact.CheckSilence(now, func() int { return d.registry.countExpectedAgents(now) })
 	}
-	return contact.Unreachable() && contact.PeerHears(), probes
+	return contact.Unreachable() && contact.PeerHasContact(), probes
 }
 
 // countExpectedAgents counts the machines of the shards that this node leads that should be heard:
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		tasks := int(math.Ceil(max(policyTasks, a.expectedGrowth(&demand, boot, now))))
-		jobAdmission := a.zones.AdmissionOfSpec(demand.newestSpec, admission)
+		jobAdmission := a.zones.AdmissionForSpec(demand.newestSpec, admission)
 		requests = append(requests, a.newHeadroomRequest(class, demand.newestSpec, tasks, jobAdmission))
 	}
 	return requests
@@ -191,7 +191,7 @@
 					break
 				}
 				host.Free = host.Free.Sub(demand.Request.Need)
-				if host.Services+host.Arrays == 0 {
+				if host.ServiceTasks+host.ArrayTasks == 0 {
 					machines[host.Name] = true
 				}
 			}
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -45,7 +45,7 @@
 		// not fenced. Every worker is fenced once when the shard is acquired, because the list
 		// lags.
 		if !worker.Fenced() && !a.agents.Listing().IsStarting(host) {
-			if command := a.commands.Fence(host); command != nil {
+			if command := a.commands.PrepareFence(host); command != nil {
 				decision.Fences = append(decision.Fences, command)
 			}
 		}
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -118,7 +118,7 @@
 	if worker.IdleSince.IsZero() {
 		worker.IdleSince = r.now
 	}
-	if r.autoscaler.zones.RestrictedZone(machine.Zone, r.now) != nil {
+	if r.autoscaler.zones.RestrictedZoneRecord(machine.Zone, r.now) != nil {
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
@@ -133,7 +133,7 @@
 func (r *ScaleInReview) planRemainingHosts() []*sched.Host {
 	if r.remainingHosts == nil {
 		plan := r.autoscaler.scheduler.Plan(r.now)
-		r.remainingHosts, r.reservedHosts = plan.Remaining, plan.ReservedHosts
+		r.remainingHosts, r.reservedHosts = plan.RemainingHosts, plan.ReservedHosts
 	}
 	return r.remainingHosts
 }
@@ -181,7 +181,7 @@
 	if r.replicaHostsByZone == nil {
 		r.replicaHostsByZone = map[string][]*sched.Host{}
 		for _, host := range r.planRemainingHosts() {
-			if host.Services > 0 {
+			if host.ServiceTasks > 0 {
 				r.replicaHostsByZone[host.Zone] = append(r.replicaHostsByZone[host.Zone], host)
 			}
 		}
--- a/internal/autoscaler/scale_in_review_test.go
+++ b/internal/autoscaler/scale_in_review_test.go
@@ -23,14 +23,14 @@
 					Name:        string(rune('a' + i)),
 					MachineType: "m",
 					Zone:        rapid.SampledFrom(zones).Draw(t, "zone"),
-					Cap:         sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
+					Capacity:    sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
 					Free: sched.Resources{
 						CPUs:  2 * gpus,
 						GPUs:  gpus,
 						MemGB: 16 * gpus,
 					},
-					Services: rapid.IntRange(0, 1).Draw(t, "services"),
-					Images:   map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true},
+					ServiceTasks: rapid.IntRange(0, 1).Draw(t, "services"),
+					Images:       map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true},
 				},
 			)
 		}
@@ -69,7 +69,7 @@
 func fitsOnCopies(hosts []*sched.Host, source *sched.Host, requests []sched.TaskRequest) bool {
 	var others []*sched.Host
 	for _, host := range hosts {
-		if host != source && host.Services > 0 && host.Zone == source.Zone {
+		if host != source && host.ServiceTasks > 0 && host.Zone == source.Zone {
 			hostCopy := *host
 			others = append(others, &hostCopy)
 		}
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -39,16 +39,16 @@
 	if len(headroom) == 0 && !a.scheduler.HasPendingTasks() {
 		return nil
 	}
-	plan := a.scheduler.ReusePlan(now)
+	plan := a.scheduler.RecentPlan(now)
 	homeZone := a.node.Settings.Zone
-	orders := sched.PlanRentals(plan.Unmet, a.freeCapacity.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), homeZone)
+	orders := sched.PlanRentals(plan.UnmetDemand, a.freeCapacity.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), homeZone)
 	if len(headroom) == 0 {
 		return orders
 	}
 	// Tasks that lack capacity now, here and at the peers, have been rented for already, so they
 	// get their share of the booting machines before the headroom does.
-	hosts := append(a.freeCapacity.ProvisioningHosts(now, true), plan.Remaining...)
-	sched.PlanRentals(plan.AllUnmet, hosts, nil, "")
+	hosts := append(a.freeCapacity.ProvisioningHosts(now, true), plan.RemainingHosts...)
+	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
 	for _, request := range headroom {
 		candidates := a.freeCapacity.WithPreemptibleRoom(hosts, request.priority)
@@ -94,7 +94,7 @@
 			"request", request.Name, "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot,
 			"requested", request.Count, "hosts", hosts)
 		for _, host := range hosts {
-			a.agents.Unregistered().NoteRented(host, shard.Machine{
+			a.agents.Unregistered().SetRented(host, shard.Machine{
 				MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, RentedFor: renting.Shard,
 			})
 		}
--- a/internal/capacity/accounting.go
+++ b/internal/capacity/accounting.go
@@ -85,7 +85,7 @@
 // trimCapacity removes machines from a shard's free capacity until it fits in the capacity record
 // together with the teams' usage, and returns how many it removed.
 func (a *Accounts) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
-	maxBytes := a.schema.MaxValueBytes() - maxQuotaUseBytes*len(quotaUse)
+	maxBytes := a.schema.MaxGrowableBytes() - maxQuotaUseBytes*len(quotaUse)
 	if free.FitsIn(maxBytes) {
 		return 0
 	}
--- a/internal/capacity/calculator.go
+++ b/internal/capacity/calculator.go
@@ -40,7 +40,7 @@
 // until something that it depends on changes (placements, the jobs' records, ended attempts); the
 // code that makes such a change removes the cached load.
 func (r *Room) LoadOf(host string) *statecache.MachineLoad {
-	load := r.cache.Load(host)
+	load := r.cache.CachedLoad(host)
 	if load != nil {
 		return load
 	}
@@ -70,7 +70,7 @@
 			load.RunningByPriority[priority] = load.RunningByPriority[priority].Add(need)
 		}
 	}
-	r.cache.KeepLoad(host, load)
+	r.cache.CacheLoad(host, load)
 	return load
 }
 
@@ -189,7 +189,7 @@
 			MachineType: machine.MachineType,
 			Zone:        machine.Zone,
 			Spot:        machine.Spot,
-			Cap:         size,
+			Capacity:    size,
 			Free:        size,
 		})
 	}
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -142,7 +142,7 @@
 	if job == nil || job.Record.Cancelled || job.Record.RangeFinished(placement.RangeIndex) {
 		return nil
 	}
-	if !a.leadership.Leads(job.Record.Shard) || a.schema.IsBlocked(job) {
+	if !a.leadership.Leads(job.Record.Shard) || a.schema.TasksBlocked(job) {
 		return nil
 	}
 	taskRange := job.Ranges[placement.RangeIndex].Record
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -31,7 +31,7 @@
 // anyway, so refreshes are only made at intervals. tasksWait reports whether tasks of this
 // controller's jobs wait for capacity.
 func (a *Accounts) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
-	for _, name := range a.leadership.KnownShards() {
+	for _, name := range a.leadership.Shards() {
 		record := a.cache.Capacities[name].Record
 		inForce := a.leadership.InForce(name)
 		if inForce == nil || record == nil || !a.catalog.IsKnown() {
@@ -53,7 +53,7 @@
 		if len(update.reducedShares) == 0 && recent && tasksWait() && offersRemainValid(update.free, record.Free) {
 			continue
 		}
-		inForce.NoteCapacityRecorded(now)
+		inForce.MarkCapacityRecorded(now)
 		return a.updateTransaction(name, update)
 	}
 	return nil
@@ -104,7 +104,7 @@
 		delete(update.reducedShares, team)
 	}
 	transaction := statecache.NewTransaction()
-	a.leadership.Require(transaction, shardName)
+	a.leadership.RequireLeadership(transaction, shardName)
 	a.putCapacityRecord(transaction, shardName, update.free, update.quotaUse)
 	a.putQuotaShares(transaction, map[string]map[string]sched.Resources{shardName: update.reducedShares})
 	return transaction
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -35,7 +35,7 @@
 					MachineType: machineType.Name,
 					Zone:        zone,
 					Spot:        spot,
-					Cap:         size,
+					Capacity:    size,
 					Price:       PriceOf(machineType, spot),
 				}
 				if entry, ok := c.backoffs[offerKeyOf(&offer)]; !ok || now.After(entry.until) {
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -29,9 +29,9 @@
 	return &Sender{node: info, guard: guard, services: services}
 }
 
-// Probe asks workers whether they hear this node, each in a goroutine of its own that
+// ProbeWorkers asks workers whether they hear this node, each in a goroutine of its own that
 // ends with the answer or the client's deadline.
-func (s *Sender) Probe(ctx context.Context, addresses []string) {
+func (s *Sender) ProbeWorkers(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
 		s.node.RunAsync(func() { s.probeOne(ctx, addr) })
 	}
@@ -44,12 +44,12 @@
 	}
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Leadership.Contact().NoteHeard(s.node.Now())
+	state.Leadership.Contact().RecordContact(s.node.Now())
 }
 
-// Send sends prepared commands, each in a goroutine of its own that ends with the
+// SendAll sends prepared commands, each in a goroutine of its own that ends with the
 // answer or the client's deadline.
-func (s *Sender) Send(ctx context.Context, commands []*agent.DirectCommand) {
+func (s *Sender) SendAll(ctx context.Context, commands []*agent.DirectCommand) {
 	for _, command := range commands {
 		s.node.RunAsync(func() { s.sendOne(ctx, command) })
 	}
@@ -78,7 +78,7 @@
 func (s *Sender) acceptAnswer(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Agents.AcceptAnswer(command.Host, command.Term, heartbeat)
+	state.Agents.AcceptCommandAnswer(command.Host, command.Term, heartbeat)
 }
 
 // RequestHeartbeats has workers send a heartbeat at once for whom there is something new: a
@@ -90,5 +90,5 @@
 	state := s.guard.Lock()
 	commands := state.DirectCommands.DueHeartbeatRequests(s.node.Now())
 	s.guard.Unlock()
-	s.Send(ctx, commands)
+	s.SendAll(ctx, commands)
 }
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -162,10 +162,10 @@
 	for _, n := range s.nodes {
 		c := n.controller
 		s.checkCapacityRecords(t, n)
-		for _, h := range c.testState().Cache.KeptLoads() {
-			kept := c.testState().Cache.Load(h)
+		for _, h := range c.testState().Cache.MachinesWithCachedLoad() {
+			kept := c.testState().Cache.CachedLoad(h)
 			c.testState().Cache.InvalidateLoad(h)
-			if now := c.testState().Room.LoadOf(h); !now.Used.ApproxEqual(kept.Used) || !now.Stopping.ApproxEqual(kept.Stopping) ||
+			if now := c.testState().FreeCapacity.LoadOf(h); !now.Used.ApproxEqual(kept.Used) || !now.Stopping.ApproxEqual(kept.Stopping) ||
 				now.Services != kept.Services ||
 				now.Arrays != kept.Arrays ||
 				!slices.EqualFunc(now.RunningByPriority[:], kept.RunningByPriority[:], sched.Resources.ApproxEqual) {
@@ -173,7 +173,7 @@
 			}
 		}
 		for uid, j := range c.testState().Cache.Jobs {
-			if kept, found := j.PendingTasks(), j.FindPending(); !slices.Equal(kept, found) {
+			if kept, found := j.PendingTasks(), j.ComputePendingTasks(); !slices.Equal(kept, found) {
 				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, found)
 			}
 		}
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -52,7 +52,7 @@
 	if !n.serves() || !l.cluster.connected(l.from, to) {
 		return nil, errPeerUnreachable
 	}
-	if !n.controller.members.ServesForPeer(r) {
+	if !n.controller.members.ShouldServePeer(r) {
 		return n.controller.members.PeerStatus(r), nil
 	}
 	return frontend.PeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -131,7 +131,7 @@
 		p := n.state().Scheduler.Plan(n.controller.node.Now())
 		out += fmt.Sprintf(
 			" %s: unmet %d offers %v machine types %d",
-			n.name, len(p.Unmet), n.state().Catalog.AvailableOffers(n.controller.node.Now()), len(n.state().Catalog.MachineTypes()),
+			n.name, len(p.UnmetDemand), n.state().Catalog.AvailableOffers(n.controller.node.Now()), len(n.state().Catalog.MachineTypes()),
 		)
 	}
 	return out
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -207,7 +207,7 @@
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.world.Store,
 		Node:          n.name,
-		OnServed:      n.controller.sync.NoteStoreAnswer,
+		OnServed:      n.controller.sync.RecordStoreAnswer,
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
@@ -235,7 +235,7 @@
 	}
 	ctx := context.Background()
 	if !n.controller.sync.StoreReachable() {
-		n.controller.members.AskPeers(ctx)
+		n.controller.members.QueryPeers(ctx)
 	}
 	if n.state().Cache.Loaded {
 		_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -38,7 +38,7 @@
 
 	sync      *storesync.Sync
 	commands  *commands.Sender
-	election  *election.Keeper
+	election  *election.Elector
 	members   *membership.Membership
 	frontend  *frontend.Frontend
 	decisions *decisions.Loop
@@ -97,7 +97,7 @@
 		Limits:      store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
 		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
 		Controllers: settings.Facts.Size,
-		OnAnswer:    c.sync.NoteStoreAnswer,
+		OnAnswer:    c.sync.RecordStoreAnswer,
 	})
 	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
 	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
@@ -125,7 +125,7 @@
 	c := &Controller{node: info, guard: guard, services: services}
 	c.sync = storesync.New(info, guard, services, wake)
 	c.commands = commands.NewSender(info, guard, services)
-	c.election = election.NewKeeper(info, guard, services, c.sync, c.commands)
+	c.election = election.NewElector(info, guard, services, c.sync, c.commands)
 	c.members = membership.New(info, guard, services)
 	c.frontend = frontend.New(frontend.Deps{
 		Node: info, Guard: guard, Services: services, Sync: c.sync, Members: c.members, Wake: wake, GangAccepted: gangAccepted,
@@ -178,8 +178,8 @@
 	return []func(context.Context){
 		c.election.LeaseLoop,
 		c.watchLoop,
-		c.decisions.DecideLoop,
-		c.decisions.GangLoop,
+		c.decisions.Run,
+		c.decisions.RunGangPlacement,
 		c.scaling.AutoscaleLoop,
 		c.members.PeerLoop,
 		c.summaryLoop,
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -73,7 +73,7 @@
 			return false
 		}
 	}
-	return s.nodes[0].state().Schema.Upgraded()
+	return s.nodes[0].state().Schema.AllUpgraded()
 }
 
 // cancelDuringStoreOutage has the state service refuse one controller alone, another confirm
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -16,7 +16,7 @@
 	if r := c.frontend.Health(); r.Status != 503 {
 		t.Errorf("before it has loaded: %d", r.Status)
 	}
-	c.sync.NoteStoreAnswer(false)
+	c.sync.RecordStoreAnswer(false)
 	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("started in an outage: %d", r.Status)
 	}
@@ -27,7 +27,7 @@
 		t.Errorf("a submission in an outage: %d, to come back after %d s", r.Status, r.RetryAfter)
 	}
 	s.stepNode(0)
-	c.sync.NoteStoreAnswer(true)
+	c.sync.RecordStoreAnswer(true)
 	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("loaded: %d", r.Status)
 	}
@@ -39,14 +39,14 @@
 func TestIsolatedNodeLetsUsersGo(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
-	c.sync.NoteStoreAnswer(false)
+	c.sync.RecordStoreAnswer(false)
 	s.world.Advance(c.node.Settings.ControllerLeaseTTL())
-	c.testState().Reachability.PeersAsked = true
-	c.testState().Reachability.Peers["n1"] = false
+	c.testState().Reachability.PeersQueried = true
+	c.testState().Reachability.StoreReachableByPeer["n1"] = false
 	if r := c.frontend.Health(); r.Status != 200 {
 		t.Errorf("in an outage that a peer sees too: %d", r.Status)
 	}
-	delete(c.testState().Reachability.Peers, "n1")
+	delete(c.testState().Reachability.StoreReachableByPeer, "n1")
 	if r := c.frontend.Health(); r.Status != 503 {
 		t.Errorf("alone: %d", r.Status)
 	}
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -82,14 +82,14 @@
 
 // addMachines adds machines, page by page.
 func (s *largeShard) addMachines(machines int) {
-	page := shard.Page{}
+	page := shard.MachinePage{}
 	for i := range machines {
 		host := machineName(i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
-		id := statecache.PageID(host, statecache.CoarsestPageCut)
-		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageCut) {
+		id := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
+		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageSuffixLen) {
 			s.apply(statecache.MachinePageKey(id), page)
-			page = shard.Page{}
+			page = shard.MachinePage{}
 		}
 	}
 }
@@ -137,7 +137,7 @@
 // hearMachines has every machine have sent a heartbeat just now.
 func (s *largeShard) hearMachines() {
 	for h := range s.testState().Cache.Machines {
-		a := s.testState().Agents.Ensure(h, s.testState().Leadership.Known("n0"))
+		a := s.testState().Agents.Ensure(h, s.testState().Leadership.Lookup("n0"))
 		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: h}
 	}
 }
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -68,7 +68,7 @@
 		for _, use := range mostHeld(cost.lockUses, 6) {
 			fmt.Printf(
 				"    lock %5.1f %% of the time used, longest %8v, %6d times: %s\n",
-				100*use.Held.Seconds()/all.Seconds(), use.Longest.Round(time.Microsecond), use.Holds, use.Function,
+				100*use.TotalHeld.Seconds()/all.Seconds(), use.LongestHold.Round(time.Microsecond), use.Holds, use.Function,
 			)
 		}
 	}
@@ -81,7 +81,7 @@
 
 // mostHeld returns the functions that held a lock longest in all.
 func mostHeld(holds map[string]*state.LockUse, most int) []*state.LockUse {
-	uses := slices.SortedFunc(maps.Values(holds), func(a, b *state.LockUse) int { return cmp.Compare(b.Held, a.Held) })
+	uses := slices.SortedFunc(maps.Values(holds), func(a, b *state.LockUse) int { return cmp.Compare(b.TotalHeld, a.TotalHeld) })
 	return uses[:min(most, len(uses))]
 }
 
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -245,8 +245,8 @@
 					cost.lockUses[use.Function] = sum
 				}
 				sum.Holds += use.Holds
-				sum.Held += use.Held
-				sum.Longest = max(sum.Longest, use.Longest)
+				sum.TotalHeld += use.TotalHeld
+				sum.LongestHold = max(sum.LongestHold, use.LongestHold)
 			}
 		}
 	}
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -44,7 +44,7 @@
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	for i := range 60 {
-		c.testState().Agents.Unregistered().NoteRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
+		c.testState().Agents.Unregistered().SetRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
 	before := s.world.Store.Writes
 	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
@@ -62,7 +62,7 @@
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	const machines = 3 * statecache.MinTerminated
 	for i := range machines {
-		m.NoteTerminated(name(i))
+		m.RecordTerminated(name(i))
 		for back := range min(i, statecache.MinTerminated/2) {
 			if back%97 == 0 && !m.Terminated[name(i-back)] {
 				t.Fatalf("of %d that went the %dth last is not remembered", i+1, back+1)
@@ -100,7 +100,7 @@
 	s := newTestCluster()
 	m := s.nodes[0].state().Cache
 	page := func(id string, version uint64, hosts ...string) {
-		p := shard.Page{}
+		p := shard.MachinePage{}
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -31,14 +31,14 @@
 	if v := c.testState().Leadership.Acknowledgement(before); !v.GetComplete() || !slices.Contains(v.GetCancelled(), cancelled) {
 		t.Errorf("what it confirmed is not told: %v", v)
 	}
-	if err := c.sync.ReadNewest(context.Background()); err != nil {
+	if err := c.sync.RefreshCache(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if v := c.testState().Leadership.Acknowledgement(c.testState().Cache.Revision); !v.GetComplete() || len(v.GetCancelled()) > 0 {
 		t.Errorf("told what the asker has read: %v", v)
 	}
 	for i := range statecache.MaxCancellations {
-		c.testState().Cache.NoteCancellation("run-9", c.testState().Cache.Revision+uint64(i)+1)
+		c.testState().Cache.RecordCancellation("run-9", c.testState().Cache.Revision+uint64(i)+1)
 	}
 	if c.testState().Leadership.Acknowledgement(before).GetComplete() {
 		t.Error("it says that it told all, and has dropped some")
@@ -68,13 +68,13 @@
 func checkAcknowledgedUntil(t *testing.T, c *Controller) {
 	t.Helper()
 	now := c.node.Now()
-	c.testState().Leadership.NoteAcknowledgement("n1", &peer.Acknowledgement{Complete: true}, now)
+	c.testState().Leadership.RecordAcknowledgement("n1", &peer.Acknowledgement{Complete: true}, now)
 	if !c.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("one peer of two acknowledges for both")
 	}
-	c.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{Complete: true}, now.Add(-time.Second))
-	c.testState().Leadership.NoteAcknowledgement("n2", nil, now)
-	c.testState().Leadership.NoteAcknowledgement("n2", &peer.Acknowledgement{}, now)
+	c.testState().Leadership.RecordAcknowledgement("n2", &peer.Acknowledgement{Complete: true}, now.Add(-time.Second))
+	c.testState().Leadership.RecordAcknowledgement("n2", nil, now)
+	c.testState().Leadership.RecordAcknowledgement("n2", &peer.Acknowledgement{}, now)
 	if got := c.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("acknowledged until %v, not the oldest response's %v", got, now.Add(-time.Second))
 	}
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -19,8 +19,8 @@
 	s.world.Store.Refused[home] = true
 	s.runUntil(t, 40, "acquired", func() bool { o := s.leaderOf(home); return o != "" && o != home })
 	c := s.nodes[leader].controller
-	c.members.AskPeers(context.Background())
-	if o := c.testState().Leadership.Known(home); o == nil || o.Successor() != s.leaderOf(home) {
+	c.members.QueryPeers(context.Background())
+	if o := c.testState().Leadership.Lookup(home); o == nil || o.Successor() != s.leaderOf(home) {
 		t.Fatalf("it does not know: %+v", o)
 	}
 	for h, m := range c.testState().Cache.Machines {
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -78,7 +78,7 @@
 				m.apply(c)
 			}
 		}
-		m.replica.Advance(until)
+		m.replica.AdvanceRevision(until)
 	}
 }
 
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -33,7 +33,7 @@
 	s.startNode(successor)
 	s.runUntil(t, 10, "acquired again", func() bool { return s.leaderOf("n1") == s.nodes[successor].name })
 	c := s.nodes[successor].controller
-	if got := c.testState().Leadership.Known("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
+	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
 		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.node.Settings.LeadershipGrace())
 	}
 }
@@ -42,7 +42,7 @@
 func TestShardIsNotTakenFromLivingLeader(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[1].controller
-	before := c.testState().Leadership.Known("n1").Term
+	before := c.testState().Leadership.Lookup("n1").Term
 	old := c.testState().Cache.Leaders["n0"].Version
 	s.nodes[0].running = false
 	s.runUntil(t, 40, "shard of n0 acquired", func() bool { o := s.leaderOf("n0"); return o != "" })
@@ -53,7 +53,7 @@
 	}
 	s.runRound()
 	other.controller.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old leader's key
-	if s.leaderOf("n0") != successor || other.state().Leadership.Known("n0") != nil || c.testState().Leadership.Known("n1").Term != before {
+	if s.leaderOf("n0") != successor || other.state().Leadership.Lookup("n0") != nil || c.testState().Leadership.Lookup("n1").Term != before {
 		t.Fatal("the shard changed its leader")
 	}
 }
@@ -108,14 +108,14 @@
 		t.Fatal(err)
 	}
 	c.testState().Leadership.BeginLease(leaseID)
-	for len(c.sync.LeaderlessShard()) > 0 {
-		<-c.sync.LeaderlessShard()
+	for len(c.sync.LeaderlessShardSignal()) > 0 {
+		<-c.sync.LeaderlessShardSignal()
 	}
 	old := c.testState().Cache.Leaders["n1"].Version
 	first := s.nodes[0]
 	first.controller.election.AcquireShard(context.Background(), "n0", first.state().Cache.Leaders["n0"].Version) // raises the term
 	c.election.AcquireShard(context.Background(), "n1", old)
-	if c.testState().Leadership.Known("n1") != nil || len(c.sync.LeaderlessShard()) != 1 {
-		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Known("n1") != nil, len(c.sync.LeaderlessShard()))
+	if c.testState().Leadership.Lookup("n1") != nil || len(c.sync.LeaderlessShardSignal()) != 1 {
+		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Lookup("n1") != nil, len(c.sync.LeaderlessShardSignal()))
 	}
 }
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -37,16 +37,16 @@
 	c := s.nodes[0].controller
 	s.stepNode(0)
 	s.stepNode(0)
-	if c.testState().Leadership.Rates().Sharers() != 3 {
-		t.Fatalf("%d share before the others have registered", c.testState().Leadership.Rates().Sharers())
+	if c.testState().Leadership.Rates().ControllerCount() != 3 {
+		t.Fatalf("%d share before the others have registered", c.testState().Leadership.Rates().ControllerCount())
 	}
-	s.runUntil(t, 4, "all three share", func() bool { return c.testState().Leadership.Rates().Sharers() == 3 })
+	s.runUntil(t, 4, "all three share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 3 })
 	s.nodes[1].running, s.nodes[2].running = false, false
 	s.runUntil(t, 20, "alone", func() bool {
-		return c.testState().Leadership.Rates().Sharers() == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
+		return c.testState().Leadership.Rates().ControllerCount() == 1 && c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.startNode(2)
-	s.runUntil(t, 20, "two share", func() bool { return c.testState().Leadership.Rates().Sharers() == 2 })
+	s.runUntil(t, 20, "two share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 2 })
 }
 
 // A watch that falls behind by more changes than the state service keeps reads all records
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -63,7 +63,7 @@
 	// record has moved on.
 	stale := statecache.NewTransaction()
 	stale.Require(statecache.ZoneKey("x"), late.testState().Cache.Zones["x"].Version)
-	stale.Require(statecache.LeaderKey("n0"), late.testState().Leadership.Known("n0").Version)
+	stale.Require(statecache.LeaderKey("n0"), late.testState().Leadership.Lookup("n0").Version)
 	stale.Put(statecache.ZoneKey("x"), zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
 	done, failed, _ := late.sync.Commit(t.Context(), "zones", stale, 0)
 	if done || !slices.Contains(failed, statecache.ZoneKey("x")) || !slices.Contains(failed, statecache.LeaderKey("n0")) {
@@ -91,7 +91,7 @@
 	for range 60 {
 		s.runRound()
 		for _, n := range s.nodes {
-			if v := n.state().Cache.Zones["x"].Record; v != nil && v.Restricts() {
+			if v := n.state().Cache.Zones["x"].Record; v != nil && v.RestrictsPlacement() {
 				t.Fatalf("the only zone is %s", v.State)
 			}
 		}
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -84,7 +84,7 @@
 	c := z.nodes[leader].controller
 	waiting := func() (tasks int) {
 		observations := c.testState().Zones.Observe(c.node.Now()).Observations
-		for _, d := range observations["x"]["n0"].Waiting {
+		for _, d := range observations["x"]["n0"].WaitingProduction {
 			tasks += d.Tasks
 		}
 		return tasks
@@ -100,7 +100,7 @@
 	}
 	for _, x := range withReaders {
 		c.testState().Agents.Drop(x.Host)
-		leadership := c.testState().Leadership.Known(c.testState().Cache.Machines[x.Host].Shard)
+		leadership := c.testState().Leadership.Lookup(c.testState().Cache.Machines[x.Host].Shard)
 		c.testState().Agents.Ensure(x.Host, leadership).LastAnswered = c.node.Now()
 	}
 	if n := waiting(); n != readerTasks {
--- a/internal/decisions/archive.go
+++ b/internal/decisions/archive.go
@@ -40,7 +40,7 @@
 		if !ready {
 			continue
 		}
-		s.Leadership.Require(e.Txn, j.Record.Shard)
+		s.Leadership.RequireLeadership(e.Txn, j.Record.Shard)
 		// No start can come between: it would need the job not cancelled.
 		if deleteRanges(e, j) && !e.IsFull(archiveCost, 0) {
 			e.Archive(j, final)
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -60,7 +60,7 @@
 // how many changes there are, and whether a plan may be committed now: not with fewer than least.
 func (l *Loop) prepare(ctx context.Context, changes, least int, priority store.Priority) (available int, ok bool) {
 	available = l.awaitWrites(ctx, changes, priority)
-	if available < least || !l.sync.MayActNow() || l.sync.ReadNewest(ctx) != nil {
+	if available < least || !l.sync.MayActNow() || l.sync.RefreshCache(ctx) != nil {
 		return available, false
 	}
 	return available, true
@@ -75,8 +75,8 @@
 // finishEdit ends the changes of an editor.
 func finishEdit(e *schema.Editor) editedRecords {
 	t := e.Transaction()
-	if e.Changes == 0 || e.Outgrown {
-		return editedRecords{outgrown: e.Outgrown}
+	if e.Changes == 0 || e.HasOversizedRecord {
+		return editedRecords{outgrown: e.HasOversizedRecord}
 	}
 	return editedRecords{transaction: t}
 }
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -48,10 +48,10 @@
 // runs of its rounds, so that a slow processor has most of its time for heartbeats.
 const restPerPlanning = 3
 
-// DecideLoop commits what heartbeats and jobs call for, one transaction at a time, until ctx
+// Run commits what heartbeats and jobs call for, one transaction at a time, until ctx
 // ends. It runs when something has changed and at least twice in a heartbeat interval, and
 // leaves some time between: what comes together is committed together.
-func (l *Loop) DecideLoop(ctx context.Context) {
+func (l *Loop) Run(ctx context.Context) {
 	for {
 		timer := time.NewTimer(l.node.Settings.HeartbeatInterval() / 2)
 		select {
@@ -104,7 +104,7 @@
 	// Under load the budget of changes sets the pace: what comes together while
 	// it fills goes into few large transactions instead of many small ones.
 	if !l.sync.MayActNow() || l.awaitWrites(ctx, l.fullTransaction(), store.PriorityDecision) < minDecisionWrites ||
-		l.sync.ReadNewest(ctx) != nil {
+		l.sync.RefreshCache(ctx) != nil {
 		return
 	}
 	for _, r := range rounds {
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -61,15 +61,15 @@
 			continue
 		}
 		edits.keep(host, page)
-		s.Leadership.Require(edits.transaction, m.Shard)
+		s.Leadership.RequireLeadership(edits.transaction, m.Shard)
 		edits.transaction.Require(statecache.CapacityKey(m.Shard), s.Cache.Capacities[m.Shard].Version)
 		delete(page, host)
 		plan.hosts = append(plan.hosts, host)
 	}
 	for id, page := range edits.pages {
-		s.Schema.ClosePage(edits.transaction, id, page)
+		s.Schema.PutPage(edits.transaction, id, page)
 	}
-	if len(plan.hosts) == 0 && s.Schema.Upgraded() && s.Schema.DeleteObsoletePage(edits.transaction) {
+	if len(plan.hosts) == 0 && s.Schema.AllUpgraded() && s.Schema.DeleteObsoletePage(edits.transaction) {
 		s.Stats.DeregisteredAt = now
 	}
 	return plan
--- a/internal/decisions/ends.go
+++ b/internal/decisions/ends.go
@@ -43,11 +43,11 @@
 func planEnds(s *state.State, now time.Time) endsPlan {
 	var plan endsPlan
 	e := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(e.Txn)
+	s.Leadership.RequireLeaderships(e.Txn)
 	ends := s.Agents.EndedTasks(now)
 	for _, id := range slices.SortedFunc(maps.Keys(ends), compareRanges) {
 		j := s.Cache.Jobs[id.UID]
-		if j.Record.Spec.Kind == api.Gang || s.Schema.IsBlocked(j) || !s.Scheduler.EndsAreDue(id, ends[id], now) {
+		if j.Record.Spec.Kind == api.Gang || s.Schema.TasksBlocked(j) || !s.Scheduler.ShouldCommitEnds(id, ends[id], now) {
 			continue
 		}
 		if e.IsFull(endsCost(j), 0) {
@@ -81,14 +81,14 @@
 	spec := &j.Record.Spec
 	taskRange := e.TaskRange(j, id.Index)
 	for _, end := range ends {
-		taskRange.EndAttempt(end.Task.Index, end.End.Attempt, end.End.Done && spec.Kind == api.Array, end.End.Failed)
+		taskRange.EndAttempt(end.Task.Index, end.Attempt.Attempt, end.Attempt.Done && spec.Kind == api.Array, end.Attempt.Failed)
 	}
 	if spec.Kind != api.Array || j.Record.Cancelled || taskRange.DoneCount() < j.Record.RangeLen(id.Index) {
 		return false
 	}
 	record := e.Record(j)
 	record.FinishRange(id.Index)
-	e.Deletes[id] = true
+	e.DeletedRanges[id] = true
 	if !record.Complete() {
 		return false
 	}
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -84,10 +84,10 @@
 		endsByJob[id.UID] = append(endsByJob[id.UID], ends...)
 	}
 	e := s.Schema.NewRecordEditor()
-	s.Leadership.RequireAll(e.Txn)
+	s.Leadership.RequireLeaderships(e.Txn)
 	for _, uid := range slices.Sorted(maps.Keys(s.Cache.Gangs)) {
 		j := s.Cache.Jobs[uid]
-		if s.Schema.IsBlocked(j) || j.Record.Gang == nil {
+		if s.Schema.TasksBlocked(j) || j.Record.Gang == nil {
 			continue
 		}
 		if e.IsFull(gangUpdateCost, 0) {
@@ -143,7 +143,7 @@
 			claim.Placements, conflicts = step.Remaining, 0
 			l.logPlaced(ctx, step.Placed)
 			state = l.guard.Lock()
-			state.Scheduler.NoteGangClaimed(claim.UID)
+			state.Scheduler.RecordGangClaimed(claim.UID)
 			l.guard.Unlock()
 		case rejected:
 			conflicts++
@@ -153,9 +153,9 @@
 	}
 }
 
-// GangLoop places gangs as they are accepted, beside the decisions that wait for their
+// RunGangPlacement places gangs as they are accepted, beside the decisions that wait for their
 // changes, until ctx ends. What both write at once is decided by the state service.
-func (l *Loop) GangLoop(ctx context.Context) {
+func (l *Loop) RunGangPlacement(ctx context.Context) {
 	for {
 		select {
 		case <-l.gangAccepted:
@@ -172,7 +172,7 @@
 func (l *Loop) placeNewGangs(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	reserved := state.Scheduler.WritesReservedForGangs(now)
+	reserved := state.Scheduler.ChangesReservedForGangs(now)
 	claims := planNewGangs(state, gangLookIntervals*l.node.Settings.DecisionInterval(), now)
 	l.guard.Unlock()
 	l.services.Store.ReserveForGangs(reserved)
@@ -190,7 +190,7 @@
 		if j.Record.Cancelled || !s.Leadership.Leads(j.Record.Shard) || len(j.PendingTasks()) == 0 {
 			continue
 		}
-		if s.Scheduler.LookOutOfTurn(uid, now, pause) {
+		if s.Scheduler.AllowImmediateSearch(uid, now, pause) {
 			waiting = true
 		}
 	}
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -56,8 +56,8 @@
 		return placementPlan{}
 	}
 	p := s.Scheduler.Plan(now)
-	s.Scheduler.RememberPlan(p, now)
-	return placementPlan{placements: p.Placements, gangs: p.Gangs, stops: p.Stops}
+	s.Scheduler.CachePlan(p, now)
+	return placementPlan{placements: p.Placements, gangs: p.Gangs, stops: p.GangVictims}
 }
 
 // commitPlacements commits placements of a plan that was made when it began. It returns the tasks
@@ -80,7 +80,7 @@
 		state := l.guard.Lock()
 		result := state.Scheduler.PlacementTransaction(placements, available, l.node.Now())
 		l.guard.Unlock()
-		stopAlone = append(stopAlone, result.StopAlone...)
+		stopAlone = append(stopAlone, result.StopSeparately...)
 		if result.Transaction == nil {
 			break
 		}
--- a/internal/decisions/splits.go
+++ b/internal/decisions/splits.go
@@ -10,7 +10,7 @@
 // garbage. It reports whether there is more to split.
 func (l *Loop) splitRecords(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	if !state.Schema.Upgraded() {
+	if !state.Schema.AllUpgraded() {
 		l.guard.Unlock()
 		return false
 	}
@@ -37,7 +37,7 @@
 func (l *Loop) collectGarbage(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	if !state.Splitter.GarbageIsDue(now) {
+	if !state.Splitter.IsGarbageCollectionDue(now) {
 		l.guard.Unlock()
 		return
 	}
@@ -48,6 +48,6 @@
 	}
 	l.commit(ctx, forGarbage, t, store.PrioritySubmission)
 	state = l.guard.Lock()
-	state.Splitter.NoteGarbageCollected(now)
+	state.Splitter.RecordGarbageCollection(now)
 	l.guard.Unlock()
 }
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -24,7 +24,7 @@
 func (l *Loop) updateZones(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	if !state.Zones.ObservationIsDue(now) {
+	if !state.Zones.IsObservationDue(now) {
 		l.guard.Unlock()
 		return false
 	}
@@ -45,8 +45,8 @@
 func planZones(s *state.State, now time.Time) zonesPlan {
 	s.Zones.Update(now)
 	plan := zonesPlan{transaction: statecache.NewTransaction(), changed: map[string]zonehealth.Record{}}
-	for _, zone := range s.Zones.Observed() {
-		next, ok := s.Zones.Judge(zone, now)
+	for _, zone := range s.Zones.ObservedZones() {
+		next, ok := s.Zones.Evaluate(zone, now)
 		if !ok || plan.transaction.Changes() >= s.Schema.TransactionLimits().TxnOps {
 			continue
 		}
@@ -55,7 +55,7 @@
 		plan.transaction.Put(key, next)
 		plan.changed[zone] = next
 	}
-	s.Leadership.RequireAll(plan.transaction)
+	s.Leadership.RequireLeaderships(plan.transaction)
 	return plan
 }
 
@@ -63,16 +63,16 @@
 func (l *Loop) logZoneChanges(changed map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(changed)) {
 		record := changed[zone]
-		sum := record.Sum()
+		sum := record.TotalObservation()
 		l.node.Log.Info(
 			"zone",
 			"zone", zone,
 			"state", record.State,
 			"transitions", record.Transitions,
-			"up", sum.Up,
+			"up", sum.Healthy,
 			"lost", sum.Lost,
 			"unknown", sum.Unclear,
-			"waiting", record.Waiting(),
+			"waiting", record.HasWaitingProduction(),
 			"slow_start_share", record.SlowStartShare,
 		)
 	}
--- a/internal/election/keeper.go
+++ b/internal/election/keeper.go
@@ -26,9 +26,9 @@
 // revokeTimeout bounds how long a shutdown waits for the end of the lease.
 const revokeTimeout = time.Second
 
-// Keeper keeps this controller's lease, and acquires and releases shards. One goroutine uses it;
+// Elector keeps this controller's lease, and acquires and releases shards. One goroutine uses it;
 // what it knows is in the guarded state.
-type Keeper struct {
+type Elector struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
@@ -36,20 +36,20 @@
 	commands *commands.Sender
 }
 
-// NewKeeper makes a keeper that has no lease yet.
-func NewKeeper(
+// NewElector makes a keeper that has no lease yet.
+func NewElector(
 	info *node.Info, guard *state.Guard, services *external.Services, sync *storesync.Sync, commands *commands.Sender,
-) *Keeper {
-	return &Keeper{node: info, guard: guard, services: services, sync: sync, commands: commands}
+) *Elector {
+	return &Elector{node: info, guard: guard, services: services, sync: sync, commands: commands}
 }
 
 // LeaseLoop keeps this node's lease and with it the shards that it leads, until ctx is done.
-func (k *Keeper) LeaseLoop(ctx context.Context) {
+func (k *Elector) LeaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(k.MaintainLease(ctx))
 		select {
 		case <-timer.C:
-		case <-k.sync.LeaderlessShard(): // its turn may be ours
+		case <-k.sync.LeaderlessShardSignal(): // its turn may be ours
 			timing.Sleep(ctx, k.node.Settings.ControllerLeaseTTL()/turnsPerLease)
 		case <-ctx.Done():
 		}
@@ -59,7 +59,7 @@
 
 // MaintainLease takes one step: it has the lease granted or renews it, and then acquires and
 // releases shards. It returns how long to wait before the next step.
-func (k *Keeper) MaintainLease(ctx context.Context) time.Duration {
+func (k *Elector) MaintainLease(ctx context.Context) time.Duration {
 	ttl := k.node.Settings.ControllerLeaseTTL()
 	sent := k.node.Now()
 	err := k.keepLease(ctx, ttl)
@@ -70,7 +70,7 @@
 		return ttl / retriesPerLease
 	}
 	if k.extendLease(sent, ttl) { // how long we may answer once we are cut off counts from the last read
-		_ = k.sync.ReadNewest(ctx)
+		_ = k.sync.RefreshCache(ctx)
 	}
 	k.maintainLeaderships(ctx)
 	return ttl / stepsPerLease
@@ -78,7 +78,7 @@
 
 // keepLease renews the lease, or has one granted if there is none. It returns store.ErrNoLease if
 // the lease was lost.
-func (k *Keeper) keepLease(ctx context.Context, ttl time.Duration) error {
+func (k *Elector) keepLease(ctx context.Context, ttl time.Duration) error {
 	state := k.guard.Lock()
 	leaseID := state.Leadership.LeaseID()
 	k.guard.Unlock()
@@ -93,7 +93,7 @@
 }
 
 // grantLease has a lease granted. Its errors are never store.ErrNoLease.
-func (k *Keeper) grantLease(ctx context.Context, ttl time.Duration) error {
+func (k *Elector) grantLease(ctx context.Context, ttl time.Duration) error {
 	leaseID, err := k.services.Store.GrantLease(ctx, ttl)
 	if err != nil {
 		return err
@@ -107,17 +107,17 @@
 
 // loseLease drops all that this node held under a lease that has ended: others may lead its shards
 // already.
-func (k *Keeper) loseLease(leaseID uint64) {
+func (k *Elector) loseLease(leaseID uint64) {
 	k.node.Log.Info("lease lost", logkey.Lease(leaseID))
 	state := k.guard.Lock()
-	state.Leadership.LoseLease()
+	state.Leadership.DropExpiredLease()
 	state.Agents.DropAll()
 	k.guard.Unlock()
 }
 
 // extendLease notes that the lease was granted or renewed by a request that was sent at the given
 // time. It reports whether the replica is to be brought up to date.
-func (k *Keeper) extendLease(sent time.Time, ttl time.Duration) (stale bool) {
+func (k *Elector) extendLease(sent time.Time, ttl time.Duration) (stale bool) {
 	state := k.guard.Lock()
 	defer k.guard.Unlock()
 	state.Leadership.ExtendLease(sent.Add(ttl - ttl/clockMargin))
@@ -125,9 +125,9 @@
 }
 
 // RevokeLease ends the lease in an orderly shutdown, so that others take over at once.
-func (k *Keeper) RevokeLease() {
+func (k *Elector) RevokeLease() {
 	state := k.guard.Lock()
-	leaseID := state.Leadership.RevokeLease()
+	leaseID := state.Leadership.ClearLease()
 	k.guard.Unlock()
 	if leaseID == 0 {
 		return
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -21,7 +21,7 @@
 
 // maintainLeaderships registers this node, acquires shards without a leader and releases shards
 // to their home controllers.
-func (k *Keeper) maintainLeaderships(ctx context.Context) {
+func (k *Elector) maintainLeaderships(ctx context.Context) {
 	step, ok := k.planStep()
 	if !ok {
 		return
@@ -29,7 +29,7 @@
 	if step.sharersChanged {
 		k.services.Store.SetControllers(step.sharers)
 	}
-	k.commands.Probe(ctx, step.probes)
+	k.commands.ProbeWorkers(ctx, step.probes)
 	if step.registration != nil {
 		_, _, err := k.sync.Commit(ctx, commitNode, step.registration, store.PriorityLease)
 		if errors.Is(err, store.ErrNoLease) {
@@ -54,7 +54,7 @@
 }
 
 // planStep decides what to do under the lock. ok is false while the replica is not whole.
-func (k *Keeper) planStep() (step leadershipStep, ok bool) {
+func (k *Elector) planStep() (step leadershipStep, ok bool) {
 	now := k.node.Now()
 	state := k.guard.Lock()
 	defer k.guard.Unlock()
@@ -63,7 +63,7 @@
 	}
 	state.Agents.DropLostLeaderships()
 	step.sharersChanged = state.Leadership.Rates().Update(now)
-	step.sharers = state.Leadership.Rates().Sharers()
+	step.sharers = state.Leadership.Rates().ControllerCount()
 	leave, probes := state.DirectCommands.CheckWorkerContact(now)
 	step.probes = probes
 	step.registration = state.Leadership.Registration()
@@ -80,7 +80,7 @@
 // AcquireShard acquires a shard: its leader's key under our lease, and a term above all
 // that were ever given out, which is the shard's fencing token. leaderVersion is the version of
 // the leader's key, or 0, that the decision rests on.
-func (k *Keeper) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
+func (k *Elector) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
 	state := k.guard.Lock()
 	if state.Cache.Leaders[shard].Version != leaderVersion {
 		// Somebody acquired it since: with the newer version the precondition would hold,
@@ -96,25 +96,25 @@
 		if err == nil {
 			// Overtaken, by another's acquisition that raised the term as a rule: after
 			// the end of all they come at once, and leases run meanwhile.
-			k.sync.WakeLeaseLoop()
+			k.sync.NotifyLeaderlessShard()
 		}
 		return
 	}
 	state = k.guard.Lock()
 	var fences []*agent.DirectCommand
 	if state.Agents.BeginLeadership(prepared.acquired) {
-		fences = state.DirectCommands.FenceShard(shard)
+		fences = state.DirectCommands.PrepareShardFences(shard)
 	}
 	k.guard.Unlock()
-	k.commands.Send(ctx, fences)
+	k.commands.SendAll(ctx, fences)
 }
 
 // prepareAcquisition puts together the transaction that acquires a shard.
-func (k *Keeper) prepareAcquisition(state *state.State, name string) acquisition {
+func (k *Elector) prepareAcquisition(state *state.State, name string) acquisition {
 	me := k.node.Settings.HostName
 	leader, hadLeader := state.Cache.Leaders[name]
 	capacity := state.Cache.Capacities[name]
-	term := state.Cache.Term + 1
+	term := state.Cache.HighestTerm + 1
 	clean := stoppedAnswering(capacity.Record, me)
 	txn := statecache.NewTransaction()
 	txn.Require(statecache.LeaderKey(name), leader.Version)
@@ -132,7 +132,7 @@
 	})
 	return acquisition{
 		txn:      txn,
-		acquired: agent.AcquiredShard{Shard: name, Term: term, Clean: clean, HadLeader: hadLeader},
+		acquired: agent.AcquiredShard{Shard: name, Term: term, PredecessorsStopped: clean, HadLeader: hadLeader},
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // releaseShard releases a shard to its home controller in an orderly way: answers
 // stop first, then the release is committed.
-func (k *Keeper) releaseShard(ctx context.Context, shard string) {
+func (k *Elector) releaseShard(ctx context.Context, shard string) {
 	state := k.guard.Lock()
 	released, txn := prepareRelease(state, shard)
 	k.guard.Unlock()
@@ -177,7 +177,7 @@
 // prepareRelease stops the answers to a shard's workers and puts together the transaction that
 // releases the shard. It returns nil if there is nothing to release.
 func prepareRelease(state *state.State, shard string) (*leadership.Leadership, *statecache.Transaction) {
-	leadership, capacity := state.Leadership.Known(shard), state.Cache.Capacities[shard]
+	leadership, capacity := state.Leadership.Lookup(shard), state.Cache.Capacities[shard]
 	if leadership == nil || capacity.Record == nil {
 		return nil, nil
 	}
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -20,14 +20,14 @@
 	return &Cache{node: node, byJob: map[string]job.FinalState{}}
 }
 
-// Of returns how a job ended, and whether that is remembered. A final state never changes.
-func (c *Cache) Of(uid string) (job.FinalState, bool) {
+// Get returns how a job ended, and whether that is remembered. A final state never changes.
+func (c *Cache) Get(uid string) (job.FinalState, bool) {
 	final, ok := c.byJob[uid]
 	return final, ok
 }
 
-// Remember keeps how a job ended. If the cache is full then, it drops the job that came first.
-func (c *Cache) Remember(uid string, final job.FinalState) {
+// Add keeps how a job ended. If the cache is full then, it drops the job that came first.
+func (c *Cache) Add(uid string, final job.FinalState) {
 	if _, ok := c.byJob[uid]; !ok {
 		c.order = append(c.order, uid)
 		if len(c.order) > maxRemembered(c.node.Settings) {
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -20,20 +20,20 @@
 	most := maxRemembered(settings)
 	uid := func(i int) string { return fmt.Sprintf("run-%06d", i) }
 	for i := range most {
-		cache.Remember(uid(i), job.FinalState{Phase: api.JobDone, Done: i})
+		cache.Add(uid(i), job.FinalState{Phase: api.JobDone, Done: i})
 	}
-	cache.Remember(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
-	if _, ok := cache.Of(uid(0)); !ok {
+	cache.Add(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
+	if _, ok := cache.Get(uid(0)); !ok {
 		t.Errorf("%d fit, and the first is forgotten with the last", most)
 	}
-	cache.Remember(uid(most), job.FinalState{Phase: api.JobCancelled, Done: 7})
-	if _, ok := cache.Of(uid(0)); ok {
+	cache.Add(uid(most), job.FinalState{Phase: api.JobCancelled, Done: 7})
+	if _, ok := cache.Get(uid(0)); ok {
 		t.Error("one more than fit, and the first is still remembered")
 	}
-	if final, ok := cache.Of(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
+	if final, ok := cache.Get(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
 		t.Errorf("the second: %v, remembered: %t", final, ok)
 	}
-	if final, ok := cache.Of(uid(most)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
+	if final, ok := cache.Get(uid(most)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
 		t.Errorf("the last: %v, remembered: %t", final, ok)
 	}
 	if len(cache.byJob) != most || len(cache.order) != most {
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -63,7 +63,7 @@
 	if req.Method != methodPost || req.Target != peer.Path || proto.Unmarshal(req.Body, &r) != nil {
 		return transport.Response{Status: api.StatusBadRequest}, true
 	}
-	if !f.members.ServesForPeer(&r) {
+	if !f.members.ShouldServePeer(&r) {
 		return encodeReply(f.members.PeerStatus(&r)), true
 	}
 	serve := func(ctx context.Context) { later(encodeReply(PeerReply(f.ServeLocally(ctx, &r)))) }
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -25,7 +25,7 @@
 // told the user something newer before the question was asked.
 func (f *Frontend) jobState(ctx context.Context, uid string) (api.State, error) {
 	state := f.guard.Lock()
-	final, ended := state.FinalStates.Of(uid)
+	final, ended := state.FinalStates.Get(uid)
 	f.guard.Unlock()
 	if ended { // whatever else happened since
 		return finalStateOf(uid, final), nil
@@ -57,7 +57,7 @@
 		return api.State{}, fmt.Errorf("final state of job %s: %w", uid, err)
 	}
 	state := f.guard.Lock()
-	state.FinalStates.Remember(uid, final)
+	state.FinalStates.Add(uid, final)
 	f.guard.Unlock()
 	return finalStateOf(uid, final), nil
 }
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -69,7 +69,7 @@
 func (f *Frontend) acceptsKind(kind api.JobKind) bool {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	return kind != api.Gang || state.Schema.Upgraded()
+	return kind != api.Gang || state.Schema.AllUpgraded()
 }
 
 // newRecord makes the record of a job that is accepted now, errTooLong if that leaves no room for
@@ -79,9 +79,9 @@
 	size := len(api.JSON(record))
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	if size > state.Schema.MaxValueBytes() {
+	if size > state.Schema.MaxGrowableBytes() {
 		return nil, errTooLong
 	}
-	record.ChooseLayout(f.node.Settings.LowestLimits().ValueKB, size, state.Schema.Upgraded())
+	record.ChooseLayout(f.node.Settings.LowestLimits().ValueKB, size, state.Schema.AllUpgraded())
 	return record, nil
 }
--- a/internal/golden/keys_test.go
+++ b/internal/golden/keys_test.go
@@ -58,7 +58,7 @@
 		{"quota", forms["part.Usage"], func(c *statecache.Cache) any { return c.Quotas[statecache.QuotaID("a/b c")].Record }},
 		{"capability", forms["part.Mark"], func(c *statecache.Cache) any { return c.Capabilities["n0"].Record }},
 		{"zone", forms["zonehealth.Record"], func(c *statecache.Cache) any { return c.Zones[statecache.ZoneID("x/1")].Record }},
-		{"term", "7", func(c *statecache.Cache) any { return &c.Term }},
+		{"term", "7", func(c *statecache.Cache) any { return &c.HighestTerm }},
 	} {
 		t.Run(x.key, func(t *testing.T) {
 			cache := statecache.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -48,14 +48,14 @@
 	return newest
 }
 
-// NoteAcknowledgement takes in what a peer acknowledges. It was asked for at the given time,
+// RecordAcknowledgement takes in what a peer acknowledges. It was asked for at the given time,
 // with the revision of the replica then. One that is not complete says nothing.
-func (t *Table) NoteAcknowledgement(node string, acknowledgement *peer.Acknowledgement, asked time.Time) {
+func (t *Table) RecordAcknowledgement(node string, acknowledgement *peer.Acknowledgement, asked time.Time) {
 	if !acknowledgement.GetComplete() || !t.cache.Loaded {
 		return
 	}
 	for _, uid := range acknowledgement.GetCancelled() {
-		t.cache.NoteCancelledByPeer(uid)
+		t.cache.MarkCancelledByPeer(uid)
 	}
 	for _, leader := range acknowledgement.GetShardLeaders() {
 		t.noteSuccessor(leader)
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -27,14 +27,14 @@
 	hearsWorkers bool      // some worker is heard
 }
 
-// MinSilent is after how many steps of its lease without a sign of any worker a node counts as
+// MinSilentCount is after how many steps of its lease without a sign of any worker a node counts as
 // unreachable (one that was suspended itself first hears again), and how many machines have
 // to be silent: one or two are as likely lost themselves, and each change of the leader
 // starts the wait for the end of their leases anew.
-const MinSilent = 3
+const MinSilentCount = 3
 
-// NoteHeard notes that workers reach this node.
-func (c *WorkerContact) NoteHeard(now time.Time) {
+// RecordContact notes that workers reach this node.
+func (c *WorkerContact) RecordContact(now time.Time) {
 	if c.unreachable {
 		c.node.Log.Info("heartbeats reach this controller again")
 	}
@@ -47,8 +47,8 @@
 // Unreachable reports whether no worker reaches this node although some should.
 func (c *WorkerContact) Unreachable() bool { return c.unreachable }
 
-// HeardSince reports whether workers reach this node and one was heard at the given time or later.
-func (c *WorkerContact) HeardSince(since time.Time) bool {
+// HasContactSince reports whether workers reach this node and one was heard at the given time or later.
+func (c *WorkerContact) HasContactSince(since time.Time) bool {
 	return !c.unreachable && !c.lastHeard.Before(since)
 }
 
@@ -61,21 +61,21 @@
 		return
 	}
 	c.silentSteps++
-	if c.silentSteps < MinSilent {
+	if c.silentSteps < MinSilentCount {
 		return
 	}
 	c.hearsWorkers = false
-	if countExpected() >= MinSilent {
+	if countExpected() >= MinSilentCount {
 		c.unreachable = true
 		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastHeard(c.lastHeard))
 	}
 }
 
-// PeerHears reports whether another living controller says that it hears workers.
-func (c *WorkerContact) PeerHears() bool {
+// PeerHasContact reports whether another living controller says that it hears workers.
+func (c *WorkerContact) PeerHasContact() bool {
 	for _, controller := range c.node.Shards {
 		record := c.cache.Nodes[controller].Record
-		if controller != c.node.Settings.HostName && record != nil && record.HearsWorkers {
+		if controller != c.node.Settings.HostName && record != nil && record.HasWorkerContact {
 			return true
 		}
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -42,8 +42,8 @@
 	return now.Sub(l.capacityRecordedAt)
 }
 
-// NoteCapacityRecorded notes that the shard's capacity record is being refreshed by itself.
-func (l *Leadership) NoteCapacityRecorded(now time.Time) { l.capacityRecordedAt = now }
+// MarkCapacityRecorded notes that the shard's capacity record is being refreshed by itself.
+func (l *Leadership) MarkCapacityRecorded(now time.Time) { l.capacityRecordedAt = now }
 
 // InForce returns this node's leadership of a shard, or nil if it has none that it may act or
 // answer under.
@@ -59,13 +59,13 @@
 // Leads reports whether this node's leadership of a shard is in force.
 func (t *Table) Leads(shard string) bool { return t.InForce(shard) != nil }
 
-// Known returns this node's leadership of a shard, also one that is not in force; nil if there
+// Lookup returns this node's leadership of a shard, also one that is not in force; nil if there
 // is none.
-func (t *Table) Known(shard string) *Leadership { return t.byShard[shard] }
+func (t *Table) Lookup(shard string) *Leadership { return t.byShard[shard] }
 
-// KnownShards returns the shards that this node has a leadership of, in force or not, in no
+// Shards returns the shards that this node has a leadership of, in force or not, in no
 // order.
-func (t *Table) KnownShards() []string {
+func (t *Table) Shards() []string {
 	shards := make([]string, 0, len(t.byShard))
 	for shard := range t.byShard {
 		shards = append(shards, shard)
@@ -95,18 +95,18 @@
 	return lost
 }
 
-// Require makes a transaction conditional on this node's leadership of a shard, so that a
+// RequireLeadership makes a transaction conditional on this node's leadership of a shard, so that a
 // leader that was superseded commits nothing more. It does nothing if the leadership is not in
 // force.
-func (t *Table) Require(txn *statecache.Transaction, shard string) {
+func (t *Table) RequireLeadership(txn *statecache.Transaction, shard string) {
 	if leadership := t.InForce(shard); leadership != nil {
 		txn.Require(statecache.LeaderKey(shard), leadership.Version)
 	}
 }
 
-// RequireAll makes a transaction conditional on all of this node's leaderships in force.
-func (t *Table) RequireAll(txn *statecache.Transaction) {
+// RequireLeaderships makes a transaction conditional on all of this node's leaderships in force.
+func (t *Table) RequireLeaderships(txn *statecache.Transaction) {
 	for shard := range t.byShard {
-		t.Require(txn, shard)
+		t.RequireLeadership(txn, shard)
 	}
 }
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -18,16 +18,16 @@
 // ExtendLease notes until when the lease surely lasts.
 func (t *Table) ExtendLease(until time.Time) { t.lease.validUntil = until }
 
-// RevokeLease drops the lease, which is ended in an orderly way, and returns its ID, 0 if
+// ClearLease drops the lease, which is ended in an orderly way, and returns its ID, 0 if
 // there was none.
-func (t *Table) RevokeLease() uint64 {
+func (t *Table) ClearLease() uint64 {
 	id := t.lease.id
 	t.lease = lease{}
 	return id
 }
 
-// LoseLease drops a lease that has ended, and with it all leaderships.
-func (t *Table) LoseLease() {
+// DropExpiredLease drops a lease that has ended, and with it all leaderships.
+func (t *Table) DropExpiredLease() {
 	t.lease = lease{}
 	clear(t.byShard)
 }
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Sharers returns how many controllers share the rates.
-func (r *RateSharing) Sharers() int { return r.sharers }
+// ControllerCount returns how many controllers share the rates.
+func (r *RateSharing) ControllerCount() int { return r.sharers }
 
 // Update counts the controllers that share the rates and reports
 // whether their number has changed: one that is left alone has all of the rates. One that is not
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -15,7 +15,7 @@
 	record, wanted := t.cache.Nodes[me].Record, t.nodeRecord()
 	announced := t.capabilitiesAnnounced()
 	if announced && record != nil && t.isOwnLife(record.Node, record.Incarnation) &&
-		record.WorkersUnreachable == wanted.WorkersUnreachable && record.HearsWorkers == wanted.HearsWorkers {
+		record.WorkersUnreachable == wanted.WorkersUnreachable && record.HasWorkerContact == wanted.HasWorkerContact {
 		return nil
 	}
 	txn := statecache.NewTransaction()
@@ -41,7 +41,7 @@
 		Node:               t.node.Settings.HostName,
 		Incarnation:        t.node.Incarnation,
 		WorkersUnreachable: t.contact.unreachable,
-		HearsWorkers:       t.contact.hearsWorkers,
+		HasWorkerContact:   t.contact.hearsWorkers,
 		SchemaVersion:      schema.Version,
 		Features:           t.node.Features.Names(),
 	}
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -72,11 +72,11 @@
 	}{
 		{"as begun", func(*fixture) {}, true},
 		{"of another shard", func(f *fixture) { f.End("n1"); f.lead("n2", "n0") }, false},
-		{"being released", func(f *fixture) { f.Known("n1").BeginRelease() }, false},
-		{"release did not commit", func(f *fixture) { f.Known("n1").BeginRelease(); f.Known("n1").CancelRelease() }, true},
-		{"successor known", func(f *fixture) { f.Known("n1").successor = "n2" }, false},
+		{"being released", func(f *fixture) { f.Lookup("n1").BeginRelease() }, false},
+		{"release did not commit", func(f *fixture) { f.Lookup("n1").BeginRelease(); f.Lookup("n1").CancelRelease() }, true},
+		{"successor known", func(f *fixture) { f.Lookup("n1").successor = "n2" }, false},
 		{"another leader's key", func(f *fixture) { f.lead("n1", "n1") }, false},
-		{"lease lost", func(f *fixture) { f.LoseLease() }, false},
+		{"lease lost", func(f *fixture) { f.DropExpiredLease() }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 			f.lead("n1", "n0")
 			c.change(f)
 			txn := statecache.NewTransaction()
-			f.RequireAll(txn)
+			f.RequireLeaderships(txn)
 			required := slices.ContainsFunc(txn.Request().Preconditions, func(p store.Precondition) bool {
 				return p.Key == statecache.LeaderKey("n1")
 			})
@@ -106,7 +106,7 @@
 		want   bool
 	}{
 		{"within the lease", 0, func(*fixture) {}, true},
-		{"without a lease", 0, func(f *fixture) { f.LoseLease() }, false},
+		{"without a lease", 0, func(f *fixture) { f.DropExpiredLease() }, false},
 		{"replica not whole", 0, func(f *fixture) { f.cache.Loaded = false }, false},
 		{"within the grace", ttl + grace - 1, func(f *fixture) { f.cache.ChangesReadAt = f.now }, true},
 		{"after the grace", ttl + grace, func(f *fixture) { f.cache.ChangesReadAt = f.now }, false},
@@ -146,7 +146,7 @@
 		{"an acquisition whose answer was lost", func(f *fixture) { f.lead("n0", "n0"); f.End("n0") }, 0, false, []string{"n0"}, nil},
 		{"a worker has seen a higher term", func(f *fixture) {
 			f.lead("n0", "n0")
-			f.Known("n0").RequestNewTerm()
+			f.Lookup("n0").RequestNewTerm()
 		}, 0, false, []string{"n0"}, nil},
 		{"to a peer that is up", func(f *fixture) {
 			f.lead("n0", "n0")
@@ -175,34 +175,34 @@
 func TestRateSharing(t *testing.T) {
 	f := newFixture(t)
 	f.live("n1")
-	if f.Rates().Update(f.now) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d share at the start", f.Rates().Sharers())
+	if f.Rates().Update(f.now) || f.Rates().ControllerCount() != 3 {
+		t.Fatalf("%d share at the start", f.Rates().ControllerCount())
 	}
 	later := f.now.Add(f.node.Settings.ControllerLeaseTTL())
-	if !f.Rates().Update(later) || f.Rates().Sharers() != 2 {
-		t.Fatalf("%d share without n2", f.Rates().Sharers())
+	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 2 {
+		t.Fatalf("%d share without n2", f.Rates().ControllerCount())
 	}
 	f.live("n2")
-	if !f.Rates().Update(later) || f.Rates().Sharers() != 3 {
-		t.Fatalf("%d share when n2 is back", f.Rates().Sharers())
+	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 3 {
+		t.Fatalf("%d share when n2 is back", f.Rates().ControllerCount())
 	}
 }
 
 // A node is unreachable after as many silent steps of enough workers, until one is heard.
 func TestCheckSilence(t *testing.T) {
-	for _, expected := range []int{MinSilent - 1, MinSilent} {
+	for _, expected := range []int{MinSilentCount - 1, MinSilentCount} {
 		f := newFixture(t)
-		f.Contact().NoteHeard(f.now)
+		f.Contact().RecordContact(f.now)
 		silent := f.now.Add(time.Minute)
-		for range MinSilent - 1 {
+		for range MinSilentCount - 1 {
 			f.Contact().CheckSilence(silent, func() int { t.Error("counted too early"); return 0 })
 		}
 		f.Contact().CheckSilence(silent, func() int { return expected })
-		if got, want := f.Contact().Unreachable(), expected == MinSilent; got != want || f.contact.hearsWorkers {
+		if got, want := f.Contact().Unreachable(), expected == MinSilentCount; got != want || f.contact.hearsWorkers {
 			t.Errorf("%d silent: unreachable %t, hears workers %t", expected, got, f.contact.hearsWorkers)
 		}
-		f.Contact().NoteHeard(silent)
-		if f.Contact().Unreachable() || !f.Contact().HeardSince(silent) || f.Contact().HeardSince(silent.Add(1)) {
+		f.Contact().RecordContact(silent)
+		if f.Contact().Unreachable() || !f.Contact().HasContactSince(silent) || f.Contact().HasContactSince(silent.Add(1)) {
 			t.Errorf("%d silent: a worker was heard again, contact %+v", expected, f.contact.contactState)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,19 +34,19 @@
 func (m *Membership) PeerLoop(ctx context.Context) {
 	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/askingRoundsPerLease) {
 		if !m.storeReachable() {
-			m.AskPeers(ctx)
+			m.QueryPeers(ctx)
 		}
 	}
 }
 
-// AskPeers asks every peer whether it reaches the state service, and what it has done
+// QueryPeers asks every peer whether it reaches the state service, and what it has done
 // that this node can't see meanwhile.
-func (m *Membership) AskPeers(ctx context.Context) {
+func (m *Membership) QueryPeers(ctx context.Context) {
 	for _, member := range m.node.Settings.Members {
 		m.askPeer(ctx, member.HostName, member.Addr)
 	}
 	state := m.guard.Lock()
-	state.Reachability.PeersAsked = !state.Reachability.StoreReachable
+	state.Reachability.PeersQueried = !state.Reachability.StoreReachable
 	m.guard.Unlock()
 }
 
@@ -66,11 +66,11 @@
 	state = m.guard.Lock()
 	defer m.guard.Unlock()
 	if err != nil {
-		delete(state.Reachability.Peers, name)
+		delete(state.Reachability.StoreReachableByPeer, name)
 		return
 	}
-	state.Reachability.Peers[name] = reply.GetStoreReached()
-	state.Leadership.NoteAcknowledgement(name, reply.GetAcknowledgement(), asked)
+	state.Reachability.StoreReachableByPeer[name] = reply.GetStoreReached()
+	state.Leadership.RecordAcknowledgement(name, reply.GetAcknowledgement(), asked)
 }
 
 // ForwardingPeer returns the address of a peer that can serve users for us while we can't reach
@@ -82,16 +82,16 @@
 		return ""
 	}
 	for _, member := range m.node.Settings.Members {
-		if state.Reachability.Peers[member.HostName] {
+		if state.Reachability.StoreReachableByPeer[member.HostName] {
 			return member.Addr
 		}
 	}
 	return ""
 }
 
-// ServesForPeer reports whether a peer's request is to be carried out: it asks for more
+// ShouldServePeer reports whether a peer's request is to be carried out: it asks for more
 // than what we see of the state service and have done, and we can serve it.
-func (m *Membership) ServesForPeer(request *peer.Request) bool {
+func (m *Membership) ShouldServePeer(request *peer.Request) bool {
 	switch request.GetKind() {
 	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
 		return false
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -87,10 +87,10 @@
 
 // compareTask compares one committed task with what was reported of it.
 func (c *comparison) compareTask(key string, placed *statecache.PlacedTask, j *statecache.Job) {
-	task := committedTask{key: key, placed: placed, job: j, attempt: agent.AttemptOf(placed, j)}
+	task := committedTask{key: key, placed: placed, job: j, attempt: agent.AttemptIDOf(placed, j)}
 	task.stop = j.MustStop(placed.Placement)
 	if !j.IsGang() { // a gang is stopped as a whole, or else goes on
-		task.stop = task.stop || c.worker.Cordoned || c.reconciler.agents.InterruptionIsDue(c.worker, j)
+		task.stop = task.stop || c.worker.Cordoned || c.reconciler.agents.IsInterruptionDue(c.worker, j)
 	}
 	c.desired[task.attempt] = true
 	if reported := c.reported[task.attempt]; reported != nil {
@@ -129,7 +129,7 @@
 	c.reconciler.node.Log.Info("task running",
 		logkey.Task(attempt.Task), logkey.Attempt(attempt.Attempt), logkey.Host(c.heartbeat.Host))
 	if task.job.IsGang() {
-		c.reconciler.agents.Gangs().Note(task.placed.UID, attempt.Attempt)
+		c.reconciler.agents.Gangs().Record(task.placed.UID, attempt.Attempt)
 	}
 }
 
@@ -160,7 +160,7 @@
 	if done && started.Attempt == attempt && spec.EstimateS > 0 {
 		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(started.At).Seconds()/spec.EstimateS)
 	}
-	c.reconciler.agents.NoteTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
+	c.reconciler.agents.HandleTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
 
 // compareAbsent deals with a committed task that is not on the machine.
@@ -181,7 +181,7 @@
 		// them. A worker that does not obey must not keep its tasks waiting.
 		c.noteIgnoredLaunches(task)
 		c.endAttempt(task.key, agent.EndedAttempt{Attempt: placement.Attempt, Reason: job.ExitRefused})
-	case c.reconciler.zones.IsHeldBack(c.heartbeat.Host, task.placed, task.job, c.now):
+	case c.reconciler.zones.IsRestartDelayed(c.heartbeat.Host, task.placed, task.job, c.now):
 		// It went with its zone, and what needs its room more goes first. It keeps its
 		// place, which production may take, and starts there when its turn comes: to place
 		// a zone's arrays anew would take the changes that the readers' placements need.
@@ -194,7 +194,7 @@
 // worker ignores it.
 func (c *comparison) ignoresLaunches(task committedTask) bool {
 	pending := c.worker.PendingLaunches[task.key]
-	return pending.Attempt == task.attempt.Attempt && pending.Answers >= agent.MaxUnheardAnswers
+	return pending.Attempt == task.attempt.Attempt && pending.SentAnswers >= agent.MaxUnacknowledgedAnswers
 }
 
 // noteIgnoredLaunches notes that the worker does not obey, if that was not known.
@@ -204,13 +204,13 @@
 	}
 	c.worker.BecomeUnresponsive(c.now)
 	c.reconciler.node.Log.Info("worker ignores launches", logkey.Host(c.heartbeat.Host),
-		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.key].Answers))
+		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.key].SentAnswers))
 }
 
 // endAttempt notes that the attempt of the placement with the key is over.
 func (c *comparison) endAttempt(key string, end agent.EndedAttempt) {
 	end.EndedAt = c.now
-	c.reconciler.agents.NoteEnd(c.heartbeat.Host, c.worker, key, end)
+	c.reconciler.agents.RecordAttemptEnd(c.heartbeat.Host, c.worker, key, end)
 	c.reconciler.wake.Notify()
 }
 
@@ -243,8 +243,8 @@
 			continue
 		}
 		c.free = c.free.Sub(task.resources())
-		pending.Answers++
-		pending.Blocked = 0
+		pending.SentAnswers++
+		pending.BlockedHeartbeats = 0
 		c.worker.PendingLaunches[task.key] = pending
 		c.commands = append(c.commands, task.attempt.Command(api.Launch))
 	}
@@ -253,12 +253,12 @@
 // noteBlocked counts that a launch had no room. A peer may have taken the room of a task that had
 // completed, whose end was not committed yet, when its room was another's already.
 func (c *comparison) noteBlocked(task committedTask, pending agent.PendingLaunch) {
-	pending.Blocked++
+	pending.BlockedHeartbeats++
 	if c.stopping {
-		pending.Blocked = 0
+		pending.BlockedHeartbeats = 0
 	}
 	c.worker.PendingLaunches[task.key] = pending
-	if pending.Blocked >= agent.MaxUnheardAnswers {
+	if pending.BlockedHeartbeats >= agent.MaxUnacknowledgedAnswers {
 		c.endAttempt(task.key, agent.EndedAttempt{Attempt: task.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -37,12 +37,12 @@
 		return respond.Misdirected("")
 	}
 	if machine.Addr != heartbeat.Addr && heartbeat.Addr != "" {
-		r.cache.NoteAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before it was known
+		r.cache.SetAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before it was known
 	}
 	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(heartbeat.Token) < leadership.Term {
-		if !r.agents.MayIntroduceTerm(worker, now) {
+		if !r.agents.MayAnswerOlderTerm(worker, now) {
 			return respond.Busy
 		}
 	} else if r.agents.AcceptHeartbeat(heartbeat.Host, worker, heartbeat) {
@@ -56,10 +56,10 @@
 // copy of a heartbeat may come long after its machine was terminated, and nobody else remembers
 // that it was there.
 func (r *Reconciler) noteUnregistered(heartbeat *api.Heartbeat) {
-	if !r.agents.Listing().Has(heartbeat.Host) {
+	if !r.agents.Listing().HasOperational(heartbeat.Host) {
 		return
 	}
-	r.agents.Unregistered().Note(heartbeat.Host, shard.Machine{
+	r.agents.Unregistered().Add(heartbeat.Host, shard.Machine{
 		MachineType: heartbeat.MachineType, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Addr: heartbeat.Addr,
 	})
 }
@@ -68,7 +68,7 @@
 // the term's record knows that term, another has acquired the shard since or tried to, and the
 // shard needs a new term.
 func (r *Reconciler) noteHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
-	if shard.TokenTerm(heartbeat.Token) <= r.cache.Term {
+	if shard.TokenTerm(heartbeat.Token) <= r.cache.HighestTerm {
 		leadership.RequestNewTerm()
 	}
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -63,8 +63,8 @@
 	leaders.ExtendLease(f.now.Add(time.Minute))
 	version := f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: term})
 	leaders.Begin("n0", &leadership.Leadership{Term: term, Version: version, PredecessorAnswersUntil: f.now})
-	page := statecache.PageID(host, statecache.CoarsestPageCut)
-	f.apply(statecache.MachinePageKey(page), shard.Page{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
+	page := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
+	f.apply(statecache.MachinePageKey(page), shard.MachinePage{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
 	f.record = &job.Record{
 		Spec: api.Job{
 			UID: uid, Kind: api.Array, Priority: api.Standard, Tasks: 2, CPUs: 4, MemGB: 16, SaveS: 2, CheckpointS: 10,
@@ -177,12 +177,12 @@
 // unresponsive, and the attempts are over.
 func TestIgnoredLaunches(t *testing.T) {
 	f := newFixture(t)
-	for sequence := range uint64(agent.MaxUnheardAnswers) {
+	for sequence := range uint64(agent.MaxUnacknowledgedAnswers) {
 		if got := f.heartbeat(sequence + 1); len(got) != 2 {
 			t.Fatalf("heartbeat %d: %s", sequence+1, api.JSON(got))
 		}
 	}
-	got := f.heartbeat(agent.MaxUnheardAnswers + 1)
+	got := f.heartbeat(agent.MaxUnacknowledgedAnswers + 1)
 	worker := f.agents.Agent(host)
 	if len(got) != 0 || !worker.Unresponsive() || len(worker.EndedAttempts) != 2 {
 		t.Errorf("commands %s, unresponsive %t, ended %v", api.JSON(got), worker.Unresponsive(), worker.EndedAttempts)
@@ -205,7 +205,7 @@
 		{"unknown machine", func(_ *fixture, h *api.Heartbeat) { h.Host = "i-000002" }, busy},
 		{"copy", func(f *fixture, h *api.Heartbeat) { f.AnswerHeartbeat(h, f.now) }, busy},
 		{"shard lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.End("n0") }, misdirected},
-		{"lease lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.RevokeLease() }, misdirected},
+		{"lease lost", func(f *fixture, _ *api.Heartbeat) { f.leadership.ClearLease() }, misdirected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -40,5 +40,5 @@
 	list.readAt = now
 	state := l.guard.Lock()
 	defer l.guard.Unlock()
-	state.Agents.Listing().Note(hosts, list.listing.Began, lag)
+	state.Agents.Listing().Update(hosts, list.listing.Began, lag)
 }
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -13,7 +13,7 @@
 	state := l.guard.Lock()
 	decision := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
-	l.commands.Send(ctx, decision.Fences)
+	l.commands.SendAll(ctx, decision.Fences)
 	if len(decision.Return) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 // available again.
 func recordReturned(s *state.State, hosts []string) {
 	for _, host := range hosts {
-		s.Agents.NoteTerminated(host)
+		s.Agents.MarkTerminated(host)
 		if machine := s.Cache.Machines[host]; machine != nil {
 			s.Catalog.ClearBackoff(&sched.Offer{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot})
 		}
--- a/internal/scheduler/ends.go
+++ b/internal/scheduler/ends.go
@@ -14,11 +14,11 @@
 // released at once.
 const quotaPressure = 3. / 4
 
-// EndsAreDue reports whether the ends of tasks of a task range are to be committed now. The end
+// ShouldCommitEnds reports whether the ends of tasks of a task range are to be committed now. The end
 // of a task that completed while others of its task range run on can wait for theirs, unless its
 // machine is to be returned or its team is near its limit. The end of a task that has to run
 // again can't wait, nor can the last one of a task range.
-func (s *Scheduler) EndsAreDue(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
+func (s *Scheduler) ShouldCommitEnds(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
 	job := s.cache.Jobs[id.UID]
 	taskRange := job.Ranges[id.Index].Record
 	if taskRange == nil {
@@ -32,7 +32,7 @@
 		return true
 	}
 	if job.Record.Cancelled {
-		return now.Sub(ends[0].End.EndedAt) > s.node.Settings.WorkerLease()
+		return now.Sub(ends[0].Attempt.EndedAt) > s.node.Settings.WorkerLease()
 	}
 	for _, ended := range ends {
 		if s.endCannotWait(ended, now) {
@@ -58,10 +58,10 @@
 // has to run again, its machine is about to leave, or it has waited for two leases.
 func (s *Scheduler) endCannotWait(ended agent.EndedTask, now time.Time) bool {
 	worker := s.agents.Agent(ended.Task.Placement.Host)
-	if !ended.End.Done || worker == nil || worker.Cordoned || worker.Terminated {
+	if !ended.Attempt.Done || worker == nil || worker.Cordoned || worker.Terminated {
 		return true
 	}
-	return now.Sub(ended.End.EndedAt) > 2*s.node.Settings.WorkerLease()
+	return now.Sub(ended.Attempt.EndedAt) > 2*s.node.Settings.WorkerLease()
 }
 
 // nearsLimit reports whether the shards hold so much of a team's limit that its tasks may soon
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -14,9 +14,9 @@
 // the shards' that it is on. As many are left to gangs while there are any.
 const GangClaimChanges = 3
 
-// WritesReservedForGangs returns how many changes other decisions leave for gangs: some if a
+// ChangesReservedForGangs returns how many changes other decisions leave for gangs: some if a
 // gang came lately.
-func (s *Scheduler) WritesReservedForGangs(now time.Time) float64 {
+func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
 	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
@@ -86,7 +86,7 @@
 		return transactionFull
 	}
 	pending.Apply()
-	t.scheduler.leadership.Require(t.editor.Txn, t.job.Record.Shard)
+	t.scheduler.leadership.RequireLeadership(t.editor.Txn, t.job.Record.Shard)
 	taskRange := t.editor.TaskRange(t.job, placement.RangeIndex)
 	record := t.editor.Record(t.job)
 	if len(t.placed) == 0 {
@@ -110,7 +110,7 @@
 		record.Gang = &job.Gang{}
 	}
 	before := record.Gang.Attempt
-	t.attempt = record.Gang.BeginAttempt(t.placedBefore)
+	t.attempt = record.Gang.EnsureAttempt(t.placedBefore)
 	if t.attempt != before {
 		record.Zone = ""
 	}
@@ -135,7 +135,7 @@
 		t.editor.Record(t.job).Gang.Launch(secondsSinceAccepted(t.job, t.now))
 	}
 	transaction := t.editor.Transaction()
-	if t.editor.Outgrown {
+	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
 	t.claims.Write(transaction)
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -179,7 +179,7 @@
 // assign tries to assign all tasks, one group of machines after the other, and leaves the machines
 // as they were.
 func (g *gangSearch) assign(groups [][]*sched.Host, request *sched.TaskRequest) []*sched.Host {
-	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zones.admission.Trial())
+	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zones.admission.CopyAdmission())
 	var tasks []sched.GangTask
 	for _, task := range g.job.tasks {
 		tasks = append(tasks, sched.GangTask{
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -9,7 +9,7 @@
 // The better outlook decides first, then fewer tasks without room, then the delay of the last
 // start, then the number of shards; nothing found yet is worse than anything.
 func TestStartsSooner(t *testing.T) {
-	request := &sched.TaskRequest{Image: "i", FetchS: 5}
+	request := &sched.TaskRequest{Image: "i", ImageFetchS: 5}
 	host := func(shard string, delay float64, hasImage bool) *sched.Host {
 		return &sched.Host{Shard: shard, StartDelayS: delay, Images: map[string]bool{"i": hasImage}}
 	}
--- a/internal/scheduler/gang_table.go
+++ b/internal/scheduler/gang_table.go
@@ -55,15 +55,15 @@
 // room again: it goes before newer ones.
 func (s *Scheduler) HasReleasedClaims(uid string) bool {
 	search := s.gangs.searches[uid]
-	return search != nil && search.retry.Released
+	return search != nil && search.retry.HasReleasedClaims
 }
 
-// NoteGangClaimed notes that room was claimed for a gang: the misses before no longer count.
-func (s *Scheduler) NoteGangClaimed(uid string) { s.gangs.search(uid).retry.Claimed() }
+// RecordGangClaimed notes that room was claimed for a gang: the misses before no longer count.
+func (s *Scheduler) RecordGangClaimed(uid string) { s.gangs.search(uid).retry.RecordClaim() }
 
-// LookOutOfTurn reports whether room for a gang is to be looked for now, between the regular
+// AllowImmediateSearch reports whether room for a gang is to be looked for now, between the regular
 // decisions, and notes that it is. It is not so again until the pause is over.
-func (s *Scheduler) LookOutOfTurn(uid string, now time.Time, pause time.Duration) bool {
+func (s *Scheduler) AllowImmediateSearch(uid string, now time.Time, pause time.Duration) bool {
 	search := s.gangs.search(uid)
 	if now.Sub(search.lookedOutOfTurn) <= pause {
 		return false
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -65,7 +65,7 @@
 // was seen running, and it was launched a short time ago.
 func (u *gangUpdate) isGathering() bool {
 	s := u.scheduler
-	if s.agents.Gangs().WasSeen(u.job.Record.Spec.UID, u.gang.Attempt) {
+	if s.agents.Gangs().WasRunning(u.job.Record.Spec.UID, u.gang.Attempt) {
 		return false
 	}
 	return u.now.Sub(u.launchedAt()) < s.node.Settings.GangGatherTimeout()/2
@@ -75,11 +75,11 @@
 func (u *gangUpdate) noteEnds() {
 	gathering := u.isGathering()
 	for _, ended := range u.ends {
-		reason := ended.End.Reason
+		reason := ended.Attempt.Reason
 		if reason == job.ExitDone && u.job.Record.Cancelled {
 			reason = job.ExitLost // its user was told that it is cancelled
 		}
-		u.gang.TaskEnded(ended.End.Attempt, reason, gathering)
+		u.gang.RecordTaskEnd(ended.Attempt.Attempt, reason, gathering)
 	}
 }
 
@@ -106,7 +106,7 @@
 		marked := s.gangs.consumeRelease(record.Spec.UID)
 		u.release = led && (record.Cancelled || marked)
 	case job.GangLaunched:
-		if !record.Cancelled && s.agents.GangInterruptionIsDue(u.job) {
+		if !record.Cancelled && s.agents.IsGangInterruptionDue(u.job) {
 			u.gang.Stopping = true
 		}
 		// The others wait for a task that was lost before they ran, but not for ever.
@@ -135,7 +135,7 @@
 		if u.isFullFor(ended.Task.RangeIndex) {
 			break
 		}
-		u.editor.TaskRange(u.job, ended.Task.RangeIndex).EndAttempt(ended.Task.Index, ended.End.Attempt, false, false)
+		u.editor.TaskRange(u.job, ended.Task.RangeIndex).EndAttempt(ended.Task.Index, ended.Attempt.Attempt, false, false)
 	}
 }
 
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -58,18 +58,18 @@
 		}
 		load := s.room.LoadOf(name)
 		hosts = append(hosts, sched.Host{
-			Name:        name,
-			Shard:       machine.Shard,
-			MachineType: machine.MachineType,
-			Zone:        machine.Zone,
-			Spot:        machine.Spot,
-			Cap:         size,
-			Free:        free,
-			Stopping:    load.Stopping,
-			Images:      s.cache.Images[name],
-			Services:    load.Services,
-			Arrays:      load.Arrays,
-			StartDelayS: s.room.StartDelay(name, load, now),
+			Name:         name,
+			Shard:        machine.Shard,
+			MachineType:  machine.MachineType,
+			Zone:         machine.Zone,
+			Spot:         machine.Spot,
+			Capacity:     size,
+			Free:         free,
+			Stopping:     load.Stopping,
+			Images:       s.cache.PlacedImages[name],
+			ServiceTasks: load.Services,
+			ArrayTasks:   load.Arrays,
+			StartDelayS:  s.room.StartDelay(name, load, now),
 		})
 		out = append(out, &hosts[len(hosts)-1])
 	}
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -11,10 +11,10 @@
 
 // PlacementResult is a transaction that commits placements.
 type PlacementResult struct {
-	Transaction *statecache.Transaction  // nil: there is nothing to commit now
-	Remaining   []capacity.Placement     // those that it has no space for
-	Placed      []PlacementLog           // to be logged once it is committed
-	StopAlone   []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
+	Transaction    *statecache.Transaction  // nil: there is nothing to commit now
+	Remaining      []capacity.Placement     // those that it has no space for
+	Placed         []PlacementLog           // to be logged once it is committed
+	StopSeparately []*statecache.PlacedTask // tasks that have to leave for a placement that is more than a transaction takes
 }
 
 // placementOutcome is what became of a placement that was to be added to a transaction.
@@ -29,7 +29,7 @@
 
 // CanStop reports whether a task is still where it was to be stopped.
 func (s *Scheduler) CanStop(job *statecache.Job, task *statecache.PlacedTask) bool {
-	if job == nil || s.schema.IsBlocked(job) {
+	if job == nil || s.schema.TasksBlocked(job) {
 		return false
 	}
 	placement := job.Ranges[task.RangeIndex].Record.PlacementOf(task.Index)
@@ -78,7 +78,7 @@
 	for i := range todo {
 		outcome := t.add(&todo[i])
 		if outcome == placementTooLarge {
-			result.StopAlone = append(result.StopAlone, todo[i].Victims...)
+			result.StopSeparately = append(result.StopSeparately, todo[i].Victims...)
 		}
 		if outcome == transactionFull {
 			result.Remaining = append(result.Remaining, todo[i:]...)
@@ -86,10 +86,10 @@
 		}
 	}
 	if len(t.placed) == 0 {
-		return PlacementResult{StopAlone: result.StopAlone}
+		return PlacementResult{StopSeparately: result.StopSeparately}
 	}
 	transaction := t.editor.Transaction()
-	if t.editor.Outgrown {
+	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
 	t.claims.Write(transaction)
@@ -137,7 +137,7 @@
 // place puts a placement into the job's records and returns what to log of it.
 func (t *placementTransaction) place(job *statecache.Job, placement *capacity.Placement) PlacementLog {
 	spec := &job.Record.Spec
-	t.scheduler.leadership.Require(t.editor.Txn, job.Record.Shard)
+	t.scheduler.leadership.RequireLeadership(t.editor.Txn, job.Record.Shard)
 	t.editor.Txn.Require(statecache.JobKey(spec.UID), job.Version)
 	taskRange := t.editor.TaskRange(job, placement.RangeIndex)
 	if spec.Together && job.Record.Zone == "" {
--- a/internal/scheduler/plan_reuse_test.go
+++ b/internal/scheduler/plan_reuse_test.go
@@ -29,15 +29,15 @@
 	s := New(Deps{Node: info, Catalog: catalog.New(info)})
 	now := time.Unix(1_800_000_000, 0)
 	first := &Plan{}
-	s.RememberPlan(first, now)
-	if s.ReusePlan(now) != first {
+	s.CachePlan(first, now)
+	if s.RecentPlan(now) != first {
 		t.Fatal("the newest plan is not reused")
 	}
-	if s.ReusePlan(now) == first {
+	if s.RecentPlan(now) == first {
 		t.Fatal("reused twice")
 	}
-	s.RememberPlan(first, now)
-	if s.ReusePlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
+	s.CachePlan(first, now)
+	if s.RecentPlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
 		t.Fatal("reused though it is old")
 	}
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -12,13 +12,13 @@
 
 // Plan is what this controller would do now, seen from one moment of the state.
 type Plan struct {
-	Placements    []capacity.Placement
-	Gangs         []*GangClaim             // room for whole gangs
-	Stops         []*statecache.PlacedTask // tasks that have to leave for gangs
-	Unmet         []sched.UnmetDemand      // what lacks room and is to be rented for
-	AllUnmet      []sched.UnmetDemand      // what found no room at once, peers' jobs included
-	ReservedHosts map[string]bool          // machines with room that waits for the rest of a gang's
-	Remaining     []*sched.Host            // all machines with the room that is left after all that
+	Placements     []capacity.Placement
+	Gangs          []*GangClaim             // room for whole gangs
+	GangVictims    []*statecache.PlacedTask // tasks that have to leave for gangs
+	UnmetDemand    []sched.UnmetDemand      // what lacks room and is to be rented for
+	AllUnmetDemand []sched.UnmetDemand      // what found no room at once, peers' jobs included
+	ReservedHosts  map[string]bool          // machines with room that waits for the rest of a gang's
+	RemainingHosts []*sched.Host            // all machines with the room that is left after all that
 }
 
 // waitingJob is a job with tasks to place. Its list of tasks shrinks as they find room.
@@ -87,7 +87,7 @@
 	p.selectJobs()
 	p.placeJobs()
 	releaseStopping(p.hosts)
-	p.plan.Remaining = p.hosts
+	p.plan.RemainingHosts = p.hosts
 	if len(p.unplaced) > 0 || len(p.coldStarts) > 0 {
 		p.seekRoom()
 	}
@@ -104,7 +104,7 @@
 	p.placing = p.newPlacingStage()
 	for _, entry := range p.queue {
 		waits := entry.led && s.isBackingOff(entry, p.now)
-		if waits || s.schema.IsBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
+		if waits || s.schema.TasksBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
 			continue
 		}
 		p.jobs = append(p.jobs, &waitingJob{
@@ -125,8 +125,8 @@
 	s := p.scheduler
 	spec := &job.Record.Spec
 	request := statecache.TaskRequestOf(spec)
-	request.FetchS = s.catalog.FetchSeconds(spec)
-	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.FetchS)
+	request.ImageFetchS = s.catalog.FetchSeconds(spec)
+	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.ImageFetchS)
 	request.PreferImage = slack < s.node.Settings.HeartbeatInterval().Seconds()
 	return request
 }
--- a/internal/scheduler/planner_placing.go
+++ b/internal/scheduler/planner_placing.go
@@ -13,7 +13,7 @@
 // placingStage is the working data of the stage that places tasks where there is room.
 type placingStage struct {
 	hostsByShard       map[string][]*sched.Host // those with room for the smallest request
-	chooser            *sched.Chooser
+	chooser            *sched.HostSelector
 	teamUse            map[string]sched.Resources // by limited team, with what the plan adds
 	provisioning       []*sched.Host              // machines on their way; nil before a gang asks
 	productionReserved bool                       // the room for production work that waits is kept
@@ -26,7 +26,7 @@
 	hostsByShard := hostsWithRoom(p.hosts, p.smallest)
 	stage := placingStage{
 		hostsByShard: hostsByShard,
-		chooser:      sched.NewChooser(hostsByShard, s.node.Random),
+		chooser:      sched.NewHostSelector(hostsByShard, s.node.Random),
 		teamUse:      map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
@@ -102,7 +102,7 @@
 	team, _ := p.scheduler.node.Settings.Team(spec.Team)
 	request := job.request
 	request.RequireImage = withImageOnly
-	p.placing.chooser.Begin(job.entry.job.Record.Shard, &request)
+	p.placing.chooser.BeginJob(job.entry.job.Record.Shard, &request)
 	missed := false
 	missedRanges := map[int]bool{} // task ranges of which one found no room
 	rest := job.tasks[:0]
@@ -116,7 +116,7 @@
 		}
 		var host *sched.Host
 		if !missedRanges[task.RangeIndex] || !spec.Spread && !missed {
-			host = p.placing.chooser.Next(func(zone string) bool { return job.zones.allows(task.RangeIndex, zone) })
+			host = p.placing.chooser.NextHost(func(zone string) bool { return job.zones.allows(task.RangeIndex, zone) })
 		}
 		if host != nil {
 			p.placing.teamUse[team.Name] = use
@@ -142,9 +142,9 @@
 	}
 	job.zones.add(task.RangeIndex, host.Zone)
 	if job.request.Service {
-		host.Services++
+		host.ServiceTasks++
 	} else {
-		host.Arrays++
+		host.ArrayTasks++
 	}
 	if !job.entry.led {
 		return
@@ -204,7 +204,7 @@
 // room releases its claims after too many misses in a row, as in the paper's Algorithm 2.
 func (p *planner) noteGangMiss(waiting *waitingJob) {
 	s, uid := p.scheduler, waiting.entry.uid
-	if waiting.entry.job.GangPhase() == job.GangReserving && s.gangs.search(uid).retry.Missed(p.now) {
+	if waiting.entry.job.GangPhase() == job.GangReserving && s.gangs.search(uid).retry.RecordMiss(p.now) {
 		s.gangs.toRelease[uid] = true
 		s.wake.Notify()
 	}
--- a/internal/scheduler/planner_seeking.go
+++ b/internal/scheduler/planner_seeking.go
@@ -63,7 +63,7 @@
 		request.ZoneAllowed = func(zone string) bool {
 			return zone == placement.Host.Zone || start.job.zones.allows(placement.RangeIndex, zone)
 		}
-		chosen := p.seeking.preemption.choose(p.preemptOptions(start.job), &request, 2*request.FetchS)
+		chosen := p.seeking.preemption.choose(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
 		if chosen.found() {
 			p.assignOverVictims(start.job, placement.RangeIndex, chosen)
 			placement.Host, placement.Victims = chosen.host, chosen.tasks
@@ -92,7 +92,7 @@
 func (p *planner) seekRoomFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
 	if !job.entry.led {
-		p.plan.AllUnmet = append(p.plan.AllUnmet, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxUnmet)})
+		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxUnmet)})
 		return
 	}
 	isGang := p.gangSearches[job] != nil
@@ -123,7 +123,7 @@
 	}
 	p.dropFullHosts()
 	if len(left) == 0 {
-		p.plan.Stops = append(p.plan.Stops, stops...)
+		p.plan.GangVictims = append(p.plan.GangVictims, stops...)
 		return
 	}
 	if isGang {
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -33,7 +33,7 @@
 			newest, newestPlacedS = task, placedS
 		}
 	}
-	if host.Cap.Fits(used) {
+	if host.Capacity.Fits(used) {
 		return nil
 	}
 	return newest
@@ -44,7 +44,7 @@
 func (p *preemption) lostWork(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
 	s := p.scheduler
 	worker := s.agents.Agent(host)
-	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, p.now) {
+	if worker == nil || worker.Heartbeat == nil || !s.zones.IsRestartDelayed(host, task, job, p.now) {
 		return lostSeconds(job, task.Placement, p.now)
 	}
 	name := task.TaskName(job)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -39,17 +39,17 @@
 
 // Deps is what a scheduler reads.
 type Deps struct {
-	Node       *node.Info
-	Cache      *statecache.Cache
-	Schema     *schema.State
-	Leadership *leadership.Table
-	Catalog    *catalog.Catalog
-	Agents     *agent.Registry
-	Room       *capacity.Room
-	Estimates  *estimate.Estimates
-	Zones      *zonestate.Zones
-	Capacity   *capacity.Accounts
-	Wake       notify.Signal
+	Node         *node.Info
+	Cache        *statecache.Cache
+	Schema       *schema.State
+	Leadership   *leadership.Table
+	Catalog      *catalog.Catalog
+	Agents       *agent.Registry
+	FreeCapacity *capacity.Room
+	Estimates    *estimate.Estimates
+	Zones        *zonestate.Zones
+	Accounts     *capacity.Accounts
+	Wake         notify.Signal
 }
 
 // New returns a scheduler that has planned nothing yet.
@@ -61,10 +61,10 @@
 		leadership: d.Leadership,
 		catalog:    d.Catalog,
 		agents:     d.Agents,
-		room:       d.Room,
+		room:       d.FreeCapacity,
 		estimates:  d.Estimates,
 		zones:      d.Zones,
-		accounts:   d.Capacity,
+		accounts:   d.Accounts,
 		wake:       d.Wake,
 		gangs:      newGangTable(),
 		backoffs:   backoffTable{},
--- a/internal/scheduler/unmet.go
+++ b/internal/scheduler/unmet.go
@@ -37,7 +37,7 @@
 // zones that those before it leave.
 func (p *planner) noteUnmet(job *waitingJob, left []statecache.TaskIndex) {
 	unmet := sched.UnmetDemand{Request: job.request, Count: len(left)}
-	p.plan.AllUnmet = append(p.plan.AllUnmet, unmet)
+	p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, unmet)
 	next := 0
 	unmet.Request.ZoneAllowed = func(zone string) bool {
 		return next >= len(left) || job.zones.allows(left[next].RangeIndex, zone)
@@ -46,5 +46,5 @@
 		job.zones.add(left[next].RangeIndex, zone)
 		next++
 	}
-	p.plan.Unmet = append(p.plan.Unmet, unmet)
+	p.plan.UnmetDemand = append(p.plan.UnmetDemand, unmet)
 }
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -24,7 +24,7 @@
 		job:       job,
 		zone:      job.Record.Zone,
 		tasks:     map[int]map[string]int{},
-		admission: s.zones.AdmissionOf(job, admission),
+		admission: s.zones.AdmissionForJob(job, admission),
 	}
 	if job.IsGang() && job.CountPlaced() == 0 {
 		constraint.zone = "" // nothing binds its next attempt
@@ -45,7 +45,7 @@
 // add notes that a task of a task range is planned in a zone.
 func (c *zoneConstraint) add(rangeIndex int, zone string) {
 	c.count(rangeIndex, zone)
-	c.admission.Admit(zone)
+	c.admission.RecordAdmitted(zone)
 }
 
 // count notes that a task of a task range is in a zone.
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -30,12 +30,12 @@
 // are first asked for; what is done to the copies is written by Transaction. Use
 // State.NewRecordEditor.
 type Editor struct {
-	Txn        *statecache.Transaction
-	Records    map[string]*job.Record // the copies, by job; nil: the job is archived
-	Deletes    map[RangeID]bool       // task ranges whose records are dropped
-	Changes    int                    // so far
-	MaxChanges int
-	Outgrown   bool // some record outgrew a value: nothing of this is to be committed
+	Txn                *statecache.Transaction
+	Records            map[string]*job.Record // the copies, by job; nil: the job is archived
+	DeletedRanges      map[RangeID]bool       // task ranges whose records are dropped
+	Changes            int                    // so far
+	MaxChanges         int
+	HasOversizedRecord bool // some record outgrew a value: nothing of this is to be committed
 
 	schema *State
 	jobs   map[string]*statecache.Job
@@ -45,13 +45,13 @@
 // NewRecordEditor makes an editor for a transaction of as many changes as may be sent now.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
-		Txn:        statecache.NewTransaction(),
-		Records:    map[string]*job.Record{},
-		Deletes:    map[RangeID]bool{},
-		MaxChanges: s.MaxChanges(),
-		schema:     s,
-		jobs:       map[string]*statecache.Job{},
-		ranges:     map[RangeID]*job.TaskRange{},
+		Txn:           statecache.NewTransaction(),
+		Records:       map[string]*job.Record{},
+		DeletedRanges: map[RangeID]bool{},
+		MaxChanges:    s.MaxChanges(),
+		schema:        s,
+		jobs:          map[string]*statecache.Job{},
+		ranges:        map[RangeID]*job.TaskRange{},
 	}
 }
 
@@ -194,7 +194,7 @@
 		case j.Record.Inline && record != nil:
 			record.InlineRange = tasks
 		case j.Record.Inline: // archived
-		case e.Deletes[id]:
+		case e.DeletedRanges[id]:
 			e.Txn.Delete(key)
 		default:
 			e.Txn.Put(key, tasks)
@@ -209,7 +209,7 @@
 		for _, key := range e.Txn.Keys() {
 			if e.Txn.Size(key) > most && statecache.IsRecordOf(uid, key) {
 				e.schema.RequestSplit(j)
-				e.Outgrown = true
+				e.HasOversizedRecord = true
 			}
 		}
 	}
--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -40,21 +40,23 @@
 // MaxRecordBytes returns how large the record of a job may be made.
 func (s *State) MaxRecordBytes() int {
 	limits := s.node.Settings.LowestLimits()
-	if !s.Upgraded() && !s.limitsLowered {
+	if !s.AllUpgraded() && !s.limitsLowered {
 		limits = s.node.Settings.Facts.State.StateLimits
 	}
 	return int(limits.ValueKB*bytesPerKB) - valueSlackBytes
 }
 
-// MaxValueBytes returns how many bytes of a value records may use that grow later: seven
+// MaxGrowableBytes returns how many bytes of a value records may use that grow later: seven
 // eighths.
-func (s *State) MaxValueBytes() int { return growingValueBytes(s.node.Settings.LowestLimits().ValueKB) }
+func (s *State) MaxGrowableBytes() int {
+	return growingValueBytes(s.node.Settings.LowestLimits().ValueKB)
+}
 
 // MaxPageBytes is MaxValueBytes for pages of machines, which the version before makes of
 // today's size.
 func (s *State) MaxPageBytes() int {
 	if s.fitsLowestLimits() {
-		return s.MaxValueBytes()
+		return s.MaxGrowableBytes()
 	}
 	return growingValueBytes(s.node.Settings.Facts.State.ValueKB)
 }
@@ -63,7 +65,7 @@
 
 // fitsLowestLimits reports whether pages are made for the coming limits: no controller of
 // the version before has to find them by their names, or they are in force.
-func (s *State) fitsLowestLimits() bool { return s.Upgraded() || s.limitsLowered }
+func (s *State) fitsLowestLimits() bool { return s.AllUpgraded() || s.limitsLowered }
 
 // LowerLimits notes that the state service refused what was larger than its coming limits.
 // It reports whether that is news.
@@ -75,17 +77,17 @@
 	return true
 }
 
-// AcceptFewer notes that the state service refused so many changes though they were within
+// ReduceMaxChanges notes that the state service refused so many changes though they were within
 // the announced limits: fewer are tried, down to what the longest step needs.
-func (s *State) AcceptFewer(changes int) { s.acceptedTxnOps = max(changes-1, minTxnOps) }
+func (s *State) ReduceMaxChanges(changes int) { s.acceptedTxnOps = max(changes-1, minTxnOps) }
 
 // RequestSplit has a job's records split before its tasks change again.
 func (s *State) RequestSplit(j *statecache.Job) {
 	s.splitRequests[j.Record.Spec.UID] = j.Record.Generation + 1
 }
 
-// WithdrawSplit drops the request to split a job's records.
-func (s *State) WithdrawSplit(uid string) { delete(s.splitRequests, uid) }
+// CancelSplitRequest drops the request to split a job's records.
+func (s *State) CancelSplitRequest(uid string) { delete(s.splitRequests, uid) }
 
 // SplitRequests returns the jobs whose records are to be split, in order. Requests that were
 // carried out, or whose jobs are over, are dropped.
@@ -102,6 +104,6 @@
 	return s.splitRequests[j.Record.Spec.UID] == j.Record.Generation+1
 }
 
-// IsBlocked reports whether a job's tasks may not change now: its records are being split, or
+// TasksBlocked reports whether a job's tasks may not change now: its records are being split, or
 // have to be before they can grow (see internal/splitter).
-func (s *State) IsBlocked(j *statecache.Job) bool { return j.Record.Frozen || s.splitRequested(j) }
+func (s *State) TasksBlocked(j *statecache.Job) bool { return j.Record.Frozen || s.splitRequested(j) }
--- a/internal/schema/pages.go
+++ b/internal/schema/pages.go
@@ -14,47 +14,47 @@
 	coarsePageMachines = 100
 )
 
-// PageFor returns the name of the page of a machine to be written. The version before works
+// PageIDFor returns the name of the page of a machine to be written. The version before works
 // the name out from today's limits.
-func (s *State) PageFor(host string) string {
+func (s *State) PageIDFor(host string) string {
 	limits := s.node.Settings.Facts.State.StateLimits
 	if s.fitsLowestLimits() {
 		limits = s.node.Settings.LowestLimits()
 	}
 	if limits.ValueKB*bytesPerKB >= coarsePageMachines*machineBytes {
-		return statecache.PageID(host, statecache.CoarsestPageCut)
+		return statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 	}
-	return statecache.PageID(host, statecache.FinestPageCut)
+	return statecache.PageID(host, statecache.FinestPageSuffixLen)
 }
 
-// OpenPage returns the name and a copy of a machine's page to be changed, and makes the
+// EditPage returns the name and a copy of a machine's page to be changed, and makes the
 // transaction conditional on what the copy rests on. A fine page that is new takes over what
 // a coarser one has of its machines: from then on it alone counts for them.
-func (s *State) OpenPage(txn *statecache.Transaction, host string) (id string, page shard.Page) {
-	id = s.PageFor(host)
+func (s *State) EditPage(txn *statecache.Transaction, host string) (id string, page shard.MachinePage) {
+	id = s.PageIDFor(host)
 	txn.Require(statecache.MachinePageKey(id), s.cache.Pages[id].Version)
-	page = shard.Page{}
+	page = shard.MachinePage{}
 	if recorded := s.cache.Pages[id].Record; recorded != nil {
 		maps.Copy(page, *recorded)
 		return id, page
 	}
-	coarsest := statecache.PageID(host, statecache.CoarsestPageCut)
+	coarsest := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 	coarser := s.cache.Pages[coarsest]
 	if id == coarsest || coarser.Record == nil {
 		return id, page
 	}
 	txn.Require(statecache.MachinePageKey(coarsest), coarser.Version)
 	for name, machine := range *coarser.Record {
-		if statecache.PageID(name, statecache.FinestPageCut) == id {
+		if statecache.PageID(name, statecache.FinestPageSuffixLen) == id {
 			page[name] = machine
 		}
 	}
 	return id, page
 }
 
-// ClosePage writes a page, or drops an empty one, unless a coarser one would speak for its
+// PutPage writes a page, or drops an empty one, unless a coarser one would speak for its
 // machines again.
-func (s *State) ClosePage(txn *statecache.Transaction, id string, page shard.Page) {
+func (s *State) PutPage(txn *statecache.Transaction, id string, page shard.MachinePage) {
 	if len(page) == 0 && !s.hidesCoarser(txn, id) {
 		txn.Delete(statecache.MachinePageKey(id))
 		return
@@ -72,7 +72,7 @@
 	}
 	txn.Require(statecache.MachinePageKey(coarserID), coarser.Version)
 	for host := range *coarser.Record {
-		if statecache.PageID(host, statecache.FinestPageCut) == id {
+		if statecache.PageID(host, statecache.FinestPageSuffixLen) == id {
 			return true
 		}
 	}
@@ -100,10 +100,10 @@
 }
 
 // isHidden reports whether finer pages speak for all machines of a page.
-func (s *State) isHidden(id string, page shard.Page) bool {
+func (s *State) isHidden(id string, page shard.MachinePage) bool {
 	for host := range page {
-		finer := statecache.PageID(host, statecache.FinestPageCut)
-		if id != statecache.PageID(host, statecache.CoarsestPageCut) || s.cache.Pages[finer].Record == nil {
+		finer := statecache.PageID(host, statecache.FinestPageSuffixLen)
+		if id != statecache.PageID(host, statecache.CoarsestPageSuffixLen) || s.cache.Pages[finer].Record == nil {
 			return false
 		}
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -33,11 +33,11 @@
 	return &State{node: info, cache: cache, budget: budget, splitRequests: map[string]int{}}
 }
 
-// Upgraded reports whether every configured controller, living or not, has shown that it
+// AllUpgraded reports whether every configured controller, living or not, has shown that it
 // reads this version's forms. Each leaves a capability record that outlives it, so that one
 // alone after the end of all still knows. One whose node record shows an older version
 // (somebody went back to it) counts as not upgraded whatever its capability record says.
-func (s *State) Upgraded() bool {
+func (s *State) AllUpgraded() bool {
 	for _, name := range s.node.Shards {
 		node := s.cache.Nodes[name].Record
 		if !s.hasLeftVersion(name) || node != nil && node.SchemaVersion < Version {
@@ -80,5 +80,5 @@
 			return false
 		}
 	}
-	return s.Upgraded()
+	return s.AllUpgraded()
 }
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -43,7 +43,7 @@
 }
 
 // NextStep returns the next step of a split, nil if there is nothing to split now. It is called
-// only once all controllers read what a split makes (see schema.State.Upgraded).
+// only once all controllers read what a split makes (see schema.State.AllUpgraded).
 func (s *Splitter) NextStep() *Step {
 	j := s.nextJob()
 	if j == nil {
@@ -52,7 +52,7 @@
 	step := &Step{UID: j.Record.Spec.UID, RangeSize: j.Record.SplitSize(s.node.Settings.LowestLimits().ValueKB)}
 	if !j.Record.Inline && step.RangeSize >= j.Record.RangeSize {
 		// A record of the smallest task range is still too large: the job is left alone until it is over.
-		s.schema.WithdrawSplit(step.UID)
+		s.schema.CancelSplitRequest(step.UID)
 		return step
 	}
 	key := statecache.JobKey(step.UID)
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -70,11 +70,11 @@
 
 // LockUse is what one function made of the state's lock.
 type LockUse struct {
-	Function string
-	Holds    int
-	Held     time.Duration // in all
-	Longest  time.Duration // a single hold
-	Waited   time.Duration // in all, before it got the lock
+	Function    string
+	Holds       int
+	TotalHeld   time.Duration // in all
+	LongestHold time.Duration // a single hold
+	TotalWaited time.Duration // in all, before it got the lock
 }
 
 func newLockMeter() *lockMeter { return &lockMeter{byHolder: map[uintptr]*LockUse{}} }
@@ -88,13 +88,13 @@
 	return use
 }
 
-func (m *lockMeter) waited(holder uintptr, d time.Duration) { m.use(holder).Waited += d }
+func (m *lockMeter) waited(holder uintptr, d time.Duration) { m.use(holder).TotalWaited += d }
 
 func (m *lockMeter) held(holder uintptr, d time.Duration) {
 	use := m.use(holder)
 	use.Holds++
-	use.Held += d
-	use.Longest = max(use.Longest, d)
+	use.TotalHeld += d
+	use.LongestHold = max(use.LongestHold, d)
 }
 
 // Take returns what was recorded, by function, the longest in all first, and begins
@@ -109,9 +109,9 @@
 			byFunction[frame.Function] = sum
 		}
 		sum.Holds += use.Holds
-		sum.Held += use.Held
-		sum.Longest = max(sum.Longest, use.Longest)
-		sum.Waited += use.Waited
+		sum.TotalHeld += use.TotalHeld
+		sum.LongestHold = max(sum.LongestHold, use.LongestHold)
+		sum.TotalWaited += use.TotalWaited
 	}
 	clear(m.byHolder)
 	uses := make([]LockUse, 0, len(byFunction))
@@ -119,7 +119,7 @@
 		uses = append(uses, *use)
 	}
 	slices.SortFunc(uses, func(a, b LockUse) int {
-		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Function, b.Function))
+		return cmp.Or(cmp.Compare(b.TotalHeld, a.TotalHeld), cmp.Compare(a.Function, b.Function))
 	})
 	return uses
 }
--- a/internal/state/guard_test.go
+++ b/internal/state/guard_test.go
@@ -21,7 +21,7 @@
 	counts := map[string]int{}
 	for _, use := range l.meter.take() {
 		counts[use.Function[strings.LastIndex(use.Function, ".")+1:]] = use.Holds
-		if use.Longest > use.Held || use.Held < 0 || use.Waited < 0 {
+		if use.LongestHold > use.TotalHeld || use.TotalHeld < 0 || use.TotalWaited < 0 {
 			t.Errorf("%+v", use)
 		}
 	}
@@ -55,7 +55,7 @@
 		t.Errorf("%v", uses)
 	}
 	lockPlainly(&l)
-	if uses := l.meter.take(); len(uses) != 1 || uses[0].Held > time.Hour {
+	if uses := l.meter.take(); len(uses) != 1 || uses[0].TotalHeld > time.Hour {
 		t.Errorf("%v", uses)
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -28,7 +28,7 @@
 	Catalog        *catalog.Catalog       // what the cloud offers
 	Agents         *agent.Registry        // workers of the shards that this controller leads
 	DirectCommands *agent.DirectCommands  // what is sent to workers beside their heartbeats
-	Room           *capacity.Room         // what machines have free
+	FreeCapacity   *capacity.Room         // what machines have free
 	Zones          *zonestate.Zones       // health of zones
 	Capacity       *capacity.Accounts     // capacity records and quotas
 	Scheduler      *scheduler.Scheduler   // plans
@@ -49,14 +49,14 @@
 		Catalog:      catalog.New(info),
 		FinalStates:  finalstate.New(info),
 		Stats:        Stats{Commits: map[string]CommitStats{}},
-		Reachability: Reachability{StoreReachable: true, Peers: map[string]bool{}},
+		Reachability: Reachability{StoreReachable: true, StoreReachableByPeer: map[string]bool{}},
 	}
 	s.Schema = schema.New(info, s.Cache, budget)
 	s.Leadership = leadership.NewTable(info, s.Cache, s.Schema)
 	s.Splitter = splitter.New(info, s.Cache, s.Schema, s.Leadership)
 	s.addMachines(info, wake)
 	s.addDecisions(info, wake)
-	s.Cache.Observe(s)
+	s.Cache.SetObserver(s)
 	return s
 }
 
@@ -66,14 +66,14 @@
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
 	})
 	s.DirectCommands = agent.NewDirectCommands(s.Agents)
-	s.Room = capacity.NewRoom(capacity.RoomDeps{
+	s.FreeCapacity = capacity.NewRoom(capacity.RoomDeps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
 	s.Zones = zonestate.New(zonestate.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
 	s.Capacity = capacity.NewAccounts(capacity.AccountDeps{
-		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Room: s.Room,
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Room: s.FreeCapacity,
 	})
 }
 
@@ -82,11 +82,11 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity, Wake: wake,
+		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounts: s.Capacity, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Commands: s.DirectCommands, Room: s.Room, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity,
+		Commands: s.DirectCommands, Room: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity,
 		Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
@@ -99,7 +99,7 @@
 func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
 
 // JobEnded implements statecache.Observer: users ask how their jobs ended.
-func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Remember(uid, final) }
+func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
 
 // TasksChanged implements statecache.Observer: the machine's worker has something to be told.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -26,7 +26,7 @@
 	MachineIndex
 	PlacementIndex
 
-	Term         uint64 // the highest that was ever given out
+	HighestTerm  uint64 // the highest that was ever given out
 	Capacities   map[string]Versioned[shard.CapacityRecord]
 	Leaders      map[string]Versioned[shard.LeaderRecord] // by shard
 	Nodes        map[string]Versioned[shard.NodeRecord]   // living controllers
@@ -84,8 +84,8 @@
 	}
 }
 
-// Observe has an observer hear of the changes from now on.
-func (c *Cache) Observe(o Observer) { c.observer = o }
+// SetObserver has an observer hear of the changes from now on.
+func (c *Cache) SetObserver(o Observer) { c.observer = o }
 
 // Apply takes in one change; value is nil if the key was dropped. Changes reach the cache
 // from own commits, from the watch and from read barriers, in no common order, so each key
@@ -115,8 +115,8 @@
 	}
 	c.noteVersion(key, value != nil, version)
 	if key == TermKey {
-		c.Term = 0
-		_ = json.Unmarshal(value, &c.Term) // a term that can't be read fails the precondition of its next use
+		c.HighestTerm = 0
+		_ = json.Unmarshal(value, &c.HighestTerm) // a term that can't be read fails the precondition of its next use
 		return
 	}
 	if len(key) < len(jobPrefix) {
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// Advance notes that all changes up to a revision have been applied.
-func (c *Cache) Advance(revision uint64) {
+// AdvanceRevision notes that all changes up to a revision have been applied.
+func (c *Cache) AdvanceRevision(revision uint64) {
 	if revision <= c.Revision {
 		return
 	}
@@ -222,7 +222,7 @@
 		}
 	}
 	c.forgetCancellations(revision)
-	c.Advance(revision)
+	c.AdvanceRevision(revision)
 	c.ChangesReadAt = readAt
 	c.Loaded = true
 }
@@ -236,11 +236,11 @@
 			c.Apply(change.Write, change.Value, change.Version)
 		}
 	}
-	c.Advance(revision)
+	c.AdvanceRevision(revision)
 	if readAt.After(c.ChangesReadAt) {
 		c.ChangesReadAt = readAt
 	}
 }
 
-// Unload notes that changes were missed: all records are to be read anew.
-func (c *Cache) Unload() { c.Loaded = false }
+// MarkNotLoaded notes that changes were missed: all records are to be read anew.
+func (c *Cache) MarkNotLoaded() { c.Loaded = false }
--- a/internal/statecache/cancellations.go
+++ b/internal/statecache/cancellations.go
@@ -11,8 +11,8 @@
 // told that this controller can't say.
 const MaxCancellations = 1024
 
-// NoteCancellation notes a job that was cancelled, seen at a revision.
-func (x *JobIndex) NoteCancellation(uid string, revision uint64) {
+// RecordCancellation notes a job that was cancelled, seen at a revision.
+func (x *JobIndex) RecordCancellation(uid string, revision uint64) {
 	x.cancellations = append(x.cancellations, cancellation{uid, revision})
 	excess := len(x.cancellations) - MaxCancellations
 	if excess <= 0 {
@@ -44,9 +44,9 @@
 	return uids, true
 }
 
-// NoteCancelledByPeer takes it from a peer that a job was cancelled, before its record shows
+// MarkCancelledByPeer takes it from a peer that a job was cancelled, before its record shows
 // that.
-func (c *Cache) NoteCancelledByPeer(uid string) {
+func (c *Cache) MarkCancelledByPeer(uid string) {
 	j := c.Jobs[uid]
 	if j == nil || j.cancelledByPeer {
 		return
--- a/internal/statecache/jobs.go
+++ b/internal/statecache/jobs.go
@@ -88,7 +88,7 @@
 		c.noteTasksChanged(j)
 	}
 	if cancelled {
-		c.NoteCancellation(uid, version)
+		c.RecordCancellation(uid, version)
 	}
 }
 
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -10,20 +10,20 @@
 
 // MachineIndex is the machines, by the pages that record them.
 type MachineIndex struct {
-	Pages      map[string]Versioned[shard.Page] // by PageID
-	Machines   map[string]*shard.Machine        // of all pages, by name
-	Images     map[string]map[string]bool       // by machine, images that tasks were put there with
-	Terminated map[string]bool                  // machines that were deregistered: their names never come back
+	Pages        map[string]Versioned[shard.MachinePage] // by PageID
+	Machines     map[string]*shard.Machine               // of all pages, by name
+	PlacedImages map[string]map[string]bool              // by machine, images that tasks were put there with
+	Terminated   map[string]bool                         // machines that were deregistered: their names never come back
 
 	sorted []string // names of Machines; nil: to be sorted anew
 }
 
 func newMachineIndex() MachineIndex {
 	return MachineIndex{
-		Pages:      map[string]Versioned[shard.Page]{},
-		Machines:   map[string]*shard.Machine{},
-		Images:     map[string]map[string]bool{},
-		Terminated: map[string]bool{},
+		Pages:        map[string]Versioned[shard.MachinePage]{},
+		Machines:     map[string]*shard.Machine{},
+		PlacedImages: map[string]map[string]bool{},
+		Terminated:   map[string]bool{},
 	}
 }
 
@@ -31,8 +31,8 @@
 // come in groups with names in a row, so that a group is recorded with few changes. Pages
 // leave out one character of the name, or two where values have room for a hundred machines.
 const (
-	FinestPageCut   = 1
-	CoarsestPageCut = 2
+	FinestPageSuffixLen   = 1
+	CoarsestPageSuffixLen = 2
 )
 
 // PageID returns the name of the page of a machine that leaves out so many characters of its
@@ -70,7 +70,7 @@
 }
 
 // addNames adds the names of a page's machines to a set.
-func addNames(names map[string]bool, page *shard.Page) {
+func addNames(names map[string]bool, page *shard.MachinePage) {
 	if page == nil {
 		return
 	}
@@ -85,8 +85,8 @@
 	if recorded == nil {
 		if known != nil {
 			delete(c.Machines, host)
-			delete(c.Images, host)
-			c.NoteTerminated(host)
+			delete(c.PlacedImages, host)
+			c.RecordTerminated(host)
 		}
 		return
 	}
@@ -99,7 +99,7 @@
 // recordedMachine returns a machine's record in the finest page that there is for it; nil if
 // that page lacks it.
 func (x *MachineIndex) recordedMachine(host string) *shard.Machine {
-	for cut := FinestPageCut; cut <= CoarsestPageCut; cut++ {
+	for cut := FinestPageSuffixLen; cut <= CoarsestPageSuffixLen; cut++ {
 		if page := x.Pages[PageID(host, cut)].Record; page != nil {
 			return (*page)[host]
 		}
@@ -107,17 +107,17 @@
 	return nil
 }
 
-// NoteAddress notes the address of a machine that was recorded before it was known.
-func (x *MachineIndex) NoteAddress(host, address string) { x.Machines[host].Addr = address }
+// SetAddress notes the address of a machine that was recorded before it was known.
+func (x *MachineIndex) SetAddress(host, address string) { x.Machines[host].Addr = address }
 
 // MinTerminated is how many terminated machines are remembered at the least: names of some
 // ten bytes.
 const MinTerminated = 8192
 
-// NoteTerminated remembers that a machine is gone for good, so that a late copy of a
+// RecordTerminated remembers that a machine is gone for good, so that a late copy of a
 // heartbeat does not bring it back. Beyond several times the fleet the older half is
 // forgotten: late copies are of machines that went not long ago.
-func (x *MachineIndex) NoteTerminated(host string) {
+func (x *MachineIndex) RecordTerminated(host string) {
 	if most := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= most {
 		names := slices.Sorted(maps.Keys(x.Terminated)) // in the order of their creation
 		for _, name := range names[:len(names)/2] {
@@ -137,8 +137,8 @@
 
 // noteImage notes that a task with an image was put on a machine.
 func (x *MachineIndex) noteImage(host, image string) {
-	if x.Images[host] == nil {
-		x.Images[host] = map[string]bool{}
+	if x.PlacedImages[host] == nil {
+		x.PlacedImages[host] = map[string]bool{}
 	}
-	x.Images[host][image] = true
+	x.PlacedImages[host][image] = true
 }
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -13,13 +13,13 @@
 // job changes. Who changes the list copies it.
 func (j *Job) PendingTasks() []TaskIndex {
 	if j.pending == nil {
-		j.pending = j.FindPending()
+		j.pending = j.ComputePendingTasks()
 	}
 	return j.pending
 }
 
-// FindPending works PendingTasks out anew. It is never nil.
-func (j *Job) FindPending() []TaskIndex {
+// ComputePendingTasks works PendingTasks out anew. It is never nil.
+func (j *Job) ComputePendingTasks() []TaskIndex {
 	pending := []TaskIndex{}
 	record, most := j.Record, maxPendingTasks
 	if record.Frozen {
--- a/internal/statecache/placements.go
+++ b/internal/statecache/placements.go
@@ -58,24 +58,24 @@
 	}
 }
 
-// Priorities is how many priorities jobs have.
-const Priorities = 4
+// NumPriorities is how many priorities jobs have.
+const NumPriorities = 4
 
 // MachineLoad is what is placed on a machine. It is worked out by internal/capacity, which
 // knows which tasks have ended, and kept here, where placements change.
 type MachineLoad struct {
-	Used              sched.Resources             // of the tasks that are not over
-	Stopping          sched.Resources             // of those of them that are stopping
-	RunningByPriority [Priorities]sched.Resources // of the others
-	Services, Arrays  int                         // tasks that are not over, by their jobs' kind
-	LastPlacedMS      int64                       // when the last of the tasks was placed, in milliseconds of the time of day
+	Used              sched.Resources                // of the tasks that are not over
+	Stopping          sched.Resources                // of those of them that are stopping
+	RunningByPriority [NumPriorities]sched.Resources // of the others
+	Services, Arrays  int                            // tasks that are not over, by their jobs' kind
+	LastPlacedMS      int64                          // when the last of the tasks was placed, in milliseconds of the time of day
 }
 
-// Load returns what was last kept for a machine; nil if something has changed there since.
-func (x *PlacementIndex) Load(host string) *MachineLoad { return x.loads[host] }
+// CachedLoad returns what was last kept for a machine; nil if something has changed there since.
+func (x *PlacementIndex) CachedLoad(host string) *MachineLoad { return x.loads[host] }
 
-// KeepLoad keeps the load of a machine until something changes there.
-func (x *PlacementIndex) KeepLoad(host string, load *MachineLoad) { x.loads[host] = load }
+// CacheLoad keeps the load of a machine until something changes there.
+func (x *PlacementIndex) CacheLoad(host string, load *MachineLoad) { x.loads[host] = load }
 
 // InvalidateLoad drops what was kept for a machine. Who changes what a load rests on, other
 // than by Apply, calls it: an attempt that has ended, an agent that is dropped.
@@ -84,8 +84,8 @@
 // InvalidateLoads drops what was kept for all machines.
 func (x *PlacementIndex) InvalidateLoads() { clear(x.loads) }
 
-// KeptLoads returns the machines whose loads are kept.
-func (x *PlacementIndex) KeptLoads() []string {
+// MachinesWithCachedLoad returns the machines whose loads are kept.
+func (x *PlacementIndex) MachinesWithCachedLoad() []string {
 	hosts := make([]string, 0, len(x.loads))
 	for host := range x.loads {
 		hosts = append(hosts, host)
--- a/internal/storesync/barrier.go
+++ b/internal/storesync/barrier.go
@@ -89,7 +89,7 @@
 		timing.Sleep(ctx, wait)
 	}
 	s.barriers.begin(s.node.Now())
-	barrier.err = s.ReadNewest(ctx)
+	barrier.err = s.RefreshCache(ctx)
 	close(barrier.done)
 	next := s.barriers.finish()
 	if next == nil {
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -67,7 +67,7 @@
 	if !lowered {
 		// It was made within what was announced: fewer changes are tried, and the jobs in it
 		// are split.
-		state.Schema.AcceptFewer(len(request.Ops))
+		state.Schema.ReduceMaxChanges(len(request.Ops))
 		for _, op := range request.Ops {
 			if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
 				state.Schema.RequestSplit(state.Cache.Jobs[uid])
--- a/internal/storesync/reachability.go
+++ b/internal/storesync/reachability.go
@@ -1,9 +1,9 @@
 package storesync
 
-// NoteStoreAnswer notes whether the state service served a request.
-func (s *Sync) NoteStoreAnswer(served bool) {
+// RecordStoreAnswer notes whether the state service served a request.
+func (s *Sync) RecordStoreAnswer(served bool) {
 	state := s.guard.Lock()
-	changed := state.Reachability.NoteStoreAnswer(served, s.node.Now())
+	changed := state.Reachability.RecordStoreAnswer(served, s.node.Now())
 	s.guard.Unlock()
 	if changed {
 		s.node.Log.Info("state service reachability", "reachable", served)
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -30,12 +30,12 @@
 	return &Sync{node: info, guard: guard, services: services, wake: wake, leaderless: notify.NewSignal()}
 }
 
-// LeaderlessShard returns the signal that a shard may have no leader: it is to be looked at
+// LeaderlessShardSignal returns the signal that a shard may have no leader: it is to be looked at
 // now, not with the next renewal of the lease.
-func (s *Sync) LeaderlessShard() notify.Signal { return s.leaderless }
+func (s *Sync) LeaderlessShardSignal() notify.Signal { return s.leaderless }
 
-// WakeLeaseLoop gives the signal of LeaderlessShard.
-func (s *Sync) WakeLeaseLoop() { s.leaderless.Notify() }
+// NotifyLeaderlessShard gives the signal of LeaderlessShardSignal.
+func (s *Sync) NotifyLeaderlessShard() { s.leaderless.Notify() }
 
 // minWritesPerSecond is what a controller counts with however small its share is.
 const minWritesPerSecond = 2
@@ -44,7 +44,7 @@
 func (s *Sync) WritesPerSecond() int {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	share := s.node.Settings.LowestLimits().WriteRPS / float64(state.Leadership.Rates().Sharers())
+	share := s.node.Settings.LowestLimits().WriteRPS / float64(state.Leadership.Rates().ControllerCount())
 	return max(minWritesPerSecond, int(share))
 }
 
@@ -104,7 +104,7 @@
 	s.guard.Unlock()
 	s.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	s.wake.Notify()
-	s.WakeLeaseLoop() // after a restart ours wait to be acquired, and workers' leases run
+	s.NotifyLeaderlessShard() // after a restart ours wait to be acquired, and workers' leases run
 	return nil
 }
 
@@ -114,7 +114,7 @@
 	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
 	if errors.Is(err, store.ErrTooOld) {
 		state := s.guard.Lock()
-		state.Cache.Unload()
+		state.Cache.MarkNotLoaded()
 		s.guard.Unlock()
 		return err
 	}
@@ -129,7 +129,7 @@
 		s.wake.Notify()
 	}
 	if leaderless {
-		s.WakeLeaseLoop()
+		s.NotifyLeaderlessShard()
 	}
 	return nil
 }
@@ -144,9 +144,9 @@
 	return false
 }
 
-// ReadNewest brings the cache up to now for a decision, which need not share its read with
+// RefreshCache brings the cache up to now for a decision, which need not share its read with
 // users. It returns store.ErrRefused if the cache is not loaded.
-func (s *Sync) ReadNewest(ctx context.Context) error {
+func (s *Sync) RefreshCache(ctx context.Context) error {
 	loaded, since := s.progress()
 	if !loaded {
 		return store.ErrRefused
