--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -38,12 +38,12 @@
 	sumOfSquaredTasks float64            // of the task counts of recent arrivals
 }
 
-// newClassDemand summarizes the arrivals of a class during the last capacity.ArrivalWindows boot
+// newClassDemand summarizes the arrivals of a class during the last capacity.ArrivalWindowBoots boot
 // times.
 func newClassDemand(class string, arrivals []capacity.Arrival, boot time.Duration, now time.Time) classDemand {
 	demand := classDemand{class: class, arrivals: arrivals}
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) < capacity.ArrivalWindows*boot {
+		if now.Sub(arrival.AcceptedAt) < capacity.ArrivalWindowBoots*boot {
 			demand.sumOfSquaredTasks += arrival.Tasks * arrival.Tasks
 			demand.newestSpec = arrival.Spec
 		}
@@ -54,7 +54,7 @@
 // deviation estimates the standard deviation of the number of tasks that arrive during one boot
 // time.
 func (d *classDemand) deviation() float64 {
-	return math.Sqrt(d.sumOfSquaredTasks / capacity.ArrivalWindows)
+	return math.Sqrt(d.sumOfSquaredTasks / capacity.ArrivalWindowBoots)
 }
 
 // headroomRequests returns the capacity to keep free for tasks that have not arrived yet. Classes
@@ -142,10 +142,10 @@
 	if len(arrivals) == 0 || arrivals[len(arrivals)-1].Spec.Kind != api.Array {
 		return 0
 	}
-	window := min(now.Sub(arrivals[0].At), capacity.ArrivalWindows*boot) / 2
+	window := min(now.Sub(arrivals[0].AcceptedAt), capacity.ArrivalWindowBoots*boot) / 2
 	jobs, tasks := 0, 0.0
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) < window {
+		if now.Sub(arrival.AcceptedAt) < window {
 			jobs++
 			tasks += arrival.Tasks
 		}
@@ -182,7 +182,7 @@
 func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
 	machines := map[string]bool{}
 	for _, headroom := range a.headroomRequests(now) {
-		candidates := a.freeCapacity.WithPreemptibleRoom(hosts, headroom.priority)
+		candidates := a.freeCapacity.WithPreemptibleCapacity(hosts, headroom.priority)
 		for _, demand := range headroom.demands {
 			ranking := sched.NewRanking(nil, candidates, &demand.Request)
 			for range demand.Count {
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -51,7 +51,7 @@
 	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
 	for _, request := range headroom {
-		candidates := a.freeCapacity.WithPreemptibleRoom(hosts, request.priority)
+		candidates := a.freeCapacity.WithPreemptibleCapacity(hosts, request.priority)
 		additional := sched.PlanRentals(request.demands, candidates, a.catalog.AvailableOffers(now), homeZone)
 		if len(additional) == 0 { // otherwise the next run rents the rest, as one run's rentals are limited
 			sufficient.tasksByClass[request.class] = request.taskCount()
@@ -64,15 +64,15 @@
 
 // RentingShard is the shard that machines are rented for, and the time of that decision.
 type RentingShard struct {
-	Shard string // "": this controller leads no shard
-	Term  uint64
-	At    time.Time
+	Shard     string // "": this controller leads no shard
+	Term      uint64
+	DecidedAt time.Time
 }
 
 // RentingShard returns the shard that machines are rented for: this controller's home shard if it
 // leads that, otherwise the first shard that it leads.
 func (a *Autoscaler) RentingShard(now time.Time) RentingShard {
-	renting := RentingShard{At: now}
+	renting := RentingShard{DecidedAt: now}
 	for _, name := range a.node.Shards {
 		shardLeadership := a.leadership.InForce(name)
 		if shardLeadership != nil && (renting.Shard == "" || name == a.node.Settings.HostName) {
@@ -82,10 +82,10 @@
 	return renting
 }
 
-// NoteRental records the cloud's response to a rental request, and reports whether the cloud rented
+// RecordRental records the cloud's response to a rental request, and reports whether the cloud rented
 // fewer machines than requested. After an error other than cloud.ErrNoCapacity it is unknown
 // whether machines were rented.
-func (a *Autoscaler) NoteRental(request cloud.RentalRequest, hosts []string, err error, renting RentingShard) (refused bool) {
+func (a *Autoscaler) RecordRental(request cloud.RentalRequest, hosts []string, err error, renting RentingShard) (refused bool) {
 	offer := sched.Offer{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 	switch {
 	case err == nil:
@@ -107,7 +107,7 @@
 		a.node.Log.Info("rental outcome unknown", "request", request.Name, "err", err)
 	}
 	if refused {
-		a.catalog.BackOff(&offer, renting.At)
+		a.catalog.BackOff(&offer, renting.DecidedAt)
 	}
 	return refused
 }
--- a/internal/capacity/accounting.go
+++ b/internal/capacity/accounting.go
@@ -12,51 +12,51 @@
 	"violetturn/internal/statecache"
 )
 
-// Accounts computes and writes what shards offer to peers and what teams use of their quotas. The
+// Accounting computes and writes what shards offer to peers and what teams use of their quotas. The
 // lock of internal/state guards it.
-type Accounts struct {
+type Accounting struct {
 	node         *node.Info
 	cache        *statecache.Cache
 	schema       *schema.State
 	leadership   *leadership.Table
 	catalog      *catalog.Catalog
-	freeCapacity *Room
+	freeCapacity *Calculator
 
 	arrivals       *Arrivals
 	peerDemand     cachedPeerDemand
 	quotaShortages map[string]bool // teams whose quota did not suffice for a placement
 }
 
-// AccountDeps are the dependencies that NewAccounts takes.
-type AccountDeps struct {
-	Node       *node.Info
-	Cache      *statecache.Cache
-	Schema     *schema.State
-	Leadership *leadership.Table
-	Catalog    *catalog.Catalog
-	Room       *Room
+// AccountingDeps are the dependencies that NewAccounting takes.
+type AccountingDeps struct {
+	Node         *node.Info
+	Cache        *statecache.Cache
+	Schema       *schema.State
+	Leadership   *leadership.Table
+	Catalog      *catalog.Catalog
+	FreeCapacity *Calculator
 }
 
-// NewAccounts returns the accounting of capacity and quotas, without any recorded arrival.
-func NewAccounts(d AccountDeps) *Accounts {
-	return &Accounts{
+// NewAccounting returns the accounting of capacity and quotas, without any recorded arrival.
+func NewAccounting(d AccountingDeps) *Accounting {
+	return &Accounting{
 		node:           d.Node,
 		cache:          d.Cache,
 		schema:         d.Schema,
 		leadership:     d.Leadership,
 		catalog:        d.Catalog,
-		freeCapacity:   d.Room,
+		freeCapacity:   d.FreeCapacity,
 		arrivals:       newArrivals(d.Node, d.Catalog),
 		quotaShortages: map[string]bool{},
 	}
 }
 
 // Arrivals returns the recent arrivals of jobs.
-func (a *Accounts) Arrivals() *Arrivals { return a.arrivals }
+func (a *Accounting) Arrivals() *Arrivals { return a.arrivals }
 
 // putCapacityRecord adds the write of a shard's capacity record to a transaction, conditional on
 // the cached version of the record.
-func (a *Accounts) putCapacityRecord(
+func (a *Accounting) putCapacityRecord(
 	transaction *statecache.Transaction, shardName string, free shard.FreeCapacity, quotaUse map[string]sched.Resources,
 ) {
 	current := a.cache.Capacities[shardName]
@@ -84,7 +84,7 @@
 
 // trimCapacity removes machines from a shard's free capacity until it fits in the capacity record
 // together with the teams' usage, and returns how many it removed.
-func (a *Accounts) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
+func (a *Accounting) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
 	maxBytes := a.schema.MaxGrowableBytes() - maxQuotaUseBytes*len(quotaUse)
 	if free.FitsIn(maxBytes) {
 		return 0
--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -11,11 +11,11 @@
 	"violetturn/internal/node"
 )
 
-// MinArrivals is the minimum of the limit on arrivals that are kept per class.
-const MinArrivals = 1024
+// MinArrivalsPerClass is the minimum of the limit on arrivals that are kept per class.
+const MinArrivalsPerClass = 1024
 
-// ArrivalWindows is the number of boot times during which an arrival counts as recent.
-const ArrivalWindows = 4
+// ArrivalWindowBoots is the number of boot times during which an arrival counts as recent.
+const ArrivalWindowBoots = 4
 
 // maxClasses bounds the number of classes whose arrivals are recorded, because users can name
 // classes freely.
@@ -23,14 +23,14 @@
 
 // Arrival is an accepted job.
 type Arrival struct {
-	At    time.Time
-	Spec  *api.Job
-	Tasks float64 // number of tasks
+	AcceptedAt time.Time
+	Spec       *api.Job
+	Tasks      float64 // number of tasks
 }
 
 // Arrivals records recently accepted jobs by class, oldest first. The number of entries per class
-// is limited to the number of jobs that can be accepted within ArrivalWindows boot times, but at
-// least MinArrivals. The lock of internal/state guards it.
+// is limited to the number of jobs that can be accepted within ArrivalWindowBoots boot times, but at
+// least MinArrivalsPerClass. The lock of internal/state guards it.
 type Arrivals struct {
 	node    *node.Info
 	catalog *catalog.Catalog
@@ -41,16 +41,16 @@
 	return &Arrivals{node: node, catalog: catalog, byClass: map[string][]Arrival{}}
 }
 
-// Note records an accepted job.
-func (a *Arrivals) Note(record *job.Record) {
+// Record records an accepted job.
+func (a *Arrivals) Record(record *job.Record) {
 	class := record.Spec.Class
 	if a.byClass[class] == nil && len(a.byClass) >= maxClasses {
 		clear(a.byClass)
 	}
 	arrivals := append(a.byClass[class], Arrival{
-		At:    time.UnixMilli(record.AcceptedMS),
-		Spec:  &record.Spec,
-		Tasks: float64(record.Spec.Tasks),
+		AcceptedAt: time.UnixMilli(record.AcceptedMS),
+		Spec:       &record.Spec,
+		Tasks:      float64(record.Spec.Tasks),
 	})
 	if len(arrivals) > a.maxPerClass() {
 		arrivals = arrivals[1:]
@@ -60,23 +60,23 @@
 
 // maxPerClass returns the maximum number of arrivals to keep per class. Each accepted job is a
 // write to the state service, so its write rate bounds the number of jobs that are accepted within
-// ArrivalWindows boot times.
+// ArrivalWindowBoots boot times.
 func (a *Arrivals) maxPerClass() int {
-	window := ArrivalWindows * a.catalog.ShortestBoot().Seconds()
-	return max(MinArrivals, int(a.node.Settings.Facts.State.WriteRPS*window))
+	window := ArrivalWindowBoots * a.catalog.ShortestBoot().Seconds()
+	return max(MinArrivalsPerClass, int(a.node.Settings.Facts.State.WriteRPS*window))
 }
 
 // ByClass iterates over the classes and their arrivals, oldest first.
 func (a *Arrivals) ByClass() iter.Seq2[string, []Arrival] { return maps.All(a.byClass) }
 
-// CameSince reports whether, in any class, the newest arrival is a job of the given kind that was
+// ArrivedSince reports whether, in any class, the newest arrival is a job of the given kind that was
 // accepted after since.
-func (a *Arrivals) CameSince(kind api.JobKind, since time.Time) bool {
+func (a *Arrivals) ArrivedSince(kind api.JobKind, since time.Time) bool {
 	for _, arrivals := range a.byClass {
 		if len(arrivals) == 0 {
 			continue
 		}
-		if newest := arrivals[len(arrivals)-1]; newest.Spec.Kind == kind && newest.At.After(since) {
+		if newest := arrivals[len(arrivals)-1]; newest.Spec.Kind == kind && newest.AcceptedAt.After(since) {
 			return true
 		}
 	}
--- a/internal/capacity/arrivals_test.go
+++ b/internal/capacity/arrivals_test.go
@@ -25,21 +25,21 @@
 	return &job.Record{Spec: api.Job{Class: class, Kind: kind, Tasks: tasks}, AcceptedMS: at.UnixMilli()}
 }
 
-// Only the newest MinArrivals arrivals of a class are kept, oldest first.
+// Only the newest MinArrivalsPerClass arrivals of a class are kept, oldest first.
 func TestArrivalsKeepNewestPerClass(t *testing.T) {
 	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
 	const excess = 3
-	for i := range MinArrivals + excess {
-		a.Note(arrivalRecord("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
+	for i := range MinArrivalsPerClass + excess {
+		a.Record(arrivalRecord("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
 	}
 	for class, arrivals := range a.ByClass() {
-		if class != "a" || len(arrivals) != MinArrivals {
-			t.Fatalf("class %s has %d arrivals, want class a with %d", class, len(arrivals), MinArrivals)
+		if class != "a" || len(arrivals) != MinArrivalsPerClass {
+			t.Fatalf("class %s has %d arrivals, want class a with %d", class, len(arrivals), MinArrivalsPerClass)
 		}
-		oldest, newest := arrivals[0], arrivals[MinArrivals-1]
-		if oldest.Tasks != excess || newest.Tasks != MinArrivals+excess-1 || !oldest.At.Equal(now.Add(excess*time.Second)) {
-			t.Errorf("kept arrivals are from %+v to %+v, want %d to %d tasks", oldest, newest, excess, MinArrivals+excess-1)
+		oldest, newest := arrivals[0], arrivals[MinArrivalsPerClass-1]
+		if oldest.Tasks != excess || newest.Tasks != MinArrivalsPerClass+excess-1 || !oldest.AcceptedAt.Equal(now.Add(excess*time.Second)) {
+			t.Errorf("kept arrivals are from %+v to %+v, want %d to %d tasks", oldest, newest, excess, MinArrivalsPerClass+excess-1)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 func TestArrivalsBoundNumberOfClasses(t *testing.T) {
 	a := newTestArrivals(t)
 	for i := range 10 * maxClasses {
-		a.Note(arrivalRecord(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
+		a.Record(arrivalRecord(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
 		if len(a.byClass) > maxClasses {
 			t.Fatalf("%d classes are recorded, want at most %d", len(a.byClass), maxClasses)
 		}
@@ -59,19 +59,19 @@
 func TestArrivedSinceUsesNewestArrivalOfClass(t *testing.T) {
 	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
-	if a.CameSince(api.Gang, now) {
+	if a.ArrivedSince(api.Gang, now) {
 		t.Error("a gang arrival is reported before any arrival")
 	}
-	a.Note(arrivalRecord("a", api.Gang, now, 1))
-	a.Note(arrivalRecord("b", api.Array, now.Add(time.Minute), 1))
-	if !a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
+	a.Record(arrivalRecord("a", api.Gang, now, 1))
+	a.Record(arrivalRecord("b", api.Array, now.Add(time.Minute), 1))
+	if !a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
 		t.Error("a gang that arrived after the given time is not reported")
 	}
-	if a.CameSince(api.Gang, now) {
+	if a.ArrivedSince(api.Gang, now) {
 		t.Error("a gang that arrived exactly at the given time is reported")
 	}
-	a.Note(arrivalRecord("a", api.Array, now.Add(time.Minute), 1))
-	if a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
+	a.Record(arrivalRecord("a", api.Array, now.Add(time.Minute), 1))
+	if a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
 		t.Error("a gang that is not the newest arrival of its class is reported")
 	}
 }
--- a/internal/capacity/calculator.go
+++ b/internal/capacity/calculator.go
@@ -12,9 +12,9 @@
 	"violetturn/internal/statecache"
 )
 
-// Room computes what is placed on machines and what capacity they have free. It has no state of its
+// Calculator computes what is placed on machines and what capacity they have free. It has no state of its
 // own: computed loads are cached in internal/statecache. The lock of internal/state guards it.
-type Room struct {
+type Calculator struct {
 	node       *node.Info
 	cache      *statecache.Cache
 	leadership *leadership.Table
@@ -22,8 +22,8 @@
 	agents     *agent.Registry
 }
 
-// RoomDeps are the dependencies that NewRoom takes.
-type RoomDeps struct {
+// CalculatorDeps are the dependencies that NewCalculator takes.
+type CalculatorDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
 	Leadership *leadership.Table
@@ -31,15 +31,15 @@
 	Agents     *agent.Registry
 }
 
-// NewRoom returns the capacity calculator for the machines in a cache.
-func NewRoom(d RoomDeps) *Room {
-	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
+// NewCalculator returns the capacity calculator for the machines in a cache.
+func NewCalculator(d CalculatorDeps) *Calculator {
+	return &Calculator{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
 }
 
 // LoadOf returns the load of a machine. A plan reads the loads of all machines, so a load is cached
 // until something that it depends on changes (placements, the jobs' records, ended attempts); the
 // code that makes such a change removes the cached load.
-func (r *Room) LoadOf(host string) *statecache.MachineLoad {
+func (r *Calculator) LoadOf(host string) *statecache.MachineLoad {
 	load := r.cache.CachedLoad(host)
 	if load != nil {
 		return load
@@ -75,7 +75,7 @@
 }
 
 // UnfinishedTasks returns the number of unfinished tasks on a machine.
-func (r *Room) UnfinishedTasks(host string) int {
+func (r *Calculator) UnfinishedTasks(host string) int {
 	load := r.LoadOf(host)
 	return load.Services + load.Arrays
 }
@@ -84,7 +84,7 @@
 // start a task. A raised token makes a worker send a heartbeat early, but another raise shortly
 // afterwards does not. For a peer's machine, the time of the last placement on it stands for the
 // last raise.
-func (r *Room) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
+func (r *Calculator) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
 	tokenChangedAt := time.UnixMilli(load.LastPlacedMS)
 	if worker := r.agents.Agent(host); worker != nil {
 		tokenChangedAt = worker.LastTokenChange()
@@ -95,10 +95,10 @@
 	return 0
 }
 
-// WithPreemptibleRoom returns copies of the machines whose free capacity includes that of tasks of
+// WithPreemptibleCapacity returns copies of the machines whose free capacity includes that of tasks of
 // lower priority: headroom need not be kept there, because those tasks can be preempted when it is
 // needed.
-func (r *Room) WithPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
+func (r *Calculator) WithPreemptibleCapacity(hosts []*sched.Host, priority int) []*sched.Host {
 	copies := make([]sched.Host, len(hosts)) // one allocation for all
 	pointers := make([]*sched.Host, len(hosts))
 	for i, host := range hosts {
@@ -118,7 +118,7 @@
 
 // isSchedulable reports whether tasks may be placed on a machine of a shard that this controller
 // leads.
-func (r *Room) isSchedulable(host string, now time.Time) bool {
+func (r *Calculator) isSchedulable(host string, now time.Time) bool {
 	worker := r.agents.Agent(host)
 	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
 		return false
@@ -130,7 +130,7 @@
 // freeInShard returns the free capacity of the schedulable machines of a shard that this controller
 // leads, computed from the committed placements without those whose tasks have ended. Machines
 // without free capacity are omitted.
-func (r *Room) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
+func (r *Calculator) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
 	for _, host := range r.cache.MachineNames() {
 		if r.cache.Machines[host].Shard != shardName {
@@ -149,7 +149,7 @@
 
 // FreeOnMachine returns the free capacity and the size of a machine of a shard that this controller
 // leads; ok is false if the machine has no free capacity or cannot take tasks.
-func (r *Room) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+func (r *Calculator) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
 	if !r.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
@@ -163,7 +163,7 @@
 
 // ProvisioningHosts returns the machines that are still booting: all, or those rented for this
 // controller's shards.
-func (r *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
+func (r *Calculator) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var hosts []*sched.Host
 	for name, machine := range r.cache.Machines {
 		if !all && !r.leadership.Leads(machine.RentedFor) || len(r.cache.Placements[name]) > 0 {
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -29,7 +29,7 @@
 // openClaim returns a claim on a shard with no capacity claimed yet; nil if the shard has no
 // leader. The free capacity of a shard that this controller leads is computed from its current
 // state, that of a peer's shard is read from its capacity record.
-func (a *Accounts) openClaim(shardName string, now time.Time) *shardClaim {
+func (a *Accounting) openClaim(shardName string, now time.Time) *shardClaim {
 	record := a.cache.Capacities[shardName].Record
 	if record == nil || a.cache.Leaders[shardName].Record == nil {
 		return nil
@@ -50,13 +50,13 @@
 // Claims are the capacity claims of one transaction, by shard. They are used for one transaction
 // only.
 type Claims struct {
-	accounting *Accounts
+	accounting *Accounting
 	byShard    map[string]*shardClaim
 	writes     int // number of capacity and quota records to write
 }
 
 // NewClaims returns empty claims for one transaction.
-func (a *Accounts) NewClaims() *Claims {
+func (a *Accounting) NewClaims() *Claims {
 	return &Claims{accounting: a, byShard: map[string]*shardClaim{}}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // placeableJob returns the job of a placement if this controller may place the task now, else nil.
-func (a *Accounts) placeableJob(placement Placement) *statecache.Job {
+func (a *Accounting) placeableJob(placement Placement) *statecache.Job {
 	job := a.cache.Jobs[placement.UID]
 	if job == nil || job.Record.Cancelled || job.Record.RangeFinished(placement.RangeIndex) {
 		return nil
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -20,7 +20,7 @@
 // controller, from the pending tasks of their jobs and from recent arrivals. It decides which
 // machines a capacity record names if it cannot name all. The result is computed at most once per
 // heartbeat interval.
-func (a *Accounts) expectedPeerDemand(now time.Time) []shard.PeerDemand {
+func (a *Accounting) expectedPeerDemand(now time.Time) []shard.PeerDemand {
 	if !a.peerDemand.computedAt.IsZero() && now.Sub(a.peerDemand.computedAt) < a.node.Settings.HeartbeatInterval() {
 		return a.peerDemand.demands
 	}
@@ -32,8 +32,8 @@
 	}
 	for _, arrivals := range a.arrivals.ByClass() {
 		for _, arrival := range arrivals {
-			if now.Sub(arrival.At) < ArrivalWindows*a.catalog.ShortestBoot() {
-				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindows // average per boot time
+			if now.Sub(arrival.AcceptedAt) < ArrivalWindowBoots*a.catalog.ShortestBoot() {
+				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindowBoots // average per boot time
 			}
 		}
 	}
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -13,13 +13,13 @@
 
 // HeldQuota is how a team's quota is divided between one shard and all others.
 type HeldQuota struct {
-	Held   sched.Resources // by the shard
-	Others sched.Resources // sum over all other shards
+	Held         sched.Resources // by the shard
+	HeldByOthers sched.Resources // sum over all other shards
 }
 
 // QuotaShares returns the share of a team's quota that a shard holds, and the sum of the other
 // shards' shares.
-func (a *Accounts) QuotaShares(team, shardName string) HeldQuota {
+func (a *Accounting) QuotaShares(team, shardName string) HeldQuota {
 	var quota HeldQuota
 	record := a.cache.Quotas[statecache.QuotaID(team)].Record
 	if record == nil {
@@ -29,7 +29,7 @@
 		if name == shardName {
 			quota.Held = held
 		} else {
-			quota.Others = quota.Others.Add(held)
+			quota.HeldByOthers = quota.HeldByOthers.Add(held)
 		}
 	}
 	return quota
@@ -61,7 +61,7 @@
 	for other, claim := range c.byShard {
 		if share, ok := claim.changedShares[teamName]; ok && other != shardName {
 			committed := a.QuotaShares(teamName, other).Held
-			quota.Others = quota.Others.Add(share).Sub(committed)
+			quota.HeldByOthers = quota.HeldByOthers.Add(share).Sub(committed)
 		}
 	}
 	if share, ok := changedShares[teamName]; ok {
@@ -71,13 +71,13 @@
 	if sched.WithinQuota(limit, quota.Held, quotaUse) {
 		return quotaGrant{granted: true}
 	}
-	share, ok := sched.QuotaShare(limit, quota.Others, quotaUse)
+	share, ok := sched.QuotaShare(limit, quota.HeldByOthers, quotaUse)
 	return quotaGrant{granted: ok, growsShare: true, share: share}
 }
 
 // QuotaUseOf returns the usage of limited teams in a shard. It includes tasks that have ended but
 // are not committed as ended yet, because another leader might start them again.
-func (a *Accounts) QuotaUseOf(shardName string) map[string]sched.Resources {
+func (a *Accounting) QuotaUseOf(shardName string) map[string]sched.Resources {
 	use := map[string]sched.Resources{}
 	if !a.node.Settings.HasTeamLimits() {
 		return use
@@ -104,7 +104,7 @@
 
 // putQuotaShares adds the writes of changed quota shares, by shard and team, to a transaction. The
 // transaction must also write the capacity records of those shards.
-func (a *Accounts) putQuotaShares(transaction *statecache.Transaction, sharesByShard map[string]map[string]sched.Resources) {
+func (a *Accounting) putQuotaShares(transaction *statecache.Transaction, sharesByShard map[string]map[string]sched.Resources) {
 	records := map[string]shard.QuotaRecord{}
 	for shardName, byTeam := range sharesByShard {
 		for team, share := range byTeam {
@@ -130,7 +130,7 @@
 // team's whole limit at once, although each shard's unused share is too small for the shard to
 // return it on its own. The transaction writes each shard's capacity record together with
 // its share, so that no concurrent placement there relies on the old share.
-func (a *Accounts) ReclaimTransaction(now time.Time) *statecache.Transaction {
+func (a *Accounting) ReclaimTransaction(now time.Time) *statecache.Transaction {
 	claims := a.NewClaims()
 	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
 		delete(a.quotaShortages, team)
@@ -149,7 +149,7 @@
 
 // reclaimShares adds the shards that hold more of a team's quota than is used there to the claims,
 // up to the number of records that a transaction can write besides the team's quota record.
-func (a *Accounts) reclaimShares(claims *Claims, team string, now time.Time) {
+func (a *Accounting) reclaimShares(claims *Claims, team string, now time.Time) {
 	for _, name := range a.node.Shards {
 		held := a.QuotaShares(team, name).Held
 		claim := a.openClaim(name, now)
@@ -168,13 +168,13 @@
 // CountsAgainstQuota reports whether the tasks of a gang count against a quota. Even after the gang
 // has finished, a task on a machine whose worker does not respond may still use its capacity, so
 // the gang's record is kept until the ends of all its tasks have been received.
-func (a *Accounts) CountsAgainstQuota(job *statecache.Job) bool {
+func (a *Accounting) CountsAgainstQuota(job *statecache.Job) bool {
 	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
 	return team.Limited()
 }
 
-// TeamUse returns the total usage of a team according to the shards' capacity records.
-func (a *Accounts) TeamUse(team string) sched.Resources {
+// TeamUsage returns the total usage of a team according to the shards' capacity records.
+func (a *Accounting) TeamUsage(team string) sched.Resources {
 	var use sched.Resources
 	for _, capacity := range a.cache.Capacities {
 		use = use.Add(capacity.Record.QuotaUse[team])
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -30,11 +30,11 @@
 // the shard's unneeded quota shares; nil if no refresh is due. Placements write these records
 // anyway, so refreshes are only made at intervals. tasksWait reports whether tasks of this
 // controller's jobs wait for capacity.
-func (a *Accounts) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
+func (a *Accounting) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
 	for _, name := range a.leadership.Shards() {
 		record := a.cache.Capacities[name].Record
 		inForce := a.leadership.InForce(name)
-		if inForce == nil || record == nil || !a.catalog.IsKnown() {
+		if inForce == nil || record == nil || !a.catalog.IsLoaded() {
 			continue
 		}
 		sinceLast := inForce.CapacityRecordAge(now)
@@ -61,7 +61,7 @@
 
 // newCapacityUpdate computes the capacity record of a shard that this controller leads from the
 // placements on its machines.
-func (a *Accounts) newCapacityUpdate(shardName string, now time.Time) capacityUpdate {
+func (a *Accounting) newCapacityUpdate(shardName string, now time.Time) capacityUpdate {
 	update := capacityUpdate{
 		free:          a.offeredCapacity(shardName, now),
 		quotaUse:      a.QuotaUseOf(shardName),
@@ -70,10 +70,10 @@
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
 		use := update.quotaUse[team.Name]
-		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.Others, held.Held, use) {
+		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
 			continue
 		}
-		if share, ok := sched.QuotaShare(QuotaLimitOf(team), held.Others, use); ok {
+		if share, ok := sched.QuotaShare(QuotaLimitOf(team), held.HeldByOthers, use); ok {
 			update.reducedShares[team.Name] = share
 		}
 	}
@@ -82,7 +82,7 @@
 
 // isUpToDate reports whether a shard's capacity record already contains all that an update would
 // write.
-func (a *Accounts) isUpToDate(update capacityUpdate, record *shard.CapacityRecord, inForce *leadership.Leadership, now time.Time) bool {
+func (a *Accounting) isUpToDate(update capacityUpdate, record *shard.CapacityRecord, inForce *leadership.Leadership, now time.Time) bool {
 	free := update.free
 	if len(record.Free) < len(free) { // compare with what would be recorded
 		free = maps.Clone(free)
@@ -96,7 +96,7 @@
 
 // updateTransaction returns a transaction that writes a shard's capacity record and as many of the
 // reduced quota shares as its operation limit allows.
-func (a *Accounts) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
+func (a *Accounting) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
 	for team := range update.reducedShares {
 		if len(update.reducedShares) < a.schema.TransactionLimits().TxnOps {
 			break
@@ -112,7 +112,7 @@
 
 // offeredCapacity returns the free capacity of the machines of a shard that this controller leads,
 // rounded as in its capacity record.
-func (a *Accounts) offeredCapacity(shardName string, now time.Time) shard.FreeCapacity {
+func (a *Accounting) offeredCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
 	for host, amount := range a.freeCapacity.freeInShard(shardName, now) {
 		free[host] = amount.Rounded()
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -97,15 +97,15 @@
 	c := newTestCatalog(t)
 	now := time.Unix(1_800_000_000, 0)
 	for _, spot := range []bool{false, true} {
-		if c.CloudRefuses("y", now) {
+		if c.AllOffersRefused("y", now) {
 			t.Errorf("zone y counts as refused although one of its offers was not refused")
 		}
 		c.BackOff(&sched.Offer{MachineType: "large", Zone: "y", Spot: spot}, now)
 	}
-	if !c.CloudRefuses("y", now) || c.CloudRefuses("x", now) {
-		t.Errorf("refused: zone x %t, zone y %t, want false and true", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
+	if !c.AllOffersRefused("y", now) || c.AllOffersRefused("x", now) {
+		t.Errorf("refused: zone x %t, zone y %t, want false and true", c.AllOffersRefused("x", now), c.AllOffersRefused("y", now))
 	}
-	if New(c.node).CloudRefuses("y", now) {
+	if New(c.node).AllOffersRefused("y", now) {
 		t.Error("zone y counts as refused before the machine types are read")
 	}
 }
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -65,12 +65,12 @@
 // one back.
 func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, offerKeyOf(offer)) }
 
-// CloudRefuses reports whether the cloud recently refused every offer of a zone. It is false before
+// AllOffersRefused reports whether the cloud recently refused every offer of a zone. It is false before
 // the machine types are read.
-func (c *Catalog) CloudRefuses(zone string, now time.Time) bool {
+func (c *Catalog) AllOffersRefused(zone string, now time.Time) bool {
 	available := false
 	for _, offer := range c.AvailableOffers(now) {
 		available = available || offer.Zone == zone
 	}
-	return c.IsKnown() && !available
+	return c.IsLoaded() && !available
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -107,7 +107,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			scripted := &scriptedCloud{script: test.script}
 			l := newLoop(t, scripted)
-			renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
+			renting := autoscaler.RentingShard{Shard: "n0", Term: 7, DecidedAt: l.node.Now()}
 			got := l.rentMachines(t.Context(), sched.RentalOrder{Offer: offer, Count: test.count}, renting)
 			if got != test.want {
 				t.Errorf("outcome %d, want %d", got, test.want)
@@ -135,7 +135,7 @@
 func TestRentalWithUnknownOutcomeIsRepeated(t *testing.T) {
 	scripted := &scriptedCloud{script: []rentalResponse{{err: cloud.ErrUnavailable}, {err: cloud.ErrUnavailable}, {hosts: 4}}}
 	l := newLoop(t, scripted)
-	renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
+	renting := autoscaler.RentingShard{Shard: "n0", Term: 7, DecidedAt: l.node.Now()}
 	order := sched.RentalOrder{Offer: sched.Offer{MachineType: "m", Zone: "x"}, Count: 4}
 	for i, want := range []rentalOutcome{rentalOutcomeUnknown, rentalOutcomeUnknown, rentalFulfilled} {
 		if got := l.rentMachines(t.Context(), order, renting); got != want {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -18,7 +18,7 @@
 // ChangesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
 // arrived lately, otherwise none.
 func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
-	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
+	if s.accounts.Arrivals().ArrivedSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
 	return 0
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -167,7 +167,7 @@
 func (g *gangSearch) sourceWhenShort(request *sched.TaskRequest) capacitySource {
 	s := g.planner.scheduler
 	size := len(g.job.tasks)
-	if sched.CountFits(s.freeCapacity.WithPreemptibleRoom(g.planner.hosts, g.job.entry.priority), request, size) >= size {
+	if sched.CountFits(s.freeCapacity.WithPreemptibleCapacity(g.planner.hosts, g.job.entry.priority), request, size) >= size {
 		return capacityByPreemption
 	}
 	for _, offer := range s.catalog.AvailableOffers(g.planner.now) {
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -64,7 +64,7 @@
 		observations[zone] = map[string]zonehealth.Observation{}
 		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
-				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.CloudRefuses(zone, now)}
+				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.AllOffersRefused(zone, now)}
 			}
 		}
 	}
