--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -1,17 +1,17 @@
 package api
 
-// Command is one command to a worker.
+// Command tells a worker to launch, stop or clear one task.
 type Command struct {
 	Action  CommandAction `json:"verb"`
-	Task    string        `json:"piece"` // its name, see TaskName
+	Task    string        `json:"piece"` // name of the task, see TaskName
 	Attempt uint64        `json:"try"`
-	GraceS  *float64      `json:"leewayS,omitempty"` // of a stop, in seconds
+	GraceS  *float64      `json:"leewayS,omitempty"` // stop command: seconds that the task has to save its progress; nil: none
 }
 
-// CommandBatch is what a worker is told: in the answer to a heartbeat, or directly at /commands,
-// then with the agent epoch that it is meant for.
+// CommandBatch is a list of commands for one worker. It is sent in the response to a heartbeat, or
+// directly to /commands and then with the agent epoch for which it is meant.
 type CommandBatch struct {
-	Token      uint64    `json:"baton"` // the leader's fencing token
+	Token      uint64    `json:"baton"` // fencing token of the shard's leader
 	AgentEpoch uint64    `json:"tenure,omitempty"`
 	Commands   []Command `json:"orders"`
 }
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,11 +1,11 @@
-// Package api holds the JSON messages of PROTOCOL: what users submit and are told, what workers
-// report and are commanded. The wire's words stand in the struct tags and in the values of the
-// enumerations; the names in the code are the field's terms.
+// Package api defines the JSON messages of PROTOCOL: the submissions of users and the responses to
+// them, and the heartbeats of workers and the commands to them. Struct tags and the values of the
+// enumerations contain the words of the protocol; identifiers in the code use the usual terms of
+// cluster scheduling.
 //
-// The parsers are strict about what they take: in a submission a field that is missing, of a
-// wrong type or out of range is an error, while unknown fields are not, since the other side may
-// be newer. An error of a parser is a RequestError, which carries the status that the sender is
-// answered with.
+// The parsers are strict: a field of a submission that is missing, has the wrong type or is out of
+// range is an error. Unknown fields are ignored, because the sender may run a newer version. Each
+// parser error is a RequestError, which contains the HTTP status of the response.
 //
-// The package has no state: everything may be used from any goroutine.
+// The package has no state, so everything in it may be used from any goroutine.
 package api
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Statuses that a request which can't be served as it is leads to.
+// HTTP statuses of responses to requests that are rejected.
 const (
-	StatusBadRequest    = 400 // malformed; not worth repeating
-	StatusNotFound      = 404 // the job was never accepted
-	StatusNotAllowed    = 405 // another method than the path takes
-	StatusUnprocessable = 422 // understood, but can never be served
+	StatusBadRequest    = 400 // malformed; repeating the request does not help
+	StatusNotFound      = 404 // no such path, or the job was never accepted
+	StatusNotAllowed    = 405 // the path does not support the method
+	StatusUnprocessable = 422 // well-formed, but can never be served
 )
 
-// RequestError is a request that can't be served as it is: whoever sent it is answered with the
+// RequestError is the reason why a request was rejected. The response to the sender contains the
 // status and the reason.
 type RequestError struct {
 	Status int
@@ -20,7 +20,7 @@
 // Error implements error.
 func (e *RequestError) Error() string { return e.Reason }
 
-// Refuse returns the RequestError of a status with a formatted reason.
+// Refuse returns a RequestError with a status and a formatted reason.
 func Refuse(status int, reason string, args ...any) *RequestError {
 	return &RequestError{Status: status, Reason: fmt.Sprintf(reason, args...)}
 }
--- a/internal/api/fields.go
+++ b/internal/api/fields.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// fieldReader reads the fields of a JSON object one by one, and keeps the first error. Names of
-// fields have to match in case.
+// fieldReader reads the fields of a JSON object one by one and records the first error. Field names
+// are case-sensitive.
 type fieldReader struct {
 	values map[string]json.RawMessage
 	err    *RequestError
 }
 
-// newFieldReader returns a reader of the object in body; ok reports whether it is one.
+// newFieldReader returns a reader for the JSON object in body. ok is false if body is not an object.
 func newFieldReader(body []byte) (r *fieldReader, ok bool) {
 	r = &fieldReader{}
 	if err := json.Unmarshal(body, &r.values); err != nil || r.values == nil {
@@ -21,29 +21,30 @@
 	return r, true
 }
 
-// fail keeps an error of a field unless there is an earlier one.
-func (r *fieldReader) fail(name, reason string) {
+// setError records an error of a field, unless an earlier error is recorded.
+func (r *fieldReader) setError(name, reason string) {
 	if r.err == nil {
 		r.err = Refuse(StatusBadRequest, "%s: %s", name, reason)
 	}
 }
 
-// check fails the field unless it is ok.
-func (r *fieldReader) check(name string, ok bool) {
-	if !ok {
-		r.fail(name, "invalid")
+// requireValid records an error of the field unless its value is valid.
+func (r *fieldReader) requireValid(name string, valid bool) {
+	if !valid {
+		r.setError(name, "invalid")
 	}
 }
 
-// read reads a field that has to be there and not null.
-func (r *fieldReader) read(name string, to any) {
-	if !r.readNullable(name, to) {
-		r.fail(name, "missing")
+// read decodes a field that must be present and not null.
+func (r *fieldReader) read(name string, target any) {
+	if !r.readNullable(name, target) {
+		r.setError(name, "missing")
 	}
 }
 
-// readNullable reads a field that may be missing or null; it reports whether it is there.
-func (r *fieldReader) readNullable(name string, to any) bool {
+// readNullable decodes a field that may be missing or null. It reports whether the field is present
+// and not null; after an earlier error it returns true without reading.
+func (r *fieldReader) readNullable(name string, target any) bool {
 	if r.err != nil {
 		return true
 	}
@@ -51,27 +52,27 @@
 	if !ok || string(raw) == "null" {
 		return false
 	}
-	if err := json.Unmarshal(raw, to); err != nil {
-		r.fail(name, "wrong type")
+	if err := json.Unmarshal(raw, target); err != nil {
+		r.setError(name, "wrong type")
 	}
 	return true
 }
 
-// text reads a text that is not empty.
-func (r *fieldReader) text(name string, to *string) {
-	r.read(name, to)
-	r.check(name, *to != "")
+// readText reads a string that must not be empty.
+func (r *fieldReader) readText(name string, target *string) {
+	r.read(name, target)
+	r.requireValid(name, *target != "")
 }
 
-// amount reads a number of at least zero.
-func (r *fieldReader) amount(name string, to *float64) {
-	r.read(name, to)
-	r.check(name, *to >= 0 && !math.IsInf(*to, 0))
+// readAmount reads a finite number that must not be negative.
+func (r *fieldReader) readAmount(name string, target *float64) {
+	r.read(name, target)
+	r.requireValid(name, *target >= 0 && !math.IsInf(*target, 0))
 }
 
-// texts reads a list of texts that may be missing or null, which is nil.
-func (r *fieldReader) texts(name string) []string {
-	var list []*string // so that null within the list is noticed
+// readTexts reads a list of strings. It returns nil if the list is missing or null.
+func (r *fieldReader) readTexts(name string) []string {
+	var list []*string // pointers, to detect null elements
 	r.readNullable(name, &list)
 	if list == nil {
 		return nil
@@ -79,7 +80,7 @@
 	texts := []string{}
 	for _, text := range list {
 		if text == nil {
-			r.fail(name, "invalid")
+			r.setError(name, "invalid")
 			break
 		}
 		texts = append(texts, *text)
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -76,7 +76,7 @@
 			}
 			return
 		}
-		if h.Host == "" || h.AgentEpoch == 0 || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, notInHost) {
+		if h.Host == "" || h.AgentEpoch == 0 || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, forbiddenHostCharacters) {
 			t.Fatalf("host %q, epoch %d", h.Host, h.AgentEpoch)
 		}
 		again, err := ParseHeartbeat(JSON(h))
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -5,47 +5,48 @@
 	"strings"
 )
 
-// TaskState is one task in a heartbeat.
+// TaskState is the state of one task in a heartbeat.
 type TaskState struct {
-	Task    string    `json:"piece"` // its name, see TaskName
+	Task    string    `json:"piece"` // name of the task, see TaskName
 	Attempt uint64    `json:"try"`
 	Phase   TaskPhase `json:"phase"`
-	Cause   ExitCause `json:"cause"` // "" before the end
-	Saved   bool      `json:"saved"` // its progress was saved when it was stopped
+	Cause   ExitCause `json:"cause"` // "" until the task has ended
+	Saved   bool      `json:"saved"` // whether the progress was saved when the task was stopped
 }
 
-// Heartbeat is a worker's heartbeat.
+// Heartbeat is the message with which a worker regularly reports its state to the leader of its shard.
 type Heartbeat struct {
 	Host        string      `json:"host"`
-	Addr        string      `json:"addr"` // host:port for direct commands
+	Addr        string      `json:"addr"` // host:port that accepts direct commands
 	MachineType string      `json:"build"`
 	Zone        string      `json:"site"`
 	Spot        bool        `json:"loaners"`
-	AgentEpoch  uint64      `json:"tenure"`  // from 1, one more each time the worker's lease expires
-	Sequence    uint64      `json:"tick"`    // one more with every message of the worker
-	Token       uint64      `json:"baton"`   // the highest fencing token that the worker has seen
-	SpotNoticeS *float64    `json:"recallS"` // seconds until the cloud takes the machine away; nil: it doesn't
-	Tasks       []TaskState `json:"pieces"`  // all on the machine, ended ones until they are cleared
+	AgentEpoch  uint64      `json:"tenure"`  // starts at 1, increases each time the worker's lease expires
+	Sequence    uint64      `json:"tick"`    // increases with each message of the worker
+	Token       uint64      `json:"baton"`   // highest fencing token that the worker has received
+	SpotNoticeS *float64    `json:"recallS"` // seconds until the cloud reclaims the spot machine; nil: no notice
+	Tasks       []TaskState `json:"pieces"`  // all tasks on the machine; ended tasks until they are cleared
 }
 
-// Newer reports whether the heartbeat was made after the one of an agent epoch and sequence.
+// Newer reports whether the worker made the heartbeat after the one with the given agent epoch and
+// sequence number.
 func (h *Heartbeat) Newer(agentEpoch, sequence uint64) bool {
 	return h.AgentEpoch > agentEpoch || h.AgentEpoch == agentEpoch && h.Sequence > sequence
 }
 
 const (
 	maxHostLength = 100
-	// notInHost are the characters that a machine's name can't have: names stand in keys and paths.
-	notInHost = " /?&#%"
+	// forbiddenHostCharacters may not occur in a machine's name, because names are part of keys and paths.
+	forbiddenHostCharacters = " /?&#%"
 )
 
-// ParseHeartbeat reads a heartbeat. Its error is a RequestError with StatusBadRequest.
+// ParseHeartbeat parses a heartbeat. Its error is a RequestError with StatusBadRequest.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var h Heartbeat
 	if err := json.Unmarshal(body, &h); err != nil {
 		return nil, Refuse(StatusBadRequest, "%v", err)
 	}
-	if h.AgentEpoch == 0 || h.Host == "" || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, notInHost) {
+	if h.AgentEpoch == 0 || h.Host == "" || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, forbiddenHostCharacters) {
 		return nil, Refuse(StatusBadRequest, "host or tenure missing")
 	}
 	return &h, nil
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -8,31 +8,31 @@
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
 
-// Job is a submission. Its JSON names are also those of the job's record.
+// Job is a job as submitted by a user. The job's record in the state service has the same JSON names.
 type Job struct {
 	UID          string   `json:"uid"`
-	Class        string   `json:"lane"` // the class of jobs that objectives are set for
+	Class        string   `json:"lane"` // job class, the unit for which objectives are configured
 	Team         string   `json:"owner"`
 	Kind         JobKind  `json:"shape"`
 	Priority     Priority `json:"rank"`
-	Tasks        int      `json:"pieces"`              // number of them
-	CPUs         float64  `json:"cpus"`                // of one task
-	GPUs         float64  `json:"gpus"`                // of one task
-	MemGB        float64  `json:"memGb"`               // of one task
-	Image        string   `json:"bundle"`              // that a machine must have
-	ImageGB      float64  `json:"sizeGb"`              // its size
-	MachineTypes []string `json:"builds"`              // those allowed; nil: any
-	Zone         string   `json:"site,omitempty"`      // the one allowed; "": any
-	Together     bool     `json:"together,omitempty"`  // all tasks in the same zone
-	Spread       bool     `json:"scatter,omitempty"`   // at most half of the tasks in one zone
-	Spot         bool     `json:"loaners,omitempty"`   // spot machines are allowed
-	EstimateS    float64  `json:"guessS,omitempty"`    // the user's estimate of a task's run time; 0 for services
-	CheckpointS  float64  `json:"bookmarkS,omitempty"` // between two checkpoints; 0: the task never saves
-	SaveS        float64  `json:"stowS,omitempty"`     // that a task needs to save when it is stopped
-	DeadlineS    *float64 `json:"dueS,omitempty"`      // from the submission; nil: none
+	Tasks        int      `json:"pieces"`              // number of tasks
+	CPUs         float64  `json:"cpus"`                // per task
+	GPUs         float64  `json:"gpus"`                // per task
+	MemGB        float64  `json:"memGb"`               // per task
+	Image        string   `json:"bundle"`              // name of the image, which a machine fetches before a task runs
+	ImageGB      float64  `json:"sizeGb"`              // size of the image
+	MachineTypes []string `json:"builds"`              // allowed machine types; nil: any
+	Zone         string   `json:"site,omitempty"`      // allowed zone; "": any
+	Together     bool     `json:"together,omitempty"`  // all tasks must run in the same zone
+	Spread       bool     `json:"scatter,omitempty"`   // at most half of the tasks may run in one zone
+	Spot         bool     `json:"loaners,omitempty"`   // whether spot machines are allowed
+	EstimateS    float64  `json:"guessS,omitempty"`    // user's estimate of a task's run time; 0 for services
+	CheckpointS  float64  `json:"bookmarkS,omitempty"` // time between two checkpoints; 0: the task never saves
+	SaveS        float64  `json:"stowS,omitempty"`     // time that a task needs to save when it is stopped
+	DeadlineS    *float64 `json:"dueS,omitempty"`      // deadline, counted from the submission; nil: none
 }
 
-// State is what users are told of a job. Done and Running count tasks.
+// State is the state of a job as reported to users. Done and Running are numbers of tasks.
 type State struct {
 	UID     string   `json:"uid"`
 	Phase   JobPhase `json:"phase"`
@@ -40,7 +40,7 @@
 	Running int      `json:"running"`
 }
 
-// ParseJob reads a submission. Its error is a RequestError with StatusBadRequest.
+// ParseJob parses a submission. Its error is a RequestError with StatusBadRequest.
 func ParseJob(body []byte) (*Job, error) {
 	r, ok := newFieldReader(body)
 	if !ok {
@@ -57,61 +57,61 @@
 	return j, nil
 }
 
-// readIdentity reads what a job is.
+// readIdentity reads the ID, owner, kind, priority and number of tasks of a job.
 func (r *fieldReader) readIdentity(j *Job) {
-	r.text("uid", &j.UID)
-	r.check("uid", ValidUID(j.UID))
-	r.text("lane", &j.Class)
-	r.text("owner", &j.Team)
+	r.readText("uid", &j.UID)
+	r.requireValid("uid", ValidUID(j.UID))
+	r.readText("lane", &j.Class)
+	r.readText("owner", &j.Team)
 	r.read("shape", &j.Kind)
-	r.check("shape", j.Kind.Known())
+	r.requireValid("shape", j.Kind.Known())
 	r.read("rank", &j.Priority)
-	r.check("rank", j.Priority.Known())
+	r.requireValid("rank", j.Priority.Known())
 	r.read("pieces", &j.Tasks)
-	r.check("pieces", j.Tasks >= 1 && j.Tasks <= MaxTasks)
+	r.requireValid("pieces", j.Tasks >= 1 && j.Tasks <= MaxTasks)
 }
 
-// readResources reads what each task of a job needs.
+// readResources reads the resources and the image that each task of a job needs.
 func (r *fieldReader) readResources(j *Job) {
-	r.amount("cpus", &j.CPUs)
-	r.amount("gpus", &j.GPUs)
-	r.amount("memGb", &j.MemGB)
-	r.text("bundle", &j.Image)
-	r.amount("sizeGb", &j.ImageGB)
+	r.readAmount("cpus", &j.CPUs)
+	r.readAmount("gpus", &j.GPUs)
+	r.readAmount("memGb", &j.MemGB)
+	r.readText("bundle", &j.Image)
+	r.readAmount("sizeGb", &j.ImageGB)
 }
 
-// readPlacement reads where the tasks of a job may run.
+// readPlacement reads the constraints on where the tasks of a job may run.
 func (r *fieldReader) readPlacement(j *Job) {
-	j.MachineTypes = r.texts("builds")
+	j.MachineTypes = r.readTexts("builds")
 	var zone *string
 	r.readNullable("site", &zone)
 	if zone != nil {
 		j.Zone = *zone
-		r.check("site", j.Zone != "")
+		r.requireValid("site", j.Zone != "")
 	}
 	r.read("together", &j.Together)
 	r.read("scatter", &j.Spread)
 	r.read("loaners", &j.Spot)
 }
 
-// readTimes reads the times of a job, in seconds.
+// readTimes reads the durations of a job, in seconds.
 func (r *fieldReader) readTimes(j *Job) {
-	r.amount("guessS", &j.EstimateS)
-	r.amount("bookmarkS", &j.CheckpointS)
-	r.amount("stowS", &j.SaveS)
+	r.readAmount("guessS", &j.EstimateS)
+	r.readAmount("bookmarkS", &j.CheckpointS)
+	r.readAmount("stowS", &j.SaveS)
 	r.readNullable("dueS", &j.DeadlineS)
 	if j.DeadlineS != nil {
-		r.check("dueS", *j.DeadlineS >= 0)
+		r.requireValid("dueS", *j.DeadlineS >= 0)
 	}
 }
 
-// Bounds of a job's ID: its prefix and the number of digits after it.
+// Format of a job ID: a prefix followed by a limited number of digits.
 const (
 	uidPrefix    = "run-"
 	maxUIDDigits = 20
 )
 
-// ValidUID reports whether a job ID has the form of PROTOCOL.
+// ValidUID reports whether a job ID has the format that PROTOCOL specifies.
 func ValidUID(s string) bool {
 	digits, ok := strings.CutPrefix(s, uidPrefix)
 	if !ok || digits == "" || len(digits) > maxUIDDigits {
@@ -125,22 +125,22 @@
 	return true
 }
 
-// UIDOf reads only the ID of a submission and reports whether it has a valid one. A known ID is
-// answered with its state before the rest is judged.
+// UIDOf reads only the job ID of a submission and reports whether it is valid. A repeated submission
+// of an accepted job is answered with the job's state even if its other fields are invalid.
 func UIDOf(body []byte) (string, bool) {
-	var fields map[string]json.RawMessage
+	var values map[string]json.RawMessage
 	var uid string
-	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["uid"], &uid) != nil {
+	if json.Unmarshal(body, &values) != nil || json.Unmarshal(values["uid"], &uid) != nil {
 		return "", false
 	}
 	return uid, ValidUID(uid)
 }
 
-// KindOf reads only the kind of a submission; it returns "" if that can't be read.
+// KindOf reads only the job kind of a submission. It returns "" if the kind cannot be read.
 func KindOf(body []byte) JobKind {
-	var m struct {
+	var submission struct {
 		Kind JobKind `json:"shape"`
 	}
-	_ = json.Unmarshal(body, &m) // what can't be read has no kind
-	return m.Kind
+	_ = json.Unmarshal(body, &submission) // the kind stays empty if the body is malformed
+	return submission.Kind
 }
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// JSON encodes a value that is known to encode.
+// JSON encodes a value of a type that can always be encoded. It panics if encoding fails.
 func JSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("api: %v", err)) // no type of ours can fail to encode
+		panic(fmt.Sprintf("api: %v", err)) // a programming error: all types passed to JSON can be encoded
 	}
 	return b
 }
--- a/internal/api/words.go
+++ b/internal/api/words.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// JobKind is a kind of job. Its value is the wire's word.
+// JobKind is a kind of job. Its value is the word that the protocol uses.
 type JobKind string
 
 // Kinds of jobs.
 const (
-	Array   JobKind = "sweep"    // tasks that run and complete independently
-	Service JobKind = "daemon"   // tasks that run until the job is cancelled
-	Gang    JobKind = "ensemble" // all tasks at the same time or none
+	Array   JobKind = "sweep"    // the tasks run and complete independently
+	Service JobKind = "daemon"   // the tasks run until the job is cancelled
+	Gang    JobKind = "ensemble" // either all tasks run at the same time or none
 )
 
-// Known reports whether there is such a kind.
+// Known reports whether the kind is one of the constants above.
 func (k JobKind) Known() bool { return k == Array || k == Service || k == Gang }
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (k JobKind) String() string { return string(k) }
 
-// JobPhase is a phase of a job, as users are told it. Its value is the wire's word.
+// JobPhase is a phase of a job as reported to users. Its value is the word that the protocol uses.
 type JobPhase string
 
 // Phases of jobs.
 const (
-	JobPending   JobPhase = "pending"   // no task runs
-	JobRunning   JobPhase = "running"   // some do
-	JobDone      JobPhase = "done"      // all tasks are done; final
+	JobPending   JobPhase = "pending"   // no task is placed on a machine
+	JobRunning   JobPhase = "running"   // some tasks are placed on machines
+	JobDone      JobPhase = "done"      // all tasks have completed; final
 	JobCancelled JobPhase = "withdrawn" // final
 )
 
-// Final reports whether a job stays in the phase for ever.
+// Final reports whether the phase of a job never changes again.
 func (p JobPhase) Final() bool { return p == JobDone || p == JobCancelled }
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (p JobPhase) String() string { return string(p) }
 
-// Priority is the priority of a job. Its value is the wire's word.
+// Priority is the priority of a job. Its value is the word that the protocol uses.
 type Priority string
 
 // Priorities of jobs.
@@ -46,33 +46,33 @@
 	Idle       Priority = "idle"
 )
 
-// priorities are all of them, from the most important one.
+// priorities lists all priorities, the most important first.
 var priorities = []Priority{Production, Urgent, Standard, Idle}
 
-// Known reports whether there is such a priority.
+// Known reports whether the priority is one of the constants above.
 func (p Priority) Known() bool { return slices.Contains(priorities, p) }
 
-// Level returns the place of a priority in their order: 0 is the most important. A word that is
-// no priority has the level 0; ParseJob takes none.
+// Level returns the position of a priority in the order of importance; 0 is the most important.
+// The level of an unknown priority is 0, but ParseJob rejects unknown priorities.
 func (p Priority) Level() int { return max(0, slices.Index(priorities, p)) }
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (p Priority) String() string { return string(p) }
 
-// TaskPhase is a phase of a task on its machine. Its value is the wire's word.
+// TaskPhase is a phase of a task on its machine. Its value is the word that the protocol uses.
 type TaskPhase string
 
 // Phases of tasks in heartbeats.
 const (
-	TaskFetching  TaskPhase = "pulling"   // waits for its image
-	TaskGathering TaskPhase = "gathering" // of a gang: waits for the other tasks of its attempt
+	TaskFetching  TaskPhase = "pulling"   // waits until its image is fetched
+	TaskGathering TaskPhase = "gathering" // task of a gang: waits for the other tasks of its attempt
 	TaskRunning   TaskPhase = "running"
-	TaskSaving    TaskPhase = "saving" // was told to stop and saves
-	TaskEnded     TaskPhase = "ended"  // see its cause
+	TaskSaving    TaskPhase = "saving" // received a stop command and saves its progress
+	TaskEnded     TaskPhase = "ended"  // the exit cause states why
 )
 
-// Known reports whether PROTOCOL, as this version knows it, has such a phase. One that it does
-// not have is read as a task that runs.
+// Known reports whether this version supports the phase. A task in an unknown phase is treated as
+// running.
 func (p TaskPhase) Known() bool {
 	switch p {
 	case TaskFetching, TaskGathering, TaskRunning, TaskSaving, TaskEnded:
@@ -81,26 +81,26 @@
 	return false
 }
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (p TaskPhase) String() string { return string(p) }
 
-// ExitCause is the cause of a task's end. Its value is the wire's word.
+// ExitCause is the reason why a task ended. Its value is the word that the protocol uses.
 type ExitCause string
 
-// Causes of a task's end.
+// Causes of the end of a task.
 const (
 	CauseDone           ExitCause = "done"       // completed
-	CauseStopped        ExitCause = "stopped"    // by command
-	CauseError          ExitCause = "error"      // failed
-	CauseNoRoom         ExitCause = "no_room"    // start refused: not enough free resources
+	CauseStopped        ExitCause = "stopped"    // stopped by a command
+	CauseError          ExitCause = "error"      // the task failed
+	CauseNoRoom         ExitCause = "no_room"    // start refused: the machine lacks free resources
 	CauseBusy           ExitCause = "busy"       // start refused: the machine has another attempt of the task
 	CauseUnknown        ExitCause = "unknown"    // start refused: no such job or task
-	CausePeerLost       ExitCause = "mates_gone" // of a gang: another task of it has ended
-	CauseGangIncomplete ExitCause = "alone"      // of a gang: it was not complete in time
+	CausePeerLost       ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
+	CauseGangIncomplete ExitCause = "alone"      // task of a gang: not all tasks of the gang were ready in time
 )
 
-// Known reports whether PROTOCOL, as this version knows it, has such a cause. One that it does
-// not have is read as an end without success that is nobody's fault.
+// Known reports whether this version supports the cause. An unknown cause is treated as an end
+// without success that does not count as a failure of the task or of its machine.
 func (c ExitCause) Known() bool {
 	switch c {
 	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
@@ -109,18 +109,19 @@
 	return false
 }
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (c ExitCause) String() string { return string(c) }
 
-// CommandAction is what a command tells a worker to do. Its value is the wire's word.
+// CommandAction is the action that a worker has to execute. Its value is the word that the protocol
+// uses.
 type CommandAction string
 
 // Actions of commands to workers.
 const (
 	Launch CommandAction = "launch" // start a task
-	Stop   CommandAction = "halt"   // stop a task, which saves its progress within the grace
-	Clear  CommandAction = "clear"  // remove an ended task
+	Stop   CommandAction = "halt"   // stop a task, which may save its progress within the grace period
+	Clear  CommandAction = "clear"  // remove an ended task from the worker's list
 )
 
-// String returns the wire's word.
+// String returns the word that the protocol uses.
 func (a CommandAction) String() string { return string(a) }
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -10,16 +10,18 @@
 	"violetturn/internal/transport"
 )
 
-// maxCancelTries is how often a cancellation is tried that loses against other writes of the job.
-const maxCancelTries = 4
+// maxCancelAttempts bounds the attempts of a cancellation that conflicts with other writes to the
+// job's record.
+const maxCancelAttempts = 4
 
-// cancel commits a cancellation and then confirms it. Any node can do it: a start
-// is committed under a precondition on the same record.
+// cancel commits a cancellation and then confirms it. Any node can do this, because the start of a
+// task is committed with a precondition on the same record: a start that has not taken the
+// cancellation into account conflicts.
 func (f *Frontend) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return errorResponse(errUnknownJob)
 	}
-	for range maxCancelTries {
+	for range maxCancelAttempts {
 		if response, settled := f.tryCancel(ctx, uid); settled {
 			return response
 		}
@@ -27,65 +29,65 @@
 	return respond.Busy
 }
 
-// tryCancel reads a job's state and tries to cancel it once. It reports false if the job has to be
-// looked at again.
+// tryCancel reads a job's state and makes one attempt to cancel the job. settled is false if another
+// attempt is needed.
 func (f *Frontend) tryCancel(ctx context.Context, uid string) (response transport.Response, settled bool) {
-	s, err := f.jobState(ctx, uid)
+	current, err := f.jobState(ctx, uid)
 	if err != nil {
 		return errorResponse(err), true
 	}
-	if s.Phase.Final() {
-		return phaseResponse(statusOK, uid, s.Phase), true
+	if current.Phase.Final() {
+		return phaseResponse(statusOK, uid, current.Phase), true
 	}
-	t, mustSplit := f.planCancellation(uid)
+	txn, mustSplit := f.planCancellation(uid)
 	switch {
 	case mustSplit:
 		f.wake.Notify()
 		return respond.Busy, true
-	case t == nil:
+	case txn == nil:
 		return transport.Response{}, false
 	}
-	return f.commitCancellation(ctx, uid, t)
+	return f.commitCancellation(ctx, uid, txn)
 }
 
-// planCancellation returns the transaction that cancels a job; nil if the job is not live or is
-// cancelled already, or if its record must be split before it can grow.
-func (f *Frontend) planCancellation(uid string) (t *statecache.Transaction, mustSplit bool) {
+// planCancellation returns the transaction that cancels a job. It returns nil if the job is finished,
+// unknown or already cancelled. It also returns nil, and mustSplit is true, if the job's record must
+// be split before it can grow.
+func (f *Frontend) planCancellation(uid string) (txn *statecache.Transaction, mustSplit bool) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	j := state.Cache.Jobs[uid]
-	if j == nil || j.Record.Cancelled {
+	cachedJob := state.Cache.Jobs[uid]
+	if cachedJob == nil || cachedJob.Record.Cancelled {
 		return nil, false
 	}
 	key := statecache.JobKey(uid)
-	t = statecache.NewTransaction()
-	t.Require(key, j.Version)
-	record := j.Record.Copy()
+	txn = statecache.NewTransaction()
+	txn.Require(key, cachedJob.Version)
+	record := cachedJob.Record.Copy()
 	record.Cancelled = true
-	t.Put(key, record)
-	if t.Size(key) > state.Schema.MaxRecordBytes() {
-		state.Schema.RequestSplit(j)
+	txn.Put(key, record)
+	if txn.Size(key) > state.Schema.MaxRecordBytes() {
+		state.Schema.RequestSplit(cachedJob)
 		return nil, true
 	}
-	return t, false
+	return txn, false
 }
 
-// commitCancellation commits a cancellation. It reports false if the job has to be looked at
-// again.
+// commitCancellation commits a cancellation. settled is false if another attempt is needed.
 func (f *Frontend) commitCancellation(
-	ctx context.Context, uid string, t *statecache.Transaction,
+	ctx context.Context, uid string, txn *statecache.Transaction,
 ) (response transport.Response, settled bool) {
-	done, _, err := f.sync.Commit(ctx, "cancelled", t, store.PriorityDecision)
+	committed, _, err := f.sync.Commit(ctx, "cancelled", txn, store.PriorityDecision)
 	if err != nil {
 		return respond.Busy, true
 	}
-	if !done {
+	if !committed {
 		return transport.Response{}, false
 	}
 	f.node.Log.Info("job cancelled", "job", uid)
 	f.wake.Notify()
 	if f.node.Settings.ConfirmsCancelWhenEmpty() {
-		return transport.Response{}, false // its tasks may be on machines still: the state tells
+		return transport.Response{}, false // confirmed once the state shows that no task is left on a machine
 	}
 	return phaseResponse(statusOK, uid, api.JobCancelled), true
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,5 +1,5 @@
-// Package frontend answers users, workers and peers: it routes requests, validates and accepts
-// submissions in batches, cancels, and tells jobs' states. A submission that can't be taken is
-// answered at once, with when to come back. No answer is older than one given before: each is
-// read behind a barrier.
+// Package frontend serves the requests of users, workers and peers: it routes requests, validates
+// submissions and commits them in batches, cancels jobs, and reports the states of jobs. A submission
+// that cannot be accepted now is refused at once, with a Retry-After. A job's state in a response is
+// never older than in an earlier response, because a read barrier precedes each read.
 package frontend
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -9,24 +9,24 @@
 	"violetturn/internal/storesync"
 )
 
-// Frontend answers users, workers and peers. Its methods may be called from any goroutine.
+// Frontend serves the requests of users, workers and peers. Its methods may be called from any goroutine.
 type Frontend struct {
 	node         *node.Info
 	guard        *state.Guard
 	services     *external.Services
 	sync         *storesync.Sync
 	members      *membership.Membership
-	wake         notify.Signal // there is something to decide
-	gangAccepted notify.Signal // a gang has been accepted
+	wake         notify.Signal // triggers a decision step
+	gangAccepted notify.Signal // triggered when a gang has been accepted
 
-	requestSlots chan struct{} // one for each request of a user that is under way, here or for a peer
+	requestSlots chan struct{} // one element for each user request in progress, forwarded ones included
 	submissions  submissionQueue
 }
 
-// maxUserRequests bounds the requests of users that are under way.
+// maxUserRequests bounds the user requests in progress.
 const maxUserRequests = 128
 
-// Deps is what a Frontend rests on.
+// Deps contains the dependencies of a Frontend.
 type Deps struct {
 	Node         *node.Info
 	Guard        *state.Guard
@@ -37,7 +37,7 @@
 	GangAccepted notify.Signal
 }
 
-// New returns a Frontend that nobody has asked yet.
+// New returns a Frontend without requests in progress.
 func New(d Deps) *Frontend {
 	return &Frontend{
 		node: d.Node, guard: d.Guard, services: d.Services, sync: d.Sync, members: d.Members,
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -5,19 +5,19 @@
 	"violetturn/internal/transport"
 )
 
-// Health tells the balancer whether users may be sent to this node.
+// Health answers the load balancer's health check: whether it may send users to this node.
 func (f *Frontend) Health() transport.Response {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	// A node that has just started is not ready before it has read all live records.
-	// One that can't reach the state service stays in: a peer may serve for it,
-	// and in an outage of all, nodes taken out would stay out for long after it,
-	// since the balancer's pauses double.
+	// A node that has just started is not ready until it has loaded all live records. A node that
+	// cannot reach the state service stays in rotation: a peer may serve its users, and in an outage
+	// for all controllers, the nodes removed from rotation would stay removed long after its end,
+	// because the load balancer doubles its retry interval.
 	if !state.Cache.Loaded && state.Reachability.StoreReachable {
 		return respond.Busy
 	}
-	// But one that reaches neither the state service nor any peer is cut off itself: it can say
-	// nothing to its users and lets them go.
+	// A node that reaches neither the state service nor any peer is itself isolated. It cannot serve
+	// its users and reports itself as unhealthy, so that they are sent to other nodes.
 	if state.Reachability.IsolatedFor(f.node.Settings.ControllerLeaseTTL()/2, f.node.Now()) {
 		return respond.Busy
 	}
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -14,66 +14,66 @@
 )
 
 const (
-	// forwardTimeout bounds how long a peer is waited for that serves a user for this node. The
-	// user is answered within timing.UserRequestTimeout either way.
+	// forwardTimeout bounds the wait for a peer to which a user's request is forwarded. It is shorter
+	// than timing.UserRequestTimeout, so that the user gets a response in time in any case.
 	forwardTimeout = timing.UserRequestTimeout * 3 / 4
-	// peerRequestTimeout bounds the work on a user's request that a peer forwarded: less than the
-	// peer waits for.
+	// peerRequestTimeout bounds the work on a user's request that a peer forwarded. It is shorter
+	// than the time for which the peer waits.
 	peerRequestTimeout = timing.UserRequestTimeout / 2
 )
 
-// ServeOrForward answers a user's request here, or lets a peer do it when this node
-// can't reach the state service and the peer can.
-func (f *Frontend) ServeOrForward(ctx context.Context, r *peer.Request) transport.Response {
+// ServeOrForward serves a user's request on this node, or forwards it to a peer if this node cannot
+// reach the state service and the peer can.
+func (f *Frontend) ServeOrForward(ctx context.Context, request *peer.Request) transport.Response {
 	addr := f.members.ForwardingPeer()
 	if addr == "" {
-		return f.ServeLocally(ctx, r)
+		return f.ServeLocally(ctx, request)
 	}
-	// A peer of the version before would refuse a new kind as malformed, and its user would not
-	// come back.
-	if r.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.KindOf(r.GetBody())) {
+	// A peer of the previous version would reject a new job kind as malformed, and the user would
+	// not retry.
+	if request.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.KindOf(request.GetBody())) {
 		return respond.Busy
 	}
-	r.From = f.node.Settings.HostName
-	reply, err := f.services.Peers.Ask(ctx, addr, r, forwardTimeout)
+	request.From = f.node.Settings.HostName
+	reply, err := f.services.Peers.Ask(ctx, addr, request, forwardTimeout)
 	if err != nil || reply.GetStatus() == 0 {
-		return respond.Busy // it may have been carried out: the user asks again
+		return respond.Busy // the peer may have executed the request; the user retries
 	}
 	return transport.Response{Status: int(reply.GetStatus()), Body: reply.GetBody(), RetryAfter: int(reply.GetRetryAfter())}
 }
 
-// ServeLocally answers a user's request here.
-func (f *Frontend) ServeLocally(ctx context.Context, r *peer.Request) transport.Response {
-	switch r.GetKind() {
+// ServeLocally serves a user's request on this node.
+func (f *Frontend) ServeLocally(ctx context.Context, request *peer.Request) transport.Response {
+	switch request.GetKind() {
 	case peer.Request_KIND_SUBMIT:
-		return f.Submit(ctx, r.GetBody())
+		return f.Submit(ctx, request.GetBody())
 	case peer.Request_KIND_QUERY:
-		return f.Query(ctx, r.GetUid())
+		return f.Query(ctx, request.GetUid())
 	case peer.Request_KIND_CANCEL:
-		return f.cancel(ctx, r.GetUid())
-	case peer.Request_KIND_UNSPECIFIED, peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE: // no users' requests
+		return f.cancel(ctx, request.GetUid())
+	case peer.Request_KIND_UNSPECIFIED, peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE: // not user requests
 	}
 	return transport.Response{Status: api.StatusNotFound}
 }
 
-// HandlePeer answers other controllers. It is a transport.Handler of the port for peers. What
-// comes from a peer is never forwarded to another.
-func (f *Frontend) HandlePeer(req *httpwire.Message, later func(transport.Response)) (response transport.Response, answered bool) {
-	var r peer.Request
-	if req.Method != methodPost || req.Target != peer.Path || proto.Unmarshal(req.Body, &r) != nil {
+// HandlePeer serves the requests of other controllers. It is the transport.Handler of the cluster
+// address. A request from a peer is never forwarded to another peer.
+func (f *Frontend) HandlePeer(message *httpwire.Message, send func(transport.Response)) (response transport.Response, answered bool) {
+	var request peer.Request
+	if message.Method != methodPost || message.Target != peer.Path || proto.Unmarshal(message.Body, &request) != nil {
 		return transport.Response{Status: api.StatusBadRequest}, true
 	}
-	if !f.members.ShouldServePeer(&r) {
-		return encodeReply(f.members.PeerStatus(&r)), true
+	if !f.members.ShouldServePeer(&request) {
+		return encodeReply(f.members.PeerStatus(&request)), true
 	}
-	serve := func(ctx context.Context) { later(encodeReply(PeerReply(f.ServeLocally(ctx, &r)))) }
+	serve := func(ctx context.Context) { send(encodeReply(PeerReply(f.ServeLocally(ctx, &request)))) }
 	if !f.startRequest(peerRequestTimeout, serve) {
 		return encodeReply(PeerReply(respond.Busy)), true
 	}
 	return transport.Response{}, false
 }
 
-// encodeReply makes the response that carries a reply to a peer.
+// encodeReply returns the HTTP response that contains a reply to a peer.
 func encodeReply(reply *peer.Reply) transport.Response {
 	body, err := proto.Marshal(reply)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return transport.Response{Status: statusOK, Body: body}
 }
 
-// PeerReply wraps what a user is to be told, by a node that reached the state
-// service.
-func PeerReply(r transport.Response) *peer.Reply {
-	return &peer.Reply{StoreReached: true, Status: uint32(r.Status), Body: r.Body, RetryAfter: uint32(r.RetryAfter)}
+// PeerReply returns the reply to a peer that contains the response for its user. It states that this
+// node reaches the state service.
+func PeerReply(response transport.Response) *peer.Reply {
+	return &peer.Reply{StoreReached: true, Status: uint32(response.Status), Body: response.Body, RetryAfter: uint32(response.RetryAfter)}
 }
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/transport"
 )
 
-// Query tells a user the state of a job.
+// Query returns the response to a user who queries the state of a job.
 func (f *Frontend) Query(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return errorResponse(errUnknownJob)
@@ -20,30 +20,31 @@
 	return stateResponse(f.jobState(ctx, uid))
 }
 
-// jobState returns what is committed of a job, errUnknownJob if it was never accepted. Any other
-// error says nothing of the job. The cache is brought up to date first, so no other node can have
-// told the user something newer before the question was asked.
+// jobState returns the committed state of a job, or errUnknownJob if the job was never accepted. Any
+// other error implies nothing about the job. It refreshes the cache before it reads an unfinished
+// job, so that the state is not older than one that another node reported before the call.
 func (f *Frontend) jobState(ctx context.Context, uid string) (api.State, error) {
 	state := f.guard.Lock()
-	final, ended := state.FinalStates.Get(uid)
+	final, finished := state.FinalStates.Get(uid)
 	f.guard.Unlock()
-	if ended { // whatever else happened since
-		return finalStateOf(uid, final), nil
+	if finished { // a final state never changes, so no read barrier is needed
+		return jobStateOf(uid, final), nil
 	}
 	if err := f.sync.AwaitReadBarrier(ctx); err != nil {
 		return api.State{}, fmt.Errorf("state of job %s: %w", uid, err)
 	}
 	state = f.guard.Lock()
-	if j := state.Cache.Jobs[uid]; j != nil {
-		s := j.UserState(f.node.Settings.ConfirmsCancelWhenEmpty())
+	if cachedJob := state.Cache.Jobs[uid]; cachedJob != nil {
+		current := cachedJob.UserState(f.node.Settings.ConfirmsCancelWhenEmpty())
 		f.guard.Unlock()
-		return s, nil
+		return current, nil
 	}
 	f.guard.Unlock()
 	return f.readFinalState(ctx, uid)
 }
 
-// readFinalState reads from the state service how a job ended that is not remembered any more.
+// readFinalState reads the final state of a job from the state service, for a job whose final state is
+// not cached, and caches it.
 func (f *Frontend) readFinalState(ctx context.Context, uid string) (api.State, error) {
 	item, found, err := f.services.Store.Get(ctx, statecache.FinalStateKey(uid), store.PrioritySubmission)
 	if err != nil {
@@ -59,10 +60,10 @@
 	state := f.guard.Lock()
 	state.FinalStates.Add(uid, final)
 	f.guard.Unlock()
-	return finalStateOf(uid, final), nil
+	return jobStateOf(uid, final), nil
 }
 
-// finalStateOf returns what users are told of a job that has ended.
-func finalStateOf(uid string, final job.FinalState) api.State {
+// jobStateOf returns the state that is reported to users for a job with this final state.
+func jobStateOf(uid string, final job.FinalState) api.State {
 	return api.State{UID: uid, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -8,42 +8,42 @@
 	"violetturn/internal/transport"
 )
 
-// Statuses of requests that were served. Those of refusals are in package api.
+// HTTP statuses of served requests and internal errors. Those of rejected requests are in package api.
 const (
 	statusOK            = 200
 	statusCreated       = 201
 	statusInternalError = 500
 )
 
-// errorBody tells why a request was refused.
+// errorBody is the response body that states why a request was rejected.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// phaseBody confirms an acceptance or a cancellation.
+// phaseBody is the response body that confirms the acceptance or cancellation of a job.
 type phaseBody struct {
 	Phase api.JobPhase `json:"phase"`
 	UID   string       `json:"uid"`
 }
 
-// healthBody tells which node answers.
+// healthBody is the response body of a health check; it names the node.
 type healthBody struct {
 	Node string `json:"node"`
 }
 
-// Refusals whose reasons don't depend on the request.
+// Errors of rejected requests whose reasons do not depend on the request.
 var (
-	errUnknownJob       = api.Refuse(api.StatusNotFound, "no such run")
-	errUnknownPath      = api.Refuse(api.StatusNotFound, "no such path")
-	errMethodNotAllowed = api.Refuse(api.StatusNotAllowed, "method not allowed")
-	errTooLong          = api.Refuse(api.StatusBadRequest, "submission too long")
+	errUnknownJob        = api.Refuse(api.StatusNotFound, "no such run")
+	errUnknownPath       = api.Refuse(api.StatusNotFound, "no such path")
+	errMethodNotAllowed  = api.Refuse(api.StatusNotAllowed, "method not allowed")
+	errSubmissionTooLong = api.Refuse(api.StatusBadRequest, "submission too long")
 )
 
-// errBusy refuses what can't be served now but may be later.
+// errBusy is the error of a request that cannot be served now but may be later.
 var errBusy = errors.New("try again")
 
-// errorResponse answers a request that failed: an api.RequestError with its status and reason,
-// any other error by asking the user to come back.
+// errorResponse returns the response to a failed request: the status and reason of an
+// api.RequestError, or a request to retry later for any other error.
 func errorResponse(err error) transport.Response {
 	var refusal *api.RequestError
 	if errors.As(err, &refusal) {
@@ -52,15 +52,15 @@
 	return respond.Busy
 }
 
-// stateResponse tells the state of a job, or why that can't be.
-func stateResponse(s api.State, err error) transport.Response {
+// stateResponse returns the response with the state of a job, or the response to err if it is not nil.
+func stateResponse(state api.State, err error) transport.Response {
 	if err != nil {
 		return errorResponse(err)
 	}
-	return respond.JSON(statusOK, s)
+	return respond.JSON(statusOK, state)
 }
 
-// phaseResponse confirms that a job is in a phase.
+// phaseResponse returns the response that confirms that a job is in a phase.
 func phaseResponse(status int, uid string, phase api.JobPhase) transport.Response {
 	return respond.JSON(status, phaseBody{Phase: phase, UID: uid})
 }
--- a/internal/frontend/routing.go
+++ b/internal/frontend/routing.go
@@ -18,45 +18,46 @@
 	heartbeatPath  = "/checkin"
 	healthPath     = "/healthz"
 	submissionPath = "/v2/runs"
-	jobPathPrefix  = submissionPath + "/" // + uid: its state
-	cancelSuffix   = "/cancel"            // + that: its cancellation
+	jobPathPrefix  = submissionPath + "/" // followed by a job ID: state of the job
+	cancelSuffix   = "/cancel"            // after the job ID: cancellation of the job
 
 	methodGet  = "GET"
 	methodPost = "POST"
 )
 
-// Handle routes a request of a worker, a user or the balancer. It is a transport.Handler: it runs
-// in the event loop, answers from memory at once, and leaves the rest to a goroutine.
-func (f *Frontend) Handle(req *httpwire.Message, later func(transport.Response)) (response transport.Response, answered bool) {
-	path, _, _ := strings.Cut(req.Target, "?")
+// Handle routes a request of a worker, a user or the load balancer. It is a transport.Handler and
+// runs in the event loop: it responds at once to requests that only need state in memory, and starts
+// a goroutine for each other request.
+func (f *Frontend) Handle(message *httpwire.Message, send func(transport.Response)) (response transport.Response, answered bool) {
+	path, _, _ := strings.Cut(message.Target, "?")
 	switch path {
 	case heartbeatPath:
-		if req.Method != methodPost {
+		if message.Method != methodPost {
 			return errorResponse(errMethodNotAllowed), true
 		}
-		return f.HandleHeartbeat(req), true
+		return f.HandleHeartbeat(message), true
 	case healthPath:
-		if req.Method != methodGet {
+		if message.Method != methodGet {
 			return errorResponse(errMethodNotAllowed), true
 		}
 		return f.Health(), true
 	}
-	method, request := userRequest(path, req.Body)
+	method, request := userRequest(path, message.Body)
 	if request == nil {
 		return errorResponse(errUnknownPath), true
 	}
-	if req.Method != method {
+	if message.Method != method {
 		return errorResponse(errMethodNotAllowed), true
 	}
-	serve := func(ctx context.Context) { later(f.ServeOrForward(ctx, request)) }
+	serve := func(ctx context.Context) { send(f.ServeOrForward(ctx, request)) }
 	if !f.startRequest(timing.UserRequestTimeout, serve) {
 		return respond.Busy, true
 	}
 	return transport.Response{}, false
 }
 
-// userRequest returns what a user asks with a path, and by which method that has to be; a nil
-// request if there is no such path.
+// userRequest returns the user request that a path and body stand for, and the method that it must
+// have. The request is nil if the path does not exist.
 func userRequest(path string, body []byte) (method string, request *peer.Request) {
 	if path == submissionPath {
 		return methodPost, &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: body}
@@ -74,9 +75,10 @@
 	return methodGet, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id}
 }
 
-// startRequest runs serve in a goroutine, unless as many requests of users are under way as may
-// be: then it reports false, and the user is told at once to come back. The goroutine ends when
-// serve returns, whose context ends after timeout; a stopping controller doesn't wait for it.
+// startRequest runs serve in a goroutine, with a context that ends after timeout. If maxUserRequests
+// are in progress, it does not run serve and returns false; the caller then answers at once that the
+// user should retry. The goroutine ends when serve returns; a stopping controller does not wait for
+// it.
 func (f *Frontend) startRequest(timeout time.Duration, serve func(context.Context)) bool {
 	select {
 	case f.requestSlots <- struct{}{}:
@@ -92,8 +94,8 @@
 	return true
 }
 
-// HandleHeartbeat answers a worker's heartbeat, in the event loop and from memory alone:
-// heartbeats go before all other work.
+// HandleHeartbeat returns the response to a worker's heartbeat. It runs in the event loop and only
+// uses state in memory, because heartbeats take precedence over all other work.
 func (f *Frontend) HandleHeartbeat(req *httpwire.Message) transport.Response {
 	heartbeat, err := api.ParseHeartbeat(req.Body)
 	if err != nil {
--- a/internal/frontend/submission_queue.go
+++ b/internal/frontend/submission_queue.go
@@ -14,26 +14,27 @@
 	"violetturn/internal/transport"
 )
 
-// Submission is a submission on its way to the state service.
+// Submission is a job submission that is to be committed to the state service.
 type Submission struct {
-	Ctx      context.Context // of the user's request
+	Ctx      context.Context // context of the user's request
 	Record   *job.Record
-	Response chan transport.Response // takes one response without anybody waiting for it
+	Response chan transport.Response // buffered: sending the one response does not block without a receiver
 }
 
-// submissionQueue is the submissions that wait to be committed. Whoever sets committing commits
-// those in the queue until it is empty.
+// submissionQueue contains the submissions that wait to be committed. The goroutine that sets
+// committing ensures that batches are committed until the queue is empty.
 type submissionQueue struct {
 	mutex      sync.Mutex
 	waiting    []*Submission
 	committing bool
 }
 
-// maxWaitingSubmissions bounds the queue: a user beyond it is told at once to come back.
+// maxWaitingSubmissions bounds the queue. Submissions beyond it are answered at once with a request to
+// retry.
 const maxWaitingSubmissions = 64
 
-// add puts a submission into the queue. It reports whether there was room for it, and whether the
-// caller has to commit what is in the queue.
+// add appends a submission to the queue. added is false if the queue is full. mustCommit is true if
+// the caller has to commit the queued submissions.
 func (q *submissionQueue) add(s *Submission) (added, mustCommit bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -46,44 +47,45 @@
 	return true, mustCommit
 }
 
-// nextBatch removes the submissions that are to be committed next, size at most and one of each job,
-// from the queue.
-func (q *submissionQueue) nextBatch(size int) []*Submission {
+// nextBatch removes the next batch to commit from the queue and returns it. The batch has at most
+// maxSize submissions, and at most one for each job.
+func (q *submissionQueue) nextBatch(maxSize int) []*Submission {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var batch, rest []*Submission
+	var batch, remaining []*Submission
 	for _, s := range q.waiting {
 		if s.Ctx.Err() != nil {
-			continue // its user was told to come back, and may be asking elsewhere
+			continue // the user was asked to retry and may already do so on another node
 		}
 		sameJob := func(other *Submission) bool { return other.Record.Spec.UID == s.Record.Spec.UID }
-		if len(batch) < size && !slices.ContainsFunc(batch, sameJob) {
+		if len(batch) < maxSize && !slices.ContainsFunc(batch, sameJob) {
 			batch = append(batch, s)
 		} else {
-			rest = append(rest, s)
+			remaining = append(remaining, s)
 		}
 	}
-	q.waiting = rest
+	q.waiting = remaining
 	return batch
 }
 
-// batchDone reports whether there is more to commit; if not, the next one who adds a submission
-// has to commit it.
-func (q *submissionQueue) batchDone() (more bool) {
+// finishBatch reports whether more submissions wait. If none do, the caller of the next add has to
+// commit.
+func (q *submissionQueue) finishBatch() (moreWaiting bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.committing = len(q.waiting) > 0
 	return q.committing
 }
 
-// commitSubmission has a submission committed and returns its response.
+// commitSubmission queues a submission and waits for its response. It commits the next batch itself if
+// no other goroutine does.
 func (f *Frontend) commitSubmission(s *Submission) transport.Response {
 	added, mustCommit := f.submissions.add(s)
 	if !added {
 		return respond.Busy
 	}
 	if mustCommit {
-		f.commitQueued()
+		f.commitNextBatch()
 	}
 	select {
 	case response := <-s.Response:
@@ -93,33 +95,34 @@
 	}
 }
 
-// commitQueued commits the next batch of the queue, and has another goroutine commit the one
-// after it, so that its caller's user doesn't wait for those who came later. The goroutines end
-// with the queue; each batch takes timing.UserRequestTimeout at most.
-func (f *Frontend) commitQueued() {
-	if batch := f.submissions.nextBatch(f.maxBatch()); len(batch) > 0 {
+// commitNextBatch commits the next batch of the queue. Another goroutine commits the batch after it,
+// so that the caller's user does not wait for later submissions. The goroutines end when the queue
+// is empty; each batch takes timing.UserRequestTimeout at most.
+func (f *Frontend) commitNextBatch() {
+	if batch := f.submissions.nextBatch(f.maxBatchSize()); len(batch) > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout)
 		f.AcceptBatch(ctx, batch)
 		cancel()
 	}
-	if f.submissions.batchDone() {
-		f.node.RunAsync(f.commitQueued)
+	if f.submissions.finishBatch() {
+		f.node.RunAsync(f.commitNextBatch)
 	}
 }
 
-// maxBatch is how many submissions are committed in one transaction: half of what one takes, so
-// that a batch does not use up the changes that decisions need.
-func (f *Frontend) maxBatch() int {
+// maxBatchSize returns the maximum number of submissions in one transaction. It is half of the
+// changes that a transaction may have or, if fewer, that this controller may write in a second, so
+// that a batch does not use up the write budget of decisions.
+func (f *Frontend) maxBatchSize() int {
 	return max(1, min(f.node.Settings.LowestLimits().TxnOps, f.sync.WritesPerSecond())/2)
 }
 
-// AcceptBatch commits submissions of different jobs in one transaction and sends each its
-// response. Without those that turn out to be known already the others are tried again.
+// AcceptBatch commits submissions of different jobs in one transaction and sends each its response.
+// If the transaction conflicts because some of the jobs already exist, it retries without these.
 func (f *Frontend) AcceptBatch(ctx context.Context, batch []*Submission) {
 	for len(batch) > 0 {
 		priority := batchPriority(batch)
-		done, conflicts, err := f.sync.Commit(ctx, "accepted", acceptance(batch), priority)
-		if done {
+		committed, conflicts, err := f.sync.Commit(ctx, "accepted", acceptanceTransaction(batch), priority)
+		if committed {
 			f.confirmAccepted(batch)
 			if priority == store.PriorityGang {
 				f.gangAccepted.Notify()
@@ -127,35 +130,36 @@
 			f.wake.Notify()
 			return
 		}
-		if err != nil { // the outcome is in doubt: only reading settles it
-			f.answerByState(batch)
+		if err != nil { // refused or outcome unknown: the state shows whether the jobs were accepted
+			f.respondWithState(batch)
 			return
 		}
-		rest, known := splitKnown(batch, conflicts)
-		if len(known) == 0 { // another record was in the way, or the transaction was too large
-			for _, s := range rest {
+		unrecorded, existing := splitByConflicts(batch, conflicts)
+		if len(existing) == 0 { // conflict on another record, or transaction too large
+			for _, s := range unrecorded {
 				s.Response <- respond.Busy
 			}
 			return
 		}
-		f.answerByState(known)
-		batch = rest
+		f.respondWithState(existing)
+		batch = unrecorded
 	}
 }
 
-// acceptance returns the transaction that accepts jobs which must not be known.
-func acceptance(batch []*Submission) *statecache.Transaction {
-	t := statecache.NewTransaction()
+// acceptanceTransaction returns the transaction that accepts a batch of jobs. Its preconditions are
+// that none of the jobs exists, neither unfinished nor finished.
+func acceptanceTransaction(batch []*Submission) *statecache.Transaction {
+	txn := statecache.NewTransaction()
 	for _, s := range batch {
 		uid := s.Record.Spec.UID
-		t.Require(statecache.JobKey(uid), 0)
-		t.Require(statecache.FinalStateKey(uid), 0)
-		t.Put(statecache.JobKey(uid), s.Record)
+		txn.Require(statecache.JobKey(uid), 0)
+		txn.Require(statecache.FinalStateKey(uid), 0)
+		txn.Put(statecache.JobKey(uid), s.Record)
 	}
-	return t
+	return txn
 }
 
-// batchPriority returns the priority of a batch's transaction: that of gangs if there is one in it.
+// batchPriority returns the priority of a batch's transaction: that of gangs if the batch contains one.
 func batchPriority(batch []*Submission) store.Priority {
 	if slices.ContainsFunc(batch, func(s *Submission) bool { return s.Record.Spec.Kind == api.Gang }) {
 		return store.PriorityGang
@@ -163,21 +167,22 @@
 	return store.PrioritySubmission
 }
 
-// splitKnown parts a batch whose transaction conflicted into the jobs that can be tried again and
-// those that are known, by the keys whose versions were others than 0.
-func splitKnown(batch []*Submission, conflicts []string) (rest, known []*Submission) {
+// splitByConflicts splits a batch whose transaction conflicted into submissions of jobs that have no
+// record yet and can be retried, and those of jobs that exist. The keys in conflicts are those with
+// a version other than the required 0.
+func splitByConflicts(batch []*Submission, conflicts []string) (unrecorded, existing []*Submission) {
 	for _, s := range batch {
 		uid := s.Record.Spec.UID
 		if slices.Contains(conflicts, statecache.JobKey(uid)) || slices.Contains(conflicts, statecache.FinalStateKey(uid)) {
-			known = append(known, s)
+			existing = append(existing, s)
 		} else {
-			rest = append(rest, s)
+			unrecorded = append(unrecorded, s)
 		}
 	}
-	return rest, known
+	return unrecorded, existing
 }
 
-// confirmAccepted tells the users of a batch that their jobs are accepted.
+// confirmAccepted sends each submission of a batch the response that its job is accepted.
 func (f *Frontend) confirmAccepted(batch []*Submission) {
 	for _, s := range batch {
 		spec := &s.Record.Spec
@@ -193,12 +198,12 @@
 	}
 }
 
-// answerByState answers submissions with the states of their jobs. Users of jobs that are unknown
-// come back: an acceptance may still be under way.
-func (f *Frontend) answerByState(submissions []*Submission) {
+// respondWithState sends each submission the state of its job. If the job is unknown or its state
+// cannot be read, the user is asked to retry, because the acceptance may still be committed.
+func (f *Frontend) respondWithState(submissions []*Submission) {
 	for _, s := range submissions {
-		if known, err := f.jobState(s.Ctx, s.Record.Spec.UID); err == nil {
-			s.Response <- stateResponse(known, nil)
+		if current, err := f.jobState(s.Ctx, s.Record.Spec.UID); err == nil {
+			s.Response <- stateResponse(current, nil)
 		} else {
 			s.Response <- respond.Busy
 		}
--- a/internal/frontend/submission_queue_test.go
+++ b/internal/frontend/submission_queue_test.go
@@ -43,7 +43,7 @@
 		if got := uidsOf(q.nextBatch(3)); !slices.Equal(got, want) {
 			t.Errorf("batch %d: %v, want %v", i, got, want)
 		}
-		if more, want := q.batchDone(), i == 0; more != want {
+		if more, want := q.finishBatch(), i == 0; more != want {
 			t.Errorf("after batch %d: more is %t", i, more)
 		}
 	}
@@ -62,7 +62,7 @@
 	if added, mustCommit := q.add(newSubmission(t.Context(), "b", api.Array)); added || mustCommit {
 		t.Errorf("beyond the bound: added %t, to commit %t", added, mustCommit)
 	}
-	for q.batchDone() {
+	for q.finishBatch() {
 		q.nextBatch(1)
 	}
 	if added, mustCommit := q.add(newSubmission(t.Context(), "b", api.Array)); !added || !mustCommit {
@@ -86,7 +86,7 @@
 	for _, uid := range []string{"a", "b", "c", "d"} {
 		batch = append(batch, newSubmission(t.Context(), uid, api.Array))
 	}
-	rest, known := splitKnown(batch, []string{statecache.JobKey("b"), statecache.FinalStateKey("d"), statecache.JobKey("z")})
+	rest, known := splitByConflicts(batch, []string{statecache.JobKey("b"), statecache.FinalStateKey("d"), statecache.JobKey("z")})
 	if got := uidsOf(rest); !slices.Equal(got, []string{"a", "c"}) {
 		t.Errorf("to be tried again: %v", got)
 	}
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -10,24 +10,24 @@
 	"violetturn/internal/transport"
 )
 
-// Submit accepts a job, or tells its user why not. A known job is answered with its state,
-// whatever the repetition looks like.
+// Submit accepts a job, or returns the reason why it does not. The response for a job that was
+// accepted before is its state, even if the repeated submission is invalid.
 func (f *Frontend) Submit(ctx context.Context, body []byte) transport.Response {
 	spec, err := api.ParseJob(body)
 	if err != nil {
 		if uid, ok := api.UIDOf(body); ok {
-			return f.stateOrRefusal(ctx, uid, err)
+			return f.stateOrError(ctx, uid, err)
 		}
 		return errorResponse(err)
 	}
-	live, err := f.checkSpec(spec)
+	unfinished, err := f.checkSpec(spec)
 	if err != nil {
-		return f.stateOrRefusal(ctx, spec.UID, err)
+		return f.stateOrError(ctx, spec.UID, err)
 	}
-	if live {
-		known, stateErr := f.jobState(ctx, spec.UID)
+	if unfinished {
+		current, stateErr := f.jobState(ctx, spec.UID)
 		if !errors.Is(stateErr, errUnknownJob) {
-			return stateResponse(known, stateErr)
+			return stateResponse(current, stateErr)
 		}
 	}
 	if !f.sync.StoreReachable() || !f.acceptsKind(spec.Kind) {
@@ -35,23 +35,24 @@
 	}
 	record, err := f.newRecord(spec)
 	if err != nil {
-		return f.stateOrRefusal(ctx, spec.UID, err)
+		return f.stateOrError(ctx, spec.UID, err)
 	}
 	return f.commitSubmission(&Submission{Ctx: ctx, Record: record, Response: make(chan transport.Response, 1)})
 }
 
-// stateOrRefusal answers with the state of a job if it is known, or else with the refusal.
-func (f *Frontend) stateOrRefusal(ctx context.Context, uid string, refusal error) transport.Response {
-	s, err := f.jobState(ctx, uid)
+// stateOrError returns the response with the state of a job, or with the refusal if the job was never
+// accepted.
+func (f *Frontend) stateOrError(ctx context.Context, uid string, refusal error) transport.Response {
+	current, err := f.jobState(ctx, uid)
 	if errors.Is(err, errUnknownJob) {
 		return errorResponse(refusal)
 	}
-	return stateResponse(s, err)
+	return stateResponse(current, err)
 }
 
-// checkSpec returns an error if a job can never run, errBusy if that isn't known yet. It reports
-// whether the job is live.
-func (f *Frontend) checkSpec(spec *api.Job) (live bool, err error) {
+// checkSpec returns an error if a job can never run, or errBusy while the machine types are not loaded
+// and this cannot be determined. unfinished reports whether the job exists and is not finished.
+func (f *Frontend) checkSpec(spec *api.Job) (unfinished bool, err error) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	if !state.Catalog.IsKnown() {
@@ -60,27 +61,27 @@
 	if reason := state.Catalog.RejectionReason(spec); reason != "" {
 		return false, &api.RequestError{Status: api.StatusUnprocessable, Reason: reason}
 	}
-	_, live = state.Cache.Jobs[spec.UID]
-	return live, nil
+	_, unfinished = state.Cache.Jobs[spec.UID]
+	return unfinished, nil
 }
 
-// acceptsKind reports whether a job of a kind can be kept safely: a controller of the
-// version before would place a gang task by task.
+// acceptsKind reports whether a job of this kind can be accepted now. Gangs are accepted only once all
+// controllers are upgraded, because the previous version would place the tasks of a gang one by one.
 func (f *Frontend) acceptsKind(kind api.JobKind) bool {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	return kind != api.Gang || state.Schema.AllUpgraded()
 }
 
-// newRecord makes the record of a job that is accepted now, errTooLong if that leaves no room for
-// what is added later.
+// newRecord returns the record of a job that is accepted now. It returns errSubmissionTooLong if the
+// record is too large to grow later.
 func (f *Frontend) newRecord(spec *api.Job) (*job.Record, error) {
 	record := &job.Record{Spec: *spec, Shard: f.node.Settings.HostName, AcceptedMS: f.node.Now().UnixMilli()}
 	size := len(api.JSON(record))
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	if size > state.Schema.MaxGrowableBytes() {
-		return nil, errTooLong
+		return nil, errSubmissionTooLong
 	}
 	record.ChooseLayout(f.node.Settings.LowestLimits().ValueKB, size, state.Schema.AllUpgraded())
 	return record, nil
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -1,12 +1,14 @@
-// Package peer is the link between controllers: protobuf messages in the body of POST /peer on
-// the cluster address. peer.proto describes the messages; peer.pb.go is generated from it by
+// Package peer contains the protocol between controllers and its client: protobuf messages in the
+// body of POST /peer on the cluster address. peer.proto defines the messages; peer.pb.go is generated
+// from it by
 //
 //	protoc --go_out=. --go_opt=module=violetturn internal/peer/peer.proto
 //
-// Versions next to each other talk to each other, so numbers and types of fields stay.
+// Controllers of adjacent versions exchange these messages, so the numbers and types of fields must
+// not change.
 //
-// Nothing that a peer answers is a decision, and a question that fails means that the peer
-// does not help now. A Client's methods may be called from any goroutine.
+// No reply of a peer is a decision, and a failed request only means that the peer cannot help now.
+// A Client's methods may be called from any goroutine.
 package peer
 
 import (
@@ -19,42 +21,42 @@
 	"violetturn/internal/transport"
 )
 
-// Path is where a controller takes its peers' requests.
+// Path is the HTTP path at which a controller serves the requests of its peers.
 const Path = "/peer"
 
-// statusOK is the status of an answer that holds a reply.
+// statusOK is the HTTP status of a response that contains a reply.
 const statusOK = 200
 
-// StatusError is an answer without a reply.
+// StatusError is the error for a response with another HTTP status than 200; it contains no reply.
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", e.Status) }
 
-// Client asks other controllers.
+// Client sends requests to other controllers.
 type Client struct {
 	http *transport.Client
 }
 
-// New makes a client.
+// New returns a client that uses the HTTP client h.
 func New(h *transport.Client) *Client { return &Client{http: h} }
 
 // Ask sends a request to the controller at addr and returns its reply.
 func (c *Client) Ask(ctx context.Context, addr string, r *Request, deadline time.Duration) (*Reply, error) {
 	body, err := proto.Marshal(r)
 	if err != nil {
-		return nil, fmt.Errorf("request to peer %s: %w", addr, err)
+		return nil, fmt.Errorf("encode request to peer %s: %w", addr, err)
 	}
 	m, err := c.http.Do(ctx, transport.Request{Addr: addr, Method: "POST", Target: Path, Body: body, Deadline: deadline})
 	if err != nil {
-		return nil, fmt.Errorf("ask peer %s: %w", addr, err)
+		return nil, fmt.Errorf("query peer %s: %w", addr, err)
 	}
 	if m.Status != statusOK {
-		return nil, fmt.Errorf("ask peer %s: %w", addr, &StatusError{m.Status})
+		return nil, fmt.Errorf("query peer %s: %w", addr, &StatusError{m.Status})
 	}
 	var reply Reply
 	if err := proto.Unmarshal(m.Body, &reply); err != nil {
-		return nil, fmt.Errorf("reply of peer %s: %w", addr, err)
+		return nil, fmt.Errorf("decode reply of peer %s: %w", addr, err)
 	}
 	return &reply, nil
 }
--- a/internal/respond/doc.go
+++ b/internal/respond/doc.go
@@ -1,2 +1,2 @@
-// Package respond builds the HTTP answers that several packages give.
+// Package respond builds HTTP responses that several packages use.
 package respond
--- a/internal/respond/respond.go
+++ b/internal/respond/respond.go
@@ -5,10 +5,10 @@
 	"violetturn/internal/transport"
 )
 
-// Busy answers what can't be taken now.
+// Busy is the response to a request that cannot be served now but may be later.
 var Busy = transport.Response{Status: 503, Body: []byte(`{"error":"try again"}`), RetryAfter: 1}
 
-// JSON returns an answer whose body is v as JSON.
+// JSON returns a response with v, encoded as JSON, as its body.
 func JSON(status int, v any) transport.Response {
 	return transport.Response{Status: status, Body: api.JSON(v)}
 }
