--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Whatever the body, it is a bad request, or a job within all bounds whose record reads as the
-// same job.
+// For any body, ParseJob returns either a bad request or a job that is within all bounds and does not
+// change when it is recorded and read back.
 func FuzzParseJob(f *testing.F) {
 	f.Add(JSON(validFields()))
 	f.Add([]byte(`{"uid":"run-1"}`))
@@ -20,48 +20,48 @@
 		j, err := ParseJob(body)
 		if err != nil {
 			if j != nil || !isBadRequest(err) {
-				t.Fatalf("%+v, %v", j, err)
+				t.Fatalf("got job %+v and error %v, want no job and a bad request", j, err)
 			}
 			return
 		}
 		checkJob(t, j)
 		if uid, ok := UIDOf(body); !ok || uid != j.UID {
-			t.Fatalf("job %s has ID %q, %t", j.UID, uid, ok)
+			t.Fatalf("got job ID %q, valid %t, want %q, true", uid, ok, j.UID)
 		}
-		var again Job
-		if err := json.Unmarshal(JSON(j), &again); err != nil || !reflect.DeepEqual(j, &again) {
-			t.Fatalf("%+v is recorded as %+v: %v", j, again, err)
+		var decoded Job
+		if err := json.Unmarshal(JSON(j), &decoded); err != nil || !reflect.DeepEqual(j, &decoded) {
+			t.Fatalf("job read back from its record is %+v, error %v, want %+v", decoded, err, j)
 		}
 	})
 }
 
-// checkJob checks that a job is one that PROTOCOL allows.
+// checkJob checks that a job is within the bounds that PROTOCOL sets.
 func checkJob(t *testing.T, j *Job) {
 	t.Helper()
 	if !j.Priority.Known() || !ValidUID(j.UID) || j.Tasks < 1 || j.Tasks > MaxTasks {
-		t.Fatalf("%+v", j)
+		t.Fatalf("priority, ID or number of tasks is invalid: %+v", j)
 	}
 	if !j.Kind.Known() {
-		t.Fatalf("kind %q", j.Kind)
+		t.Fatalf("got unknown job kind %q", j.Kind)
 	}
 	for _, text := range []string{j.Class, j.Team, j.Image} {
 		if text == "" {
-			t.Fatalf("a text is empty: %+v", j)
+			t.Fatalf("class, team or image is empty: %+v", j)
 		}
 	}
 	amounts := []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimateS, j.CheckpointS, j.SaveS}
 	if j.DeadlineS != nil {
 		amounts = append(amounts, *j.DeadlineS)
 	}
-	for _, v := range amounts {
-		if !(v >= 0) || math.IsInf(v, 0) {
-			t.Fatalf("amount %g: %+v", v, j)
+	for _, amount := range amounts {
+		if !(amount >= 0) || math.IsInf(amount, 0) {
+			t.Fatalf("got amount %g, want a finite number of at least 0: %+v", amount, j)
 		}
 	}
 }
 
-// Whatever the body, it is a bad request, or a heartbeat of a machine that can be named in keys
-// and paths, and that reads the same when it is sent on.
+// For any body, ParseHeartbeat returns either a bad request or a heartbeat that does not change when it
+// is encoded and parsed again, from a machine whose name is valid in keys and paths.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"host":"i-1","addr":"10.0.0.1:9","build":"g8","site":"a","loaners":true,"tenure":1,"tick":88,"baton":41,` +
 		`"recallS":1.5,"pieces":[{"piece":"run-1/3","try":2,"phase":"running"},{"piece":"run-2/0","phase":"ended","cause":"done"}]}`))
@@ -72,38 +72,40 @@
 		h, err := ParseHeartbeat(body)
 		if err != nil {
 			if h != nil || !isBadRequest(err) {
-				t.Fatalf("%+v, %v", h, err)
+				t.Fatalf("got heartbeat %+v and error %v, want no heartbeat and a bad request", h, err)
 			}
 			return
 		}
 		if h.Host == "" || h.AgentEpoch == 0 || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, forbiddenHostCharacters) {
-			t.Fatalf("host %q, epoch %d", h.Host, h.AgentEpoch)
+			t.Fatalf("accepted host %q with agent epoch %d, one of which is invalid", h.Host, h.AgentEpoch)
 		}
-		again, err := ParseHeartbeat(JSON(h))
-		if err != nil || !reflect.DeepEqual(h, again) {
-			t.Fatalf("%+v is sent on as %+v: %v", h, again, err)
+		decoded, err := ParseHeartbeat(JSON(h))
+		if err != nil || !reflect.DeepEqual(h, decoded) {
+			t.Fatalf("heartbeat parsed from its encoding is %+v, error %v, want %+v", decoded, err, h)
 		}
 		if h.Newer(h.AgentEpoch, h.Sequence) || !h.Newer(h.AgentEpoch-1, h.Sequence) {
-			t.Fatal("newer than itself, or not newer than an earlier epoch")
+			t.Fatal("heartbeat counts as newer than itself, or as not newer than one of an earlier agent epoch")
 		}
 	})
 }
 
-// Whatever the text, it is a task's name only if it gives a job and a number that name the task.
+// Any string that SplitTaskName accepts has a valid task number, and the name that TaskName builds from
+// the result is split into the same job and number.
 func FuzzSplitTaskName(f *testing.F) {
 	for _, s := range []string{"run-1/0", "run-1/007", "run-1/+7", "run-1/99999", "run-1/100000", "/", "a/b/1"} {
 		f.Add(s)
 	}
-	f.Fuzz(func(t *testing.T, s string) {
-		uid, i, ok := SplitTaskName(s)
+	f.Fuzz(func(t *testing.T, name string) {
+		uid, index, ok := SplitTaskName(name)
 		if !ok {
 			return
 		}
-		if i < 0 || i >= MaxTasks {
-			t.Fatalf("task %d", i)
+		if index < 0 || index >= MaxTasks {
+			t.Fatalf("got task number %d, want 0 to %d", index, MaxTasks-1)
 		}
-		if again, k, ok := SplitTaskName(TaskName(uid, i)); !ok || again != uid || k != i {
-			t.Fatalf("%q is task %d of %s, whose name is task %d of %s", s, i, uid, k, again)
+		if uidAgain, indexAgain, ok := SplitTaskName(TaskName(uid, index)); !ok || uidAgain != uid || indexAgain != index {
+			t.Fatalf("%q is split into job %q, task %d; the name built from them into job %q, task %d",
+				name, uid, index, uidAgain, indexAgain)
 		}
 	})
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -5,38 +5,36 @@
 	"testing"
 )
 
-// A heartbeat has to name its machine and its agent epoch.
-func TestParseHeartbeat(t *testing.T) {
-	for _, x := range []struct {
+func TestParseHeartbeat_RequiresHostAndAgentEpoch(t *testing.T) {
+	for _, test := range []struct {
 		name, body string
-		taken      bool
+		valid      bool
 	}{
-		{"least", `{"host":"i-1","tenure":1}`, true},
-		{"unknown fields and words", `{"host":"i-1","tenure":1,"x":[],"pieces":[{"piece":"run-1/0","phase":"thawing"}]}`, true},
+		{"required fields only", `{"host":"i-1","tenure":1}`, true},
+		{"unknown fields and enum values", `{"host":"i-1","tenure":1,"x":[],"pieces":[{"piece":"run-1/0","phase":"thawing"}]}`, true},
 		{"empty", "", false},
 		{"null", "null", false},
 		{"no host", `{"tenure":1}`, false},
 		{"no epoch", `{"host":"i-1"}`, false},
 		{"epoch below zero", `{"host":"i-1","tenure":-1}`, false},
-		{"host that stands in no path", `{"host":"i/1","tenure":1}`, false},
+		{"host with a character not allowed in paths", `{"host":"i/1","tenure":1}`, false},
 		{"longest host", `{"host":"` + strings.Repeat("i", 100) + `","tenure":1}`, true},
 		{"host too long", `{"host":"` + strings.Repeat("i", 101) + `","tenure":1}`, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			h, err := ParseHeartbeat([]byte(x.body))
-			if (err == nil) != x.taken || (h != nil) != x.taken {
-				t.Errorf("%+v, %v", h, err)
+		t.Run(test.name, func(t *testing.T) {
+			h, err := ParseHeartbeat([]byte(test.body))
+			if (err == nil) != test.valid || (h != nil) != test.valid {
+				t.Errorf("got heartbeat %+v and error %v, want it accepted: %t", h, err, test.valid)
 			}
 			if err != nil && !isBadRequest(err) {
-				t.Errorf("%v is no bad request", err)
+				t.Errorf("got error %v, want a bad request", err)
 			}
 		})
 	}
 }
 
-// Heartbeats are ordered by agent epoch, then by sequence.
-func TestNewer(t *testing.T) {
-	for _, x := range []struct {
+func TestNewer_ComparesAgentEpochThenSequence(t *testing.T) {
+	for _, test := range []struct {
 		epoch, sequence uint64
 		newer           bool
 	}{
@@ -47,8 +45,9 @@
 		{3, 1, false},
 	} {
 		h := &Heartbeat{AgentEpoch: 2, Sequence: 5}
-		if h.Newer(x.epoch, x.sequence) != x.newer {
-			t.Errorf("than epoch %d, sequence %d: not %t", x.epoch, x.sequence, x.newer)
+		if h.Newer(test.epoch, test.sequence) != test.newer {
+			t.Errorf("newer than agent epoch %d, sequence %d: got %t, want %t",
+				test.epoch, test.sequence, !test.newer, test.newer)
 		}
 	}
 }
--- a/internal/api/job_test.go
+++ b/internal/api/job_test.go
@@ -11,7 +11,7 @@
 // fields are the fields of a JSON object.
 type fields map[string]any
 
-// validFields returns the fields of a submission that is taken.
+// validFields returns the fields of a valid submission.
 func validFields() fields {
 	return fields{
 		"uid":       "run-000412",
@@ -37,26 +37,27 @@
 	}
 }
 
-// parseFields parses a submission with these fields.
+// parseFields encodes a submission with these fields and parses it.
 func parseFields(f fields) (*Job, error) { return ParseJob(JSON(f)) }
 
-// isBadRequest reports whether an error leads to StatusBadRequest.
+// isBadRequest reports whether an error is a RequestError with StatusBadRequest and a reason.
 func isBadRequest(err error) bool {
 	var refused *RequestError
 	return errors.As(err, &refused) && refused.Status == StatusBadRequest && refused.Reason != ""
 }
 
-// Each field has to be there in its own type and case, some aside that may be null.
-func TestJobFields(t *testing.T) {
+// Each field must be present with its type and its exact name, except for those that may be missing or
+// null.
+func TestParseJob_RequiresFieldsAndTypes(t *testing.T) {
 	nullable := map[string]bool{"builds": true, "site": true, "dueS": true}
 	if _, err := parseFields(validFields()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("valid submission rejected: %v", err)
 	}
 	for name := range validFields() {
-		for _, x := range []struct {
-			how    string
-			change func(fields)
-			taken  bool
+		for _, test := range []struct {
+			mutation string
+			mutate   func(fields)
+			valid    bool
 		}{
 			{"missing", func(f fields) { delete(f, name) }, nullable[name]},
 			{"null", func(f fields) { f[name] = nil }, nullable[name]},
@@ -64,23 +65,22 @@
 			{"other name", func(f fields) { f["X"+name] = f[name]; delete(f, name) }, nullable[name]},
 			{"empty array", func(f fields) { f[name] = []any{} }, name == "builds"},
 		} {
-			t.Run(name+" "+x.how, func(t *testing.T) {
+			t.Run(name+" "+test.mutation, func(t *testing.T) {
 				f := validFields()
-				x.change(f)
+				test.mutate(f)
 				_, err := parseFields(f)
-				if (err == nil) != x.taken {
-					t.Errorf("taken %t: %v", err == nil, err)
+				if (err == nil) != test.valid {
+					t.Errorf("got error %v, want the submission accepted: %t", err, test.valid)
 				}
 				if err != nil && !isBadRequest(err) {
-					t.Errorf("%v is no bad request", err)
+					t.Errorf("got error %v, want a bad request", err)
 				}
 			})
 		}
 	}
 }
 
-// Values out of their range are refused.
-func TestJobValues(t *testing.T) {
+func TestParseJob_RejectsInvalidValues(t *testing.T) {
 	for name, values := range map[string][]any{
 		"uid":       {"", "run-", "run-x", "job-000001", "run-000001/2", "run-0000000000000000000000"},
 		"shape":     {"gang", "Sweep", ""},
@@ -97,36 +97,35 @@
 			f := validFields()
 			f[name] = value
 			if _, err := parseFields(f); !isBadRequest(err) {
-				t.Errorf("%s = %v: %v", name, value, err)
+				t.Errorf("%s = %v: got error %v, want a bad request", name, value, err)
 			}
 		}
 	}
 }
 
-// What is no JSON object is refused.
-func TestNoObject(t *testing.T) {
+func TestParseJob_RejectsBodyThatIsNoObject(t *testing.T) {
 	for _, body := range []string{"", "null", "[]", "3", `{"uid":`, `"x"`} {
 		if _, err := ParseJob([]byte(body)); !isBadRequest(err) {
-			t.Errorf("%s: %v", body, err)
+			t.Errorf("body %q: got error %v, want a bad request", body, err)
 		}
 	}
 }
 
-// Unknown fields change nothing, whatever they are.
-func TestUnknownFieldsIgnored(t *testing.T) {
+// Unknown fields are ignored, whatever their names and values are.
+func TestParseJob_IgnoresUnknownFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := validFields()
 		for range rapid.IntRange(1, 5).Draw(t, "n") {
 			value := rapid.SampledFrom([]any{nil, 1, "x", []any{}, fields{"uid": 3}}).Draw(t, "value")
 			f["zz"+rapid.String().Draw(t, "name")] = value
 		}
-		f["UID"] = 7 // another name: case matters
+		f["UID"] = 7 // an unknown field, because names are case-sensitive
 		j, err := parseFields(f)
 		if err != nil || j.UID != "run-000412" || j.Tasks != 16 || *j.DeadlineS != 900 {
-			t.Fatalf("%+v %v", j, err)
+			t.Fatalf("got job %+v and error %v, want the job without the unknown fields", j, err)
 		}
 		if uid, ok := UIDOf(JSON(f)); !ok || uid != "run-000412" {
-			t.Fatal(uid)
+			t.Fatalf("got job ID %q, valid %t, want %q, true", uid, ok, "run-000412")
 		}
 	})
 }
--- a/internal/api/seed_test.go
+++ b/internal/api/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Generated inputs are the same every time; -rapid.seed draws others.
+// init fixes the seed of generated inputs, so that each run uses the same ones. -rapid.seed sets another.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/api/words_test.go
+++ b/internal/api/words_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// Known words are told from others, and every word is its own text in JSON and in logs.
-func TestWords(t *testing.T) {
+// Each enumeration value is encoded as its protocol word in JSON and by String, and Known distinguishes
+// supported values from others.
+func TestEnums_EncodeAsProtocolWords(t *testing.T) {
 	type word interface {
 		fmt.Stringer
 		Known() bool
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		word  word
 		text  string
 		known bool
@@ -42,27 +43,26 @@
 		{CauseGangIncomplete, "alone", true},
 		{ExitCause("melted"), "melted", false},
 	} {
-		encoded, err := json.Marshal(x.word)
-		if err != nil || string(encoded) != `"`+x.text+`"` || x.word.String() != x.text || x.word.Known() != x.known {
-			t.Errorf("%s, in JSON %s, known %t: %v", x.word, encoded, x.word.Known(), err)
+		encoded, err := json.Marshal(test.word)
+		if err != nil || string(encoded) != `"`+test.text+`"` || test.word.String() != test.text || test.word.Known() != test.known {
+			t.Errorf("%s: got JSON %s, known %t, error %v, want JSON %q, known %t",
+				test.word, encoded, test.word.Known(), err, test.text, test.known)
 		}
 	}
 }
 
-// Priorities are ordered from the most important one.
-func TestPriorityLevel(t *testing.T) {
+func TestLevel_OrdersPriorities(t *testing.T) {
 	for level, p := range []Priority{Production, Urgent, Standard, Idle} {
 		if p.Level() != level {
-			t.Errorf("%s has level %d", p, p.Level())
+			t.Errorf("%s has level %d, want %d", p, p.Level(), level)
 		}
 	}
 }
 
-// Only done and cancelled are final.
-func TestFinalPhases(t *testing.T) {
+func TestFinal_HoldsForDoneAndCancelled(t *testing.T) {
 	for p, final := range map[JobPhase]bool{JobPending: false, JobRunning: false, JobDone: true, JobCancelled: true} {
 		if p.Final() != final {
-			t.Errorf("%s is final: %t", p, p.Final())
+			t.Errorf("%s is final: got %t, want %t", p, p.Final(), final)
 		}
 	}
 }
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -12,30 +12,30 @@
 	"violetturn/internal/transport"
 )
 
-// askAsPeer sends a peer's request and waits for its response.
-func (n *testNode) askAsPeer(t *testing.T, method, target string, body []byte) transport.Response {
+// sendPeerRequest sends a peer's request and waits for its response.
+func (n *testNode) sendPeerRequest(t *testing.T, method, target string, body []byte) transport.Response {
 	t.Helper()
-	answered := make(chan transport.Response, 1)
-	response, now := n.frontend.HandlePeer(
-		&httpwire.Message{Method: method, Target: target, Body: body}, func(r transport.Response) { answered <- r },
+	responses := make(chan transport.Response, 1)
+	response, answered := n.frontend.HandlePeer(
+		&httpwire.Message{Method: method, Target: target, Body: body}, func(r transport.Response) { responses <- r },
 	)
-	if now {
+	if answered {
 		return response
 	}
 	select {
-	case response = <-answered:
+	case response = <-responses:
 		return response
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s %s: not answered", method, target)
+		t.Fatalf("%s %s: got no response within 10 s", method, target)
 		return response
 	}
 }
 
-// A peer is told what this node sees of the state service; its users' requests are carried out only
-// where this node can, and what they are answered with comes back as it is.
-func TestPeerRequests(t *testing.T) {
+// A peer is sent whether this node can serve users. Its users' requests are executed only if this node
+// can serve them, and the reply contains the exact response for the user.
+func TestHandlePeer_ReturnsExactReplies(t *testing.T) {
 	n := newTestNode(t)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		before  func()
 		request *peer.Request
@@ -54,11 +54,11 @@
 		{
 			"query of an unknown job", nil,
 			&peer.Request{Kind: peer.Request_KIND_QUERY, Uid: "run-000100"},
-			&peer.Reply{StoreReached: true, Status: 404, Body: []byte(noJob)},
+			&peer.Reply{StoreReached: true, Status: 404, Body: []byte(unknownJobBody)},
 		},
 		{
 			"submission", nil,
-			&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: submission(func(*api.Job) {})},
+			&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: encodeJob(func(*api.Job) {})},
 			&peer.Reply{StoreReached: true, Status: 201, Body: []byte(`{"phase":"pending","uid":"run-000100"}`)},
 		},
 		{
@@ -67,45 +67,45 @@
 			&peer.Reply{StoreReached: true, Status: 200, Body: []byte(`{"phase":"withdrawn","uid":"run-000100"}`)},
 		},
 		{
-			"gang before all read its form", nil,
-			&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: submission(func(j *api.Job) { j.UID, j.Kind = "run-000101", api.Gang })},
-			&peer.Reply{StoreReached: true, Status: 503, Body: []byte(busy), RetryAfter: 1},
+			"gang before the upgrade is complete", nil,
+			&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: encodeJob(func(j *api.Job) { j.UID, j.Kind = "run-000101", api.Gang })},
+			&peer.Reply{StoreReached: true, Status: 503, Body: []byte(busyBody), RetryAfter: 1},
 		},
 		{"request of an unknown kind", nil, &peer.Request{Kind: 99}, &peer.Reply{StoreReached: true, Status: 404}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if x.before != nil {
-				x.before()
+		t.Run(test.name, func(t *testing.T) {
+			if test.before != nil {
+				test.before()
 			}
-			body, err := proto.Marshal(x.request)
+			body, err := proto.Marshal(test.request)
 			if err != nil {
 				t.Fatal(err)
 			}
-			response := n.askAsPeer(t, "POST", peer.Path, body)
+			response := n.sendPeerRequest(t, "POST", peer.Path, body)
 			var got peer.Reply
 			if err := proto.Unmarshal(response.Body, &got); err != nil || response.Status != 200 {
-				t.Fatalf("status %d: %v", response.Status, err)
+				t.Fatalf("got status %d, decoding error %v, want status 200 and a reply", response.Status, err)
 			}
-			if !proto.Equal(&got, x.want) {
-				t.Errorf("%v, want %v", &got, x.want)
+			if !proto.Equal(&got, test.want) {
+				t.Errorf("got reply %v, want %v", &got, test.want)
 			}
 		})
 	}
 }
 
-func TestMalformedPeerRequests(t *testing.T) {
+func TestHandlePeer_RejectsMalformedRequests(t *testing.T) {
 	n := newTestNode(t)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name, method, target string
 		body                 []byte
 	}{
 		{"other method", "GET", peer.Path, nil},
 		{"other path", "POST", "/v2/runs", nil},
-		{"no message", "POST", peer.Path, []byte{0xff}},
+		{"body that is no message", "POST", peer.Path, []byte{0xff}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if got := n.askAsPeer(t, x.method, x.target, x.body); got.Status != 400 || len(got.Body) != 0 {
-				t.Errorf("%d %s", got.Status, got.Body)
+		t.Run(test.name, func(t *testing.T) {
+			if got := n.sendPeerRequest(t, test.method, test.target, test.body); got.Status != 400 || len(got.Body) != 0 {
+				t.Errorf("got status %d with body %q, want status 400 without a body", got.Status, got.Body)
 			}
 		})
 	}
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -22,12 +22,12 @@
 	"violetturn/internal/transport"
 )
 
-// unlimitedWrites is a budget of changes that never runs out.
+// unlimitedWrites is a write budget that is never exhausted.
 type unlimitedWrites struct{}
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// testNode is a frontend on a simulated state service.
+// testNode is a frontend that uses a simulated state service.
 type testNode struct {
 	store    *simulator.Store
 	guard    *state.Guard
@@ -46,16 +46,16 @@
 	facts.Teams = []config.Team{{Name: "a"}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	world := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	environment := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	info.Now = func() time.Time { return world.Now }
+	info.Now = func() time.Time { return environment.Now }
 	info.SteppedClock = true
-	services := &external.Services{Store: &simulator.StoreClient{Store: world.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
+	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, unlimitedWrites{}))
 	sync := storesync.New(info, guard, services, wake)
 	return &testNode{
-		store: world.Store, guard: guard, sync: sync,
+		store: environment.Store, guard: guard, sync: sync,
 		frontend: frontend.New(frontend.Deps{
 			Node: info, Guard: guard, Services: services, Sync: sync,
 			Members: membership.New(info, guard, services), Wake: wake, GangAccepted: notify.NewSignal(),
@@ -63,7 +63,7 @@
 	}
 }
 
-// load lets the node read the state service and learn the cloud's machine types.
+// load loads the node's replica from the state service and sets the cloud's machine types.
 func (n *testNode) load(t *testing.T) {
 	t.Helper()
 	if err := n.sync.Load(t.Context()); err != nil {
@@ -74,91 +74,91 @@
 	locked.Catalog.SetMachineTypes([]cloud.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Zones: []string{"x", "y"}, BootS: 6}})
 }
 
-// ask sends a request and waits for its response.
-func (n *testNode) ask(t *testing.T, method, target string, body []byte) transport.Response {
+// sendRequest sends a request and waits for its response.
+func (n *testNode) sendRequest(t *testing.T, method, target string, body []byte) transport.Response {
 	t.Helper()
-	answered := make(chan transport.Response, 1)
-	response, now := n.frontend.Handle(
-		&httpwire.Message{Method: method, Target: target, Body: body}, func(r transport.Response) { answered <- r },
+	responses := make(chan transport.Response, 1)
+	response, answered := n.frontend.Handle(
+		&httpwire.Message{Method: method, Target: target, Body: body}, func(r transport.Response) { responses <- r },
 	)
-	if now {
+	if answered {
 		return response
 	}
 	select {
-	case response = <-answered:
+	case response = <-responses:
 		return response
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s %s: not answered", method, target)
+		t.Fatalf("%s %s: got no response within 10 s", method, target)
 		return response
 	}
 }
 
-func submission(change func(*api.Job)) []byte {
+func encodeJob(modify func(*api.Job)) []byte {
 	j := &api.Job{
 		UID: "run-000100", Class: "l", Team: "a", Kind: api.Array, Priority: "idle",
 		Tasks: 2, CPUs: 1, GPUs: 1, MemGB: 1, Image: "i",
 	}
-	change(j)
+	modify(j)
 	return simulator.Submission(j)
 }
 
-// Bodies that several requests are answered with.
+// Response bodies that several test cases expect.
 const (
-	busy       = `{"error":"try again"}`
-	notAllowed = `{"error":"method not allowed"}`
-	noPath     = `{"error":"no such path"}`
-	noJob      = `{"error":"no such run"}`
+	busyBody             = `{"error":"try again"}`
+	methodNotAllowedBody = `{"error":"method not allowed"}`
+	unknownPathBody      = `{"error":"no such path"}`
+	unknownJobBody       = `{"error":"no such run"}`
 )
 
-// responseCases are requests in the order in which one node gets them.
+// responseCases are requests and the expected responses of one node, in the order in which they are sent.
 var responseCases = []struct {
 	name           string
-	before         func(*testing.T, *testNode) // nil: nothing happens before
+	before         func(*testing.T, *testNode) // called before the request unless nil
 	method, target string
 	body           []byte
 	status         int
 	response       string
 	retryAfter     int
 }{
-	{"health before loading", nil, "GET", "/healthz", nil, 503, busy, 1},
-	{"submission before loading", nil, "POST", "/v2/runs", submission(func(*api.Job) {}), 503, busy, 1},
-	{"query before loading", nil, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
+	{"health before loading", nil, "GET", "/healthz", nil, 503, busyBody, 1},
+	{"submission before loading", nil, "POST", "/v2/runs", encodeJob(func(*api.Job) {}), 503, busyBody, 1},
+	{"query before loading", nil, "GET", "/v2/runs/run-000100", nil, 503, busyBody, 1},
 	{"health", func(t *testing.T, n *testNode) { t.Helper(); n.load(t) }, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 	{"health with a query string", nil, "GET", "/healthz?x=1", nil, 200, `{"node":"n0"}`, 0},
-	{"health by another method", nil, "POST", "/healthz", nil, 405, notAllowed, 0},
-	{"heartbeat by another method", nil, "GET", "/checkin", nil, 405, notAllowed, 0},
+	{"health by another method", nil, "POST", "/healthz", nil, 405, methodNotAllowedBody, 0},
+	{"heartbeat by another method", nil, "GET", "/checkin", nil, 405, methodNotAllowedBody, 0},
 	{"heartbeat without a host", nil, "POST", "/checkin", []byte(`{}`), 400, `{"error":"host or tenure missing"}`, 0},
 	{"heartbeat that is no JSON", nil, "POST", "/checkin", []byte(`{`), 400, `{"error":"unexpected end of JSON input"}`, 0},
-	{"unknown path", nil, "GET", "/v2", nil, 404, noPath, 0},
-	{"unknown path below a job", nil, "GET", "/v2/runs/run-000100/log", nil, 404, noPath, 0},
-	{"submission by another method", nil, "GET", "/v2/runs", nil, 405, notAllowed, 0},
-	{"query by another method", nil, "DELETE", "/v2/runs/run-000100", nil, 405, notAllowed, 0},
-	{"cancellation by another method", nil, "GET", "/v2/runs/run-000100/cancel", nil, 405, notAllowed, 0},
+	{"unknown path", nil, "GET", "/v2", nil, 404, unknownPathBody, 0},
+	{"unknown path below a job", nil, "GET", "/v2/runs/run-000100/log", nil, 404, unknownPathBody, 0},
+	{"submission by another method", nil, "GET", "/v2/runs", nil, 405, methodNotAllowedBody, 0},
+	{"query by another method", nil, "DELETE", "/v2/runs/run-000100", nil, 405, methodNotAllowedBody, 0},
+	{"cancellation by another method", nil, "GET", "/v2/runs/run-000100/cancel", nil, 405, methodNotAllowedBody, 0},
 	{"submission that is no object", nil, "POST", "/v2/runs", []byte(`[]`), 400, `{"error":"not a JSON object"}`, 0},
 	{
-		"malformed submission", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
+		"malformed submission", nil, "POST", "/v2/runs", encodeJob(func(j *api.Job) { j.Kind = "gang" }),
 		400, `{"error":"shape: invalid"}`, 0,
 	},
 	{
-		"submission of an unknown team", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Team = "z" }),
+		"submission of an unknown team", nil, "POST", "/v2/runs", encodeJob(func(j *api.Job) { j.Team = "z" }),
 		422, `{"error":"unknown team"}`, 0,
 	},
 	{
 		"submission longer than a record", nil, "POST", "/v2/runs",
-		submission(func(j *api.Job) { j.Image = strings.Repeat("x", 4000) }), 400, `{"error":"submission too long"}`, 0,
+		encodeJob(func(j *api.Job) { j.Image = strings.Repeat("x", 4000) }), 400, `{"error":"submission too long"}`, 0,
 	},
-	{"gang before all read its form", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = api.Gang }), 503, busy, 1},
-	{"query of an unknown job", nil, "GET", "/v2/runs/run-000100", nil, 404, noJob, 0},
-	{"query of no job's name", nil, "GET", "/v2/runs/.", nil, 404, noJob, 0},
-	{"cancellation of an unknown job", nil, "POST", "/v2/runs/run-000100/cancel", nil, 404, noJob, 0},
-	{"cancellation of no job's name", nil, "POST", "/v2/runs/a/b/cancel", nil, 404, noJob, 0},
-	{"submission", nil, "POST", "/v2/runs", submission(func(*api.Job) {}), 201, `{"phase":"pending","uid":"run-000100"}`, 0},
+	{"gang before the upgrade is complete", nil, "POST", "/v2/runs", encodeJob(func(j *api.Job) { j.Kind = api.Gang }), 503, busyBody, 1},
+	{"query of an unknown job", nil, "GET", "/v2/runs/run-000100", nil, 404, unknownJobBody, 0},
+	{"query of an invalid job ID", nil, "GET", "/v2/runs/.", nil, 404, unknownJobBody, 0},
+	{"cancellation of an unknown job", nil, "POST", "/v2/runs/run-000100/cancel", nil, 404, unknownJobBody, 0},
+	{"cancellation of an invalid job ID", nil, "POST", "/v2/runs/a/b/cancel", nil, 404, unknownJobBody, 0},
+	{"submission", nil, "POST", "/v2/runs", encodeJob(func(*api.Job) {}), 201, `{"phase":"pending","uid":"run-000100"}`, 0},
 	{
-		"submission repeated", nil, "POST", "/v2/runs", submission(func(*api.Job) {}),
+		"submission repeated", nil, "POST", "/v2/runs", encodeJob(func(*api.Job) {}),
 		200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
 	},
 	{
-		"submission repeated malformed", nil, "POST", "/v2/runs", submission(func(j *api.Job) { j.Kind = "gang" }),
+		"submission repeated malformed", nil, "POST", "/v2/runs", encodeJob(func(j *api.Job) { j.Kind = "gang" }),
 		200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0,
 	},
 	{"query", nil, "GET", "/v2/runs/run-000100", nil, 200, `{"uid":"run-000100","phase":"pending","done":0,"running":0}`, 0},
@@ -168,23 +168,23 @@
 		"query of a cancelled job", nil, "GET", "/v2/runs/run-000100", nil,
 		200, `{"uid":"run-000100","phase":"withdrawn","done":0,"running":0}`, 0,
 	},
-	{"query in an outage", func(_ *testing.T, n *testNode) { n.store.Down = true }, "GET", "/v2/runs/run-000100", nil, 503, busy, 1},
+	{"query in an outage", func(_ *testing.T, n *testNode) { n.store.Down = true }, "GET", "/v2/runs/run-000100", nil, 503, busyBody, 1},
 	{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 }
 
-// Users' programs read the responses: each is the same, byte for byte, whatever the types that it
-// is made from.
-func TestResponseBodies(t *testing.T) {
+// The response bodies are the same byte for byte, because users' programs parse them, whatever types
+// they are encoded from.
+func TestHandle_ReturnsExactResponses(t *testing.T) {
 	n := newTestNode(t)
-	for _, x := range responseCases {
-		t.Run(x.name, func(t *testing.T) {
-			if x.before != nil {
-				x.before(t, n)
+	for _, test := range responseCases {
+		t.Run(test.name, func(t *testing.T) {
+			if test.before != nil {
+				test.before(t, n)
 			}
-			got := n.ask(t, x.method, x.target, x.body)
-			if got.Status != x.status || string(got.Body) != x.response || got.RetryAfter != x.retryAfter {
-				t.Errorf("%d %s, again after %d s; want %d %s after %d s",
-					got.Status, got.Body, got.RetryAfter, x.status, x.response, x.retryAfter)
+			got := n.sendRequest(t, test.method, test.target, test.body)
+			if got.Status != test.status || string(got.Body) != test.response || got.RetryAfter != test.retryAfter {
+				t.Errorf("got status %d, body %s, Retry-After %d s; want %d, %s, %d s",
+					got.Status, got.Body, got.RetryAfter, test.status, test.response, test.retryAfter)
 			}
 		})
 	}
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -16,10 +16,10 @@
 	"violetturn/internal/transport"
 )
 
-// scriptedPeer is a controller that gives one answer, and notes the last request.
-type scriptedPeer struct {
+// fakePeer is a controller that always sends the same response, and records the last request.
+type fakePeer struct {
 	t            *testing.T
-	mu           sync.Mutex // the server's goroutine and the test's take turns
+	mu           sync.Mutex // guards the fields below, which the goroutines of the server and the test use
 	status       int
 	body         []byte
 	method, path string
@@ -27,7 +27,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *scriptedPeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakePeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	encoded, err := io.ReadAll(r.Body)
 	if err != nil {
 		s.t.Error(err)
@@ -39,78 +39,78 @@
 		s.t.Error(err)
 	}
 	w.WriteHeader(s.status)
-	_, _ = w.Write(s.body) // the client notices what is missing
+	_, _ = w.Write(s.body) // the client detects an incomplete body
 }
 
-// answerWith has the peer give an answer from now on.
-func (s *scriptedPeer) answerWith(status int, body []byte) {
+// setResponse sets the response of the peer.
+func (s *fakePeer) setResponse(status int, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.body = status, body
 }
 
-// asked returns the last request.
-func (s *scriptedPeer) asked() (method, path string, request *Request) {
+// lastRequest returns the last request that the peer received.
+func (s *fakePeer) lastRequest() (method, path string, request *Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.method, s.path, s.request
 }
 
-// newClient starts a scripted peer and returns a client and the server.
-func newClient(t *testing.T, peer *scriptedPeer) (*Client, *httptest.Server) {
+// newClient starts a server for the peer and returns a client and the server.
+func newClient(t *testing.T, peer *fakePeer) (*Client, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(peer)
 	t.Cleanup(server.Close)
-	h, err := transport.NewClient(httpwire.ResponseLimits)
+	httpClient, err := transport.NewClient(httpwire.ResponseLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if closeErr := h.Close(); closeErr != nil {
+		if closeErr := httpClient.Close(); closeErr != nil {
 			t.Error(closeErr)
 		}
 	})
-	return New(h), server
+	return New(httpClient), server
 }
 
-// question is what the tests ask.
-func question() *Request { return &Request{Kind: Request_KIND_QUERY, From: "n0", Uid: "run-1"} }
+// testRequest returns the request that the tests send.
+func testRequest() *Request { return &Request{Kind: Request_KIND_QUERY, From: "n0", Uid: "run-1"} }
 
-// A question reaches the peer as it was asked, and its reply comes back.
-func TestAsk(t *testing.T) {
+func TestClient_SendsRequestAndReturnsReply(t *testing.T) {
 	want := &Reply{StoreReached: true, Status: 200, Body: []byte("b"), RetryAfter: 3}
 	encoded, err := proto.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := &scriptedPeer{t: t, status: 200, body: encoded}
+	peer := &fakePeer{t: t, status: 200, body: encoded}
 	client, server := newClient(t, peer)
-	got, err := client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+	got, err := client.Ask(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
 	if err != nil || !proto.Equal(want, got) {
-		t.Error(got, err)
+		t.Errorf("got reply %v and error %v, want %v", got, err, want)
 	}
-	if method, path, request := peer.asked(); method != "POST" || path != Path || !proto.Equal(question(), request) {
-		t.Errorf("%s %s %v", method, path, request)
+	if method, path, request := peer.lastRequest(); method != "POST" || path != Path || !proto.Equal(testRequest(), request) {
+		t.Errorf("peer received %s %s %v, want POST %s %v", method, path, request, Path, testRequest())
 	}
 }
 
-// Another status than 200, an answer that is no reply and no answer at all are errors.
-func TestAskInVain(t *testing.T) {
-	peer := &scriptedPeer{t: t, status: 404}
+// A request fails if the response has another status than 200 or its body is not a reply, or if the
+// peer cannot be reached.
+func TestClient_FailsWithoutReply(t *testing.T) {
+	peer := &fakePeer{t: t, status: 404}
 	client, server := newClient(t, peer)
-	ask := func() (*Reply, error) {
-		return client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+	send := func() (*Reply, error) {
+		return client.Ask(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
 	}
 	var refused *StatusError
-	if reply, err := ask(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
-		t.Error(reply, err)
+	if reply, err := send(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
+		t.Errorf("status 404: got reply %v and error %v, want a StatusError with status 404", reply, err)
 	}
-	peer.answerWith(200, []byte{0xff})
-	if reply, err := ask(); err == nil || reply != nil {
-		t.Error("taken for a reply:", reply)
+	peer.setResponse(200, []byte{0xff})
+	if reply, err := send(); err == nil || reply != nil {
+		t.Errorf("malformed body: got reply %v and error %v, want an error", reply, err)
 	}
 	server.Close()
-	if reply, err := ask(); err == nil || reply != nil {
-		t.Error("a peer that is not there answers:", reply)
+	if reply, err := send(); err == nil || reply != nil {
+		t.Errorf("closed server: got reply %v and error %v, want an error", reply, err)
 	}
 }
