--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -108,7 +108,7 @@
 				for host, m := range c.testState().Cache.Machines {
 					s := c.testState().Agents.Agent(host)
 					s.UnderusedSince = time.Time{}
-					review.Consider(host, m, s)
+					review.Evaluate(host, m, s)
 				}
 			}
 		})
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -203,7 +203,7 @@
 	}
 	for _, how := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
-		if g.TaskEnded(1, agent.ExitReasonOf(how), true); !g.Ended {
+		if g.RecordTaskEnd(1, agent.ExitReasonOf(how), true); !g.Ended {
 			t.Fatalf("goes on after %s", how)
 		}
 	}
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -82,14 +82,14 @@
 
 // addMachines adds machines, page by page.
 func (s *largeShard) addMachines(machines int) {
-	page := shard.Page{}
+	page := shard.MachinePage{}
 	for i := range machines {
 		host := machineName(i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
 		id := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageSuffixLen) {
 			s.apply(statecache.MachinePageKey(id), page)
-			page = shard.Page{}
+			page = shard.MachinePage{}
 		}
 	}
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -100,7 +100,7 @@
 	s := newTestCluster()
 	m := s.nodes[0].state().Cache
 	page := func(id string, version uint64, hosts ...string) {
-		p := shard.Page{}
+		p := shard.MachinePage{}
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -46,7 +46,7 @@
 			v := shard.CapacityRecord{}
 			return &v, json.Unmarshal(raw, &v)
 		},
-		"page.json": func(raw json.RawMessage) (any, error) { v := shard.Page{}; return &v, json.Unmarshal(raw, &v) },
+		"page.json": func(raw json.RawMessage) (any, error) { v := shard.MachinePage{}; return &v, json.Unmarshal(raw, &v) },
 		"team.json": func(raw json.RawMessage) (any, error) { v := shard.QuotaRecord{}; return &v, json.Unmarshal(raw, &v) },
 		"past.json": func(raw json.RawMessage) (any, error) { v := job.FinalState{}; return &v, json.Unmarshal(raw, &v) },
 	} {
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -84,7 +84,7 @@
 	c := z.nodes[leader].controller
 	waiting := func() (tasks int) {
 		observations := c.testState().Zones.Observe(c.node.Now()).Observations
-		for _, d := range observations["x"]["n0"].Waiting {
+		for _, d := range observations["x"]["n0"].WaitingProduction {
 			tasks += d.Tasks
 		}
 		return tasks
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -55,7 +55,7 @@
 func (f *Frontend) checkSpec(spec *api.Job) (unfinished bool, err error) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	if !state.Catalog.IsKnown() {
+	if !state.Catalog.IsLoaded() {
 		return false, errBusy
 	}
 	if reason := state.Catalog.RejectionReason(spec); reason != "" {
--- a/internal/job/layout_test.go
+++ b/internal/job/layout_test.go
@@ -62,7 +62,7 @@
 		}
 		r.Zone, r.Cancelled, r.FinishedRanges = "zone-of-some-length", true, []int{0, 1}
 		r.InlineRange = (*TaskRange)(nil).Copy()
-		r.InlineRange.LastAttempt, r.InlineRange.Errors = 1<<40, 1<<20
+		r.InlineRange.LastAttempt, r.InlineRange.ErrorStreak = 1<<40, 1<<20
 		placeAll(r.InlineRange, r.Spec.Tasks)
 		if raw := api.JSON(r); len(raw) > int(kb*1024) {
 			t.Fatalf("%d bytes of %g KiB with %d tasks", len(raw), kb, r.Spec.Tasks)
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -64,7 +64,7 @@
 	version := f.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: term})
 	leaderships.Begin("n0", &leadership.Leadership{Term: term, Version: version, PredecessorAnswersUntil: f.now})
 	page := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
-	f.apply(statecache.MachinePageKey(page), shard.Page{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
+	f.apply(statecache.MachinePageKey(page), shard.MachinePage{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
 	f.record = &job.Record{
 		Spec: api.Job{
 			UID: uid, Kind: api.Array, Priority: api.Standard, Tasks: 2, CPUs: 4, MemGB: 16, SaveS: 2, CheckpointS: 10,
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -34,7 +34,7 @@
 			newest, newestPlacedS = task, placedS
 		}
 	}
-	if host.Cap.Fits(used) {
+	if host.Capacity.Fits(used) {
 		return nil
 	}
 	return newest
@@ -45,7 +45,7 @@
 func (p *preemption) preemptionCost(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
 	s := p.scheduler
 	worker := s.agents.Agent(host)
-	if worker == nil || worker.Heartbeat == nil || !s.zones.IsHeldBack(host, task, job, p.now) {
+	if worker == nil || worker.Heartbeat == nil || !s.zones.IsRestartDelayed(host, task, job, p.now) {
 		return lostWorkSeconds(job, task.Placement, p.now)
 	}
 	name := task.TaskName(job)
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -131,7 +131,7 @@
 		Need:         ResourcesOf(spec),
 		MachineTypes: spec.MachineTypes,
 		Zone:         spec.Zone,
-		Spot:         spec.Spot,
+		AllowSpot:    spec.Spot,
 		Image:        spec.Image,
 		Service:      spec.Kind == api.Service,
 	}
