--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -67,7 +67,7 @@
 
 func (f *registryFixture) applyRecord(key string, value any) {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 }
 
 // receiveHeartbeat processes a heartbeat of the worker that reports the tasks.
--- a/internal/api/enums.go
+++ b/internal/api/enums.go
@@ -89,21 +89,21 @@
 
 // Causes of the end of a task.
 const (
-	CauseDone           ExitCause = "done"       // completed
-	CauseStopped        ExitCause = "stopped"    // stopped by a command
-	CauseError          ExitCause = "error"      // the task failed
-	CauseNoRoom         ExitCause = "no_room"    // start refused: the machine lacks free resources
-	CauseBusy           ExitCause = "busy"       // start refused: the machine has another attempt of the task
-	CauseUnknown        ExitCause = "unknown"    // start refused: no such job or task
-	CausePeerLost       ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
-	CauseGangIncomplete ExitCause = "alone"      // task of a gang: not all tasks of the gang were ready in time
+	CauseDone                  ExitCause = "done"       // completed
+	CauseStopped               ExitCause = "stopped"    // stopped by a command
+	CauseError                 ExitCause = "error"      // the task failed
+	CauseInsufficientResources ExitCause = "no_room"    // start refused: the machine lacks free resources
+	CauseBusy                  ExitCause = "busy"       // start refused: the machine has another attempt of the task
+	CauseUnknown               ExitCause = "unknown"    // start refused: no such job or task
+	CausePeerLost              ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
+	CauseGangIncomplete        ExitCause = "alone"      // task of a gang: not all tasks of the gang were ready in time
 )
 
 // Known reports whether this version supports the cause. An unknown cause is treated as an end
 // without success that does not count as a failure of the task or of its machine.
 func (c ExitCause) Known() bool {
 	switch c {
-	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
+	case CauseDone, CauseStopped, CauseError, CauseInsufficientResources, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
 		return true
 	}
 	return false
--- a/internal/api/enums_test.go
+++ b/internal/api/enums_test.go
@@ -36,7 +36,7 @@
 		{CauseDone, "done", true},
 		{CauseStopped, "stopped", true},
 		{CauseError, "error", true},
-		{CauseNoRoom, "no_room", true},
+		{CauseInsufficientResources, "no_room", true},
 		{CauseBusy, "busy", true},
 		{CauseUnknown, "unknown", true},
 		{CausePeerLost, "mates_gone", true},
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -4,10 +4,10 @@
 
 // HTTP statuses of responses to requests that are rejected.
 const (
-	StatusBadRequest    = 400 // malformed; repeating the request does not help
-	StatusNotFound      = 404 // no such path, or the job was never accepted
-	StatusNotAllowed    = 405 // the path does not support the method
-	StatusUnprocessable = 422 // well-formed, but can never be served
+	StatusBadRequest       = 400 // malformed; repeating the request does not help
+	StatusNotFound         = 404 // no such path, or the job was never accepted
+	StatusMethodNotAllowed = 405 // the path does not support the method
+	StatusUnprocessable    = 422 // well-formed, but can never be served
 )
 
 // RequestError is the reason why a request was rejected. The response to the sender contains the
@@ -20,7 +20,7 @@
 // Error implements error.
 func (e *RequestError) Error() string { return e.Reason }
 
-// Refuse returns a RequestError with a status and a formatted reason.
-func Refuse(status int, reason string, args ...any) *RequestError {
+// NewRequestError returns a RequestError with a status and a formatted reason.
+func NewRequestError(status int, reason string, args ...any) *RequestError {
 	return &RequestError{Status: status, Reason: fmt.Sprintf(reason, args...)}
 }
--- a/internal/api/fields.go
+++ b/internal/api/fields.go
@@ -24,7 +24,7 @@
 // setError records an error of a field, unless an earlier error is recorded.
 func (r *fieldReader) setError(name, reason string) {
 	if r.err == nil {
-		r.err = Refuse(StatusBadRequest, "%s: %s", name, reason)
+		r.err = NewRequestError(StatusBadRequest, "%s: %s", name, reason)
 	}
 }
 
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -11,7 +11,7 @@
 // For any body, ParseJob returns either a bad request or a job that is within all bounds and does not
 // change when it is recorded and read back.
 func FuzzParseJob(f *testing.F) {
-	f.Add(JSON(validFields()))
+	f.Add(MustMarshal(validFields()))
 	f.Add([]byte(`{"uid":"run-1"}`))
 	f.Add([]byte(`{"uid":"run-1","UID":"run-2","shape":null}`))
 	f.Add([]byte(`[{"uid":"run-1"}]`))
@@ -25,11 +25,11 @@
 			return
 		}
 		checkJob(t, j)
-		if uid, ok := UIDOf(body); !ok || uid != j.UID {
+		if uid, ok := ExtractUID(body); !ok || uid != j.UID {
 			t.Fatalf("got job ID %q, valid %t, want %q, true", uid, ok, j.UID)
 		}
 		var decoded Job
-		if err := json.Unmarshal(JSON(j), &decoded); err != nil || !reflect.DeepEqual(j, &decoded) {
+		if err := json.Unmarshal(MustMarshal(j), &decoded); err != nil || !reflect.DeepEqual(j, &decoded) {
 			t.Fatalf("job read back from its record is %+v, error %v, want %+v", decoded, err, j)
 		}
 	})
@@ -49,7 +49,7 @@
 			t.Fatalf("class, team or image is empty: %+v", j)
 		}
 	}
-	amounts := []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimateS, j.CheckpointS, j.SaveS}
+	amounts := []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimatedRunS, j.CheckpointIntervalS, j.SaveDurationS}
 	if j.DeadlineS != nil {
 		amounts = append(amounts, *j.DeadlineS)
 	}
@@ -79,11 +79,11 @@
 		if h.Host == "" || h.AgentEpoch == 0 || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, forbiddenHostCharacters) {
 			t.Fatalf("accepted host %q with agent epoch %d, one of which is invalid", h.Host, h.AgentEpoch)
 		}
-		decoded, err := ParseHeartbeat(JSON(h))
+		decoded, err := ParseHeartbeat(MustMarshal(h))
 		if err != nil || !reflect.DeepEqual(h, decoded) {
 			t.Fatalf("heartbeat parsed from its encoding is %+v, error %v, want %+v", decoded, err, h)
 		}
-		if h.Newer(h.AgentEpoch, h.Sequence) || !h.Newer(h.AgentEpoch-1, h.Sequence) {
+		if h.NewerThan(h.AgentEpoch, h.Sequence) || !h.NewerThan(h.AgentEpoch-1, h.Sequence) {
 			t.Fatal("heartbeat counts as newer than itself, or as not newer than one of an earlier agent epoch")
 		}
 	})
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -28,9 +28,9 @@
 	Tasks       []TaskState `json:"pieces"`  // all tasks on the machine; ended tasks until they are cleared
 }
 
-// Newer reports whether the worker made the heartbeat after the one with the given agent epoch and
+// NewerThan reports whether the worker made the heartbeat after the one with the given agent epoch and
 // sequence number.
-func (h *Heartbeat) Newer(agentEpoch, sequence uint64) bool {
+func (h *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
 	return h.AgentEpoch > agentEpoch || h.AgentEpoch == agentEpoch && h.Sequence > sequence
 }
 
@@ -44,10 +44,10 @@
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var h Heartbeat
 	if err := json.Unmarshal(body, &h); err != nil {
-		return nil, Refuse(StatusBadRequest, "%v", err)
+		return nil, NewRequestError(StatusBadRequest, "%v", err)
 	}
 	if h.AgentEpoch == 0 || h.Host == "" || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, forbiddenHostCharacters) {
-		return nil, Refuse(StatusBadRequest, "host or tenure missing")
+		return nil, NewRequestError(StatusBadRequest, "host or tenure missing")
 	}
 	return &h, nil
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -45,7 +45,7 @@
 		{3, 1, false},
 	} {
 		h := &Heartbeat{AgentEpoch: 2, Sequence: 5}
-		if h.Newer(test.epoch, test.sequence) != test.newer {
+		if h.NewerThan(test.epoch, test.sequence) != test.newer {
 			t.Errorf("newer than agent epoch %d, sequence %d: got %t, want %t",
 				test.epoch, test.sequence, !test.newer, test.newer)
 		}
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -10,30 +10,30 @@
 
 // Job is a job as submitted by a user. The job's record in the state service has the same JSON names.
 type Job struct {
-	UID          string   `json:"uid"`
-	Class        string   `json:"lane"` // job class, the unit for which objectives are configured
-	Team         string   `json:"owner"`
-	Kind         JobKind  `json:"shape"`
-	Priority     Priority `json:"rank"`
-	Tasks        int      `json:"pieces"`              // number of tasks
-	CPUs         float64  `json:"cpus"`                // per task
-	GPUs         float64  `json:"gpus"`                // per task
-	MemGB        float64  `json:"memGb"`               // per task
-	Image        string   `json:"bundle"`              // name of the image, which a machine fetches before a task runs
-	ImageGB      float64  `json:"sizeGb"`              // size of the image
-	MachineTypes []string `json:"builds"`              // allowed machine types; nil: any
-	Zone         string   `json:"site,omitempty"`      // allowed zone; "": any
-	Together     bool     `json:"together,omitempty"`  // all tasks must run in the same zone
-	Spread       bool     `json:"scatter,omitempty"`   // at most half of the tasks may run in one zone
-	Spot         bool     `json:"loaners,omitempty"`   // whether spot machines are allowed
-	EstimateS    float64  `json:"guessS,omitempty"`    // user's estimate of a task's run time; 0 for services
-	CheckpointS  float64  `json:"bookmarkS,omitempty"` // time between two checkpoints; 0: the task never saves
-	SaveS        float64  `json:"stowS,omitempty"`     // time that a task needs to save when it is stopped
-	DeadlineS    *float64 `json:"dueS,omitempty"`      // deadline, counted from the submission; nil: none
+	UID                 string   `json:"uid"`
+	Class               string   `json:"lane"` // job class, the unit for which objectives are configured
+	Team                string   `json:"owner"`
+	Kind                JobKind  `json:"shape"`
+	Priority            Priority `json:"rank"`
+	Tasks               int      `json:"pieces"`              // number of tasks
+	CPUs                float64  `json:"cpus"`                // per task
+	GPUs                float64  `json:"gpus"`                // per task
+	MemGB               float64  `json:"memGb"`               // per task
+	Image               string   `json:"bundle"`              // name of the image, which a machine fetches before a task runs
+	ImageGB             float64  `json:"sizeGb"`              // size of the image
+	MachineTypes        []string `json:"builds"`              // allowed machine types; nil: any
+	Zone                string   `json:"site,omitempty"`      // allowed zone; "": any
+	SingleZone          bool     `json:"together,omitempty"`  // all tasks must run in the same zone
+	Spread              bool     `json:"scatter,omitempty"`   // at most half of the tasks may run in one zone
+	AllowSpot           bool     `json:"loaners,omitempty"`   // whether spot machines are allowed
+	EstimatedRunS       float64  `json:"guessS,omitempty"`    // user's estimate of a task's run time; 0 for services
+	CheckpointIntervalS float64  `json:"bookmarkS,omitempty"` // time between two checkpoints; 0: the task never saves
+	SaveDurationS       float64  `json:"stowS,omitempty"`     // time that a task needs to save when it is stopped
+	DeadlineS           *float64 `json:"dueS,omitempty"`      // deadline, counted from the submission; nil: none
 }
 
-// State is the state of a job as reported to users. Done and Running are numbers of tasks.
-type State struct {
+// JobState is the state of a job as reported to users. Done and Running are numbers of tasks.
+type JobState struct {
 	UID     string   `json:"uid"`
 	Phase   JobPhase `json:"phase"`
 	Done    int      `json:"done"`
@@ -44,7 +44,7 @@
 func ParseJob(body []byte) (*Job, error) {
 	r, ok := newFieldReader(body)
 	if !ok {
-		return nil, Refuse(StatusBadRequest, "not a JSON object")
+		return nil, NewRequestError(StatusBadRequest, "not a JSON object")
 	}
 	j := &Job{}
 	r.readIdentity(j)
@@ -89,16 +89,16 @@
 		j.Zone = *zone
 		r.requireValid("site", j.Zone != "")
 	}
-	r.read("together", &j.Together)
+	r.read("together", &j.SingleZone)
 	r.read("scatter", &j.Spread)
-	r.read("loaners", &j.Spot)
+	r.read("loaners", &j.AllowSpot)
 }
 
 // readTimes reads the durations of a job, in seconds.
 func (r *fieldReader) readTimes(j *Job) {
-	r.readAmount("guessS", &j.EstimateS)
-	r.readAmount("bookmarkS", &j.CheckpointS)
-	r.readAmount("stowS", &j.SaveS)
+	r.readAmount("guessS", &j.EstimatedRunS)
+	r.readAmount("bookmarkS", &j.CheckpointIntervalS)
+	r.readAmount("stowS", &j.SaveDurationS)
 	r.readNullable("dueS", &j.DeadlineS)
 	if j.DeadlineS != nil {
 		r.requireValid("dueS", *j.DeadlineS >= 0)
@@ -125,9 +125,9 @@
 	return true
 }
 
-// UIDOf reads only the job ID of a submission and reports whether it is valid. A repeated submission
+// ExtractUID reads only the job ID of a submission and reports whether it is valid. A repeated submission
 // of an accepted job is answered with the job's state even if its other fields are invalid.
-func UIDOf(body []byte) (string, bool) {
+func ExtractUID(body []byte) (string, bool) {
 	var values map[string]json.RawMessage
 	var uid string
 	if json.Unmarshal(body, &values) != nil || json.Unmarshal(values["uid"], &uid) != nil {
@@ -136,8 +136,8 @@
 	return uid, ValidUID(uid)
 }
 
-// KindOf reads only the job kind of a submission. It returns "" if the kind cannot be read.
-func KindOf(body []byte) JobKind {
+// ExtractJobKind reads only the job kind of a submission. It returns "" if the kind cannot be read.
+func ExtractJobKind(body []byte) JobKind {
 	var submission struct {
 		Kind JobKind `json:"shape"`
 	}
--- a/internal/api/job_test.go
+++ b/internal/api/job_test.go
@@ -38,7 +38,7 @@
 }
 
 // parseFields encodes a submission with these fields and parses it.
-func parseFields(f fields) (*Job, error) { return ParseJob(JSON(f)) }
+func parseFields(f fields) (*Job, error) { return ParseJob(MustMarshal(f)) }
 
 // isBadRequest reports whether an error is a RequestError with StatusBadRequest and a reason.
 func isBadRequest(err error) bool {
@@ -124,7 +124,7 @@
 		if err != nil || j.UID != "run-000412" || j.Tasks != 16 || *j.DeadlineS != 900 {
 			t.Fatalf("got job %+v and error %v, want the job without the unknown fields", j, err)
 		}
-		if uid, ok := UIDOf(JSON(f)); !ok || uid != "run-000412" {
+		if uid, ok := ExtractUID(MustMarshal(f)); !ok || uid != "run-000412" {
 			t.Fatalf("got job ID %q, valid %t, want %q, true", uid, ok, "run-000412")
 		}
 	})
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// JSON encodes a value of a type that can always be encoded. It panics if encoding fails.
-func JSON(v any) []byte {
+// MustMarshal encodes a value of a type that can always be encoded. It panics if encoding fails.
+func MustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("api: %v", err)) // a programming error: all types passed to this function can be encoded
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -71,7 +71,7 @@
 // apply applies a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.revision++
-	f.state.Cache.Apply(key, api.JSON(value), f.revision)
+	f.state.Cache.Apply(key, api.MustMarshal(value), f.revision)
 	return f.revision
 }
 
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -5,8 +5,8 @@
 	"violetturn/internal/transport"
 )
 
-// Health answers the load balancer's health check: whether it may send users to this node.
-func (f *Frontend) Health() transport.Response {
+// HandleHealthCheck answers the load balancer's health check: whether it may send users to this node.
+func (f *Frontend) HandleHealthCheck() transport.Response {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	// A node that has just started is not ready until it has loaded all live records. A node that
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -31,11 +31,11 @@
 	}
 	// A peer of the previous version would reject a new job kind as malformed, and the user would
 	// not retry.
-	if request.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.KindOf(request.GetBody())) {
+	if request.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.ExtractJobKind(request.GetBody())) {
 		return respond.Busy
 	}
 	request.From = f.node.Settings.HostName
-	reply, err := f.services.Peers.Ask(ctx, addr, request, forwardTimeout)
+	reply, err := f.services.Peers.Call(ctx, addr, request, forwardTimeout)
 	if err != nil || reply.GetStatus() == 0 {
 		return respond.Busy // the peer may have executed the request; the user retries
 	}
@@ -66,9 +66,9 @@
 	if !f.members.ShouldServePeer(&request) {
 		return encodeReply(f.members.PeerStatus(&request)), true
 	}
-	serve := func(ctx context.Context) { send(encodeReply(PeerReply(f.ServeLocally(ctx, &request)))) }
+	serve := func(ctx context.Context) { send(encodeReply(NewPeerReply(f.ServeLocally(ctx, &request)))) }
 	if !f.startRequest(peerRequestTimeout, serve) {
-		return encodeReply(PeerReply(respond.Busy)), true
+		return encodeReply(NewPeerReply(respond.Busy)), true
 	}
 	return transport.Response{}, false
 }
@@ -82,8 +82,8 @@
 	return transport.Response{Status: statusOK, Body: body}
 }
 
-// PeerReply returns the reply to a peer that contains the response for its user. It states that this
+// NewPeerReply returns the reply to a peer that contains the response for its user. It states that this
 // node reaches the state service.
-func PeerReply(response transport.Response) *peer.Reply {
+func NewPeerReply(response transport.Response) *peer.Reply {
 	return &peer.Reply{StoreReached: true, Status: uint32(response.Status), Body: response.Body, RetryAfter: uint32(response.RetryAfter)}
 }
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -23,7 +23,7 @@
 // jobState returns the committed state of a job, or errUnknownJob if the job was never accepted. Any
 // other error implies nothing about the job. It refreshes the cache before it reads an unfinished
 // job, so that the state is not older than one that another node reported before the call.
-func (f *Frontend) jobState(ctx context.Context, uid string) (api.State, error) {
+func (f *Frontend) jobState(ctx context.Context, uid string) (api.JobState, error) {
 	state := f.guard.Lock()
 	final, finished := state.FinalStates.Get(uid)
 	f.guard.Unlock()
@@ -31,7 +31,7 @@
 		return jobStateOf(uid, final), nil
 	}
 	if err := f.sync.AwaitReadBarrier(ctx); err != nil {
-		return api.State{}, fmt.Errorf("state of job %s: %w", uid, err)
+		return api.JobState{}, fmt.Errorf("state of job %s: %w", uid, err)
 	}
 	state = f.guard.Lock()
 	if cachedJob := state.Cache.Jobs[uid]; cachedJob != nil {
@@ -45,17 +45,17 @@
 
 // readFinalState reads the final state of a job from the state service, for a job whose final state is
 // not cached, and caches it.
-func (f *Frontend) readFinalState(ctx context.Context, uid string) (api.State, error) {
+func (f *Frontend) readFinalState(ctx context.Context, uid string) (api.JobState, error) {
 	item, found, err := f.services.Store.Get(ctx, statecache.FinalStateKey(uid), store.PrioritySubmission)
 	if err != nil {
-		return api.State{}, fmt.Errorf("final state of job %s: %w", uid, err)
+		return api.JobState{}, fmt.Errorf("final state of job %s: %w", uid, err)
 	}
 	if !found {
-		return api.State{}, errUnknownJob
+		return api.JobState{}, errUnknownJob
 	}
 	var final job.FinalState
 	if err := json.Unmarshal(item.Value, &final); err != nil {
-		return api.State{}, fmt.Errorf("final state of job %s: %w", uid, err)
+		return api.JobState{}, fmt.Errorf("final state of job %s: %w", uid, err)
 	}
 	state := f.guard.Lock()
 	state.FinalStates.Add(uid, final)
@@ -64,6 +64,6 @@
 }
 
 // jobStateOf returns the state that is reported to users for a job with this final state.
-func jobStateOf(uid string, final job.FinalState) api.State {
-	return api.State{UID: uid, Phase: final.Phase, Done: final.Done}
+func jobStateOf(uid string, final job.FinalState) api.JobState {
+	return api.JobState{UID: uid, Phase: final.Phase, Done: final.Done}
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -33,10 +33,10 @@
 
 // Errors of rejected requests whose reasons do not depend on the request.
 var (
-	errUnknownJob        = api.Refuse(api.StatusNotFound, "no such run")
-	errUnknownPath       = api.Refuse(api.StatusNotFound, "no such path")
-	errMethodNotAllowed  = api.Refuse(api.StatusNotAllowed, "method not allowed")
-	errSubmissionTooLong = api.Refuse(api.StatusBadRequest, "submission too long")
+	errUnknownJob        = api.NewRequestError(api.StatusNotFound, "no such run")
+	errUnknownPath       = api.NewRequestError(api.StatusNotFound, "no such path")
+	errMethodNotAllowed  = api.NewRequestError(api.StatusMethodNotAllowed, "method not allowed")
+	errSubmissionTooLong = api.NewRequestError(api.StatusBadRequest, "submission too long")
 )
 
 // errBusy is the error of a request that cannot be served now but may be later.
@@ -53,7 +53,7 @@
 }
 
 // stateResponse returns the response with the state of a job, or the response to err if it is not nil.
-func stateResponse(state api.State, err error) transport.Response {
+func stateResponse(state api.JobState, err error) transport.Response {
 	if err != nil {
 		return errorResponse(err)
 	}
--- a/internal/frontend/routing.go
+++ b/internal/frontend/routing.go
@@ -40,7 +40,7 @@
 		if message.Method != methodGet {
 			return errorResponse(errMethodNotAllowed), true
 		}
-		return f.Health(), true
+		return f.HandleHealthCheck(), true
 	}
 	method, request := userRequest(path, message.Body)
 	if request == nil {
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -76,7 +76,7 @@
 	"cause done":                 api.CauseDone,
 	"cause stopped":              api.CauseStopped,
 	"cause error":                api.CauseError,
-	"cause no room":              api.CauseNoRoom,
+	"cause no room":              api.CauseInsufficientResources,
 	"cause busy":                 api.CauseBusy,
 	"cause unknown":              api.CauseUnknown,
 	"cause peer lost":            api.CausePeerLost,
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -70,7 +70,7 @@
 			t.Error(closeErr)
 		}
 	})
-	return New(httpClient), server
+	return NewClient(httpClient), server
 }
 
 // testRequest returns the request that the tests send.
@@ -84,7 +84,7 @@
 	}
 	peer := &fakePeer{t: t, status: 200, body: encoded}
 	client, server := newClient(t, peer)
-	got, err := client.Ask(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
+	got, err := client.Call(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
 	if err != nil || !proto.Equal(want, got) {
 		t.Errorf("got reply %v and error %v, want %v", got, err, want)
 	}
@@ -99,7 +99,7 @@
 	peer := &fakePeer{t: t, status: 404}
 	client, server := newClient(t, peer)
 	send := func() (*Reply, error) {
-		return client.Ask(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
+		return client.Call(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
 	}
 	var refused *StatusError
 	if reply, err := send(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
--- a/internal/respond/respond.go
+++ b/internal/respond/respond.go
@@ -10,5 +10,5 @@
 
 // JSON returns a response with v, encoded as JSON, as its body.
 func JSON(status int, v any) transport.Response {
-	return transport.Response{Status: status, Body: api.JSON(v)}
+	return transport.Response{Status: status, Body: api.MustMarshal(v)}
 }
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -93,7 +93,7 @@
 	if len(t.placed) == 0 {
 		t.beginAttempt(record)
 	}
-	if t.job.Record.Spec.Together && record.Zone == "" {
+	if t.job.Record.Spec.SingleZone && record.Zone == "" {
 		record.Zone = placement.Host.Zone
 	}
 	if t.hasAttemptEnded(placement) {
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -143,7 +143,7 @@
 	stopping := w.Now.Sub(attempt.stopRequestedAt)
 	allTold := len(attempt.stopping) == j.Spec.Tasks
 	switch {
-	case allTold && stopping >= seconds(j.Spec.SaveS):
+	case allTold && stopping >= seconds(j.Spec.SaveDurationS):
 		j.gang.saved = max(j.gang.saved, progress)
 		attempt.end(tasks, api.CauseStopped, true)
 	case !allTold && stopping >= w.GangPeer:
@@ -198,10 +198,10 @@
 
 // lastCheckpoint returns the progress that a broken attempt leaves.
 func (j *Job) lastCheckpoint(progress time.Duration) time.Duration {
-	if j.Spec.CheckpointS <= 0 {
+	if j.Spec.CheckpointIntervalS <= 0 {
 		return j.gang.saved
 	}
-	interval := seconds(j.Spec.CheckpointS)
+	interval := seconds(j.Spec.CheckpointIntervalS)
 	return max(j.gang.saved, progress/interval*interval)
 }
 
@@ -214,7 +214,7 @@
 		t.end(api.CauseStopped)
 		return
 	}
-	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.brokenAt.IsZero()
+	canSave := j.Spec.CheckpointIntervalS > 0 && graceS != nil && *graceS >= j.Spec.SaveDurationS && attempt.brokenAt.IsZero()
 	if !canSave {
 		t.end(api.CauseStopped)
 		return
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -62,7 +62,7 @@
 
 // writeJSON answers a request.
 func writeJSON(out http.ResponseWriter, status int, v any) {
-	body := api.JSON(v)
+	body := api.MustMarshal(v)
 	out.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	out.WriteHeader(status)
 	_, _ = out.Write(body) // a client that is gone needs no response
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -150,9 +150,9 @@
 	out := make([]json.RawMessage, 0, len(log))
 	for _, c := range log {
 		if c.Drop != "" {
-			out = append(out, api.JSON(dropEntry{c.Drop, c.Version}))
+			out = append(out, api.MustMarshal(dropEntry{c.Drop, c.Version}))
 		} else {
-			out = append(out, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
+			out = append(out, api.MustMarshal(writeEntry{c.Write, c.Value, c.Version}))
 		}
 	}
 	return out
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -97,13 +97,13 @@
 	spec := &t.job.Spec
 	wrongZone := spec.Zone != "" && spec.Zone != x.Zone
 	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, x.MachineType)
-	if wrongZone || wrongType || x.Spot && !spec.Spot {
+	if wrongZone || wrongType || x.Spot && !spec.AllowSpot {
 		w.Violate(RuleWrongPlace, "%s on %s", t.name(), x.Host)
 	}
 	if here := tasksByZone[x.Zone] + 1; spec.Spread && here > int(math.Ceil(float64(spec.Tasks)/2)) {
 		w.Violate(RuleWrongPlace, "%s is number %d in %s of %d", t.name(), here, x.Zone, spec.Tasks)
 	}
-	if !spec.Together {
+	if !spec.SingleZone {
 		return
 	}
 	for zone := range tasksByZone {
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -113,7 +113,7 @@
 
 // demandOf returns the size of a job's tasks in the form of zone records.
 func demandOf(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
+	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.AllowSpot}
 }
 
 // Evaluate returns a zone's new record and whether it must be written.
