--- a/internal/simulator/change_log.go
+++ b/internal/simulator/change_log.go
@@ -8,46 +8,46 @@
 	"violetturn/internal/store"
 )
 
-// History is how many changes the state service keeps for those who watch (PROTOCOL).
+// History is the number of recent changes that the state service keeps for watches (PROTOCOL).
 const History = 10_000
 
-// note adds a change to the log. The oldest changes are dropped from time to time, so the
-// log may hold more than History.
-func (s *Store) note(c store.Change) {
+// logChange appends a change to the log. The oldest changes are removed only when the log has twice
+// the length of History, so it may hold more than History.
+func (s *Store) logChange(c store.Change) {
 	s.log = append(s.log, c)
 	if len(s.log) >= 2*History {
 		s.log = slices.Clone(s.log[len(s.log)-History:])
 	}
 }
 
-// inHistory reports whether all changes after a revision are still in the log.
+// inHistory reports whether all changes after a revision are among the last History changes.
 func (s *Store) inHistory(since uint64) bool {
-	n := len(s.log)
-	return n <= History || since >= s.log[n-History-1].Version
+	length := len(s.log)
+	return length <= History || since >= s.log[length-History-1].Version
 }
 
-// changes returns the changes after a revision to keys with a prefix, and the revision, or
-// store.ErrTooOld.
+// changes returns the changes to keys with a prefix after a revision, and the current revision. If
+// some of the changes are no longer kept, it returns store.ErrTooOld.
 func (s *Store) changes(prefix string, since uint64) ([]store.Change, uint64, error) {
 	if !s.inHistory(since) {
 		return nil, 0, store.ErrTooOld
 	}
-	from, _ := slices.BinarySearchFunc(s.log, since+1, func(c store.Change, version uint64) int {
+	first, _ := slices.BinarySearchFunc(s.log, since+1, func(c store.Change, version uint64) int {
 		return cmp.Compare(c.Version, version)
 	})
-	var out []store.Change
-	for _, c := range s.log[from:] {
+	var matching []store.Change
+	for _, c := range s.log[first:] {
 		if strings.HasPrefix(c.Write+c.Drop, prefix) {
-			out = append(out, c)
+			matching = append(matching, c)
 		}
 	}
-	return out, s.revision, nil
+	return matching, s.revision, nil
 }
 
-// ExpireHistory makes so many changes that none from before is kept.
+// ExpireHistory adds so many changes that all earlier ones are beyond the history.
 func (s *Store) ExpireHistory() {
 	for range History + 1 {
 		s.revision++
-		s.note(store.Change{Drop: "aged", Version: s.revision})
+		s.logChange(store.Change{Drop: "aged", Version: s.revision})
 	}
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -10,127 +10,127 @@
 	"violetturn/internal/cloud"
 )
 
-// Cloud rents machines.
+// Cloud is the simulated cloud that rents machines.
 type Cloud struct {
 	ServiceFaults
-	NoCapacity bool // it refuses rentals
+	NoCapacity bool // rentals are refused
 	Hosts      map[string]*Worker
-	Pages      int // of the list that were read so far
+	Pages      int // pages of the list of machines read so far
 
-	w           *World
-	order       []*Worker           // Hosts in the order of their names; nil: to be sorted anew
-	terminated  []*Worker           // that the list may still show
-	rentals     map[string][]string // machines by the name of the request, so that a repeated one rents nothing
-	nextMachine int
+	env               *World
+	sortedWorkers     []*Worker           // Hosts in the order of their names; nil: not computed
+	terminated        []*Worker           // terminated machines, which the list may still contain because of ListLag
+	rentals           map[string][]string // machines by the name of the rental request, so that a repeated request rents nothing
+	nextMachineNumber int
 
-	listed   []cloud.Host // the list as of listedAt, of which pages are read
-	listedAt time.Time
+	cachedList   []cloud.Host // list of machines, computed at cachedListAt; nil: not computed
+	cachedListAt time.Time
 }
 
 // newCloud returns a cloud without machines.
-func newCloud(w *World) *Cloud {
-	return &Cloud{ServiceFaults: newServiceFaults(), Hosts: map[string]*Worker{}, w: w, rentals: map[string][]string{}}
+func newCloud(env *World) *Cloud {
+	return &Cloud{ServiceFaults: newServiceFaults(), Hosts: map[string]*Worker{}, env: env, rentals: map[string][]string{}}
 }
 
-// Workers returns the machines there are, in the order of their names.
+// Workers returns the workers of all rented machines, in the order of the machines' names.
 func (c *Cloud) Workers() []*Worker {
-	if c.order == nil {
-		c.order = slices.SortedFunc(maps.Values(c.Hosts), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
+	if c.sortedWorkers == nil {
+		c.sortedWorkers = slices.SortedFunc(maps.Values(c.Hosts), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
 	}
-	return c.order
+	return c.sortedWorkers
 }
 
-// HostNames returns the names of the machines there are, in order.
+// HostNames returns the sorted names of all rented machines.
 func (c *Cloud) HostNames() []string {
-	out := make([]string, 0, len(c.Hosts))
-	for _, x := range c.Workers() {
-		out = append(out, x.Host)
+	names := make([]string, 0, len(c.Hosts))
+	for _, worker := range c.Workers() {
+		names = append(names, worker.Host)
 	}
-	return out
+	return names
 }
 
-// rent makes the machines of a request that has not been carried out before.
+// rent rents the machines of a new request and returns their names.
 func (c *Cloud) rent(r cloud.RentalRequest) []string {
-	var out []string
+	var hosts []string
 	for range r.Count {
-		name := fmt.Sprintf("i-%06d", c.nextMachine)
-		c.nextMachine++
-		c.Hosts[name] = newWorker(c.w, Machine{
+		name := fmt.Sprintf("i-%06d", c.nextMachineNumber)
+		c.nextMachineNumber++
+		c.Hosts[name] = newWorker(c.env, Machine{
 			Host:        name,
 			Addr:        "10.1.0.1:" + name,
 			MachineType: r.MachineType,
 			Zone:        r.Zone,
 			Spot:        r.Spot,
 		})
-		out = append(out, name)
+		hosts = append(hosts, name)
 	}
-	c.rentals[r.Name] = out
-	c.order, c.listed = nil, nil
-	return out
+	c.rentals[r.Name] = hosts
+	c.sortedWorkers, c.cachedList = nil, nil
+	return hosts
 }
 
-// Terminate ends a machine without notice, as the cloud does with a spot one.
+// Terminate terminates a machine without notice, as the cloud does with spot machines.
 func (c *Cloud) Terminate(host string) {
-	if x := c.Hosts[host]; x != nil {
-		x.terminatedAt = c.w.Now
-		c.terminated = append(c.terminated, x)
+	if worker := c.Hosts[host]; worker != nil {
+		worker.terminatedAt = c.env.Now
+		c.terminated = append(c.terminated, worker)
 		delete(c.Hosts, host)
-		c.order, c.listed = nil, nil
+		c.sortedWorkers, c.cachedList = nil, nil
 	}
 }
 
-// page returns the machines as they were listed some time ago whose names come after since,
-// at most limit of them, and whether there are more.
+// page returns at most limit machines of the lagging list whose names sort after since, and whether
+// the list contains more.
 func (c *Cloud) page(since string, limit int) (hosts []cloud.Host, truncated bool) {
-	all := c.list()
-	from, found := slices.BinarySearchFunc(all, since, func(h cloud.Host, name string) int { return strings.Compare(h.UID, name) })
+	list := c.list()
+	start, found := slices.BinarySearchFunc(list, since, func(h cloud.Host, name string) int { return strings.Compare(h.UID, name) })
 	if found {
-		from++
+		start++
 	}
-	hosts = append([]cloud.Host{}, all[from:min(len(all), from+limit)]...)
-	return hosts, from+len(hosts) < len(all)
+	hosts = append([]cloud.Host{}, list[start:min(len(list), start+limit)]...)
+	return hosts, start+len(hosts) < len(list)
 }
 
-// list returns the machines there were ListLag ago, in the order of their names.
+// list returns the machines that existed ListLag ago, in the order of their names.
 func (c *Cloud) list() []cloud.Host {
-	if c.listed != nil && c.listedAt.Equal(c.w.Now) {
-		return c.listed
+	if c.cachedList != nil && c.cachedListAt.Equal(c.env.Now) {
+		return c.cachedList
 	}
-	then := c.w.Now.Add(-c.w.ListLag)
-	var out []cloud.Host
-	for _, x := range c.Hosts {
-		if x.existedAt(then) {
-			out = append(out, x.listedAt(then))
+	listTime := c.env.Now.Add(-c.env.ListLag)
+	var list []cloud.Host
+	for _, worker := range c.Hosts {
+		if worker.existedAt(listTime) {
+			list = append(list, worker.listEntryAt(listTime))
 		}
 	}
-	for _, x := range c.terminated {
-		if x.existedAt(then) {
-			out = append(out, x.listedAt(then))
+	for _, worker := range c.terminated {
+		if worker.existedAt(listTime) {
+			list = append(list, worker.listEntryAt(listTime))
 		}
 	}
-	slices.SortFunc(out, func(a, b cloud.Host) int { return strings.Compare(a.UID, b.UID) })
-	c.listed, c.listedAt = out, c.w.Now
-	return out
+	slices.SortFunc(list, func(a, b cloud.Host) int { return strings.Compare(a.UID, b.UID) })
+	c.cachedList, c.cachedListAt = list, c.env.Now
+	return list
 }
 
-// existedAt reports whether the machine was rented at a time.
-func (x *Worker) existedAt(at time.Time) bool {
-	return !x.rentedAt.After(at) && (x.terminatedAt.IsZero() || x.terminatedAt.After(at))
+// existedAt reports whether the machine had been rented and not yet terminated at a time.
+func (w *Worker) existedAt(t time.Time) bool {
+	return !w.rentedAt.After(t) && (w.terminatedAt.IsZero() || w.terminatedAt.After(t))
 }
 
-// listedAt returns the machine as the cloud lists it for a time at which it existed.
-func (x *Worker) listedAt(at time.Time) cloud.Host {
+// listEntryAt returns the machine's entry in the cloud's list for a time at which it existed.
+func (w *Worker) listEntryAt(t time.Time) cloud.Host {
 	phase := cloud.MachineRunning
-	if x.upAt.After(at) {
+	if w.bootedAt.After(t) {
 		phase = cloud.MachineStarting
 	}
 	return cloud.Host{
-		UID:         x.Host,
-		Addr:        x.Addr,
-		MachineType: x.MachineType,
-		Zone:        x.Zone,
-		Spot:        x.Spot,
+		UID:         w.Host,
+		Addr:        w.Addr,
+		MachineType: w.MachineType,
+		Zone:        w.Zone,
+		Spot:        w.Spot,
 		Phase:       phase,
-		AgeS:        at.Sub(x.rentedAt).Seconds(),
+		AgeS:        t.Sub(w.rentedAt).Seconds(),
 	}
 }
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -6,45 +6,45 @@
 	"violetturn/internal/cloud"
 )
 
-// Facts of the one machine type that no test varies.
+// Properties of the machine type that no test varies.
 const (
-	fetchGBPerS = 1
-	price       = 3
-	spotPrice   = 1
+	fetchGBPerS   = 1
+	onDemandPrice = 3
+	spotPrice     = 1
 )
 
-// CloudClient is the cloud as one node reaches it.
+// CloudClient is a node's client of the simulated cloud.
 type CloudClient struct {
 	Cloud *Cloud
 	Node  string
 }
 
-// available reports whether a request of the node is served.
+// available reports whether the cloud serves requests of the node.
 func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.Unreachable[c.Node] }
 
-// MachineTypes returns the machine types.
+// MachineTypes returns the machine types that the cloud offers: the one of the simulation.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
 	if !c.available() {
 		return nil, cloud.ErrUnavailable
 	}
-	m := c.Cloud.w.MachineType
+	m := c.Cloud.env.MachineType
 	return []cloud.MachineType{{
 		Name:        m.Name,
 		CPUs:        m.CPUs,
 		GPUs:        m.GPUs,
 		MemGB:       m.MemGB,
 		FetchGBPerS: fetchGBPerS,
-		Price:       price,
+		Price:       onDemandPrice,
 		SpotPrice:   spotPrice,
 		BootS:       m.Boot.Seconds(),
-		Zones:       c.Cloud.w.Zones,
+		Zones:       c.Cloud.env.Zones,
 	}}, nil
 }
 
-// Rent rents machines. A request that was carried out before, by its name, rents nothing
-// more and gets the same response.
+// Rent rents machines and returns their names. A request with the name of an earlier one rents
+// nothing and gets the same response.
 func (c *CloudClient) Rent(_ context.Context, r cloud.RentalRequest) ([]string, error) {
-	fault := c.Cloud.takeNextFault(c.Node)
+	fault := c.Cloud.consumeNextFault(c.Node)
 	if !c.available() || fault == RequestLost {
 		return nil, cloud.ErrUnavailable
 	}
@@ -61,9 +61,9 @@
 	return hosts, nil
 }
 
-// Return returns machines to the cloud, which ends them.
+// Return returns machines to the cloud, which terminates them.
 func (c *CloudClient) Return(_ context.Context, hosts []string) error {
-	fault := c.Cloud.takeNextFault(c.Node)
+	fault := c.Cloud.consumeNextFault(c.Node)
 	if !c.available() || fault == RequestLost {
 		return cloud.ErrUnavailable
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Page returns a page of the list of machines, which lags behind what there is.
+// Page returns a page of the list of machines, as it was ListLag ago.
 func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
 	if !c.available() {
 		return nil, false, cloud.ErrUnavailable
--- a/internal/simulator/command_client.go
+++ b/internal/simulator/command_client.go
@@ -7,51 +7,53 @@
 	"violetturn/internal/api"
 )
 
-// ErrNoResponse says that a worker did not answer.
+// ErrNoResponse is returned when a worker does not respond.
 var ErrNoResponse = errors.New("no response from the worker")
 
-// CommandClient reaches workers directly, as one node does.
+// CommandClient is a node's client for direct requests to workers.
 type CommandClient struct {
 	World       *World
 	Node        string
-	Delayed     []func() // commands that a partition delays; a test runs them
-	Partitioned bool     // the node and all workers can't reach each other
+	Delayed     []func() // deliveries of commands delayed by a partition or a hung worker; a test runs them
+	Partitioned bool     // the node is partitioned from all workers
 
-	PartitionedFrom func(x *Worker) bool // whether the node and a worker can't reach each other; nil: they can
+	PartitionedFrom func(worker *Worker) bool // whether the node is partitioned from a worker; nil: from none
 }
 
-// partitionedFrom reports whether the node and a worker can't reach each other.
-func (d *CommandClient) partitionedFrom(x *Worker) bool {
-	return d.Partitioned || d.PartitionedFrom != nil && d.PartitionedFrom(x)
+// partitionedFrom reports whether the node is partitioned from a worker.
+func (d *CommandClient) partitionedFrom(worker *Worker) bool {
+	return d.Partitioned || d.PartitionedFrom != nil && d.PartitionedFrom(worker)
 }
 
-// Status asks a worker for its heartbeat, or returns ErrNoResponse.
+// Status requests a heartbeat from a worker. It returns ErrNoResponse if the worker does not
+// respond.
 func (d *CommandClient) Status(_ context.Context, addr string) (*api.Heartbeat, error) {
-	for _, x := range d.World.Cloud.Hosts {
-		if x.Addr == addr && x.Up() && x.answers() && !d.partitionedFrom(x) {
-			return x.Heartbeat(), nil
+	for _, worker := range d.World.Cloud.Hosts {
+		if worker.Addr == addr && worker.Up() && worker.responds() && !d.partitionedFrom(worker) {
+			return worker.Heartbeat(), nil
 		}
 	}
 	return nil, ErrNoResponse
 }
 
-// SendCommands sends commands directly, and returns the worker's heartbeat and whether it
-// obeyed, or ErrNoResponse. A worker that is partitioned or hung gets them when a test runs
-// Delayed; a machine that is not there never does.
-func (d *CommandClient) SendCommands(_ context.Context, addr string, o api.CommandBatch) (*api.Heartbeat, bool, error) {
-	for _, x := range d.World.Cloud.Workers() {
-		if x.Addr != addr || !x.Up() {
+// SendCommands sends commands to a worker. It returns the worker's heartbeat and whether the worker
+// accepted the commands, or ErrNoResponse. If the worker is partitioned or hung, the commands are
+// delivered when a test runs CommandClient.Delayed. If the machine is missing or has the fault
+// InboundLost, they are never delivered.
+func (d *CommandClient) SendCommands(_ context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
+	for _, worker := range d.World.Cloud.Workers() {
+		if worker.Addr != addr || !worker.Up() {
 			continue
 		}
-		if x.InboundLost {
+		if worker.InboundLost {
 			break
 		}
-		if !x.answers() || d.partitionedFrom(x) {
-			d.Delayed = append(d.Delayed, func() { x.handleDirect(o) })
+		if !worker.responds() || d.partitionedFrom(worker) {
+			d.Delayed = append(d.Delayed, func() { worker.handleDirect(batch) })
 			break
 		}
-		heartbeat, obeyed := x.handleDirect(o)
-		return heartbeat, obeyed, nil
+		heartbeat, accepted := worker.handleDirect(batch)
+		return heartbeat, accepted, nil
 	}
 	return nil, false, ErrNoResponse
 }
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -6,35 +6,34 @@
 	"violetturn/internal/config"
 )
 
-// listLag is by how much the cloud's list lags in a deployment.
+// listLag is the age of the cloud's list of machines in a deployment.
 const listLag = 5 * time.Second
 
-// Deployment is the size and the load of a simulated deployment.
+// Deployment defines the size and the load of a simulated deployment.
 type Deployment struct {
 	Name                        string
 	HeartbeatS, LeaseS, CancelS float64       // seconds
-	Boot, Fetch                 time.Duration // of a machine, of an image
+	Boot, Fetch                 time.Duration // time that a machine takes to boot, time to fetch an image
 	MachineType                 MachineType
 	State                       config.StateLimits
-	TeamGPUs                    float64 // of each team at most; 0: no limit
+	TeamGPUs                    float64 // GPU limit of each team; 0: no limit
 	Services, Arrays            Class
 }
 
-// Class is a class of jobs that users submit.
+// Class defines a class of jobs that users submit.
 type Class struct {
 	Name      string
 	Service   bool
-	Initial   int     // jobs that are submitted at the start
-	PerSecond float64 // jobs that are submitted each second from then on
-	Tasks     int     // of a job, on the mean
+	Initial   int     // jobs submitted at the start
+	PerSecond float64 // jobs submitted each second after the start
+	Tasks     int     // mean number of tasks of a job
 	CPUs      float64
 	MemGB     float64
-	RunTime   time.Duration // of a task, or until a service is cancelled
-	Images    int
+	RunTime   time.Duration // run time of an array's task, or time until a service is cancelled
+	Images    int           // number of different images
 }
 
-// Large returns a deployment of the size of a grown deployment of some two thousand machines and three
-// controllers.
+// Large returns a deployment of about 2000 machines and three controllers.
 func Large() *Deployment {
 	return &Deployment{
 		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
@@ -56,8 +55,8 @@
 	}
 }
 
-// Huge returns a deployment of some four thousand machines and three controllers, on a state service of the
-// grown deployments' rates, with long tasks.
+// Huge returns a deployment of about 4000 machines and three controllers, with the state service
+// limits of Large and with long tasks.
 func Huge() *Deployment {
 	return &Deployment{
 		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
@@ -88,8 +87,7 @@
 	}
 }
 
-// Small returns a deployment of the size of a grown deployment of some three hundred machines, whose
-// workers report often.
+// Small returns a deployment of about 300 machines, whose workers send heartbeats often.
 func Small() *Deployment {
 	return &Deployment{
 		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, Boot: 40 * time.Second, Fetch: 8 * time.Second,
@@ -110,13 +108,13 @@
 	}
 }
 
-// World returns the world of the deployment.
+// World returns a new simulated environment for the deployment.
 func (d *Deployment) World(start time.Time) *World {
-	w := New(start)
-	w.MachineType = d.MachineType
-	w.MachineType.Boot, w.MachineType.Fetch = d.Boot, d.Fetch
-	w.Zones = []string{"x", "y", "z"}
-	w.Lease, w.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
-	w.ListLag = listLag
-	return w
+	env := New(start)
+	env.MachineType = d.MachineType
+	env.MachineType.Boot, env.MachineType.Fetch = d.Boot, d.Fetch
+	env.Zones = []string{"x", "y", "z"}
+	env.Lease, env.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
+	env.ListLag = listLag
+	return env
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Fault is what happens to a single request.
+// Fault is a fault of a single request.
 type Fault int
 
-// Faults of single requests.
+// Faults of single requests. Only the state service supports Delayed: the cloud treats it as
+// ResponseLost.
 const (
 	NoFault      Fault = iota // the request is served
-	RequestLost               // it never arrives
-	ResponseLost              // it is carried out, and its response is lost
-	Delayed                   // it is carried out when DeliverDelayed is called, and its response is lost
+	RequestLost               // the request does not arrive
+	ResponseLost              // the request is carried out, but its response is lost
+	Delayed                   // the request is carried out when DeliverDelayed is called, and its response is lost
 )
 
 // String returns the name of the fault.
@@ -30,18 +31,18 @@
 
 // ServiceFaults are the faults of a service that controllers call.
 type ServiceFaults struct {
-	Down        bool             // it serves nobody
-	Unreachable map[string]bool  // nodes whose requests do not arrive
-	NextFault   map[string]Fault // what happens to a node's next change
+	Down        bool             // no request is served
+	Unreachable map[string]bool  // nodes whose requests do not reach the service
+	NextFault   map[string]Fault // fault of each node's next transaction, rental or return of machines
 }
 
-// newServiceFaults returns no faults.
+// newServiceFaults returns a ServiceFaults without faults.
 func newServiceFaults() ServiceFaults {
 	return ServiceFaults{Unreachable: map[string]bool{}, NextFault: map[string]Fault{}}
 }
 
-// takeNext returns the fault set for a node's next change, and clears it.
-func (s *ServiceFaults) takeNextFault(node string) Fault {
+// consumeNextFault returns the fault in NextFault for a node, and clears it.
+func (s *ServiceFaults) consumeNextFault(node string) Fault {
 	f := s.NextFault[node]
 	delete(s.NextFault, node)
 	return f
@@ -49,11 +50,11 @@
 
 // WorkerFaults are the faults of a worker and of its network.
 type WorkerFaults struct {
-	Partitioned  bool // no message passes, either way
-	InboundLost  bool // its heartbeats arrive, responses and commands do not reach it
-	OutboundLost bool // its heartbeats reach nobody, direct commands reach it
-	Hung         bool // it executes nothing and says nothing, but may go on
+	Partitioned  bool // no message arrives in either direction
+	InboundLost  bool // heartbeats arrive, but responses and commands do not reach the worker
+	OutboundLost bool // heartbeats do not arrive, but direct commands reach the worker
+	Hung         bool // the worker executes nothing and sends nothing, but may resume
 }
 
-// answers reports whether a direct request reaches the worker and is answered.
-func (f *WorkerFaults) answers() bool { return !f.Partitioned && !f.InboundLost && !f.Hung }
+// responds reports whether the worker receives a direct request and responds to it.
+func (f *WorkerFaults) responds() bool { return !f.Partitioned && !f.InboundLost && !f.Hung }
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -8,59 +8,59 @@
 	"violetturn/internal/api"
 )
 
-// gangProgress is the progress of a job whose tasks start together.
+// gangProgress is the progress of a gang, a job whose tasks start together.
 type gangProgress struct {
-	saved       time.Duration // progress that is safe
+	saved       time.Duration // progress that the next attempt continues from
 	attempts    map[uint64]*gangAttempt
-	lastAttempt uint64 // the highest number whose tasks were launched
+	lastAttempt uint64 // highest attempt number launched so far
 }
 
 // gangAttempt is an attempt whose tasks have all started.
 type gangAttempt struct {
-	startedAt       time.Time
-	initialProgress time.Duration
-	brokenAt        time.Time    // when a task of it was lost, or stopped being executed; zero: none was
-	stopRequestedAt time.Time    // when the first task was told to stop and save; zero: none was
-	stopping        map[int]bool // the tasks that were told so
-	ended           bool
-	cause           api.ExitCause // of the end
+	startedAt          time.Time
+	initialProgress    time.Duration
+	peerLostAt         time.Time    // when a task was lost or its worker hung; zero: neither happened
+	stopRequestedAt    time.Time    // when the first task received the command to stop and save; zero: none did
+	stopRequestedTasks map[int]bool // indexes of the tasks that received it in time
+	ended              bool
+	cause              api.ExitCause // of the attempt's end
 }
 
-// placedTask is a task with the worker that it is on.
+// placedTask is a task and the worker that has it.
 type placedTask struct {
 	*Task
 	worker *Worker
 }
 
-// gangTasks returns the tasks of an attempt that are on machines.
-func (w *World) gangTasks(uid string, attempt uint64) []placedTask {
+// gangTasks returns the tasks of an attempt that are on machines and have not ended.
+func (e *World) gangTasks(uid string, attempt uint64) []placedTask {
 	var tasks []placedTask
-	for _, x := range w.Cloud.Workers() {
-		for _, t := range x.Tasks {
+	for _, worker := range e.Cloud.Workers() {
+		for _, t := range worker.Tasks {
 			if t.uid == uid && t.attempt == attempt && t.phase != api.TaskEnded {
-				tasks = append(tasks, placedTask{t, x})
+				tasks = append(tasks, placedTask{t, worker})
 			}
 		}
 	}
 	return tasks
 }
 
-// tickGangs lets the tasks of gangs find each other, run, and notice who is lost.
-func (w *World) tickGangs() {
-	for _, uid := range slices.Sorted(maps.Keys(w.Jobs)) {
-		j := w.Jobs[uid]
+// tickGangs advances all attempts of all gangs, in the order of their job IDs.
+func (e *World) tickGangs() {
+	for _, uid := range slices.Sorted(maps.Keys(e.Jobs)) {
+		j := e.Jobs[uid]
 		if j.Spec.Kind != api.Gang {
 			continue
 		}
 		for attempt := uint64(1); attempt <= j.gang.lastAttempt; attempt++ {
-			w.tickGangAttempt(j, attempt)
+			e.tickGangAttempt(j, attempt)
 		}
 	}
 }
 
-// tickGangAttempt advances one attempt of a gang.
-func (w *World) tickGangAttempt(j *Job, number uint64) {
-	tasks := w.gangTasks(j.Spec.UID, number)
+// tickGangAttempt advances the attempt of a gang with the given number.
+func (e *World) tickGangAttempt(j *Job, number uint64) {
+	tasks := e.gangTasks(j.Spec.UID, number)
 	if len(tasks) == 0 {
 		return
 	}
@@ -70,20 +70,20 @@
 	attempt := j.gang.attempts[number]
 	switch {
 	case attempt == nil:
-		w.gather(j, number, tasks)
+		e.gatherTasks(j, number, tasks)
 	case attempt.ended:
-		// A machine that lost its tasks with its lease may start them once more under
-		// the same number, when a leader that can't know it takes them for never started.
+		// A worker discards its tasks when its lease expires. A leader that has no record of
+		// their start may then launch them again under the same attempt number.
 		attempt.endRunning(tasks)
-		w.gather(j, number, tasks)
+		e.gatherTasks(j, number, tasks)
 	default:
-		w.runAttempt(j, attempt, tasks)
+		e.advanceAttempt(j, attempt, tasks)
 	}
 }
 
-// gather lets an attempt start when all its tasks have their images, and ends the tasks that
-// have waited too long for the others.
-func (w *World) gather(j *Job, number uint64, tasks []placedTask) {
+// gatherTasks starts an attempt once all its tasks have fetched their images, and ends tasks that
+// have waited for the others for GangWait.
+func (e *World) gatherTasks(j *Job, number uint64, tasks []placedTask) {
 	ready := map[int]bool{}
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering && !t.worker.Hung {
@@ -91,72 +91,74 @@
 		}
 	}
 	if len(ready) == j.Spec.Tasks {
-		w.startAttempt(j, number, tasks)
+		e.startAttempt(j, number, tasks)
 		return
 	}
 	for _, t := range tasks {
-		if t.phase == api.TaskGathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangWait {
+		if t.phase == api.TaskGathering && !t.worker.Hung && e.Now.Sub(t.since) >= e.GangWait {
 			t.end(api.CauseGangIncomplete)
 		}
 	}
 }
 
-// startAttempt lets the gathered tasks of an attempt run, from the progress that is safe.
-func (w *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
+// startAttempt sets the gathered tasks of an attempt running, from the saved progress.
+func (e *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering {
-			t.phase, t.since = api.TaskRunning, w.Now
+			t.phase, t.since = api.TaskRunning, e.Now
 		}
 	}
 	progress := j.gang.saved
-	if len(j.Done) == j.Spec.Tasks { // the result is kept
+	if len(j.Done) == j.Spec.Tasks { // the job has already completed
 		progress = j.RunTime
 	}
-	j.gang.attempts[number] = &gangAttempt{startedAt: w.Now, initialProgress: progress, stopping: map[int]bool{}}
+	j.gang.attempts[number] = &gangAttempt{startedAt: e.Now, initialProgress: progress, stopRequestedTasks: map[int]bool{}}
 }
 
-// runAttempt advances an attempt that has started and not ended.
-func (w *World) runAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
-	progress := attempt.progress(w.Now)
-	if attempt.brokenAt.IsZero() && responsive(tasks) < j.Spec.Tasks {
-		attempt.brokenAt = w.Now
+// advanceAttempt advances an attempt that has started but not ended.
+func (e *World) advanceAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
+	progress := attempt.progress(e.Now)
+	if attempt.peerLostAt.IsZero() && responsiveTaskCount(tasks) < j.Spec.Tasks {
+		attempt.peerLostAt = e.Now
 	}
 	switch {
-	case !attempt.brokenAt.IsZero():
-		if w.Now.Sub(attempt.brokenAt) >= w.GangPeer {
+	case !attempt.peerLostAt.IsZero():
+		if e.Now.Sub(attempt.peerLostAt) >= e.GangPeer {
 			j.gang.saved = j.lastCheckpoint(progress)
 			attempt.end(tasks, api.CausePeerLost, false)
 		}
 	case !attempt.stopRequestedAt.IsZero():
-		w.stopAttempt(j, attempt, tasks, progress)
+		e.advanceStop(j, attempt, tasks, progress)
 	case progress >= j.RunTime:
 		for i := range j.Spec.Tasks {
-			w.taskDone(j, i)
+			e.taskDone(j, i)
 		}
 		attempt.end(tasks, api.CauseDone, false)
 	}
 }
 
-// stopAttempt ends an attempt that was told to stop: with its progress saved once all tasks
-// were told and had their time, or as broken if some were not told in time.
-func (w *World) stopAttempt(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
-	stopping := w.Now.Sub(attempt.stopRequestedAt)
-	allTold := len(attempt.stopping) == j.Spec.Tasks
+// advanceStop ends an attempt of which a task received a stop command. If all tasks received one,
+// the attempt ends after the time to save, with its progress saved. If some have not received one
+// within GangPeer, it ends as if a task were lost.
+func (e *World) advanceStop(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
+	sinceRequest := e.Now.Sub(attempt.stopRequestedAt)
+	allRequested := len(attempt.stopRequestedTasks) == j.Spec.Tasks
 	switch {
-	case allTold && stopping >= seconds(j.Spec.SaveS):
+	case allRequested && sinceRequest >= seconds(j.Spec.SaveS):
 		j.gang.saved = max(j.gang.saved, progress)
 		attempt.end(tasks, api.CauseStopped, true)
-	case !allTold && stopping >= w.GangPeer:
+	case !allRequested && sinceRequest >= e.GangPeer:
 		j.gang.saved = j.lastCheckpoint(progress)
 		attempt.end(tasks, api.CausePeerLost, false)
 	}
 }
 
-// progress returns how far the attempt has come. It makes none once it is broken or stops.
+// progress returns the attempt's progress, which no longer grows once a task is lost or receives
+// a stop command.
 func (a *gangAttempt) progress(now time.Time) time.Duration {
 	until := now
-	if !a.brokenAt.IsZero() {
-		until = a.brokenAt
+	if !a.peerLostAt.IsZero() {
+		until = a.peerLostAt
 	}
 	if !a.stopRequestedAt.IsZero() && a.stopRequestedAt.Before(until) {
 		until = a.stopRequestedAt
@@ -164,7 +166,7 @@
 	return a.initialProgress + until.Sub(a.startedAt)
 }
 
-// end ends the attempt, and those of its tasks whose workers execute anything.
+// end ends the attempt and its tasks, except tasks on hung workers.
 func (a *gangAttempt) end(tasks []placedTask, cause api.ExitCause, saved bool) {
 	a.ended, a.cause = true, cause
 	for _, t := range tasks {
@@ -175,8 +177,8 @@
 	}
 }
 
-// endRunning ends the tasks of an ended attempt that still run: their workers were hung when
-// it ended.
+// endRunning ends the tasks of an ended attempt that are still running because their workers were
+// hung when the attempt ended.
 func (a *gangAttempt) endRunning(tasks []placedTask) {
 	for _, t := range tasks {
 		if t.phase == api.TaskRunning && !t.worker.Hung {
@@ -185,8 +187,8 @@
 	}
 }
 
-// responsive returns the number of tasks whose workers execute anything.
-func responsive(tasks []placedTask) int {
+// responsiveTaskCount returns the number of tasks whose workers are not hung.
+func responsiveTaskCount(tasks []placedTask) int {
 	n := 0
 	for _, t := range tasks {
 		if !t.worker.Hung {
@@ -196,7 +198,8 @@
 	return n
 }
 
-// lastCheckpoint returns the progress that a broken attempt leaves.
+// lastCheckpoint returns the saved progress of a gang whose attempt ends without saving: that of
+// the attempt's last periodic checkpoint, or what was saved before if that is more.
 func (j *Job) lastCheckpoint(progress time.Duration) time.Duration {
 	if j.Spec.CheckpointS <= 0 {
 		return j.gang.saved
@@ -205,40 +208,41 @@
 	return max(j.gang.saved, progress/interval*interval)
 }
 
-// stopGangTask tells a task of a gang to stop. The gang saves its progress if it can and the
-// grace is enough; then its tasks end together.
-func (x *Worker) stopGangTask(t *Task, graceS *float64) {
+// stopGangTask carries out a stop command for a task of a gang. If the gang saves checkpoints and
+// the grace period is long enough, it saves its progress first and its tasks end together.
+// Otherwise the task ends at once.
+func (w *Worker) stopGangTask(t *Task, graceS *float64) {
 	j := t.job
 	attempt := j.gang.attempts[t.attempt]
 	if attempt == nil || attempt.ended || t.phase != api.TaskRunning {
 		t.end(api.CauseStopped)
 		return
 	}
-	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.brokenAt.IsZero()
+	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.peerLostAt.IsZero()
 	if !canSave {
 		t.end(api.CauseStopped)
 		return
 	}
 	if attempt.stopRequestedAt.IsZero() {
-		attempt.stopRequestedAt = x.w.Now
+		attempt.stopRequestedAt = w.env.Now
 	}
-	if x.w.Now.Sub(attempt.stopRequestedAt) <= x.w.GangPeer {
-		attempt.stopping[t.index] = true
+	if w.env.Now.Sub(attempt.stopRequestedAt) <= w.env.GangPeer {
+		attempt.stopRequestedTasks[t.index] = true
 	}
 }
 
-// launchGangTask checks the launch of a task of a gang: a lower attempt than one that was
-// launched before, or one beside another that is still there, mixes two attempts up.
-func (w *World) launchGangTask(j *Job, index int, attempt uint64) {
+// checkGangLaunch records the launch of a task of a gang. It is a violation if a higher attempt was
+// launched before, or if tasks of another attempt have not ended.
+func (e *World) checkGangLaunch(j *Job, index int, attempt uint64) {
 	name := api.TaskName(j.Spec.UID, index)
 	if attempt < j.gang.lastAttempt {
-		w.Violate(RuleAttempts, "%s starts as attempt %d after %d", name, attempt, j.gang.lastAttempt)
+		e.Violate(RuleAttempts, "task %s is launched as attempt %d after attempt %d", name, attempt, j.gang.lastAttempt)
 	}
-	for _, x := range w.Cloud.Workers() {
-		for _, t := range x.Tasks {
+	for _, worker := range e.Cloud.Workers() {
+		for _, t := range worker.Tasks {
 			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.TaskEnded {
-				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s",
-					name, attempt, t.attempt, t.index, x.Host)
+				e.Violate(RuleAttempts, "task %s is launched as attempt %d beside attempt %d of task %d on %s",
+					name, attempt, t.attempt, t.index, worker.Host)
 			}
 		}
 	}
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -9,11 +9,10 @@
 	"violetturn/internal/cloud"
 )
 
-// launchTestGang rents two machines and launches a gang of two tasks on them, whose
-// heartbeats a controller answers all the time.
-func launchTestGang(t *testing.T, w *World) (*Job, []*Worker) {
+// launchTestGang rents two machines and launches a gang of two tasks on them.
+func launchTestGang(t *testing.T, env *World) (*Job, []*Worker) {
 	t.Helper()
-	client := &CloudClient{Cloud: w.Cloud, Node: "n0"}
+	client := &CloudClient{Cloud: env.Cloud, Node: "n0"}
 	if _, err := client.Rent(context.Background(), cloud.RentalRequest{Name: "r", MachineType: "m", Zone: "x", Count: 2}); err != nil {
 		t.Fatal(err)
 	}
@@ -22,86 +21,88 @@
 		RunTime: 10 * time.Second,
 		Done:    map[int]bool{},
 	}
-	w.Jobs[j.Spec.UID] = j
-	w.Advance(time.Second)
-	workers := w.Cloud.Workers()
-	for i, x := range workers {
-		x.execute([]api.Command{{Action: api.Launch, Task: api.TaskName(j.Spec.UID, i), Attempt: 1}})
+	env.Jobs[j.Spec.UID] = j
+	env.Advance(time.Second)
+	workers := env.Cloud.Workers()
+	for i, worker := range workers {
+		worker.execute([]api.Command{{Action: api.Launch, Task: api.TaskName(j.Spec.UID, i), Attempt: 1}})
 	}
 	return j, workers
 }
 
-// pass lets time go by in which a controller answers the heartbeats of all but hung workers.
-func pass(w *World, d time.Duration) {
-	for end := w.Now.Add(d); w.Now.Before(end); {
-		for _, x := range w.Cloud.Workers() {
-			x.HandleResponse(api.CommandBatch{Token: 1}, w.Now, x.AgentEpoch)
+// advanceWithHeartbeats advances the clock, while every worker receives a heartbeat response each
+// 100 ms, so that no lease expires.
+func advanceWithHeartbeats(env *World, d time.Duration) {
+	for end := env.Now.Add(d); env.Now.Before(end); {
+		for _, worker := range env.Cloud.Workers() {
+			worker.HandleResponse(api.CommandBatch{Token: 1}, env.Now, worker.AgentEpoch)
 		}
-		w.Advance(100 * time.Millisecond)
+		env.Advance(100 * time.Millisecond)
 	}
 }
 
-// A gang's tasks start and end together, and keep the progress that they have saved.
-func TestGangAttempts(t *testing.T) {
+// A gang's tasks start and end together, and the gang keeps its saved progress.
+func TestGangTasksEndTogether(t *testing.T) {
 	grace := 5.0
-	stopAll := func(w *World) {
-		for i, x := range w.Cloud.Workers() {
-			x.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", i), Attempt: 1, GraceS: &grace}})
+	stopAll := func(env *World) {
+		for i, worker := range env.Cloud.Workers() {
+			worker.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", i), Attempt: 1, GraceS: &grace}})
 		}
 	}
-	for _, x := range []struct {
-		name  string
-		fault func(w *World)
-		after time.Duration // from the fault to the end
-		cause api.ExitCause
-		done  int
-		saved time.Duration
+	for _, test := range []struct {
+		name        string
+		injectFault func(env *World)
+		wait        time.Duration // after the fault, until the end of the attempt
+		wantCause   api.ExitCause
+		wantDone    int
+		wantSaved   time.Duration
 	}{
 		{"done", func(*World) {}, 6 * time.Second, api.CauseDone, 2, 0},
 		{"stopped", stopAll, time.Second, api.CauseStopped, 0, 5 * time.Second},
-		{"one told to stop", func(w *World) {
-			x := w.Cloud.Workers()[0]
-			x.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", 0), Attempt: 1, GraceS: &grace}})
+		{"only one task stopped", func(env *World) {
+			worker := env.Cloud.Workers()[0]
+			worker.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", 0), Attempt: 1, GraceS: &grace}})
 		}, 2 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
-		{"one lost", func(w *World) { w.Cloud.Terminate(w.Cloud.HostNames()[0]) }, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
+		{"task lost", func(e *World) { e.Cloud.Terminate(e.Cloud.HostNames()[0]) }, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			w := newTestWorld()
-			j, workers := launchTestGang(t, w)
-			pass(w, time.Second) // until they have their images
-			pass(w, 5*time.Second)
+		t.Run(test.name, func(t *testing.T) {
+			env := newTestEnvironment()
+			j, workers := launchTestGang(t, env)
+			advanceWithHeartbeats(env, time.Second) // the tasks fetch their images
+			advanceWithHeartbeats(env, 5*time.Second)
 			task := workers[1].Tasks[0]
 			if task.phase != api.TaskRunning {
-				t.Fatalf("the gang is %s", task.phase)
+				t.Fatalf("task phase before the fault is %q, want %q", task.phase, api.TaskRunning)
 			}
-			x.fault(w)
-			pass(w, x.after)
-			if task.phase != api.TaskEnded || task.cause != x.cause || len(j.Done) != x.done {
-				t.Errorf("%s, cause %q, %d tasks done", task.phase, task.cause, len(j.Done))
+			test.injectFault(env)
+			advanceWithHeartbeats(env, test.wait)
+			if task.phase != api.TaskEnded || task.cause != test.wantCause || len(j.Done) != test.wantDone {
+				t.Errorf("task phase %q, cause %q, %d tasks done; want phase %q, cause %q, %d tasks done",
+					task.phase, task.cause, len(j.Done), api.TaskEnded, test.wantCause, test.wantDone)
 			}
-			if saved := j.gang.saved.Truncate(time.Second); saved != x.saved {
-				t.Errorf("%v are saved", j.gang.saved)
+			if saved := j.gang.saved.Truncate(time.Second); saved != test.wantSaved {
+				t.Errorf("saved progress is %v, want %v after truncation to seconds", j.gang.saved, test.wantSaved)
 			}
 		})
 	}
 }
 
-// Launches of two attempts of a gang at once, or of a lower one after a higher one, break a
-// rule.
-func TestMixedGangAttempts(t *testing.T) {
-	w := newTestWorld()
-	j, workers := launchTestGang(t, w)
-	if len(w.Violations) > 0 {
-		t.Fatal(w.Violations)
+// Launching an attempt of a gang beside another one, or a lower attempt after a higher one, is
+// recorded as a violation.
+func TestMixedGangAttemptsViolateRules(t *testing.T) {
+	env := newTestEnvironment()
+	j, workers := launchTestGang(t, env)
+	if len(env.Violations) > 0 {
+		t.Fatalf("violations after the first launch: %v, want none", env.Violations)
 	}
 	workers[0].execute([]api.Command{{Action: api.Launch, Task: api.TaskName(j.Spec.UID, 1), Attempt: 2}})
-	beside := len(w.Violations)
-	if beside == 0 {
-		t.Error("an attempt beside another is not noticed")
+	violations := len(env.Violations)
+	if violations == 0 {
+		t.Error("launching an attempt beside another one recorded no violation, want one")
 	}
 	workers[0].Tasks, workers[1].Tasks = nil, nil
 	workers[0].execute([]api.Command{{Action: api.Launch, Task: api.TaskName(j.Spec.UID, 0), Attempt: 1}})
-	if len(w.Violations) == beside {
-		t.Error("a lower attempt after a higher one is not noticed")
+	if len(env.Violations) == violations {
+		t.Error("launching a lower attempt after a higher one recorded no violation, want one")
 	}
 }
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -9,12 +9,12 @@
 	"violetturn/internal/cloud"
 )
 
-// machineTypesResponse lists the machine types.
+// machineTypesResponse is the body of the list of machine types.
 type machineTypesResponse struct {
 	MachineTypes []cloud.MachineType `json:"builds"`
 }
 
-// hostsBody names machines: those that were rented, or are returned.
+// hostsBody is the body with the names of rented machines, or of machines to be returned.
 type hostsBody struct {
 	Hosts []string `json:"hosts"`
 }
@@ -25,10 +25,10 @@
 	Truncated bool         `json:"truncated"`
 }
 
-// Cloud returns the handler of requests to the cloud. Machines get addresses of the loopback
-// network, one each, at the given port.
+// Cloud returns the handler of requests to the cloud. Each rented machine gets its own loopback
+// address, with the given port.
 func (s *Server) Cloud(port int) http.Handler {
-	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.w.Cloud}, port: port}
+	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.env.Cloud}, port: port}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", c.machineTypes)
 	mux.HandleFunc("POST /rentals", c.rent)
@@ -41,54 +41,54 @@
 type cloudHandler struct {
 	s      *Server
 	client CloudClient
-	port   int // of the machines' workers
+	port   int // port of the machines' workers
 }
 
-func (c *cloudHandler) machineTypes(out http.ResponseWriter, in *http.Request) {
+func (c *cloudHandler) machineTypes(w http.ResponseWriter, r *http.Request) {
 	c.s.mu.Lock()
-	types, _ := c.client.MachineTypes(in.Context()) // nothing is refused here
+	types, _ := c.client.MachineTypes(r.Context()) // fails only under a cloud fault, which no test injects over HTTP
 	c.s.mu.Unlock()
-	writeJSON(out, http.StatusOK, machineTypesResponse{types})
+	writeJSON(w, http.StatusOK, machineTypesResponse{types})
 }
 
-func (c *cloudHandler) rent(out http.ResponseWriter, in *http.Request) {
-	var r cloud.RentalRequest
-	if !readJSON(out, in, &r) {
+func (c *cloudHandler) rent(w http.ResponseWriter, r *http.Request) {
+	var rental cloud.RentalRequest
+	if !readJSON(w, r, &rental) {
 		return
 	}
 	c.s.mu.Lock()
-	hosts, err := c.client.Rent(in.Context(), r)
+	hosts, err := c.client.Rent(r.Context(), rental)
 	for _, host := range hosts {
-		c.s.w.Cloud.Hosts[host].Addr = loopbackAddr(host, c.port)
+		c.s.env.Cloud.Hosts[host].Addr = loopbackAddr(host, c.port)
 	}
 	c.s.mu.Unlock()
 	if err != nil {
-		writeJSON(out, http.StatusServiceUnavailable, errorResponse{err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{err.Error()})
 		return
 	}
-	writeJSON(out, http.StatusOK, hostsBody{hosts})
+	writeJSON(w, http.StatusOK, hostsBody{hosts})
 }
 
-func (c *cloudHandler) returnMachines(out http.ResponseWriter, in *http.Request) {
-	var r hostsBody
-	if !readJSON(out, in, &r) {
+func (c *cloudHandler) returnMachines(w http.ResponseWriter, r *http.Request) {
+	var body hostsBody
+	if !readJSON(w, r, &body) {
 		return
 	}
 	c.s.mu.Lock()
-	_ = c.client.Return(in.Context(), r.Hosts) // nothing is refused here
+	_ = c.client.Return(r.Context(), body.Hosts) // fails only under a cloud fault, which no test injects over HTTP
 	c.s.mu.Unlock()
-	writeJSON(out, http.StatusOK, emptyResponse{})
+	writeJSON(w, http.StatusOK, emptyResponse{})
 }
 
-func (c *cloudHandler) list(out http.ResponseWriter, in *http.Request) {
-	limit, _ := strconv.Atoi(in.FormValue("limit"))
+func (c *cloudHandler) list(w http.ResponseWriter, r *http.Request) {
+	limit, _ := strconv.Atoi(r.FormValue("limit"))
 	c.s.mu.Lock()
-	hosts, truncated := c.s.w.Cloud.page(in.FormValue("since"), limit)
+	hosts, truncated := c.s.env.Cloud.page(r.FormValue("since"), limit)
 	c.s.mu.Unlock()
-	writeJSON(out, http.StatusOK, machinesResponse{hosts, truncated})
+	writeJSON(w, http.StatusOK, machinesResponse{hosts, truncated})
 }
 
-// loopbackAddr returns a machine's address of its own.
+// loopbackAddr returns the loopback address of a machine, which depends on the number in its name.
 func loopbackAddr(host string, port int) string {
 	n, _ := strconv.Atoi(strings.TrimPrefix(host, "i-"))
 	ip := net.IPv4(127, 1, byte(n>>8), byte(n))
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -11,69 +11,69 @@
 	"violetturn/internal/api"
 )
 
-// Server serves a world's state service, cloud and workers over HTTP, for controllers that
-// run as processes of their own. The world's clock follows the real one.
+// Server serves the state service, cloud and workers of a simulated environment over HTTP, for
+// controllers that run as separate processes. The simulated clock follows real time.
 type Server struct {
-	mu             sync.Mutex // guards the world
-	w              *World
-	changed        chan struct{} // closed at the next change of the state service
-	openedRevision uint64        // of the state service, when changed was made
+	mu                sync.Mutex // guards env
+	env               *World
+	storeChanged      chan struct{} // closed and replaced when the revision of the state service changes
+	announcedRevision uint64        // revision of the state service when storeChanged was made
 }
 
-// NewServer returns a server of a world, whose clock begins now.
-func NewServer(w *World) *Server {
-	w.Now = time.Now()
-	return &Server{w: w, changed: make(chan struct{})}
+// NewServer returns a server of an environment, and sets its clock to the current time.
+func NewServer(env *World) *Server {
+	env.Now = time.Now()
+	return &Server{env: env, storeChanged: make(chan struct{})}
 }
 
-// With lets f look at the world, or change it.
-func (s *Server) With(f func(w *World)) {
+// With calls f, which may read and change the environment, with the lock held.
+func (s *Server) With(f func(env *World)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.w)
-	s.announce()
+	f(s.env)
+	s.notifyWatchers()
 }
 
-// announce wakes those who wait for changes if there are some. Call with the lock held.
-func (s *Server) announce() {
-	if s.w.Store.revision != s.openedRevision {
-		s.openedRevision = s.w.Store.revision
-		close(s.changed)
-		s.changed = make(chan struct{})
+// notifyWatchers wakes waiting watches if the state service has changed. The caller must hold mu.
+func (s *Server) notifyWatchers() {
+	if s.env.Store.revision != s.announcedRevision {
+		s.announcedRevision = s.env.Store.revision
+		close(s.storeChanged)
+		s.storeChanged = make(chan struct{})
 	}
 }
 
-// Tick brings the world's clock up to now.
+// Tick advances the simulated clock to the current time.
 func (s *Server) Tick() {
 	s.With(func(w *World) {
-		if late := time.Since(w.Now); late > 0 {
-			w.Advance(late)
+		if elapsed := time.Since(w.Now); elapsed > 0 {
+			w.Advance(elapsed)
 		}
 	})
 }
 
-// errorResponse is the body of a refusal.
+// errorResponse is the body of a response to a refused request.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// emptyResponse is the body of a response that says nothing.
+// emptyResponse is the body of a response without content.
 type emptyResponse struct{}
 
-// writeJSON answers a request.
-func writeJSON(out http.ResponseWriter, status int, v any) {
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	body := api.JSON(v)
-	out.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	out.WriteHeader(status)
-	_, _ = out.Write(body) // a client that is gone needs no response
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	_, _ = w.Write(body) // fails only if the client has closed the connection
 }
 
-// readJSON reads the body of a request, and reports whether it could. If not, it has
-// answered the request.
-func readJSON(out http.ResponseWriter, in *http.Request, v any) bool {
-	body, err := io.ReadAll(in.Body)
+// readJSON decodes the JSON body of a request into v and reports whether that succeeded. If not, it
+// has written the error response.
+func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
+	body, err := io.ReadAll(r.Body)
 	if err != nil || json.Unmarshal(body, v) != nil {
-		writeJSON(out, http.StatusBadRequest, errorResponse{"malformed"})
+		writeJSON(w, http.StatusBadRequest, errorResponse{"malformed"})
 		return false
 	}
 	return true
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -14,13 +14,13 @@
 	"violetturn/internal/store"
 )
 
-// Sizes of a page of a list of keys.
+// Sizes that limit a page of a list of keys.
 const (
 	maxPageBytes     = 512 << 10
-	rowOverheadBytes = 32 // of a row besides key and value
+	rowOverheadBytes = 32 // estimated size of a row without its key and value
 )
 
-// revisionResponse is the body of a response that says no more than the revision.
+// revisionResponse is the body of a response with only the revision.
 type revisionResponse struct {
 	Revision uint64 `json:"epoch"`
 }
@@ -32,22 +32,22 @@
 	Revision  uint64       `json:"epoch"`
 }
 
-// changesResponse is the response to a watch. Each entry of the log is a dropEntry or a
+// changesResponse is the response to a watch request. Each entry of its log is a deleteEntry or a
 // writeEntry.
 type changesResponse struct {
 	Revision uint64            `json:"epoch"`
 	Log      []json.RawMessage `json:"log"`
 }
 
-// dropEntry is a dropped key in a log of changes.
-type dropEntry struct {
-	Drop    string `json:"drop"`
+// deleteEntry is the deletion of a key in a log of changes.
+type deleteEntry struct {
+	Key     string `json:"drop"`
 	Version uint64 `json:"stamp"`
 }
 
-// writeEntry is a written key in a log of changes.
+// writeEntry is the write of a key in a log of changes.
 type writeEntry struct {
-	Write   string          `json:"write"`
+	Key     string          `json:"write"`
 	Value   json.RawMessage `json:"v"`
 	Version uint64          `json:"stamp"`
 }
@@ -58,12 +58,12 @@
 	Revision uint64   `json:"epoch"`
 }
 
-// leaseRequest asks for a lease.
+// leaseRequest is the body of a request for a lease.
 type leaseRequest struct {
 	TTLMS int64 `json:"ttlMs"`
 }
 
-// leaseResponse is a lease that was granted.
+// leaseResponse is the body of the response with a granted lease.
 type leaseResponse struct {
 	LeaseID uint64 `json:"permit"`
 }
@@ -73,7 +73,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys/{key...}", s.getKey)
 	mux.HandleFunc("GET /keys", s.listKeys)
-	mux.HandleFunc("GET /changes", s.changes)
+	mux.HandleFunc("GET /changes", s.watchChanges)
 	mux.HandleFunc("POST /multi", s.commit)
 	mux.HandleFunc("POST /holds", s.grantLease)
 	mux.HandleFunc("POST /holds/{id}/touch", s.renewLease)
@@ -81,27 +81,27 @@
 	return mux
 }
 
-func (s *Server) getKey(out http.ResponseWriter, in *http.Request) {
-	key := in.PathValue("key")
+func (s *Server) getKey(w http.ResponseWriter, r *http.Request) {
+	key := r.PathValue("key")
 	s.mu.Lock()
-	it, found := s.w.Store.keys[key]
-	revision := s.w.Store.revision
+	stored, found := s.env.Store.keys[key]
+	revision := s.env.Store.revision
 	s.mu.Unlock()
 	if !found {
-		writeJSON(out, http.StatusNotFound, revisionResponse{revision})
+		writeJSON(w, http.StatusNotFound, revisionResponse{revision})
 		return
 	}
-	writeJSON(out, http.StatusOK, store.Item{Key: key, Value: it.value, Version: it.version})
+	writeJSON(w, http.StatusOK, store.Item{Key: key, Value: stored.value, Version: stored.version})
 }
 
-func (s *Server) listKeys(out http.ResponseWriter, in *http.Request) {
-	prefix, since := in.FormValue("prefix"), in.FormValue("since")
-	limit, _ := strconv.Atoi(in.FormValue("limit"))
+func (s *Server) listKeys(w http.ResponseWriter, r *http.Request) {
+	prefix, since := r.FormValue("prefix"), r.FormValue("since")
+	limit, _ := strconv.Atoi(r.FormValue("limit"))
 	s.mu.Lock()
-	page := keysResponse{Rows: []store.Item{}, Revision: s.w.Store.revision}
-	for key, it := range s.w.Store.keys {
+	page := keysResponse{Rows: []store.Item{}, Revision: s.env.Store.revision}
+	for key, stored := range s.env.Store.keys {
 		if key > since && strings.HasPrefix(key, prefix) {
-			page.Rows = append(page.Rows, store.Item{Key: key, Value: it.value, Version: it.version})
+			page.Rows = append(page.Rows, store.Item{Key: key, Value: stored.value, Version: stored.version})
 		}
 	}
 	s.mu.Unlock()
@@ -113,100 +113,101 @@
 			break
 		}
 	}
-	writeJSON(out, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
-// changes answers a watch once there are changes, or when the time that it may block is over.
-func (s *Server) changes(out http.ResponseWriter, in *http.Request) {
-	since, _ := strconv.ParseUint(in.FormValue("since"), 10, 64)
-	block, _ := strconv.Atoi(in.FormValue("blockMs"))
-	timeout := time.NewTimer(time.Duration(block) * time.Millisecond)
+// watchChanges responds to a watch request as soon as there are changes, or without changes when the
+// time that it may block has passed.
+func (s *Server) watchChanges(w http.ResponseWriter, r *http.Request) {
+	since, _ := strconv.ParseUint(r.FormValue("since"), 10, 64)
+	blockMS, _ := strconv.Atoi(r.FormValue("blockMs"))
+	timeout := time.NewTimer(time.Duration(blockMS) * time.Millisecond)
 	defer timeout.Stop()
-	for waiting := block > 0; ; {
+	for waiting := blockMS > 0; ; {
 		s.mu.Lock()
-		log, revision, err := s.w.Store.changes(in.FormValue("prefix"), since)
-		changed := s.changed
+		changes, revision, err := s.env.Store.changes(r.FormValue("prefix"), since)
+		changed := s.storeChanged
 		s.mu.Unlock()
-		if errors.Is(err, store.ErrTooOld) { // no other error is returned
-			writeJSON(out, http.StatusGone, errorResponse{err.Error()})
+		if errors.Is(err, store.ErrTooOld) { // Store.changes returns no other error
+			writeJSON(w, http.StatusGone, errorResponse{err.Error()})
 			return
 		}
-		if len(log) > 0 || !waiting {
-			writeJSON(out, http.StatusOK, changesResponse{Revision: revision, Log: logEntries(log)})
+		if len(changes) > 0 || !waiting {
+			writeJSON(w, http.StatusOK, changesResponse{Revision: revision, Log: logEntries(changes)})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
 			waiting = false
-		case <-in.Context().Done():
+		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// logEntries returns changes as a watch's response has them.
-func logEntries(log []store.Change) []json.RawMessage {
-	out := make([]json.RawMessage, 0, len(log))
-	for _, c := range log {
+// logEntries encodes changes for the response to a watch request.
+func logEntries(changes []store.Change) []json.RawMessage {
+	entries := make([]json.RawMessage, 0, len(changes))
+	for _, c := range changes {
 		if c.Drop != "" {
-			out = append(out, api.JSON(dropEntry{c.Drop, c.Version}))
+			entries = append(entries, api.JSON(deleteEntry{c.Drop, c.Version}))
 		} else {
-			out = append(out, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
+			entries = append(entries, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
 		}
 	}
-	return out
+	return entries
 }
 
-func (s *Server) commit(out http.ResponseWriter, in *http.Request) {
-	var t store.Txn
-	if !readJSON(out, in, &t) {
+func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
+	var txn store.Txn
+	if !readJSON(w, r, &txn) {
 		return
 	}
 	s.mu.Lock()
-	result, err := s.w.Store.apply(&t)
-	s.announce()
+	result, err := s.env.Store.apply(&txn)
+	s.notifyWatchers()
 	s.mu.Unlock()
 	switch {
 	case errors.Is(err, store.ErrNoLease):
-		writeJSON(out, http.StatusBadRequest, errorResponse{"no such lease"})
+		writeJSON(w, http.StatusBadRequest, errorResponse{"no such lease"})
 	case err != nil:
-		writeJSON(out, http.StatusBadRequest, errorResponse{err.Error()})
+		writeJSON(w, http.StatusBadRequest, errorResponse{err.Error()})
 	case !result.Committed:
-		writeJSON(out, http.StatusConflict, conflictResponse{result.Conflicts, result.Revision})
+		writeJSON(w, http.StatusConflict, conflictResponse{result.Conflicts, result.Revision})
 	default:
-		writeJSON(out, http.StatusOK, revisionResponse{result.Revision})
+		writeJSON(w, http.StatusOK, revisionResponse{result.Revision})
 	}
 }
 
-func (s *Server) grantLease(out http.ResponseWriter, in *http.Request) {
+func (s *Server) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
-	if !readJSON(out, in, &request) {
+	if !readJSON(w, r, &request) {
 		return
 	}
 	s.mu.Lock()
-	leaseID := s.w.Store.grantLease(time.Duration(request.TTLMS) * time.Millisecond)
+	leaseID := s.env.Store.grantLease(time.Duration(request.TTLMS) * time.Millisecond)
 	s.mu.Unlock()
-	writeJSON(out, http.StatusOK, leaseResponse{leaseID})
+	writeJSON(w, http.StatusOK, leaseResponse{leaseID})
 }
 
-func (s *Server) renewLease(out http.ResponseWriter, in *http.Request) {
-	id, _ := strconv.ParseUint(in.PathValue("id"), 10, 64)
+func (s *Server) renewLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
-	err := s.w.Store.renewLease(id)
+	err := s.env.Store.renewLease(id)
 	s.mu.Unlock()
 	if err != nil {
-		writeJSON(out, http.StatusNotFound, errorResponse{err.Error()})
+		writeJSON(w, http.StatusNotFound, errorResponse{err.Error()})
 		return
 	}
-	writeJSON(out, http.StatusOK, emptyResponse{})
+	writeJSON(w, http.StatusOK, emptyResponse{})
 }
 
-func (s *Server) revokeLease(out http.ResponseWriter, in *http.Request) {
-	id, _ := strconv.ParseUint(in.PathValue("id"), 10, 64)
+func (s *Server) revokeLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
-	s.w.Store.endLease(id)
-	s.announce()
+	s.env.Store.endLease(id)
+	s.notifyWatchers()
 	s.mu.Unlock()
-	writeJSON(out, http.StatusOK, emptyResponse{})
+	writeJSON(w, http.StatusOK, emptyResponse{})
 }
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -7,10 +7,10 @@
 	"violetturn/internal/api"
 )
 
-// Workers returns the handler of direct requests to workers. Which worker is meant shows in
-// the address that was connected to.
+// Workers returns the handler of direct requests to workers. The local address of the connection
+// identifies the worker.
 func (s *Server) Workers() http.Handler {
-	h := &workersHandler{s: s, client: &CommandClient{World: s.w}}
+	h := &workersHandler{s: s, client: &CommandClient{World: s.env}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", h.commands)
 	mux.HandleFunc("GET /show", h.status)
@@ -23,36 +23,36 @@
 	client *CommandClient
 }
 
-func (h *workersHandler) commands(out http.ResponseWriter, in *http.Request) {
-	var o api.CommandBatch
-	if !readJSON(out, in, &o) {
+func (h *workersHandler) commands(w http.ResponseWriter, r *http.Request) {
+	var batch api.CommandBatch
+	if !readJSON(w, r, &batch) {
 		return
 	}
 	h.s.mu.Lock()
-	heartbeat, obeyed, err := h.client.SendCommands(in.Context(), localAddr(in), o)
+	heartbeat, accepted, err := h.client.SendCommands(r.Context(), localAddr(r), batch)
 	h.s.mu.Unlock()
 	switch {
 	case err != nil:
-		panic(http.ErrAbortHandler) // no response
-	case !obeyed:
-		writeJSON(out, http.StatusConflict, heartbeat)
+		panic(http.ErrAbortHandler) // closes the connection without a response
+	case !accepted:
+		writeJSON(w, http.StatusConflict, heartbeat)
 	default:
-		writeJSON(out, http.StatusOK, heartbeat)
+		writeJSON(w, http.StatusOK, heartbeat)
 	}
 }
 
-func (h *workersHandler) status(out http.ResponseWriter, in *http.Request) {
+func (h *workersHandler) status(w http.ResponseWriter, r *http.Request) {
 	h.s.mu.Lock()
-	heartbeat, err := h.client.Status(in.Context(), localAddr(in))
+	heartbeat, err := h.client.Status(r.Context(), localAddr(r))
 	h.s.mu.Unlock()
 	if err != nil {
-		panic(http.ErrAbortHandler) // no response
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
-	writeJSON(out, http.StatusOK, heartbeat)
+	writeJSON(w, http.StatusOK, heartbeat)
 }
 
-// localAddr returns the address that a request was sent to.
-func localAddr(in *http.Request) string {
-	local, _ := in.Context().Value(http.LocalAddrContextKey).(net.Addr)
+// localAddr returns the local address of a request's connection.
+func localAddr(r *http.Request) string {
+	local, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	return local.String()
 }
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -10,148 +10,148 @@
 	"violetturn/internal/api"
 )
 
-// Rule names a rule of PROTOCOL that the world checks.
+// Rule is the name of a rule of PROTOCOL that the simulation checks.
 type Rule string
 
-// Rules that are checked.
+// Rules that the simulation or its tests check.
 const (
-	RuleRanTwice     Rule = "ran_twice"     // a task runs on one machine at a time
-	RuleRanCancelled Rule = "ran_cancelled" // no task runs for long after its user was told of the cancellation
-	RuleQuota        Rule = "quota"         // a team's tasks keep to its limit
-	RuleWrongPlace   Rule = "wrong_place"   // a task runs only where its job allows
-	RuleAttempts     Rule = "attempts"      // attempts of a gang do not overlap, and their numbers rise
-	RuleCommands     Rule = "orders"        // commands name tasks that there are
-	RuleLimits       Rule = "limits"        // transactions and values keep to the announced sizes
-	RuleInvented     Rule = "invented"      // a job that nobody submitted is not known
-	RuleWentBack     Rule = "went_back"     // a final phase does not change
-	RuleNotDone      Rule = "not_done"      // a job is done only when all its tasks are
-	RuleForgotten    Rule = "forgotten"     // an accepted job stays known
-	RuleWaiting      Rule = "waiting"       // nothing waits for long while there is room
+	RuleRanTwice     Rule = "ran_twice"     // a task runs on at most one machine at a time
+	RuleRanCancelled Rule = "ran_cancelled" // no task runs longer than CancelTimeout after the cancellation was confirmed
+	RuleQuota        Rule = "quota"         // a team's tasks use no more GPUs than its limit
+	RuleWrongPlace   Rule = "wrong_place"   // a task runs only on a machine and in a zone that its job allows
+	RuleAttempts     Rule = "attempts"      // attempts of a gang do not overlap, and their numbers do not decrease
+	RuleCommands     Rule = "orders"        // commands name existing tasks
+	RuleLimits       Rule = "limits"        // transactions and values stay within the announced limits
+	RuleInvented     Rule = "invented"      // no response reports a job that was never submitted
+	RuleWentBack     Rule = "went_back"     // a final phase does not change, and no job is cancelled without a request
+	RuleNotDone      Rule = "not_done"      // a job is reported as done only when all its tasks are done
+	RuleForgotten    Rule = "forgotten"     // an accepted job is neither refused nor reported as not found
+	RuleWaiting      Rule = "waiting"       // no job waits for long while there is free capacity
 )
 
-// roundingError is by how much sums of resources may differ from what they stand for.
-const roundingError = 1e-6
+// roundingTolerance is the rounding error allowed when sums of resources are compared.
+const roundingTolerance = 1e-6
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
-	At     time.Time // by the world's clock
+	At     time.Time // simulated time
 	Detail string
 }
 
-// String returns the violation for a person.
+// String returns a readable description of the violation.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %s: %s", v.Rule, v.At.Format("15:04:05.000"), v.Detail)
 }
 
-// Violate records a broken rule.
-func (w *World) Violate(rule Rule, format string, args ...any) {
-	w.Violations = append(w.Violations, Violation{rule, w.Now, fmt.Sprintf(format, args...)})
+// Violate records the violation of a rule.
+func (e *World) Violate(rule Rule, format string, args ...any) {
+	e.Violations = append(e.Violations, Violation{rule, e.Now, fmt.Sprintf(format, args...)})
 }
 
-// checkCancelled checks that no task is on a machine too long after its user was told that
-// its job is cancelled.
-func (w *World) checkCancelled() {
-	for _, x := range w.Cloud.Workers() {
-		for _, t := range x.Tasks {
-			if told := t.job.CancelConfirmed; !told.IsZero() && w.Now.Sub(told) > w.CancelTimeout && t.isOnMachine() {
-				w.Violate(RuleRanCancelled, "%s is on %s", t.name(), x.Host)
+// checkCancelled checks that no task is still active once CancelTimeout has passed since the
+// cancellation of its job was confirmed to the user.
+func (e *World) checkCancelled() {
+	for _, worker := range e.Cloud.Workers() {
+		for _, t := range worker.Tasks {
+			if confirmedAt := t.job.CancelConfirmed; !confirmedAt.IsZero() && e.Now.Sub(confirmedAt) > e.CancelTimeout && t.isActive() {
+				e.Violate(RuleRanCancelled, "task %s of a cancelled job is still on %s", t.name(), worker.Host)
 			}
 		}
 	}
 }
 
-// taskStarted checks the rules at the moment when a task has its image.
-func (w *World) taskStarted(x *Worker, t *Task) {
-	if w.OnTaskStarted != nil {
-		w.OnTaskStarted(x, t.uid)
+// taskStarted checks the rules on running tasks when a task has fetched its image.
+func (e *World) taskStarted(worker *Worker, t *Task) {
+	if e.OnTaskStarted != nil {
+		e.OnTaskStarted(worker, t.uid)
 	}
 	spec := &t.job.Spec
 	teamGPUs := 0.0
 	tasksByZone := map[string]int{} // of the job's other tasks
-	for _, other := range w.Cloud.Workers() {
-		for _, o := range other.Tasks {
-			if !o.isOnMachine() {
+	for _, otherWorker := range e.Cloud.Workers() {
+		for _, otherTask := range otherWorker.Tasks {
+			if !otherTask.isActive() {
 				continue
 			}
-			if o.job.Spec.Team == spec.Team {
-				teamGPUs += o.job.Spec.GPUs
+			if otherTask.job.Spec.Team == spec.Team {
+				teamGPUs += otherTask.job.Spec.GPUs
 			}
-			if o.uid == t.uid && o != t {
-				tasksByZone[other.Zone]++
+			if otherTask.uid == t.uid && otherTask != t {
+				tasksByZone[otherWorker.Zone]++
 			}
-			if o.uid == t.uid && o.index == t.index && other != x {
-				w.Violate(RuleRanTwice, "%s starts on %s while on %s", t.name(), x.Host, other.Host)
+			if otherTask.uid == t.uid && otherTask.index == t.index && otherWorker != worker {
+				e.Violate(RuleRanTwice, "task %s starts on %s while it is still on %s", t.name(), worker.Host, otherWorker.Host)
 			}
 		}
 	}
-	if limit := w.TeamGPULimits[spec.Team]; limit > 0 && teamGPUs > limit+roundingError {
-		w.Violate(RuleQuota, "%s uses %g of %g", spec.Team, teamGPUs, limit)
+	if limit := e.TeamGPULimits[spec.Team]; limit > 0 && teamGPUs > limit+roundingTolerance {
+		e.Violate(RuleQuota, "team %s uses %g GPUs, limit %g", spec.Team, teamGPUs, limit)
 	}
-	w.checkPlacement(x, t, tasksByZone)
+	e.checkPlacement(worker, t, tasksByZone)
 }
 
-// checkPlacement checks that a task that starts is where its job allows, given the zones of
-// the job's other tasks.
-func (w *World) checkPlacement(x *Worker, t *Task, tasksByZone map[string]int) {
+// checkPlacement checks that a starting task is on a machine that its job allows. tasksByZone
+// counts the job's other active tasks in each zone.
+func (e *World) checkPlacement(worker *Worker, t *Task, tasksByZone map[string]int) {
 	spec := &t.job.Spec
-	wrongZone := spec.Zone != "" && spec.Zone != x.Zone
-	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, x.MachineType)
-	if wrongZone || wrongType || x.Spot && !spec.Spot {
-		w.Violate(RuleWrongPlace, "%s on %s", t.name(), x.Host)
+	wrongZone := spec.Zone != "" && spec.Zone != worker.Zone
+	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, worker.MachineType)
+	if wrongZone || wrongType || worker.Spot && !spec.Spot {
+		e.Violate(RuleWrongPlace, "task %s may not run on %s", t.name(), worker.Host)
 	}
-	if here := tasksByZone[x.Zone] + 1; spec.Spread && here > int(math.Ceil(float64(spec.Tasks)/2)) {
-		w.Violate(RuleWrongPlace, "%s is number %d in %s of %d", t.name(), here, x.Zone, spec.Tasks)
+	if tasksInZone := tasksByZone[worker.Zone] + 1; spec.Spread && tasksInZone > int(math.Ceil(float64(spec.Tasks)/2)) {
+		e.Violate(RuleWrongPlace, "spread task %s is number %d in zone %s, of %d tasks", t.name(), tasksInZone, worker.Zone, spec.Tasks)
 	}
 	if !spec.Together {
 		return
 	}
 	for zone := range tasksByZone {
-		if zone != x.Zone {
-			w.Violate(RuleWrongPlace, "%s in %s, others in %s", t.name(), x.Zone, zone)
+		if zone != worker.Zone {
+			e.Violate(RuleWrongPlace, "task %s is in zone %s, other tasks of the job are in zone %s", t.name(), worker.Zone, zone)
 		}
 	}
 }
 
-// CheckResponse checks what a user was told of a job; status is the HTTP status of the
-// response, and submission says that it answers a submission.
-func (w *World) CheckResponse(uid string, status int, phase api.JobPhase, submission bool) {
-	j := w.Jobs[uid]
+// CheckResponse checks a response that a user received about a job. status is the HTTP status,
+// and submission is set if the request was a submission.
+func (e *World) CheckResponse(uid string, status int, phase api.JobPhase, submission bool) {
+	j := e.Jobs[uid]
 	if status == http.StatusOK || status == http.StatusCreated {
-		w.checkPhase(j, uid, phase)
+		e.checkPhase(j, uid, phase)
 		return
 	}
 	refused := submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j != nil && j.Accepted && (status == http.StatusNotFound || refused) {
-		w.Violate(RuleForgotten, "%s answered %d", uid, status)
+		e.Violate(RuleForgotten, "accepted job %s: response status %d", uid, status)
 	}
 }
 
-// checkPhase checks the phase that a user was told of a job, which is nil for one that
-// nobody submitted.
-func (w *World) checkPhase(j *Job, uid string, phase api.JobPhase) {
+// checkPhase checks the phase of a job in a response to its user. j is nil if no such job was
+// submitted.
+func (e *World) checkPhase(j *Job, uid string, phase api.JobPhase) {
 	if j == nil {
-		w.Violate(RuleInvented, "%s is %s", uid, phase)
+		e.Violate(RuleInvented, "job %s was never submitted, response says %s", uid, phase)
 		return
 	}
 	if j.FinalPhase != "" && phase != j.FinalPhase {
-		w.Violate(RuleWentBack, "%s was %s and is %s", uid, j.FinalPhase, phase)
+		e.Violate(RuleWentBack, "job %s was reported as %s, now as %s", uid, j.FinalPhase, phase)
 	}
 	switch phase {
 	case api.JobDone:
 		if len(j.Done) < j.Spec.Tasks {
-			w.Violate(RuleNotDone, "%s with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
+			e.Violate(RuleNotDone, "job %s is reported as done with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
 		}
 		j.FinalPhase = phase
 	case api.JobCancelled:
 		if !j.CancelRequested {
-			w.Violate(RuleWentBack, "%s is cancelled without its user", uid)
+			e.Violate(RuleWentBack, "job %s is reported as cancelled without a cancellation request", uid)
 		}
 		if j.CancelConfirmed.IsZero() {
-			j.CancelConfirmed = w.Now
+			j.CancelConfirmed = e.Now
 		}
 		j.FinalPhase = phase
-	case api.JobPending, api.JobRunning: // may be told at any time before the end
+	case api.JobPending, api.JobRunning: // valid at any time before the final phase
 	}
 	j.Accepted = true
 }
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -7,70 +7,70 @@
 	"violetturn/internal/api"
 )
 
-// What users are told of a job is checked against what they were told before.
+// Responses about a job are checked against the job and the responses before.
 func TestCheckResponse(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name       string
 		job        *Job
 		status     int
 		phase      api.JobPhase
 		submission bool
-		rule       Rule // that is broken; "": none
+		wantRule   Rule // rule that is violated; "": none
 	}{
 		{"accepted", &Job{}, 201, "pending", true, ""},
-		{"unknown to its user", nil, 200, "pending", false, RuleInvented},
-		{"unknown", nil, 404, "", false, ""},
+		{"never submitted", nil, 200, "pending", false, RuleInvented},
+		{"never submitted and not found", nil, 404, "", false, ""},
 		{"refused", &Job{}, 422, "", true, ""},
-		{"accepted and unknown", &Job{Accepted: true}, 404, "", false, RuleForgotten},
+		{"accepted and not found", &Job{Accepted: true}, 404, "", false, RuleForgotten},
 		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleForgotten},
-		{"accepted, the service is down", &Job{Accepted: true}, 503, "", true, ""},
+		{"accepted and unavailable", &Job{Accepted: true}, 503, "", true, ""},
 		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
 		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
 		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleWentBack},
-		{"cancelled by nobody", &Job{}, 200, api.JobCancelled, false, RuleWentBack},
+		{"cancelled without a request", &Job{}, 200, api.JobCancelled, false, RuleWentBack},
 		{"cancelled", &Job{CancelRequested: true}, 200, api.JobCancelled, false, ""},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			w := newTestWorld()
-			if x.job != nil {
-				w.Jobs["run-000001"] = x.job
+		t.Run(test.name, func(t *testing.T) {
+			env := newTestEnvironment()
+			if test.job != nil {
+				env.Jobs["run-000001"] = test.job
 			}
-			w.CheckResponse("run-000001", x.status, x.phase, x.submission)
+			env.CheckResponse("run-000001", test.status, test.phase, test.submission)
 			switch {
-			case x.rule == "" && len(w.Violations) > 0:
-				t.Error(w.Violations)
-			case x.rule != "" && (len(w.Violations) != 1 || w.Violations[0].Rule != x.rule):
-				t.Errorf("%s is not broken: %v", x.rule, w.Violations)
+			case test.wantRule == "" && len(env.Violations) > 0:
+				t.Errorf("violations %v, want none", env.Violations)
+			case test.wantRule != "" && (len(env.Violations) != 1 || env.Violations[0].Rule != test.wantRule):
+				t.Errorf("violations %v, want one of rule %q", env.Violations, test.wantRule)
 			}
 		})
 	}
 }
 
-// Tasks that start are checked against their team's limit and the places that their job
-// allows, and those of a cancelled job against the time in which they have to end.
+// Starting tasks are checked against their team's GPU limit and the zones and machines that their
+// job allows. Tasks of a cancelled job are checked against the time by which they have to end.
 func TestTaskRules(t *testing.T) {
-	for _, x := range []struct {
-		name   string
-		change func(w *World, j *Job)
-		rule   Rule
+	for _, test := range []struct {
+		name     string
+		setUp    func(env *World, j *Job)
+		wantRule Rule
 	}{
 		{"allowed", func(*World, *Job) {}, ""},
-		{"team at its limit", func(w *World, _ *Job) { w.TeamGPULimits["a"] = 1 }, RuleQuota},
+		{"team above its limit", func(env *World, _ *Job) { env.TeamGPULimits["a"] = 1 }, RuleQuota},
 		{"another zone", func(_ *World, j *Job) { j.Spec.Zone = "y" }, RuleWrongPlace},
 		{"spread", func(_ *World, j *Job) { j.Spec.Spread = true }, RuleWrongPlace},
-		{"cancelled", func(w *World, j *Job) { j.CancelConfirmed = w.Now.Add(-w.CancelTimeout) }, RuleRanCancelled},
+		{"cancelled", func(env *World, j *Job) { j.CancelConfirmed = env.Now.Add(-env.CancelTimeout) }, RuleRanCancelled},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			w := newTestWorld()
-			j, _ := launchTestGang(t, w)
-			x.change(w, j)
-			pass(w, 2*time.Second)
-			broken := Rule("")
-			if len(w.Violations) > 0 {
-				broken = w.Violations[0].Rule
+		t.Run(test.name, func(t *testing.T) {
+			env := newTestEnvironment()
+			j, _ := launchTestGang(t, env)
+			test.setUp(env, j)
+			advanceWithHeartbeats(env, 2*time.Second)
+			violated := Rule("")
+			if len(env.Violations) > 0 {
+				violated = env.Violations[0].Rule
 			}
-			if broken != x.rule {
-				t.Errorf("broken: %v", w.Violations)
+			if violated != test.wantRule {
+				t.Errorf("first violation is of rule %q, want %q; all violations: %v", violated, test.wantRule, env.Violations)
 			}
 		})
 	}
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -7,19 +7,20 @@
 	"violetturn/internal/store"
 )
 
-// StoreClient is the state service as one node reaches it. It implements what a controller asks
-// of its state service. It has no budget of requests: what is sent is sent at once.
+// StoreClient is a node's client of the simulated state service. It implements the methods that a
+// controller requires of its state service client. It has no rate limit: every request is sent at
+// once.
 type StoreClient struct {
 	Store         *Store
 	Node          string
-	TxnOps        int           // changes that the node may put into a transaction
-	MaxValueBytes int           // bytes that it may put into a value
-	OnServed      func(ok bool) // hears of each request whether it was served; may be nil
-	BeforeCommit  func()        // runs before the next transaction is sent, once, as if the node stood still; may be nil
+	TxnOps        int           // maximum writes in a transaction, as announced to the node
+	MaxValueBytes int           // maximum size of a value, as announced to the node
+	OnServed      func(ok bool) // called for each request with whether it was served; may be nil
+	BeforeCommit  func()        // called once before the next transaction is sent, to simulate a paused node; may be nil
 }
 
-// checkAvailable returns why a request is not served: store.ErrRefused for 503,
-// store.ErrUnknown for no response at all.
+// checkAvailable returns the error of a request that is not served: store.ErrRefused for HTTP
+// status 503, store.ErrUnknown for no response.
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
@@ -39,19 +40,19 @@
 	if err := c.checkAvailable(); err != nil {
 		return store.Item{}, false, err
 	}
-	it, ok := c.Store.keys[key]
-	return store.Item{Key: key, Value: it.value, Version: it.version}, ok, nil
+	stored, ok := c.Store.keys[key]
+	return store.Item{Key: key, Value: stored.value, Version: stored.version}, ok, nil
 }
 
-// List reads the keys with a prefix, and returns the revision.
+// List returns the keys with a prefix, and the current revision.
 func (c *StoreClient) List(_ context.Context, prefix string) ([]store.Item, uint64, error) {
 	if err := c.checkAvailable(); err != nil {
 		return nil, 0, err
 	}
-	return c.Store.list(prefix), c.Store.revision, nil
+	return c.Store.sortedItems(prefix), c.Store.revision, nil
 }
 
-// Changes reads the changes since a revision; it never waits.
+// Changes returns the changes since a revision. It never waits.
 func (c *StoreClient) Changes(_ context.Context, prefix string, since uint64, _ time.Duration) ([]store.Change, uint64, error) {
 	if err := c.checkAvailable(); err != nil {
 		return nil, 0, err
@@ -59,18 +60,18 @@
 	return c.Store.changes(prefix, since)
 }
 
-// Commit commits a transaction, subject to the fault set for the node's next one.
+// Commit commits a transaction, subject to the fault injected for the node's next one.
 func (c *StoreClient) Commit(_ context.Context, t *store.Txn, _ store.Priority) (store.CommitResult, error) {
-	if stall := c.BeforeCommit; stall != nil {
+	if beforeCommit := c.BeforeCommit; beforeCommit != nil {
 		c.BeforeCommit = nil
-		stall()
+		beforeCommit()
 	}
 	if err := c.checkAvailable(); err != nil {
 		return store.CommitResult{}, err
 	}
 	c.Store.Writes += len(t.Ops)
 	c.checkSize(t)
-	switch c.Store.takeNextFault(c.Node) {
+	switch c.Store.consumeNextFault(c.Node) {
 	case NoFault:
 	case RequestLost:
 		return store.CommitResult{}, store.ErrUnknown
@@ -84,34 +85,34 @@
 	return c.Store.apply(t)
 }
 
-// checkSize checks that a transaction is within the limits that the node knows.
+// checkSize checks that a transaction is within the limits announced to the node.
 func (c *StoreClient) checkSize(t *store.Txn) {
 	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > guardsPerOp*c.TxnOps {
-		c.Store.w.Violate(RuleLimits, "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
+		c.Store.env.Violate(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
 		if len(op.Value) > c.MaxValueBytes {
-			c.Store.w.Violate(RuleLimits, "%s has %d bytes", op.Write, len(op.Value))
+			c.Store.env.Violate(RuleLimits, "value of key %q has %d bytes", op.Write, len(op.Value))
 		}
 	}
 }
 
-// AwaitWrites returns n: any number of changes can be sent.
+// AwaitWrites returns n at once: there is no write budget.
 func (c *StoreClient) AwaitWrites(_ context.Context, n int, _ store.Priority) int { return n }
 
-// SetControllers does nothing: there is no budget to share.
+// SetControllers does nothing: there is no rate limit to share.
 func (c *StoreClient) SetControllers(int) {}
 
-// ReserveForGangs does nothing: there is no budget to reserve of.
+// ReserveForGangs does nothing: there is no write budget.
 func (c *StoreClient) ReserveForGangs(float64) {}
 
-// LowerLimits does nothing: there is no budget to lower.
+// LowerLimits does nothing: there is no rate limit.
 func (c *StoreClient) LowerLimits() {}
 
-// Used returns the requests and changes that were sent: there is no budget, so none count.
+// Used returns zeros: requests and writes are not counted against a budget.
 func (c *StoreClient) Used() (requests, writes float64) { return 0, 0 }
 
-// GrantLease makes a lease.
+// GrantLease grants a lease and returns its ID.
 func (c *StoreClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	if err := c.checkAvailable(); err != nil {
 		return 0, err
@@ -119,7 +120,7 @@
 	return c.Store.grantLease(ttl), nil
 }
 
-// RenewLease gives a lease its full time again.
+// RenewLease renews a lease for its full duration.
 func (c *StoreClient) RenewLease(_ context.Context, leaseID uint64) error {
 	if err := c.checkAvailable(); err != nil {
 		return err
@@ -127,7 +128,7 @@
 	return c.Store.renewLease(leaseID)
 }
 
-// RevokeLease ends a lease.
+// RevokeLease revokes a lease and deletes its keys.
 func (c *StoreClient) RevokeLease(_ context.Context, leaseID uint64) error {
 	if err := c.checkAvailable(); err != nil {
 		return err
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -10,13 +10,13 @@
 	"violetturn/internal/store"
 )
 
-// guardsPerOp is how many preconditions a transaction may have for each change that it may
-// have (PROTOCOL).
+// guardsPerOp is the maximum number of preconditions in a transaction, as a multiple of the maximum
+// number of writes (PROTOCOL).
 const guardsPerOp = 4
 
-// StoreLimits are the sizes that the state service accepts since its limits came down.
+// StoreLimits are the limits that the state service enforces once it accepts less than announced.
 type StoreLimits struct {
-	MaxOps        int // changes in a transaction; 0: the limits have not come down
+	MaxOps        int // writes in a transaction; 0: the limits were not lowered
 	MaxValueBytes int // bytes of a value
 }
 
@@ -31,85 +31,86 @@
 	return !slices.ContainsFunc(t.Ops, func(op store.Op) bool { return len(op.Value) > l.MaxValueBytes })
 }
 
-// StoreCounters count what the state service was asked for.
+// StoreCounters count requests to the state service.
 type StoreCounters struct {
-	Writes   int // changes in transactions, those of refused ones too
-	TooLarge int // transactions that were refused for their size
+	Writes   int // writes in all transactions sent, including those that are refused
+	TooLarge int // transactions that were refused because of their size
 }
 
-// Store is the state service: versioned keys, transactions, leases and a log of changes.
+// Store is the simulated state service: versioned keys, transactions, leases and a log of changes.
 type Store struct {
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	Refused map[string]bool // nodes that get 503
+	Refused map[string]bool // nodes whose requests get status 503
 
-	w           *World
+	env         *World
 	revision    uint64
 	keys        map[string]storedValue
 	log         []store.Change
 	leases      map[uint64]*lease
 	lastLeaseID uint64
-	delayed     []*store.Txn // of the fault Delayed, until DeliverDelayed
+	delayed     []*store.Txn // transactions with the fault Delayed, until DeliverDelayed is called
 }
 
 // storedValue is the value of a key.
 type storedValue struct {
 	value   json.RawMessage
-	version uint64 // the revision that wrote it
-	leaseID uint64 // with which the key ends; 0: none
+	version uint64 // revision that wrote the value
+	leaseID uint64 // lease whose end deletes the key; 0: none
 }
 
 // newStore returns an empty state service.
-func newStore(w *World) *Store {
+func newStore(env *World) *Store {
 	return &Store{
 		ServiceFaults: newServiceFaults(),
 		Refused:       map[string]bool{},
-		w:             w,
+		env:           env,
 		keys:          map[string]storedValue{},
 		leases:        map[uint64]*lease{},
 	}
 }
 
-// Item is a key as it stands.
+// Item is a key with its current value.
 type Item struct {
 	Key   string
 	Value json.RawMessage
 }
 
-// Items returns the keys with a prefix, in order.
+// Items returns the keys with a prefix and their values, in order of the keys.
 func (s *Store) Items(prefix string) []Item {
 	var out []Item
-	for _, it := range s.list(prefix) {
-		out = append(out, Item{it.Key, it.Value})
+	for _, item := range s.sortedItems(prefix) {
+		out = append(out, Item{item.Key, item.Value})
 	}
 	return out
 }
 
-// list returns the keys with a prefix and their versions, in order.
-func (s *Store) list(prefix string) []store.Item {
+// sortedItems returns the keys with a prefix, their values and versions, in order of the keys.
+func (s *Store) sortedItems(prefix string) []store.Item {
 	var out []store.Item
-	for key, it := range s.keys {
+	for key, stored := range s.keys {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, store.Item{Key: key, Value: it.value, Version: it.version})
+			out = append(out, store.Item{Key: key, Value: stored.value, Version: stored.version})
 		}
 	}
 	slices.SortFunc(out, func(a, b store.Item) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
-// DeliverDelayed carries out the transactions of the fault Delayed.
+// DeliverDelayed applies the transactions that the fault Delayed has held back.
 func (s *Store) DeliverDelayed() {
-	late := s.delayed
+	delayed := s.delayed
 	s.delayed = nil
-	for _, t := range late {
-		_, _ = s.apply(t) // nobody hears the response
+	for _, t := range delayed {
+		_, _ = s.apply(t) // the response is lost
 	}
 }
 
-// apply carries out a transaction and returns its outcome.
+// apply applies a transaction and returns its result.
 //
-// It returns store.ErrTooLarge and store.ErrNoLease for transactions that are refused.
+// It returns store.ErrTooLarge for a transaction above the limits, and store.ErrNoLease if a
+// write names a lease that does not exist.
 func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
 		s.TooLarge++
@@ -136,74 +137,75 @@
 	return store.CommitResult{Committed: true, Revision: s.revision}, nil
 }
 
-// applyOp carries out one change of a transaction, at the current revision.
+// applyOp applies one write or deletion of a transaction at the current revision.
 func (s *Store) applyOp(op store.Op) {
 	if op.Drop != "" {
 		if _, ok := s.keys[op.Drop]; ok {
 			delete(s.keys, op.Drop)
-			s.note(store.Change{Drop: op.Drop, Version: s.revision})
+			s.logChange(store.Change{Drop: op.Drop, Version: s.revision})
 		}
 		return
 	}
-	it := storedValue{value: op.Value, version: s.revision}
+	stored := storedValue{value: op.Value, version: s.revision}
 	if op.Lease != nil {
-		it.leaseID = *op.Lease
+		stored.leaseID = *op.Lease
 	}
-	s.keys[op.Write] = it
-	s.note(store.Change{Write: op.Write, Value: op.Value, Version: s.revision})
+	s.keys[op.Write] = stored
+	s.logChange(store.Change{Write: op.Write, Value: op.Value, Version: s.revision})
 }
 
-// lease is a lease of the state service; the keys that were written with it end with it.
+// lease is a lease of the state service. Keys written with it are deleted when it ends.
 type lease struct {
 	ttl time.Duration
 	end time.Time
 }
 
-// tick ends the leases whose time is over. During an outage all keep their full time.
+// tick ends expired leases. During an outage of the state service no lease expires: each keeps its
+// full duration.
 func (s *Store) tick() {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		l := s.leases[id]
 		if s.Down {
-			l.end = s.w.Now.Add(l.ttl)
-		} else if !s.w.Now.Before(l.end) {
+			l.end = s.env.Now.Add(l.ttl)
+		} else if !s.env.Now.Before(l.end) {
 			s.endLease(id)
 		}
 	}
 }
 
-// grantLease makes a lease and returns its ID.
+// grantLease grants a lease and returns its ID.
 func (s *Store) grantLease(ttl time.Duration) uint64 {
 	s.lastLeaseID++
-	s.leases[s.lastLeaseID] = &lease{ttl, s.w.Now.Add(ttl)}
+	s.leases[s.lastLeaseID] = &lease{ttl, s.env.Now.Add(ttl)}
 	return s.lastLeaseID
 }
 
-// renewLease gives a lease its full time again, or returns store.ErrNoLease.
+// renewLease renews a lease for its full duration, or returns store.ErrNoLease if it has ended.
 func (s *Store) renewLease(id uint64) error {
 	l := s.leases[id]
 	if l == nil {
 		return store.ErrNoLease
 	}
-	l.end = s.w.Now.Add(l.ttl)
+	l.end = s.env.Now.Add(l.ttl)
 	return nil
 }
 
-// endLease ends a lease, and with it its keys.
+// endLease ends a lease and deletes its keys.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
-	var drop []string
-	for key, it := range s.keys {
-		if it.leaseID == id {
-			drop = append(drop, key)
+	var expiredKeys []string
+	for key, stored := range s.keys {
+		if stored.leaseID == id {
+			expiredKeys = append(expiredKeys, key)
 		}
 	}
-	if len(drop) == 0 {
+	if len(expiredKeys) == 0 {
 		return
 	}
-	slices.Sort(drop)
+	slices.Sort(expiredKeys)
 	s.revision++
-	for _, key := range drop {
+	for _, key := range expiredKeys {
 		delete(s.keys, key)
-		s.note(store.Change{Drop: key, Version: s.revision})
+		s.logChange(store.Change{Drop: key, Version: s.revision})
 	}
 }
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -10,23 +10,23 @@
 	"violetturn/internal/store"
 )
 
-// newTestWorld returns a world with one machine type and short times.
-func newTestWorld() *World {
-	w := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
-	w.Zones = []string{"x"}
-	w.Lease, w.CancelTimeout = 10*time.Second, 40*time.Second
-	w.GangWait, w.GangPeer = 5*time.Second, 2*time.Second
-	return w
+// newTestEnvironment returns an environment with one machine type and short timeouts.
+func newTestEnvironment() *World {
+	env := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	env.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
+	env.Zones = []string{"x"}
+	env.Lease, env.CancelTimeout = 10*time.Second, 40*time.Second
+	env.GangWait, env.GangPeer = 5*time.Second, 2*time.Second
+	return env
 }
 
-// newTestClient returns a node's client of a world's state service.
-func newTestClient(w *World) *StoreClient {
-	return &StoreClient{Store: w.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
+// newTestClient returns a node's client of an environment's state service.
+func newTestClient(env *World) *StoreClient {
+	return &StoreClient{Store: env.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
 }
 
-// write returns a transaction that writes keys.
-func write(keys ...string) *store.Txn {
+// writeTxn returns a transaction that writes the keys without preconditions.
+func writeTxn(keys ...string) *store.Txn {
 	t := &store.Txn{}
 	for _, key := range keys {
 		t.Ops = append(t.Ops, store.Op{Write: key, Value: json.RawMessage("1")})
@@ -34,100 +34,101 @@
 	return t
 }
 
-// A fault of a transaction applies to the next one only: what it does, and when.
+// A fault injected into transactions applies to the node's next transaction only.
 func TestTransactionFaults(t *testing.T) {
-	for _, x := range []struct {
-		fault                   Fault
-		err                     error
-		atOnce, afterDeliveries int // keys that there are
+	for _, test := range []struct {
+		fault                 Fault
+		wantErr               error
+		wantBefore, wantAfter int // number of keys before and after DeliverDelayed
 	}{
 		{NoFault, nil, 1, 1},
 		{RequestLost, store.ErrUnknown, 0, 0},
 		{ResponseLost, store.ErrUnknown, 1, 1},
 		{Delayed, store.ErrUnknown, 0, 1},
 	} {
-		t.Run(x.fault.String(), func(t *testing.T) {
-			w := newTestWorld()
-			c := newTestClient(w)
-			w.Store.NextFault["n0"] = x.fault
-			if _, err := c.Commit(context.Background(), write("a"), 0); !errors.Is(err, x.err) {
-				t.Errorf("error %v", err)
+		t.Run(test.fault.String(), func(t *testing.T) {
+			env := newTestEnvironment()
+			c := newTestClient(env)
+			env.Store.NextFault["n0"] = test.fault
+			if _, err := c.Commit(context.Background(), writeTxn("a"), 0); !errors.Is(err, test.wantErr) {
+				t.Errorf("commit with the fault: error %v, want %v", err, test.wantErr)
 			}
-			if n := len(w.Store.Items("")); n != x.atOnce {
-				t.Errorf("%d keys at once", n)
+			if n := len(env.Store.Items("")); n != test.wantBefore {
+				t.Errorf("%d keys before DeliverDelayed, want %d", n, test.wantBefore)
 			}
-			w.Store.DeliverDelayed()
-			if n := len(w.Store.Items("")); n != x.afterDeliveries {
-				t.Errorf("%d keys after all deliveries", n)
+			env.Store.DeliverDelayed()
+			if n := len(env.Store.Items("")); n != test.wantAfter {
+				t.Errorf("%d keys after DeliverDelayed, want %d", n, test.wantAfter)
 			}
-			if result, err := c.Commit(context.Background(), write("b"), 0); !result.Committed || err != nil {
-				t.Errorf("the next transaction: %+v, %v", result, err)
+			if result, err := c.Commit(context.Background(), writeTxn("b"), 0); !result.Committed || err != nil {
+				t.Errorf("next transaction: result %+v, error %v; want it committed", result, err)
 			}
 		})
 	}
 }
 
-// A transaction is committed only if all its preconditions hold, and then as a whole.
-func TestPreconditions(t *testing.T) {
-	w := newTestWorld()
-	c := newTestClient(w)
-	first, _ := c.Commit(context.Background(), write("a", "b"), 0) // a failure shows below
-	stale := write("a")
+// A transaction is committed only if all its preconditions hold, and then all its writes are applied.
+func TestTransactionCommitsOnlyIfPreconditionsHold(t *testing.T) {
+	env := newTestEnvironment()
+	c := newTestClient(env)
+	first, _ := c.Commit(context.Background(), writeTxn("a", "b"), 0) // the checks below detect a failure
+	stale := writeTxn("a")
 	stale.Preconditions = []store.Precondition{{Key: "a", Version: first.Revision}, {Key: "b"}}
 	result, err := c.Commit(context.Background(), stale, 0)
 	if result.Committed || err != nil || len(result.Conflicts) != 1 || result.Conflicts[0] != "b" {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("transaction with a failed precondition: result %+v, error %v; want a conflict on key b only", result, err)
 	}
-	changes, now, err := c.Changes(context.Background(), "", 0, 0)
-	if err != nil || now != first.Revision || len(changes) != 2 {
-		t.Errorf("revision %d, changes %v, %v", now, changes, err)
+	changes, revision, err := c.Changes(context.Background(), "", 0, 0)
+	if err != nil || revision != first.Revision || len(changes) != 2 {
+		t.Errorf("revision %d, changes %v, error %v; want revision %d and the 2 changes of the first transaction",
+			revision, changes, err, first.Revision)
 	}
 }
 
-// Keys end with their lease, which keeps its full time during an outage. Leases that end at
-// once end in the order in which they were granted.
-func TestLeases(t *testing.T) {
-	w := newTestWorld()
-	c := newTestClient(w)
+// Keys are deleted when their lease expires. During an outage of the state service leases keep their
+// full duration. Leases that expire at the same time end in the order in which they were granted.
+func TestKeysExpireWithTheirLease(t *testing.T) {
+	env := newTestEnvironment()
+	c := newTestClient(env)
 	for _, key := range []string{"c", "b", "a"} {
 		id, err := c.GrantLease(context.Background(), time.Second)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("granting a lease: %v", err)
 		}
-		txn := write(key)
+		txn := writeTxn(key)
 		txn.Ops[0].Lease = &id
 		if result, err := c.Commit(context.Background(), txn, 0); !result.Committed {
-			t.Fatal(err)
+			t.Fatalf("transaction with a lease: result %+v, error %v; want it committed", result, err)
 		}
 	}
-	since := w.Store.revision
-	w.Store.Down = true
-	w.Advance(5 * time.Second)
-	w.Store.Down = false
-	w.Advance(900 * time.Millisecond)
-	if n := len(w.Store.Items("")); n != 3 {
-		t.Fatalf("%d of 3 keys are left before the leases end", n)
+	since := env.Store.revision
+	env.Store.Down = true
+	env.Advance(5 * time.Second)
+	env.Store.Down = false
+	env.Advance(900 * time.Millisecond)
+	if n := len(env.Store.Items("")); n != 3 {
+		t.Fatalf("%d keys before the leases expire, want 3", n)
 	}
-	w.Advance(100 * time.Millisecond)
+	env.Advance(100 * time.Millisecond)
 	changes, _, err := c.Changes(context.Background(), "", since, 0)
 	if err != nil || len(changes) != 3 || changes[0].Drop != "c" || changes[1].Drop != "b" || changes[2].Drop != "a" {
-		t.Errorf("%v, %v", changes, err)
+		t.Errorf("changes %v, error %v; want the deletion of c, b and a in this order", changes, err)
 	}
 	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrNoLease) {
-		t.Errorf("an ended lease is renewed: %v", err)
+		t.Errorf("renewing an expired lease: error %v, want %v", err, store.ErrNoLease)
 	}
 }
 
-// A watch that falls behind by more changes than are kept is told so.
-func TestExpiredHistory(t *testing.T) {
-	w := newTestWorld()
-	c := newTestClient(w)
-	result, _ := c.Commit(context.Background(), write("a"), 0) // a failure shows below
-	w.Store.ExpireHistory()
+// Reading changes since a revision before the history returns store.ErrTooOld.
+func TestWatchBeyondHistoryFails(t *testing.T) {
+	env := newTestEnvironment()
+	c := newTestClient(env)
+	result, _ := c.Commit(context.Background(), writeTxn("a"), 0) // the checks below detect a failure
+	env.Store.ExpireHistory()
 	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrTooOld) {
-		t.Errorf("changes since %d: %v", result.Revision, err)
+		t.Errorf("reading changes since revision %d: error %v, want %v", result.Revision, err, store.ErrTooOld)
 	}
-	if _, _, err := c.Changes(context.Background(), "", w.Store.revision-1, 0); err != nil {
-		t.Errorf("the last change: %v", err)
+	if _, _, err := c.Changes(context.Background(), "", env.Store.revision-1, 0); err != nil {
+		t.Errorf("reading the last change: error %v, want none", err)
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -8,11 +8,11 @@
 	"violetturn/internal/api"
 )
 
-// teams are the teams whose users submit jobs, in turn.
+// teams are the teams whose users submit jobs, in round-robin order.
 var teams = [...]string{"a", "b"}
 
-// NewJob returns the n-th job of a class and how long each of its tasks runs. It draws from
-// rnd in a fixed order.
+// NewJob returns the n-th job of a class, with random properties, and the run time of its tasks. It
+// draws from rnd in a fixed order.
 func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
 	tasks := 1 + rnd.IntN(2*c.Tasks)
 	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
@@ -40,7 +40,7 @@
 	return j, time.Duration(float64(c.RunTime) * (0.5 + rnd.Float64()))
 }
 
-// submissionBody is the body with which a user submits a job.
+// submissionBody is the body of a request that submits a job.
 type submissionBody struct {
 	UID         string       `json:"uid"`
 	Class       string       `json:"lane"`
@@ -62,7 +62,7 @@
 	SaveS       float64      `json:"stowS"`
 }
 
-// Submission returns the body with which a user submits a job.
+// Submission returns the body of a request that submits a job.
 func Submission(j *api.Job) []byte {
 	return api.JSON(submissionBody{
 		UID:         j.UID,
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -6,145 +6,146 @@
 	"violetturn/internal/api"
 )
 
-// Machine is a machine as the cloud rented it.
+// Machine describes a rented machine.
 type Machine struct {
 	Host, Addr, MachineType, Zone string
 	Spot                          bool
 }
 
-// AgentState is what a worker says of itself and of its sequence of messages.
+// AgentState is the state that a worker reports in its heartbeats besides its machine and tasks.
 type AgentState struct {
-	AgentEpoch  uint64 // rises when its lease ends
-	Sequence    uint64 // of its last heartbeat
-	Token       uint64 // highest fencing token that it obeyed
+	AgentEpoch  uint64 // incremented when the worker's lease expires
+	Sequence    uint64 // number of the worker's last heartbeat
+	Token       uint64 // highest fencing token that the worker has accepted
 	SpotNoticeS *float64
 }
 
-// Worker is a machine's worker.
+// Worker is the worker process of a machine, together with its machine.
 type Worker struct {
 	Machine
 	AgentState
 	WorkerFaults
 	Tasks []*Task
-	Node  int // the controller that it reports to
+	Node  int // index of the controller that the worker sends heartbeats to
 
-	w                            *World
-	rentedAt, upAt, terminatedAt time.Time
-	renewedAt                    time.Time // when the last heartbeat that was answered was sent
-	epochStartedAt               time.Time // when the agent epoch began
+	env                              *World
+	rentedAt, bootedAt, terminatedAt time.Time
+	renewedAt                        time.Time // when the last acknowledged heartbeat was sent
+	epochStartedAt                   time.Time // when the agent epoch began
 }
 
-// newWorker returns the worker of a machine that is rented now.
-func newWorker(w *World, m Machine) *Worker {
+// newWorker returns the worker of a newly rented machine.
+func newWorker(env *World, m Machine) *Worker {
 	return &Worker{
 		Machine:    m,
 		AgentState: AgentState{AgentEpoch: 1},
-		w:          w,
-		rentedAt:   w.Now,
-		upAt:       w.Now.Add(w.MachineType.Boot),
+		env:        env,
+		rentedAt:   env.Now,
+		bootedAt:   env.Now.Add(env.MachineType.Boot),
 	}
 }
 
-// Task is an attempt on a machine.
+// Task is an attempt of a task on a machine.
 type Task struct {
 	uid       string // of the job
 	job       *Job
 	index     int
 	attempt   uint64
 	phase     api.TaskPhase
-	cause     api.ExitCause // of the end
+	cause     api.ExitCause // of the task's end
 	since     time.Time     // when the phase began
 	saveUntil time.Time
 	saved     bool
 }
 
-// name returns the name of the task.
+// name returns the task's name in messages.
 func (t *Task) name() string { return api.TaskName(t.uid, t.index) }
 
-// end ends the task.
+// end ends the task with the given cause.
 func (t *Task) end(cause api.ExitCause) { t.phase, t.cause = api.TaskEnded, cause }
 
-// isOnMachine reports whether the task is on its machine in the sense of the rules.
-func (t *Task) isOnMachine() bool {
+// isActive reports whether the rules count the task as being on its machine: after its image was
+// fetched, until the task ends.
+func (t *Task) isActive() bool {
 	return t.phase == api.TaskRunning || t.phase == api.TaskSaving || t.phase == api.TaskGathering
 }
 
 // Up reports whether the machine has booted.
-func (x *Worker) Up() bool { return !x.w.Now.Before(x.upAt) }
+func (w *Worker) Up() bool { return !w.env.Now.Before(w.bootedAt) }
 
-// tick ends the worker's lease if its time is over, and else advances its tasks.
-func (x *Worker) tick() {
-	if !x.Up() {
+// tick expires the worker's lease if it is due. Otherwise it advances the worker's tasks.
+func (w *Worker) tick() {
+	if !w.Up() {
 		return
 	}
-	if x.epochStartedAt.IsZero() {
-		x.epochStartedAt = x.w.Now
+	if w.epochStartedAt.IsZero() {
+		w.epochStartedAt = w.env.Now
 	}
-	if x.leaseExpired() {
-		x.Tasks = nil
-		x.AgentEpoch++
-		x.epochStartedAt, x.renewedAt = x.w.Now, time.Time{}
+	if w.leaseExpired() {
+		w.Tasks = nil
+		w.AgentEpoch++
+		w.epochStartedAt, w.renewedAt = w.env.Now, time.Time{}
 		return
 	}
-	if x.Hung {
+	if w.Hung {
 		return
 	}
-	for _, t := range x.Tasks {
-		x.tickTask(t)
+	for _, t := range w.Tasks {
+		w.tickTask(t)
 	}
 }
 
-// leaseExpired reports whether the worker's lease, from its last renewal or from the start
-// of its epoch, is over.
-func (x *Worker) leaseExpired() bool {
-	last := x.epochStartedAt
-	if x.renewedAt.After(last) {
-		last = x.renewedAt
+// leaseExpired reports whether the worker's lease has expired. The lease starts with its last
+// renewal, or with the agent epoch if it has not been renewed since.
+func (w *Worker) leaseExpired() bool {
+	leaseStart := w.epochStartedAt
+	if w.renewedAt.After(leaseStart) {
+		leaseStart = w.renewedAt
 	}
-	return x.w.Now.Sub(last) > x.w.Lease
+	return w.env.Now.Sub(leaseStart) > w.env.Lease
 }
 
-// tickTask advances a task. Gangs run in tickGangs.
-func (x *Worker) tickTask(t *Task) {
-	inPhase := x.w.Now.Sub(t.since)
+// tickTask advances a task. tickGangs advances gathering and running tasks of gangs.
+func (w *Worker) tickTask(t *Task) {
+	timeInPhase := w.env.Now.Sub(t.since)
 	switch t.phase {
 	case api.TaskFetching:
-		if inPhase < x.w.MachineType.Fetch {
+		if timeInPhase < w.env.MachineType.Fetch {
 			return
 		}
-		t.phase, t.since = api.TaskRunning, x.w.Now
+		t.phase, t.since = api.TaskRunning, w.env.Now
 		if t.job.Spec.Kind == api.Gang {
 			t.phase = api.TaskGathering
 		}
-		x.w.taskStarted(x, t)
+		w.env.taskStarted(w, t)
 	case api.TaskRunning:
-		if t.job.Spec.Kind == api.Array && inPhase >= t.job.RunTime+time.Duration(t.index)*t.job.RunTimeStep {
+		if t.job.Spec.Kind == api.Array && timeInPhase >= t.job.RunTime+time.Duration(t.index)*t.job.RunTimeStep {
 			t.end(api.CauseDone)
-			x.w.taskDone(t.job, t.index)
+			w.env.taskDone(t.job, t.index)
 		}
 	case api.TaskSaving:
-		if !x.w.Now.Before(t.saveUntil) {
+		if !w.env.Now.Before(t.saveUntil) {
 			t.end(api.CauseStopped)
 		}
-	case api.TaskGathering, api.TaskEnded: // time changes nothing here
+	case api.TaskGathering, api.TaskEnded: // not changed by time
 	}
 }
 
-// PresentJobs names the job of each task that takes room on the machine.
-func (x *Worker) PresentJobs() []string {
-	var out []string
-	for _, t := range x.Tasks {
+// PresentJobs returns the job ID of each task on the machine that has not ended.
+func (w *Worker) PresentJobs() []string {
+	var uids []string
+	for _, t := range w.Tasks {
 		if t.phase != api.TaskEnded {
-			out = append(out, t.uid)
+			uids = append(uids, t.uid)
 		}
 	}
-	return out
+	return uids
 }
 
-// Room returns what the machine's tasks leave of its CPUs and GPUs.
-func (x *Worker) Room() (cpus, gpus float64) {
-	cpus, gpus = x.w.MachineType.CPUs, x.w.MachineType.GPUs
-	for _, t := range x.Tasks {
+// Room returns the CPUs and GPUs of the machine that its tasks do not use.
+func (w *Worker) Room() (cpus, gpus float64) {
+	cpus, gpus = w.env.MachineType.CPUs, w.env.MachineType.GPUs
+	for _, t := range w.Tasks {
 		if t.phase != api.TaskEnded {
 			cpus -= t.job.Spec.CPUs
 			gpus -= t.job.Spec.GPUs
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -6,62 +6,62 @@
 	"violetturn/internal/api"
 )
 
-// execute carries out commands.
-func (x *Worker) execute(commands []api.Command) {
-	for _, o := range commands {
-		uid, index, ok := api.SplitTaskName(o.Task)
+// execute carries out commands. A command that does not apply to the task's current state is ignored.
+func (w *Worker) execute(commands []api.Command) {
+	for _, command := range commands {
+		uid, index, ok := api.SplitTaskName(command.Task)
 		if !ok {
-			x.w.Violate(RuleCommands, "task %q", o.Task)
+			w.env.Violate(RuleCommands, "command with invalid task name %q", command.Task)
 			continue
 		}
-		at := slices.IndexFunc(x.Tasks, func(t *Task) bool { return t.uid == uid && t.index == index && t.attempt == o.Attempt })
+		pos := slices.IndexFunc(w.Tasks, func(t *Task) bool { return t.uid == uid && t.index == index && t.attempt == command.Attempt })
 		switch {
-		case o.Action == api.Launch && at < 0:
-			x.launch(uid, index, o.Attempt)
-		case o.Action == api.Stop && at >= 0 && x.Tasks[at].phase != api.TaskEnded:
-			x.stop(x.Tasks[at], o.GraceS)
-		case o.Action == api.Clear && at >= 0 && x.Tasks[at].phase == api.TaskEnded:
-			x.Tasks = slices.Delete(x.Tasks, at, at+1)
+		case command.Action == api.Launch && pos < 0:
+			w.launch(uid, index, command.Attempt)
+		case command.Action == api.Stop && pos >= 0 && w.Tasks[pos].phase != api.TaskEnded:
+			w.stop(w.Tasks[pos], command.GraceS)
+		case command.Action == api.Clear && pos >= 0 && w.Tasks[pos].phase == api.TaskEnded:
+			w.Tasks = slices.Delete(w.Tasks, pos, pos+1)
 		}
 	}
 }
 
-// stop stops a task that has not ended. With enough grace, a running task that can save its
-// progress does so first.
-func (x *Worker) stop(t *Task, graceS *float64) {
+// stop stops a task that has not ended. A running task with checkpoints saves its progress first if
+// the grace period is long enough.
+func (w *Worker) stop(t *Task, graceS *float64) {
 	spec := &t.job.Spec
 	if spec.Kind == api.Gang {
-		x.stopGangTask(t, graceS)
+		w.stopGangTask(t, graceS)
 		return
 	}
 	if t.phase == api.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS {
-		t.phase, t.saveUntil = api.TaskSaving, x.w.Now.Add(seconds(spec.SaveS))
+		t.phase, t.saveUntil = api.TaskSaving, w.env.Now.Add(seconds(spec.SaveS))
 	} else if t.phase != api.TaskSaving || graceS == nil || *graceS == 0 {
 		t.end(api.CauseStopped)
 	}
 }
 
-// launch begins an attempt of a task. One that finds no room, or the task already there,
-// ends at once.
-func (x *Worker) launch(uid string, index int, attempt uint64) {
-	j := x.w.Jobs[uid]
+// launch starts an attempt of a task. The attempt ends at once if the machine lacks free capacity
+// or already has an unfinished attempt of the task.
+func (w *Worker) launch(uid string, index int, attempt uint64) {
+	j := w.env.Jobs[uid]
 	if j == nil || index >= j.Spec.Tasks {
-		x.w.Violate(RuleCommands, "launch of unknown %s", uid)
+		w.env.Violate(RuleCommands, "launch of a task that does not exist, job %s", uid)
 		return
 	}
 	if !j.CancelConfirmed.IsZero() {
-		x.w.LateStarts++
+		w.env.LateStarts++
 	}
 	if j.Spec.Kind == api.Gang {
-		x.w.launchGangTask(j, index, attempt)
+		w.env.checkGangLaunch(j, index, attempt)
 	}
-	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: x.w.Now}
-	cpus, gpus := x.Room()
+	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: w.env.Now}
+	freeCPUs, freeGPUs := w.Room()
 	switch {
-	case slices.ContainsFunc(x.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
+	case slices.ContainsFunc(w.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
 		t.end(api.CauseBusy)
-	case j.Spec.GPUs > gpus+roundingError || j.Spec.CPUs > cpus+roundingError:
+	case j.Spec.GPUs > freeGPUs+roundingTolerance || j.Spec.CPUs > freeCPUs+roundingTolerance:
 		t.end(api.CauseNoRoom)
 	}
-	x.Tasks = append(x.Tasks, t)
+	w.Tasks = append(w.Tasks, t)
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -6,36 +6,36 @@
 	"violetturn/internal/api"
 )
 
-// tickInterval is the longest step of a world's clock: short enough for every timer.
-const tickInterval = 100 * time.Millisecond
+// maxTick is the maximum step of the simulated clock. It is short enough for every timer.
+const maxTick = 100 * time.Millisecond
 
-// MachineType is the one machine type of the world.
+// MachineType is the only machine type of the simulated cloud.
 type MachineType struct {
 	Name              string
 	CPUs, GPUs, MemGB float64
-	Boot              time.Duration
-	Fetch             time.Duration // of any image
+	Boot              time.Duration // time that a machine takes to boot
+	Fetch             time.Duration // time to fetch any image
 }
 
-// Settings are the deployment's facts, as the world keeps them.
+// Settings are the settings of a simulated deployment.
 type Settings struct {
 	MachineType   MachineType
 	Zones         []string
-	Lease         time.Duration      // of a worker
-	CancelTimeout time.Duration      // after which no task of a cancelled job may run
-	GangWait      time.Duration      // how long a gang's task waits for the others to start
-	GangPeer      time.Duration      // after which a gang's tasks notice that one is lost
-	TeamGPULimits map[string]float64 // accelerators of a team's tasks at most; none: no limit
-	ListLag       time.Duration      // of the cloud's list
+	Lease         time.Duration      // duration of a worker's lease
+	CancelTimeout time.Duration      // time after the confirmation of a cancellation from which on no task of the job may run
+	GangWait      time.Duration      // time that a gang's task waits for the other tasks
+	GangPeer      time.Duration      // time after which a gang's tasks detect the loss of one of them
+	TeamGPULimits map[string]float64 // maximum GPUs of a team's tasks; no entry: no limit
+	ListLag       time.Duration      // age of the cloud's list of machines
 }
 
-// Observers are told of events at the moment when they happen. Each may be nil.
+// Observers are callbacks for events, called at the moment of the event. Each may be nil.
 type Observers struct {
-	OnTaskDone    func(uid string)            // a task of the job was completed
-	OnTaskStarted func(x *Worker, uid string) // a task of the job started on the worker
+	OnTaskDone    func(uid string)                 // a task of the job has completed
+	OnTaskStarted func(worker *Worker, uid string) // a task of the job has started on the worker
 }
 
-// World is everything outside the controllers.
+// World is the simulated environment of the controllers.
 type World struct {
 	Settings
 	Observers
@@ -45,49 +45,49 @@
 	Cloud *Cloud
 	Jobs  map[string]*Job
 
-	Violations []Violation // rules broken, in order
-	LateStarts int         // tasks that began to fetch after their user was told that the job is cancelled
+	Violations []Violation // in the order in which they occurred
+	LateStarts int         // tasks launched after the cancellation of their job was confirmed to the user
 }
 
-// Job is a job as its user sees it.
+// Job is a submitted job, with what its user has requested and received in responses.
 type Job struct {
 	Spec            api.Job
-	RunTime         time.Duration // of a task
-	RunTimeStep     time.Duration // by how much longer each next task runs
-	Accepted        bool          // a user was told that it is accepted
-	FinalPhase      api.JobPhase  // last phase told, if it was done or cancelled
-	CancelRequested bool          // a user asked for its cancellation
-	CancelConfirmed time.Time     // when its user was told that it is cancelled
-	Done            map[int]bool  // tasks that were completed
+	RunTime         time.Duration // of the first task of an array, or of a gang
+	RunTimeStep     time.Duration // difference between the run times of consecutive tasks of an array
+	Accepted        bool          // a response has confirmed the job
+	FinalPhase      api.JobPhase  // final phase (done or cancelled) reported to the user; "": none yet
+	CancelRequested bool          // the user has requested the cancellation
+	CancelConfirmed time.Time     // when a response first confirmed the cancellation; zero: not yet
+	Done            map[int]bool  // indexes of the completed tasks
 	gang            gangProgress
 }
 
-// New returns a world without machines, jobs and faults, whose clock stands at start.
+// New returns an environment without machines, jobs and faults, whose clock is set to start.
 func New(start time.Time) *World {
-	w := &World{Now: start, Jobs: map[string]*Job{}, Settings: Settings{TeamGPULimits: map[string]float64{}}}
-	w.Store = newStore(w)
-	w.Cloud = newCloud(w)
-	return w
+	env := &World{Now: start, Jobs: map[string]*Job{}, Settings: Settings{TeamGPULimits: map[string]float64{}}}
+	env.Store = newStore(env)
+	env.Cloud = newCloud(env)
+	return env
 }
 
-// Advance moves the clock, in steps small enough for every timer.
-func (w *World) Advance(d time.Duration) {
-	for end := w.Now.Add(d); w.Now.Before(end); {
-		w.Now = w.Now.Add(min(tickInterval, end.Sub(w.Now)))
-		w.Store.tick()
-		for _, x := range w.Cloud.Workers() {
-			x.tick()
+// Advance advances the clock by d, in steps that are short enough for every timer.
+func (e *World) Advance(d time.Duration) {
+	for end := e.Now.Add(d); e.Now.Before(end); {
+		e.Now = e.Now.Add(min(maxTick, end.Sub(e.Now)))
+		e.Store.tick()
+		for _, worker := range e.Cloud.Workers() {
+			worker.tick()
 		}
-		w.tickGangs()
-		w.checkCancelled()
+		e.tickGangs()
+		e.checkCancelled()
 	}
 }
 
-// taskDone records that a task was completed.
-func (w *World) taskDone(j *Job, index int) {
+// taskDone records that a task has completed.
+func (e *World) taskDone(j *Job, index int) {
 	j.Done[index] = true
-	if w.OnTaskDone != nil {
-		w.OnTaskDone(j.Spec.UID)
+	if e.OnTaskDone != nil {
+		e.OnTaskDone(j.Spec.UID)
 	}
 }
 
