--- a/internal/simulator/change_log.go
+++ b/internal/simulator/change_log.go
@@ -11,8 +11,8 @@
 // History is the number of recent changes that the state service keeps for watches (PROTOCOL).
 const History = 10_000
 
-// logChange appends a change to the log. The oldest changes are removed only when the log has twice
-// the length of History, so it may hold more than History.
+// logChange appends a change to the log. It removes old changes only when the log has reached twice
+// the length of the history, so the log may contain changes beyond the history.
 func (s *Store) logChange(c store.Change) {
 	s.log = append(s.log, c)
 	if len(s.log) >= 2*History {
@@ -20,7 +20,7 @@
 	}
 }
 
-// inHistory reports whether all changes after a revision are among the last History changes.
+// inHistory reports whether all changes after a revision are still in the history.
 func (s *Store) inHistory(since uint64) bool {
 	length := len(s.log)
 	return length <= History || since >= s.log[length-History-1].Version
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -18,7 +18,7 @@
 	Pages      int // pages of the list of machines read so far
 
 	env               *World
-	sortedWorkers     []*Worker           // Hosts in the order of their names; nil: not computed
+	sortedWorkers     []*Worker           // workers in the order of their machines' names; nil: not computed
 	terminated        []*Worker           // terminated machines, which the list may still contain because of ListLag
 	rentals           map[string][]string // machines by the name of the rental request, so that a repeated request rents nothing
 	nextMachineNumber int
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -51,12 +51,21 @@
 			RunTime:   500 * time.Second,
 			Images:    6,
 		},
-		Arrays: Class{Name: "array", Initial: 75, PerSecond: 1, Tasks: 15, CPUs: 6, MemGB: 48, RunTime: 80 * time.Second, Images: 18},
+		Arrays: Class{
+			Name:      "array",
+			Initial:   75,
+			PerSecond: 1,
+			Tasks:     15,
+			CPUs:      6,
+			MemGB:     48,
+			RunTime:   80 * time.Second,
+			Images:    18,
+		},
 	}
 }
 
-// Huge returns a deployment of about 4000 machines and three controllers, with the state service
-// limits of Large and with long tasks.
+// Huge returns a deployment of about 4000 machines and three controllers, with the same state
+// service limits as the one of 2000 machines, and with long tasks.
 func Huge() *Deployment {
 	return &Deployment{
 		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
@@ -104,7 +113,16 @@
 			RunTime:   500 * time.Second,
 			Images:    4,
 		},
-		Arrays: Class{Name: "array", Initial: 11, PerSecond: 0.2, Tasks: 15, CPUs: 5, MemGB: 36, RunTime: 60 * time.Second, Images: 8},
+		Arrays: Class{
+			Name:      "array",
+			Initial:   11,
+			PerSecond: 0.2,
+			Tasks:     15,
+			CPUs:      5,
+			MemGB:     36,
+			RunTime:   60 * time.Second,
+			Images:    8,
+		},
 	}
 }
 
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -63,7 +63,9 @@
 			worker := env.Cloud.Workers()[0]
 			worker.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", 0), Attempt: 1, GraceS: &grace}})
 		}, 2 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
-		{"task lost", func(e *World) { e.Cloud.Terminate(e.Cloud.HostNames()[0]) }, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
+		{"one task lost", func(env *World) {
+			env.Cloud.Terminate(env.Cloud.HostNames()[0])
+		}, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			env := newTestEnvironment()
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -45,9 +45,9 @@
 
 // Tick advances the simulated clock to the current time.
 func (s *Server) Tick() {
-	s.With(func(w *World) {
-		if elapsed := time.Since(w.Now); elapsed > 0 {
-			w.Advance(elapsed)
+	s.With(func(env *World) {
+		if elapsed := time.Since(env.Now); elapsed > 0 {
+			env.Advance(elapsed)
 		}
 	})
 }
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -100,8 +100,8 @@
 	if wrongZone || wrongType || worker.Spot && !spec.Spot {
 		e.Violate(RuleWrongPlace, "task %s may not run on %s", t.name(), worker.Host)
 	}
-	if tasksInZone := tasksByZone[worker.Zone] + 1; spec.Spread && tasksInZone > int(math.Ceil(float64(spec.Tasks)/2)) {
-		e.Violate(RuleWrongPlace, "spread task %s is number %d in zone %s, of %d tasks", t.name(), tasksInZone, worker.Zone, spec.Tasks)
+	if zoneTasks := tasksByZone[worker.Zone] + 1; spec.Spread && zoneTasks > int(math.Ceil(float64(spec.Tasks)/2)) {
+		e.Violate(RuleWrongPlace, "spread task %s is task %d in zone %s, of %d tasks", t.name(), zoneTasks, worker.Zone, spec.Tasks)
 	}
 	if !spec.Together {
 		return
