--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -43,7 +43,7 @@
 				r.sent, r.sending = state, true
 				intervals := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
 				r.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sent, agentEpoch, node := api.JSON(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
+				heartbeat, sent, agentEpoch, node := api.MustMarshal(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sent, agentEpoch)
 					mu.Lock()
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -66,7 +66,7 @@
 		o.job = o.submitJob(func(j *api.Job, _ *time.Duration) {
 			j.Kind, j.Tasks, j.Zone = api.Service, rapid.IntRange(1, 3).Draw(o.t, "tasks"), "x"
 			if rapid.Bool().Draw(o.t, "saves") {
-				j.CheckpointS, j.SaveS = 5, 3
+				j.CheckpointIntervalS, j.SaveDurationS = 5, 3
 			}
 		})
 	}
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -131,7 +131,7 @@
 // the other zone has room to be taken.
 func partitionGangZone(s *testCluster) {
 	s.world.GangPeer = 20 * time.Second
-	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.Together = api.Gang, true })
+	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.SingleZone = api.Gang, true })
 	for _, zone := range s.world.Zones {
 		s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Priority, j.Zone = "idle", zone })
 	}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -99,7 +99,7 @@
 // tasks.
 func (s *testCluster) lacksTasks(j *simulator.Job) bool {
 	spec := &j.Spec
-	if spec.Together || spec.Spread || spec.Kind == api.Gang {
+	if spec.SingleZone || spec.Spread || spec.Kind == api.Gang {
 		return false
 	}
 	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.Done) < spec.Tasks
@@ -108,7 +108,7 @@
 // hasRoom reports whether a machine that fits has room for a task.
 func (s *testCluster) hasRoom(spec *api.Job) bool {
 	for _, x := range s.world.Cloud.Hosts {
-		if !x.Up() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.Spot {
+		if !x.Up() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.AllowSpot {
 			continue
 		}
 		if cpus, gpus := x.Room(); cpus >= spec.CPUs && gpus >= spec.GPUs {
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -67,7 +67,7 @@
 	if s.hearPendingResponse(x) {
 		return
 	}
-	body := api.JSON(x.Heartbeat())
+	body := api.MustMarshal(x.Heartbeat())
 	to := x.Node
 	partitioned := s.workerPartitioned(x, to)
 	if partitioned && f == heartbeatDelayed {
@@ -154,7 +154,7 @@
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
 	for _, h := range s.world.Cloud.HostNames() {
-		out = append(out, api.JSON(s.world.Cloud.Hosts[h].Heartbeat()))
+		out = append(out, api.MustMarshal(s.world.Cloud.Hosts[h].Heartbeat()))
 	}
 	return out
 }
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -112,20 +112,20 @@
 	cache := s.nodes[0].state().Cache
 	out := ""
 	if j := cache.Jobs[uid]; j != nil {
-		out = fmt.Sprintf("job %s", api.JSON(j.Record))
+		out = fmt.Sprintf("job %s", api.MustMarshal(j.Record))
 		for n, r := range j.Ranges {
-			out += fmt.Sprintf(" range %d %s", n, api.JSON(r.Record))
+			out += fmt.Sprintf(" range %d %s", n, api.MustMarshal(r.Record))
 		}
 	}
 	for t, u := range cache.Quotas {
-		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.Record))
+		out += fmt.Sprintf(" team %s %s", t, api.MustMarshal(u.Record))
 	}
 	for _, id := range s.nodes[0].controller.node.Shards {
-		out += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(cache.Capacities[id].Record), api.JSON(cache.Leaders[id].Record))
+		out += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record), api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for h, m := range cache.Machines {
 		x := s.world.Cloud.Hosts[h]
-		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
+		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.MustMarshal(m), x != nil, x != nil && x.Up())
 	}
 	for _, n := range s.nodes {
 		p := n.state().Scheduler.Plan(n.controller.node.Now())
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -122,7 +122,7 @@
 	var fields map[string]json.RawMessage
 	_ = json.Unmarshal(body, &fields) // it was made above
 	change(fields)
-	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(fields)}
+	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.MustMarshal(fields)}
 	r := n.controller.frontend.ServeOrForward(context.Background(), request)
 	if s.world.Jobs[uid] != nil {
 		s.checkResponse(uid, r.Status, r.Body, true)
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -106,7 +106,7 @@
 	for _, x := range s.world.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
 		r.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(home).Term, 0)
-		if s.deliverHeartbeat(partitioned, api.JSON(r)).status == 200 {
+		if s.deliverHeartbeat(partitioned, api.MustMarshal(r)).status == 200 {
 			t.Error("it answers heartbeats beyond its grace")
 		}
 	}
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -99,7 +99,7 @@
 	}
 	var copies [][]byte
 	for range 8 {
-		copies = append(copies, api.JSON(s.world.Cloud.Hosts[host].Heartbeat()))
+		copies = append(copies, api.MustMarshal(s.world.Cloud.Hosts[host].Heartbeat()))
 		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
 	}
 	s.world.Cloud.Terminate(host)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -68,7 +68,7 @@
 	for _, how := range []string{"terminated", "hung", "partitioned"} {
 		t.Run(how, func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
+			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointIntervalS, r.SaveDurationS, r.SingleZone = 5, 1, true })
 			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
 			x := s.workerOf(id)
@@ -94,7 +94,7 @@
 func TestPreemptedGangSaves(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
-		r.Priority, r.CheckpointS, r.SaveS, *d = "idle", 100, 1, 40*time.Second
+		r.Priority, r.CheckpointIntervalS, r.SaveDurationS, *d = "idle", 100, 1, 40*time.Second
 	})
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
@@ -178,7 +178,7 @@
 // leader: nothing is started again, and nobody calls the job anything else.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Together, *d = true, 8*time.Second })
+	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.SingleZone, *d = true, 8*time.Second })
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	x := s.workerOf(id)
 	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
@@ -203,7 +203,7 @@
 	}
 	for _, how := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
-		if g.TaskEnded(1, agent.ExitReasonOf(how), true); !g.Ended {
+		if g.RecordTaskEnd(1, agent.ExitReasonOf(how), true); !g.Ended {
 			t.Fatalf("goes on after %s", how)
 		}
 	}
@@ -244,6 +244,6 @@
 	}
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
 	s.world.Cloud.NoCapacity = true
-	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Together, r.Tasks = true, 3 })
+	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.SingleZone, r.Tasks = true, 3 })
 	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		sent := sentHeartbeat{x, to, l.world.Now, x.AgentEpoch}
-		status, body := l.request("heartbeat", to, "POST", "/checkin", api.JSON(x.Heartbeat()))
+		status, body := l.request("heartbeat", to, "POST", "/checkin", api.MustMarshal(x.Heartbeat()))
 		commands, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
 			panic(err)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -18,7 +18,7 @@
 	id := s.submitJob(nil)
 	s.runUntil(t, 60, "array done", s.isDone(id))
 	host := s.world.Cloud.HostNames()[0]
-	late := api.JSON(s.world.Cloud.Hosts[host].Heartbeat())
+	late := api.MustMarshal(s.world.Cloud.Hosts[host].Heartbeat())
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
@@ -100,11 +100,11 @@
 	s := newTestCluster()
 	m := s.nodes[0].state().Cache
 	page := func(id string, version uint64, hosts ...string) {
-		p := shard.Page{}
+		p := shard.MachinePage{}
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.Apply(statecache.MachinePageKey(id), api.JSON(p), version)
+		m.Apply(statecache.MachinePageKey(id), api.MustMarshal(p), version)
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -112,7 +112,7 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Note(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Capacity.Arrivals().Record(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
 	}
 	s.runFor(6) // a sixteenth of a boot is eight rounds
 	if n := len(s.world.Cloud.Hosts); n < 150 {
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -46,7 +46,7 @@
 			v := shard.CapacityRecord{}
 			return &v, json.Unmarshal(raw, &v)
 		},
-		"page.json": func(raw json.RawMessage) (any, error) { v := shard.Page{}; return &v, json.Unmarshal(raw, &v) },
+		"page.json": func(raw json.RawMessage) (any, error) { v := shard.MachinePage{}; return &v, json.Unmarshal(raw, &v) },
 		"team.json": func(raw json.RawMessage) (any, error) { v := shard.QuotaRecord{}; return &v, json.Unmarshal(raw, &v) },
 		"past.json": func(raw json.RawMessage) (any, error) { v := job.FinalState{}; return &v, json.Unmarshal(raw, &v) },
 	} {
@@ -55,8 +55,8 @@
 			t.Fatal(err)
 		}
 		v, err := read(raw)
-		if err != nil || !sameJSON(t, raw, api.JSON(v)) {
-			t.Errorf("%s comes back as %s, %v", name, api.JSON(v), err)
+		if err != nil || !sameJSON(t, raw, api.MustMarshal(v)) {
+			t.Errorf("%s comes back as %s, %v", name, api.MustMarshal(v), err)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	s.startNode(1)
 	s.runFor(20)
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.CPUs, r.MemGB = 40, 0, 0.1, 0.1 })
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.Together = 2, api.Service, true })
+	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.SingleZone = 2, api.Service, true })
 	s.runFor(20)
 	items, _, err := s.nodes[0].controller.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			o.SchemaVersion = 0
-			it.Value = api.JSON(o)
+			it.Value = api.MustMarshal(o)
 		}
 		if !sameJSON(t, it.Value, old) {
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -27,7 +27,7 @@
 		if x := s.world.Cloud.Hosts[h]; m.Shard == home && x != nil && x.Up() {
 			r := x.Heartbeat()
 			r.Token = 0
-			if got := s.deliverHeartbeat(leader, api.JSON(r)); got.status != 421 || got.leader != s.leaderOf(home) {
+			if got := s.deliverHeartbeat(leader, api.MustMarshal(r)); got.status != 421 || got.leader != s.leaderOf(home) {
 				t.Errorf("%s is answered %d, leader %q", h, got.status, got.leader)
 			}
 		}
@@ -51,7 +51,7 @@
 	for h, m := range s.nodes[0].state().Cache.Machines {
 		x := s.world.Cloud.Hosts[h]
 		for i, n := range s.nodes {
-			got := s.deliverHeartbeat(i, api.JSON(x.Heartbeat()))
+			got := s.deliverHeartbeat(i, api.MustMarshal(x.Heartbeat()))
 			switch own := n.name == m.Shard; {
 			case own && got.status != 200, !own && (got.status != 421 || got.leader != m.Shard):
 				t.Errorf("%s of shard %s at %s: %d %q", h, m.Shard, n.name, got.status, got.leader)
@@ -64,7 +64,7 @@
 	}
 	for h := range s.nodes[1].state().Cache.Machines {
 		if x := s.world.Cloud.Hosts[h]; x != nil {
-			if s.deliverHeartbeat(0, api.JSON(x.Heartbeat())).status == 200 {
+			if s.deliverHeartbeat(0, api.MustMarshal(x.Heartbeat())).status == 200 {
 				t.Error("answers 200 long after its lease has ended")
 			}
 		}
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -88,7 +88,7 @@
 func (z *zoneScenario) submitIdleArray(tasks int, d time.Duration) string {
 	return z.submitJob(func(r *api.Job, run *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.Image, *run = "idle", tasks, "x", "array", d
-		r.CheckpointS, r.SaveS = 5, 4 // it saves before it leaves
+		r.CheckpointIntervalS, r.SaveDurationS = 5, 4 // it saves before it leaves
 	})
 }
 
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -63,5 +63,5 @@
 
 // Peers reaches the other controllers.
 type Peers interface {
-	Ask(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
+	Call(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
 }
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -144,7 +144,7 @@
 	sinceRequest := e.Now.Sub(attempt.stopRequestedAt)
 	allRequested := len(attempt.stopRequestedTasks) == j.Spec.Tasks
 	switch {
-	case allRequested && sinceRequest >= seconds(j.Spec.SaveS):
+	case allRequested && sinceRequest >= seconds(j.Spec.SaveDurationS):
 		j.gang.saved = max(j.gang.saved, progress)
 		attempt.end(tasks, api.CauseStopped, true)
 	case !allRequested && sinceRequest >= e.GangPeer:
@@ -201,10 +201,10 @@
 // lastCheckpoint returns the saved progress of a gang whose attempt ends without saving: that of
 // the attempt's last periodic checkpoint, or what was saved before if that is more.
 func (j *Job) lastCheckpoint(progress time.Duration) time.Duration {
-	if j.Spec.CheckpointS <= 0 {
+	if j.Spec.CheckpointIntervalS <= 0 {
 		return j.gang.saved
 	}
-	interval := seconds(j.Spec.CheckpointS)
+	interval := seconds(j.Spec.CheckpointIntervalS)
 	return max(j.gang.saved, progress/interval*interval)
 }
 
@@ -218,7 +218,7 @@
 		t.end(api.CauseStopped)
 		return
 	}
-	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.peerLostAt.IsZero()
+	canSave := j.Spec.CheckpointIntervalS > 0 && graceS != nil && *graceS >= j.Spec.SaveDurationS && attempt.peerLostAt.IsZero()
 	if !canSave {
 		t.end(api.CauseStopped)
 		return
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	j := &Job{
-		Spec:    api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointS: 2, SaveS: 1},
+		Spec:    api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2, SaveDurationS: 1},
 		RunTime: 10 * time.Second,
 		Done:    map[int]bool{},
 	}
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -62,7 +62,7 @@
 
 // writeJSON writes a response with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
-	body := api.JSON(v)
+	body := api.MustMarshal(v)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body) // fails only if the client has closed the connection
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -151,9 +151,9 @@
 	entries := make([]json.RawMessage, 0, len(changes))
 	for _, c := range changes {
 		if c.Drop != "" {
-			entries = append(entries, api.JSON(deleteEntry{c.Drop, c.Version}))
+			entries = append(entries, api.MustMarshal(deleteEntry{c.Drop, c.Version}))
 		} else {
-			entries = append(entries, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
+			entries = append(entries, api.MustMarshal(writeEntry{c.Write, c.Value, c.Version}))
 		}
 	}
 	return entries
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -97,13 +97,13 @@
 	spec := &t.job.Spec
 	wrongZone := spec.Zone != "" && spec.Zone != worker.Zone
 	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, worker.MachineType)
-	if wrongZone || wrongType || worker.Spot && !spec.Spot {
+	if wrongZone || wrongType || worker.Spot && !spec.AllowSpot {
 		e.Violate(RuleWrongPlace, "task %s may not run on %s", t.name(), worker.Host)
 	}
 	if zoneTasks := tasksByZone[worker.Zone] + 1; spec.Spread && zoneTasks > int(math.Ceil(float64(spec.Tasks)/2)) {
 		e.Violate(RuleWrongPlace, "spread task %s is task %d in zone %s, of %d tasks", t.name(), zoneTasks, worker.Zone, spec.Tasks)
 	}
-	if !spec.Together {
+	if !spec.SingleZone {
 		return
 	}
 	for zone := range tasksByZone {
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -34,8 +34,8 @@
 		w.stopGangTask(t, graceS)
 		return
 	}
-	if t.phase == api.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS {
-		t.phase, t.saveUntil = api.TaskSaving, w.env.Now.Add(seconds(spec.SaveS))
+	if t.phase == api.TaskRunning && spec.CheckpointIntervalS > 0 && graceS != nil && *graceS >= spec.SaveDurationS {
+		t.phase, t.saveUntil = api.TaskSaving, w.env.Now.Add(seconds(spec.SaveDurationS))
 	} else if t.phase != api.TaskSaving || graceS == nil || *graceS == 0 {
 		t.end(api.CauseStopped)
 	}
@@ -61,7 +61,7 @@
 	case slices.ContainsFunc(w.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
 		t.end(api.CauseBusy)
 	case j.Spec.GPUs > freeGPUs+roundingTolerance || j.Spec.CPUs > freeCPUs+roundingTolerance:
-		t.end(api.CauseNoRoom)
+		t.end(api.CauseInsufficientResources)
 	}
 	w.Tasks = append(w.Tasks, t)
 }
