--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -32,7 +32,7 @@
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
-		s.world.Store.Unreachable[n.name], s.world.Cloud.Unreachable[n.name] = unreachable, unreachable
+		s.world.Store.UnreachableNodes[n.name], s.world.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
 	}
 }
 
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -23,7 +23,7 @@
 	}
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
 	spec, runTime := drawJob(t, id, kind)
-	s.world.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, Done: map[int]bool{}}
+	s.world.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(s.drawNode(t), id)
 }
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -17,7 +17,7 @@
 	s.runUntil(t, 80, "some run", func() bool { return s.runningTasks(a) > 0 })
 	for range 3 {
 		for k, h := range s.world.Cloud.HostNames() {
-			if x := s.world.Cloud.Hosts[h]; x.Zone == "y" && k%2 == 0 {
+			if x := s.world.Cloud.WorkersByHost[h]; x.Zone == "y" && k%2 == 0 {
 				s.world.Cloud.Terminate(h)
 			}
 		}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -20,7 +20,7 @@
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(b) == 4 })
 	s.cancel(2, b)
 	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(b) == 0 })
-	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.Hosts) == 0 })
+	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.WorkersByHost) == 0 })
 }
 
 // Two task ranges of one job that ended in the same round once stopped all releases
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -220,7 +220,7 @@
 	z.runUntil(t, 300, "all replicas run", func() bool { return z.runningTasks(spread) == 6 && z.runningReaders() == readerTasks })
 	z.runChecked(40)
 	for host, n := range stays {
-		if x := z.world.Cloud.Hosts[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
+		if x := z.world.Cloud.WorkersByHost[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
 			t.Errorf("a replica on %s in %s was moved", host, x.Zone)
 		}
 	}
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -50,7 +50,7 @@
 	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", GPUsMax: 8}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	environment := simulator.New(time.Unix(1_800_000_000, 0))
+	environment := simulator.NewEnvironment(time.Unix(1_800_000_000, 0))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return environment.Now }
 	info.SteppedClock = true
--- a/internal/simulator/change_log.go
+++ b/internal/simulator/change_log.go
@@ -8,22 +8,22 @@
 	"violetturn/internal/store"
 )
 
-// History is the number of recent changes that the state service keeps for watches (PROTOCOL).
-const History = 10_000
+// HistoryLength is the number of recent changes that the state service keeps for watches (PROTOCOL).
+const HistoryLength = 10_000
 
 // logChange appends a change to the log. It removes old changes only when the log has reached twice
 // the length of the history, so the log may contain changes beyond the history.
 func (s *Store) logChange(c store.Change) {
 	s.log = append(s.log, c)
-	if len(s.log) >= 2*History {
-		s.log = slices.Clone(s.log[len(s.log)-History:])
+	if len(s.log) >= 2*HistoryLength {
+		s.log = slices.Clone(s.log[len(s.log)-HistoryLength:])
 	}
 }
 
 // inHistory reports whether all changes after a revision are still in the history.
 func (s *Store) inHistory(since uint64) bool {
 	length := len(s.log)
-	return length <= History || since >= s.log[length-History-1].Version
+	return length <= HistoryLength || since >= s.log[length-HistoryLength-1].Version
 }
 
 // changes returns the changes to keys with a prefix after a revision, and the current revision. If
@@ -46,7 +46,7 @@
 
 // ExpireHistory adds so many changes that all earlier ones are beyond the history.
 func (s *Store) ExpireHistory() {
-	for range History + 1 {
+	for range HistoryLength + 1 {
 		s.revision++
 		s.logChange(store.Change{Drop: "aged", Version: s.revision})
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,11 +13,11 @@
 // Cloud is the simulated cloud that rents machines.
 type Cloud struct {
 	ServiceFaults
-	NoCapacity bool // rentals are refused
-	Hosts      map[string]*Worker
-	Pages      int // pages of the list of machines read so far
+	NoCapacity    bool // rentals are refused
+	WorkersByHost map[string]*Worker
+	PagesRead     int // pages of the list of machines read so far
 
-	env               *World
+	env               *Environment
 	sortedWorkers     []*Worker           // workers in the order of their machines' names; nil: not computed
 	terminated        []*Worker           // terminated machines, which the list may still contain because of ListLag
 	rentals           map[string][]string // machines by the name of the rental request, so that a repeated request rents nothing
@@ -28,21 +28,21 @@
 }
 
 // newCloud returns a cloud without machines.
-func newCloud(env *World) *Cloud {
-	return &Cloud{ServiceFaults: newServiceFaults(), Hosts: map[string]*Worker{}, env: env, rentals: map[string][]string{}}
+func newCloud(env *Environment) *Cloud {
+	return &Cloud{ServiceFaults: newServiceFaults(), WorkersByHost: map[string]*Worker{}, env: env, rentals: map[string][]string{}}
 }
 
 // Workers returns the workers of all rented machines, in the order of the machines' names.
 func (c *Cloud) Workers() []*Worker {
 	if c.sortedWorkers == nil {
-		c.sortedWorkers = slices.SortedFunc(maps.Values(c.Hosts), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
+		c.sortedWorkers = slices.SortedFunc(maps.Values(c.WorkersByHost), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
 	}
 	return c.sortedWorkers
 }
 
 // HostNames returns the sorted names of all rented machines.
 func (c *Cloud) HostNames() []string {
-	names := make([]string, 0, len(c.Hosts))
+	names := make([]string, 0, len(c.WorkersByHost))
 	for _, worker := range c.Workers() {
 		names = append(names, worker.Host)
 	}
@@ -55,7 +55,7 @@
 	for range r.Count {
 		name := fmt.Sprintf("i-%06d", c.nextMachineNumber)
 		c.nextMachineNumber++
-		c.Hosts[name] = newWorker(c.env, Machine{
+		c.WorkersByHost[name] = newWorker(c.env, Machine{
 			Host:        name,
 			Addr:        "10.1.0.1:" + name,
 			MachineType: r.MachineType,
@@ -71,10 +71,10 @@
 
 // Terminate terminates a machine without notice, as the cloud does with spot machines.
 func (c *Cloud) Terminate(host string) {
-	if worker := c.Hosts[host]; worker != nil {
+	if worker := c.WorkersByHost[host]; worker != nil {
 		worker.terminatedAt = c.env.Now
 		c.terminated = append(c.terminated, worker)
-		delete(c.Hosts, host)
+		delete(c.WorkersByHost, host)
 		c.sortedWorkers, c.cachedList = nil, nil
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	listTime := c.env.Now.Add(-c.env.ListLag)
 	var list []cloud.Host
-	for _, worker := range c.Hosts {
+	for _, worker := range c.WorkersByHost {
 		if worker.existedAt(listTime) {
 			list = append(list, worker.listEntryAt(listTime))
 		}
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -20,7 +20,7 @@
 }
 
 // available reports whether the cloud serves requests of the node.
-func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.Unreachable[c.Node] }
+func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.UnreachableNodes[c.Node] }
 
 // MachineTypes returns the machine types that the cloud offers: the one of the simulation.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
@@ -36,7 +36,7 @@
 		FetchGBPerS: fetchGBPerS,
 		Price:       onDemandPrice,
 		SpotPrice:   spotPrice,
-		BootS:       m.Boot.Seconds(),
+		BootS:       m.BootTime.Seconds(),
 		Zones:       c.Cloud.env.Zones,
 	}}, nil
 }
@@ -81,7 +81,7 @@
 	if !c.available() {
 		return nil, false, cloud.ErrUnavailable
 	}
-	c.Cloud.Pages++
+	c.Cloud.PagesRead++
 	hosts, truncated = c.Cloud.page(since, cloud.MaxPage)
 	return hosts, truncated, nil
 }
--- a/internal/simulator/command_client.go
+++ b/internal/simulator/command_client.go
@@ -12,10 +12,10 @@
 
 // CommandClient is a node's client for direct requests to workers.
 type CommandClient struct {
-	World       *World
-	Node        string
-	Delayed     []func() // deliveries of commands delayed by a partition or a hung worker; a test runs them
-	Partitioned bool     // the node is partitioned from all workers
+	Environment       *Environment
+	Node              string
+	DelayedDeliveries []func() // deliveries of commands delayed by a partition or a hung worker; a test runs them
+	Partitioned       bool     // the node is partitioned from all workers
 
 	PartitionedFrom func(worker *Worker) bool // whether the node is partitioned from a worker; nil: from none
 }
@@ -28,8 +28,8 @@
 // Status requests a heartbeat from a worker. It returns ErrNoResponse if the worker does not
 // respond.
 func (d *CommandClient) Status(_ context.Context, addr string) (*api.Heartbeat, error) {
-	for _, worker := range d.World.Cloud.Hosts {
-		if worker.Addr == addr && worker.Up() && worker.responds() && !d.partitionedFrom(worker) {
+	for _, worker := range d.Environment.Cloud.WorkersByHost {
+		if worker.Addr == addr && worker.Booted() && worker.responds() && !d.partitionedFrom(worker) {
 			return worker.Heartbeat(), nil
 		}
 	}
@@ -38,18 +38,18 @@
 
 // SendCommands sends commands to a worker. It returns the worker's heartbeat and whether the worker
 // accepted the commands, or ErrNoResponse. If the worker is partitioned or hung, the commands are
-// delivered when a test runs CommandClient.Delayed. If the machine is missing or has the fault
+// delivered when a test runs CommandClient.DelayedDeliveries. If the machine is missing or has the fault
 // InboundLost, they are never delivered.
 func (d *CommandClient) SendCommands(_ context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
-	for _, worker := range d.World.Cloud.Workers() {
-		if worker.Addr != addr || !worker.Up() {
+	for _, worker := range d.Environment.Cloud.Workers() {
+		if worker.Addr != addr || !worker.Booted() {
 			continue
 		}
 		if worker.InboundLost {
 			break
 		}
 		if !worker.responds() || d.partitionedFrom(worker) {
-			d.Delayed = append(d.Delayed, func() { worker.handleDirect(batch) })
+			d.DelayedDeliveries = append(d.DelayedDeliveries, func() { worker.handleDirect(batch) })
 			break
 		}
 		heartbeat, accepted := worker.handleDirect(batch)
--- a/internal/simulator/environment.go
+++ b/internal/simulator/environment.go
@@ -13,40 +13,40 @@
 type MachineType struct {
 	Name              string
 	CPUs, GPUs, MemGB float64
-	Boot              time.Duration // time that a machine takes to boot
-	Fetch             time.Duration // time to fetch any image
+	BootTime          time.Duration // time that a machine takes to boot
+	FetchTime         time.Duration // time to fetch any image
 }
 
 // Settings are the settings of a simulated deployment.
 type Settings struct {
-	MachineType   MachineType
-	Zones         []string
-	Lease         time.Duration      // duration of a worker's lease
-	CancelTimeout time.Duration      // time after the confirmation of a cancellation from which on no task of the job may run
-	GangWait      time.Duration      // time that a gang's task waits for the other tasks
-	GangPeer      time.Duration      // time after which a gang's tasks detect the loss of one of them
-	TeamGPULimits map[string]float64 // maximum GPUs of a team's tasks; no entry: no limit
-	ListLag       time.Duration      // age of the cloud's list of machines
+	MachineType      MachineType
+	Zones            []string
+	WorkerLease      time.Duration      // duration of a worker's lease
+	CancelTimeout    time.Duration      // time after the confirmation of a cancellation from which on no task of the job may run
+	GangStartTimeout time.Duration      // time that a gang's task waits for the other tasks
+	PeerLossTimeout  time.Duration      // time after which a gang's tasks detect the loss of one of them
+	TeamGPULimits    map[string]float64 // maximum GPUs of a team's tasks; no entry: no limit
+	ListLag          time.Duration      // age of the cloud's list of machines
 }
 
-// Observers are callbacks for events, called at the moment of the event. Each may be nil.
-type Observers struct {
+// Callbacks are callbacks for events, called at the moment of the event. Each may be nil.
+type Callbacks struct {
 	OnTaskDone    func(uid string)                 // a task of the job has completed
 	OnTaskStarted func(worker *Worker, uid string) // a task of the job has started on the worker
 }
 
-// World is the simulated environment of the controllers.
-type World struct {
+// Environment is the simulated environment of the controllers.
+type Environment struct {
 	Settings
-	Observers
+	Callbacks
 
 	Now   time.Time
 	Store *Store
 	Cloud *Cloud
 	Jobs  map[string]*Job
 
-	Violations []Violation // in the order in which they occurred
-	LateStarts int         // tasks launched after the cancellation of their job was confirmed to the user
+	Violations          []Violation // in the order in which they occurred
+	LaunchesAfterCancel int         // tasks launched after the cancellation of their job was confirmed to the user
 }
 
 // Job is a submitted job, with what its user has requested and received in responses.
@@ -58,20 +58,20 @@
 	FinalPhase      api.JobPhase  // final phase (done or cancelled) reported to the user; "": none yet
 	CancelRequested bool          // the user has requested the cancellation
 	CancelConfirmed time.Time     // when a response first confirmed the cancellation; zero: not yet
-	Done            map[int]bool  // indexes of the completed tasks
+	DoneTasks       map[int]bool  // indexes of the completed tasks
 	gang            gangProgress
 }
 
-// New returns an environment without machines, jobs and faults, whose clock is set to start.
-func New(start time.Time) *World {
-	env := &World{Now: start, Jobs: map[string]*Job{}, Settings: Settings{TeamGPULimits: map[string]float64{}}}
+// NewEnvironment returns an environment without machines, jobs and faults, whose clock is set to start.
+func NewEnvironment(start time.Time) *Environment {
+	env := &Environment{Now: start, Jobs: map[string]*Job{}, Settings: Settings{TeamGPULimits: map[string]float64{}}}
 	env.Store = newStore(env)
 	env.Cloud = newCloud(env)
 	return env
 }
 
 // Advance advances the clock by d, in steps that are short enough for every timer.
-func (e *World) Advance(d time.Duration) {
+func (e *Environment) Advance(d time.Duration) {
 	for end := e.Now.Add(d); e.Now.Before(end); {
 		e.Now = e.Now.Add(min(maxTick, end.Sub(e.Now)))
 		e.Store.tick()
@@ -84,8 +84,8 @@
 }
 
 // taskDone records that a task has completed.
-func (e *World) taskDone(j *Job, index int) {
-	j.Done[index] = true
+func (e *Environment) taskDone(j *Job, index int) {
+	j.DoneTasks[index] = true
 	if e.OnTaskDone != nil {
 		e.OnTaskDone(j.Spec.UID)
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -31,14 +31,14 @@
 
 // ServiceFaults are the faults of a service that controllers call.
 type ServiceFaults struct {
-	Down        bool             // no request is served
-	Unreachable map[string]bool  // nodes whose requests do not reach the service
-	NextFault   map[string]Fault // fault of each node's next transaction, rental or return of machines
+	Down             bool             // no request is served
+	UnreachableNodes map[string]bool  // nodes whose requests do not reach the service
+	NextFault        map[string]Fault // fault of each node's next transaction, rental or return of machines
 }
 
 // newServiceFaults returns a ServiceFaults without faults.
 func newServiceFaults() ServiceFaults {
-	return ServiceFaults{Unreachable: map[string]bool{}, NextFault: map[string]Fault{}}
+	return ServiceFaults{UnreachableNodes: map[string]bool{}, NextFault: map[string]Fault{}}
 }
 
 // consumeNextFault returns the fault in NextFault for a node, and clears it.
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -33,7 +33,7 @@
 }
 
 // gangTasks returns the tasks of an attempt that are on machines and have not ended.
-func (e *World) gangTasks(uid string, attempt uint64) []placedTask {
+func (e *Environment) gangTasks(uid string, attempt uint64) []placedTask {
 	var tasks []placedTask
 	for _, worker := range e.Cloud.Workers() {
 		for _, t := range worker.Tasks {
@@ -46,7 +46,7 @@
 }
 
 // tickGangs advances all attempts of all gangs, in the order of their job IDs.
-func (e *World) tickGangs() {
+func (e *Environment) tickGangs() {
 	for _, uid := range slices.Sorted(maps.Keys(e.Jobs)) {
 		j := e.Jobs[uid]
 		if j.Spec.Kind != api.Gang {
@@ -59,7 +59,7 @@
 }
 
 // tickGangAttempt advances the attempt of a gang with the given number.
-func (e *World) tickGangAttempt(j *Job, number uint64) {
+func (e *Environment) tickGangAttempt(j *Job, number uint64) {
 	tasks := e.gangTasks(j.Spec.UID, number)
 	if len(tasks) == 0 {
 		return
@@ -82,8 +82,8 @@
 }
 
 // gatherTasks starts an attempt once all its tasks have fetched their images, and ends tasks that
-// have waited for the others for GangWait.
-func (e *World) gatherTasks(j *Job, number uint64, tasks []placedTask) {
+// have waited for the others for GangStartTimeout.
+func (e *Environment) gatherTasks(j *Job, number uint64, tasks []placedTask) {
 	ready := map[int]bool{}
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering && !t.worker.Hung {
@@ -95,35 +95,35 @@
 		return
 	}
 	for _, t := range tasks {
-		if t.phase == api.TaskGathering && !t.worker.Hung && e.Now.Sub(t.since) >= e.GangWait {
+		if t.phase == api.TaskGathering && !t.worker.Hung && e.Now.Sub(t.since) >= e.GangStartTimeout {
 			t.end(api.CauseGangIncomplete)
 		}
 	}
 }
 
 // startAttempt sets the gathered tasks of an attempt running, from the saved progress.
-func (e *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
+func (e *Environment) startAttempt(j *Job, number uint64, tasks []placedTask) {
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering {
 			t.phase, t.since = api.TaskRunning, e.Now
 		}
 	}
 	progress := j.gang.saved
-	if len(j.Done) == j.Spec.Tasks { // the job has already completed
+	if len(j.DoneTasks) == j.Spec.Tasks { // the job has already completed
 		progress = j.RunTime
 	}
 	j.gang.attempts[number] = &gangAttempt{startedAt: e.Now, initialProgress: progress, stopRequestedTasks: map[int]bool{}}
 }
 
 // advanceAttempt advances an attempt that has started but not ended.
-func (e *World) advanceAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
+func (e *Environment) advanceAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
 	progress := attempt.progress(e.Now)
 	if attempt.peerLostAt.IsZero() && responsiveTaskCount(tasks) < j.Spec.Tasks {
 		attempt.peerLostAt = e.Now
 	}
 	switch {
 	case !attempt.peerLostAt.IsZero():
-		if e.Now.Sub(attempt.peerLostAt) >= e.GangPeer {
+		if e.Now.Sub(attempt.peerLostAt) >= e.PeerLossTimeout {
 			j.gang.saved = j.lastCheckpoint(progress)
 			attempt.end(tasks, api.CausePeerLost, false)
 		}
@@ -139,15 +139,15 @@
 
 // advanceStop ends an attempt of which a task received a stop command. If all tasks received one,
 // the attempt ends after the time to save, with its progress saved. If some have not received one
-// within GangPeer, it ends as if a task were lost.
-func (e *World) advanceStop(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
+// within PeerLossTimeout, it ends as if a task were lost.
+func (e *Environment) advanceStop(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
 	sinceRequest := e.Now.Sub(attempt.stopRequestedAt)
 	allRequested := len(attempt.stopRequestedTasks) == j.Spec.Tasks
 	switch {
 	case allRequested && sinceRequest >= seconds(j.Spec.SaveDurationS):
 		j.gang.saved = max(j.gang.saved, progress)
 		attempt.end(tasks, api.CauseStopped, true)
-	case !allRequested && sinceRequest >= e.GangPeer:
+	case !allRequested && sinceRequest >= e.PeerLossTimeout:
 		j.gang.saved = j.lastCheckpoint(progress)
 		attempt.end(tasks, api.CausePeerLost, false)
 	}
@@ -226,22 +226,22 @@
 	if attempt.stopRequestedAt.IsZero() {
 		attempt.stopRequestedAt = w.env.Now
 	}
-	if w.env.Now.Sub(attempt.stopRequestedAt) <= w.env.GangPeer {
+	if w.env.Now.Sub(attempt.stopRequestedAt) <= w.env.PeerLossTimeout {
 		attempt.stopRequestedTasks[t.index] = true
 	}
 }
 
 // checkGangLaunch records the launch of a task of a gang. It is a violation if a higher attempt was
 // launched before, or if tasks of another attempt have not ended.
-func (e *World) checkGangLaunch(j *Job, index int, attempt uint64) {
+func (e *Environment) checkGangLaunch(j *Job, index int, attempt uint64) {
 	name := api.TaskName(j.Spec.UID, index)
 	if attempt < j.gang.lastAttempt {
-		e.Violate(RuleAttempts, "task %s is launched as attempt %d after attempt %d", name, attempt, j.gang.lastAttempt)
+		e.RecordViolation(RuleGangAttempts, "task %s is launched as attempt %d after attempt %d", name, attempt, j.gang.lastAttempt)
 	}
 	for _, worker := range e.Cloud.Workers() {
 		for _, t := range worker.Tasks {
 			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.TaskEnded {
-				e.Violate(RuleAttempts, "task %s is launched as attempt %d beside attempt %d of task %d on %s",
+				e.RecordViolation(RuleGangAttempts, "task %s is launched as attempt %d beside attempt %d of task %d on %s",
 					name, attempt, t.attempt, t.index, worker.Host)
 			}
 		}
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -10,16 +10,16 @@
 )
 
 // launchTestGang rents two machines and launches a gang of two tasks on them.
-func launchTestGang(t *testing.T, env *World) (*Job, []*Worker) {
+func launchTestGang(t *testing.T, env *Environment) (*Job, []*Worker) {
 	t.Helper()
 	client := &CloudClient{Cloud: env.Cloud, Node: "n0"}
 	if _, err := client.Rent(context.Background(), cloud.RentalRequest{Name: "r", MachineType: "m", Zone: "x", Count: 2}); err != nil {
 		t.Fatal(err)
 	}
 	j := &Job{
-		Spec:    api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2, SaveDurationS: 1},
-		RunTime: 10 * time.Second,
-		Done:    map[int]bool{},
+		Spec:      api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2, SaveDurationS: 1},
+		RunTime:   10 * time.Second,
+		DoneTasks: map[int]bool{},
 	}
 	env.Jobs[j.Spec.UID] = j
 	env.Advance(time.Second)
@@ -32,7 +32,7 @@
 
 // advanceWithHeartbeats advances the clock, while every worker receives a heartbeat response each
 // 100 ms, so that no lease expires.
-func advanceWithHeartbeats(env *World, d time.Duration) {
+func advanceWithHeartbeats(env *Environment, d time.Duration) {
 	for end := env.Now.Add(d); env.Now.Before(end); {
 		for _, worker := range env.Cloud.Workers() {
 			worker.HandleResponse(api.CommandBatch{Token: 1}, env.Now, worker.AgentEpoch)
@@ -44,26 +44,26 @@
 // A gang's tasks start and end together, and the gang keeps its saved progress.
 func TestGangTasksEndTogether(t *testing.T) {
 	grace := 5.0
-	stopAll := func(env *World) {
+	stopAll := func(env *Environment) {
 		for i, worker := range env.Cloud.Workers() {
 			worker.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", i), Attempt: 1, GraceS: &grace}})
 		}
 	}
 	for _, test := range []struct {
 		name        string
-		injectFault func(env *World)
+		injectFault func(env *Environment)
 		wait        time.Duration // after the fault, until the end of the attempt
 		wantCause   api.ExitCause
 		wantDone    int
 		wantSaved   time.Duration
 	}{
-		{"done", func(*World) {}, 6 * time.Second, api.CauseDone, 2, 0},
+		{"done", func(*Environment) {}, 6 * time.Second, api.CauseDone, 2, 0},
 		{"stopped", stopAll, time.Second, api.CauseStopped, 0, 5 * time.Second},
-		{"only one task stopped", func(env *World) {
+		{"only one task stopped", func(env *Environment) {
 			worker := env.Cloud.Workers()[0]
 			worker.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", 0), Attempt: 1, GraceS: &grace}})
 		}, 2 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
-		{"one task lost", func(env *World) {
+		{"one task lost", func(env *Environment) {
 			env.Cloud.Terminate(env.Cloud.HostNames()[0])
 		}, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
 	} {
@@ -78,9 +78,9 @@
 			}
 			test.injectFault(env)
 			advanceWithHeartbeats(env, test.wait)
-			if task.phase != api.TaskEnded || task.cause != test.wantCause || len(j.Done) != test.wantDone {
+			if task.phase != api.TaskEnded || task.cause != test.wantCause || len(j.DoneTasks) != test.wantDone {
 				t.Errorf("task phase %q, cause %q, %d tasks done; want phase %q, cause %q, %d tasks done",
-					task.phase, task.cause, len(j.Done), api.TaskEnded, test.wantCause, test.wantDone)
+					task.phase, task.cause, len(j.DoneTasks), api.TaskEnded, test.wantCause, test.wantDone)
 			}
 			if saved := j.gang.saved.Truncate(time.Second); saved != test.wantSaved {
 				t.Errorf("saved progress is %v, want %v after truncation to seconds", j.gang.saved, test.wantSaved)
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -25,9 +25,9 @@
 	Truncated bool         `json:"truncated"`
 }
 
-// Cloud returns the handler of requests to the cloud. Each rented machine gets its own loopback
+// CloudHandler returns the handler of requests to the cloud. Each rented machine gets its own loopback
 // address, with the given port.
-func (s *Server) Cloud(port int) http.Handler {
+func (s *Server) CloudHandler(port int) http.Handler {
 	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.env.Cloud}, port: port}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", c.machineTypes)
@@ -59,7 +59,7 @@
 	c.s.mu.Lock()
 	hosts, err := c.client.Rent(r.Context(), rental)
 	for _, host := range hosts {
-		c.s.env.Cloud.Hosts[host].Addr = loopbackAddr(host, c.port)
+		c.s.env.Cloud.WorkersByHost[host].Addr = loopbackAddr(host, c.port)
 	}
 	c.s.mu.Unlock()
 	if err != nil {
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -15,19 +15,19 @@
 // controllers that run as separate processes. The simulated clock follows real time.
 type Server struct {
 	mu                sync.Mutex // guards env
-	env               *World
+	env               *Environment
 	storeChanged      chan struct{} // closed and replaced when the revision of the state service changes
 	announcedRevision uint64        // revision of the state service when storeChanged was made
 }
 
 // NewServer returns a server of an environment, and sets its clock to the current time.
-func NewServer(env *World) *Server {
+func NewServer(env *Environment) *Server {
 	env.Now = time.Now()
 	return &Server{env: env, storeChanged: make(chan struct{})}
 }
 
-// With calls f, which may read and change the environment, with the lock held.
-func (s *Server) With(f func(env *World)) {
+// WithLock calls f, which may read and change the environment, with the lock held.
+func (s *Server) WithLock(f func(env *Environment)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.env)
@@ -45,7 +45,7 @@
 
 // Tick advances the simulated clock to the current time.
 func (s *Server) Tick() {
-	s.With(func(env *World) {
+	s.WithLock(func(env *Environment) {
 		if elapsed := time.Since(env.Now); elapsed > 0 {
 			env.Advance(elapsed)
 		}
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -68,8 +68,8 @@
 	LeaseID uint64 `json:"permit"`
 }
 
-// State returns the handler of requests to the state service.
-func (s *Server) State() http.Handler {
+// StateHandler returns the handler of requests to the state service.
+func (s *Server) StateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys/{key...}", s.getKey)
 	mux.HandleFunc("GET /keys", s.listKeys)
--- a/internal/simulator/http_test.go
+++ b/internal/simulator/http_test.go
@@ -23,7 +23,7 @@
 // The state service and the cloud respond with the statuses and bodies that PROTOCOL defines.
 func TestServerResponses(t *testing.T) {
 	s := NewServer(newTestEnvironment())
-	state, cloud := s.State(), s.Cloud(7000)
+	state, cloud := s.StateHandler(), s.CloudHandler(7000)
 	for _, test := range []struct {
 		name                 string
 		handler              http.Handler
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	if n := len(s.env.Cloud.Hosts); n != 0 {
+	if n := len(s.env.Cloud.WorkersByHost); n != 0 {
 		t.Errorf("%d machines remain after their return, want 0", n)
 	}
 }
@@ -67,7 +67,7 @@
 // A blocked watch request gets its response as soon as there is a change.
 func TestWatchRespondsToChange(t *testing.T) {
 	s := NewServer(newTestEnvironment())
-	server := httptest.NewServer(s.State())
+	server := httptest.NewServer(s.StateHandler())
 	t.Cleanup(server.Close)
 	responses := make(chan string, 1)
 	go func() {
@@ -80,7 +80,7 @@
 		b, _ := io.ReadAll(resp.Body)
 		responses <- string(b)
 	}()
-	if status, _ := sendRequest(t, s.State(), "POST", "/multi", `{"then":[{"write":"a","v":7}]}`); status != 200 {
+	if status, _ := sendRequest(t, s.StateHandler(), "POST", "/multi", `{"then":[{"write":"a","v":7}]}`); status != 200 {
 		t.Fatalf("transaction: got status %d, want 200", status)
 	}
 	if got := <-responses; got != `{"epoch":1,"log":[{"write":"a","v":7,"stamp":1}]}` {
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -7,10 +7,10 @@
 	"violetturn/internal/api"
 )
 
-// Workers returns the handler of direct requests to workers. The local address of the connection
+// WorkerHandler returns the handler of direct requests to workers. The local address of the connection
 // identifies the worker.
-func (s *Server) Workers() http.Handler {
-	h := &workersHandler{s: s, client: &CommandClient{World: s.env}}
+func (s *Server) WorkerHandler() http.Handler {
+	h := &workersHandler{s: s, client: &CommandClient{Environment: s.env}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", h.commands)
 	mux.HandleFunc("GET /show", h.status)
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -15,18 +15,18 @@
 
 // Rules that the simulation or its tests check.
 const (
-	RuleRanTwice     Rule = "ran_twice"     // a task runs on at most one machine at a time
-	RuleRanCancelled Rule = "ran_cancelled" // no task runs longer than CancelTimeout after the cancellation was confirmed
-	RuleQuota        Rule = "quota"         // a team's tasks use no more GPUs than its limit
-	RuleWrongPlace   Rule = "wrong_place"   // a task runs only on a machine and in a zone that its job allows
-	RuleAttempts     Rule = "attempts"      // attempts of a gang do not overlap, and their numbers do not decrease
-	RuleCommands     Rule = "orders"        // commands name existing tasks
-	RuleLimits       Rule = "limits"        // transactions and values stay within the announced limits
-	RuleInvented     Rule = "invented"      // no response reports a job that was never submitted
-	RuleWentBack     Rule = "went_back"     // a final phase does not change, and no job is cancelled without a request
-	RuleNotDone      Rule = "not_done"      // a job is reported as done only when all its tasks are done
-	RuleForgotten    Rule = "forgotten"     // an accepted job is neither refused nor reported as not found
-	RuleWaiting      Rule = "waiting"       // no job waits for long while there is free capacity
+	RuleRanTwice          Rule = "ran_twice"     // a task runs on at most one machine at a time
+	RuleRanAfterCancel    Rule = "ran_cancelled" // no task runs longer than CancelTimeout after the cancellation was confirmed
+	RuleQuota             Rule = "quota"         // a team's tasks use no more GPUs than its limit
+	RulePlacement         Rule = "wrong_place"   // a task runs only on a machine and in a zone that its job allows
+	RuleGangAttempts      Rule = "attempts"      // attempts of a gang do not overlap, and their numbers do not decrease
+	RuleCommands          Rule = "orders"        // commands name existing tasks
+	RuleLimits            Rule = "limits"        // transactions and values stay within the announced limits
+	RuleUnknownJob        Rule = "invented"      // no response reports a job that was never submitted
+	RuleFinalPhaseChanged Rule = "went_back"     // a final phase does not change, and no job is cancelled without a request
+	RuleNotDone           Rule = "not_done"      // a job is reported as done only when all its tasks are done
+	RuleAcceptedJobLost   Rule = "forgotten"     // an accepted job is neither refused nor reported as not found
+	RuleWaitedTooLong     Rule = "waiting"       // no job waits for long while there is free capacity
 )
 
 // roundingTolerance is the rounding error allowed when sums of resources are compared.
@@ -44,25 +44,25 @@
 	return fmt.Sprintf("%s at %s: %s", v.Rule, v.At.Format("15:04:05.000"), v.Detail)
 }
 
-// Violate records the violation of a rule.
-func (e *World) Violate(rule Rule, format string, args ...any) {
+// RecordViolation records the violation of a rule.
+func (e *Environment) RecordViolation(rule Rule, format string, args ...any) {
 	e.Violations = append(e.Violations, Violation{rule, e.Now, fmt.Sprintf(format, args...)})
 }
 
 // checkCancelled checks that no task is still active once CancelTimeout has passed since the
 // cancellation of its job was confirmed to the user.
-func (e *World) checkCancelled() {
+func (e *Environment) checkCancelled() {
 	for _, worker := range e.Cloud.Workers() {
 		for _, t := range worker.Tasks {
 			if confirmedAt := t.job.CancelConfirmed; !confirmedAt.IsZero() && e.Now.Sub(confirmedAt) > e.CancelTimeout && t.isActive() {
-				e.Violate(RuleRanCancelled, "task %s of a cancelled job is still on %s", t.name(), worker.Host)
+				e.RecordViolation(RuleRanAfterCancel, "task %s of a cancelled job is still on %s", t.name(), worker.Host)
 			}
 		}
 	}
 }
 
 // taskStarted checks the rules on running tasks when a task has fetched its image.
-func (e *World) taskStarted(worker *Worker, t *Task) {
+func (e *Environment) taskStarted(worker *Worker, t *Task) {
 	if e.OnTaskStarted != nil {
 		e.OnTaskStarted(worker, t.uid)
 	}
@@ -81,41 +81,41 @@
 				tasksByZone[otherWorker.Zone]++
 			}
 			if otherTask.uid == t.uid && otherTask.index == t.index && otherWorker != worker {
-				e.Violate(RuleRanTwice, "task %s starts on %s while it is still on %s", t.name(), worker.Host, otherWorker.Host)
+				e.RecordViolation(RuleRanTwice, "task %s starts on %s while it is still on %s", t.name(), worker.Host, otherWorker.Host)
 			}
 		}
 	}
 	if limit := e.TeamGPULimits[spec.Team]; limit > 0 && teamGPUs > limit+roundingTolerance {
-		e.Violate(RuleQuota, "team %s uses %g GPUs, limit %g", spec.Team, teamGPUs, limit)
+		e.RecordViolation(RuleQuota, "team %s uses %g GPUs, limit %g", spec.Team, teamGPUs, limit)
 	}
 	e.checkPlacement(worker, t, tasksByZone)
 }
 
 // checkPlacement checks that a starting task is on a machine that its job allows. tasksByZone
 // counts the job's other active tasks in each zone.
-func (e *World) checkPlacement(worker *Worker, t *Task, tasksByZone map[string]int) {
+func (e *Environment) checkPlacement(worker *Worker, t *Task, tasksByZone map[string]int) {
 	spec := &t.job.Spec
 	wrongZone := spec.Zone != "" && spec.Zone != worker.Zone
 	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, worker.MachineType)
 	if wrongZone || wrongType || worker.Spot && !spec.AllowSpot {
-		e.Violate(RuleWrongPlace, "task %s may not run on %s", t.name(), worker.Host)
+		e.RecordViolation(RulePlacement, "task %s may not run on %s", t.name(), worker.Host)
 	}
 	if zoneTasks := tasksByZone[worker.Zone] + 1; spec.Spread && zoneTasks > int(math.Ceil(float64(spec.Tasks)/2)) {
-		e.Violate(RuleWrongPlace, "spread task %s is task %d in zone %s, of %d tasks", t.name(), zoneTasks, worker.Zone, spec.Tasks)
+		e.RecordViolation(RulePlacement, "spread task %s is task %d in zone %s, of %d tasks", t.name(), zoneTasks, worker.Zone, spec.Tasks)
 	}
 	if !spec.SingleZone {
 		return
 	}
 	for zone := range tasksByZone {
 		if zone != worker.Zone {
-			e.Violate(RuleWrongPlace, "task %s is in zone %s, other tasks of the job are in zone %s", t.name(), worker.Zone, zone)
+			e.RecordViolation(RulePlacement, "task %s is in zone %s, other tasks of the job are in zone %s", t.name(), worker.Zone, zone)
 		}
 	}
 }
 
-// CheckResponse checks a response that a user received about a job. status is the HTTP status,
+// CheckUserResponse checks a response that a user received about a job. status is the HTTP status,
 // and submission is set if the request was a submission.
-func (e *World) CheckResponse(uid string, status int, phase api.JobPhase, submission bool) {
+func (e *Environment) CheckUserResponse(uid string, status int, phase api.JobPhase, submission bool) {
 	j := e.Jobs[uid]
 	if status == http.StatusOK || status == http.StatusCreated {
 		e.checkPhase(j, uid, phase)
@@ -123,29 +123,29 @@
 	}
 	refused := submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j != nil && j.Accepted && (status == http.StatusNotFound || refused) {
-		e.Violate(RuleForgotten, "accepted job %s: response status %d", uid, status)
+		e.RecordViolation(RuleAcceptedJobLost, "accepted job %s: response status %d", uid, status)
 	}
 }
 
 // checkPhase checks the phase of a job in a response to its user. j is nil if no such job was
 // submitted.
-func (e *World) checkPhase(j *Job, uid string, phase api.JobPhase) {
+func (e *Environment) checkPhase(j *Job, uid string, phase api.JobPhase) {
 	if j == nil {
-		e.Violate(RuleInvented, "job %s was never submitted, response says %s", uid, phase)
+		e.RecordViolation(RuleUnknownJob, "job %s was never submitted, response says %s", uid, phase)
 		return
 	}
 	if j.FinalPhase != "" && phase != j.FinalPhase {
-		e.Violate(RuleWentBack, "job %s was reported as %s, now as %s", uid, j.FinalPhase, phase)
+		e.RecordViolation(RuleFinalPhaseChanged, "job %s was reported as %s, now as %s", uid, j.FinalPhase, phase)
 	}
 	switch phase {
 	case api.JobDone:
-		if len(j.Done) < j.Spec.Tasks {
-			e.Violate(RuleNotDone, "job %s is reported as done with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
+		if len(j.DoneTasks) < j.Spec.Tasks {
+			e.RecordViolation(RuleNotDone, "job %s is reported as done with %d of %d tasks done", uid, len(j.DoneTasks), j.Spec.Tasks)
 		}
 		j.FinalPhase = phase
 	case api.JobCancelled:
 		if !j.CancelRequested {
-			e.Violate(RuleWentBack, "job %s is reported as cancelled without a cancellation request", uid)
+			e.RecordViolation(RuleFinalPhaseChanged, "job %s is reported as cancelled without a cancellation request", uid)
 		}
 		if j.CancelConfirmed.IsZero() {
 			j.CancelConfirmed = e.Now
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -18,16 +18,16 @@
 		wantRule   Rule // rule that is violated; "": none
 	}{
 		{"accepted", &Job{}, 201, "pending", true, ""},
-		{"never submitted", nil, 200, "pending", false, RuleInvented},
+		{"never submitted", nil, 200, "pending", false, RuleUnknownJob},
 		{"never submitted and not found", nil, 404, "", false, ""},
 		{"refused", &Job{}, 422, "", true, ""},
-		{"accepted and not found", &Job{Accepted: true}, 404, "", false, RuleForgotten},
-		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleForgotten},
+		{"accepted and not found", &Job{Accepted: true}, 404, "", false, RuleAcceptedJobLost},
+		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleAcceptedJobLost},
 		{"accepted and unavailable", &Job{Accepted: true}, 503, "", true, ""},
-		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
-		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
-		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleWentBack},
-		{"cancelled without a request", &Job{}, 200, api.JobCancelled, false, RuleWentBack},
+		{"done too early", &Job{Spec: api.Job{Tasks: 2}, DoneTasks: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
+		{"done", &Job{Spec: api.Job{Tasks: 1}, DoneTasks: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
+		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleFinalPhaseChanged},
+		{"cancelled without a request", &Job{}, 200, api.JobCancelled, false, RuleFinalPhaseChanged},
 		{"cancelled", &Job{CancelRequested: true}, 200, api.JobCancelled, false, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			if test.job != nil {
 				env.Jobs["run-000001"] = test.job
 			}
-			env.CheckResponse("run-000001", test.status, test.phase, test.submission)
+			env.CheckUserResponse("run-000001", test.status, test.phase, test.submission)
 			switch {
 			case test.wantRule == "" && len(env.Violations) > 0:
 				t.Errorf("violations %v, want none", env.Violations)
@@ -51,14 +51,14 @@
 func TestTaskRules(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		setUp    func(env *World, j *Job)
+		setUp    func(env *Environment, j *Job)
 		wantRule Rule
 	}{
-		{"allowed", func(*World, *Job) {}, ""},
-		{"team above its limit", func(env *World, _ *Job) { env.TeamGPULimits["a"] = 1 }, RuleQuota},
-		{"another zone", func(_ *World, j *Job) { j.Spec.Zone = "y" }, RuleWrongPlace},
-		{"spread", func(_ *World, j *Job) { j.Spec.Spread = true }, RuleWrongPlace},
-		{"cancelled", func(env *World, j *Job) { j.CancelConfirmed = env.Now.Add(-env.CancelTimeout) }, RuleRanCancelled},
+		{"allowed", func(*Environment, *Job) {}, ""},
+		{"team above its limit", func(env *Environment, _ *Job) { env.TeamGPULimits["a"] = 1 }, RuleQuota},
+		{"another zone", func(_ *Environment, j *Job) { j.Spec.Zone = "y" }, RulePlacement},
+		{"spread", func(_ *Environment, j *Job) { j.Spec.Spread = true }, RulePlacement},
+		{"cancelled", func(env *Environment, j *Job) { j.CancelConfirmed = env.Now.Add(-env.CancelTimeout) }, RuleRanAfterCancel},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			env := newTestEnvironment()
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -24,9 +24,9 @@
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
-	case c.Store.Unreachable[c.Node]:
+	case c.Store.UnreachableNodes[c.Node]:
 		err = store.ErrUnknown
-	case c.Store.Down || c.Store.Refused[c.Node]:
+	case c.Store.Down || c.Store.RefusedNodes[c.Node]:
 		err = store.ErrRefused
 	}
 	if c.OnServed != nil {
@@ -69,7 +69,7 @@
 	if err := c.checkAvailable(); err != nil {
 		return store.CommitResult{}, err
 	}
-	c.Store.Writes += len(t.Ops)
+	c.Store.SentWrites += len(t.Ops)
 	c.checkSize(t)
 	switch c.Store.consumeNextFault(c.Node) {
 	case NoFault:
@@ -88,11 +88,11 @@
 // checkSize checks that a transaction is within the limits announced to the node.
 func (c *StoreClient) checkSize(t *store.Txn) {
 	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > guardsPerOp*c.TxnOps {
-		c.Store.env.Violate(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Ops), len(t.Preconditions))
+		c.Store.env.RecordViolation(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
 		if len(op.Value) > c.MaxValueBytes {
-			c.Store.env.Violate(RuleLimits, "value of key %q has %d bytes", op.Write, len(op.Value))
+			c.Store.env.RecordViolation(RuleLimits, "value of key %q has %d bytes", op.Write, len(op.Value))
 		}
 	}
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -33,8 +33,8 @@
 
 // StoreCounters count requests to the state service.
 type StoreCounters struct {
-	Writes   int // writes in all transactions sent, including those that are refused
-	TooLarge int // transactions that were refused because of their size
+	SentWrites      int // writes in all transactions sent, including those that are refused
+	RefusedTooLarge int // transactions that were refused because of their size
 }
 
 // Store is the simulated state service: versioned keys, transactions, leases and a log of changes.
@@ -42,9 +42,9 @@
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	Refused map[string]bool // nodes whose requests get status 503
+	RefusedNodes map[string]bool // nodes whose requests get status 503
 
-	env         *World
+	env         *Environment
 	revision    uint64
 	keys        map[string]storedValue
 	log         []store.Change
@@ -61,10 +61,10 @@
 }
 
 // newStore returns an empty state service.
-func newStore(env *World) *Store {
+func newStore(env *Environment) *Store {
 	return &Store{
 		ServiceFaults: newServiceFaults(),
-		Refused:       map[string]bool{},
+		RefusedNodes:  map[string]bool{},
 		env:           env,
 		keys:          map[string]storedValue{},
 		leases:        map[uint64]*lease{},
@@ -113,7 +113,7 @@
 // write names a lease that does not exist.
 func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
-		s.TooLarge++
+		s.RefusedTooLarge++
 		return store.CommitResult{}, store.ErrTooLarge
 	}
 	for _, op := range t.Ops {
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -11,17 +11,17 @@
 )
 
 // newTestEnvironment returns an environment with one machine type and short timeouts.
-func newTestEnvironment() *World {
-	env := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	env.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
+func newTestEnvironment() *Environment {
+	env := NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	env.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: time.Second, FetchTime: time.Second}
 	env.Zones = []string{"x"}
-	env.Lease, env.CancelTimeout = 10*time.Second, 40*time.Second
-	env.GangWait, env.GangPeer = 5*time.Second, 2*time.Second
+	env.WorkerLease, env.CancelTimeout = 10*time.Second, 40*time.Second
+	env.GangStartTimeout, env.PeerLossTimeout = 5*time.Second, 2*time.Second
 	return env
 }
 
 // newTestClient returns a node's client of an environment's state service.
-func newTestClient(env *World) *StoreClient {
+func newTestClient(env *Environment) *StoreClient {
 	return &StoreClient{Store: env.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
 }
 
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,9 +13,9 @@
 
 // NewJob returns the n-th job of a class, with random properties, and the run time of its tasks. It
 // draws from rnd in a fixed order.
-func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
-	tasks := 1 + rnd.IntN(2*c.Tasks)
-	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
+func (c *JobClass) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
+	tasks := 1 + rnd.IntN(2*c.MeanTasks)
+	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.ImageCount))
 	j := api.Job{
 		UID:                 fmt.Sprintf("run-%06d", n),
 		Class:               c.Name,
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -28,20 +28,20 @@
 	Tasks []*Task
 	Node  int // index of the controller that the worker sends heartbeats to
 
-	env                              *World
+	env                              *Environment
 	rentedAt, bootedAt, terminatedAt time.Time
 	renewedAt                        time.Time // when the last acknowledged heartbeat was sent
 	epochStartedAt                   time.Time // when the agent epoch began
 }
 
 // newWorker returns the worker of a newly rented machine.
-func newWorker(env *World, m Machine) *Worker {
+func newWorker(env *Environment, m Machine) *Worker {
 	return &Worker{
 		Machine:    m,
 		AgentState: AgentState{AgentEpoch: 1},
 		env:        env,
 		rentedAt:   env.Now,
-		bootedAt:   env.Now.Add(env.MachineType.Boot),
+		bootedAt:   env.Now.Add(env.MachineType.BootTime),
 	}
 }
 
@@ -70,12 +70,12 @@
 	return t.phase == api.TaskRunning || t.phase == api.TaskSaving || t.phase == api.TaskGathering
 }
 
-// Up reports whether the machine has booted.
-func (w *Worker) Up() bool { return !w.env.Now.Before(w.bootedAt) }
+// Booted reports whether the machine has booted.
+func (w *Worker) Booted() bool { return !w.env.Now.Before(w.bootedAt) }
 
 // tick expires the worker's lease if it is due. Otherwise it advances the worker's tasks.
 func (w *Worker) tick() {
-	if !w.Up() {
+	if !w.Booted() {
 		return
 	}
 	if w.epochStartedAt.IsZero() {
@@ -102,7 +102,7 @@
 	if w.renewedAt.After(leaseStart) {
 		leaseStart = w.renewedAt
 	}
-	return w.env.Now.Sub(leaseStart) > w.env.Lease
+	return w.env.Now.Sub(leaseStart) > w.env.WorkerLease
 }
 
 // tickTask advances a task. tickGangs advances gathering and running tasks of gangs.
@@ -110,7 +110,7 @@
 	timeInPhase := w.env.Now.Sub(t.since)
 	switch t.phase {
 	case api.TaskFetching:
-		if timeInPhase < w.env.MachineType.Fetch {
+		if timeInPhase < w.env.MachineType.FetchTime {
 			return
 		}
 		t.phase, t.since = api.TaskRunning, w.env.Now
@@ -131,8 +131,8 @@
 	}
 }
 
-// PresentJobs returns the job ID of each task on the machine that has not ended.
-func (w *Worker) PresentJobs() []string {
+// UnfinishedTaskJobs returns the job ID of each task on the machine that has not ended.
+func (w *Worker) UnfinishedTaskJobs() []string {
 	var uids []string
 	for _, t := range w.Tasks {
 		if t.phase != api.TaskEnded {
@@ -142,8 +142,8 @@
 	return uids
 }
 
-// Room returns the CPUs and GPUs of the machine that its tasks do not use.
-func (w *Worker) Room() (cpus, gpus float64) {
+// FreeCapacity returns the CPUs and GPUs of the machine that its tasks do not use.
+func (w *Worker) FreeCapacity() (cpus, gpus float64) {
 	cpus, gpus = w.env.MachineType.CPUs, w.env.MachineType.GPUs
 	for _, t := range w.Tasks {
 		if t.phase != api.TaskEnded {
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -11,7 +11,7 @@
 	for _, command := range commands {
 		uid, index, ok := api.SplitTaskName(command.Task)
 		if !ok {
-			w.env.Violate(RuleCommands, "command with invalid task name %q", command.Task)
+			w.env.RecordViolation(RuleCommands, "command with invalid task name %q", command.Task)
 			continue
 		}
 		pos := slices.IndexFunc(w.Tasks, func(t *Task) bool { return t.uid == uid && t.index == index && t.attempt == command.Attempt })
@@ -46,17 +46,17 @@
 func (w *Worker) launch(uid string, index int, attempt uint64) {
 	j := w.env.Jobs[uid]
 	if j == nil || index >= j.Spec.Tasks {
-		w.env.Violate(RuleCommands, "launch of a task that does not exist, job %s", uid)
+		w.env.RecordViolation(RuleCommands, "launch of a task that does not exist, job %s", uid)
 		return
 	}
 	if !j.CancelConfirmed.IsZero() {
-		w.env.LateStarts++
+		w.env.LaunchesAfterCancel++
 	}
 	if j.Spec.Kind == api.Gang {
 		w.env.checkGangLaunch(j, index, attempt)
 	}
 	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: w.env.Now}
-	freeCPUs, freeGPUs := w.Room()
+	freeCPUs, freeGPUs := w.FreeCapacity()
 	switch {
 	case slices.ContainsFunc(w.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
 		t.end(api.CauseBusy)
--- a/internal/simulator/worker_heartbeat.go
+++ b/internal/simulator/worker_heartbeat.go
@@ -30,8 +30,8 @@
 	return h
 }
 
-// Summary returns a string that changes whenever the worker has to send a heartbeat at once.
-func (w *Worker) Summary() string {
+// StateSummary returns a string that changes whenever the worker has to send a heartbeat at once.
+func (w *Worker) StateSummary() string {
 	var b strings.Builder
 	fmt.Fprint(&b, w.AgentEpoch, w.Token, w.SpotNoticeS != nil)
 	for _, t := range w.Tasks {
