--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -14,67 +14,67 @@
 
 // Errors of the cloud.
 var (
-	// ErrNoCapacity says that the cloud has no such machines at present.
+	// ErrNoCapacity means that the cloud currently has no machines of the requested kind.
 	ErrNoCapacity = errors.New("cloud has no capacity")
-	// ErrUnavailable says that the cloud did not serve the call, which it may have carried out.
+	// ErrUnavailable means that a call failed; the cloud may still have carried it out.
 	ErrUnavailable = errors.New("cloud unavailable")
 )
 
 const (
-	// MaxRental is the most machines that one request may ask for.
+	// MaxRental is the most machines that one request may rent.
 	MaxRental = 50
 	// MaxReturn is the most machines that one request may return.
 	MaxReturn = 100
 )
 
-// Statuses of the cloud's answers.
+// Response statuses of the cloud.
 const (
 	statusOK                 = 200
 	statusServiceUnavailable = 503
 )
 
-// errorNoCapacity is the error text of a rental that the cloud has no machines for.
-const errorNoCapacity = "no capacity"
+// noCapacityText is the cloud's error text for a rental that exceeds its capacity.
+const noCapacityText = "no capacity"
 
-// burstSeconds is for how many seconds a client may save up its share of the rate.
+// burstSeconds bounds the requests that a client may accumulate, in seconds of its rate share.
 const burstSeconds = 2
 
-// Client talks to the cloud within the controller's share of its rate.
+// Client is a client of the cloud that keeps within the controller's share of its rate limit.
 type Client struct {
-	http     *transport.Client
-	addr     string
-	deadline time.Duration // of one request
-	budget   *transport.TokenBucket
+	http    *transport.Client
+	addr    string
+	timeout time.Duration // of one request
+	budget  *transport.TokenBucket
 }
 
-// New makes a client that sends rps requests a second to addr, each with the deadline.
-func New(h *transport.Client, addr string, deadline time.Duration, rps float64) *Client {
-	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
+// New makes a client that sends at most rps requests per second to addr, each with the timeout.
+func New(h *transport.Client, addr string, timeout time.Duration, rps float64) *Client {
+	return &Client{http: h, addr: addr, timeout: timeout, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
 }
 
-// MachineTypes reads the machine types.
+// MachineTypes returns the machine types that the cloud rents.
 func (c *Client) MachineTypes(ctx context.Context) ([]MachineType, error) {
-	var answer struct {
+	var response struct {
 		MachineTypes []MachineType `json:"builds"`
 	}
-	if err := c.do(ctx, "GET", "/flavors", nil, &answer); err != nil {
+	if err := c.do(ctx, "GET", "/flavors", nil, &response); err != nil {
 		return nil, fmt.Errorf("read machine types: %w", err)
 	}
-	return answer.MachineTypes, nil
+	return response.MachineTypes, nil
 }
 
-// Rent rents machines and returns their names.
+// Rent rents machines and returns their host names.
 func (c *Client) Rent(ctx context.Context, r RentalRequest) ([]string, error) {
-	var answer struct {
+	var response struct {
 		Hosts []string `json:"hosts"`
 	}
-	if err := c.do(ctx, "POST", "/rentals", r, &answer); err != nil {
+	if err := c.do(ctx, "POST", "/rentals", r, &response); err != nil {
 		return nil, fmt.Errorf("rent %s: %w", r.Name, err)
 	}
-	return answer.Hosts, nil
+	return response.Hosts, nil
 }
 
-// Return returns machines to the cloud, MaxReturn at most. When it succeeds they are terminated.
+// Return returns at most MaxReturn machines to the cloud. If it succeeds, they are terminated.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.do(ctx, "POST", "/rentals/return", returnRequest{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return machines: %w", err)
@@ -82,22 +82,22 @@
 	return nil
 }
 
-// Page reads the machines whose names come after since, MaxPage at most. truncated reports
-// whether there are more.
+// Page lists at most MaxPage machines, starting after the name since. truncated reports whether
+// there are more.
 func (c *Client) Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error) {
-	var answer struct {
+	var response struct {
 		Hosts     []Host `json:"hosts"`
 		Truncated bool   `json:"truncated"`
 	}
 	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxPage)
-	if err := c.do(ctx, "GET", target, nil, &answer); err != nil {
+	if err := c.do(ctx, "GET", target, nil, &response); err != nil {
 		return nil, false, fmt.Errorf("list machines: %w", err)
 	}
-	return answer.Hosts, answer.Truncated, nil
+	return response.Hosts, response.Truncated, nil
 }
 
-// do sends a request with a JSON body, none if it is nil, and decodes the answer into out,
-// unless that is nil.
+// do sends a request with a JSON body, or without one if body is nil, and decodes the response
+// into out unless that is nil.
 func (c *Client) do(ctx context.Context, method, target string, body, out any) error {
 	if err := c.awaitBudget(ctx); err != nil {
 		return err
@@ -106,17 +106,17 @@
 	if body != nil {
 		var err error
 		if encoded, err = json.Marshal(body); err != nil {
-			return fmt.Errorf("encode: %w", err)
+			return fmt.Errorf("encode request body: %w", err)
 		}
 	}
-	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Deadline: c.deadline})
+	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Deadline: c.timeout})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return decode(m, out)
+	return decodeResponse(m, out)
 }
 
-// awaitBudget waits until the rate allows one more request.
+// awaitBudget waits until the rate limit allows one more request.
 func (c *Client) awaitBudget(ctx context.Context) error {
 	for {
 		wait, ok := c.budget.Take(time.Now(), 1, 0)
@@ -131,27 +131,28 @@
 	}
 }
 
-// decode decodes an answer into out, unless that is nil, or returns the error that it tells.
-func decode(m *httpwire.Message, out any) error {
+// decodeResponse decodes a response into out unless that is nil, or returns the error it reports.
+func decodeResponse(m *httpwire.Message, out any) error {
 	if m.Status != statusOK {
-		return refusal(m)
+		return responseError(m)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(m.Body, out); err != nil {
-		return fmt.Errorf("%w: decode: %w", ErrUnavailable, err)
+		return fmt.Errorf("%w: decode response: %w", ErrUnavailable, err)
 	}
 	return nil
 }
 
-// refusal returns the error that an answer tells. One that can't be read is ErrUnavailable.
-func refusal(m *httpwire.Message) error {
-	var answer struct {
+// responseError returns the error of a response with a status other than 200: ErrNoCapacity or
+// ErrUnavailable. A body that can't be decoded means ErrUnavailable.
+func responseError(m *httpwire.Message) error {
+	var response struct {
 		Error string `json:"error"`
 	}
-	_ = json.Unmarshal(m.Body, &answer) // what can't be read has no text
-	if m.Status == statusServiceUnavailable && answer.Error == errorNoCapacity {
+	_ = json.Unmarshal(m.Body, &response) // a body that can't be decoded has no error text
+	if m.Status == statusServiceUnavailable && response.Error == noCapacityText {
 		return ErrNoCapacity
 	}
 	return fmt.Errorf("%w: status %d", ErrUnavailable, m.Status)
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -17,9 +17,9 @@
 	"violetturn/internal/transport"
 )
 
-// scriptedCloud is a cloud that gives one answer, and notes the last request.
+// scriptedCloud is a cloud that gives a preset response and records the last request.
 type scriptedCloud struct {
-	mu      sync.Mutex // the server's goroutine and the test's take turns
+	mu      sync.Mutex // guards the fields below, shared by the server's goroutine and the test's
 	status  int
 	body    string
 	request string // method, target and body, separated by spaces
@@ -27,29 +27,29 @@
 
 // ServeHTTP implements http.Handler.
 func (s *scriptedCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // what can't be read differs from what is expected
+	body, _ := io.ReadAll(r.Body) // after a read error the recorded request differs from the wanted one
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.request = fmt.Sprintf("%s %s %s", r.Method, r.URL.RequestURI(), body)
 	w.WriteHeader(s.status)
-	_, _ = io.WriteString(w, s.body) // the client notices what is missing
+	_, _ = io.WriteString(w, s.body) // after a write error the client fails to decode the response
 }
 
-// answerWith has the cloud give an answer from now on.
-func (s *scriptedCloud) answerWith(status int, body string) {
+// setResponse sets the response to all later requests.
+func (s *scriptedCloud) setResponse(status int, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.body = status, body
 }
 
-// lastRequest returns what was asked last.
+// lastRequest returns the last request.
 func (s *scriptedCloud) lastRequest() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.request
 }
 
-// newClient starts a scripted cloud and a client of it, both ended with the test.
+// newClient starts a server with the handler and a client of it, which are stopped when the test ends.
 func newClient(t *testing.T, handler http.Handler) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -66,16 +66,16 @@
 	return New(client, server.Listener.Addr().String(), time.Minute, 1000)
 }
 
-// Requests are those of PROTOCOL, and their answers are read.
-func TestRequests(t *testing.T) {
+// Calls send the requests of PROTOCOL and decode its responses.
+func TestRequestsAndResponses(t *testing.T) {
 	cloud := &scriptedCloud{}
 	client := newClient(t, cloud)
 	ctx := context.Background()
-	for _, x := range []struct {
-		name, answer string
-		call         func() (any, error)
-		request      string
-		want         any
+	for _, test := range []struct {
+		name, response string
+		call           func() (any, error)
+		request        string
+		want           any
 	}{
 		{
 			"machine types", `{"builds":[{"label":"g8","cpus":8,"sites":["a"]}]}`,
@@ -101,7 +101,7 @@
 			func() (any, error) {
 				hosts, truncated, err := client.Page(ctx, "i 2")
 				if truncated {
-					t.Error("the last page counts as truncated")
+					t.Error("Page reports the last page as truncated")
 				}
 				return hosts, err
 			},
@@ -109,59 +109,59 @@
 			[]Host{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
 		},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			cloud.answerWith(200, x.answer)
-			got, err := x.call()
+		t.Run(test.name, func(t *testing.T) {
+			cloud.setResponse(200, test.response)
+			got, err := test.call()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("call failed: %v", err)
 			}
-			if d := cmp.Diff(x.want, got); d != "" {
-				t.Error(d)
+			if d := cmp.Diff(test.want, got); d != "" {
+				t.Errorf("response differs (-want +got):\n%s", d)
 			}
-			if asked := cloud.lastRequest(); asked != x.request {
-				t.Errorf("asked %q, not %q", asked, x.request)
+			if got := cloud.lastRequest(); got != test.request {
+				t.Errorf("got request %q, want %q", got, test.request)
 			}
 		})
 	}
 }
 
-// Only an answer that says so means that there are no machines; everything else means that the
-// cloud is unavailable.
-func TestFailures(t *testing.T) {
+// Only a response with status 503 and the error text for it returns ErrNoCapacity. Every other
+// failure returns ErrUnavailable.
+func TestOnlyNoCapacityTextReturnsErrNoCapacity(t *testing.T) {
 	cloud := &scriptedCloud{}
 	client := newClient(t, cloud)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		status int
 		body   string
 		want   error
 	}{
 		{"no capacity", 503, `{"error":"no capacity"}`, ErrNoCapacity},
-		{"in trouble", 503, `{"error":"try again"}`, ErrUnavailable},
-		{"in trouble without a reason", 503, ``, ErrUnavailable},
+		{"unavailable", 503, `{"error":"try again"}`, ErrUnavailable},
+		{"unavailable without a body", 503, ``, ErrUnavailable},
 		{"too many requests", 429, `{"error":"no capacity"}`, ErrUnavailable},
-		{"malformed answer", 200, `{"hosts":`, ErrUnavailable},
+		{"malformed response", 200, `{"hosts":`, ErrUnavailable},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			cloud.answerWith(x.status, x.body)
+		t.Run(test.name, func(t *testing.T) {
+			cloud.setResponse(test.status, test.body)
 			_, err := client.Rent(context.Background(), RentalRequest{Name: "r-1"})
-			if !errors.Is(err, x.want) || errors.Is(err, ErrNoCapacity) && errors.Is(err, ErrUnavailable) {
-				t.Error(err)
+			if !errors.Is(err, test.want) || errors.Is(err, ErrNoCapacity) && errors.Is(err, ErrUnavailable) {
+				t.Errorf("got error %v, want only %v", err, test.want)
 			}
 		})
 	}
 }
 
-// A request that has to wait for the rate when its time is over was not served.
-func TestRateAndCancellation(t *testing.T) {
+// A request whose context is cancelled while it waits for the rate limit returns ErrUnavailable.
+func TestCancelledRateWaitReturnsErrUnavailable(t *testing.T) {
 	client := newClient(t, &scriptedCloud{status: 200, body: `{}`})
 	client.budget = transport.NewTokenBucket(1e-9, 1)
 	if _, err := client.MachineTypes(context.Background()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("request within the rate limit: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := client.MachineTypes(ctx); !errors.Is(err, ErrUnavailable) {
-		t.Error(err)
+		t.Errorf("request above the rate limit: got error %v, want %v", err, ErrUnavailable)
 	}
 }
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// MaxPage is the most machines that one page of the list holds.
+// MaxPage is the most machines in one page of the list.
 const MaxPage = 500
 
-// pageReader reads one page of the list of rented machines; Client is one.
+// pageReader reads one page of the list of rented machines. Client implements it.
 type pageReader interface {
 	Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error)
 }
 
-// Listing reads the list of rented machines a few pages at a time. Eight pages, which
-// 4,000 machines take, cost more calls than a controller may make in a round: read in one
-// go they would keep rentals and returns waiting for seconds.
+// Listing reads the list of rented machines a few pages at a time. The eight pages of 4,000
+// machines take more calls than a controller's rate share allows in one decision step: reading
+// them all at once would delay rentals and returns by seconds.
 //
-// Machines are listed in the order in which they were created, so one that appears while
-// a listing is under way is on a later page or misses it as it would have missed a list
-// read at once. Whoever judges by the absence of a machine counts from Began.
+// The cloud lists machines in the order of their creation. A machine that is created during a
+// listing is therefore on a later page, or is missing as it would be from a list read at once.
+// Conclusions from the absence of a machine are valid as of Began.
 //
-// The zero value has read nothing. It is not safe for use by several goroutines at once.
+// The zero value is a listing that has not started. It is not safe for concurrent use.
 type Listing struct {
-	// Began is when the listing under way read its first page.
+	// Began is the time at which the current listing read its first page.
 	Began time.Time
 
-	hosts  []Host // those read so far
-	since  string // name of the last of them
-	active bool   // some pages have been read and some not
+	hosts    []Host // the machines read so far
+	lastName string // name of the last machine read
+	active   bool   // the listing has started and is not complete
 }
 
-// Active reports whether some pages have been read and some not.
+// Active reports whether the listing has started and is not complete.
 func (l *Listing) Active() bool { return l.active }
 
-// Read reads up to so many pages, one at least. complete reports whether the last one has been
-// read; hosts is then the whole list, else nil. After an error the next call reads the same
+// Read reads up to maxPages pages, at least one. complete reports whether the last page has been
+// read; hosts is then the whole list, otherwise nil. After an error the next call reads the same
 // page again.
-func (l *Listing) Read(ctx context.Context, from pageReader, now time.Time, pages int) (hosts []Host, complete bool, err error) {
+func (l *Listing) Read(ctx context.Context, reader pageReader, now time.Time, maxPages int) (hosts []Host, complete bool, err error) {
 	if !l.active {
 		*l = Listing{Began: now, active: true}
 	}
-	for range max(pages, 1) {
-		page, truncated, err := from.Page(ctx, l.since)
+	for range max(maxPages, 1) {
+		page, truncated, err := reader.Page(ctx, l.lastName)
 		if err != nil {
 			return nil, false, err
 		}
@@ -51,10 +51,10 @@
 			l.active = false
 			return l.hosts, true, nil
 		}
-		l.since = page[len(page)-1].UID
+		l.lastName = page[len(page)-1].UID
 	}
 	return nil, false, nil
 }
 
-// Abandon drops the pages read so far, for when they have become too old.
+// Abandon discards the pages read so far, for example because they are too old.
 func (l *Listing) Abandon() { *l = Listing{} }
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// pagedList is a list of machines that grows and shrinks between pages and sometimes
-// does not answer.
+// pagedList is a pageReader over a list of machine names. The test changes the list between
+// pages and makes some calls fail.
 type pagedList struct {
 	names   []string
 	failing bool
@@ -23,22 +23,22 @@
 		return nil, false, ErrUnavailable
 	}
 	p.pages++
-	from, found := slices.BinarySearch(p.names, since)
+	start, found := slices.BinarySearch(p.names, since)
 	if found {
-		from++
+		start++
 	}
-	rest := p.names[from:]
-	page := rest[:min(len(rest), MaxPage)]
+	remaining := p.names[start:]
+	page := remaining[:min(len(remaining), MaxPage)]
 	hosts := []Host{}
 	for _, name := range page {
 		hosts = append(hosts, Host{UID: name})
 	}
-	return hosts, len(rest) > len(page), nil
+	return hosts, len(remaining) > len(page), nil
 }
 
-// A listing read a few pages at a time, with failures and changes in between, names every
-// machine that was there all along, none twice, and none that was gone before it began.
-func TestListingInSteps(t *testing.T) {
+// A listing that is read a few pages at a time, with failures and changes in between, contains
+// every machine that existed during the whole listing, and none twice.
+func TestListingAcrossChangesAndFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := &pagedList{}
 		created := 0
@@ -49,52 +49,53 @@
 			}
 		}
 		create(rapid.IntRange(0, 4500).Draw(t, "machines"))
-		stays := map[string]bool{}
+		remaining := map[string]bool{}
 		for _, name := range source.names {
-			stays[name] = true
+			remaining[name] = true
 		}
-		before := source.pages
+		initialPages := source.pages
 		var listing Listing
 		now := time.Unix(0, 0)
 		for step := 0; ; step++ {
 			if step > 200 {
-				t.Fatal("the listing never ends")
+				t.Fatalf("listing not complete after %d steps", step)
 			}
 			source.failing = step < 150 && rapid.IntRange(0, 3).Draw(t, "fails") == 0
-			most := rapid.IntRange(1, 3).Draw(t, "pages")
-			was := source.pages
-			hosts, complete, err := listing.Read(context.Background(), source, now, most)
-			if (err != nil) != source.failing || source.pages-was > most {
-				t.Fatalf("%d pages of %d at once, %v", source.pages-was, most, err)
+			maxPages := rapid.IntRange(1, 3).Draw(t, "pages")
+			pagesBefore := source.pages
+			hosts, complete, err := listing.Read(context.Background(), source, now, maxPages)
+			if (err != nil) != source.failing || source.pages-pagesBefore > maxPages {
+				t.Fatalf("got %d pages, error %v; want at most %d, error: %t", source.pages-pagesBefore, err, maxPages, source.failing)
 			}
 			if complete {
-				checkListing(t, hosts, stays, created)
+				checkListing(t, hosts, remaining, created)
 				break
 			}
 			create(rapid.IntRange(0, 20).Draw(t, "created"))
 			if n := len(source.names); n > 0 {
 				terminated := rapid.IntRange(0, n-1).Draw(t, "gone")
-				delete(stays, source.names[terminated])
+				delete(remaining, source.names[terminated])
 				source.names = slices.Delete(source.names, terminated, terminated+1)
 			}
 		}
-		if need := (len(stays) + MaxPage - 1) / MaxPage; source.pages-before < need {
-			t.Fatalf("%d pages for %d machines", source.pages-before, len(stays))
+		if minPages := (len(remaining) + MaxPage - 1) / MaxPage; source.pages-initialPages < minPages {
+			t.Fatalf("got %d pages for %d machines, want at least %d", source.pages-initialPages, len(remaining), minPages)
 		}
 	})
 }
 
-func checkListing(t *rapid.T, hosts []Host, stays map[string]bool, created int) {
+// checkListing checks that the listing has all remaining machines and none twice.
+func checkListing(t *rapid.T, hosts []Host, remaining map[string]bool, created int) {
 	listed := map[string]bool{}
 	for _, h := range hosts {
 		if listed[h.UID] {
-			t.Fatalf("%s is listed twice", h.UID)
+			t.Fatalf("machine %s is listed twice", h.UID)
 		}
 		listed[h.UID] = true
 	}
-	for name := range stays {
+	for name := range remaining {
 		if !listed[name] {
-			t.Fatalf("%s was there all along and is not listed; %d were created", name, created)
+			t.Fatalf("machine %s existed during the whole listing and is not listed; %d machines were created", name, created)
 		}
 	}
 }
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -6,25 +6,25 @@
 	CPUs        float64  `json:"cpus"`
 	GPUs        float64  `json:"gpus"`
 	MemGB       float64  `json:"memGb"`
-	CacheGB     float64  `json:"localGb"`     // disk for images
-	FetchGBPerS float64  `json:"pullGbPerS"`  // rate at which it fetches images
-	Price       float64  `json:"price"`       // an hour
-	SpotPrice   float64  `json:"marketPrice"` // an hour, as a spot machine
+	CacheGB     float64  `json:"localGb"`     // disk space for images
+	FetchGBPerS float64  `json:"pullGbPerS"`  // rate at which the machine fetches images
+	Price       float64  `json:"price"`       // per hour
+	SpotPrice   float64  `json:"marketPrice"` // per hour, as a spot machine
 	BootS       float64  `json:"startupS"`    // seconds from the rental to the first heartbeat
-	Zones       []string `json:"sites"`       // those that have it
+	Zones       []string `json:"sites"`       // zones that offer the type
 }
 
-// MachinePhase is a phase of a rented machine. Its value is the wire's word.
+// MachinePhase is the phase of a rented machine, as the cloud's messages spell it.
 type MachinePhase string
 
 // Phases of rented machines.
 const (
 	MachineStarting MachinePhase = "starting"
 	MachineRunning  MachinePhase = "running"
-	MachineFailed   MachinePhase = "failed" // stopped on its own; listed until it is returned
+	MachineFailed   MachinePhase = "failed" // stopped by itself; listed until it is returned
 )
 
-// String returns the wire's word.
+// String returns the phase as the cloud's messages spell it.
 func (p MachinePhase) String() string { return string(p) }
 
 // Host is a rented machine as the cloud lists it.
@@ -38,16 +38,16 @@
 	AgeS        float64      `json:"heldS"` // seconds since the rental
 }
 
-// RentalRequest asks for machines.
+// RentalRequest is a request to rent machines.
 type RentalRequest struct {
-	Name        string `json:"hire"` // of the request; the cloud carries each name out once
+	Name        string `json:"hire"` // of the request; the cloud carries out one request per name
 	MachineType string `json:"build"`
 	Zone        string `json:"site"`
 	Spot        bool   `json:"loaners"`
 	Count       int    `json:"howMany"` // MaxRental at most
 }
 
-// returnRequest returns machines.
+// returnRequest is a request to return machines.
 type returnRequest struct {
 	Hosts []string `json:"hosts"`
 }
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -10,7 +10,7 @@
 	"violetturn/internal/store"
 )
 
-// Services are the outside systems of a controller. They are set before anything uses them.
+// Services holds the clients of a controller's external systems. They are set before their first use.
 type Services struct {
 	Store   StateService
 	Cloud   Cloud
@@ -18,8 +18,8 @@
 	Peers   Peers
 }
 
-// StateService is the consensus-backed key-value store, within this controller's share of its
-// rates. Its errors are those of package store.
+// StateService is a client of the consensus-backed key-value store that keeps within this
+// controller's share of its rate limits. Its errors are those of package store.
 type StateService interface {
 	Get(ctx context.Context, key string, p store.Priority) (item store.Item, found bool, err error)
 	List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
@@ -32,19 +32,20 @@
 	RenewLease(ctx context.Context, leaseID uint64) error
 	RevokeLease(ctx context.Context, leaseID uint64) error
 
-	// AwaitWrites waits until some changes can be sent, n at best, and returns how many.
+	// AwaitWrites waits for the budget of n writes and returns how many writes can be sent now.
 	AwaitWrites(ctx context.Context, n int, p store.Priority) int
-	// SetControllers shares the rates among so many controllers.
+	// SetControllers sets the number of controllers that share the rates.
 	SetControllers(controllers int)
-	// ReserveForGangs has others than gangs leave so many changes besides.
+	// ReserveForGangs sets a number of writes that is reserved for gangs besides their regular
+	// reserve.
 	ReserveForGangs(changes float64)
-	// LowerLimits goes over to the coming limits.
+	// LowerLimits applies the announced lower limits.
 	LowerLimits()
-	// Used returns how many requests and changes were sent in all.
+	// Used returns the number of requests and writes of the budget used since the start.
 	Used() (requests, writes float64)
 }
 
-// Cloud rents machines. Its errors are those of package cloud.
+// Cloud is a client of the cloud that rents machines. Its errors are those of package cloud.
 type Cloud interface {
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	Rent(ctx context.Context, request cloud.RentalRequest) (hosts []string, err error)
@@ -52,16 +53,16 @@
 	Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
 }
 
-// Workers reaches workers at their addresses, beside their heartbeats.
+// Workers sends requests to workers directly, independently of their heartbeats.
 type Workers interface {
-	// SendCommands returns the worker's heartbeat after the commands, and whether they were
-	// executed.
+	// SendCommands sends commands and returns the worker's heartbeat from the response and whether
+	// the worker executed them.
 	SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error)
-	// Status returns the worker's heartbeat.
+	// Status requests and returns the worker's current heartbeat.
 	Status(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
-// Peers reaches the other controllers.
+// Peers sends requests to the other controllers.
 type Peers interface {
-	Ask(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
+	Ask(ctx context.Context, addr string, request *peer.Request, timeout time.Duration) (*peer.Reply, error)
 }
--- a/internal/httpwire/doc.go
+++ b/internal/httpwire/doc.go
@@ -1,8 +1,8 @@
-// Package httpwire is the project's own HTTP/1.1 parser and encoder. The parser takes bytes as
-// they come, split anywhere, for requests and for responses, and holds no more than its limits
-// allow. It refuses whatever another implementation could read otherwise (two lengths, a bare
-// line feed, folded headers), since that is how requests are smuggled past a proxy.
+// Package httpwire is an incremental HTTP/1.1 parser and encoder for requests and responses. The
+// parser accepts a stream in fragments of any size and buffers no more than its limits allow. It
+// rejects messages that another implementation might parse differently (two lengths, a bare line
+// feed, folded headers), since request smuggling exploits such differences.
 //
-// A Parser belongs to one goroutine. After its first error it stays failed, as the stream has
-// no message boundary that could be trusted.
+// A Parser must be used by one goroutine at a time. Its first error is permanent, since the next
+// message boundary in the stream can't be determined after it.
 package httpwire
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Ranges of statuses.
+// Response statuses that affect parsing, and the form of a status.
 const (
-	minStatus       = 100
-	firstFinal      = 200 // lower ones are interim answers
-	statusNoContent = 204
-	statusUnchanged = 304
-	maxStatus       = 599
-	statusDigits    = 3
+	minStatus         = 100
+	minFinalStatus    = 200 // lower ones are interim responses
+	statusNoContent   = 204
+	statusNotModified = 304
+	maxStatus         = 599
+	statusDigits      = 3
 )
 
-// parseStartLine reads the start line of a request or a response.
+// parseStartLine parses the start line of a request or a response.
 func (p *Parser) parseStartLine(s string) error {
 	if p.response {
 		return p.parseStatusLine(s)
@@ -24,7 +24,7 @@
 	return p.parseRequestLine(s)
 }
 
-// parseStatusLine reads the start line of a response: version, status, any phrase.
+// parseStatusLine parses the start line of a response: version, status, any reason phrase.
 func (p *Parser) parseStatusLine(s string) error {
 	fields := strings.SplitN(s, " ", 3)
 	if len(fields) < 2 {
@@ -38,7 +38,7 @@
 	return p.parseVersion(fields[0])
 }
 
-// parseRequestLine reads the start line of a request: method, path and query, version.
+// parseRequestLine parses the start line of a request: method, path and query, version.
 func (p *Parser) parseRequestLine(s string) error {
 	fields := strings.SplitN(s, " ", 3)
 	if len(fields) != 3 || !isToken(fields[0]) || !isTarget(fields[1]) {
@@ -48,19 +48,19 @@
 	return p.parseVersion(fields[2])
 }
 
-// parseVersion reads the version of a message.
+// parseVersion parses the HTTP version of a message.
 func (p *Parser) parseVersion(s string) error {
 	switch s {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
 		p.http10 = true
 	default:
-		return malformed("version")
+		return malformed("HTTP version")
 	}
 	return nil
 }
 
-// isTarget reports whether s is a path, with or without a query, of visible characters.
+// isTarget reports whether s is a path, with or without a query, of printable ASCII characters.
 func isTarget(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -70,7 +70,7 @@
 	return s != "" && s[0] == '/'
 }
 
-// isToken reports whether s is a token of HTTP: the form of methods and header names.
+// isToken reports whether s is an HTTP token, the syntax of methods and header names.
 func isToken(s string) bool {
 	for i := range len(s) {
 		if !isTokenByte(s[i]) {
@@ -80,16 +80,16 @@
 	return s != ""
 }
 
-// isTokenByte reports whether a token may contain c.
+// isTokenByte reports whether an HTTP token may contain c.
 func isTokenByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
 }
 
-// parseHeader reads one header line. Headers that the project does not use are checked for
-// their form only.
+// parseHeader parses one header line. It checks the syntax of every header and evaluates those
+// that the controllers use.
 func (p *Parser) parseHeader(s string) error {
 	colon := strings.IndexByte(s, ':')
-	if colon <= 0 || !isToken(s[:colon]) { // a leading blank (folding) fails here too
+	if colon <= 0 || !isToken(s[:colon]) { // also rejects a leading blank (a folded header)
 		return malformed("header")
 	}
 	value := strings.Trim(s[colon+1:], " \t")
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// parseContentLength reads the length of the body. A second length, equal or not, is refused,
-// and so is one besides chunks.
+// parseContentLength parses the length of the body. It rejects a second length, equal or not, and
+// a length together with chunked encoding.
 func (p *Parser) parseContentLength(value string) error {
 	n, err := strconv.ParseUint(value, 10, 62)
 	if err != nil || value[0] == '+' || p.length != lengthUnknown || p.chunked {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// parseTransferEncoding reads the coding of the body, of which only "chunked" is taken.
+// parseTransferEncoding parses the transfer coding of the body. It accepts "chunked" only.
 func (p *Parser) parseTransferEncoding(value string) error {
 	if !strings.EqualFold(value, "chunked") || p.length != lengthUnknown || p.chunked {
 		return malformed("Transfer-Encoding")
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// parseConnection reads whether the sender closes or keeps the connection.
+// parseConnection determines whether the sender closes the connection or keeps it open.
 func (p *Parser) parseConnection(value string) {
 	for option := range strings.SplitSeq(value, ",") {
 		switch strings.ToLower(strings.Trim(option, " \t")) {
@@ -144,34 +144,34 @@
 	}
 }
 
-// endHeaders decides from the headers how the body is delimited.
-func (p *Parser) endHeaders() error {
+// selectBodyFraming determines from the headers how the body is delimited.
+func (p *Parser) selectBodyFraming() error {
 	if p.http10 {
 		if p.chunked {
-			return malformed("chunked in HTTP/1.0")
+			return malformed("chunked encoding in HTTP/1.0")
 		}
 		p.msg.Close = p.msg.Close || !p.keepAlive
 	}
 	switch {
 	case p.response && hasNoBody(p.msg.Status):
-		p.stage = atStart
+		p.stage = stageStartLine
 	case p.chunked:
-		p.stage = atChunkSize
+		p.stage = stageChunkSize
 	case p.length > 0:
-		p.stage = inBody
+		p.stage = stageBody
 	case p.length == 0 || !p.response:
-		p.stage = atStart
+		p.stage = stageStartLine
 	default:
 		p.msg.Close = true
-		p.stage = untilClose
+		p.stage = stageBodyUntilClose
 	}
 	return nil
 }
 
-// hasNoBody reports whether a response of that status never has a body, whatever its headers.
+// hasNoBody reports whether a response with the status has no body regardless of its headers.
 func hasNoBody(status int) bool {
-	return status < firstFinal || status == statusNoContent || status == statusUnchanged
+	return status < minFinalStatus || status == statusNoContent || status == statusNotModified
 }
 
-// malformed returns ErrMalformed with the element at fault.
+// malformed returns ErrMalformed with the invalid element of the message.
 func malformed(element string) error { return fmt.Errorf("%w: %s", ErrMalformed, element) }
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// Limits bound what the other side can make a parser hold.
+// Limits bound the memory that the other side can make a parser use.
 type Limits struct {
-	Line    int // bytes of one start or header line
+	Line    int // bytes of a start line or header line
 	Headers int // number of header lines
 	Body    int // bytes of a body
 }
 
-// RequestLimits are those of PROTOCOL for what others send to a controller.
+// RequestLimits are the limits of PROTOCOL for requests to a controller.
 var RequestLimits = Limits{Line: 8 << 10, Headers: 64, Body: 64 << 10}
 
-// ResponseLimits hold for answers of the outside systems. A watch of the state service has no
-// size limit of its own, so the one for bodies is wide.
+// ResponseLimits are the limits for responses of external systems. The limit for bodies is large
+// because PROTOCOL does not limit the size of a watch response of the state service.
 var ResponseLimits = Limits{Line: 8 << 10, Headers: 128, Body: 16 << 20}
 
-// Errors of the parser; they tell a server which status to refuse with.
+// Errors of the parser. A server selects the status of its error response by them.
 var (
-	// ErrMalformed says that a message is no HTTP/1.0 or 1.1 message, or an ambiguous one.
+	// ErrMalformed means that a message is not valid HTTP/1.0 or 1.1, or is ambiguous.
 	ErrMalformed = errors.New("malformed HTTP message")
-	// ErrTooLarge says that the body is larger than the limit.
+	// ErrTooLarge means that the body exceeds the limit.
 	ErrTooLarge = errors.New("HTTP body too large")
 )
 
@@ -31,13 +31,13 @@
 type Message struct {
 	Method, Target string // of a request
 	Status         int    // of a response
-	Close          bool   // the sender closes the connection, or its version implies that
-	RetryAfter     string // the header of that name, as sent
+	Close          bool   // the sender closes the connection after the message
+	RetryAfter     string // value of the Retry-After header, unparsed
 	Body           []byte
 }
 
-// reasons are the reason phrases of the statuses that controllers answer with.
-var reasons = map[int]string{
+// reasonPhrases holds the reason phrases of the statuses that controllers respond with.
+var reasonPhrases = map[int]string{
 	200: "OK",
 	201: "Created",
 	400: "Bad Request",
@@ -54,21 +54,21 @@
 }
 
 // AppendResponse appends an encoded response with a JSON body to dst. retryAfter is in whole
-// seconds, 0 for none; closing announces that the connection is closed after it.
-func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
-	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", status, reasons[status])
+// seconds, 0 for no Retry-After header; closeAfter adds the header "Connection: close".
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
+	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", status, reasonPhrases[status])
 	dst = appendContentHeaders(dst, body)
 	if retryAfter > 0 {
 		dst = fmt.Appendf(dst, "Retry-After: %d\r\n", retryAfter)
 	}
-	if closing {
+	if closeAfter {
 		dst = append(dst, "Connection: close\r\n"...)
 	}
 	dst = append(dst, "\r\n"...)
 	return append(dst, body...)
 }
 
-// AppendRequest appends an encoded request to dst, with a JSON body unless it is nil.
+// AppendRequest appends an encoded request to dst, with a JSON body unless body is nil.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = fmt.Appendf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	if body != nil {
@@ -78,7 +78,7 @@
 	return append(dst, body...)
 }
 
-// appendContentHeaders appends the headers that describe a body.
+// appendContentHeaders appends the Content-Type and Content-Length headers of a JSON body.
 func appendContentHeaders(dst, body []byte) []byte {
 	return fmt.Appendf(dst, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
 }
--- a/internal/httpwire/parser.go
+++ b/internal/httpwire/parser.go
@@ -6,132 +6,132 @@
 	"strings"
 )
 
-// stage is what a parser expects next.
+// stage is the element of a message that a parser expects next.
 type stage int
 
 // The stages of a message.
 const (
-	atStart     stage = iota // a start line; between two messages
-	inHeaders                // a header, or the blank line after the last one
-	inBody                   // a body of a known length
-	atChunkSize              // the line before a chunk
-	inChunk                  // a chunk and its line end
-	inTrailers               // a header after the last chunk, or the blank line
-	untilClose               // a body that runs until the stream ends
+	stageStartLine      stage = iota // a start line; initial stage, and after each message
+	stageHeaders                     // a header, or the blank line after the last header
+	stageBody                        // a body of a known length
+	stageChunkSize                   // the line with the size of the next chunk
+	stageChunk                       // a chunk and the line end after it
+	stageTrailers                    // a header after the last chunk, or the final blank line
+	stageBodyUntilClose              // a body that extends to the end of the stream
 )
 
-// lengthUnknown is the length of a body before a Content-Length header was read.
+// lengthUnknown is the length of a body without a Content-Length header so far.
 const lengthUnknown = -1
 
-// lineEnd is the number of bytes of the line end after a chunk.
-const lineEnd = 2
+// lineEndBytes is the length of the line end after a chunk.
+const lineEndBytes = 2
 
-// Parser turns a byte stream into messages. The zero value is not usable; see NewParser.
+// Parser parses a byte stream into messages. Use NewParser to make one.
 type Parser struct {
 	limits   Limits
-	response bool // it reads responses, not requests
+	response bool // it parses responses, not requests
 
-	buf     []byte // bytes that were fed and not yet consumed
-	scanned int    // bytes of buf known to hold no line end
+	buf     []byte // bytes fed and not yet consumed
+	scanned int    // length of the prefix of buf without a line feed
 
-	stage     stage
-	msg       *Message // the one being read; nil between two messages
-	headers   int      // header lines read of it
-	length    int      // of the body, or of the chunk being read; lengthUnknown without one
-	chunked   bool
-	http10    bool
-	keepAlive bool
+	stage       stage
+	msg         *Message // the message being parsed; nil between two messages
+	headerCount int      // header lines parsed of the message
+	length      int      // of the body or the current chunk; lengthUnknown if not given
+	chunked     bool
+	http10      bool
+	keepAlive   bool
 
-	err error // the first error, for ever
+	err error // the first error; permanent
 }
 
-// NewParser makes a parser for responses, or for requests.
+// NewParser makes a parser for responses if response is true, else for requests.
 func NewParser(response bool, limits Limits) *Parser {
 	return &Parser{limits: limits, response: response}
 }
 
-// Feed adds bytes of the stream; it copies them.
+// Feed appends a copy of the next bytes of the stream to the buffer.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Next returns the next whole message, or nil when it needs more bytes. Its error is
-// ErrMalformed or ErrTooLarge, and every later call returns the same.
+// Next returns the next complete message, or nil if it needs more bytes. Its error is
+// ErrMalformed or ErrTooLarge; every later call returns the same error.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
-		whole, more := p.step()
-		if whole {
-			return p.finish(), nil
+		complete, needMore := p.step()
+		if complete {
+			return p.completeMessage(), nil
 		}
-		if more {
+		if needMore {
 			break
 		}
 	}
 	return nil, p.err
 }
 
-// End tells the parser that the stream has ended. It returns the response whose body runs
-// until then, nil if there is none.
+// End handles the end of the stream. It returns the response whose body extends to the end of
+// the stream, or nil if there is none.
 func (p *Parser) End() *Message {
-	if p.err != nil || p.stage != untilClose {
+	if p.err != nil || p.stage != stageBodyUntilClose {
 		return nil
 	}
 	p.msg.Body = p.buf
 	p.buf = nil
-	return p.finish()
+	return p.completeMessage()
 }
 
-// finish returns the message being read and makes ready for the next one.
-func (p *Parser) finish() *Message {
+// completeMessage returns the current message and resets the parser for the next one.
+func (p *Parser) completeMessage() *Message {
 	m := p.msg
-	p.msg, p.stage = nil, atStart
+	p.msg, p.stage = nil, stageStartLine
 	return m
 }
 
-// step parses on by one element. whole reports whether that completed a message, more whether
-// more bytes are needed, or the message is in error.
-func (p *Parser) step() (whole, more bool) {
+// step parses the next element. complete reports whether it completed a message, needMore whether
+// more bytes are needed or the message is invalid.
+func (p *Parser) step() (complete, needMore bool) {
 	switch p.stage {
-	case atStart:
+	case stageStartLine:
 		return false, p.readStart()
-	case inHeaders:
+	case stageHeaders:
 		return p.readHeader()
-	case inBody:
+	case stageBody:
 		return p.readBody()
-	case atChunkSize:
+	case stageChunkSize:
 		return false, p.readChunkSize()
-	case inChunk:
+	case stageChunk:
 		return false, p.readChunk()
-	case inTrailers:
+	case stageTrailers:
 		return p.readTrailer()
-	case untilClose:
+	case stageBodyUntilClose:
 		return p.readUntilClose()
 	}
-	panic("httpwire: no such stage")
+	panic("httpwire: invalid parser stage")
 }
 
-// readStart reads a start line.
-func (p *Parser) readStart() (more bool) {
-	s, ok := p.line()
+// readStart reads and parses a start line.
+func (p *Parser) readStart() (needMore bool) {
+	s, ok := p.readLine()
 	if !ok {
 		return true
 	}
 	p.msg = &Message{}
-	p.headers, p.length, p.chunked, p.keepAlive, p.http10 = 0, lengthUnknown, false, false, false
+	p.headerCount, p.length, p.chunked, p.keepAlive, p.http10 = 0, lengthUnknown, false, false, false
 	p.err = p.parseStartLine(s)
-	p.stage = inHeaders
+	p.stage = stageHeaders
 	return p.err != nil
 }
 
-// readHeader reads a header, or the end of the headers.
-func (p *Parser) readHeader() (whole, more bool) {
-	s, ok := p.line()
+// readHeader reads a header, or the blank line that ends the headers.
+func (p *Parser) readHeader() (complete, needMore bool) {
+	s, ok := p.readLine()
 	if !ok {
 		return false, true
 	}
 	if s == "" {
-		p.err = p.endHeaders()
-		return p.err == nil && p.stage == atStart, p.err != nil
+		p.err = p.selectBodyFraming()
+		return p.err == nil && p.stage == stageStartLine, p.err != nil
 	}
-	if p.headers++; p.headers > p.limits.Headers {
+	if p.headerCount++; p.headerCount > p.limits.Headers {
 		p.err = malformed("too many headers")
 	} else {
 		p.err = p.parseHeader(s)
@@ -140,7 +140,7 @@
 }
 
 // readBody reads a body of a known length.
-func (p *Parser) readBody() (whole, more bool) {
+func (p *Parser) readBody() (complete, needMore bool) {
 	if len(p.buf) < p.length {
 		return false, true
 	}
@@ -149,13 +149,13 @@
 	return true, false
 }
 
-// readChunkSize reads the line before a chunk.
-func (p *Parser) readChunkSize() (more bool) {
-	s, ok := p.line()
+// readChunkSize reads the line with the size of the next chunk.
+func (p *Parser) readChunkSize() (needMore bool) {
+	s, ok := p.readLine()
 	if !ok {
 		return true
 	}
-	s, _, _ = strings.Cut(s, ";") // extensions say nothing to us
+	s, _, _ = strings.Cut(s, ";") // chunk extensions are ignored
 	s = strings.TrimRight(s, " \t")
 	n, err := strconv.ParseUint(s, 16, 31)
 	if err != nil || s == "" || s[0] == '+' {
@@ -166,16 +166,16 @@
 		p.err = ErrTooLarge
 		return true
 	}
-	p.length, p.stage = int(n), inChunk
+	p.length, p.stage = int(n), stageChunk
 	if n == 0 {
-		p.stage = inTrailers
+		p.stage = stageTrailers
 	}
 	return false
 }
 
-// readChunk reads a chunk with its line end.
-func (p *Parser) readChunk() (more bool) {
-	if len(p.buf) < p.length+lineEnd {
+// readChunk reads a chunk and the line end after it.
+func (p *Parser) readChunk() (needMore bool) {
+	if len(p.buf) < p.length+lineEndBytes {
 		return true
 	}
 	if p.buf[p.length] != '\r' || p.buf[p.length+1] != '\n' {
@@ -183,38 +183,38 @@
 		return true
 	}
 	p.msg.Body = append(p.msg.Body, p.buf[:p.length]...)
-	p.consume(p.length + lineEnd)
-	p.stage = atChunkSize
+	p.consume(p.length + lineEndBytes)
+	p.stage = stageChunkSize
 	return false
 }
 
-// readTrailer reads a header after the last chunk, or the end of the message.
-func (p *Parser) readTrailer() (whole, more bool) {
-	s, ok := p.line()
+// readTrailer reads a header after the last chunk, or the blank line that ends the message.
+func (p *Parser) readTrailer() (complete, needMore bool) {
+	s, ok := p.readLine()
 	if !ok {
 		return false, true
 	}
 	if s == "" {
 		return true, false
 	}
-	if p.headers++; p.headers > p.limits.Headers {
+	if p.headerCount++; p.headerCount > p.limits.Headers {
 		p.err = malformed("too many trailers")
 	}
 	return false, p.err != nil
 }
 
-// readUntilClose checks the size of a body that runs until the stream ends, which End tells.
-func (p *Parser) readUntilClose() (whole, more bool) {
+// readUntilClose checks the size of a body that extends to the end of the stream; End completes it.
+func (p *Parser) readUntilClose() (complete, needMore bool) {
 	if len(p.buf) > p.limits.Body {
 		p.err = ErrTooLarge
 	}
 	return false, true
 }
 
-// line consumes the next line and returns it without its end, or returns false when it is not
-// whole or in error. A bare line feed is refused: accepting it where another hop does not is
-// how requests are smuggled.
-func (p *Parser) line() (string, bool) {
+// readLine consumes the next line and returns it without its line end. It returns false if the
+// line is incomplete or invalid. A bare line feed is rejected: accepting it where another hop
+// does not would allow request smuggling.
+func (p *Parser) readLine() (string, bool) {
 	i := bytes.IndexByte(p.buf[p.scanned:], '\n')
 	if i < 0 {
 		p.scanned = len(p.buf)
@@ -233,7 +233,7 @@
 	return s, true
 }
 
-// consume drops the first n bytes of the buffer, and the buffer itself once it is empty.
+// consume removes the first n bytes of the buffer and releases the buffer when it is empty.
 func (p *Parser) consume(n int) {
 	p.buf = p.buf[n:]
 	p.scanned = 0
--- a/internal/httpwire/parser_test.go
+++ b/internal/httpwire/parser_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// parse feeds a stream in the given fragments and returns all its messages.
-func parse(p *Parser, fragments []string) ([]*Message, error) {
+// parseFragments feeds the fragments of a stream to a parser and returns all complete messages.
+func parseFragments(p *Parser, fragments []string) ([]*Message, error) {
 	var out []*Message
 	for _, s := range fragments {
 		p.Feed([]byte(s))
@@ -28,8 +28,8 @@
 	return out, nil
 }
 
-// split cuts a stream into fragments at random places.
-func split(t *rapid.T, s string) []string {
+// splitRandomly splits a stream into random fragments of 1 to 40 bytes.
+func splitRandomly(t *rapid.T, s string) []string {
 	var out []string
 	for len(s) > 0 {
 		n := rapid.IntRange(1, min(len(s), 40)).Draw(t, "fragment")
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Any split of a valid stream parses alike, in both directions.
-func TestAnySplitParsesAlike(t *testing.T) {
+// A valid stream of requests or responses yields the same messages however it is fragmented.
+func TestFragmentationDoesNotChangeMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream strings.Builder
 		var want []*Message
@@ -57,10 +57,10 @@
 			}
 			if rapid.Bool().Draw(t, "chunked") {
 				stream.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-				for rest := body; rest != ""; {
-					n := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
-					fmt.Fprintf(&stream, "%x;ext=1\r\n%s\r\n", n, rest[:n])
-					rest = rest[n:]
+				for remaining := body; remaining != ""; {
+					n := rapid.IntRange(1, len(remaining)).Draw(t, "chunk")
+					fmt.Fprintf(&stream, "%x;ext=1\r\n%s\r\n", n, remaining[:n])
+					remaining = remaining[n:]
 				}
 				stream.WriteString("0\r\nTrailer: x\r\n\r\n")
 			} else {
@@ -71,75 +71,75 @@
 			}
 			want = append(want, m)
 		}
-		got, err := parse(NewParser(response, RequestLimits), split(t, stream.String()))
+		got, err := parseFragments(NewParser(response, RequestLimits), splitRandomly(t, stream.String()))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("valid stream rejected: %v", err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
-			t.Fatal(d)
+			t.Fatalf("messages differ (-want +got):\n%s", d)
 		}
 	})
 }
 
-// Streams that are malformed, ambiguous or beyond the limits are refused, and give no message.
-func TestRefused(t *testing.T) {
+// Streams that are malformed, ambiguous or exceed the limits are rejected without a message.
+func TestInvalidStreamIsRejected(t *testing.T) {
 	for name, s := range map[string]string{
-		"two lengths":           "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
-		"length and chunked":    "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"chunked and length":    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n",
-		"length list":           "POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx",
-		"signed length":         "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx",
-		"negative length":       "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\nx",
-		"empty length":          "POST / HTTP/1.1\r\nContent-Length:\r\n\r\nx",
-		"other coding":          "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-		"folded header":         "POST / HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
-		"blank before colon":    "POST / HTTP/1.1\r\nContent-Length : 1\r\n\r\nx",
-		"bare line feed":        "GET / HTTP/1.1\nHost: x\n\n",
-		"no path":               "GET  HTTP/1.1\r\n\r\n",
-		"absolute form":         "GET http://x/ HTTP/1.1\r\n\r\n",
-		"other version":         "GET / HTTP/2.0\r\n\r\n",
-		"chunk size with sign":  "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n+1\r\nx\r\n0\r\n\r\n",
-		"chunk longer than its": "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxy\r\n0\r\n\r\n",
-		"body too large":        "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
-		"endless line":          "GET /" + strings.Repeat("a", 10000),
-		"headers without end":   "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 100),
+		"two lengths":          "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
+		"length and chunked":   "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"chunked and length":   "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n",
+		"length list":          "POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx",
+		"signed length":        "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx",
+		"negative length":      "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\nx",
+		"empty length":         "POST / HTTP/1.1\r\nContent-Length:\r\n\r\nx",
+		"other coding":         "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
+		"folded header":        "POST / HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
+		"blank before colon":   "POST / HTTP/1.1\r\nContent-Length : 1\r\n\r\nx",
+		"bare line feed":       "GET / HTTP/1.1\nHost: x\n\n",
+		"no path":              "GET  HTTP/1.1\r\n\r\n",
+		"absolute form":        "GET http://x/ HTTP/1.1\r\n\r\n",
+		"other version":        "GET / HTTP/2.0\r\n\r\n",
+		"chunk size with sign": "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n+1\r\nx\r\n0\r\n\r\n",
+		"chunk above its size": "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxy\r\n0\r\n\r\n",
+		"body too large":       "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
+		"endless line":         "GET /" + strings.Repeat("a", 10000),
+		"headers without end":  "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 100),
 	} {
-		if got, err := parse(NewParser(false, RequestLimits), []string{s}); err == nil || len(got) > 0 {
-			t.Errorf("%s: taken: %v %v", name, got, err)
+		if got, err := parseFragments(NewParser(false, RequestLimits), []string{s}); err == nil || len(got) > 0 {
+			t.Errorf("%s: got messages %v, error %v; want none and an error", name, got, err)
 		}
 	}
 }
 
-// No input panics or makes the parser hold more than its limits.
+// No input makes the parser panic or buffer more than its limits allow.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, b []byte, response bool) {
-		lim := Limits{Line: 64, Headers: 4, Body: 100}
-		p := NewParser(response, lim)
+		limits := Limits{Line: 64, Headers: 4, Body: 100}
+		p := NewParser(response, limits)
 		for i := range b {
 			p.Feed(b[i : i+1])
 			m, err := p.Next()
 			if err != nil {
 				return
 			}
-			if m != nil && len(m.Body) > lim.Body {
-				t.Fatalf("body of %d bytes", len(m.Body))
+			if m != nil && len(m.Body) > limits.Body {
+				t.Fatalf("got a body of %d bytes, want at most %d", len(m.Body), limits.Body)
 			}
-			if len(p.buf) > lim.Line+lim.Body+3 {
-				t.Fatalf("holds %d bytes", len(p.buf))
+			if len(p.buf) > limits.Line+limits.Body+3 {
+				t.Fatalf("parser buffers %d bytes, want at most %d", len(p.buf), limits.Line+limits.Body+3)
 			}
 		}
 	})
 }
 
-// A response without a length ends with the stream.
-func TestResponseUntilClose(t *testing.T) {
+// The body of a response without a length extends to the end of the stream.
+func TestResponseWithoutLengthEndsWithStream(t *testing.T) {
 	p := NewParser(true, RequestLimits)
-	if got, err := parse(p, []string{"HTTP/1.0 200 OK\r\n\r\n", "ab"}); err != nil || len(got) > 0 {
-		t.Fatal(got, err)
+	if got, err := parseFragments(p, []string{"HTTP/1.0 200 OK\r\n\r\n", "ab"}); err != nil || len(got) > 0 {
+		t.Fatalf("before the end of the stream: got messages %v, error %v; want neither", got, err)
 	}
 	if m := p.End(); m == nil || string(m.Body) != "ab" || !m.Close {
-		t.Fatalf("%+v", m)
+		t.Fatalf("after the end of the stream: got %+v, want body %q and Close set", m, "ab")
 	}
 }
--- a/internal/httpwire/seed_test.go
+++ b/internal/httpwire/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Generated inputs are the same every time; -rapid.seed draws others.
+// A fixed seed makes the generated inputs the same in every run; -rapid.seed sets another.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -1,5 +1,5 @@
-// Package logkey has the attributes of log lines under their keys, so that the same thing is
-// logged under the same key everywhere. The keys are what operators search for: they stay.
+// Package logkey defines the attributes of log lines, so that a value is logged under the same key
+// everywhere. Operators search for the keys, so they must not change.
 package logkey
 
 import (
@@ -9,84 +9,84 @@
 
 // Keys of the attributes.
 const (
-	keyAttempt     = "attempt"
-	keyBefore      = "before"
-	keyCause       = "cause"
-	keyClean       = "clean"
-	keyControllers = "controllers"
-	keyErr         = "err"
-	keyHadLeader   = "had_leader"
-	keyHost        = "host"
-	keyLastHeard   = "last_heard"
-	keyLaunches    = "launches"
-	keyLeader      = "leader"
-	keyLease       = "lease"
-	keyPhase       = "phase"
-	keySaved       = "saved"
-	keyShard       = "shard"
-	keyTask        = "task"
-	keyTasks       = "tasks"
-	keyTerm        = "term"
-	keyTerminated  = "terminated"
-	keyWhy         = "why"
+	keyAttempt             = "attempt"
+	keyPreviousCount       = "before"
+	keyCause               = "cause"
+	keyPredecessorsStopped = "clean"
+	keyControllers         = "controllers"
+	keyErr                 = "err"
+	keyHadLeader           = "had_leader"
+	keyHost                = "host"
+	keyLastContact         = "last_heard"
+	keyLaunches            = "launches"
+	keyLeader              = "leader"
+	keyLease               = "lease"
+	keyPhase               = "phase"
+	keySaved               = "saved"
+	keyShard               = "shard"
+	keyTask                = "task"
+	keyTasks               = "tasks"
+	keyTerm                = "term"
+	keyTerminated          = "terminated"
+	keyReason              = "why"
 )
 
-// Attempt is the attempt of a task.
+// Attempt is the attempt number of a task.
 func Attempt(attempt uint64) slog.Attr { return slog.Uint64(keyAttempt, attempt) }
 
-// Before is a count as it was before it changed.
-func Before(count int) slog.Attr { return slog.Int(keyBefore, count) }
+// Before is the previous value of a count that has changed.
+func Before(count int) slog.Attr { return slog.Int(keyPreviousCount, count) }
 
-// Cause is why a task ended, as its worker said.
+// Cause is the exit cause of a task as its worker reported it.
 func Cause(cause string) slog.Attr { return slog.String(keyCause, cause) }
 
-// Clean tells whether no earlier leader can still be answering workers.
-func Clean(clean bool) slog.Attr { return slog.Bool(keyClean, clean) }
+// Clean is whether all earlier leaders of a shard have certainly stopped responding to workers.
+func Clean(clean bool) slog.Attr { return slog.Bool(keyPredecessorsStopped, clean) }
 
 // Controllers is a number of controllers.
 func Controllers(count int) slog.Attr { return slog.Int(keyControllers, count) }
 
-// Err is what went wrong; it may be nil.
+// Err is an error; it may be nil.
 func Err(err error) slog.Attr { return slog.Any(keyErr, err) }
 
-// HadLeader tells whether a shard had a leader until now.
+// HadLeader is whether a shard had a leader until now.
 func HadLeader(had bool) slog.Attr { return slog.Bool(keyHadLeader, had) }
 
-// Host is a machine by name.
+// Host is the name of a machine.
 func Host(name string) slog.Attr { return slog.String(keyHost, name) }
 
-// LastHeard is when a heartbeat was last heard.
-func LastHeard(at time.Time) slog.Attr { return slog.Time(keyLastHeard, at) }
+// LastHeard is the time at which a heartbeat was last received.
+func LastHeard(at time.Time) slog.Attr { return slog.Time(keyLastContact, at) }
 
-// Launches is how often a launch was sent.
+// Launches is the number of times that a launch was sent.
 func Launches(count int) slog.Attr { return slog.Int(keyLaunches, count) }
 
 // Leader is the controller that leads a shard.
 func Leader(name string) slog.Attr { return slog.String(keyLeader, name) }
 
-// Lease is a lease of the state service by its ID.
+// Lease is the ID of a lease of the state service.
 func Lease(id uint64) slog.Attr { return slog.Uint64(keyLease, id) }
 
-// Phase is the phase of a task, as its worker said.
+// Phase is the phase of a task as its worker reported it.
 func Phase(phase string) slog.Attr { return slog.String(keyPhase, phase) }
 
-// Saved tells whether a task saved its progress before it ended.
+// Saved is whether a task saved its progress before it ended.
 func Saved(saved bool) slog.Attr { return slog.Bool(keySaved, saved) }
 
-// Shard is a shard by the name of its home controller.
+// Shard is a shard, named by the host name of its home controller.
 func Shard(name string) slog.Attr { return slog.String(keyShard, name) }
 
-// Task is a task by name.
+// Task is the name of a task.
 func Task(name string) slog.Attr { return slog.String(keyTask, name) }
 
 // Tasks is a number of tasks.
 func Tasks(count int) slog.Attr { return slog.Int(keyTasks, count) }
 
-// Term is the term of a leader.
+// Term is the term of a shard's leader.
 func Term(term uint64) slog.Attr { return slog.Uint64(keyTerm, term) }
 
-// Terminated tells whether the cloud has confirmed the end of a machine.
+// Terminated is whether the cloud has confirmed that a machine is terminated.
 func Terminated(terminated bool) slog.Attr { return slog.Bool(keyTerminated, terminated) }
 
-// Why is the reason of what was done, in words.
-func Why(reason string) slog.Attr { return slog.String(keyWhy, reason) }
+// Why is the reason for an action, in plain text.
+func Why(reason string) slog.Attr { return slog.String(keyReason, reason) }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,4 +1,4 @@
-// Package node describes this controller process: settings, policy, features, clock, source of
-// randomness, log and incarnation. It is made at the start and does not change afterwards; a
-// simulation replaces the clock and how work is run asynchronously before anything uses it.
+// Package node describes this controller process: settings, policy, features, clock, random
+// number generator, log and incarnation. The description is made at the start and does not change
+// afterwards; a simulation replaces the clock and the asynchronous execution before its first use.
 package node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,8 +10,8 @@
 	"violetturn/internal/features"
 )
 
-// Info is this controller process: what it was started with, its clock, its source of
-// randomness and its log. It does not change after the start.
+// Info describes this controller process: its configuration, clock, random number generator and
+// log. It does not change after the start.
 type Info struct {
 	Settings    *config.Settings
 	Policy      *config.Policy
@@ -19,16 +19,16 @@
 	Log         *slog.Logger
 	Now         func() time.Time
 	Random      *rand.Rand
-	Shards      []string // all shards, by the name of their home controller, sorted
-	Incarnation uint64   // this life of the process
+	Shards      []string // all shards by the host name of their home controller, sorted
+	Incarnation uint64   // identifies this run of the process
 
-	RunAsync     func(func()) // runs work in a goroutine of its own
-	SteppedClock bool         // time is advanced from outside: nothing may wait for it
+	RunAsync     func(func()) // runs a function in a goroutine of its own
+	SteppedClock bool         // a simulation advances the clock, so code must not block until a time is reached
 }
 
-// New makes the info of a process that starts now, with a random incarnation.
+// New describes a process that is starting, with a random incarnation.
 func New(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Info {
-	n := &Info{
+	info := &Info{
 		Settings:    settings,
 		Policy:      policy,
 		Features:    features.Default(),
@@ -40,8 +40,8 @@
 		RunAsync:    func(f func()) { go f() },
 	}
 	for _, m := range settings.Members {
-		n.Shards = append(n.Shards, m.HostName)
+		info.Shards = append(info.Shards, m.HostName)
 	}
-	slices.Sort(n.Shards)
-	return n
+	slices.Sort(info.Shards)
+	return info
 }
--- a/internal/notify/doc.go
+++ b/internal/notify/doc.go
@@ -1,2 +1,2 @@
-// Package notify has a signal that wakes one waiting goroutine and never blocks who sends it.
+// Package notify implements a signal that wakes one waiting goroutine and never blocks the sender.
 package notify
--- a/internal/notify/signal.go
+++ b/internal/notify/signal.go
@@ -1,13 +1,13 @@
 package notify
 
-// Signal wakes one waiting goroutine, which receives from it; further signals until it looks
-// are dropped. Use NewSignal.
+// Signal wakes one goroutine that receives from it. While a notification is pending, further ones
+// are discarded. Use NewSignal to make one.
 type Signal chan struct{}
 
-// NewSignal makes a signal that nobody has given yet.
+// NewSignal makes a signal without a pending notification.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Notify wakes the goroutine that waits for the signal, now or when it next looks. It never
+// Notify wakes a goroutine that receives from the signal, now or at its next receive. It never
 // blocks.
 func (s Signal) Notify() {
 	select {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -12,7 +12,7 @@
 	"violetturn/internal/transport"
 )
 
-// Statuses of the state service's answers.
+// Response statuses of the state service.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
@@ -24,62 +24,62 @@
 	statusServiceUnavailable = 503
 )
 
-// Options are what a client is made with.
+// Options are the parameters of New.
 type Options struct {
 	HTTP        *transport.Client
 	Addr        string
-	Deadline    time.Duration // of an ordinary request, its wait for tokens aside
-	Limits      Limits        // those that hold now
-	Next        Limits        // what they become at some moment, which shows in refusals
-	Controllers int           // that share the limits
-	OnAnswer    func(ok bool) // called after each request: whether the service served it
+	Deadline    time.Duration // of a request, without its wait for tokens and for changes
+	Limits      Limits        // the limits in force
+	Next        Limits        // announced lower limits; they take effect at an unknown time, after which requests are refused
+	Controllers int           // number of controllers that share the limits
+	OnAnswer    func(ok bool) // called after each request with whether the service is available
 }
 
-// Client talks to the state service within the controller's share of its rates.
+// Client is a client of the state service that keeps within the controller's share of its rates.
 type Client struct {
-	http     *transport.Client
-	addr     string
-	deadline time.Duration
-	onAnswer func(ok bool)
-	requests *transport.TokenBucket
-	writes   *transport.TokenBucket // changes
+	http       *transport.Client
+	addr       string
+	timeout    time.Duration
+	onResponse func(ok bool)
+	requests   *transport.TokenBucket // one token per request
+	writes     *transport.TokenBucket // one token per changed key
 
-	mu            sync.Mutex // guards what follows
-	limits        Limits     // as far as is known
-	next          Limits     // what they become at some moment, or are
-	controllers   int
-	gangReserve   float64     // changes that the priorities below gangs leave to them
-	writeRefusals []time.Time // of changes, the last ones
+	mu               sync.Mutex // guards the fields below
+	limits           Limits     // the limits assumed to be in force
+	announcedLimits  Limits     // announced lower limits, or those in force
+	controllers      int
+	reservedForGangs float64     // write tokens that priorities below PriorityGang leave besides their regular reserve
+	writeRefusals    []time.Time // times of the latest refusals of writes
 }
 
-// New makes a client.
+// New makes a client of the state service.
 func New(o Options) *Client {
 	requests, writes, burst := o.Limits.rateShare(o.Controllers)
 	return &Client{
-		http:        o.HTTP,
-		addr:        o.Addr,
-		deadline:    o.Deadline,
-		onAnswer:    o.OnAnswer,
-		requests:    transport.NewTokenBucket(requests, requests),
-		writes:      transport.NewTokenBucket(writes, burst),
-		limits:      o.Limits,
-		next:        o.Next,
-		controllers: o.Controllers,
+		http:            o.HTTP,
+		addr:            o.Addr,
+		timeout:         o.Deadline,
+		onResponse:      o.OnAnswer,
+		requests:        transport.NewTokenBucket(requests, requests),
+		writes:          transport.NewTokenBucket(writes, burst),
+		limits:          o.Limits,
+		announcedLimits: o.Next,
+		controllers:     o.Controllers,
 	}
 }
 
-// call is one request to the state service.
-type call struct {
+// request describes a request to the state service.
+type request struct {
 	method, target string
-	body           any // encoded as JSON; nil: none
-	writes         int // changes that it makes
+	body           any // encoded as JSON; nil: no body
+	writeCount     int // number of keys that it changes
 	priority       Priority
-	blocks         time.Duration // for how long the service may hold the answer back
+	maxBlock       time.Duration // how long the service may delay the response to wait for changes
 }
 
-// do sends a request once its tokens have come, and returns the answer. Its error is ErrRefused
-// or ErrUnknown, unless the body can't be encoded.
-func (c *Client) do(ctx context.Context, r call) (*httpwire.Message, error) {
+// send waits for the tokens of a request, sends it and returns the response. Its error is
+// ErrRefused or ErrUnknown, unless the body can't be encoded.
+func (c *Client) send(ctx context.Context, r request) (*httpwire.Message, error) {
 	if err := c.awaitBudget(ctx, r); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	if r.body != nil {
 		var err error
 		if encoded, err = json.Marshal(r.body); err != nil {
-			return nil, fmt.Errorf("encode: %w", err)
+			return nil, fmt.Errorf("encode request body: %w", err)
 		}
 	}
 	m, err := c.http.Do(ctx, transport.Request{
@@ -95,15 +95,15 @@
 		Method:   r.method,
 		Target:   r.target,
 		Body:     encoded,
-		Deadline: c.deadline + r.blocks,
+		Deadline: c.timeout + r.maxBlock,
 	})
 	if err != nil {
-		return nil, c.noteFailure(err)
+		return nil, c.reportFailure(err)
 	}
-	c.onAnswer(m.Status != statusServiceUnavailable)
-	if m.Status == statusTooManyRequests && r.writes > 0 {
-		c.writes.Drain() // several controllers spent what they had saved at once
-		c.noteRefusal(time.Now())
+	c.onResponse(m.Status != statusServiceUnavailable)
+	if m.Status == statusTooManyRequests && r.writeCount > 0 {
+		c.writes.Drain() // several controllers spent their accumulated tokens at the same time
+		c.recordWriteRefusal(time.Now())
 	}
 	if m.Status == statusServiceUnavailable || m.Status == statusTooManyRequests {
 		return nil, ErrRefused
@@ -111,37 +111,37 @@
 	return m, nil
 }
 
-// awaitBudget waits for the tokens of a request, first those of its changes.
-func (c *Client) awaitBudget(ctx context.Context, r call) error {
-	until := time.Now().Add(c.deadline)
-	if r.writes > 0 {
-		if err := awaitTokens(ctx, c.writes, float64(r.writes), c.reservedShare(r.priority), until); err != nil {
+// awaitBudget waits for the tokens of a request, first for its write tokens.
+func (c *Client) awaitBudget(ctx context.Context, r request) error {
+	deadline := time.Now().Add(c.timeout)
+	if r.writeCount > 0 {
+		if err := awaitTokens(ctx, c.writes, float64(r.writeCount), c.reservedShare(r.priority), deadline); err != nil {
 			return err
 		}
 	}
-	return awaitTokens(ctx, c.requests, 1, reservedShares[r.priority], until)
+	return awaitTokens(ctx, c.requests, 1, reservedShares[r.priority], deadline)
 }
 
-// noteFailure tells onAnswer of a request without a usable answer and returns its error.
-func (c *Client) noteFailure(err error) error {
-	if errors.Is(err, httpwire.ErrTooLarge) { // served, but more than we can hold
-		c.onAnswer(true)
+// reportFailure reports a request without a usable response to onResponse and returns its error.
+func (c *Client) reportFailure(err error) error {
+	if errors.Is(err, httpwire.ErrTooLarge) { // the service responded, but the response exceeds the client's limit
+		c.onResponse(true)
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	c.onAnswer(false)
+	c.onResponse(false)
 	if errors.Is(err, transport.ErrNoResponse) {
 		return ErrUnknown
 	}
 	return ErrRefused
 }
 
-// decode decodes an answer with status 200.
-func decode(m *httpwire.Message, out any) error {
+// decodeResponse decodes the body of a response with status 200; another status is a StatusError.
+func decodeResponse(m *httpwire.Message, out any) error {
 	if m.Status != statusOK {
-		return &StatusError{Status: m.Status, Body: errorText(m.Body)}
+		return &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)}
 	}
 	if err := json.Unmarshal(m.Body, out); err != nil {
-		return fmt.Errorf("decode: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -12,29 +12,29 @@
 	"violetturn/internal/httpwire"
 )
 
-// Answers to reads are told as PROTOCOL lists them.
-func TestReads(t *testing.T) {
+// Reads send the requests of PROTOCOL and decode its responses.
+func TestReadRequestsAndResponses(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
 
-	f.service.set("/keys/a/b", 200, `{"k":"a/b","v":{"x":1},"stamp":412,"permit":7}`)
+	f.service.setResponse("/keys/a/b", 200, `{"k":"a/b","v":{"x":1},"stamp":412,"permit":7}`)
 	item, found, err := f.client.Get(ctx, "a/b", PriorityDecision)
 	if err != nil || !found || item.Version != 412 || string(item.Value) != `{"x":1}` {
-		t.Error(item, found, err)
+		t.Errorf("Get of a key: got %+v, found %t, error %v; want version 412 and value %s", item, found, err, `{"x":1}`)
 	}
-	f.service.set("/keys/a/c", 404, `{"epoch":431}`)
+	f.service.setResponse("/keys/a/c", 404, `{"epoch":431}`)
 	if _, found, err = f.client.Get(ctx, "a/c", PriorityDecision); found || err != nil {
-		t.Error(found, err)
+		t.Errorf("Get of a missing key: got found %t, error %v; want neither", found, err)
 	}
-	f.service.set("/keys", 200, `{"rows":[{"k":"c/1","v":1,"stamp":2}],"truncated":false,"epoch":431}`)
+	f.service.setResponse("/keys", 200, `{"rows":[{"k":"c/1","v":1,"stamp":2}],"truncated":false,"epoch":431}`)
 	items, revision, err := f.client.List(ctx, "c/")
 	if err != nil || revision != 431 || len(items) != 1 {
-		t.Error(items, revision, err)
+		t.Errorf("List: got %v at revision %d, error %v; want 1 item at revision 431", items, revision, err)
 	}
-	f.service.set("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
+	f.service.setResponse("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
 	changes, revision, err := f.client.Changes(ctx, "c/", 431, 2*time.Second)
 	if err != nil || revision != 433 || len(changes) != 2 || changes[1].Drop != "c/d" {
-		t.Error(changes, revision, err)
+		t.Errorf("Changes: got %v up to revision %d, error %v; want a write and a deletion up to 433", changes, revision, err)
 	}
 	want := []string{
 		"GET /keys/a/b",
@@ -42,81 +42,81 @@
 		"GET /keys?prefix=c%2F&limit=1000",
 		"GET /changes?prefix=c%2F&since=431&blockMs=2000",
 	}
-	if d := cmp.Diff(want, f.service.asked()); d != "" {
-		t.Error(d)
+	if d := cmp.Diff(want, f.service.takeRequests()); d != "" {
+		t.Errorf("requests differ (-want +got):\n%s", d)
 	}
 }
 
-// A list goes on after the last key of a page until a page is the last one, and its revision is
-// that of the first page.
-func TestListPages(t *testing.T) {
+// List requests pages, each starting after the last key of the previous one, until a page is not
+// truncated. The revision of the list is that of the first page.
+func TestListReadsAllPages(t *testing.T) {
 	f := newFixture(t)
-	f.service.set("/keys?prefix=c%2F&limit=1000", 200, `{"rows":[{"k":"c/1"},{"k":"c/2"}],"truncated":true,"epoch":9}`)
-	f.service.set("/keys?prefix=c%2F&limit=1000&since=c%2F2", 200, `{"rows":[{"k":"c/3"}],"truncated":false,"epoch":12}`)
+	f.service.setResponse("/keys?prefix=c%2F&limit=1000", 200, `{"rows":[{"k":"c/1"},{"k":"c/2"}],"truncated":true,"epoch":9}`)
+	f.service.setResponse("/keys?prefix=c%2F&limit=1000&since=c%2F2", 200, `{"rows":[{"k":"c/3"}],"truncated":false,"epoch":12}`)
 	items, revision, err := f.client.List(context.Background(), "c/")
 	if err != nil || revision != 9 || len(items) != 3 || items[2].Key != "c/3" {
-		t.Error(items, revision, err)
+		t.Errorf("got %v at revision %d, error %v; want 3 items to c/3 at revision 9", items, revision, err)
 	}
-	f.service.set("/keys?prefix=c%2F&limit=1000&since=c%2F2", 500, `{}`)
+	f.service.setResponse("/keys?prefix=c%2F&limit=1000&since=c%2F2", 500, `{}`)
 	var status *StatusError
 	if _, _, err := f.client.List(context.Background(), "c/"); !errors.As(err, &status) || status.Status != 500 {
-		t.Error(err)
+		t.Errorf("status 500 for the second page: got error %v, want a StatusError with status 500", err)
 	}
 }
 
-// Changes that are no longer kept, or are more than the client may hold, have to be read from a
-// list; the service counts as reached.
-func TestChangesTooOld(t *testing.T) {
+// Changes that are no longer in the change log, or whose response exceeds the client's size limit,
+// return ErrTooOld, so that the caller lists the keys instead. The service is reported as available.
+func TestUnavailableChangesReturnErrTooOld(t *testing.T) {
 	f := newFixture(t)
 	large := strings.Repeat(" ", httpwire.ResponseLimits.Body+1)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		status int
 		body   string
 	}{
-		{"no longer kept", 410, `{}`},
-		{"too large", 200, large},
+		{"no longer in the log", 410, `{}`},
+		{"response too large", 200, large},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			f.service.set("/changes", x.status, x.body)
-			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.served {
-				t.Errorf("%v, served %t", err, f.served)
+		t.Run(test.name, func(t *testing.T) {
+			f.service.setResponse("/changes", test.status, test.body)
+			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.lastServed {
+				t.Errorf("got error %v, service available %t; want %v and true", err, f.lastServed, ErrTooOld)
 			}
-			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.asked()); d != "" {
-				t.Error(d)
+			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.takeRequests()); d != "" {
+				t.Errorf("requests differ (-want +got):\n%s", d)
 			}
 		})
 	}
 }
 
-// Leases are granted and renewed; one that has ended is told as such.
-func TestLeases(t *testing.T) {
+// Leases are granted, renewed and revoked; the renewal of a lease that has ended returns ErrNoLease.
+func TestLeaseRequests(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
-	f.service.set("/holds", 200, `{"permit":7}`)
+	f.service.setResponse("/holds", 200, `{"permit":7}`)
 	if leaseID, err := f.client.GrantLease(ctx, 5*time.Second); err != nil || leaseID != 7 {
-		t.Error(leaseID, err)
+		t.Errorf("GrantLease: got lease %d, error %v; want lease 7", leaseID, err)
 	}
-	f.service.set("/holds/7/touch", 200, `{}`)
+	f.service.setResponse("/holds/7/touch", 200, `{}`)
 	if err := f.client.RenewLease(ctx, 7); err != nil {
-		t.Error(err)
+		t.Errorf("RenewLease: %v", err)
 	}
-	f.service.set("/holds/7/touch", 404, `{}`)
+	f.service.setResponse("/holds/7/touch", 404, `{}`)
 	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrNoLease) {
-		t.Error(err)
+		t.Errorf("RenewLease of a lease that has ended: got error %v, want %v", err, ErrNoLease)
 	}
-	f.service.set("/holds/7", 200, `{}`)
+	f.service.setResponse("/holds/7", 200, `{}`)
 	if err := f.client.RevokeLease(ctx, 7); err != nil {
-		t.Error(err)
+		t.Errorf("RevokeLease: %v", err)
 	}
 	want := []string{`POST /holds {"ttlMs":5000}`, "POST /holds/7/touch {}", "POST /holds/7/touch {}", "DELETE /holds/7"}
-	if d := cmp.Diff(want, f.service.asked()); d != "" {
-		t.Error(d)
+	if d := cmp.Diff(want, f.service.takeRequests()); d != "" {
+		t.Errorf("requests differ (-want +got):\n%s", d)
 	}
 }
 
-// transaction returns a transaction with a precondition, a write under a lease and a deletion.
-func transaction() *Txn {
+// newTransaction returns a transaction with a precondition, a write under a lease and a deletion.
+func newTransaction() *Txn {
 	leaseID := uint64(7)
 	return &Txn{
 		Preconditions: []Precondition{{"a/b", 0}},
@@ -124,10 +124,10 @@
 	}
 }
 
-// Each answer to a transaction has its outcome or its error.
-func TestCommit(t *testing.T) {
+// Commit maps each response to its result or its error, and the service is reported as available.
+func TestCommitOutcomes(t *testing.T) {
 	f := newFixture(t)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		status  int
 		body    string
@@ -140,40 +140,40 @@
 		{"too many changes", 400, `{"error":"too many changes"}`, CommitResult{}, ErrTooLarge},
 		{"too long", 413, `{"error":"no such lease"}`, CommitResult{}, ErrTooLarge},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			f.service.set("/multi", x.status, x.body)
-			result, err := f.client.Commit(context.Background(), transaction(), PriorityDecision)
-			if d := cmp.Diff(x.want, result); d != "" || !errors.Is(err, x.wantErr) || !f.served {
-				t.Errorf("%s%v, served %t", d, err, f.served)
+		t.Run(test.name, func(t *testing.T) {
+			f.service.setResponse("/multi", test.status, test.body)
+			result, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
+			if d := cmp.Diff(test.want, result); d != "" || !errors.Is(err, test.wantErr) || !f.lastServed {
+				t.Errorf("got error %v, available %t; want %v and true; result (-want +got):\n%s", err, f.lastServed, test.wantErr, d)
 			}
 			want := []string{`POST /multi {"guards":[{"k":"a/b","stamp":0}],"then":[{"write":"a/b","v":{},"permit":7},{"drop":"c/d"}]}`}
-			if d := cmp.Diff(want, f.service.asked()); d != "" {
-				t.Error(d)
+			if d := cmp.Diff(want, f.service.takeRequests()); d != "" {
+				t.Errorf("requests differ (-want +got):\n%s", d)
 			}
 		})
 	}
 }
 
-// Refusals are told as such, and only several in a row for the rate lower the limits. A 503
-// means that the service is not reached, a 429 that it is.
-func TestRefusals(t *testing.T) {
+// A refused transaction returns ErrRefused. Only several refusals for the rate (429) lower the
+// limits. After a 503 the service is reported as unavailable, after a 429 as available.
+func TestRefusalsLowerLimits(t *testing.T) {
 	f := newFixture(t)
 	for _, status := range []int{503, 429, 429, 429} {
-		if status == 429 && f.client.limits == f.client.next {
-			t.Error("slows down before it is refused several times")
+		if status == 429 && f.client.limits == f.client.announcedLimits {
+			t.Error("limits lowered before several refusals")
 		}
-		f.service.set("/multi", status, `{}`)
-		_, err := f.client.Commit(context.Background(), transaction(), PriorityDecision)
-		if !errors.Is(err, ErrRefused) || f.served != (status == 429) {
-			t.Error(status, err, f.served)
+		f.service.setResponse("/multi", status, `{}`)
+		_, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
+		if !errors.Is(err, ErrRefused) || f.lastServed != (status == 429) {
+			t.Errorf("status %d: got error %v, service available %t; want %v and %t", status, err, f.lastServed, ErrRefused, status == 429)
 		}
 	}
-	if f.client.limits != f.client.next {
-		t.Error("goes on at a rate that is refused")
+	if f.client.limits != f.client.announcedLimits {
+		t.Errorf("got limits %+v after several refusals, want the announced %+v", f.client.limits, f.client.announcedLimits)
 	}
 }
 
-// Priorities have names, and a value that is none of them says so.
+// String returns the name of a priority, or the number of an invalid one.
 func TestPriorityString(t *testing.T) {
 	for p, want := range map[Priority]string{
 		PriorityLease:      "lease",
@@ -184,7 +184,7 @@
 		Priority(-1):       "Priority(-1)",
 	} {
 		if p.String() != want {
-			t.Errorf("%d: %s", int(p), p)
+			t.Errorf("priority %d: got name %s, want %s", int(p), p, want)
 		}
 	}
 }
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,22 +1,22 @@
 // Package store is the client of the state service: keys with versions, transactions with
-// preconditions (compare-and-swap), a log of changes, and leases.
+// preconditions (compare-and-swap), a change log, and leases.
 //
 // # Rates
 //
-// The service's rates hold for all controllers together. A Client spends its controller's
-// share of them, and each request has a Priority: the lower ones leave a reserve to those
-// above. A request waits for its tokens for one deadline at most.
+// The service's rate limits apply to all controllers together. A Client uses its controller's
+// share of them. Each request has a Priority; requests of a lower priority leave a reserve for
+// those of a higher one. A request waits for its tokens for at most Options.Deadline.
 //
 // # Failures
 //
-// A request that fails with ErrRefused was surely not carried out. One that fails with
-// ErrUnknown may have been, or may still be; only reading settles it. The other errors of this
-// package are answers of the service, and a StatusError is an answer that PROTOCOL does not
-// have.
+// A request that fails with ErrRefused was certainly not carried out. One that fails with
+// ErrUnknown may have been carried out or may still be; its outcome can only be determined by
+// reading. The other errors of this package are derived from responses of the service. A
+// StatusError is a response with a status that PROTOCOL does not define for the request.
 //
 // # Goroutines
 //
-// A Client's methods may be called from any goroutine, and block it until the answer or the
-// deadline. The mutex of a Client guards its rates and is never held during a request. OnAnswer
-// of the Options is called from the goroutine that made the request.
+// A Client's methods may be called from any goroutine and block until the response or a timeout.
+// The mutex of a Client guards its rates and is never held during a request. Options.OnAnswer is
+// called in the goroutine that made the request.
 package store
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,34 +5,34 @@
 	"fmt"
 )
 
-// Errors of the state service. They come wrapped with what was being done.
+// Errors of the state service. They are wrapped in errors that name the operation.
 var (
-	// ErrRefused says that the request was surely not carried out: it was answered with 503 or
-	// 429, or never sent.
-	ErrRefused = errors.New("state service refused")
-	// ErrUnknown says that the request may have been carried out, or may still be later.
-	ErrUnknown = errors.New("state service did not answer")
-	// ErrNoLease says that the lease has ended.
+	// ErrRefused means that the request was certainly not carried out: the response had status
+	// 503 or 429, or the request was never sent.
+	ErrRefused = errors.New("state service refused the request")
+	// ErrUnknown means that the request may have been carried out or may still be carried out later.
+	ErrUnknown = errors.New("state service did not respond; outcome of the request unknown")
+	// ErrNoLease means that the lease has expired or was revoked.
 	ErrNoLease = errors.New("no such lease")
-	// ErrTooLarge says that a transaction or a value is larger than the service takes.
-	ErrTooLarge = errors.New("state service refused the size")
-	// ErrTooOld says that changes since that revision are no longer kept.
-	ErrTooOld = errors.New("changes no longer kept")
+	// ErrTooLarge means that a transaction or a value exceeds the service's size limit.
+	ErrTooLarge = errors.New("transaction or value exceeds the size limit of the state service")
+	// ErrTooOld means that the changes since the requested revision can't be read from the change log.
+	ErrTooOld = errors.New("changes since the revision can't be read from the change log")
 )
 
-// errorTextLength bounds how much of an answer's body an error quotes.
-const errorTextLength = 100
+// maxExcerptLength is the most characters of a response body that an error quotes.
+const maxExcerptLength = 100
 
-// StatusError is an answer with a status that PROTOCOL does not have for the request.
+// StatusError is a response with a status that PROTOCOL does not define for the request.
 type StatusError struct {
 	Status int
-	Body   string // the beginning of it
+	Body   string // its beginning
 }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("state service: status %d: %s", e.Status, e.Body)
+	return fmt.Sprintf("state service: unexpected status %d: %s", e.Status, e.Body)
 }
 
-// errorText returns the beginning of a body, for errors.
-func errorText(body []byte) string { return fmt.Sprintf("%.*s", errorTextLength, body) }
+// bodyExcerpt returns the beginning of a response body for an error message.
+func bodyExcerpt(body []byte) string { return fmt.Sprintf("%.*s", maxExcerptLength, body) }
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -11,29 +11,29 @@
 	"violetturn/internal/httpwire"
 )
 
-// pageSize is how many keys one page of a list may hold.
+// pageSize is the most keys that the service may return in one page of a list.
 const pageSize = 1000
 
-// errorNoLease is the error text of a transaction that names a lease that has ended.
-const errorNoLease = "no such lease"
+// noLeaseText is the service's error text for a transaction that names a lease that has ended.
+const noLeaseText = "no such lease"
 
 // Get reads one key; found reports whether it exists.
 func (c *Client) Get(ctx context.Context, key string, p Priority) (item Item, found bool, err error) {
-	m, err := c.do(ctx, call{method: "GET", target: "/keys/" + key, priority: p})
+	m, err := c.send(ctx, request{method: "GET", target: "/keys/" + key, priority: p})
 	if err != nil {
 		return item, false, fmt.Errorf("get %s: %w", key, err)
 	}
 	if m.Status == statusNotFound {
 		return item, false, nil
 	}
-	if err := decode(m, &item); err != nil {
+	if err := decodeResponse(m, &item); err != nil {
 		return item, true, fmt.Errorf("get %s: %w", key, err)
 	}
 	return item, true, nil
 }
 
-// List reads all keys with a prefix. Its pages are of different revisions; revision is that of
-// the first, from which a watch misses nothing.
+// List reads all keys with a prefix. Its pages may be of different revisions; revision is that of
+// the first page, so a watch that starts there reports all later changes.
 func (c *Client) List(ctx context.Context, prefix string) (items []Item, revision uint64, err error) {
 	since := ""
 	for first := true; ; first = false {
@@ -52,31 +52,31 @@
 	}
 }
 
-// listPage reads one page of the keys with a prefix: those after since, or the first ones if it
-// is "".
+// listPage reads one page of the keys with a prefix, starting after the key since, or at the first
+// key if since is "".
 func (c *Client) listPage(ctx context.Context, prefix, since string) (page listPage, err error) {
 	target := fmt.Sprintf("/keys?prefix=%s&limit=%d", url.QueryEscape(prefix), pageSize)
 	if since != "" {
 		target += "&since=" + url.QueryEscape(since)
 	}
-	m, err := c.do(ctx, call{method: "GET", target: target, priority: PriorityDecision})
+	m, err := c.send(ctx, request{method: "GET", target: target, priority: PriorityDecision})
 	if err != nil {
 		return page, err
 	}
-	return page, decode(m, &page)
+	return page, decodeResponse(m, &page)
 }
 
-// Changes waits up to block for changes after a revision to keys with a prefix. It returns
-// them and the revision up to which they are complete. ErrTooOld means that they have to be
-// read from a list instead.
-func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]Change, uint64, error) {
-	target := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, block.Milliseconds())
-	m, err := c.do(ctx, call{method: "GET", target: target, priority: PriorityDecision, blocks: block})
+// Changes waits up to maxBlock for changes after a revision to keys with a prefix. It returns
+// them and the revision up to which they are complete. After ErrTooOld the caller must list the
+// keys instead.
+func (c *Client) Changes(ctx context.Context, prefix string, since uint64, maxBlock time.Duration) ([]Change, uint64, error) {
+	target := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, maxBlock.Milliseconds())
+	m, err := c.send(ctx, request{method: "GET", target: target, priority: PriorityDecision, maxBlock: maxBlock})
 	switch {
 	case errors.Is(err, httpwire.ErrTooLarge):
-		// After a minute without the service a large fleet's changes can be more than a
-		// controller may hold. Asked for again they would only have grown; all records
-		// are read anew instead, in pages.
+		// After an outage of a minute, the changes of a large fleet can exceed the size limit of
+		// a response. A retry would return even more of them, so the caller lists all records in
+		// pages instead.
 		return nil, 0, fmt.Errorf("changes of %s: %w: %w", prefix, ErrTooOld, err)
 	case err != nil:
 		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, err)
@@ -84,33 +84,33 @@
 		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, ErrTooOld)
 	}
 	var page changesPage
-	if err := decode(m, &page); err != nil {
+	if err := decodeResponse(m, &page); err != nil {
 		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, err)
 	}
 	return page.Changes, page.Revision, nil
 }
 
-// Commit has the service judge a transaction. Preconditions that do not hold are an outcome, not
-// an error.
+// Commit sends a transaction to the service. Preconditions that do not hold are reported in the
+// result, not as an error.
 func (c *Client) Commit(ctx context.Context, t *Txn, p Priority) (CommitResult, error) {
-	m, err := c.do(ctx, call{method: "POST", target: "/multi", body: t, writes: len(t.Ops), priority: p})
+	m, err := c.send(ctx, request{method: "POST", target: "/multi", body: t, writeCount: len(t.Ops), priority: p})
 	if err != nil {
 		return CommitResult{}, fmt.Errorf("commit: %w", err)
 	}
-	var answer commitAnswer
-	if err := json.Unmarshal(m.Body, &answer); err != nil {
-		return CommitResult{}, fmt.Errorf("commit: decode: %w", err)
+	var response commitResponse
+	if err := json.Unmarshal(m.Body, &response); err != nil {
+		return CommitResult{}, fmt.Errorf("commit: decode response: %w", err)
 	}
 	switch m.Status {
 	case statusOK:
-		return CommitResult{Committed: true, Revision: answer.Revision}, nil
+		return CommitResult{Committed: true, Revision: response.Revision}, nil
 	case statusConflict:
-		return CommitResult{Revision: answer.Revision, Conflicts: answer.Conflicts}, nil
+		return CommitResult{Revision: response.Revision, Conflicts: response.Conflicts}, nil
 	case statusBadRequest, statusContentTooLarge:
-		if m.Status == statusBadRequest && answer.Error == errorNoLease {
+		if m.Status == statusBadRequest && response.Error == noLeaseText {
 			return CommitResult{}, fmt.Errorf("commit: %w", ErrNoLease)
 		}
-		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, errorText(m.Body)) // nothing we send is malformed otherwise
+		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, bodyExcerpt(m.Body)) // otherwise only the size can be invalid
 	}
-	return CommitResult{}, fmt.Errorf("commit: %w", &StatusError{Status: m.Status, Body: errorText(m.Body)})
+	return CommitResult{}, fmt.Errorf("commit: %w", &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)})
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -9,22 +9,22 @@
 	"violetturn/internal/httpwire"
 )
 
-// GrantLease makes a lease that ends after ttl unless it is renewed, and returns its ID.
+// GrantLease creates a lease that expires after ttl unless it is renewed, and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	m, err := c.leaseCall(ctx, "POST", "/holds", leaseRequest{TTLMS: ttl.Milliseconds()})
+	m, err := c.sendLeaseRequest(ctx, "POST", "/holds", leaseRequest{TTLMS: ttl.Milliseconds()})
 	if err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	var answer leaseAnswer
-	if err := decode(m, &answer); err != nil {
+	var response leaseResponse
+	if err := decodeResponse(m, &response); err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	return answer.LeaseID, nil
+	return response.LeaseID, nil
 }
 
-// RenewLease renews a lease. ErrNoLease means that it has ended.
+// RenewLease renews a lease. It returns ErrNoLease if the lease has ended.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
-	m, err := c.leaseCall(ctx, "POST", leaseTarget(leaseID)+"/touch", struct{}{})
+	m, err := c.sendLeaseRequest(ctx, "POST", leaseTarget(leaseID)+"/touch", struct{}{})
 	if err != nil {
 		return fmt.Errorf("renew lease %d: %w", leaseID, err)
 	}
@@ -34,21 +34,21 @@
 	case statusNotFound:
 		return fmt.Errorf("renew lease %d: %w", leaseID, ErrNoLease)
 	}
-	return fmt.Errorf("renew lease %d: %w", leaseID, &StatusError{Status: m.Status, Body: errorText(m.Body)})
+	return fmt.Errorf("renew lease %d: %w", leaseID, &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)})
 }
 
-// RevokeLease ends a lease at once. One that has ended already is no error.
+// RevokeLease ends a lease immediately. It is no error if the lease has ended already.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
-	if _, err := c.leaseCall(ctx, "DELETE", leaseTarget(leaseID), nil); err != nil {
+	if _, err := c.sendLeaseRequest(ctx, "DELETE", leaseTarget(leaseID), nil); err != nil {
 		return fmt.Errorf("revoke lease %d: %w", leaseID, err)
 	}
 	return nil
 }
 
-// leaseCall sends a request of a lease.
-func (c *Client) leaseCall(ctx context.Context, method, target string, body any) (*httpwire.Message, error) {
-	return c.do(ctx, call{method: method, target: target, body: body, priority: PriorityLease})
+// sendLeaseRequest sends a request about a lease at lease priority.
+func (c *Client) sendLeaseRequest(ctx context.Context, method, target string, body any) (*httpwire.Message, error) {
+	return c.send(ctx, request{method: method, target: target, body: body, priority: PriorityLease})
 }
 
-// leaseTarget returns the path of a lease.
+// leaseTarget returns the URL path of a lease.
 func leaseTarget(leaseID uint64) string { return "/holds/" + strconv.FormatUint(leaseID, 10) }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -9,7 +9,7 @@
 	Version uint64          `json:"stamp"` // the revision at which the value was written
 }
 
-// Change is one entry of the log of changes: the write of a value, or a deletion.
+// Change is one entry of the change log: a write or a deletion of a key.
 type Change struct {
 	Write   string          `json:"write"` // the key that was written; "" for a deletion
 	Drop    string          `json:"drop"`  // the key that was deleted; "" for a write
@@ -17,38 +17,38 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Precondition is a condition of a transaction: the key has that version, or does not exist if
-// it is 0.
+// Precondition is a condition of a transaction: the key has the version, or does not exist if
+// the version is 0.
 type Precondition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
 
-// Op is a change of a transaction: the write of a value, or a deletion.
+// Op is an operation of a transaction: a write or a deletion of a key.
 type Op struct {
 	Write string          `json:"write,omitempty"` // the key to write; "" for a deletion
 	Value json.RawMessage `json:"v,omitempty"`
-	Lease *uint64         `json:"permit,omitempty"` // the key is deleted when that lease ends; nil: never
+	Lease *uint64         `json:"permit,omitempty"` // the key is deleted when the lease ends; nil: no lease
 	Drop  string          `json:"drop,omitempty"`   // the key to delete; "" for a write
 }
 
-// Txn is a transaction: all of its changes are made if all preconditions hold, else none.
+// Txn is a transaction: all of its operations are applied if all preconditions hold, else none.
 type Txn struct {
 	Preconditions []Precondition `json:"guards"`
 	Ops           []Op           `json:"then"`
 }
 
-// CommitResult is the outcome of a transaction that the service judged.
+// CommitResult is the outcome of a transaction that the service has evaluated.
 type CommitResult struct {
-	// Committed reports whether the preconditions held and the changes were made.
+	// Committed reports whether the preconditions held and the operations were applied.
 	Committed bool
-	// Revision is that of the commit, or else the one at which the preconditions were judged.
+	// Revision is that of the commit, or the one at which the preconditions were evaluated.
 	Revision uint64
 	// Conflicts are the keys whose preconditions did not hold.
 	Conflicts []string
 }
 
-// The bodies of requests and answers.
+// Bodies of requests and responses.
 type (
 	listPage struct {
 		Items     []Item `json:"rows"`
@@ -59,7 +59,7 @@
 		Revision uint64   `json:"epoch"`
 		Changes  []Change `json:"log"`
 	}
-	commitAnswer struct {
+	commitResponse struct {
 		Revision  uint64   `json:"epoch"`
 		Conflicts []string `json:"failed"`
 		Error     string   `json:"error"`
@@ -67,7 +67,7 @@
 	leaseRequest struct {
 		TTLMS int64 `json:"ttlMs"`
 	}
-	leaseAnswer struct {
+	leaseResponse struct {
 		LeaseID uint64 `json:"permit"`
 	}
 )
--- a/internal/store/priority.go
+++ b/internal/store/priority.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Priority says how a request stands under load: the lower, the sooner.
+// Priority is the priority of a request under load. Lower values have precedence.
 type Priority int
 
-// Priorities of requests: leases, then gangs, all tasks of which wait for one change, then what
-// heartbeats and decisions need besides, then submissions.
+// Priorities of requests, highest first: leases; gangs, whose tasks all wait for a single write;
+// other requests for heartbeats and decisions; submissions.
 const (
 	PriorityLease Priority = iota
 	PriorityGang
@@ -14,7 +14,7 @@
 	PrioritySubmission
 )
 
-// priorityNames are the names of the priorities, in their order.
+// priorityNames holds the name of each priority.
 var priorityNames = [...]string{"lease", "gang", "decision", "submission"}
 
 // String returns the name of the priority.
@@ -25,8 +25,8 @@
 	return priorityNames[p]
 }
 
-// reservedShares is the share of a budget that each priority leaves to those above it.
+// reservedShares holds the share of a budget that each priority leaves to higher priorities.
 var reservedShares = [...]float64{PriorityLease: 0, PriorityGang: 0.05, PriorityDecision: 0.1, PrioritySubmission: 0.15}
 
-// maxReservedShare bounds the share that is left to gangs as well.
+// maxReservedShare is the largest share of the write budget that is reserved, for gangs included.
 const maxReservedShare = 0.5
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -7,32 +7,33 @@
 	"violetturn/internal/transport"
 )
 
-// Limits are the rates of the state service, for all controllers together.
+// Limits are the rate limits of the state service for all controllers together.
 type Limits struct {
-	RPS      float64 // requests a second
-	WriteRPS float64 // changes a second
+	RPS      float64 // requests per second
+	WriteRPS float64 // changed keys per second
 }
 
-// writeBurstSeconds is for how many seconds of the whole rate a controller may save up its
-// changes, unless its own share of a second is more.
+// writeBurstSeconds bounds the write tokens that a controller may accumulate, in seconds of the
+// rate of all controllers. A controller may accumulate one second of its own share if that is more.
 const writeBurstSeconds = 0.6
 
-// refusalsBeforeLowering is how many refusals of changes within a short while show that the
-// coming rate holds: one may come when several controllers spend at once what they had saved.
-const refusalsBeforeLowering = 3
+// refusalsToLowerLimits is the number of refused writes within a short time from which the client
+// concludes that the announced lower limits are in force. A single refusal can also occur when
+// several controllers spend their accumulated tokens at the same time.
+const refusalsToLowerLimits = 3
 
-// refusalDeadlines is how long that short while is, in deadlines of a request.
-const refusalDeadlines = 4
+// refusalWindowTimeouts is the length of that time, in timeouts of a request.
+const refusalWindowTimeouts = 4
 
-// rateShare returns what one of so many controllers may use: requests and changes a second, and
-// how many changes it may save up. That is more than a second's worth, as long as the others
-// hardly ever spend theirs in the same second.
+// rateShare returns the share of one controller: requests and writes per second, and the most
+// write tokens that it may accumulate. With several controllers that is more than one second of
+// its share, because they rarely spend their bursts in the same second.
 func (l Limits) rateShare(controllers int) (requests, writes, burst float64) {
 	n := float64(max(controllers, 1))
 	return l.RPS / n, l.WriteRPS / n, max(l.WriteRPS/n, writeBurstSeconds*l.WriteRPS)
 }
 
-// SetControllers sets the share of the rates to that of one of so many controllers.
+// SetControllers sets the number of controllers that share the rates.
 func (c *Client) SetControllers(controllers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,35 +41,36 @@
 	c.setRates()
 }
 
-// LowerLimits tells the client that the coming limits hold now. They don't rise again.
+// LowerLimits applies the announced lower limits. They are never raised again.
 func (c *Client) LowerLimits() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.limits = c.next
+	c.limits = c.announcedLimits
 	c.setRates()
 }
 
-// ReserveForGangs makes the priorities below gangs leave that many changes besides.
-func (c *Client) ReserveForGangs(changes float64) {
+// ReserveForGangs makes priorities below PriorityGang leave this many write tokens besides their
+// regular reserve.
+func (c *Client) ReserveForGangs(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gangReserve = changes
+	c.reservedForGangs = writes
 }
 
-// Used returns how many requests and changes were sent in all.
+// Used returns the number of request and write tokens consumed since the start.
 func (c *Client) Used() (requests, writes float64) { return c.requests.Used(), c.writes.Used() }
 
-// AwaitWrites waits until some changes can be sent, n at best, for one deadline at most, and
-// returns how many. What is put together only then rests on what is newest when it is sent: a
-// transaction that first waits for its budget is beaten by a conflicting write meanwhile.
+// AwaitWrites waits for the budget of n writes, for at most one request timeout, and returns how
+// many writes can be sent now. Callers build their transaction after that, from the newest state:
+// one that is built first and then waits for its budget may conflict with a write made meanwhile.
 func (c *Client) AwaitWrites(ctx context.Context, n int, p Priority) int {
-	until := time.Now().Add(c.deadline)
-	reserve := c.reservedShare(p)
-	n = min(n, int(c.writes.Burst()*(1-reserve)))
+	deadline := time.Now().Add(c.timeout)
+	reservedShare := c.reservedShare(p)
+	n = min(n, int(c.writes.Burst()*(1-reservedShare)))
 	for {
 		now := time.Now()
-		available := int(c.writes.Available(now, reserve))
-		if available >= n || now.After(until) {
+		available := int(c.writes.Available(now, reservedShare))
+		if available >= n || now.After(deadline) {
 			return available
 		}
 		select {
@@ -79,7 +81,7 @@
 	}
 }
 
-// setRates sets the rates of the token buckets. The caller holds the mutex.
+// setRates updates the rates of the token buckets. The caller holds the mutex.
 func (c *Client) setRates() {
 	requests, writes, burst := c.limits.rateShare(c.controllers)
 	now := time.Now()
@@ -87,43 +89,43 @@
 	c.writes.SetRate(now, writes, burst)
 }
 
-// noteRefusal notes a refusal of changes for their rate; several of them within a short while
-// lower the limits to the coming ones.
-func (c *Client) noteRefusal(now time.Time) {
+// recordWriteRefusal records that a write was refused because of the rate limit. Several refusals
+// within a short time make it apply the announced lower limits.
+func (c *Client) recordWriteRefusal(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.limits == c.next {
+	if c.limits == c.announcedLimits {
 		return
 	}
 	c.writeRefusals = append(c.writeRefusals, now)
-	if n := len(c.writeRefusals); n > refusalsBeforeLowering {
-		c.writeRefusals = c.writeRefusals[n-refusalsBeforeLowering:]
+	if n := len(c.writeRefusals); n > refusalsToLowerLimits {
+		c.writeRefusals = c.writeRefusals[n-refusalsToLowerLimits:]
 	}
-	if len(c.writeRefusals) == refusalsBeforeLowering && now.Sub(c.writeRefusals[0]) < refusalDeadlines*c.deadline {
-		c.limits = c.next
+	if len(c.writeRefusals) == refusalsToLowerLimits && now.Sub(c.writeRefusals[0]) < refusalWindowTimeouts*c.timeout {
+		c.limits = c.announcedLimits
 		c.setRates()
 	}
 }
 
-// reservedShare returns the share of the changes that a priority leaves to those above it.
+// reservedShare returns the share of the write budget that a priority leaves to higher priorities.
 func (c *Client) reservedShare(p Priority) float64 {
 	if p <= PriorityGang {
 		return reservedShares[p]
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(reservedShares[p]+c.gangReserve/c.writes.Burst(), maxReservedShare)
+	return min(reservedShares[p]+c.reservedForGangs/c.writes.Burst(), maxReservedShare)
 }
 
-// awaitTokens takes n tokens that leave the share reserve of the burst. It fails with
-// ErrRefused if they do not come until then.
-func awaitTokens(ctx context.Context, b *transport.TokenBucket, n, reserve float64, until time.Time) error {
+// awaitTokens waits until n tokens can be taken so that reservedShare of the burst remains, and
+// takes them. It fails with ErrRefused if that is not possible before the deadline.
+func awaitTokens(ctx context.Context, b *transport.TokenBucket, n, reservedShare float64, deadline time.Time) error {
 	for {
-		wait, ok := b.Take(time.Now(), n, reserve)
+		wait, ok := b.Take(time.Now(), n, reservedShare)
 		if ok {
 			return nil
 		}
-		if time.Now().Add(wait).After(until) {
+		if time.Now().Add(wait).After(deadline) {
 			return ErrRefused
 		}
 		select {
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -12,35 +12,35 @@
 	"violetturn/internal/transport"
 )
 
-// scriptedService is a state service that answers each path as it was told, and notes what it
-// was asked.
+// scriptedService is a state service that gives a preset response for each path and records the
+// requests.
 type scriptedService struct {
-	mu       sync.Mutex
-	answers  map[string]transport.Response // by target, or by path without the query
-	requests []string                      // method, target and body of each, separated by spaces
+	mu        sync.Mutex
+	responses map[string]transport.Response // by target, or by path without the query
+	requests  []string                      // method, target and body of each, separated by spaces
 }
 
-// serve implements transport.Handler.
+// serve records the request and returns the preset response; it is a transport.Handler.
 func (s *scriptedService) serve(req *httpwire.Message, _ func(transport.Response)) (transport.Response, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = append(s.requests, strings.TrimSpace(req.Method+" "+req.Target+" "+string(req.Body)))
-	if answer, ok := s.answers[req.Target]; ok {
-		return answer, true
+	if response, ok := s.responses[req.Target]; ok {
+		return response, true
 	}
 	path, _, _ := strings.Cut(req.Target, "?")
-	return s.answers[path], true
+	return s.responses[path], true
 }
 
-// set says how a target or a path is answered from now on.
-func (s *scriptedService) set(target string, status int, body string) {
+// setResponse sets the response to all later requests for a target or a path.
+func (s *scriptedService) setResponse(target string, status int, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers[target] = transport.Response{Status: status, Body: []byte(body)}
+	s.responses[target] = transport.Response{Status: status, Body: []byte(body)}
 }
 
-// asked returns the requests so far, and forgets them.
-func (s *scriptedService) asked() []string {
+// takeRequests returns and clears the recorded requests.
+func (s *scriptedService) takeRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	requests := s.requests
@@ -48,25 +48,25 @@
 	return requests
 }
 
-// fixture is a client of a scripted service.
+// fixture is a scripted service and a client of it.
 type fixture struct {
-	service *scriptedService
-	client  *Client
-	served  bool // what OnAnswer was told last
+	service    *scriptedService
+	client     *Client
+	lastServed bool // argument of the last call of OnAnswer
 }
 
-// newFixture starts a scripted service and a client of it, both ended with the test. The rate
-// of changes of the client is halved at some moment.
+// newFixture starts a scripted service and a client of it, which are stopped when the test ends.
+// The announced write rate of the client is half of its current one.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{service: &scriptedService{answers: map[string]transport.Response{}}, served: true}
+	f := &fixture{service: &scriptedService{responses: map[string]transport.Response{}}, lastServed: true}
 	server := transport.NewServer(f.service.serve, httpwire.RequestLimits, 4, time.Minute)
 	addr := freeAddress(t)
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(addr) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- server.Run(addr) }()
 	select {
 	case <-server.Listening():
-	case err := <-ended:
+	case err := <-runErr:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -90,12 +90,12 @@
 		Limits:      Limits{RPS: 1000, WriteRPS: 1000},
 		Next:        Limits{RPS: 1000, WriteRPS: 500},
 		Controllers: 1,
-		OnAnswer:    func(ok bool) { f.served = ok },
+		OnAnswer:    func(ok bool) { f.lastServed = ok },
 	})
 	return f
 }
 
-// freeAddress returns a loopback address that nothing listens on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/timing/doc.go
+++ b/internal/timing/doc.go
@@ -1,2 +1,2 @@
-// Package timing has a sleep that ends with its context, and how long users wait for answers.
+// Package timing provides a sleep that ends with its context and the timeout for user requests.
 package timing
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Sleep waits, or tells that ctx has ended.
-func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// Sleep waits for the duration and returns true, or returns false as soon as ctx is done.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// UserRequestTimeout bounds the work on one request: users wait 2 s for a poll and
-// 5 s for a submission (PROTOCOL), and are answered before that.
+// UserRequestTimeout is the time limit for the work on one user request. By PROTOCOL users wait
+// 2 s for the response to a poll and 5 s for that to a submission; they get one before that.
 const UserRequestTimeout = 1800 * time.Millisecond
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -16,17 +16,17 @@
 
 // Errors of a request.
 var (
-	// ErrNoResponse says that the request may or may not have been carried out.
+	// ErrNoResponse means that the server may or may not have carried out the request.
 	ErrNoResponse = errors.New("no response")
-	// errConnectionClosed says that the connection ended before the request was sent.
-	errConnectionClosed = errors.New("connection closed")
+	// errConnectionClosed means that the connection was closed before the request was sent.
+	errConnectionClosed = errors.New("connection closed before the request was sent")
 )
 
-// clientReadBuffer is how many bytes the event loop of a client reads at once.
-const clientReadBuffer = 64 << 10
+// clientReadBufferBytes is the most bytes that a client's event loop reads from a connection at once.
+const clientReadBufferBytes = 64 << 10
 
-// firstFinalStatus is the lowest status that ends a request; lower ones are interim answers.
-const firstFinalStatus = 200
+// minFinalStatus is the lowest status of a final response; lower ones are interim responses.
+const minFinalStatus = 200
 
 // Request is one HTTP request.
 type Request struct {
@@ -34,47 +34,47 @@
 	Method   string
 	Target   string        // path and query
 	Body     []byte        // nil: a request without a body
-	Deadline time.Duration // how long to wait for the answer, the connection's setup included
+	Deadline time.Duration // limit for the whole request, including connection setup
 
-	// CloseAfter closes the connection after the answer. It is for addresses of which there
-	// are more than sockets to keep.
+	// CloseAfter closes the connection after the response. It is meant for clients with more
+	// server addresses than sockets, which can't keep a connection open to each.
 	CloseAfter bool
 }
 
-// Client sends HTTP requests over kept connections, one request at a time on each. All its
-// connections share one event loop. Its methods may be called from any goroutine.
+// Client sends HTTP requests over persistent connections, one request at a time on each. All
+// its connections share one event loop. Its methods may be called from any goroutine.
 type Client struct {
 	gnet.BuiltinEventEngine
 	engine *gnet.Client
-	limits httpwire.Limits // of answers
+	limits httpwire.Limits // of responses
 
 	mu   sync.Mutex               // guards idle
-	idle map[string][]*clientConn // connections without a request, by address; the last one was used last
+	idle map[string][]*clientConn // connections without a request, by address; most recently used last
 }
 
-// clientConn is one connection of a client.
+// clientConn is one connection of a Client.
 type clientConn struct {
 	conn   gnet.Conn        // set before the first request
-	parser *httpwire.Parser // only the event loop touches it
+	parser *httpwire.Parser // accessed by the event loop only
 
-	mu       sync.Mutex    // guards what follows
-	response chan response // of the request in flight; nil without one
-	closed   bool
+	mu         sync.Mutex  // guards the fields below
+	responseCh chan result // of the request in flight; nil if there is none
+	closed     bool
 }
 
-// response is what a request in flight ends with: a message or an error.
-type response struct {
+// result is the outcome of a request: a response message or an error.
+type result struct {
 	message *httpwire.Message
 	err     error
 }
 
-// NewClient starts a client that takes answers within the limits.
+// NewClient starts a client that rejects responses larger than the limits.
 func NewClient(limits httpwire.Limits) (*Client, error) {
 	c := &Client{limits: limits, idle: map[string][]*clientConn{}}
 	engine, err := gnet.NewClient(
 		c,
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReadBufferCap(clientReadBuffer),
+		gnet.WithReadBufferCap(clientReadBufferBytes),
 		gnet.WithLogger(silentLogger{}),
 		gnet.WithLogLevel(logging.ErrorLevel),
 	)
@@ -88,7 +88,7 @@
 	return c, nil
 }
 
-// Close ends all connections and the event loop.
+// Close closes all connections and stops the event loop.
 func (c *Client) Close() error { return c.engine.Stop() }
 
 // OnTraffic implements gnet.EventHandler.
@@ -105,16 +105,16 @@
 	for {
 		m, err := cc.parser.Next()
 		if err != nil {
-			cc.deliver(response{err: fmt.Errorf("%w: %w", ErrNoResponse, err)})
+			cc.deliver(result{err: fmt.Errorf("%w: %w", ErrNoResponse, err)})
 			return gnet.Close
 		}
 		if m == nil {
 			return gnet.None
 		}
-		if m.Status < firstFinalStatus {
+		if m.Status < minFinalStatus {
 			continue
 		}
-		if !cc.deliver(response{message: m}) { // an answer that nobody asked for
+		if !cc.deliver(result{message: m}) { // a response without a request
 			return gnet.Close
 		}
 		if m.Close {
@@ -133,24 +133,24 @@
 	cc.closed = true
 	cc.mu.Unlock()
 	if m := cc.parser.End(); m != nil {
-		cc.deliver(response{message: m})
+		cc.deliver(result{message: m})
 	} else {
-		cc.deliver(response{err: ErrNoResponse})
+		cc.deliver(result{err: ErrNoResponse})
 	}
 	return gnet.None
 }
 
-// Do sends one request and waits for the answer or the deadline. An error that is
-// ErrNoResponse leaves open whether the request was carried out; any other error means that
-// it was never sent.
+// Do sends one request and waits for the response until r.Deadline has passed. After
+// ErrNoResponse the server may have carried out the request; any other error means that the
+// request was never sent.
 func (c *Client) Do(ctx context.Context, r Request) (*httpwire.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
 	defer cancel()
-	cc, err := c.connection(ctx, r.Addr)
+	cc, err := c.acquireConn(ctx, r.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	answered, err := cc.expect()
+	responseCh, err := cc.expectResponse()
 	if err != nil {
 		return nil, err
 	}
@@ -159,23 +159,23 @@
 		return nil, ErrNoResponse
 	}
 	select {
-	case a := <-answered:
-		if a.err != nil {
-			return nil, a.err
+	case res := <-responseCh:
+		if res.err != nil {
+			return nil, res.err
 		}
-		if !a.message.Close { // else the event loop closes the connection
-			c.release(cc, r)
+		if !res.message.Close { // otherwise the event loop closes the connection
+			c.releaseConn(cc, r)
 		}
-		return a.message, nil
+		return res.message, nil
 	case <-ctx.Done():
 		cc.abandon()
 		return nil, ErrNoResponse
 	}
 }
 
-// connection returns an idle connection to an address, or a new one.
-func (c *Client) connection(ctx context.Context, addr string) (*clientConn, error) {
-	if cc := c.idleConnection(addr); cc != nil {
+// acquireConn returns an idle connection to an address, or opens one.
+func (c *Client) acquireConn(ctx context.Context, addr string) (*clientConn, error) {
+	if cc := c.takeIdleConn(addr); cc != nil {
 		return cc, nil
 	}
 	netConn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
@@ -192,9 +192,9 @@
 	return cc, nil
 }
 
-// idleConnection takes the idle connection to an address that was used last, nil if there is
-// none. It drops those that have been closed meanwhile.
-func (c *Client) idleConnection(addr string) *clientConn {
+// takeIdleConn removes and returns the most recently used idle connection to an address, or nil
+// if there is none. It discards connections that were closed while idle.
+func (c *Client) takeIdleConn(addr string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for idle := c.idle[addr]; len(idle) > 0; idle = c.idle[addr] {
@@ -207,8 +207,8 @@
 	return nil
 }
 
-// release keeps a connection whose request was answered for the next one, or closes it.
-func (c *Client) release(cc *clientConn, r Request) {
+// releaseConn makes a connection available to later requests, or closes it if r.CloseAfter is set.
+func (c *Client) releaseConn(cc *clientConn, r Request) {
 	if r.CloseAfter {
 		_ = cc.conn.Close()
 		return
@@ -218,23 +218,23 @@
 	c.idle[r.Addr] = append(c.idle[r.Addr], cc)
 }
 
-// expect makes the connection ready for an answer, which comes on the channel.
-func (cc *clientConn) expect() (<-chan response, error) {
-	ch := make(chan response, 1) // so that the event loop never waits for who asked
+// expectResponse registers a request on the connection and returns the channel for its result.
+func (cc *clientConn) expectResponse() (<-chan result, error) {
+	ch := make(chan result, 1) // buffered so that the event loop never blocks on it
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if cc.closed {
 		return nil, errConnectionClosed
 	}
-	cc.response = ch
+	cc.responseCh = ch
 	return ch, nil
 }
 
-// deliver ends the request in flight; it reports whether there was one.
-func (cc *clientConn) deliver(r response) bool {
+// deliver passes the result to the request in flight and reports whether there was one.
+func (cc *clientConn) deliver(r result) bool {
 	cc.mu.Lock()
-	ch := cc.response
-	cc.response = nil
+	ch := cc.responseCh
+	cc.responseCh = nil
 	cc.mu.Unlock()
 	if ch == nil {
 		return false
@@ -243,15 +243,15 @@
 	return true
 }
 
-// abandon closes a connection whose answer is awaited no longer.
+// abandon closes a connection whose request has timed out or was cancelled.
 func (cc *clientConn) abandon() {
 	cc.mu.Lock()
-	cc.response = nil
+	cc.responseCh = nil
 	cc.mu.Unlock()
 	_ = cc.conn.Close()
 }
 
-// isClosed reports whether the event loop has seen the connection's end.
+// isClosed reports whether the connection has been closed, by either side.
 func (cc *clientConn) isClosed() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -9,47 +9,48 @@
 	"violetturn/internal/httpwire"
 )
 
-// serverConn is one connection of a server. Only the event loop touches it.
+// serverConn is one connection of a Server. Only the event loop accesses it.
 type serverConn struct {
-	conn     gnet.Conn
-	parser   *httpwire.Parser
-	busy     bool // a request is being answered
-	lastUsed time.Time
-	element  *list.Element // in the connection table; nil once it was closed
+	conn         gnet.Conn
+	parser       *httpwire.Parser
+	busy         bool // a handler is working on a request
+	lastUsed     time.Time
+	tableElement *list.Element // in the connection table; nil after removal
 }
 
-// connectionTable holds a server's connections in the order of their last use, so that those
-// idle longest come first. Only the event loop touches it.
+// connectionTable holds a server's connections in the order of their last use, the longest
+// idle ones first. Only the event loop accesses it.
 type connectionTable struct {
-	maxConns int
-	maxIdle  time.Duration
-	order    list.List // of *serverConn
+	maxConns  int
+	maxIdle   time.Duration
+	byLastUse list.List // of *serverConn
 }
 
-// add takes a new connection in; it reports false when there is no room. Idle connections
-// that have lasted too long make room, then the one that was idle longest.
+// add adds a new connection, or reports false if the table is full. It first closes the
+// connections that were idle for more than maxIdle, then, if the table is still full, the
+// longest idle one.
 func (t *connectionTable) add(sc *serverConn) bool {
 	t.closeIdle(sc.lastUsed)
-	if t.order.Len() >= t.maxConns && !t.evict() {
+	if t.byLastUse.Len() >= t.maxConns && !t.evictLongestIdle() {
 		return false
 	}
-	sc.element = t.order.PushBack(sc)
+	sc.tableElement = t.byLastUse.PushBack(sc)
 	return true
 }
 
-// crowded reports whether more than half of the places are taken.
-func (t *connectionTable) crowded() bool { return t.order.Len() > t.maxConns/2 }
+// aboveHalfCapacity reports whether the table holds more than half of maxConns.
+func (t *connectionTable) aboveHalfCapacity() bool { return t.byLastUse.Len() > t.maxConns/2 }
 
-// closeIdle closes the connections that were idle for too long.
+// closeIdle closes the connections that were last used more than maxIdle ago.
 func (t *connectionTable) closeIdle(now time.Time) {
-	for e := t.order.Front(); e != nil && now.Sub(connectionOf(e).lastUsed) > t.maxIdle; e = t.order.Front() {
+	for e := t.byLastUse.Front(); e != nil && now.Sub(connectionOf(e).lastUsed) > t.maxIdle; e = t.byLastUse.Front() {
 		t.close(connectionOf(e))
 	}
 }
 
-// evict closes the connection that was idle longest; it reports false if all are busy.
-func (t *connectionTable) evict() bool {
-	for e := t.order.Front(); e != nil; e = e.Next() {
+// evictLongestIdle closes the connection that was idle longest. It reports false if all are busy.
+func (t *connectionTable) evictLongestIdle() bool {
+	for e := t.byLastUse.Front(); e != nil; e = e.Next() {
 		if sc := connectionOf(e); !sc.busy {
 			t.close(sc)
 			return true
@@ -58,36 +59,36 @@
 	return false
 }
 
-// close removes a connection and closes it.
+// close removes a connection from the table and closes it.
 func (t *connectionTable) close(sc *serverConn) {
 	if t.remove(sc) {
 		_ = sc.conn.Close()
 	}
 }
 
-// remove takes a connection out; it reports whether it was there.
+// remove removes a connection from the table and reports whether it was there.
 func (t *connectionTable) remove(sc *serverConn) bool {
-	if sc.element == nil {
+	if sc.tableElement == nil {
 		return false
 	}
-	t.order.Remove(sc.element)
-	sc.element = nil
+	t.byLastUse.Remove(sc.tableElement)
+	sc.tableElement = nil
 	return true
 }
 
-// touch notes that a connection was in use just now.
-func (t *connectionTable) touch(sc *serverConn) {
+// markUsed sets a connection's time of last use to now and moves it to the end of the order.
+func (t *connectionTable) markUsed(sc *serverConn) {
 	sc.lastUsed = time.Now()
-	if sc.element != nil {
-		t.order.MoveToBack(sc.element)
+	if sc.tableElement != nil {
+		t.byLastUse.MoveToBack(sc.tableElement)
 	}
 }
 
-// connectionOf returns the connection that an element of the table holds.
+// connectionOf returns the connection stored in a list element.
 func connectionOf(e *list.Element) *serverConn {
 	sc, ok := e.Value.(*serverConn)
 	if !ok {
-		panic("transport: the connection table holds something else")
+		panic("transport: connection table element is not a *serverConn")
 	}
 	return sc
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -13,29 +13,29 @@
 	"violetturn/internal/httpwire"
 )
 
-// serverReadBuffer is how many bytes the event loop of a server reads at once.
-const serverReadBuffer = 16 << 10
+// serverReadBufferBytes is the most bytes that a server's event loop reads from a connection at once.
+const serverReadBufferBytes = 16 << 10
 
-// badRequestBody is the body of the answer to a request that can't be parsed.
+// badRequestBody is the response body for a request that can't be parsed.
 const badRequestBody = `{"error":"bad request"}`
 
-// Statuses of answers to requests that can't be parsed.
+// Response statuses for requests that can't be parsed.
 const (
 	statusBadRequest      = 400
 	statusContentTooLarge = 413
 )
 
-// Response is what a handler answers.
+// Response is a handler's response to a request.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter int // seconds until the client may come back; 0: not named
+	RetryAfter int // seconds after which the client may retry; 0: no Retry-After header
 }
 
-// Handler answers a request. Either it returns the response and true, or it returns false,
-// takes the request over and calls later exactly once, from any goroutine. It runs in the
-// event loop and must not block.
-type Handler func(req *httpwire.Message, later func(Response)) (Response, bool)
+// Handler handles a request. It either returns the response and true, or returns false and calls
+// respondLater exactly once afterwards, from any goroutine. It runs in the event loop and must
+// not block.
+type Handler func(req *httpwire.Message, respondLater func(Response)) (Response, bool)
 
 // Server serves HTTP on one address with one event loop.
 type Server struct {
@@ -47,18 +47,18 @@
 	engine    gnet.Engine
 	listening chan struct{} // closed by the event loop once engine is set
 
-	connections connectionTable // only the event loop touches it
+	connections connectionTable // accessed by the event loop only
 }
 
-// NewServer makes a server that takes requests within the limits and holds at most maxConns
-// connections, each for as long as idle between two requests.
+// NewServer makes a server that accepts requests within the limits and holds at most maxConns
+// connections, each of which may be idle for the given time between two requests.
 //
-// Connections are kept while there is room. Beyond half of maxConns each answer closes its
-// connection, and at maxConns a new one takes the place of the one that was idle longest:
-// when one controller is left, the workers of all come to it, and none may be starved of
-// answers because others hold connections that they use once in a heartbeat interval. The
-// same bounds what half requests and silent connections cost; those to machines that were cut
-// off never end by themselves.
+// Connections are persistent while the server has few of them. Above half of maxConns each
+// response closes its connection, and at maxConns a new connection replaces the longest idle
+// one. When only one controller is left, the workers of all controllers connect to it; without
+// these rules, connections that are used once per heartbeat interval would keep other workers
+// from connecting. The rules also bound the cost of incomplete requests and silent connections:
+// a connection to a partitioned machine never closes by itself.
 func NewServer(h Handler, limits httpwire.Limits, maxConns int, idle time.Duration) *Server {
 	return &Server{
 		handler:     h,
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run serves until Stop. It returns an error if the address can't be listened on.
+// Run serves requests on addr until Stop is called. It returns an error if it can't listen on addr.
 func (s *Server) Run(addr string) error {
 	err := gnet.Run(
 		s,
@@ -77,7 +77,7 @@
 		gnet.WithNumEventLoop(1),
 		gnet.WithReuseAddr(true),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReadBufferCap(serverReadBuffer),
+		gnet.WithReadBufferCap(serverReadBufferBytes),
 		gnet.WithLogger(silentLogger{}),
 		gnet.WithLogLevel(logging.ErrorLevel),
 	)
@@ -87,10 +87,10 @@
 	return nil
 }
 
-// Listening returns a channel that is closed once the server listens.
+// Listening returns a channel that is closed when the server has started to listen.
 func (s *Server) Listening() <-chan struct{} { return s.listening }
 
-// Stop ends the server if it has started.
+// Stop stops the server if it has started.
 func (s *Server) Stop(ctx context.Context) error {
 	select {
 	case <-s.listening:
@@ -141,59 +141,59 @@
 		return gnet.Close
 	}
 	sc.parser.Feed(b)
-	return s.serve(sc)
+	return s.serveRequests(sc)
 }
 
-// serve answers the whole requests that a connection holds, in their order, up to one that is
-// answered later.
-func (s *Server) serve(sc *serverConn) gnet.Action {
+// serveRequests handles the complete requests that a connection has received, in order, until
+// one gets a delayed response.
+func (s *Server) serveRequests(sc *serverConn) gnet.Action {
 	for !sc.busy {
 		req, err := sc.parser.Next()
 		if err != nil {
-			_, _ = sc.conn.Write(httpwire.AppendResponse(nil, refusalStatus(err), []byte(badRequestBody), 0, true))
+			_, _ = sc.conn.Write(httpwire.AppendResponse(nil, parseErrorStatus(err), []byte(badRequestBody), 0, true))
 			return gnet.Close
 		}
 		if req == nil {
 			return gnet.None
 		}
-		closing := req.Close || s.connections.crowded()
+		closeAfter := req.Close || s.connections.aboveHalfCapacity()
 		sc.busy = true
-		s.connections.touch(sc)
-		resp, now := s.handler(req, func(r Response) { s.answerLater(sc, r, closing) })
-		if !now {
+		s.connections.markUsed(sc)
+		resp, responded := s.handler(req, func(r Response) { s.sendDelayedResponse(sc, r, closeAfter) })
+		if !responded {
 			return gnet.None
 		}
 		sc.busy = false
-		if _, err := sc.conn.Write(encodeResponse(resp, closing)); err != nil || closing {
+		if _, err := sc.conn.Write(encodeResponse(resp, closeAfter)); err != nil || closeAfter {
 			return gnet.Close
 		}
 	}
 	return gnet.None
 }
 
-// answerLater sends the answer to a request that a handler took over, and goes on in the
-// event loop with what the connection holds. Any goroutine may call it.
-func (s *Server) answerLater(sc *serverConn, r Response, closing bool) {
-	_ = sc.conn.AsyncWrite(encodeResponse(r, closing), func(c gnet.Conn, err error) error {
+// sendDelayedResponse sends the response that a handler passes to respondLater, then handles the
+// connection's next requests in the event loop. It may be called from any goroutine.
+func (s *Server) sendDelayedResponse(sc *serverConn, r Response, closeAfter bool) {
+	_ = sc.conn.AsyncWrite(encodeResponse(r, closeAfter), func(c gnet.Conn, err error) error {
 		sc.busy = false
-		s.connections.touch(sc)
-		if closing || err != nil {
+		s.connections.markUsed(sc)
+		if closeAfter || err != nil {
 			return c.Close()
 		}
-		if s.serve(sc) == gnet.Close {
+		if s.serveRequests(sc) == gnet.Close {
 			return c.Close()
 		}
 		return nil
 	})
 }
 
-// encodeResponse returns the bytes of a response.
-func encodeResponse(r Response, closing bool) []byte {
-	return httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, closing)
+// encodeResponse returns the HTTP encoding of a response.
+func encodeResponse(r Response, closeAfter bool) []byte {
+	return httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, closeAfter)
 }
 
-// refusalStatus returns the status for a request that the parser refuses.
-func refusalStatus(err error) int {
+// parseErrorStatus returns the response status for a request that the parser rejected with err.
+func parseErrorStatus(err error) int {
 	if errors.Is(err, httpwire.ErrTooLarge) {
 		return statusContentTooLarge
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -21,11 +21,11 @@
 		t.Fatal(err)
 	}
 	s := NewServer(h, httpwire.RequestLimits, 10, idle)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run(addr) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- s.Run(addr) }()
 	select {
 	case <-s.listening:
-	case err := <-ended:
+	case err := <-runErr:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -36,12 +36,13 @@
 	return addr
 }
 
-// Requests that are answered at once and later, kept connections, refused ones.
-func TestServerAndClient(t *testing.T) {
-	addr := startServer(t, func(req *httpwire.Message, later func(Response)) (Response, bool) {
+// The client gets immediate and delayed responses over one persistent connection. The server
+// rejects a body that is too large and a malformed request.
+func TestClientReceivesImmediateAndDelayedResponses(t *testing.T) {
+	addr := startServer(t, func(req *httpwire.Message, respondLater func(Response)) (Response, bool) {
 		r := Response{Status: 200, Body: append([]byte(req.Method+" "+req.Target+" "), req.Body...)}
 		if req.Target == "/later" {
-			go later(r)
+			go respondLater(r)
 			return Response{}, false
 		}
 		return r, true
@@ -60,25 +61,26 @@
 		for _, target := range []string{"/now", "/later"} {
 			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
 			if doErr != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
-				t.Fatalf("%s: %+v %v", target, m, doErr)
+				t.Fatalf("POST %s: got %+v, error %v; want status 200 and the echoed request", target, m, doErr)
 			}
 		}
 	}
 	if len(c.idle[addr]) != 1 {
-		t.Errorf("%d kept connections after requests in turn", len(c.idle[addr]))
+		t.Errorf("got %d idle connections after sequential requests, want 1", len(c.idle[addr]))
 	}
 	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Deadline: time.Minute})
 	if err != nil || m.Status != 413 || !m.Close {
-		t.Errorf("large body: %+v %v", m, err)
+		t.Errorf("request with a body above the limit: got %+v, error %v; want status 413 and a closed connection", m, err)
 	}
 	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Deadline: time.Minute})
 	if err != nil || m.Status != 400 {
-		t.Errorf("malformed: %+v %v", m, err)
+		t.Errorf("malformed request: got %+v, error %v; want status 400", m, err)
 	}
 }
 
-// A server that closes without an answer leaves open what it did.
-func TestNoResponse(t *testing.T) {
+// A server that closes the connection without a response may have carried out the request. A
+// request that was never sent must not be reported as ErrNoResponse.
+func TestDoReturnsErrNoResponseWhenServerCloses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,12 +103,12 @@
 	defer func() { _ = c.Close() }()
 	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Deadline: time.Minute}
 	if _, err := c.Do(context.Background(), request); !errors.Is(err, ErrNoResponse) {
-		t.Error(err)
+		t.Errorf("server closed the connection: got error %v, want %v", err, ErrNoResponse)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := c.Do(ctx, request); err == nil || errors.Is(err, ErrNoResponse) {
-		t.Errorf("a request never sent counts as unanswered: %v", err)
+		t.Errorf("request never sent: got error %v, want one other than %v", err, ErrNoResponse)
 	}
 }
 
@@ -115,44 +117,44 @@
 	b := NewTokenBucket(10, 10)
 	for range 7 {
 		if _, ok := b.Take(now, 1, 0.3); !ok {
-			t.Fatal("refused within the budget")
+			t.Fatal("Take failed although the tokens above the reserve suffice")
 		}
 	}
 	wait, ok := b.Take(now, 1, 0.3)
 	if ok {
-		t.Fatal("the reserve is touched")
+		t.Fatal("Take with a reserved share of 0.3 used the reserve")
 	}
 	if _, ok := b.Take(now, 3, 0); !ok {
-		t.Fatal("the reserve can't be used")
+		t.Fatal("Take without a reserved share failed with 3 tokens left")
 	}
 	now = now.Add(wait + 300*time.Millisecond)
 	if _, ok := b.Take(now, 1, 0.3); !ok || wait <= 0 {
-		t.Fatalf("refused after the wait it was told, %v", wait)
+		t.Fatalf("Take after the returned wait of %v: got %t, want true and a positive wait", wait, ok)
 	}
 	if b.Used() != 11 {
-		t.Fatal(b.Used())
+		t.Fatalf("got %v tokens used, want 11", b.Used())
 	}
 }
 
-// openSilentConnection opens a connection that says nothing, or only half a request.
-func openSilentConnection(t *testing.T, addr, half string) net.Conn {
+// openIdleConnection opens a connection and sends nothing on it, or only part of a request.
+func openIdleConnection(t *testing.T, addr, partialRequest string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	if _, err := c.Write([]byte(half)); err != nil {
+	if _, err := c.Write([]byte(partialRequest)); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// sendRequest sends one request and reports whether it was answered and whether the
-// connection is closed with it.
+// sendRequest sends one request on a new connection. It reports whether the server responded and
+// whether the response closes the connection.
 func sendRequest(t *testing.T, addr string) (answered, closed bool) {
 	t.Helper()
-	c := openSilentConnection(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
+	c := openIdleConnection(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
 	p := httpwire.NewParser(true, httpwire.ResponseLimits)
 	b := make([]byte, 4096)
 	for {
@@ -169,51 +171,51 @@
 	}
 }
 
-// The last controller left gets the workers of all: whoever asks is answered,
-// however many hold connections that they don't use or never finish a request.
+// The last remaining controller is contacted by the workers of all controllers. It must respond
+// to each request, even when many clients hold idle connections or never complete a request.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, time.Hour)
 	if ok, closed := sendRequest(t, addr); !ok || closed {
-		t.Fatalf("with room: answered %t, closed %t", ok, closed)
+		t.Fatalf("no other connections: answered %t, closed %t; want an answer and an open connection", ok, closed)
 	}
-	for i := range 40 { // the server holds 10
-		openSilentConnection(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
+	for i := range 40 { // the server holds at most 10
+		openIdleConnection(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
 	}
 	for range 20 {
 		if ok, closed := sendRequest(t, addr); !ok || !closed {
-			t.Fatalf("crowded: answered %t, closed %t", ok, closed)
+			t.Fatalf("connection table full: answered %t, closed %t; want an answer that closes the connection", ok, closed)
 		}
 	}
 }
 
-// What is idle for long goes: a connection to a machine that was cut off never
-// ends by itself.
+// The server closes connections that were idle for too long, since a connection to a partitioned
+// machine never closes by itself.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, 0)
-	c := openSilentConnection(t, addr, "")
+	c := openIdleConnection(t, addr, "")
 	sendRequest(t, addr)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("kept")
+		t.Fatal("the server kept a connection that was idle for longer than the limit")
 	}
 }
 
-// A budget that is set anew keeps what was saved up, within the new burst.
-func TestTokenBucketSetRate(t *testing.T) {
+// SetRate keeps the accumulated tokens, up to the new burst.
+func TestTokenBucketSetRateKeepsTokens(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewTokenBucket(10, 10)
 	if _, ok := b.Take(now, 8, 0); !ok {
-		t.Fatal("refused within the budget")
+		t.Fatal("Take of 8 of 10 tokens failed")
 	}
 	b.SetRate(now, 30, 30)
 	if n := b.Available(now, 0); n != 2 {
-		t.Fatalf("%v of 2 are left", n)
+		t.Fatalf("got %v tokens available after the rate was raised, want 2", n)
 	}
 	now = now.Add(time.Second / 2)
 	if n := b.Available(now, 0); n != 17 {
-		t.Fatalf("%v after half a second at 30 a second", n)
+		t.Fatalf("got %v tokens available after half a second at 30 per second, want 17", n)
 	}
 	b.SetRate(now, 10, 10)
 	if n := b.Available(now, 0); n != 10 {
-		t.Fatalf("%v in a burst of 10", n)
+		t.Fatalf("got %v tokens available after the burst was lowered to 10, want 10", n)
 	}
 }
--- a/internal/transport/token_bucket.go
+++ b/internal/transport/token_bucket.go
@@ -5,90 +5,91 @@
 	"time"
 )
 
-// TokenBucket keeps a client within its share of an outside system's rate. Requests of a lower
-// priority leave a reserve of tokens untouched, so that those of a higher priority always find
-// some. Its methods may be called from any goroutine; none of them waits.
+// TokenBucket keeps a client within its share of an external system's rate limit. Requests of a
+// lower priority leave a reserve of tokens for those of a higher priority. Its methods may be
+// called from any goroutine and do not wait for tokens.
 type TokenBucket struct {
-	mu     sync.Mutex // guards what follows
-	rate   float64    // tokens a second
-	burst  float64    // tokens that it holds at most
-	tokens float64    // as of last; below zero after Take took more than the burst
-	last   time.Time  // when tokens was brought up to date; zero: the bucket is still full
-	used   float64    // tokens taken in all
+	mu         sync.Mutex // guards the fields below
+	rate       float64    // tokens per second
+	burst      float64    // the most tokens that the bucket holds
+	tokens     float64    // at refilledAt; negative after Take of more than the burst
+	refilledAt time.Time  // time of the last refill; zero: never, the bucket is full
+	totalTaken float64    // all tokens taken since the start
 }
 
-// NewTokenBucket makes a full bucket of rate tokens a second that holds burst of them.
+// NewTokenBucket makes a full bucket that gains rate tokens per second and holds at most burst.
 func NewTokenBucket(rate, burst float64) *TokenBucket {
 	return &TokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// refill adds the tokens that have come since the last call. The caller holds the mutex.
+// refill adds the tokens gained since the last refill. The caller holds the mutex.
 func (b *TokenBucket) refill(now time.Time) {
-	if !b.last.IsZero() {
-		b.tokens = min(b.burst, b.tokens+now.Sub(b.last).Seconds()*b.rate)
+	if !b.refilledAt.IsZero() {
+		b.tokens = min(b.burst, b.tokens+now.Sub(b.refilledAt).Seconds()*b.rate)
 	}
-	b.last = now
+	b.refilledAt = now
 }
 
-// SetRate changes the rate and the burst; the tokens saved up stay, within the new burst.
+// SetRate changes the rate and the burst. It keeps the accumulated tokens, up to the new burst.
 func (b *TokenBucket) SetRate(now time.Time, rate, burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.last.IsZero() { // before its first use the bucket is full, whatever the time
+	if !b.refilledAt.IsZero() { // before its first use the bucket is full at any time
 		b.refill(now)
 	}
 	b.rate, b.burst = rate, burst
 	b.tokens = min(b.tokens, burst)
 }
 
-// Take takes n tokens and returns true if that leaves at least the share reserve (0 to 1) of
-// the burst. Else it takes none and returns how long to wait before asking again.
-func (b *TokenBucket) Take(now time.Time, n, reserve float64) (time.Duration, bool) {
+// Take removes n tokens and returns true if at least reservedShare (0 to 1) of the burst remains
+// after that. If n tokens and the reserve exceed the burst, a full bucket suffices. Otherwise it
+// removes none and returns how long to wait before the next attempt.
+func (b *TokenBucket) Take(now time.Time, n, reservedShare float64) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	need := min(n+reserve*b.burst, b.burst)
+	need := min(n+reservedShare*b.burst, b.burst)
 	if b.tokens >= need {
 		b.tokens -= n
-		b.used += n
+		b.totalTaken += n
 		return 0, true
 	}
 	return time.Duration((need - b.tokens) / b.rate * float64(time.Second)), false
 }
 
-// Available returns how many tokens can be taken now that leave the share reserve of the
-// burst; it is below zero when the reserve itself has been used.
-func (b *TokenBucket) Available(now time.Time, reserve float64) float64 {
+// Available returns how many tokens can be taken now so that reservedShare of the burst remains.
+// It is negative when part of the reserve has been used.
+func (b *TokenBucket) Available(now time.Time, reservedShare float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	return b.tokens - reserve*b.burst
+	return b.tokens - reservedShare*b.burst
 }
 
-// Drain empties the bucket: the other side has answered that it was too much.
+// Drain empties the bucket. Callers use it when the other side reports that its rate was exceeded.
 func (b *TokenBucket) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens, 0)
 }
 
-// Burst returns how many tokens the bucket holds at most.
+// Burst returns the most tokens that the bucket can hold.
 func (b *TokenBucket) Burst() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.burst
 }
 
-// TimeToRefill returns how long n tokens take to come.
+// TimeToRefill returns how long the bucket takes to gain n tokens.
 func (b *TokenBucket) TimeToRefill(n float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(n / b.rate * float64(time.Second))
 }
 
-// Used returns how many tokens were taken in all.
+// Used returns the number of tokens taken since the start.
 func (b *TokenBucket) Used() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used
+	return b.totalTaken
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,10 +1,10 @@
-// Package worker is the client for commands that a controller sends to a worker directly,
-// rather than in the answer to its heartbeat. Only commands that may be carried out at any
-// later time are sent this way: fencing tokens, stops and clears, never launches, since a
-// network cut may hold a command back for minutes.
+// Package worker is the client for commands that a controller sends to a worker directly, rather
+// than in the response to its heartbeat. Only commands that are safe to execute late are sent this
+// way: fencing tokens, stops and clears. Launches are not, since a network partition can delay a
+// command by minutes.
 //
-// Each request uses a connection of its own that is closed afterwards: there are more workers
-// than sockets. A Client's methods may be called from any goroutine.
+// Each request uses a connection of its own that is closed afterwards, because there are more
+// workers than sockets. A Client's methods may be called from any goroutine.
 package worker
 
 import (
@@ -19,16 +19,16 @@
 	"violetturn/internal/transport"
 )
 
-// ErrLaunch says that a launch was to be sent directly; nothing was sent.
-var ErrLaunch = errors.New("a launch is never sent directly")
+// ErrLaunch means that a batch contains a launch, which must not be sent directly. Nothing was sent.
+var ErrLaunch = errors.New("launch commands must not be sent directly")
 
-// StatusError is an answer with a status that PROTOCOL does not have for the request.
+// StatusError is a response with a status that PROTOCOL does not define for the request.
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
-// Statuses of a worker's answers.
+// Response statuses of a worker.
 const (
 	statusOK       = 200
 	statusConflict = 409 // the fencing token or the agent epoch is out of date
@@ -36,34 +36,34 @@
 
 // Client sends commands to workers.
 type Client struct {
-	http     *transport.Client
-	deadline time.Duration // of one request
+	http    *transport.Client
+	timeout time.Duration // of one request
 }
 
-// New makes a client whose requests each have the deadline.
-func New(h *transport.Client, deadline time.Duration) *Client {
-	return &Client{http: h, deadline: deadline}
+// New makes a client whose requests each have the timeout.
+func New(h *transport.Client, timeout time.Duration) *Client {
+	return &Client{http: h, timeout: timeout}
 }
 
-// Status asks the worker at addr for its heartbeat.
+// Status requests the current heartbeat of the worker at addr.
 func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	m, err := c.do(ctx, addr, "GET", "/show", nil)
 	if err != nil {
-		return nil, fmt.Errorf("ask worker %s: %w", addr, err)
+		return nil, fmt.Errorf("request heartbeat of worker %s: %w", addr, err)
 	}
 	if m.Status != statusOK {
-		return nil, fmt.Errorf("ask worker %s: %w", addr, &StatusError{m.Status})
+		return nil, fmt.Errorf("request heartbeat of worker %s: %w", addr, &StatusError{m.Status})
 	}
 	h, err := api.ParseHeartbeat(m.Body)
 	if err != nil {
-		return nil, fmt.Errorf("heartbeat of worker %s: %w", addr, err)
+		return nil, fmt.Errorf("parse heartbeat of worker %s: %w", addr, err)
 	}
 	return h, nil
 }
 
 // SendCommands sends commands under a fencing token and an agent epoch to the worker at addr.
-// It returns the worker's heartbeat and whether the worker carried the commands out. After an
-// error, ErrLaunch aside, it may have or may still do so.
+// It returns the worker's heartbeat and whether the worker executed the commands. After an error
+// other than ErrLaunch, the worker may have executed them or may still do so.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, command := range batch.Commands {
 		if command.Action == api.Launch {
@@ -72,18 +72,18 @@
 	}
 	body, err := json.Marshal(batch)
 	if err != nil {
-		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, err)
+		return nil, false, fmt.Errorf("send commands to worker %s: %w", addr, err)
 	}
 	m, err := c.do(ctx, addr, "POST", "/commands", body)
 	if err != nil {
-		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, err)
+		return nil, false, fmt.Errorf("send commands to worker %s: %w", addr, err)
 	}
 	if m.Status != statusOK && m.Status != statusConflict {
-		return nil, false, fmt.Errorf("commands for worker %s: %w", addr, &StatusError{m.Status})
+		return nil, false, fmt.Errorf("send commands to worker %s: %w", addr, &StatusError{m.Status})
 	}
 	h, err := api.ParseHeartbeat(m.Body)
 	if err != nil {
-		return nil, m.Status == statusOK, fmt.Errorf("heartbeat of worker %s: %w", addr, err)
+		return nil, m.Status == statusOK, fmt.Errorf("parse heartbeat of worker %s: %w", addr, err)
 	}
 	return h, m.Status == statusOK, nil
 }
@@ -95,7 +95,7 @@
 		Method:     method,
 		Target:     target,
 		Body:       body,
-		Deadline:   c.deadline,
+		Deadline:   c.timeout,
 		CloseAfter: true,
 	})
 }
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -17,9 +17,9 @@
 	"violetturn/internal/transport"
 )
 
-// scriptedWorker is a worker that gives one answer, and notes its requests.
+// scriptedWorker is a worker that gives a preset response and records its requests.
 type scriptedWorker struct {
-	mu       sync.Mutex // the server's goroutine and the test's take turns
+	mu       sync.Mutex // guards the fields below, shared by the server's goroutine and the test's
 	status   int
 	body     string
 	requests []string // method, path and body, separated by spaces
@@ -27,29 +27,29 @@
 
 // ServeHTTP implements http.Handler.
 func (s *scriptedWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // what can't be read differs from what is expected
+	body, _ := io.ReadAll(r.Body) // after a read error the recorded request differs from the wanted one
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = append(s.requests, fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body))
 	w.WriteHeader(s.status)
-	_, _ = io.WriteString(w, s.body) // the client notices what is missing
+	_, _ = io.WriteString(w, s.body) // after a write error the client fails to parse the response
 }
 
-// answerWith has the worker give an answer from now on, and forget what it was asked.
-func (s *scriptedWorker) answerWith(status int, body string) {
+// setResponse sets the response to all later requests and clears the recorded requests.
+func (s *scriptedWorker) setResponse(status int, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.body, s.requests = status, body, nil
 }
 
-// asked returns the requests since the answer was set.
-func (s *scriptedWorker) asked() []string {
+// receivedRequests returns the requests since the last setResponse.
+func (s *scriptedWorker) receivedRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests)
 }
 
-// newClient starts a scripted worker and returns a client and the worker's address.
+// newClient starts a server for the worker and returns a client and the server's address.
 func newClient(t *testing.T, worker *scriptedWorker) (client *Client, addr string) {
 	t.Helper()
 	server := httptest.NewServer(worker)
@@ -66,69 +66,71 @@
 	return New(h, time.Minute), server.Listener.Addr().String()
 }
 
-// heartbeat is the least heartbeat that is taken.
-const heartbeat = `{"host":"i-1","tenure":2}`
+// minimalHeartbeat is a heartbeat with only the required fields.
+const minimalHeartbeat = `{"host":"i-1","tenure":2}`
 
-// Commands are sent in the form of PROTOCOL; whether they were carried out is told by the status.
+// SendCommands sends the request of PROTOCOL and derives from the status whether the worker
+// executed the commands.
 func TestSendCommands(t *testing.T) {
 	worker := &scriptedWorker{}
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, AgentEpoch: 2, Commands: []api.Command{{Action: api.Stop, Task: "run-1/0", Attempt: 3}}}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name     string
 		status   int
 		body     string
 		executed bool
 		ok       bool
 	}{
-		{"carried out", 200, heartbeat, true, true},
-		{"out of date", 409, heartbeat, false, true},
+		{"executed", 200, minimalHeartbeat, true, true},
+		{"out of date", 409, minimalHeartbeat, false, true},
 		{"no heartbeat", 200, `{}`, true, false},
-		{"unavailable", 503, heartbeat, false, false},
+		{"unavailable", 503, minimalHeartbeat, false, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			worker.answerWith(x.status, x.body)
+		t.Run(test.name, func(t *testing.T) {
+			worker.setResponse(test.status, test.body)
 			h, executed, err := client.SendCommands(context.Background(), addr, batch)
-			if (err == nil) != x.ok || (h != nil) != x.ok || executed != x.executed {
-				t.Errorf("%+v, carried out %t, %v", h, executed, err)
+			if (err == nil) != test.ok || (h != nil) != test.ok || executed != test.executed {
+				t.Errorf("got heartbeat %+v, executed %t, error %v; want executed %t, success %t", h, executed, err, test.executed, test.ok)
 			}
 			want := `POST /commands {"baton":41,"tenure":2,"orders":[{"verb":"halt","piece":"run-1/0","try":3}]}`
-			if asked := worker.asked(); len(asked) != 1 || asked[0] != want {
-				t.Error(asked)
+			if requests := worker.receivedRequests(); len(requests) != 1 || requests[0] != want {
+				t.Errorf("got requests %q, want only %q", requests, want)
 			}
 		})
 	}
 }
 
-// A launch is never sent directly, nor is what goes with it.
+// A batch with a launch is rejected as a whole and not sent.
 func TestLaunchIsNeverSent(t *testing.T) {
-	worker := &scriptedWorker{status: 200, body: heartbeat}
+	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, Commands: []api.Command{{Action: api.Stop}, {Action: api.Launch, Task: "run-1/0"}}}
 	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunch) || executed {
-		t.Error(executed, err)
+		t.Errorf("got executed %t, error %v; want error %v", executed, err, ErrLaunch)
 	}
-	if asked := worker.asked(); len(asked) != 0 {
-		t.Error(asked)
+	if requests := worker.receivedRequests(); len(requests) != 0 {
+		t.Errorf("got requests %q, want none", requests)
 	}
 }
 
-// A worker is asked for its heartbeat; an answer that is none is an error.
+// Status returns the worker's heartbeat. A response with another status or an invalid heartbeat
+// is an error.
 func TestStatus(t *testing.T) {
-	worker := &scriptedWorker{status: 200, body: heartbeat}
+	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
 	h, err := client.Status(context.Background(), addr)
 	if err != nil || h.Host != "i-1" || h.AgentEpoch != 2 {
-		t.Error(h, err)
+		t.Errorf("got heartbeat %+v, error %v; want host i-1 with agent epoch 2", h, err)
 	}
-	worker.answerWith(500, heartbeat)
+	worker.setResponse(500, minimalHeartbeat)
 	var status *StatusError
 	if _, err := client.Status(context.Background(), addr); !errors.As(err, &status) || status.Status != 500 {
-		t.Error(err)
+		t.Errorf("status 500: got error %v, want a StatusError with status 500", err)
 	}
-	worker.answerWith(200, `{"host":""}`)
+	worker.setResponse(200, `{"host":""}`)
 	var refused *api.RequestError
 	if _, err := client.Status(context.Background(), addr); !errors.As(err, &refused) {
-		t.Error(err)
+		t.Errorf("heartbeat without a host: got error %v, want an api.RequestError", err)
 	}
 }
