--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -84,7 +84,7 @@
 
 // Page lists at most MaxPage machines, starting after the name since. truncated reports whether
 // there are more.
-func (c *Client) Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error) {
+func (c *Client) Page(ctx context.Context, since string) (machines []Host, truncated bool, err error) {
 	var response struct {
 		Hosts     []Host `json:"hosts"`
 		Truncated bool   `json:"truncated"`
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -99,11 +99,11 @@
 		{
 			"page", `{"hosts":[{"uid":"i-3","phase":"failed","heldS":1.5}],"truncated":false}`,
 			func() (any, error) {
-				hosts, truncated, err := client.Page(ctx, "i 2")
+				machines, truncated, err := client.Page(ctx, "i 2")
 				if truncated {
 					t.Error("Page reports the last page as truncated")
 				}
-				return hosts, err
+				return machines, err
 			},
 			"GET /rentals?since=i+2&limit=500 ",
 			[]Host{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
@@ -118,8 +118,8 @@
 			if d := cmp.Diff(test.want, got); d != "" {
 				t.Errorf("response differs (-want +got):\n%s", d)
 			}
-			if got := cloud.lastRequest(); got != test.request {
-				t.Errorf("got request %q, want %q", got, test.request)
+			if gotRequest := cloud.lastRequest(); gotRequest != test.request {
+				t.Errorf("got request %q, want %q", gotRequest, test.request)
 			}
 		})
 	}
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -10,7 +10,7 @@
 
 // pageReader reads one page of the list of rented machines. Client implements it.
 type pageReader interface {
-	Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error)
+	Page(ctx context.Context, since string) (machines []Host, truncated bool, err error)
 }
 
 // Listing reads the list of rented machines a few pages at a time. The eight pages of 4,000
@@ -26,7 +26,7 @@
 	// Began is the time at which the current listing read its first page.
 	Began time.Time
 
-	hosts    []Host // the machines read so far
+	machines []Host // the machines read so far
 	lastName string // name of the last machine read
 	active   bool   // the listing has started and is not complete
 }
@@ -35,9 +35,9 @@
 func (l *Listing) Active() bool { return l.active }
 
 // Read reads up to maxPages pages, at least one. complete reports whether the last page has been
-// read; hosts is then the whole list, otherwise nil. After an error the next call reads the same
+// read; machines is then the whole list, otherwise nil. After an error the next call reads the same
 // page again.
-func (l *Listing) Read(ctx context.Context, reader pageReader, now time.Time, maxPages int) (hosts []Host, complete bool, err error) {
+func (l *Listing) Read(ctx context.Context, reader pageReader, now time.Time, maxPages int) (machines []Host, complete bool, err error) {
 	if !l.active {
 		*l = Listing{Began: now, active: true}
 	}
@@ -46,10 +46,10 @@
 		if err != nil {
 			return nil, false, err
 		}
-		l.hosts = append(l.hosts, page...)
+		l.machines = append(l.machines, page...)
 		if !truncated || len(page) == 0 {
 			l.active = false
-			return l.hosts, true, nil
+			return l.machines, true, nil
 		}
 		l.lastName = page[len(page)-1].UID
 	}
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -29,11 +29,11 @@
 	}
 	remaining := p.names[start:]
 	page := remaining[:min(len(remaining), MaxPage)]
-	hosts := []Host{}
+	machines := []Host{}
 	for _, name := range page {
-		hosts = append(hosts, Host{UID: name})
+		machines = append(machines, Host{UID: name})
 	}
-	return hosts, len(remaining) > len(page), nil
+	return machines, len(remaining) > len(page), nil
 }
 
 // A listing that is read a few pages at a time, with failures and changes in between, contains
@@ -63,12 +63,12 @@
 			source.failing = step < 150 && rapid.IntRange(0, 3).Draw(t, "fails") == 0
 			maxPages := rapid.IntRange(1, 3).Draw(t, "pages")
 			pagesBefore := source.pages
-			hosts, complete, err := listing.Read(context.Background(), source, now, maxPages)
+			machines, complete, err := listing.Read(context.Background(), source, now, maxPages)
 			if (err != nil) != source.failing || source.pages-pagesBefore > maxPages {
 				t.Fatalf("got %d pages, error %v; want at most %d, error: %t", source.pages-pagesBefore, err, maxPages, source.failing)
 			}
 			if complete {
-				checkListing(t, hosts, remaining, created)
+				checkListing(t, machines, remaining, created)
 				break
 			}
 			create(rapid.IntRange(0, 20).Draw(t, "created"))
@@ -85,13 +85,13 @@
 }
 
 // checkListing checks that the listing has all remaining machines and none twice.
-func checkListing(t *rapid.T, hosts []Host, remaining map[string]bool, created int) {
+func checkListing(t *rapid.T, machines []Host, remaining map[string]bool, created int) {
 	listed := map[string]bool{}
-	for _, h := range hosts {
-		if listed[h.UID] {
-			t.Fatalf("machine %s is listed twice", h.UID)
+	for _, machine := range machines {
+		if listed[machine.UID] {
+			t.Fatalf("machine %s is listed twice", machine.UID)
 		}
-		listed[h.UID] = true
+		listed[machine.UID] = true
 	}
 	for name := range remaining {
 		if !listed[name] {
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -50,7 +50,7 @@
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	Rent(ctx context.Context, request cloud.RentalRequest) (hosts []string, err error)
 	Return(ctx context.Context, hosts []string) error
-	Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
+	Page(ctx context.Context, since string) (machines []cloud.Host, truncated bool, err error)
 }
 
 // Workers sends requests to workers directly, independently of their heartbeats.
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -30,7 +30,7 @@
 	Addr        string
 	Deadline    time.Duration // of a request, without its wait for tokens and for changes
 	Limits      Limits        // the limits in force
-	Next        Limits        // announced lower limits; they take effect at an unknown time, after which requests are refused
+	Next        Limits        // announced lower limits; refusals show when they take effect
 	Controllers int           // number of controllers that share the limits
 	OnAnswer    func(ok bool) // called after each request with whether the service is available
 }
@@ -47,7 +47,7 @@
 	mu               sync.Mutex // guards the fields below
 	limits           Limits     // the limits assumed to be in force
 	announcedLimits  Limits     // announced lower limits, or those in force
-	controllers      int
+	controllerCount  int
 	reservedForGangs float64     // write tokens that priorities below PriorityGang leave besides their regular reserve
 	writeRefusals    []time.Time // times of the latest refusals of writes
 }
@@ -64,7 +64,7 @@
 		writes:          transport.NewTokenBucket(writes, burst),
 		limits:          o.Limits,
 		announcedLimits: o.Next,
-		controllers:     o.Controllers,
+		controllerCount: o.Controllers,
 	}
 }
 
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -58,15 +58,15 @@
 		t.Errorf("got %v at revision %d, error %v; want 3 items to c/3 at revision 9", items, revision, err)
 	}
 	f.service.setResponse("/keys?prefix=c%2F&limit=1000&since=c%2F2", 500, `{}`)
-	var status *StatusError
-	if _, _, err := f.client.List(context.Background(), "c/"); !errors.As(err, &status) || status.Status != 500 {
+	var statusError *StatusError
+	if _, _, err := f.client.List(context.Background(), "c/"); !errors.As(err, &statusError) || statusError.Status != 500 {
 		t.Errorf("status 500 for the second page: got error %v, want a StatusError with status 500", err)
 	}
 }
 
 // Changes that are no longer in the change log, or whose response exceeds the client's size limit,
 // return ErrTooOld, so that the caller lists the keys instead. The service is reported as available.
-func TestUnavailableChangesReturnErrTooOld(t *testing.T) {
+func TestUnavailableChangesRequireListing(t *testing.T) {
 	f := newFixture(t)
 	large := strings.Repeat(" ", httpwire.ResponseLimits.Body+1)
 	for _, test := range []struct {
@@ -79,8 +79,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f.service.setResponse("/changes", test.status, test.body)
-			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.lastServed {
-				t.Errorf("got error %v, service available %t; want %v and true", err, f.lastServed, ErrTooOld)
+			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.reportedAvailable {
+				t.Errorf("got error %v, service available %t; want %v and true", err, f.reportedAvailable, ErrTooOld)
 			}
 			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.takeRequests()); d != "" {
 				t.Errorf("requests differ (-want +got):\n%s", d)
@@ -143,8 +143,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			f.service.setResponse("/multi", test.status, test.body)
 			result, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
-			if d := cmp.Diff(test.want, result); d != "" || !errors.Is(err, test.wantErr) || !f.lastServed {
-				t.Errorf("got error %v, available %t; want %v and true; result (-want +got):\n%s", err, f.lastServed, test.wantErr, d)
+			if d := cmp.Diff(test.want, result); d != "" || !errors.Is(err, test.wantErr) || !f.reportedAvailable {
+				t.Errorf("error %v, available %t; want %v and true; result (-want +got):\n%s", err, f.reportedAvailable, test.wantErr, d)
 			}
 			want := []string{`POST /multi {"guards":[{"k":"a/b","stamp":0}],"then":[{"write":"a/b","v":{},"permit":7},{"drop":"c/d"}]}`}
 			if d := cmp.Diff(want, f.service.takeRequests()); d != "" {
@@ -164,8 +164,8 @@
 		}
 		f.service.setResponse("/multi", status, `{}`)
 		_, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
-		if !errors.Is(err, ErrRefused) || f.lastServed != (status == 429) {
-			t.Errorf("status %d: got error %v, service available %t; want %v and %t", status, err, f.lastServed, ErrRefused, status == 429)
+		if !errors.Is(err, ErrRefused) || f.reportedAvailable != (status == 429) {
+			t.Errorf("status %d: got error %v, available %t; want %v and %t", status, err, f.reportedAvailable, ErrRefused, status == 429)
 		}
 	}
 	if f.client.limits != f.client.announcedLimits {
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -37,7 +37,7 @@
 func (c *Client) SetControllers(controllers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.controllers = controllers
+	c.controllerCount = controllers
 	c.setRates()
 }
 
@@ -83,7 +83,7 @@
 
 // setRates updates the rates of the token buckets. The caller holds the mutex.
 func (c *Client) setRates() {
-	requests, writes, burst := c.limits.rateShare(c.controllers)
+	requests, writes, burst := c.limits.rateShare(c.controllerCount)
 	now := time.Now()
 	c.requests.SetRate(now, requests, requests)
 	c.writes.SetRate(now, writes, burst)
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -50,16 +50,16 @@
 
 // fixture is a scripted service and a client of it.
 type fixture struct {
-	service    *scriptedService
-	client     *Client
-	lastServed bool // argument of the last call of OnAnswer
+	service           *scriptedService
+	client            *Client
+	reportedAvailable bool // argument of the last call of OnAnswer
 }
 
 // newFixture starts a scripted service and a client of it, which are stopped when the test ends.
 // The announced write rate of the client is half of its current one.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{service: &scriptedService{responses: map[string]transport.Response{}}, lastServed: true}
+	f := &fixture{service: &scriptedService{responses: map[string]transport.Response{}}, reportedAvailable: true}
 	server := transport.NewServer(f.service.serve, httpwire.RequestLimits, 4, time.Minute)
 	addr := freeAddress(t)
 	runErr := make(chan error, 1)
@@ -90,7 +90,7 @@
 		Limits:      Limits{RPS: 1000, WriteRPS: 1000},
 		Next:        Limits{RPS: 1000, WriteRPS: 500},
 		Controllers: 1,
-		OnAnswer:    func(ok bool) { f.lastServed = ok },
+		OnAnswer:    func(ok bool) { f.reportedAvailable = ok },
 	})
 	return f
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -57,9 +57,9 @@
 	conn   gnet.Conn        // set before the first request
 	parser *httpwire.Parser // accessed by the event loop only
 
-	mu         sync.Mutex  // guards the fields below
-	responseCh chan result // of the request in flight; nil if there is none
-	closed     bool
+	mu       sync.Mutex  // guards the fields below
+	resultCh chan result // of the request in flight; nil if there is none
+	closed   bool
 }
 
 // result is the outcome of a request: a response message or an error.
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	responseCh, err := cc.expectResponse()
+	resultCh, err := cc.expectResponse()
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 		return nil, ErrNoResponse
 	}
 	select {
-	case res := <-responseCh:
+	case res := <-resultCh:
 		if res.err != nil {
 			return nil, res.err
 		}
@@ -226,15 +226,15 @@
 	if cc.closed {
 		return nil, errConnectionClosed
 	}
-	cc.responseCh = ch
+	cc.resultCh = ch
 	return ch, nil
 }
 
 // deliver passes the result to the request in flight and reports whether there was one.
 func (cc *clientConn) deliver(r result) bool {
 	cc.mu.Lock()
-	ch := cc.responseCh
-	cc.responseCh = nil
+	ch := cc.resultCh
+	cc.resultCh = nil
 	cc.mu.Unlock()
 	if ch == nil {
 		return false
@@ -246,7 +246,7 @@
 // abandon closes a connection whose request has timed out or was cancelled.
 func (cc *clientConn) abandon() {
 	cc.mu.Lock()
-	cc.responseCh = nil
+	cc.resultCh = nil
 	cc.mu.Unlock()
 	_ = cc.conn.Close()
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -152,7 +152,7 @@
 
 // sendRequest sends one request on a new connection. It reports whether the server responded and
 // whether the response closes the connection.
-func sendRequest(t *testing.T, addr string) (answered, closed bool) {
+func sendRequest(t *testing.T, addr string) (responded, closed bool) {
 	t.Helper()
 	c := openIdleConnection(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
 	p := httpwire.NewParser(true, httpwire.ResponseLimits)
@@ -176,14 +176,14 @@
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, time.Hour)
 	if ok, closed := sendRequest(t, addr); !ok || closed {
-		t.Fatalf("no other connections: answered %t, closed %t; want an answer and an open connection", ok, closed)
+		t.Fatalf("no other connections: responded %t, closed %t; want a response and an open connection", ok, closed)
 	}
 	for i := range 40 { // the server holds at most 10
 		openIdleConnection(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
 	}
 	for range 20 {
 		if ok, closed := sendRequest(t, addr); !ok || !closed {
-			t.Fatalf("connection table full: answered %t, closed %t; want an answer that closes the connection", ok, closed)
+			t.Fatalf("connection table full: responded %t, closed %t; want a response that closes the connection", ok, closed)
 		}
 	}
 }
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -116,7 +116,7 @@
 
 // Status returns the worker's heartbeat. A response with another status or an invalid heartbeat
 // is an error.
-func TestStatus(t *testing.T) {
+func TestHeartbeatRequest(t *testing.T) {
 	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
 	h, err := client.Status(context.Background(), addr)
@@ -124,13 +124,13 @@
 		t.Errorf("got heartbeat %+v, error %v; want host i-1 with agent epoch 2", h, err)
 	}
 	worker.setResponse(500, minimalHeartbeat)
-	var status *StatusError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &status) || status.Status != 500 {
+	var statusError *StatusError
+	if _, err := client.Status(context.Background(), addr); !errors.As(err, &statusError) || statusError.Status != 500 {
 		t.Errorf("status 500: got error %v, want a StatusError with status 500", err)
 	}
 	worker.setResponse(200, `{"host":""}`)
-	var refused *api.RequestError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &refused) {
+	var requestError *api.RequestError
+	if _, err := client.Status(context.Background(), addr); !errors.As(err, &requestError) {
 		t.Errorf("heartbeat without a host: got error %v, want an api.RequestError", err)
 	}
 }
