--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -52,7 +52,7 @@
 	})
 	f.commands = NewDirectCommands(f.Registry)
 	page := statecache.PageID(testHost, statecache.CoarsestPageSuffixLen)
-	f.applyRecord(statecache.MachinePageKey(page), shard.Page{testHost: {Shard: "n0", Addr: "worker:1"}})
+	f.applyRecord(statecache.MachinePageKey(page), shard.MachinePage{testHost: {Shard: "n0", Addr: "worker:1"}})
 	f.applyRecord(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: info.Incarnation, Term: testTerm})
 	f.record = &job.Record{Spec: api.Job{UID: testUID, Kind: api.Array, Priority: api.Standard, Tasks: 1}, Shard: "n0"}
 	f.record.ChooseLayout(64, 500, false)
@@ -67,7 +67,7 @@
 
 func (f *registryFixture) applyRecord(key string, value any) {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 }
 
 // receiveHeartbeat processes a heartbeat of the worker that reports the tasks.
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -30,8 +30,8 @@
 	return &ScaleInReview{autoscaler: a, now: now}
 }
 
-// Consider decides whether a machine is to be cordoned, so that it is returned once it is empty.
-func (r *ScaleInReview) Consider(host string, machine *shard.Machine, worker *agent.Agent) {
+// Evaluate decides whether a machine is to be cordoned, so that it is returned once it is empty.
+func (r *ScaleInReview) Evaluate(host string, machine *shard.Machine, worker *agent.Agent) {
 	_, machineType := r.autoscaler.catalog.MachineCapacity(machine.MachineType)
 	if machineType == nil || worker.Cordoned {
 		return
@@ -116,7 +116,7 @@
 	if worker.IdleSince.IsZero() {
 		worker.IdleSince = r.now
 	}
-	if r.autoscaler.zones.RestrictedZone(machine.Zone, r.now) != nil {
+	if r.autoscaler.zones.RestrictedZoneRecord(machine.Zone, r.now) != nil {
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
@@ -178,7 +178,7 @@
 	if r.replicaHosts == nil {
 		r.replicaHosts = map[string][]*sched.Host{}
 		for _, host := range r.remaining() {
-			if host.Services > 0 {
+			if host.ServiceTasks > 0 {
 				r.replicaHosts[host.Zone] = append(r.replicaHosts[host.Zone], host)
 			}
 		}
--- a/internal/autoscaler/scale_in_review_test.go
+++ b/internal/autoscaler/scale_in_review_test.go
@@ -22,14 +22,14 @@
 					Name:        string(rune('a' + i)),
 					MachineType: "m",
 					Zone:        rapid.SampledFrom(zones).Draw(t, "zone"),
-					Cap:         sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
+					Capacity:    sched.Resources{CPUs: 8, GPUs: 4, MemGB: 64},
 					Free: sched.Resources{
 						CPUs:  2 * gpus,
 						GPUs:  gpus,
 						MemGB: 16 * gpus,
 					},
-					Services: rapid.IntRange(0, 1).Draw(t, "services"),
-					Images:   map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true},
+					ServiceTasks: rapid.IntRange(0, 1).Draw(t, "services"),
+					Images:       map[string]bool{rapid.SampledFrom([]string{"p", "q"}).Draw(t, "image"): true},
 				},
 			)
 		}
@@ -67,7 +67,7 @@
 func fitOnCopies(hosts []*sched.Host, from *sched.Host, requests []sched.TaskRequest) bool {
 	var others []*sched.Host
 	for _, h := range hosts {
-		if h != from && h.Services > 0 && h.Zone == from.Zone {
+		if h != from && h.ServiceTasks > 0 && h.Zone == from.Zone {
 			x := *h
 			others = append(others, &x)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -102,7 +102,7 @@
 	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
 	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
 	c.services.Workers = worker.New(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.services.Peers = peer.New(client)
+	c.services.Peers = peer.NewClient(client)
 }
 
 // addServers adds the servers for users and workers, and for peers.
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -77,19 +77,19 @@
 // apply has the controller take in a record.
 func (s *largeShard) apply(key string, record any) {
 	s.version++
-	s.testState().Cache.Apply(key, api.JSON(record), s.version)
+	s.testState().Cache.Apply(key, api.MustMarshal(record), s.version)
 }
 
 // addMachines adds machines, page by page.
 func (s *largeShard) addMachines(machines int) {
-	page := shard.Page{}
+	page := shard.MachinePage{}
 	for i := range machines {
 		host := machineName(i)
 		page[host] = &shard.Machine{Shard: "n0", MachineType: "m", Zone: "x"}
 		id := statecache.PageID(host, statecache.CoarsestPageSuffixLen)
 		if i == machines-1 || id != statecache.PageID(machineName(i+1), statecache.CoarsestPageSuffixLen) {
 			s.apply(statecache.MachinePageKey(id), page)
-			page = shard.Page{}
+			page = shard.MachinePage{}
 		}
 	}
 }
@@ -101,18 +101,18 @@
 func (s *largeShard) newJobRecord(id int, priority api.Priority) *job.Record {
 	m := &job.Record{
 		Spec: api.Job{
-			UID:       fmt.Sprintf("run-%06d", id),
-			Class:     "l",
-			Team:      "b",
-			Kind:      api.Array,
-			Priority:  priority,
-			Tasks:     tasksPerJob,
-			CPUs:      5 + float64(id%10)/10,
-			GPUs:      1,
-			MemGB:     40,
-			Image:     fmt.Sprintf("img-%d", id%18),
-			ImageGB:   7,
-			EstimateS: 70,
+			UID:           fmt.Sprintf("run-%06d", id),
+			Class:         "l",
+			Team:          "b",
+			Kind:          api.Array,
+			Priority:      priority,
+			Tasks:         tasksPerJob,
+			CPUs:          5 + float64(id%10)/10,
+			GPUs:          1,
+			MemGB:         40,
+			Image:         fmt.Sprintf("img-%d", id%18),
+			ImageGB:       7,
+			EstimatedRunS: 70,
 		},
 		Shard:      "n0",
 		AcceptedMS: s.clock.UnixMilli(),
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -80,7 +80,7 @@
 		if s[key] = m.Spec.Kind; m.Spec.Kind != api.Service {
 			m.Spec.Kind = api.Array
 		}
-		raw = api.JSON(m)
+		raw = api.MustMarshal(m)
 	}
 	return raw
 }
@@ -91,7 +91,7 @@
 		var m prodJobRecord
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		m.Spec.Kind = was
-		raw = api.JSON(m)
+		raw = api.MustMarshal(m)
 	}
 	return raw
 }
@@ -121,7 +121,7 @@
 	if err := json.Unmarshal(raw, v); err != nil {
 		return nil, err
 	}
-	return api.JSON(v), nil
+	return api.MustMarshal(v), nil
 }
 
 // productionStore makes a controller's view of the state service that of the version
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -44,15 +44,15 @@
 	} {
 		c := newSizedController(machines, 0)
 		r := zonehealth.Record{
-			State:          x.state,
-			SinceMS:        c.node.Now().UnixMilli(),
-			FailedMS:       1,
-			SlowStartShare: x.start,
-			MachinesBefore: machines,
+			State:                 x.state,
+			SinceMS:               c.node.Now().UnixMilli(),
+			LastFailedMS:          1,
+			SlowStartShare:        x.start,
+			MachinesBeforeFailure: machines,
 		}
-		r = r.WithObservation("n0", zonehealth.Observation{Up: machines})
+		r = r.WithObservation("n0", zonehealth.Observation{Healthy: machines})
 		waiting := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: x.waiting}}
-		c.setZoneRecord(r.WithObservation("n1", zonehealth.Observation{Lost: 1, Waiting: waiting}))
+		c.setZoneRecord(r.WithObservation("n1", zonehealth.Observation{Lost: 1, WaitingProduction: waiting}))
 		names := c.testState().Cache.MachineNames()
 		open := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
 		if len(open) != x.open {
@@ -72,14 +72,14 @@
 	placed := func(waiting int) int {
 		c := newSizedController(256, 4) // with room for four tasks
 		r := zonehealth.Record{
-			State:          zonehealth.Recovering,
-			SinceMS:        c.node.Now().Add(-time.Second).UnixMilli(),
-			SlowStartShare: 1,
-			MachinesBefore: 256,
+			State:                 zonehealth.Recovering,
+			SinceMS:               c.node.Now().Add(-time.Second).UnixMilli(),
+			SlowStartShare:        1,
+			MachinesBeforeFailure: 256,
 		}
 		r = r.WithObservation("n1", zonehealth.Observation{
-			Lost:    waiting,
-			Waiting: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}},
+			Lost:              waiting,
+			WaitingProduction: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}},
 		})
 		c.setZoneRecord(r)
 		for _, j := range c.testState().Cache.Jobs { // none is production
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -91,7 +91,7 @@
 	for range 60 {
 		s.runRound()
 		for _, n := range s.nodes {
-			if v := n.state().Cache.Zones["x"].Record; v != nil && v.Restricts() {
+			if v := n.state().Cache.Zones["x"].Record; v != nil && v.RestrictsPlacement() {
 				t.Fatalf("the only zone is %s", v.State)
 			}
 		}
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -50,7 +50,7 @@
 	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", GPUsMax: 8}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	environment := simulator.New(time.Unix(1_800_000_000, 0))
+	environment := simulator.NewEnvironment(time.Unix(1_800_000_000, 0))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return environment.Now }
 	info.SteppedClock = true
@@ -71,7 +71,7 @@
 // apply applies a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.revision++
-	f.state.Cache.Apply(key, api.JSON(value), f.revision)
+	f.state.Cache.Apply(key, api.MustMarshal(value), f.revision)
 	return f.revision
 }
 
@@ -157,7 +157,7 @@
 	for i := range machines {
 		f.state.Agents.Unregistered().SetRented(fmt.Sprintf("i-%03d0", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
-	f.apply(statecache.MachinePageKey("i-000-"), shard.Page{"i-0000": {Shard: "n0", MachineType: "m", Zone: "x"}})
+	f.apply(statecache.MachinePageKey("i-000-"), shard.MachinePage{"i-0000": {Shard: "n0", MachineType: "m", Zone: "x"}})
 	registered := 0
 	for range machines {
 		plan := planRegistrations(f.state, f.node, f.now)
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -17,9 +17,9 @@
 type pageEdits struct {
 	schema         *schema.State
 	transaction    *statecache.Transaction
-	pages          map[string]shard.Page // changed pages by ID
-	bytes          int                   // total size of the pages, each as it was when it was added
-	maxBytesToOpen int                   // no further page is opened if bytes is larger
+	pages          map[string]shard.MachinePage // changed pages by ID
+	bytes          int                          // total size of the pages, each as it was when it was added
+	maxBytesToOpen int                          // no further page is opened if bytes is larger
 }
 
 // newPageEdits returns a pageEdits without changes.
@@ -27,14 +27,14 @@
 	return &pageEdits{
 		schema:         s.Schema,
 		transaction:    statecache.NewTransaction(),
-		pages:          map[string]shard.Page{},
+		pages:          map[string]shard.MachinePage{},
 		maxBytesToOpen: maxPageBytesPerTransaction - int(info.Settings.Facts.State.ValueKB*1024),
 	}
 }
 
 // openPage returns the page of a machine for editing. It returns false if the transaction has no
 // space for another page.
-func (e *pageEdits) openPage(host string) (page shard.Page, ok bool) {
+func (e *pageEdits) openPage(host string) (page shard.MachinePage, ok bool) {
 	if page, ok = e.pages[e.schema.PageIDFor(host)]; ok {
 		return page, true
 	}
@@ -46,10 +46,10 @@
 }
 
 // add adds the page of a machine to the changed pages.
-func (e *pageEdits) add(host string, page shard.Page) {
+func (e *pageEdits) add(host string, page shard.MachinePage) {
 	id := e.schema.PageIDFor(host)
 	if _, added := e.pages[id]; !added {
 		e.pages[id] = page
-		e.bytes += len(api.JSON(page))
+		e.bytes += len(api.MustMarshal(page))
 	}
 }
--- a/internal/decisions/splits.go
+++ b/internal/decisions/splits.go
@@ -37,7 +37,7 @@
 func (l *Loop) collectGarbage(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	if !state.Splitter.GarbageIsDue(now) {
+	if !state.Splitter.IsGarbageCollectionDue(now) {
 		l.guard.Unlock()
 		return
 	}
@@ -48,6 +48,6 @@
 	}
 	l.commit(ctx, purposeGarbage, transaction, store.PrioritySubmission)
 	state = l.guard.Lock()
-	state.Splitter.NoteGarbageCollected(now)
+	state.Splitter.RecordGarbageCollection(now)
 	l.guard.Unlock()
 }
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -25,7 +25,7 @@
 func (l *Loop) updateZones(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	if !state.Zones.ObservationIsDue(now) {
+	if !state.Zones.IsObservationDue(now) {
 		l.guard.Unlock()
 		return false
 	}
@@ -46,8 +46,8 @@
 func planZones(s *state.State, now time.Time) zonesPlan {
 	s.Zones.Update(now)
 	plan := zonesPlan{transaction: statecache.NewTransaction(), changedRecords: map[string]zonehealth.Record{}}
-	for _, zone := range s.Zones.Observed() {
-		next, ok := s.Zones.Judge(zone, now)
+	for _, zone := range s.Zones.ObservedZones() {
+		next, ok := s.Zones.Evaluate(zone, now)
 		if !ok || plan.transaction.Changes() >= s.Schema.TransactionLimits().TxnOps {
 			continue
 		}
@@ -64,16 +64,16 @@
 func (l *Loop) logZoneChanges(records map[string]zonehealth.Record) {
 	for _, zone := range slices.Sorted(maps.Keys(records)) {
 		record := records[zone]
-		total := record.Sum()
+		total := record.TotalObservation()
 		l.node.Log.Info(
 			"zone",
 			"zone", zone,
 			"state", record.State,
 			"transitions", record.Transitions,
-			"up", total.Up,
+			"up", total.Healthy,
 			"lost", total.Lost,
 			"unknown", total.Unclear,
-			"waiting", record.Waiting(),
+			"waiting", record.HasWaitingProduction(),
 			"slow_start_share", record.SlowStartShare,
 		)
 	}
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -64,5 +64,5 @@
 
 // Peers sends requests to the other controllers.
 type Peers interface {
-	Ask(ctx context.Context, addr string, request *peer.Request, timeout time.Duration) (*peer.Reply, error)
+	Call(ctx context.Context, addr string, request *peer.Request, timeout time.Duration) (*peer.Reply, error)
 }
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -27,28 +27,28 @@
 func apiMessages() []golden {
 	return []golden{
 		{"api.Run", &api.Job{
-			UID:          "run-1",
-			Class:        "l",
-			Team:         "o",
-			Kind:         api.Array,
-			Priority:     "idle",
-			Tasks:        3,
-			CPUs:         1.5,
-			GPUs:         1,
-			MemGB:        4,
-			Image:        "i",
-			ImageGB:      2.5,
-			MachineTypes: []string{"m"},
-			Zone:         "x",
-			Together:     true,
-			Spread:       true,
-			Spot:         true,
-			EstimateS:    60,
-			CheckpointS:  30,
-			SaveS:        2,
-			DeadlineS:    pointer(90.5),
+			UID:                 "run-1",
+			Class:               "l",
+			Team:                "o",
+			Kind:                api.Array,
+			Priority:            "idle",
+			Tasks:               3,
+			CPUs:                1.5,
+			GPUs:                1,
+			MemGB:               4,
+			Image:               "i",
+			ImageGB:             2.5,
+			MachineTypes:        []string{"m"},
+			Zone:                "x",
+			SingleZone:          true,
+			Spread:              true,
+			AllowSpot:           true,
+			EstimatedRunS:       60,
+			CheckpointIntervalS: 30,
+			SaveDurationS:       2,
+			DeadlineS:           pointer(90.5),
 		}},
-		{"api.State", &api.State{UID: "run-1", Phase: api.JobRunning, Done: 1, Running: 2}},
+		{"api.State", &api.JobState{UID: "run-1", Phase: api.JobRunning, Done: 1, Running: 2}},
 		{"api.Checkin", &api.Heartbeat{
 			Host:        "i-1",
 			Addr:        "10.0.0.1:9",
@@ -119,7 +119,7 @@
 		{"job.Past", &job.FinalState{Phase: api.JobDone, Done: 3}},
 		{"job.Chunk", &job.TaskRange{
 			LastAttempt: 3,
-			Errors:      1,
+			ErrorStreak: 1,
 			DoneBits:    "AQ",
 			Placements:  map[int]*job.Placement{1: {Attempt: 2, Host: "i-1", Stopping: true, PlacedS: 9}},
 		}},
@@ -154,7 +154,7 @@
 			Incarnation:        5,
 			Term:               6,
 			WorkersUnreachable: true,
-			HearsWorkers:       true,
+			HasWorkerContact:   true,
 			SchemaVersion:      2,
 		}},
 		{"part.Mark", &shard.CapabilityRecord{SchemaVersion: 2}},
@@ -179,7 +179,7 @@
 			RentedFor:    "n1",
 			RegisteredMS: 7,
 		}},
-		{"part.Page", &shard.Page{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}}},
+		{"part.Page", &shard.MachinePage{"i-1": {Shard: "n0", MachineType: "m", Zone: "x", RegisteredMS: 7}}},
 		{"part.Usage", &shard.QuotaRecord{Held: map[string]sched.Resources{"n0": {CPUs: 1, GPUs: 2, MemGB: 3}}}},
 	}
 }
@@ -188,11 +188,11 @@
 func zoneRecords() []golden {
 	return []golden{
 		{"zonehealth.Record", &zonehealth.Record{
-			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, FailedMS: 2,
-			SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
+			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, LastFailedMS: 2,
+			SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
 			Observations: map[string]zonehealth.Observation{"n0": {
-				Up: 1, Lost: 8, Unclear: 2, Refused: true,
-				Waiting: []zonehealth.Demand{
+				Healthy: 1, Lost: 8, Unclear: 2, RentalsRefused: true,
+				WaitingProduction: []zonehealth.Demand{
 					{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3},
 				},
 			}},
--- a/internal/job/finished_ranges_test.go
+++ b/internal/job/finished_ranges_test.go
@@ -25,7 +25,7 @@
 				t.Fatalf("%v after %v", r.FinishedRanges, order[:i+1])
 			}
 			var err error
-			if r, err = ParseRecord(api.JSON(r)); err != nil {
+			if r, err = ParseRecord(api.MustMarshal(r)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -124,10 +124,10 @@
 	return g == nil || !g.Stopping && !g.Ended && !g.Done
 }
 
-// BeginAttempt returns the attempt number for new placements, while placed of the gang's tasks
+// EnsureAttempt returns the attempt number for new placements, while placed of the gang's tasks
 // are placed. If the present attempt has ended or has no placements, a new one begins,
 // numbered above every earlier one.
-func (g *Gang) BeginAttempt(placed int) uint64 {
+func (g *Gang) EnsureAttempt(placed int) uint64 {
 	if g.Ended || placed == 0 {
 		*g = Gang{Attempt: g.Attempt + 1, ErrorStreak: g.ErrorStreak, FailureStreak: g.FailureStreak}
 	}
@@ -142,10 +142,10 @@
 	}
 }
 
-// TaskEnded changes the state by the end of a task of the given attempt whose placement is
+// RecordTaskEnd changes the state by the end of a task of the given attempt whose placement is
 // removed. gathering tells whether the attempt is surely still waiting for its tasks to start,
 // with time to replace one. An end of an earlier attempt changes nothing.
-func (g *Gang) TaskEnded(attempt uint64, reason ExitReason, gathering bool) {
+func (g *Gang) RecordTaskEnd(attempt uint64, reason ExitReason, gathering bool) {
 	switch {
 	case g.Done || attempt != g.Attempt:
 	case reason == ExitDone:
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -28,7 +28,7 @@
 		t.Skip("placed")
 	}
 	fresh := len(m.placed) == 0
-	attempt := m.gang.BeginAttempt(len(m.placed))
+	attempt := m.gang.EnsureAttempt(len(m.placed))
 	if fresh && attempt <= m.lastAttempt || !fresh && attempt != m.lastAttempt {
 		t.Fatalf("attempt %d after %d, new %t", attempt, m.lastAttempt, fresh)
 	}
@@ -54,7 +54,7 @@
 	gathering := rapid.Bool().Draw(t, "gathering")
 	before := *m.gang
 	delete(m.placed, task)
-	m.gang.TaskEnded(attempt, reason, gathering)
+	m.gang.RecordTaskEnd(attempt, reason, gathering)
 	checkTaskEnded(t, &before, m.gang, reason, gathering)
 }
 
@@ -80,7 +80,7 @@
 		t.Skip("none")
 	}
 	before := *m.gang
-	if m.gang.TaskEnded(m.lastAttempt-1, ExitDone, true); *m.gang != before {
+	if m.gang.RecordTaskEnd(m.lastAttempt-1, ExitDone, true); *m.gang != before {
 		t.Fatal("an old attempt decides about the new one")
 	}
 }
--- a/internal/job/layout_test.go
+++ b/internal/job/layout_test.go
@@ -22,7 +22,7 @@
 			tasks := (*TaskRange)(nil).Copy()
 			tasks.LastAttempt = 1 << 30
 			placeAll(tasks, n)
-			raw := api.JSON(tasks)
+			raw := api.MustMarshal(tasks)
 			if len(raw) > int(kb*1024) {
 				t.Errorf("record of %d tasks has %d bytes", n, len(raw))
 			}
@@ -56,15 +56,15 @@
 			Shard:      "node-0",
 			AcceptedMS: 1 << 41,
 		}
-		r.ChooseLayout(kb, len(api.JSON(r)), false)
+		r.ChooseLayout(kb, len(api.MustMarshal(r)), false)
 		if !r.Inline {
 			return
 		}
 		r.Zone, r.Cancelled, r.FinishedRanges = "zone-of-some-length", true, []int{0, 1}
 		r.InlineRange = (*TaskRange)(nil).Copy()
-		r.InlineRange.LastAttempt, r.InlineRange.Errors = 1<<40, 1<<20
+		r.InlineRange.LastAttempt, r.InlineRange.ErrorStreak = 1<<40, 1<<20
 		placeAll(r.InlineRange, r.Spec.Tasks)
-		if raw := api.JSON(r); len(raw) > int(kb*1024) {
+		if raw := api.MustMarshal(r); len(raw) > int(kb*1024) {
 			t.Fatalf("%d bytes of %g KiB with %d tasks", len(raw), kb, r.Spec.Tasks)
 		}
 	})
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -41,9 +41,9 @@
 	switch {
 	case done:
 		t.setDone(i)
-		t.Errors = 0
+		t.ErrorStreak = 0
 	case failed:
-		t.Errors++
+		t.ErrorStreak++
 	}
 	return true
 }
--- a/internal/job/split.go
+++ b/internal/job/split.go
@@ -48,7 +48,7 @@
 	if t == nil {
 		return nil
 	}
-	slice := &TaskRange{LastAttempt: t.LastAttempt, Errors: t.Errors, Placements: map[int]*Placement{}}
+	slice := &TaskRange{LastAttempt: t.LastAttempt, ErrorStreak: t.ErrorStreak, Placements: map[int]*Placement{}}
 	for i := range n {
 		if t.Done(from + i) {
 			slice.setDone(i)
--- a/internal/job/task_range.go
+++ b/internal/job/task_range.go
@@ -12,7 +12,7 @@
 // methods that only read accept it.
 type TaskRange struct {
 	LastAttempt uint64             `json:"c,omitempty"` // the last attempt number given out in this range
-	Errors      int                `json:"e,omitempty"` // failures in a row
+	ErrorStreak int                `json:"e,omitempty"` // failures in a row
 	DoneBits    string             `json:"d,omitempty"` // done tasks, a bit each, base64
 	Placements  map[int]*Placement `json:"p,omitempty"` // unfinished tasks that are on a machine, or may be
 }
--- a/internal/job/task_range_test.go
+++ b/internal/job/task_range_test.go
@@ -45,7 +45,7 @@
 				}
 			},
 			"reread": func(t *rapid.T) {
-				back, err := ParseTaskRange(api.JSON(r))
+				back, err := ParseTaskRange(api.MustMarshal(r))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -78,7 +78,7 @@
 func (c *WorkerContact) PeerHasContact() bool {
 	for _, controller := range c.node.Shards {
 		record := c.cache.Nodes[controller].Record
-		if controller != c.node.Settings.HostName && record != nil && record.HearsWorkers {
+		if controller != c.node.Settings.HostName && record != nil && record.HasWorkerContact {
 			return true
 		}
 	}
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -15,7 +15,7 @@
 	record, desired := t.cache.Nodes[self].Record, t.nodeRecord()
 	announced := t.capabilitiesAnnounced()
 	if announced && record != nil && t.isOwnIncarnation(record.Node, record.Incarnation) &&
-		record.WorkersUnreachable == desired.WorkersUnreachable && record.HearsWorkers == desired.HearsWorkers {
+		record.WorkersUnreachable == desired.WorkersUnreachable && record.HasWorkerContact == desired.HasWorkerContact {
 		return nil
 	}
 	txn := statecache.NewTransaction()
@@ -41,7 +41,7 @@
 		Node:               t.node.Settings.HostName,
 		Incarnation:        t.node.Incarnation,
 		WorkersUnreachable: t.contact.unreachable,
-		HearsWorkers:       t.contact.hasContact,
+		HasWorkerContact:   t.contact.hasContact,
 		SchemaVersion:      schema.Version,
 		Features:           t.node.Features.Names(),
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -36,11 +36,11 @@
 	http *transport.Client
 }
 
-// New makes a client.
-func New(h *transport.Client) *Client { return &Client{http: h} }
+// NewClient makes a client.
+func NewClient(h *transport.Client) *Client { return &Client{http: h} }
 
-// Ask sends a request to the controller at addr and returns its reply.
-func (c *Client) Ask(ctx context.Context, addr string, r *Request, deadline time.Duration) (*Reply, error) {
+// Call sends a request to the controller at addr and returns its reply.
+func (c *Client) Call(ctx context.Context, addr string, r *Request, deadline time.Duration) (*Reply, error) {
 	body, err := proto.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("request to peer %s: %w", addr, err)
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -157,8 +157,8 @@
 		Reason:  agent.ExitReasonOf(reported.Cause),
 	})
 	firstRun := c.worker.FirstRuns[task.placementKey]
-	if done && firstRun.Attempt == attempt && spec.EstimateS > 0 {
-		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimateS)
+	if done && firstRun.Attempt == attempt && spec.EstimatedRunS > 0 {
+		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimatedRunS)
 	}
 	c.reconciler.agents.HandleTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
@@ -182,7 +182,7 @@
 		// not block it.
 		c.markUnresponsive(task)
 		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: placement.Attempt, Reason: job.ExitRefused})
-	case c.reconciler.zones.IsHeldBack(c.heartbeat.Host, task.placed, task.job, c.now):
+	case c.reconciler.zones.IsRestartDelayed(c.heartbeat.Host, task.placed, task.job, c.now):
 		// The task was lost when its zone failed, and work of higher priority takes precedence. The
 		// task keeps its placement, which production work may preempt, and restarts there when the
 		// zone's slow start admits its machine: placing all arrays of a zone again would use the
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -17,11 +17,11 @@
 
 // Zone is a zone that is down or recovering.
 type Zone struct {
-	SlowStartShare  float64             // share of its machines that work below production may have taken since it came back
-	MachinesBefore  float64             // machines that it had before it went down
-	Taken           float64             // by work below production since it came back, in machines
-	Waiting         []zonehealth.Demand // production tasks that wait for lost machines there
-	ReservableShare float64             // share of the free machines that may be reserved for those
+	SlowStartShare    float64             // share of its machines that work below production may have taken since it came back
+	MachinesBefore    float64             // machines that it had before it went down
+	UsedMachines      float64             // by work below production since it came back, in machines
+	WaitingProduction []zonehealth.Demand // production tasks that wait for lost machines there
+	ReservableShare   float64             // share of the free machines that may be reserved for those
 }
 
 // Admission is what work below production may still take of zones. A nil one restricts
@@ -55,10 +55,10 @@
 	return &trial
 }
 
-// Competes reports whether a task of work below production could take what production needs:
+// CompetesWithProduction reports whether a task of work below production could take what production needs:
 // some machine fits both. allowed tells for the index of a machine type whether the task may
 // run on it.
-func (a *Admission) Competes(need sched.Resources, allowed func(machineType int) bool) bool {
+func (a *Admission) CompetesWithProduction(need sched.Resources, allowed func(machineType int) bool) bool {
 	if a == nil {
 		return false
 	}
@@ -83,16 +83,16 @@
 // Admits reports whether work below production may take so much of a zone, in machines.
 func (a *Admission) Admits(zone string, machines float64) bool {
 	z := a.zone(zone)
-	return z == nil || z.SlowStartShare >= 1 || z.Taken+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
+	return z == nil || z.SlowStartShare >= 1 || z.UsedMachines+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
 // epsilon absorbs the rounding of sums of fractions.
 const epsilon = 1e-9
 
-// Admit counts what work below production takes of a zone, in machines.
-func (a *Admission) Admit(zone string, machines float64) {
+// RecordAdmitted counts what work below production takes of a zone, in machines.
+func (a *Admission) RecordAdmitted(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
-		z.Taken += machines
+		z.UsedMachines += machines
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (z *Zone) reserve(name string, hosts []*sched.Host) (reserved int) {
-	if len(z.Waiting) == 0 {
+	if len(z.WaitingProduction) == 0 {
 		return 0
 	}
 	var reservable []*sched.Host
@@ -152,8 +152,8 @@
 		}
 	}
 	reservable = reservable[:int(float64(len(reservable))*z.ReservableShare+0.5)]
-	for _, d := range z.Waiting {
-		request := sched.TaskRequest{Need: d.Need, Spot: d.Spot, Service: true}
+	for _, d := range z.WaitingProduction {
+		request := sched.TaskRequest{Need: d.Need, AllowSpot: d.Spot, Service: true}
 		ranking := sched.NewRanking(nil, reservable, &request)
 		for range d.Tasks {
 			h := ranking.Best(nil)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -28,17 +28,17 @@
 			}
 			share := MachineShare(need, []sched.Resources{machine})
 			if trial := a.Copy(); trial.Admits("x", share) {
-				trial.Admit("x", share)
+				trial.RecordAdmitted("x", share)
 			}
 			if !a.Admits("y", share) {
 				t.Fatal("another zone is restricted")
 			}
 			if a.Admits("x", share) {
-				a.Admit("x", share)
+				a.RecordAdmitted("x", share)
 			}
 		}
-		if z.SlowStartShare < 1 && z.Taken > z.SlowStartShare*z.MachinesBefore+1e-6 {
-			t.Fatalf("%g of %g machines taken with a share of %g", z.Taken, z.MachinesBefore, z.SlowStartShare)
+		if z.SlowStartShare < 1 && z.UsedMachines > z.SlowStartShare*z.MachinesBefore+1e-6 {
+			t.Fatalf("%g of %g machines taken with a share of %g", z.UsedMachines, z.MachinesBefore, z.SlowStartShare)
 		}
 	})
 }
@@ -53,18 +53,18 @@
 		for i := range n {
 			gpus := float64(rapid.IntRange(0, 2).Draw(t, "free"))
 			hosts = append(hosts, &sched.Host{
-				Name: fmt.Sprintf("i-%06d", i), Zone: "x", MachineType: "m", Cap: machine,
+				Name: fmt.Sprintf("i-%06d", i), Zone: "x", MachineType: "m", Capacity: machine,
 				Free: sched.Resources{CPUs: 6 * gpus, GPUs: gpus, MemGB: 48 * gpus},
 			})
 			slots += int(gpus)
 		}
-		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Cap: machine, Free: machine}
+		other := &sched.Host{Name: "i-9", Zone: "y", MachineType: "m", Capacity: machine, Free: machine}
 		tasks := rapid.IntRange(0, 60).Draw(t, "tasks")
 		reservable := rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "reservable")
 		z := &Zone{
-			MachinesBefore:  float64(n),
-			ReservableShare: reservable,
-			Waiting:         []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
+			MachinesBefore:    float64(n),
+			ReservableShare:   reservable,
+			WaitingProduction: []zonehealth.Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: tasks}},
 		}
 		a := NewAdmission(map[string]*Zone{"x": z}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, []sched.Resources{machine})
 		reserved := a.Reserve(append(hosts, other))
@@ -90,17 +90,17 @@
 	types := []sched.Resources{machine, small}
 	a := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
-	if !a.Competes(need, func(int) bool { return true }) {
+	if !a.CompetesWithProduction(need, func(int) bool { return true }) {
 		t.Error("work on machines with accelerators competes for nothing")
 	}
-	if a.Competes(need, func(i int) bool { return i == 1 }) {
+	if a.CompetesWithProduction(need, func(i int) bool { return i == 1 }) {
 		t.Error("work on machines without accelerators competes")
 	}
 	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
 		t.Error("there is an admission with nothing to protect, or no zone restricted")
 	}
 	var none *Admission
-	if !none.Admits("x", 1) || none.Competes(need, nil) || none.Reserve(nil) != 0 {
+	if !none.Admits("x", 1) || none.CompetesWithProduction(need, nil) || none.Reserve(nil) != 0 {
 		t.Error("no admission restricts")
 	}
 }
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -60,7 +60,7 @@
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, request)
 		state := l.guard.Lock()
-		refused := state.Autoscaler.NoteRental(request, hosts, err, renting)
+		refused := state.Autoscaler.RecordRental(request, hosts, err, renting)
 		l.guard.Unlock()
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			l.rentals.unanswered[order.Offer] = request
--- a/internal/sched/chooser.go
+++ b/internal/sched/chooser.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Chooser finds machines for the tasks of one job after the other, in shards: in the
+// HostSelector finds machines for the tasks of one job after the other, in shards: in the
 // job's own shard first and then in the peers' shards in random order (work stealing). It
 // returns the fullest fit of the first shard that has room.
-type Chooser struct {
+type HostSelector struct {
 	shards   map[string][]*Host
 	random   *rand.Rand
 	names    []string
@@ -19,13 +19,13 @@
 	reusable []*Ranking // of earlier jobs
 }
 
-// NewChooser returns a chooser among machines by shard.
-func NewChooser(shards map[string][]*Host, random *rand.Rand) *Chooser {
-	return &Chooser{shards: shards, random: random, names: slices.Sorted(maps.Keys(shards))}
+// NewHostSelector returns a chooser among machines by shard.
+func NewHostSelector(shards map[string][]*Host, random *rand.Rand) *HostSelector {
+	return &HostSelector{shards: shards, random: random, names: slices.Sorted(maps.Keys(shards))}
 }
 
-// Begin turns to the tasks of another job, one of the given shard.
-func (c *Chooser) Begin(own string, a *TaskRequest) {
+// BeginJob turns to the tasks of another job, one of the given shard.
+func (c *HostSelector) BeginJob(own string, a *TaskRequest) {
 	c.request = a
 	c.reusable = append(c.reusable, c.rankings...)
 	c.rankings = c.rankings[:0]
@@ -39,9 +39,9 @@
 	c.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 }
 
-// Next returns the machine for the job's next task, nil if there is none. zoneAllowed is that
+// NextHost returns the machine for the job's next task, nil if there is none. zoneAllowed is that
 // of Ranking.Best.
-func (c *Chooser) Next(zoneAllowed func(zone string) bool) *Host {
+func (c *HostSelector) NextHost(zoneAllowed func(zone string) bool) *Host {
 	for i, name := range c.order {
 		if i == len(c.rankings) {
 			c.rankings = append(c.rankings, NewRanking(c.reuse(), c.shards[name], c.request))
@@ -54,7 +54,7 @@
 }
 
 // reuse returns a ranking of an earlier job, nil if there is none.
-func (c *Chooser) reuse() *Ranking {
+func (c *HostSelector) reuse() *Ranking {
 	last := len(c.reusable) - 1
 	if last < 0 {
 		return nil
--- a/internal/sched/chooser_test.go
+++ b/internal/sched/chooser_test.go
@@ -12,12 +12,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
-		c := NewChooser(shards, rand.New(rand.NewPCG(seed, 1)))
+		c := NewHostSelector(shards, rand.New(rand.NewPCG(seed, 1)))
 		for range 2 {
-			a := &TaskRequest{Need: drawResources(t, "need", 6), Spot: true}
-			c.Begin("own", a)
+			a := &TaskRequest{Need: drawResources(t, "need", 6), AllowSpot: true}
+			c.BeginJob("own", a)
 			for range 4 {
-				got := c.Next(nil)
+				got := c.NextHost(nil)
 				own := FullestFit(shards["own"], a)
 				if own != nil && got != own {
 					t.Fatal("not the own shard's")
--- a/internal/sched/fit_test.go
+++ b/internal/sched/fit_test.go
@@ -12,13 +12,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		a := &TaskRequest{
-			Need: drawResources(t, "need", 6),
-			Spot: rapid.Bool().Draw(t, "spot"),
-			Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Need:      drawResources(t, "need", 6),
+			AllowSpot: rapid.Bool().Draw(t, "spot"),
+			Zone:      rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
 		}
 		got := FullestFit(hosts, a)
 		for _, h := range hosts {
-			fits := h.Free.Fits(a.Need) && (a.Spot || !h.Spot) && (a.Zone == "" || a.Zone == h.Zone)
+			fits := h.Free.Fits(a.Need) && (a.AllowSpot || !h.Spot) && (a.Zone == "" || a.Zone == h.Zone)
 			if got == h && !fits {
 				t.Fatalf("%+v does not fit", *h)
 			}
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -100,7 +100,7 @@
 	if h.Images[a.Image] {
 		return h.StartDelayS
 	}
-	return h.StartDelayS + a.FetchS
+	return h.StartDelayS + a.ImageFetchS
 }
 
 // CompareBool orders false before true.
--- a/internal/sched/gang_assign_test.go
+++ b/internal/sched/gang_assign_test.go
@@ -11,16 +11,16 @@
 // unassigning them restores all.
 func TestAssignGang(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", FetchS: 3}
+		a := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", ImageFetchS: 3}
 		shards := [][]*Host{nil, nil}
 		var all []*Host
 		before := map[*Host]Resources{}
 		for i := range rapid.IntRange(0, 8).Draw(t, "hosts") {
 			h := &Host{
-				Name:  string(rune('a' + i)),
-				Shard: string(rune('p' + i%2)),
-				Zone:  string(rune('x' + i%2)),
-				Cap:   Resources{CPUs: 8, GPUs: 2, MemGB: 64},
+				Name:     string(rune('a' + i)),
+				Shard:    string(rune('p' + i%2)),
+				Zone:     string(rune('x' + i%2)),
+				Capacity: Resources{CPUs: 8, GPUs: 2, MemGB: 64},
 				Free: Resources{
 					CPUs:  float64(rapid.IntRange(0, 8).Draw(t, "cpus")),
 					GPUs:  float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
@@ -58,7 +58,7 @@
 func TestAssignGangOrder(t *testing.T) {
 	capacity, need := Resources{CPUs: 8, MemGB: 64}, Resources{CPUs: 2, MemGB: 4}
 	host := func(name string, freeCPUs, startDelayS float64, images ...string) *Host {
-		h := &Host{Name: name, Cap: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS}
+		h := &Host{Name: name, Capacity: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS}
 		h.Images = map[string]bool{}
 		for _, image := range images {
 			h.Images[image] = true
@@ -79,7 +79,7 @@
 		{"the first of equals", []*Host{host("b", 4, 0), host("a", 4, 0)}, 1, []string{"a"}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			request := &TaskRequest{Need: need, Image: "i", FetchS: 3}
+			request := &TaskRequest{Need: need, Image: "i", ImageFetchS: 3}
 			var got []string
 			for _, h := range AssignGang([][]*Host{x.hosts}, request, make([]GangTask, x.tasks)) {
 				got = append(got, h.Name)
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -18,22 +18,22 @@
 		var until time.Time
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(_ *rapid.T) {
-				g.Claimed()
+				g.RecordClaim()
 				misses, until = 0, time.Time{}
 			},
 			"miss": func(t *rapid.T) {
 				asleep := now.Before(until)
 				if !asleep {
 					misses++
-					until = now.Add(InitialSleep)
+					until = now.Add(InitialRetryDelay)
 				}
-				rel := g.Missed(now)
+				rel := g.RecordMiss(now)
 				if rel != (!asleep && misses > InitialMaxMisses) {
 					t.Fatalf("releases %t after %d misses, asleep %t", rel, misses, asleep)
 				}
 				if rel {
 					misses = 0
-					if !g.Released {
+					if !g.HasReleasedClaims {
 						t.Fatal("does not go before newer ones")
 					}
 				}
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -16,10 +16,10 @@
 type Host struct {
 	Name, Shard, MachineType, Zone string
 	Spot                           bool
-	Cap, Free                      Resources
+	Capacity, Free                 Resources
 	Stopping                       Resources       // of tasks that were told to stop
 	Images                         map[string]bool // images that it likely has
-	Services, Arrays               int             // tasks on it, by the kind of their jobs
+	ServiceTasks, ArrayTasks       int             // tasks on it, by the kind of their jobs
 	StartDelayS                    float64         // seconds until it can start a task, as far as is known
 }
 
@@ -28,10 +28,10 @@
 	Need         Resources
 	MachineTypes []string // nil: any
 	Zone         string   // "": any
-	Spot         bool     // spot machines will do
+	AllowSpot    bool     // spot machines will do
 	Image        string
 	Service      bool                   // a service's replica
-	FetchS       float64                // seconds that fetching its image takes
+	ImageFetchS  float64                // seconds that fetching its image takes
 	PreferImage  bool                   // fetching its image would make it miss its start objective
 	RequireImage bool                   // only a machine that has its image will do
 	ZoneAllowed  func(zone string) bool // the zones that the job's other tasks leave it; nil: any
@@ -45,16 +45,16 @@
 // allowsKind is Allows without regard to the job's other tasks.
 func (a *TaskRequest) allowsKind(machineType, zone string, spot bool) bool {
 	return (a.MachineTypes == nil || slices.Contains(a.MachineTypes, machineType)) &&
-		(a.Zone == "" || a.Zone == zone) && (a.Spot || !spot)
+		(a.Zone == "" || a.Zone == zone) && (a.AllowSpot || !spot)
 }
 
 // otherKindTasks returns the number of tasks of the other kind on a machine. Services' replicas
 // stay and arrays' tasks end: kept apart, machines empty out and can be returned.
 func otherKindTasks(h *Host, a *TaskRequest) int {
 	if a.Service {
-		return h.Arrays
+		return h.ArrayTasks
 	}
-	return h.Services
+	return h.ServiceTasks
 }
 
 // emptyShare returns how empty a machine would be after taking the task: the larger of the
@@ -62,11 +62,11 @@
 func emptyShare(h *Host, need Resources) float64 {
 	left := h.Free.Sub(need)
 	share := 0.0
-	if h.Cap.CPUs > 0 {
-		share = left.CPUs / h.Cap.CPUs
+	if h.Capacity.CPUs > 0 {
+		share = left.CPUs / h.Capacity.CPUs
 	}
-	if h.Cap.GPUs > 0 {
-		share = max(share, left.GPUs/h.Cap.GPUs)
+	if h.Capacity.GPUs > 0 {
+		share = max(share, left.GPUs/h.Capacity.GPUs)
 	}
 	return share
 }
--- a/internal/sched/host_test.go
+++ b/internal/sched/host_test.go
@@ -18,13 +18,13 @@
 	for i := range rapid.IntRange(0, 6).Draw(t, "hosts") {
 		capacity := Resources{8, 4, 8}
 		hosts = append(hosts, &Host{
-			Name:        fmt.Sprint("h", i),
-			MachineType: "m",
-			Zone:        rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"),
-			Spot:        rapid.Bool().Draw(t, "spot"),
-			Cap:         capacity,
-			Free:        capacity.Sub(drawResources(t, "used", 8)),
-			Services:    rapid.IntRange(0, 1).Draw(t, "services"),
+			Name:         fmt.Sprint("h", i),
+			MachineType:  "m",
+			Zone:         rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"),
+			Spot:         rapid.Bool().Draw(t, "spot"),
+			Capacity:     capacity,
+			Free:         capacity.Sub(drawResources(t, "used", 8)),
+			ServiceTasks: rapid.IntRange(0, 1).Draw(t, "services"),
 		})
 	}
 	return hosts
--- a/internal/sched/preempt_test.go
+++ b/internal/sched/preempt_test.go
@@ -17,17 +17,17 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, "victims") {
 			v = append(
 				v,
-				Victim{Task: fmt.Sprint(i), Room: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
+				Victim{Task: fmt.Sprint(i), FreedResources: drawResources(t, "room", 6), Cost: float64(rapid.IntRange(0, 9).Draw(t, "cost"))},
 			)
-			all = all.Add(v[i].Room)
+			all = all.Add(v[i].FreedResources)
 		}
-		take, _ := Preempt(free, need, slices.Clone(v))
+		take, _ := SelectVictims(free, need, slices.Clone(v))
 		if free.Fits(need) && len(take) > 0 {
 			t.Fatal("stopped for room that was free")
 		}
 		got := free
 		for _, x := range take {
-			got = got.Add(x.Room)
+			got = got.Add(x.FreedResources)
 		}
 		if len(take) > 0 && !got.Fits(need) {
 			t.Fatal("stopped for nothing")
@@ -36,7 +36,7 @@
 			t.Fatal("room that could be made was not")
 		}
 		for _, x := range take {
-			if got.Sub(x.Room).Fits(need) {
+			if got.Sub(x.FreedResources).Fits(need) {
 				t.Fatal("stopped needlessly")
 			}
 		}
--- a/internal/sched/ranking_test.go
+++ b/internal/sched/ranking_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		for _, h := range hosts {
-			h.Arrays = rapid.IntRange(0, 1).Draw(t, "arrays")
+			h.ArrayTasks = rapid.IntRange(0, 1).Draw(t, "arrays")
 			if rapid.Bool().Draw(t, "has image") {
 				h.Images = map[string]bool{"i": true}
 			}
@@ -24,7 +24,7 @@
 		}
 		a := &TaskRequest{
 			Need:         drawResources(t, "need", 6),
-			Spot:         rapid.Bool().Draw(t, "spot"),
+			AllowSpot:    rapid.Bool().Draw(t, "spot"),
 			Zone:         rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
 			Image:        "i",
 			PreferImage:  rapid.Bool().Draw(t, "prefers its image"),
@@ -49,9 +49,9 @@
 			}
 			for _, h := range []*Host{got, want} {
 				if h.Free = h.Free.Sub(a.Need); a.Service {
-					h.Services++
+					h.ServiceTasks++
 				} else {
-					h.Arrays++
+					h.ArrayTasks++
 				}
 			}
 		}
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -6,7 +6,7 @@
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
-	Cap               Resources
+	Capacity          Resources
 	Price             float64
 }
 
@@ -70,7 +70,7 @@
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
-		full := h.Free.CPUs < epsilon || h.Cap.GPUs > 0 && h.Free.GPUs < epsilon
+		full := h.Free.CPUs < epsilon || h.Capacity.GPUs > 0 && h.Free.GPUs < epsilon
 		if full {
 			p.full = append(p.full, h)
 		}
@@ -80,7 +80,7 @@
 
 // rent adds a machine of an offer to the orders and returns it.
 func (p *rentPlan) rent(o *Offer) *Host {
-	h := &Host{Name: "new", MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot, Cap: o.Cap, Free: o.Cap}
+	h := &Host{Name: "new", MachineType: o.MachineType, Zone: o.Zone, Spot: o.Spot, Capacity: o.Capacity, Free: o.Capacity}
 	p.hosts = append(p.hosts, h)
 	at := slices.IndexFunc(p.orders, func(x RentalOrder) bool { return x.Offer == *o })
 	if at < 0 {
@@ -134,10 +134,10 @@
 	var bestCost float64
 	for i := range offers {
 		o := &offers[i]
-		if !o.Cap.Fits(a.Need) || !a.Allows(o.MachineType, o.Zone, o.Spot) {
+		if !o.Capacity.Fits(a.Need) || !a.Allows(o.MachineType, o.Zone, o.Spot) {
 			continue
 		}
-		cost := o.Price / tasksPerMachine(o.Cap, a.Need)
+		cost := o.Price / tasksPerMachine(o.Capacity, a.Need)
 		nearer := best != nil && o.Zone == home && best.Zone != home
 		if best == nil || cost < bestCost-epsilon || nearer && cost < bestCost+epsilon {
 			best, bestCost = o, cost
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -58,7 +58,7 @@
 func failuresOf(job *statecache.Job) int {
 	failures := 0
 	for _, taskRange := range job.Ranges {
-		failures += taskRange.Record.Errors
+		failures += taskRange.Record.ErrorStreak
 	}
 	if gang := job.Record.Gang; gang != nil {
 		// A single attempt may fail by chance, so the first failure causes no delay.
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -18,7 +18,7 @@
 	j := &statecache.Job{Record: &job.Record{}, Ranges: map[int]statecache.Versioned[job.TaskRange]{}}
 	for failures := 1; failures < 40; failures++ {
 		j.Ranges[0] = statecache.Versioned[job.TaskRange]{
-			Record: &job.TaskRange{Errors: failures, Placements: map[int]*job.Placement{}},
+			Record: &job.TaskRange{ErrorStreak: failures, Placements: map[int]*job.Placement{}},
 		}
 		if !s.isBackingOff(&queueEntry{job: j, uid: uid}, now) {
 			t.Fatalf("job is not backing off after %d failures, want it to wait", failures)
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -96,7 +96,7 @@
 // choice: its only entry is "".
 func (p *planner) candidateZones(job *waitingJob) []string {
 	spec := &job.entry.job.Record.Spec
-	if !spec.Together || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
+	if !spec.SingleZone || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
 		return []string{""}
 	}
 	settings := p.scheduler.node.Settings
@@ -167,7 +167,7 @@
 func (g *gangSearch) sourceWhenShort(request *sched.TaskRequest) capacitySource {
 	s := g.planner.scheduler
 	size := len(g.job.tasks)
-	if sched.CountFits(s.freeCapacity.WithPreemptibleRoom(g.planner.hosts, g.job.entry.priority), request, size) >= size {
+	if sched.CountFits(s.freeCapacity.WithPreemptibleCapacity(g.planner.hosts, g.job.entry.priority), request, size) >= size {
 		return capacityByPreemption
 	}
 	for _, offer := range s.catalog.AvailableOffers(g.planner.now) {
@@ -181,7 +181,7 @@
 // assign tries to assign all tasks, one group of machines after the other, and leaves the
 // machines' free capacity unchanged.
 func (g *gangSearch) assign(groups [][]*sched.Host, request *sched.TaskRequest) []*sched.Host {
-	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zoneConstraint.admission.Trial())
+	constraint := g.planner.scheduler.zoneConstraintOf(g.job.entry.job, g.job.zoneConstraint.admission.CopyAdmission())
 	var tasks []sched.GangTask
 	for _, task := range g.job.tasks {
 		tasks = append(tasks, sched.GangTask{
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	if g.job.entry.job.Record.Spec.Together && g.job.zoneConstraint.boundZone == "" && !complete {
+	if g.job.entry.job.Record.Spec.SingleZone && g.job.zoneConstraint.boundZone == "" && !complete {
 		g.job.zoneConstraint.boundZone = g.best.zone
 	}
 }
--- a/internal/scheduler/gang_search_state.go
+++ b/internal/scheduler/gang_search_state.go
@@ -56,11 +56,11 @@
 // capacity. Such a gang is placed before newer ones.
 func (s *Scheduler) HasReleasedClaims(uid string) bool {
 	state := s.gangs.searchStates[uid]
-	return state != nil && state.retry.Released
+	return state != nil && state.retry.HasReleasedClaims
 }
 
 // RecordGangClaimed records that capacity was claimed for a gang, which resets its count of misses.
-func (s *Scheduler) RecordGangClaimed(uid string) { s.gangs.searchState(uid).retry.Claimed() }
+func (s *Scheduler) RecordGangClaimed(uid string) { s.gangs.searchState(uid).retry.RecordClaim() }
 
 // AllowImmediateSearch reports whether a gang is to be planned now, between regular decisions, and
 // records the time if so. It does so at most once per minInterval for each gang.
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -9,7 +9,7 @@
 // Assignments are compared by capacity source, then by tasks without a machine, then by the delay
 // of the last start, then by the number of shards. Any assignment is better than none.
 func TestStartsSoonerComparesSourceTasksDelayAndShards(t *testing.T) {
-	request := &sched.TaskRequest{Image: "i", FetchS: 5}
+	request := &sched.TaskRequest{Image: "i", ImageFetchS: 5}
 	host := func(shard string, delay float64, hasImage bool) *sched.Host {
 		return &sched.Host{Shard: shard, StartDelayS: delay, Images: map[string]bool{"i": hasImage}}
 	}
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -81,7 +81,7 @@
 		if reason == job.ExitDone && u.job.Record.Cancelled {
 			reason = job.ExitLost // the cancellation has been confirmed to the user
 		}
-		u.gang.TaskEnded(ended.Attempt.Attempt, reason, gathering)
+		u.gang.RecordTaskEnd(ended.Attempt.Attempt, reason, gathering)
 	}
 }
 
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -61,18 +61,18 @@
 		}
 		load := s.freeCapacity.LoadOf(name)
 		hostStorage = append(hostStorage, sched.Host{
-			Name:        name,
-			Shard:       machine.Shard,
-			MachineType: machine.MachineType,
-			Zone:        machine.Zone,
-			Spot:        machine.Spot,
-			Cap:         size,
-			Free:        free,
-			Stopping:    load.Stopping,
-			Images:      s.cache.PlacedImages[name],
-			Services:    load.Services,
-			Arrays:      load.Arrays,
-			StartDelayS: s.freeCapacity.StartDelay(name, load, now),
+			Name:         name,
+			Shard:        machine.Shard,
+			MachineType:  machine.MachineType,
+			Zone:         machine.Zone,
+			Spot:         machine.Spot,
+			Capacity:     size,
+			Free:         free,
+			Stopping:     load.Stopping,
+			Images:       s.cache.PlacedImages[name],
+			ServiceTasks: load.Services,
+			ArrayTasks:   load.Arrays,
+			StartDelayS:  s.freeCapacity.StartDelay(name, load, now),
 		})
 		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
 	}
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -83,7 +83,7 @@
 		plan:         &Plan{ReservedHosts: map[string]bool{}},
 		gangSearches: map[*waitingJob]*gangSearch{},
 	}
-	if !s.catalog.IsKnown() || !s.leadership.MayAct(now) {
+	if !s.catalog.IsLoaded() || !s.leadership.MayAct(now) {
 		return p.plan
 	}
 	p.selectJobs()
@@ -127,8 +127,8 @@
 	s := p.scheduler
 	spec := &job.Record.Spec
 	request := statecache.TaskRequestOf(spec)
-	request.FetchS = s.catalog.FetchSeconds(spec)
-	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.FetchS)
+	request.ImageFetchS = s.catalog.FetchSeconds(spec)
+	slack := s.estimates.WaitingSlack(spec.Class, spec, fetchMargin*request.ImageFetchS)
 	request.PreferImage = slack < s.node.Settings.HeartbeatInterval().Seconds()
 	return request
 }
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -13,7 +13,7 @@
 // placementStage is the working data of the stage that places tasks on free capacity.
 type placementStage struct {
 	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
-	chooser            *sched.Chooser
+	chooser            *sched.HostSelector
 	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
 	provisioning       []*sched.Host              // machines that are booting; nil until the first gang needs them
 	productionReserved bool                       // whether capacity is reserved for waiting production tasks
@@ -26,12 +26,12 @@
 	hostsByShard := hostsWithCapacity(p.hosts, p.smallest)
 	stage := placementStage{
 		hostsByShard: hostsByShard,
-		chooser:      sched.NewChooser(hostsByShard, s.node.Random),
+		chooser:      sched.NewHostSelector(hostsByShard, s.node.Random),
 		teamUsage:    map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
 		if team.Limited() {
-			stage.teamUsage[team.Name] = s.accounts.TeamUse(team.Name)
+			stage.teamUsage[team.Name] = s.accounts.TeamUsage(team.Name)
 		}
 	}
 	return stage
@@ -105,7 +105,7 @@
 	team, _ := p.scheduler.node.Settings.Team(spec.Team)
 	request := job.request
 	request.RequireImage = withImageOnly
-	p.placement.chooser.Begin(job.entry.job.Record.Shard, &request)
+	p.placement.chooser.BeginJob(job.entry.job.Record.Shard, &request)
 	anyUnplaced := false
 	unplacedRanges := map[int]bool{} // task ranges with a task that did not fit
 	remaining := job.tasks[:0]
@@ -119,7 +119,7 @@
 		}
 		var host *sched.Host
 		if !unplacedRanges[task.RangeIndex] || !spec.Spread && !anyUnplaced {
-			host = p.placement.chooser.Next(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
+			host = p.placement.chooser.NextHost(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
 		}
 		if host != nil {
 			p.placement.teamUsage[team.Name] = usage
@@ -145,9 +145,9 @@
 	}
 	job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
 	if job.request.Service {
-		host.Services++
+		host.ServiceTasks++
 	} else {
-		host.Arrays++
+		host.ArrayTasks++
 	}
 	if !job.entry.ledLocally {
 		return
@@ -209,7 +209,7 @@
 // many misses in a row, as in the paper's Algorithm 2.
 func (p *planner) recordGangMiss(waitingGang *waitingJob) {
 	s, uid := p.scheduler, waitingGang.entry.uid
-	if waitingGang.entry.job.GangPhase() == job.GangReserving && s.gangs.searchState(uid).retry.Missed(p.now) {
+	if waitingGang.entry.job.GangPhase() == job.GangReserving && s.gangs.searchState(uid).retry.RecordMiss(p.now) {
 		s.gangs.toRelease[uid] = true
 		s.wake.Notify()
 	}
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -63,7 +63,7 @@
 		request.ZoneAllowed = func(zone string) bool {
 			return zone == placement.Host.Zone || start.job.zoneConstraint.allows(placement.RangeIndex, zone)
 		}
-		choice := p.reclaim.preemption.choose(p.preemptOptions(start.job), &request, 2*request.FetchS)
+		choice := p.reclaim.preemption.choose(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
 		if choice.found() {
 			p.assignInPlaceOfVictims(start.job, placement.RangeIndex, choice)
 			placement.Host, placement.Victims = choice.host, choice.tasks
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -83,7 +83,7 @@
 func (o *preemptOption) selectVictims(need sched.Resources) ([]sched.Victim, float64) {
 	if o.candidatesAtSelection != len(o.candidates) || o.freeAtSelection != o.host.Free {
 		o.candidatesAtSelection, o.freeAtSelection = len(o.candidates), o.host.Free
-		o.selected, o.cost = sched.Preempt(o.freeAtSelection, need, o.candidates)
+		o.selected, o.cost = sched.SelectVictims(o.freeAtSelection, need, o.candidates)
 	}
 	return o.selected, o.cost
 }
@@ -148,10 +148,10 @@
 		case !mayPreempt(entry, &job.Record.Spec, p.beyondGuarantee[task.UID]), p.scheduler.agents.IsCompleted(host.Name, id, task):
 		default:
 			victims.candidates = append(victims.candidates, sched.Victim{
-				Task: id,
-				Room: statecache.ResourcesOf(&job.Record.Spec),
-				Cost: p.preemptionCost(host.Name, job, task),
-				Ref:  len(victims.tasks),
+				Task:           id,
+				FreedResources: statecache.ResourcesOf(&job.Record.Spec),
+				Cost:           p.preemptionCost(host.Name, job, task),
+				Index:          len(victims.tasks),
 			})
 			victims.tasks = append(victims.tasks, task)
 		}
@@ -211,7 +211,7 @@
 		return victims
 	}
 	isForbidden := func(victim sched.Victim) bool {
-		job := p.scheduler.cache.Jobs[victims.tasks[victim.Ref].UID]
+		job := p.scheduler.cache.Jobs[victims.tasks[victim.Index].UID]
 		priority := job.Record.Spec.Priority.Level()
 		guaranteed := !p.beyondGuarantee[job.Record.Spec.UID]
 		variables := p.scheduler.policyVariables(job, priority, guaranteed, p.now)
@@ -238,7 +238,7 @@
 		}
 		selected, cost := option.selectVictims(request.Need)
 		if !option.hasImage {
-			cost += request.FetchS // the task would wait for its image there
+			cost += request.ImageFetchS // the task would wait for its image there
 			if request.PreferImage {
 				cost += estimate.UnlimitedSeconds // and miss its objective: any machine with the image is better
 			}
@@ -257,12 +257,12 @@
 func (p *preemption) claim(option *preemptOption) []*statecache.PlacedTask {
 	var tasks []*statecache.PlacedTask
 	for _, victim := range option.selected {
-		task := option.tasks[victim.Ref]
+		task := option.tasks[victim.Index]
 		tasks = append(tasks, task)
 		p.chosen[task] = true
 	}
 	for _, victims := range p.victimHostsByHost[option.host] {
-		chosen := func(victim sched.Victim) bool { return p.chosen[victims.tasks[victim.Ref]] }
+		chosen := func(victim sched.Victim) bool { return p.chosen[victims.tasks[victim.Index]] }
 		victims.candidates = slices.DeleteFunc(victims.candidates, chosen)
 	}
 	return tasks
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -24,7 +24,7 @@
 		job:         job,
 		boundZone:   job.Record.Zone,
 		tasksByZone: map[int]map[string]int{},
-		admission:   s.zones.AdmissionOf(job, admission),
+		admission:   s.zones.AdmissionForJob(job, admission),
 	}
 	if job.IsGang() && job.CountPlaced() == 0 {
 		constraint.boundZone = "" // the next attempt may use any zone
@@ -45,12 +45,12 @@
 // addTask counts a planned task in a zone and admits it there.
 func (c *zoneConstraint) addTask(rangeIndex int, zone string) {
 	c.countTask(rangeIndex, zone)
-	c.admission.Admit(zone)
+	c.admission.RecordAdmitted(zone)
 }
 
 // countTask counts a task of a task range in a zone.
 func (c *zoneConstraint) countTask(rangeIndex int, zone string) {
-	if c.job.Record.Spec.Together && c.boundZone == "" {
+	if c.job.Record.Spec.SingleZone && c.boundZone == "" {
 		c.boundZone = zone
 	}
 	group, _ := c.job.Record.SpreadGroup(rangeIndex)
@@ -66,7 +66,7 @@
 	if !c.admission.Admits(zone) {
 		return false
 	}
-	if spec.Together && c.boundZone != "" && c.boundZone != zone {
+	if spec.SingleZone && c.boundZone != "" && c.boundZone != zone {
 		return false
 	}
 	if !spec.Spread {
--- a/internal/schema/pages.go
+++ b/internal/schema/pages.go
@@ -29,10 +29,10 @@
 // EditPage returns the ID and a copy of a machine's page, which the caller may change, and adds
 // preconditions on the versions that the copy is based on. A new fine page starts with the entries
 // of its machines in the coarser page, and supersedes the coarser page for them once it is written.
-func (s *State) EditPage(txn *statecache.Transaction, host string) (id string, page shard.Page) {
+func (s *State) EditPage(txn *statecache.Transaction, host string) (id string, page shard.MachinePage) {
 	id = s.PageIDFor(host)
 	txn.Require(statecache.MachinePageKey(id), s.cache.Pages[id].Version)
-	page = shard.Page{}
+	page = shard.MachinePage{}
 	if recorded := s.cache.Pages[id].Record; recorded != nil {
 		maps.Copy(page, *recorded)
 		return id, page
@@ -53,7 +53,7 @@
 
 // PutPage adds a write of the page to the transaction. It deletes an empty page, unless a coarser
 // page still has entries for its machines, which would become valid again.
-func (s *State) PutPage(txn *statecache.Transaction, id string, page shard.Page) {
+func (s *State) PutPage(txn *statecache.Transaction, id string, page shard.MachinePage) {
 	if len(page) == 0 && !s.supersedesCoarserPage(txn, id) {
 		txn.Delete(statecache.MachinePageKey(id))
 		return
@@ -99,7 +99,7 @@
 }
 
 // isSuperseded reports whether finer pages supersede a page for all of its machines.
-func (s *State) isSuperseded(id string, page shard.Page) bool {
+func (s *State) isSuperseded(id string, page shard.MachinePage) bool {
 	for host := range page {
 		finer := statecache.PageID(host, statecache.FinestPageSuffixLen)
 		if id != statecache.PageID(host, statecache.CoarsestPageSuffixLen) || s.cache.Pages[finer].Record == nil {
--- a/internal/shard/node_record.go
+++ b/internal/shard/node_record.go
@@ -7,7 +7,7 @@
 	Incarnation        uint64   `json:"inc"`         // one run of the node's process
 	Term               uint64   `json:"term"`        // always 0: the form was once that of a LeaderRecord
 	WorkersUnreachable bool     `json:"m,omitempty"` // its workers don't reach it
-	HearsWorkers       bool     `json:"h,omitempty"` // some worker does
+	HasWorkerContact   bool     `json:"h,omitempty"` // some worker does
 	SchemaVersion      int      `json:"v,omitempty"` // the newest forms of records that it reads
 	Features           []string `json:"f,omitempty"` // what is switched on there
 }
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -44,10 +44,10 @@
 	RegisteredMS int64  `json:"at"`          // when it was registered, Unix time in milliseconds
 }
 
-// Page is the record of the machines whose names differ only in their last
+// MachinePage is the record of the machines whose names differ only in their last
 // characters: machines come in groups with names in a row, so that a group is
 // recorded with few changes.
-type Page map[string]*Machine
+type MachinePage map[string]*Machine
 
 // QuotaRecord is a team's record: the share of its limit that each shard may use. What
 // the team's tasks use in a shard is in the shard's capacity record, which changes
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,11 +13,11 @@
 // Cloud rents machines.
 type Cloud struct {
 	ServiceFaults
-	NoCapacity bool // it refuses rentals
-	Hosts      map[string]*Worker
-	Pages      int // of the list that were read so far
+	NoCapacity    bool // it refuses rentals
+	WorkersByHost map[string]*Worker
+	PagesRead     int // of the list that were read so far
 
-	w           *World
+	w           *Environment
 	order       []*Worker           // Hosts in the order of their names; nil: to be sorted anew
 	terminated  []*Worker           // that the list may still show
 	rentals     map[string][]string // machines by the name of the request, so that a repeated one rents nothing
@@ -28,21 +28,21 @@
 }
 
 // newCloud returns a cloud without machines.
-func newCloud(w *World) *Cloud {
-	return &Cloud{ServiceFaults: newServiceFaults(), Hosts: map[string]*Worker{}, w: w, rentals: map[string][]string{}}
+func newCloud(w *Environment) *Cloud {
+	return &Cloud{ServiceFaults: newServiceFaults(), WorkersByHost: map[string]*Worker{}, w: w, rentals: map[string][]string{}}
 }
 
 // Workers returns the machines there are, in the order of their names.
 func (c *Cloud) Workers() []*Worker {
 	if c.order == nil {
-		c.order = slices.SortedFunc(maps.Values(c.Hosts), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
+		c.order = slices.SortedFunc(maps.Values(c.WorkersByHost), func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
 	}
 	return c.order
 }
 
 // HostNames returns the names of the machines there are, in order.
 func (c *Cloud) HostNames() []string {
-	out := make([]string, 0, len(c.Hosts))
+	out := make([]string, 0, len(c.WorkersByHost))
 	for _, x := range c.Workers() {
 		out = append(out, x.Host)
 	}
@@ -55,7 +55,7 @@
 	for range r.Count {
 		name := fmt.Sprintf("i-%06d", c.nextMachine)
 		c.nextMachine++
-		c.Hosts[name] = newWorker(c.w, Machine{
+		c.WorkersByHost[name] = newWorker(c.w, Machine{
 			Host:        name,
 			Addr:        "10.1.0.1:" + name,
 			MachineType: r.MachineType,
@@ -71,10 +71,10 @@
 
 // Terminate ends a machine without notice, as the cloud does with a spot one.
 func (c *Cloud) Terminate(host string) {
-	if x := c.Hosts[host]; x != nil {
+	if x := c.WorkersByHost[host]; x != nil {
 		x.terminatedAt = c.w.Now
 		c.terminated = append(c.terminated, x)
-		delete(c.Hosts, host)
+		delete(c.WorkersByHost, host)
 		c.order, c.listed = nil, nil
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	then := c.w.Now.Add(-c.w.ListLag)
 	var out []cloud.Host
-	for _, x := range c.Hosts {
+	for _, x := range c.WorkersByHost {
 		if x.existedAt(then) {
 			out = append(out, x.listedAt(then))
 		}
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -68,8 +68,8 @@
 	LeaseID uint64 `json:"permit"`
 }
 
-// State returns the handler of requests to the state service.
-func (s *Server) State() http.Handler {
+// StateHandler returns the handler of requests to the state service.
+func (s *Server) StateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys/{key...}", s.getKey)
 	mux.HandleFunc("GET /keys", s.listKeys)
@@ -150,9 +150,9 @@
 	out := make([]json.RawMessage, 0, len(log))
 	for _, c := range log {
 		if c.Drop != "" {
-			out = append(out, api.JSON(dropEntry{c.Drop, c.Version}))
+			out = append(out, api.MustMarshal(dropEntry{c.Drop, c.Version}))
 		} else {
-			out = append(out, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
+			out = append(out, api.MustMarshal(writeEntry{c.Write, c.Value, c.Version}))
 		}
 	}
 	return out
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -7,10 +7,10 @@
 	"violetturn/internal/api"
 )
 
-// Workers returns the handler of direct requests to workers. Which worker is meant shows in
+// WorkerHandler returns the handler of direct requests to workers. Which worker is meant shows in
 // the address that was connected to.
-func (s *Server) Workers() http.Handler {
-	h := &workersHandler{s: s, client: &CommandClient{World: s.w}}
+func (s *Server) WorkerHandler() http.Handler {
+	h := &workersHandler{s: s, client: &CommandClient{Environment: s.w}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", h.commands)
 	mux.HandleFunc("GET /show", h.status)
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -23,9 +23,9 @@
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
-	case c.Store.Unreachable[c.Node]:
+	case c.Store.UnreachableNodes[c.Node]:
 		err = store.ErrUnknown
-	case c.Store.Down || c.Store.Refused[c.Node]:
+	case c.Store.Down || c.Store.RefusedNodes[c.Node]:
 		err = store.ErrRefused
 	}
 	if c.OnServed != nil {
@@ -68,7 +68,7 @@
 	if err := c.checkAvailable(); err != nil {
 		return store.CommitResult{}, err
 	}
-	c.Store.Writes += len(t.Ops)
+	c.Store.SentWrites += len(t.Ops)
 	c.checkSize(t)
 	switch c.Store.takeNextFault(c.Node) {
 	case NoFault:
@@ -87,11 +87,11 @@
 // checkSize checks that a transaction is within the limits that the node knows.
 func (c *StoreClient) checkSize(t *store.Txn) {
 	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > guardsPerOp*c.TxnOps {
-		c.Store.w.Violate(RuleLimits, "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
+		c.Store.w.RecordViolation(RuleLimits, "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
 		if len(op.Value) > c.MaxValueBytes {
-			c.Store.w.Violate(RuleLimits, "%s has %d bytes", op.Write, len(op.Value))
+			c.Store.w.RecordViolation(RuleLimits, "%s has %d bytes", op.Write, len(op.Value))
 		}
 	}
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -33,8 +33,8 @@
 
 // StoreCounters count what the state service was asked for.
 type StoreCounters struct {
-	Writes   int // changes in transactions, those of refused ones too
-	TooLarge int // transactions that were refused for their size
+	SentWrites      int // changes in transactions, those of refused ones too
+	RefusedTooLarge int // transactions that were refused for their size
 }
 
 // Store is the state service: versioned keys, transactions, leases and a log of changes.
@@ -42,9 +42,9 @@
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	Refused map[string]bool // nodes that get 503
+	RefusedNodes map[string]bool // nodes that get 503
 
-	w           *World
+	w           *Environment
 	revision    uint64
 	keys        map[string]storedValue
 	log         []store.Change
@@ -61,10 +61,10 @@
 }
 
 // newStore returns an empty state service.
-func newStore(w *World) *Store {
+func newStore(w *Environment) *Store {
 	return &Store{
 		ServiceFaults: newServiceFaults(),
-		Refused:       map[string]bool{},
+		RefusedNodes:  map[string]bool{},
 		w:             w,
 		keys:          map[string]storedValue{},
 		leases:        map[uint64]*lease{},
@@ -112,7 +112,7 @@
 // It returns store.ErrTooLarge and store.ErrNoLease for transactions that are refused.
 func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
-		s.TooLarge++
+		s.RefusedTooLarge++
 		return store.CommitResult{}, store.ErrTooLarge
 	}
 	for _, op := range t.Ops {
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -11,17 +11,17 @@
 )
 
 // newTestWorld returns a world with one machine type and short times.
-func newTestWorld() *World {
-	w := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
+func newTestWorld() *Environment {
+	w := NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: time.Second, FetchTime: time.Second}
 	w.Zones = []string{"x"}
-	w.Lease, w.CancelTimeout = 10*time.Second, 40*time.Second
-	w.GangWait, w.GangPeer = 5*time.Second, 2*time.Second
+	w.WorkerLease, w.CancelTimeout = 10*time.Second, 40*time.Second
+	w.GangStartTimeout, w.PeerLossTimeout = 5*time.Second, 2*time.Second
 	return w
 }
 
 // newTestClient returns a node's client of a world's state service.
-func newTestClient(w *World) *StoreClient {
+func newTestClient(w *Environment) *StoreClient {
 	return &StoreClient{Store: w.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
 }
 
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -6,14 +6,14 @@
 	"violetturn/internal/statecache"
 )
 
-// GarbageIsDue reports whether garbage is to be collected: now and then, since nothing waits for
+// IsGarbageCollectionDue reports whether garbage is to be collected: now and then, since nothing waits for
 // it.
-func (s *Splitter) GarbageIsDue(now time.Time) bool {
+func (s *Splitter) IsGarbageCollectionDue(now time.Time) bool {
 	return now.Sub(s.garbageCollectedAt) >= s.node.Settings.WorkerLease()/4
 }
 
-// NoteGarbageCollected notes a collection that began at a time.
-func (s *Splitter) NoteGarbageCollected(began time.Time) { s.garbageCollectedAt = began }
+// RecordGarbageCollection notes a collection that began at a time.
+func (s *Splitter) RecordGarbageCollection(began time.Time) { s.garbageCollectedAt = began }
 
 // GarbageTransaction returns a transaction that deletes records of task ranges that no longer
 // count, as many as it takes: of an earlier generation of their job, or of a job that is over.
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -50,7 +50,7 @@
 // apply has the cache take in a record and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 	return f.version
 }
 
@@ -193,15 +193,15 @@
 // Garbage is collected a quarter of a lease apart.
 func TestGarbageIsDue(t *testing.T) {
 	f := newFixture(t)
-	if !f.GarbageIsDue(f.now) {
+	if !f.IsGarbageCollectionDue(f.now) {
 		t.Error("not due at first")
 	}
-	f.NoteGarbageCollected(f.now)
+	f.RecordGarbageCollection(f.now)
 	quarter := f.node.Settings.WorkerLease() / 4
-	if f.GarbageIsDue(f.now.Add(quarter - 1)) {
+	if f.IsGarbageCollectionDue(f.now.Add(quarter - 1)) {
 		t.Error("due too early")
 	}
-	if !f.GarbageIsDue(f.now.Add(quarter)) {
+	if !f.IsGarbageCollectionDue(f.now.Add(quarter)) {
 		t.Error("not due in time")
 	}
 }
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -10,17 +10,17 @@
 
 // MachineIndex contains the machines and the pages in which they are recorded.
 type MachineIndex struct {
-	Pages        map[string]Versioned[shard.Page] // by PageID
-	Machines     map[string]*shard.Machine        // machines of all pages, by name
-	PlacedImages map[string]map[string]bool       // by machine: images of the tasks that were placed on it
-	Terminated   map[string]bool                  // deregistered machines; their names are never reused
+	Pages        map[string]Versioned[shard.MachinePage] // by PageID
+	Machines     map[string]*shard.Machine               // machines of all pages, by name
+	PlacedImages map[string]map[string]bool              // by machine: images of the tasks that were placed on it
+	Terminated   map[string]bool                         // deregistered machines; their names are never reused
 
 	sortedNames []string // names of Machines in order; nil: not computed
 }
 
 func newMachineIndex() MachineIndex {
 	return MachineIndex{
-		Pages:        map[string]Versioned[shard.Page]{},
+		Pages:        map[string]Versioned[shard.MachinePage]{},
 		Machines:     map[string]*shard.Machine{},
 		PlacedImages: map[string]map[string]bool{},
 		Terminated:   map[string]bool{},
@@ -70,7 +70,7 @@
 }
 
 // addNames adds the names of a page's machines to a set.
-func addNames(names map[string]bool, page *shard.Page) {
+func addNames(names map[string]bool, page *shard.MachinePage) {
 	if page == nil {
 		return
 	}
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -46,7 +46,7 @@
 	if _, ok := t.writes[key]; !ok {
 		t.order = append(t.order, key)
 	}
-	t.writes[key] = api.JSON(record)
+	t.writes[key] = api.MustMarshal(record)
 }
 
 // PutWithLease adds a write of a record that the state service deletes when a lease ends.
--- a/internal/zonehealth/judge.go
+++ b/internal/zonehealth/judge.go
@@ -7,7 +7,7 @@
 // Invariants:
 //   - a zone goes down only with an observer: the controller that says so hears machines of
 //     another zone, so that one that is itself cut off never does;
-//   - neither Down nor Recovering outlasts Limits.Longest while controllers can write;
+//   - neither Down nor Recovering outlasts Limits.MaxStateDuration while controllers can write;
 //   - Record.Transitions never falls, and Record.SlowStartShare is halved by a failure soon
 //     after another.
 package zonehealth
@@ -22,13 +22,13 @@
 // zone to be recovering.
 const returnShare = 1. / 16
 
-// Judge returns the record as it is to be now, by what its observations say. hasObserver tells
+// Evaluate returns the record as it is to be now, by what its observations say. hasObserver tells
 // whether the controller that judges hears machines of another zone.
-func (r *Record) Judge(now time.Time, hasObserver bool, limits *Limits) Record {
+func (r *Record) Evaluate(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
 	lasted := now.Sub(time.UnixMilli(r.SinceMS))
-	j := judgement{next: &next, sum: r.Sum(), lasted: lasted, now: now, hasObserver: hasObserver, limits: limits}
-	if j.mostUnclear() && lasted < limits.Longest && !j.machinesReturned() {
+	j := judgement{next: &next, sum: r.TotalObservation(), lasted: lasted, now: now, hasObserver: hasObserver, limits: limits}
+	if j.mostUnclear() && lasted < limits.MaxStateDuration && !j.machinesReturned() {
 		// A shard has just changed hands: what its new leader has not heard of yet is
 		// neither lost nor back. What it has heard of is.
 		return next
@@ -60,28 +60,28 @@
 
 // mostUnclear reports whether at least half of the machines are unclear.
 func (j *judgement) mostUnclear() bool {
-	return j.sum.Unclear > 0 && 2*j.sum.Unclear >= j.sum.Up+j.sum.Lost+j.sum.Unclear
+	return j.sum.Unclear > 0 && 2*j.sum.Unclear >= j.sum.Healthy+j.sum.Lost+j.sum.Unclear
 }
 
 // machinesReturned reports whether machines of a zone that is down are back.
 func (j *judgement) machinesReturned() bool {
-	back := j.sum.Up - min(j.next.Watermark, j.sum.Up)
-	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.MachinesBefore)))
+	back := j.sum.Healthy - min(j.next.HealthyWatermark, j.sum.Healthy)
+	return j.next.State == Down && back >= max(1, int(returnShare*float64(j.next.MachinesBeforeFailure)))
 }
 
 func (j *judgement) healthy() {
-	if j.sum.Up+j.sum.Lost >= minMachines && j.sum.LostShare() >= j.limits.SuspectShare {
+	if j.sum.Healthy+j.sum.Lost >= minMachines && j.sum.LostShare() >= j.limits.SuspectShare {
 		j.next.enter(Suspect, j.now)
 	}
 }
 
 func (j *judgement) suspect() {
-	confirm := j.limits.Confirm
-	if j.next.Refused() {
+	confirm := j.limits.ConfirmAfter
+	if j.next.RentalsRefused() {
 		confirm /= 2 // the cloud says the same
 	}
 	share := j.sum.LostShare()
-	over := share < j.limits.SuspectShare/2 || share < j.limits.DownShare && j.lasted >= j.limits.Longest
+	over := share < j.limits.SuspectShare/2 || share < j.limits.DownShare && j.lasted >= j.limits.MaxStateDuration
 	switch {
 	case over:
 		j.next.enter(Healthy, j.now)
@@ -91,23 +91,23 @@
 }
 
 func (j *judgement) down() {
-	j.next.Watermark = min(j.next.Watermark, j.sum.Up)
-	if j.machinesReturned() || j.sum.Lost == 0 || j.lasted >= j.limits.Longest {
+	j.next.HealthyWatermark = min(j.next.HealthyWatermark, j.sum.Healthy)
+	if j.machinesReturned() || j.sum.Lost == 0 || j.lasted >= j.limits.MaxStateDuration {
 		j.next.enter(Recovering, j.now)
 		j.next.Transitions++
-		j.next.Watermark = j.sum.Up
+		j.next.HealthyWatermark = j.sum.Healthy
 	}
 }
 
 func (j *judgement) recovering() {
-	j.next.Watermark = max(j.next.Watermark, j.sum.Up)
-	fell := float64(j.sum.Up) <= float64(j.next.Watermark)*(1-j.limits.DownShare)
-	if fell && j.next.Watermark > 0 && j.sum.Lost > 0 && j.hasObserver {
+	j.next.HealthyWatermark = max(j.next.HealthyWatermark, j.sum.Healthy)
+	fell := float64(j.sum.Healthy) <= float64(j.next.HealthyWatermark)*(1-j.limits.DownShare)
+	if fell && j.next.HealthyWatermark > 0 && j.sum.Lost > 0 && j.hasObserver {
 		j.next.goDown(j.sum, j.now, j.limits) // again, in the middle of the recovery
 		return
 	}
 	open := j.next.productionServed(j.limits) && j.next.AdmissionShare(j.now, j.limits) >= 1
-	if open || j.lasted >= j.limits.Longest {
+	if open || j.lasted >= j.limits.MaxStateDuration {
 		j.next.enter(Healthy, j.now)
 	}
 }
--- a/internal/zonehealth/judge_test.go
+++ b/internal/zonehealth/judge_test.go
@@ -14,8 +14,8 @@
 
 func testLimits() *Limits {
 	return &Limits{
-		SuspectShare: 0.25, DownShare: 0.5, Confirm: 5 * time.Second, FirstShare: 1. / 16, LeastShare: 1. / 64,
-		DoubleEvery: 5 * time.Second, Longest: 80 * time.Second,
+		SuspectShare: 0.25, DownShare: 0.5, ConfirmAfter: 5 * time.Second, InitialShare: 1. / 16, MinInitialShare: 1. / 64,
+		DoublingInterval: 5 * time.Second, MaxStateDuration: 80 * time.Second,
 	}
 }
 
@@ -40,7 +40,7 @@
 // write judges by the copy, and reports whether the store took it.
 func (c *testController) write(s *recordStore, now time.Time) bool {
 	with := c.read.WithObservation(c.shard, c.observation)
-	next := with.Judge(now, c.hasObserver, testLimits())
+	next := with.Evaluate(now, c.hasObserver, testLimits())
 	if c.version != s.version {
 		return false
 	}
@@ -58,11 +58,11 @@
 	if after.State == Down && before.State != Down && !hasObserver {
 		t.Fatal("down without an observer")
 	}
-	turned := after.State != before.State && (after.Restricts() || before.State == Down)
+	turned := after.State != before.State && (after.RestrictsPlacement() || before.State == Down)
 	if turned && after.Transitions == before.Transitions {
 		t.Fatalf("%s to %s without a transition counted", before.State, after.State)
 	}
-	if after.Restricts() && after.SlowStartShare > testLimits().FirstShare {
+	if after.RestrictsPlacement() && after.SlowStartShare > testLimits().InitialShare {
 		t.Fatalf("a slow start begins with %g", after.SlowStartShare)
 	}
 }
@@ -86,9 +86,9 @@
 			case 0:
 				all := rapid.IntRange(0, 40).Draw(t, "machines")
 				up := rapid.IntRange(0, all).Draw(t, "up")
-				c.observation = Observation{Up: up, Lost: all - up, Refused: rapid.Bool().Draw(t, "refused")}
+				c.observation = Observation{Healthy: up, Lost: all - up, RentalsRefused: rapid.Bool().Draw(t, "refused")}
 				if up < all && rapid.Bool().Draw(t, "waiting") {
-					c.observation.Waiting = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: all - up}}
+					c.observation.WaitingProduction = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: all - up}}
 				}
 			case 1:
 				c.hasObserver = rapid.Bool().Draw(t, "observer")
@@ -125,7 +125,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	for _, s := range observations {
 		r = r.WithObservation("p", s)
-		r = r.Judge(now, hasObserver, testLimits())
+		r = r.Evaluate(now, hasObserver, testLimits())
 		states = append(states, r.State)
 		now = now.Add(6 * time.Second)
 	}
@@ -135,8 +135,8 @@
 // The zone's ways: down and back; back by half; back and down again, the second time in
 // the middle of the recovery.
 func TestSequences(t *testing.T) {
-	well, lost, half := Observation{Up: 20}, Observation{Lost: 20}, Observation{Up: 10, Lost: 10}
-	few := Observation{Up: 4, Lost: 16}
+	well, lost, half := Observation{Healthy: 20}, Observation{Lost: 20}, Observation{Healthy: 10, Lost: 10}
+	few := Observation{Healthy: 4, Lost: 16}
 	for _, x := range []struct {
 		name           string
 		hasObserver    bool
@@ -170,7 +170,7 @@
 		},
 		{
 			"a new leader hears of some", true,
-			[]Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Up: 5}},
+			[]Observation{lost, lost, {Unclear: 20}, {Unclear: 15, Healthy: 5}},
 			[]State{Suspect, Down, Down, Recovering},
 			2, 1. / 16,
 		},
@@ -191,8 +191,8 @@
 func TestAdmissionShare(t *testing.T) {
 	at := time.Unix(1_800_000_000, 0)
 	recovering := Record{State: Recovering, SinceMS: at.UnixMilli(), SlowStartShare: 1. / 16}
-	waiting := Observation{Lost: 1, Waiting: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
-	served := recovering.WithObservation("n0", Observation{Up: 9, Lost: 1})
+	waiting := Observation{Lost: 1, WaitingProduction: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
+	served := recovering.WithObservation("n0", Observation{Healthy: 9, Lost: 1})
 	unserved := recovering.WithObservation("n0", waiting)
 	for _, x := range []struct {
 		name   string
@@ -222,8 +222,8 @@
 func TestRecordForm(t *testing.T) {
 	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
-		State: Down, Transitions: 7, SinceMS: 3, FailedMS: 2, SlowStartShare: 0.25, MachinesBefore: 9, Watermark: 1,
-		Observations: map[string]Observation{"n0": {Up: 1, Lost: 8, Refused: true, Waiting: waiting}},
+		State: Down, Transitions: 7, SinceMS: 3, LastFailedMS: 2, SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
+		Observations: map[string]Observation{"n0": {Healthy: 1, Lost: 8, RentalsRefused: true, WaitingProduction: waiting}},
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
--- a/internal/zonehealth/record.go
+++ b/internal/zonehealth/record.go
@@ -15,27 +15,27 @@
 
 // Record is a zone's record. The zero record is that of a healthy zone without observations.
 type Record struct {
-	State          State                  `json:"s"`
-	Transitions    uint64                 `json:"n"`           // rises whenever the zone goes down or comes back
-	SinceMS        int64                  `json:"at"`          // when the state began, Unix time in milliseconds
-	FailedMS       int64                  `json:"f,omitempty"` // when it went down last, Unix time in milliseconds
-	SlowStartShare float64                `json:"w,omitempty"` // share of the zone that work below production may take at first
-	MachinesBefore int                    `json:"b,omitempty"` // machines that it had when it went down
-	Watermark      int                    `json:"m,omitempty"` // while down the fewest, while recovering the most that were up
-	Observations   map[string]Observation `json:"p,omitempty"` // by shard
+	State                 State                  `json:"s"`
+	Transitions           uint64                 `json:"n"`           // rises whenever the zone goes down or comes back
+	SinceMS               int64                  `json:"at"`          // when the state began, Unix time in milliseconds
+	LastFailedMS          int64                  `json:"f,omitempty"` // when it went down last, Unix time in milliseconds
+	SlowStartShare        float64                `json:"w,omitempty"` // share of the zone that work below production may take at first
+	MachinesBeforeFailure int                    `json:"b,omitempty"` // machines that it had when it went down
+	HealthyWatermark      int                    `json:"m,omitempty"` // while down the fewest, while recovering the most that were up
+	Observations          map[string]Observation `json:"p,omitempty"` // by shard
 }
 
 // Limits are the bounds between the states.
 type Limits struct {
-	SuspectShare, DownShare float64       // shares of the machines that are lost
-	Confirm                 time.Duration // most are lost for so long before the zone is down
-	FirstShare, LeastShare  float64       // of the machines, at the beginning of a slow start
-	DoubleEvery             time.Duration // the slow start's share doubles so often
-	Longest                 time.Duration // that Down and Recovering last
+	SuspectShare, DownShare       float64       // shares of the machines that are lost
+	ConfirmAfter                  time.Duration // most are lost for so long before the zone is down
+	InitialShare, MinInitialShare float64       // of the machines, at the beginning of a slow start
+	DoublingInterval              time.Duration // the slow start's share doubles so often
+	MaxStateDuration              time.Duration // that Down and Recovering last
 }
 
-// Restricts reports whether the state restricts what may be placed in the zone.
-func (r *Record) Restricts() bool { return r.State == Down || r.State == Recovering }
+// RestrictsPlacement reports whether the state restricts what may be placed in the zone.
+func (r *Record) RestrictsPlacement() bool { return r.State == Down || r.State == Recovering }
 
 // WithObservation returns a copy of the record with what the leader of a shard observes now.
 func (r *Record) WithObservation(shard string, observation Observation) Record {
@@ -44,7 +44,7 @@
 	for name, o := range r.Observations {
 		next.Observations[name] = o
 	}
-	if observation.Empty() {
+	if observation.IsEmpty() {
 		delete(next.Observations, shard)
 	} else {
 		next.Observations[shard] = observation
@@ -52,31 +52,31 @@
 	return next
 }
 
-// Sum returns the machines that are up, lost and unclear, over all shards.
-func (r *Record) Sum() Observation {
+// TotalObservation returns the machines that are up, lost and unclear, over all shards.
+func (r *Record) TotalObservation() Observation {
 	var sum Observation
 	for _, o := range r.Observations {
-		sum.Up += o.Up
+		sum.Healthy += o.Healthy
 		sum.Lost += o.Lost
 		sum.Unclear += o.Unclear
 	}
 	return sum
 }
 
-// Refused reports whether the cloud refuses machines there to the leader of any shard.
-func (r *Record) Refused() bool {
+// RentalsRefused reports whether the cloud refuses machines there to the leader of any shard.
+func (r *Record) RentalsRefused() bool {
 	for _, o := range r.Observations {
-		if o.Refused {
+		if o.RentalsRefused {
 			return true
 		}
 	}
 	return false
 }
 
-// Waiting reports whether production work waits for lost machines.
-func (r *Record) Waiting() bool {
+// HasWaitingProduction reports whether production work waits for lost machines.
+func (r *Record) HasWaitingProduction() bool {
 	for _, o := range r.Observations {
-		if len(o.Waiting) > 0 {
+		if len(o.WaitingProduction) > 0 {
 			return true
 		}
 	}
@@ -87,21 +87,21 @@
 func (r *Record) enter(state State, now time.Time) {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	if state == Healthy {
-		r.Observations, r.MachinesBefore, r.Watermark = nil, 0, 0
+		r.Observations, r.MachinesBeforeFailure, r.HealthyWatermark = nil, 0, 0
 	}
 }
 
 // goDown enters Down. A failure soon after another halves the slow start.
 func (r *Record) goDown(sum Observation, now time.Time, limits *Limits) {
-	again := r.FailedMS > 0 && now.Sub(time.UnixMilli(r.FailedMS)) < 2*limits.Longest
+	again := r.LastFailedMS > 0 && now.Sub(time.UnixMilli(r.LastFailedMS)) < 2*limits.MaxStateDuration
 	if again && r.SlowStartShare > 0 {
-		r.SlowStartShare = max(limits.LeastShare, r.SlowStartShare/2)
+		r.SlowStartShare = max(limits.MinInitialShare, r.SlowStartShare/2)
 	} else {
-		r.SlowStartShare = limits.FirstShare
+		r.SlowStartShare = limits.InitialShare
 	}
-	r.MachinesBefore = max(sum.Up+sum.Lost, 1)
-	r.Watermark = sum.Up
-	r.FailedMS = now.UnixMilli()
+	r.MachinesBeforeFailure = max(sum.Healthy+sum.Lost, 1)
+	r.HealthyWatermark = sum.Healthy
+	r.LastFailedMS = now.UnixMilli()
 	r.Transitions++
 	r.enter(Down, now)
 }
--- a/internal/zonehealth/slow_start.go
+++ b/internal/zonehealth/slow_start.go
@@ -25,9 +25,9 @@
 func (r *Record) slowStartShare(now time.Time, limits *Limits) float64 {
 	share := r.SlowStartShare
 	if share <= 0 {
-		share = limits.FirstShare
+		share = limits.InitialShare
 	}
-	every := limits.DoubleEvery
+	every := limits.DoublingInterval
 	if r.productionServed(limits) {
 		every /= fastStartFactor // no production work to keep room for: only fetches and starts are spread out
 	}
@@ -41,7 +41,7 @@
 // productionServed reports whether nearly all machines are back and no production work waits
 // for the others.
 func (r *Record) productionServed(limits *Limits) bool {
-	sum := r.Sum()
+	sum := r.TotalObservation()
 	away := float64(sum.Lost + sum.Unclear)
-	return !r.Waiting() && away <= limits.SuspectShare*float64(sum.Up+sum.Lost+sum.Unclear)
+	return !r.HasWaitingProduction() && away <= limits.SuspectShare*float64(sum.Healthy+sum.Lost+sum.Unclear)
 }
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -24,28 +24,28 @@
 	return a == nil || a.admission.Admits(zone, a.machineShare)
 }
 
-// Admit counts a task of the job that goes to a zone.
-func (a *JobAdmission) Admit(zone string) {
+// RecordAdmitted counts a task of the job that goes to a zone.
+func (a *JobAdmission) RecordAdmitted(zone string) {
 	if a != nil {
-		a.admission.Admit(zone, a.machineShare)
+		a.admission.RecordAdmitted(zone, a.machineShare)
 	}
 }
 
-// Trial returns an admission to try things on.
-func (a *JobAdmission) Trial() *recovery.Admission {
+// CopyAdmission returns an admission to try things on.
+func (a *JobAdmission) CopyAdmission() *recovery.Admission {
 	if a == nil {
 		return nil
 	}
 	return a.admission.Copy()
 }
 
-// AdmissionOf returns what a job may take; nil if nothing restricts it.
-func (z *Zones) AdmissionOf(job *statecache.Job, admission *recovery.Admission) *JobAdmission {
-	return z.AdmissionOfSpec(&job.Record.Spec, admission)
+// AdmissionForJob returns what a job may take; nil if nothing restricts it.
+func (z *Zones) AdmissionForJob(job *statecache.Job, admission *recovery.Admission) *JobAdmission {
+	return z.AdmissionForSpec(&job.Record.Spec, admission)
 }
 
-// AdmissionOfSpec is AdmissionOf for a job that is only described.
-func (z *Zones) AdmissionOfSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
+// AdmissionForSpec is AdmissionForJob for a job that is only described.
+func (z *Zones) AdmissionForSpec(spec *api.Job, admission *recovery.Admission) *JobAdmission {
 	if admission == nil || isProduction(spec) {
 		return nil
 	}
@@ -54,7 +54,7 @@
 	allowed := func(i int) bool {
 		return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, types[i].Name)
 	}
-	if !admission.Competes(size, allowed) {
+	if !admission.CompetesWithProduction(size, allowed) {
 		return nil
 	}
 	return &JobAdmission{admission: admission, machineShare: recovery.MachineShare(size, z.catalog.MachineSizes())}
@@ -69,7 +69,7 @@
 	zones := map[string]*recovery.Zone{}
 	for id := range z.cache.Zones {
 		name := statecache.ZoneOfID(id)
-		if record := z.RestrictedZone(name, now); record != nil {
+		if record := z.RestrictedZoneRecord(name, now); record != nil {
 			zones[name] = z.recoveryOf(name, record, now)
 		}
 	}
@@ -83,10 +83,10 @@
 // recoveryOf returns how far the recovery of a zone is.
 func (z *Zones) recoveryOf(name string, record *zonehealth.Record, now time.Time) *recovery.Zone {
 	zone := &recovery.Zone{
-		SlowStartShare:  record.AdmissionShare(now, z.limits()),
-		MachinesBefore:  float64(record.MachinesBefore),
-		ReservableShare: 1,
-		Waiting:         z.waitingProduction(name, record),
+		SlowStartShare:    record.AdmissionShare(now, z.limits()),
+		MachinesBefore:    float64(record.MachinesBeforeFailure),
+		ReservableShare:   1,
+		WaitingProduction: z.waitingProduction(name, record),
 	}
 	settings := &z.node.Features.ZoneRecovery
 	lasted := now.Sub(time.UnixMilli(record.SinceMS)).Seconds()
@@ -103,12 +103,12 @@
 	own := z.observations[zone]
 	for shardName, observation := range record.Observations {
 		if _, observed := own[shardName]; !observed || !z.leadership.Leads(shardName) {
-			waiting = append(waiting, observation.Waiting...)
+			waiting = append(waiting, observation.WaitingProduction...)
 		}
 	}
 	for shardName, observation := range own {
 		if z.leadership.Leads(shardName) {
-			waiting = append(waiting, observation.Waiting...)
+			waiting = append(waiting, observation.WaitingProduction...)
 		}
 	}
 	return waiting
@@ -130,7 +130,7 @@
 				continue
 			}
 			if job.PlacedAtMS(task) >= since {
-				zones[machine.Zone].Taken += recovery.MachineShare(statecache.ResourcesOf(&job.Record.Spec), sizes)
+				zones[machine.Zone].UsedMachines += recovery.MachineShare(statecache.ResourcesOf(&job.Record.Spec), sizes)
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, zone := range zones {
-		for _, demand := range zone.Waiting {
+		for _, demand := range zone.WaitingProduction {
 			add(demand.Need)
 		}
 	}
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -14,15 +14,15 @@
 // Observations is what this controller sees of zones, by zone and own shard.
 type Observations map[string]map[string]zonehealth.Observation
 
-// Observed is what a look at all machines of own shards shows.
-type Observed struct {
+// ObservationResult is what a look at all machines of own shards shows.
+type ObservationResult struct {
 	Observations Observations
-	Up           map[string][]string // machines that are up, by zone
+	HealthyHosts map[string][]string // machines that are up, by zone
 }
 
 // Observe looks at the machines of own shards. It changes nothing.
-func (z *Zones) Observe(now time.Time) Observed {
-	observed := Observed{Observations: z.emptyObservations(now), Up: map[string][]string{}}
+func (z *Zones) Observe(now time.Time) ObservationResult {
+	observed := ObservationResult{Observations: z.emptyObservations(now), HealthyHosts: map[string][]string{}}
 	waiting := waitingTasks{}
 	for host, machine := range z.cache.Machines {
 		worker, ofZone := z.agents.Agent(host), observed.Observations[machine.Zone]
@@ -36,8 +36,8 @@
 		case agent.MachineUnclear:
 			observation.Unclear++
 		case agent.MachineHealthy:
-			observation.Up++
-			observed.Up[machine.Zone] = append(observed.Up[machine.Zone], host)
+			observation.Healthy++
+			observed.HealthyHosts[machine.Zone] = append(observed.HealthyHosts[machine.Zone], host)
 		case agent.MachineLost:
 			observation.Lost++
 		}
@@ -51,7 +51,7 @@
 	}
 	for of, tasks := range waiting {
 		observation := observed.Observations[of.zone][of.shard]
-		observation.Waiting = sortedDemand(tasks)
+		observation.WaitingProduction = sortedDemand(tasks)
 		observed.Observations[of.zone][of.shard] = observation
 	}
 	return observed
@@ -64,7 +64,7 @@
 		observations[zone] = map[string]zonehealth.Observation{}
 		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
-				observations[zone][name] = zonehealth.Observation{Refused: z.catalog.CloudRefuses(zone, now)}
+				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.AllOffersRefused(zone, now)}
 			}
 		}
 	}
@@ -113,11 +113,11 @@
 
 // demandOf returns the size of a job's tasks as zones' records keep it.
 func demandOf(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
+	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.AllowSpot}
 }
 
-// Judge returns a zone's record as it is to be, and whether that is to be written.
-func (z *Zones) Judge(zone string, now time.Time) (next zonehealth.Record, changed bool) {
+// Evaluate returns a zone's record as it is to be, and whether that is to be written.
+func (z *Zones) Evaluate(zone string, now time.Time) (next zonehealth.Record, changed bool) {
 	limits := z.limits()
 	var before zonehealth.Record
 	if record := z.cache.Zones[statecache.ZoneID(zone)].Record; record != nil {
@@ -129,14 +129,14 @@
 	seen := before
 	for shardName, observation := range z.observations[zone] {
 		recorded, isRecorded := before.Observations[shardName]
-		if !before.Restricts() && before.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
+		if !before.RestrictsPlacement() && before.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
 			observation = zonehealth.Observation{} // all is well: that needs no record
 		}
-		if isRecorded != !observation.Empty() || !observation.Equal(recorded) {
+		if isRecorded != !observation.IsEmpty() || !observation.Equal(recorded) {
 			seen, changed = seen.WithObservation(shardName, observation), true
 		}
 	}
-	next = seen.Judge(now, z.hasOutsideObserver(zone, now), limits)
+	next = seen.Evaluate(now, z.hasOutsideObserver(zone, now), limits)
 	return next, changed || next.State != before.State
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, member := range z.node.Settings.Members {
-		if record := z.cache.Nodes[member.HostName].Record; member.Zone != zone && record != nil && record.HearsWorkers {
+		if record := z.cache.Nodes[member.HostName].Record; member.Zone != zone && record != nil && record.HasWorkerContact {
 			return true
 		}
 	}
@@ -163,8 +163,8 @@
 func (z *Zones) isUp(byShard map[string]zonehealth.Observation) bool {
 	var all zonehealth.Observation
 	for _, observation := range byShard {
-		all.Up += observation.Up
+		all.Healthy += observation.Healthy
 		all.Lost += observation.Lost
 	}
-	return all.Up > 0 && all.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
+	return all.Healthy > 0 && all.LostShare() < z.node.Features.ZoneRecovery.SuspectShare
 }
--- a/internal/zonestate/observation_test.go
+++ b/internal/zonestate/observation_test.go
@@ -35,11 +35,11 @@
 // Nothing restricts a job without an admission.
 func TestNoAdmissionAdmitsAll(t *testing.T) {
 	var none *JobAdmission
-	none.Admit("x")
+	none.RecordAdmitted("x")
 	if !none.Admits("x") {
 		t.Error("a zone is closed")
 	}
-	if none.Trial() != nil {
+	if none.CopyAdmission() != nil {
 		t.Error("a trial restricts")
 	}
 }
--- a/internal/zonestate/slow_start.go
+++ b/internal/zonestate/slow_start.go
@@ -9,20 +9,20 @@
 	"violetturn/internal/zonehealth"
 )
 
-// IsHeldBack reports whether a task below production that its machine no longer has, and that
+// IsRestartDelayed reports whether a task below production that its machine no longer has, and that
 // was lost when its zone went down, does not start again in place yet. All at once they would
 // fill the zone ahead of production work whose machines have not returned. A gang is one
 // whole: it ends and starts anew by its own rules.
-func (z *Zones) IsHeldBack(host string, task *statecache.PlacedTask, job *statecache.Job, now time.Time) bool {
+func (z *Zones) IsRestartDelayed(host string, task *statecache.PlacedTask, job *statecache.Job, now time.Time) bool {
 	machine := z.cache.Machines[host]
 	if len(z.cache.Zones) == 0 || machine == nil || job.IsGang() {
 		return false
 	}
-	record := z.RestrictedZone(machine.Zone, now)
+	record := z.RestrictedZoneRecord(machine.Zone, now)
 	if record == nil || isProduction(&job.Record.Spec) {
 		return false
 	}
-	return job.PlacedAtMS(task) < record.FailedMS && !z.admitted[host]
+	return job.PlacedAtMS(task) < record.LastFailedMS && !z.admitted[host]
 }
 
 // AdmittedMachines returns on which machines of recovering zones tasks start again in place, of
@@ -32,7 +32,7 @@
 func (z *Zones) AdmittedMachines(up map[string][]string, now time.Time) map[string]bool {
 	admitted := map[string]bool{}
 	for zone, hosts := range up {
-		record := z.RestrictedZone(zone, now)
+		record := z.RestrictedZoneRecord(zone, now)
 		if record == nil {
 			continue
 		}
@@ -52,6 +52,6 @@
 	for _, demand := range z.waitingProduction(zone, record) {
 		needed += float64(demand.Tasks) * recovery.MachineShare(demand.Need, sizes)
 	}
-	all := float64(max(record.Sum().Up, up))
+	all := float64(max(record.TotalObservation().Healthy, up))
 	return min(record.AdmissionShare(now, z.limits()), max(all-needed, 0)/all, 1)
 }
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// ObservationIsDue reports whether the zones are to be observed again: once in a heartbeat
+// IsObservationDue reports whether the zones are to be observed again: once in a heartbeat
 // interval, if the feature is on.
-func (z *Zones) ObservationIsDue(now time.Time) bool {
+func (z *Zones) IsObservationDue(now time.Time) bool {
 	return now.Sub(z.observedAt) >= z.node.Settings.HeartbeatInterval() && z.schema.FeatureEnabled(features.ZoneRecoveryName)
 }
 
@@ -65,20 +65,20 @@
 func (z *Zones) Update(now time.Time) {
 	observed := z.Observe(now)
 	z.observedAt, z.observations = now, observed.Observations
-	z.admitted = z.AdmittedMachines(observed.Up, now)
+	z.admitted = z.AdmittedMachines(observed.HealthyHosts, now)
 }
 
-// Observed lists the zones that were observed, by name.
-func (z *Zones) Observed() []string { return slices.Sorted(maps.Keys(z.observations)) }
+// ObservedZones lists the zones that were observed, by name.
+func (z *Zones) ObservedZones() []string { return slices.Sorted(maps.Keys(z.observations)) }
 
-// RestrictedZone returns the record of a zone that is down or recovering; nil if it is not, or the
+// RestrictedZoneRecord returns the record of a zone that is down or recovering; nil if it is not, or the
 // feature is off. It ends also if nobody can write that it does.
-func (z *Zones) RestrictedZone(zone string, now time.Time) *zonehealth.Record {
+func (z *Zones) RestrictedZoneRecord(zone string, now time.Time) *zonehealth.Record {
 	record := z.cache.Zones[statecache.ZoneID(zone)].Record
-	if record == nil || !record.Restricts() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
+	if record == nil || !record.RestrictsPlacement() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
 	}
-	if now.Sub(time.UnixMilli(record.SinceMS)) >= z.limits().Longest {
+	if now.Sub(time.UnixMilli(record.SinceMS)) >= z.limits().MaxStateDuration {
 		return nil
 	}
 	return record
@@ -89,13 +89,13 @@
 	recovery := &z.node.Features.ZoneRecovery
 	leases := func(n float64) time.Duration { return time.Duration(n * float64(z.node.Settings.WorkerLease())) }
 	return &zonehealth.Limits{
-		SuspectShare: recovery.SuspectShare,
-		DownShare:    recovery.DownShare,
-		Confirm:      leases(recovery.Confirm),
-		FirstShare:   recovery.FirstShare,
-		LeastShare:   recovery.LeastShare,
-		DoubleEvery:  leases(recovery.DoubleEvery),
-		Longest:      leases(recovery.Longest),
+		SuspectShare:     recovery.SuspectShare,
+		DownShare:        recovery.DownShare,
+		ConfirmAfter:     leases(recovery.Confirm),
+		InitialShare:     recovery.FirstShare,
+		MinInitialShare:  recovery.LeastShare,
+		DoublingInterval: leases(recovery.DoubleEvery),
+		MaxStateDuration: leases(recovery.Longest),
 	}
 }
 
