--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -58,7 +58,7 @@
 		}
 	}
 	slices.Sort(decision.Return)
-	decision.Return = decision.Return[:min(len(decision.Return), cloud.MaxReturn)]
+	decision.Return = decision.Return[:min(len(decision.Return), cloud.MaxMachinesPerReturn)]
 	return decision
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// MaxRental is the most machines that one request may rent.
-	MaxRental = 50
-	// MaxReturn is the most machines that one request may return.
-	MaxReturn = 100
+	// MaxMachinesPerRental is the most machines that one request may rent.
+	MaxMachinesPerRental = 50
+	// MaxMachinesPerReturn is the most machines that one request may return.
+	MaxMachinesPerReturn = 100
 )
 
 // Response statuses of the cloud.
@@ -47,8 +47,8 @@
 	budget  *transport.TokenBucket
 }
 
-// New makes a client that sends at most rps requests per second to addr, each with the timeout.
-func New(h *transport.Client, addr string, timeout time.Duration, rps float64) *Client {
+// NewClient makes a client that sends at most rps requests per second to addr, each with the timeout.
+func NewClient(h *transport.Client, addr string, timeout time.Duration, rps float64) *Client {
 	return &Client{http: h, addr: addr, timeout: timeout, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
 }
 
@@ -74,7 +74,7 @@
 	return response.Hosts, nil
 }
 
-// Return returns at most MaxReturn machines to the cloud. If it succeeds, they are terminated.
+// Return returns at most MaxMachinesPerReturn machines to the cloud. If it succeeds, they are terminated.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.do(ctx, "POST", "/rentals/return", returnRequest{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return machines: %w", err)
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Page lists at most MaxPage machines, starting after the name since. truncated reports whether
+// ListPage lists at most MaxMachinesPerPage machines, starting after the name since. truncated reports whether
 // there are more.
-func (c *Client) Page(ctx context.Context, since string) (machines []Host, truncated bool, err error) {
+func (c *Client) ListPage(ctx context.Context, since string) (machines []Machine, truncated bool, err error) {
 	var response struct {
-		Hosts     []Host `json:"hosts"`
-		Truncated bool   `json:"truncated"`
+		Hosts     []Machine `json:"hosts"`
+		Truncated bool      `json:"truncated"`
 	}
-	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxPage)
+	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxMachinesPerPage)
 	if err := c.do(ctx, "GET", target, nil, &response); err != nil {
 		return nil, false, fmt.Errorf("list machines: %w", err)
 	}
@@ -109,7 +109,7 @@
 			return fmt.Errorf("encode request body: %w", err)
 		}
 	}
-	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Deadline: c.timeout})
+	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Timeout: c.timeout})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -63,7 +63,7 @@
 			t.Error(err)
 		}
 	})
-	return New(client, server.Listener.Addr().String(), time.Minute, 1000)
+	return NewClient(client, server.Listener.Addr().String(), time.Minute, 1000)
 }
 
 // Calls send the requests of PROTOCOL and decode its responses.
@@ -99,14 +99,14 @@
 		{
 			"page", `{"hosts":[{"uid":"i-3","phase":"failed","heldS":1.5}],"truncated":false}`,
 			func() (any, error) {
-				machines, truncated, err := client.Page(ctx, "i 2")
+				machines, truncated, err := client.ListPage(ctx, "i 2")
 				if truncated {
 					t.Error("Page reports the last page as truncated")
 				}
 				return machines, err
 			},
 			"GET /rentals?since=i+2&limit=500 ",
-			[]Host{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
+			[]Machine{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// MaxPage is the most machines in one page of the list.
-const MaxPage = 500
+// MaxMachinesPerPage is the most machines in one page of the list.
+const MaxMachinesPerPage = 500
 
 // pageReader reads one page of the list of rented machines. Client implements it.
 type pageReader interface {
-	Page(ctx context.Context, since string) (machines []Host, truncated bool, err error)
+	ListPage(ctx context.Context, since string) (machines []Machine, truncated bool, err error)
 }
 
 // Listing reads the list of rented machines a few pages at a time. The eight pages of 4,000
@@ -23,12 +23,12 @@
 //
 // The zero value is a listing that has not started. It is not safe for concurrent use.
 type Listing struct {
-	// Began is the time at which the current listing read its first page.
-	Began time.Time
+	// StartedAt is the time at which the current listing read its first page.
+	StartedAt time.Time
 
-	machines []Host // the machines read so far
-	lastName string // name of the last machine read
-	active   bool   // the listing has started and is not complete
+	machines []Machine // the machines read so far
+	lastName string    // name of the last machine read
+	active   bool      // the listing has started and is not complete
 }
 
 // Active reports whether the listing has started and is not complete.
@@ -37,12 +37,12 @@
 // Read reads up to maxPages pages, at least one. complete reports whether the last page has been
 // read; machines is then the whole list, otherwise nil. After an error the next call reads the same
 // page again.
-func (l *Listing) Read(ctx context.Context, reader pageReader, now time.Time, maxPages int) (machines []Host, complete bool, err error) {
+func (l *Listing) Read(ctx context.Context, reader pageReader, now time.Time, maxPages int) (machines []Machine, complete bool, err error) {
 	if !l.active {
-		*l = Listing{Began: now, active: true}
+		*l = Listing{StartedAt: now, active: true}
 	}
 	for range max(maxPages, 1) {
-		page, truncated, err := reader.Page(ctx, l.lastName)
+		page, truncated, err := reader.ListPage(ctx, l.lastName)
 		if err != nil {
 			return nil, false, err
 		}
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -18,7 +18,7 @@
 	pages   int
 }
 
-func (p *pagedList) Page(_ context.Context, since string) ([]Host, bool, error) {
+func (p *pagedList) ListPage(_ context.Context, since string) ([]Machine, bool, error) {
 	if p.failing {
 		return nil, false, ErrUnavailable
 	}
@@ -28,10 +28,10 @@
 		start++
 	}
 	remaining := p.names[start:]
-	page := remaining[:min(len(remaining), MaxPage)]
-	machines := []Host{}
+	page := remaining[:min(len(remaining), MaxMachinesPerPage)]
+	machines := []Machine{}
 	for _, name := range page {
-		machines = append(machines, Host{UID: name})
+		machines = append(machines, Machine{UID: name})
 	}
 	return machines, len(remaining) > len(page), nil
 }
@@ -78,14 +78,14 @@
 				source.names = slices.Delete(source.names, terminated, terminated+1)
 			}
 		}
-		if minPages := (len(remaining) + MaxPage - 1) / MaxPage; source.pages-initialPages < minPages {
+		if minPages := (len(remaining) + MaxMachinesPerPage - 1) / MaxMachinesPerPage; source.pages-initialPages < minPages {
 			t.Fatalf("got %d pages for %d machines, want at least %d", source.pages-initialPages, len(remaining), minPages)
 		}
 	})
 }
 
 // checkListing checks that the listing has all remaining machines and none twice.
-func checkListing(t *rapid.T, machines []Host, remaining map[string]bool, created int) {
+func checkListing(t *rapid.T, machines []Machine, remaining map[string]bool, created int) {
 	listed := map[string]bool{}
 	for _, machine := range machines {
 		if listed[machine.UID] {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -163,7 +163,7 @@
 		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(begin)) * drift))
 	}
 	n.async = nil
-	c.node.SteppedClock = true
+	c.node.SimulatedClock = true
 	c.node.RunAsync = func(f func()) {
 		if n.controller == c {
 			n.async = append(n.async, f)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -282,8 +282,8 @@
 	now    func() time.Time
 }
 
-// AwaitWrites returns how many of n changes the budget allows now.
-func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
+// AwaitWriteBudget returns how many of n changes the budget allows now.
+func (b *budgetedStore) AwaitWriteBudget(_ context.Context, n int, _ store.Priority) int {
 	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -149,8 +149,8 @@
 	log, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, e := range log {
-		if e.Drop == "" {
-			if e.Value = p.kinds.read(e.Write, e.Value); e.Value == nil {
+		if e.DeletedKey == "" {
+			if e.Value = p.kinds.read(e.WrittenKey, e.Value); e.Value == nil {
 				continue
 			}
 		}
@@ -163,15 +163,15 @@
 func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
-		if op.Drop == "" {
-			v, err := asProduction(op.Write, op.Value)
+		if op.DeleteKey == "" {
+			v, err := asProduction(op.WriteKey, op.Value)
 			if err != nil {
 				panic(err)
 			}
 			if v == nil {
 				continue
 			}
-			op.Value = p.kinds.write(op.Write, v)
+			op.Value = p.kinds.write(op.WriteKey, v)
 		}
 		u.Ops = append(u.Ops, op)
 	}
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -53,7 +53,7 @@
 	environment := simulator.NewEnvironment(time.Unix(1_800_000_000, 0))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return environment.Now }
-	info.SteppedClock = true
+	info.SimulatedClock = true
 	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	s := state.New(info, wake, unlimitedWrites{})
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -32,17 +32,17 @@
 	RenewLease(ctx context.Context, leaseID uint64) error
 	RevokeLease(ctx context.Context, leaseID uint64) error
 
-	// AwaitWrites waits for the budget of n writes and returns how many writes can be sent now.
-	AwaitWrites(ctx context.Context, n int, p store.Priority) int
-	// SetControllers sets the number of controllers that share the rates.
-	SetControllers(controllers int)
+	// AwaitWriteBudget waits for the budget of n writes and returns how many writes can be sent now.
+	AwaitWriteBudget(ctx context.Context, n int, p store.Priority) int
+	// SetControllerCount sets the number of controllers that share the rates.
+	SetControllerCount(controllers int)
 	// ReserveForGangs sets a number of writes that is reserved for gangs besides their regular
 	// reserve.
 	ReserveForGangs(changes float64)
 	// LowerLimits applies the announced lower limits.
 	LowerLimits()
-	// Used returns the number of requests and writes of the budget used since the start.
-	Used() (requests, writes float64)
+	// TokensUsed returns the number of requests and writes of the budget used since the start.
+	TokensUsed() (requests, writes float64)
 }
 
 // Cloud is a client of the cloud that rents machines. Its errors are those of package cloud.
@@ -50,7 +50,7 @@
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	Rent(ctx context.Context, request cloud.RentalRequest) (hosts []string, err error)
 	Return(ctx context.Context, hosts []string) error
-	Page(ctx context.Context, since string) (machines []cloud.Host, truncated bool, err error)
+	ListPage(ctx context.Context, since string) (machines []cloud.Machine, truncated bool, err error)
 }
 
 // Workers sends requests to workers directly, independently of their heartbeats.
@@ -58,8 +58,8 @@
 	// SendCommands sends commands and returns the worker's heartbeat from the response and whether
 	// the worker executed them.
 	SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error)
-	// Status requests and returns the worker's current heartbeat.
-	Status(ctx context.Context, addr string) (*api.Heartbeat, error)
+	// FetchHeartbeat requests and returns the worker's current heartbeat.
+	FetchHeartbeat(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
 // Peers sends requests to the other controllers.
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -49,7 +49,7 @@
 	environment := simulator.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	info.Now = func() time.Time { return environment.Now }
-	info.SteppedClock = true
+	info.SimulatedClock = true
 	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, unlimitedWrites{}))
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -76,7 +76,7 @@
 func cloudMessages() []golden {
 	return []golden{
 		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
-		{"cloud.Host", &cloud.Host{
+		{"cloud.Host", &cloud.Machine{
 			UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: cloud.MachineRunning, AgeS: 1.5,
 		}},
 		{"cloud.Flavor", &cloud.MachineType{
@@ -99,10 +99,10 @@
 	return []golden{
 		{"store.Txn", &store.Txn{
 			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
-			Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
+			Ops:           []store.Op{{WriteKey: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {DeleteKey: "b"}},
 		}},
 		{"store.Item", &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2}},
-		{"store.Change", &store.Change{Write: "a", Value: json.RawMessage(`1`), Version: 2}},
+		{"store.Change", &store.Change{WrittenKey: "a", Value: json.RawMessage(`1`), Version: 2}},
 	}
 }
 
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -7,17 +7,17 @@
 
 // Limits bound the memory that the other side can make a parser use.
 type Limits struct {
-	Line    int // bytes of a start line or header line
-	Headers int // number of header lines
-	Body    int // bytes of a body
+	LineBytes   int // bytes of a start line or header line
+	HeaderCount int // number of header lines
+	BodyBytes   int // bytes of a body
 }
 
 // RequestLimits are the limits of PROTOCOL for requests to a controller.
-var RequestLimits = Limits{Line: 8 << 10, Headers: 64, Body: 64 << 10}
+var RequestLimits = Limits{LineBytes: 8 << 10, HeaderCount: 64, BodyBytes: 64 << 10}
 
 // ResponseLimits are the limits for responses of external systems. The limit for bodies is large
 // because PROTOCOL does not limit the size of a watch response of the state service.
-var ResponseLimits = Limits{Line: 8 << 10, Headers: 128, Body: 16 << 20}
+var ResponseLimits = Limits{LineBytes: 8 << 10, HeaderCount: 128, BodyBytes: 16 << 20}
 
 // Errors of the parser. A server selects the status of its error response by them.
 var (
--- a/internal/httpwire/parser_test.go
+++ b/internal/httpwire/parser_test.go
@@ -115,7 +115,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, b []byte, response bool) {
-		limits := Limits{Line: 64, Headers: 4, Body: 100}
+		limits := Limits{LineBytes: 64, HeaderCount: 4, BodyBytes: 100}
 		p := NewParser(response, limits)
 		for i := range b {
 			p.Feed(b[i : i+1])
@@ -123,11 +123,11 @@
 			if err != nil {
 				return
 			}
-			if m != nil && len(m.Body) > limits.Body {
-				t.Fatalf("got a body of %d bytes, want at most %d", len(m.Body), limits.Body)
+			if m != nil && len(m.Body) > limits.BodyBytes {
+				t.Fatalf("got a body of %d bytes, want at most %d", len(m.Body), limits.BodyBytes)
 			}
-			if len(p.buf) > limits.Line+limits.Body+3 {
-				t.Fatalf("parser buffers %d bytes, want at most %d", len(p.buf), limits.Line+limits.Body+3)
+			if len(p.buf) > limits.LineBytes+limits.BodyBytes+3 {
+				t.Fatalf("parser buffers %d bytes, want at most %d", len(p.buf), limits.LineBytes+limits.BodyBytes+3)
 			}
 		}
 	})
@@ -139,7 +139,7 @@
 	if got, err := parseFragments(p, []string{"HTTP/1.0 200 OK\r\n\r\n", "ab"}); err != nil || len(got) > 0 {
 		t.Fatalf("before the end of the stream: got messages %v, error %v; want neither", got, err)
 	}
-	if m := p.End(); m == nil || string(m.Body) != "ab" || !m.Close {
+	if m := p.EndOfStream(); m == nil || string(m.Body) != "ab" || !m.Close {
 		t.Fatalf("after the end of the stream: got %+v, want body %q and Close set", m, "ab")
 	}
 }
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -34,14 +34,14 @@
 // Attempt is the attempt number of a task.
 func Attempt(attempt uint64) slog.Attr { return slog.Uint64(keyAttempt, attempt) }
 
-// Before is the previous value of a count that has changed.
-func Before(count int) slog.Attr { return slog.Int(keyPreviousCount, count) }
+// PreviousCount is the previous value of a count that has changed.
+func PreviousCount(count int) slog.Attr { return slog.Int(keyPreviousCount, count) }
 
 // Cause is the exit cause of a task as its worker reported it.
 func Cause(cause string) slog.Attr { return slog.String(keyCause, cause) }
 
-// Clean is whether all earlier leaders of a shard have certainly stopped responding to workers.
-func Clean(clean bool) slog.Attr { return slog.Bool(keyPredecessorsStopped, clean) }
+// PredecessorsStopped is whether all earlier leaders of a shard have certainly stopped responding to workers.
+func PredecessorsStopped(clean bool) slog.Attr { return slog.Bool(keyPredecessorsStopped, clean) }
 
 // Controllers is a number of controllers.
 func Controllers(count int) slog.Attr { return slog.Int(keyControllers, count) }
@@ -55,8 +55,8 @@
 // Host is the name of a machine.
 func Host(name string) slog.Attr { return slog.String(keyHost, name) }
 
-// LastHeard is the time at which a heartbeat was last received.
-func LastHeard(at time.Time) slog.Attr { return slog.Time(keyLastContact, at) }
+// LastContact is the time at which a heartbeat was last received.
+func LastContact(at time.Time) slog.Attr { return slog.Time(keyLastContact, at) }
 
 // Launches is the number of times that a launch was sent.
 func Launches(count int) slog.Attr { return slog.Int(keyLaunches, count) }
@@ -88,5 +88,5 @@
 // Terminated is whether the cloud has confirmed that a machine is terminated.
 func Terminated(terminated bool) slog.Attr { return slog.Bool(keyTerminated, terminated) }
 
-// Why is the reason for an action, in plain text.
-func Why(reason string) slog.Attr { return slog.String(keyReason, reason) }
+// Reason is the reason for an action, in plain text.
+func Reason(reason string) slog.Attr { return slog.String(keyReason, reason) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,8 +22,8 @@
 	Shards      []string // all shards by the host name of their home controller, sorted
 	Incarnation uint64   // identifies this run of the process
 
-	RunAsync     func(func()) // runs a function in a goroutine of its own
-	SteppedClock bool         // a simulation advances the clock, so code must not block until a time is reached
+	RunAsync       func(func()) // runs a function in a goroutine of its own
+	SimulatedClock bool         // a simulation advances the clock, so code must not block until a time is reached
 }
 
 // New describes a process that is starting, with a random incarnation.
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode request to peer %s: %w", addr, err)
 	}
-	m, err := c.http.Do(ctx, transport.Request{Addr: addr, Method: "POST", Target: Path, Body: body, Deadline: deadline})
+	m, err := c.http.Do(ctx, transport.Request{Addr: addr, Method: "POST", Target: Path, Body: body, Timeout: deadline})
 	if err != nil {
 		return nil, fmt.Errorf("query peer %s: %w", addr, err)
 	}
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -51,13 +51,13 @@
 }
 
 // rentMachines rents the machines of one order, in up to config.CloudCallsPerRound requests of at
-// most cloud.MaxRental machines each.
+// most cloud.MaxMachinesPerRental machines each.
 func (l *Loop) rentMachines(ctx context.Context, order sched.RentalOrder, renting autoscaler.RentingShard) rentalOutcome {
 	remaining := order.Count
 	for calls := 0; remaining > 0 && calls < config.CloudCallsPerRound; calls++ {
 		request, unresolved := l.rentals.unresolved[order.Offer]
 		if !unresolved {
-			request = l.newRentalRequest(order.Offer, min(remaining, cloud.MaxRental), renting)
+			request = l.newRentalRequest(order.Offer, min(remaining, cloud.MaxMachinesPerRental), renting)
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, request)
 		state := l.guard.Lock()
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -60,7 +60,7 @@
 
 func (c *scriptedCloud) Return(context.Context, []string) error { return nil }
 
-func (c *scriptedCloud) Page(context.Context, string) (hosts []cloud.Host, truncated bool, err error) {
+func (c *scriptedCloud) ListPage(context.Context, string) (hosts []cloud.Machine, truncated bool, err error) {
 	c.pages++
 	if c.failing {
 		return nil, false, cloud.ErrUnavailable
--- a/internal/simulator/change_log.go
+++ b/internal/simulator/change_log.go
@@ -27,17 +27,17 @@
 }
 
 // changes returns the changes to keys with a prefix after a revision, and the current revision. If
-// some of the changes are no longer kept, it returns store.ErrTooOld.
+// some of the changes are no longer kept, it returns store.ErrChangesUnavailable.
 func (s *Store) changes(prefix string, since uint64) ([]store.Change, uint64, error) {
 	if !s.inHistory(since) {
-		return nil, 0, store.ErrTooOld
+		return nil, 0, store.ErrChangesUnavailable
 	}
 	first, _ := slices.BinarySearchFunc(s.log, since+1, func(c store.Change, version uint64) int {
 		return cmp.Compare(c.Version, version)
 	})
 	var matching []store.Change
 	for _, c := range s.log[first:] {
-		if strings.HasPrefix(c.Write+c.Drop, prefix) {
+		if strings.HasPrefix(c.WrittenKey+c.DeletedKey, prefix) {
 			matching = append(matching, c)
 		}
 	}
@@ -48,6 +48,6 @@
 func (s *Store) ExpireHistory() {
 	for range HistoryLength + 1 {
 		s.revision++
-		s.logChange(store.Change{Drop: "aged", Version: s.revision})
+		s.logChange(store.Change{DeletedKey: "aged", Version: s.revision})
 	}
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -23,7 +23,7 @@
 	rentals           map[string][]string // machines by the name of the rental request, so that a repeated request rents nothing
 	nextMachineNumber int
 
-	cachedList   []cloud.Host // list of machines, computed at cachedListAt; nil: not computed
+	cachedList   []cloud.Machine // list of machines, computed at cachedListAt; nil: not computed
 	cachedListAt time.Time
 }
 
@@ -81,23 +81,23 @@
 
 // page returns at most limit machines of the lagging list whose names sort after since, and whether
 // the list contains more.
-func (c *Cloud) page(since string, limit int) (hosts []cloud.Host, truncated bool) {
+func (c *Cloud) page(since string, limit int) (hosts []cloud.Machine, truncated bool) {
 	list := c.list()
-	start, found := slices.BinarySearchFunc(list, since, func(h cloud.Host, name string) int { return strings.Compare(h.UID, name) })
+	start, found := slices.BinarySearchFunc(list, since, func(h cloud.Machine, name string) int { return strings.Compare(h.UID, name) })
 	if found {
 		start++
 	}
-	hosts = append([]cloud.Host{}, list[start:min(len(list), start+limit)]...)
+	hosts = append([]cloud.Machine{}, list[start:min(len(list), start+limit)]...)
 	return hosts, start+len(hosts) < len(list)
 }
 
 // list returns the machines that existed ListLag ago, in the order of their names.
-func (c *Cloud) list() []cloud.Host {
+func (c *Cloud) list() []cloud.Machine {
 	if c.cachedList != nil && c.cachedListAt.Equal(c.env.Now) {
 		return c.cachedList
 	}
 	listTime := c.env.Now.Add(-c.env.ListLag)
-	var list []cloud.Host
+	var list []cloud.Machine
 	for _, worker := range c.WorkersByHost {
 		if worker.existedAt(listTime) {
 			list = append(list, worker.listEntryAt(listTime))
@@ -108,7 +108,7 @@
 			list = append(list, worker.listEntryAt(listTime))
 		}
 	}
-	slices.SortFunc(list, func(a, b cloud.Host) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(list, func(a, b cloud.Machine) int { return strings.Compare(a.UID, b.UID) })
 	c.cachedList, c.cachedListAt = list, c.env.Now
 	return list
 }
@@ -119,12 +119,12 @@
 }
 
 // listEntryAt returns the machine's entry in the cloud's list for a time at which it existed.
-func (w *Worker) listEntryAt(t time.Time) cloud.Host {
+func (w *Worker) listEntryAt(t time.Time) cloud.Machine {
 	phase := cloud.MachineRunning
 	if w.bootedAt.After(t) {
 		phase = cloud.MachineStarting
 	}
-	return cloud.Host{
+	return cloud.Machine{
 		UID:         w.Host,
 		Addr:        w.Addr,
 		MachineType: w.MachineType,
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// Page returns a page of the list of machines, as it was ListLag ago.
-func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
+// ListPage returns a page of the list of machines, as it was ListLag ago.
+func (c *CloudClient) ListPage(_ context.Context, since string) (hosts []cloud.Machine, truncated bool, err error) {
 	if !c.available() {
 		return nil, false, cloud.ErrUnavailable
 	}
 	c.Cloud.PagesRead++
-	hosts, truncated = c.Cloud.page(since, cloud.MaxPage)
+	hosts, truncated = c.Cloud.page(since, cloud.MaxMachinesPerPage)
 	return hosts, truncated, nil
 }
--- a/internal/simulator/command_client.go
+++ b/internal/simulator/command_client.go
@@ -25,9 +25,9 @@
 	return d.Partitioned || d.PartitionedFrom != nil && d.PartitionedFrom(worker)
 }
 
-// Status requests a heartbeat from a worker. It returns ErrNoResponse if the worker does not
+// FetchHeartbeat requests a heartbeat from a worker. It returns ErrNoResponse if the worker does not
 // respond.
-func (d *CommandClient) Status(_ context.Context, addr string) (*api.Heartbeat, error) {
+func (d *CommandClient) FetchHeartbeat(_ context.Context, addr string) (*api.Heartbeat, error) {
 	for _, worker := range d.Environment.Cloud.WorkersByHost {
 		if worker.Addr == addr && worker.Booted() && worker.responds() && !d.partitionedFrom(worker) {
 			return worker.Heartbeat(), nil
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -21,8 +21,8 @@
 
 // machinesResponse is a page of the list of machines.
 type machinesResponse struct {
-	Hosts     []cloud.Host `json:"hosts"`
-	Truncated bool         `json:"truncated"`
+	Hosts     []cloud.Machine `json:"hosts"`
+	Truncated bool            `json:"truncated"`
 }
 
 // CloudHandler returns the handler of requests to the cloud. Each rented machine gets its own loopback
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -128,7 +128,7 @@
 		changes, revision, err := s.env.Store.changes(r.FormValue("prefix"), since)
 		changed := s.storeChanged
 		s.mu.Unlock()
-		if errors.Is(err, store.ErrTooOld) { // Store.changes returns no other error
+		if errors.Is(err, store.ErrChangesUnavailable) { // Store.changes returns no other error
 			writeJSON(w, http.StatusGone, errorResponse{err.Error()})
 			return
 		}
@@ -150,10 +150,10 @@
 func logEntries(changes []store.Change) []json.RawMessage {
 	entries := make([]json.RawMessage, 0, len(changes))
 	for _, c := range changes {
-		if c.Drop != "" {
-			entries = append(entries, api.MustMarshal(deleteEntry{c.Drop, c.Version}))
+		if c.DeletedKey != "" {
+			entries = append(entries, api.MustMarshal(deleteEntry{c.DeletedKey, c.Version}))
 		} else {
-			entries = append(entries, api.MustMarshal(writeEntry{c.Write, c.Value, c.Version}))
+			entries = append(entries, api.MustMarshal(writeEntry{c.WrittenKey, c.Value, c.Version}))
 		}
 	}
 	return entries
@@ -169,7 +169,7 @@
 	s.notifyWatchers()
 	s.mu.Unlock()
 	switch {
-	case errors.Is(err, store.ErrNoLease):
+	case errors.Is(err, store.ErrLeaseEnded):
 		writeJSON(w, http.StatusBadRequest, errorResponse{"no such lease"})
 	case err != nil:
 		writeJSON(w, http.StatusBadRequest, errorResponse{err.Error()})
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -43,7 +43,7 @@
 
 func (h *workersHandler) status(w http.ResponseWriter, r *http.Request) {
 	h.s.mu.Lock()
-	heartbeat, err := h.client.Status(r.Context(), localAddr(r))
+	heartbeat, err := h.client.FetchHeartbeat(r.Context(), localAddr(r))
 	h.s.mu.Unlock()
 	if err != nil {
 		panic(http.ErrAbortHandler) // closes the connection without a response
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -20,12 +20,12 @@
 }
 
 // checkAvailable returns the error of a request that is not served: store.ErrRefused for HTTP
-// status 503, store.ErrUnknown for no response.
+// status 503, store.ErrOutcomeUnknown for no response.
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
 	case c.Store.UnreachableNodes[c.Node]:
-		err = store.ErrUnknown
+		err = store.ErrOutcomeUnknown
 	case c.Store.Down || c.Store.RefusedNodes[c.Node]:
 		err = store.ErrRefused
 	}
@@ -74,13 +74,13 @@
 	switch c.Store.consumeNextFault(c.Node) {
 	case NoFault:
 	case RequestLost:
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	case Delayed:
 		c.Store.delayed = append(c.Store.delayed, t)
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	case ResponseLost:
 		_, _ = c.Store.apply(t) // the response is lost
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	}
 	return c.Store.apply(t)
 }
@@ -92,16 +92,16 @@
 	}
 	for _, op := range t.Ops {
 		if len(op.Value) > c.MaxValueBytes {
-			c.Store.env.RecordViolation(RuleLimits, "value of key %q has %d bytes", op.Write, len(op.Value))
+			c.Store.env.RecordViolation(RuleLimits, "value of key %q has %d bytes", op.WriteKey, len(op.Value))
 		}
 	}
 }
 
-// AwaitWrites returns n at once: there is no write budget.
-func (c *StoreClient) AwaitWrites(_ context.Context, n int, _ store.Priority) int { return n }
+// AwaitWriteBudget returns n at once: there is no write budget.
+func (c *StoreClient) AwaitWriteBudget(_ context.Context, n int, _ store.Priority) int { return n }
 
-// SetControllers does nothing: there is no rate limit to share.
-func (c *StoreClient) SetControllers(int) {}
+// SetControllerCount does nothing: there is no rate limit to share.
+func (c *StoreClient) SetControllerCount(int) {}
 
 // ReserveForGangs does nothing: there is no write budget.
 func (c *StoreClient) ReserveForGangs(float64) {}
@@ -109,8 +109,8 @@
 // LowerLimits does nothing: there is no rate limit.
 func (c *StoreClient) LowerLimits() {}
 
-// Used returns zeros: requests and writes are not counted against a budget.
-func (c *StoreClient) Used() (requests, writes float64) { return 0, 0 }
+// TokensUsed returns zeros: requests and writes are not counted against a budget.
+func (c *StoreClient) TokensUsed() (requests, writes float64) { return 0, 0 }
 
 // GrantLease grants a lease and returns its ID.
 func (c *StoreClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -109,7 +109,7 @@
 
 // apply applies a transaction and returns its result.
 //
-// It returns store.ErrTooLarge for a transaction above the limits, and store.ErrNoLease if a
+// It returns store.ErrTooLarge for a transaction above the limits, and store.ErrLeaseEnded if a
 // write names a lease that does not exist.
 func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
@@ -118,7 +118,7 @@
 	}
 	for _, op := range t.Ops {
 		if op.Lease != nil && s.leases[*op.Lease] == nil {
-			return store.CommitResult{}, store.ErrNoLease
+			return store.CommitResult{}, store.ErrLeaseEnded
 		}
 	}
 	var conflicts []string
@@ -139,10 +139,10 @@
 
 // applyOp applies one write or deletion of a transaction at the current revision.
 func (s *Store) applyOp(op store.Op) {
-	if op.Drop != "" {
-		if _, ok := s.keys[op.Drop]; ok {
-			delete(s.keys, op.Drop)
-			s.logChange(store.Change{Drop: op.Drop, Version: s.revision})
+	if op.DeleteKey != "" {
+		if _, ok := s.keys[op.DeleteKey]; ok {
+			delete(s.keys, op.DeleteKey)
+			s.logChange(store.Change{DeletedKey: op.DeleteKey, Version: s.revision})
 		}
 		return
 	}
@@ -150,8 +150,8 @@
 	if op.Lease != nil {
 		stored.leaseID = *op.Lease
 	}
-	s.keys[op.Write] = stored
-	s.logChange(store.Change{Write: op.Write, Value: op.Value, Version: s.revision})
+	s.keys[op.WriteKey] = stored
+	s.logChange(store.Change{WrittenKey: op.WriteKey, Value: op.Value, Version: s.revision})
 }
 
 // lease is a lease of the state service. Keys written with it are deleted when it ends.
@@ -180,11 +180,11 @@
 	return s.lastLeaseID
 }
 
-// renewLease renews a lease for its full duration, or returns store.ErrNoLease if it has ended.
+// renewLease renews a lease for its full duration, or returns store.ErrLeaseEnded if it has ended.
 func (s *Store) renewLease(id uint64) error {
 	l := s.leases[id]
 	if l == nil {
-		return store.ErrNoLease
+		return store.ErrLeaseEnded
 	}
 	l.end = s.env.Now.Add(l.ttl)
 	return nil
@@ -206,6 +206,6 @@
 	s.revision++
 	for _, key := range expiredKeys {
 		delete(s.keys, key)
-		s.logChange(store.Change{Drop: key, Version: s.revision})
+		s.logChange(store.Change{DeletedKey: key, Version: s.revision})
 	}
 }
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -29,7 +29,7 @@
 func writeTxn(keys ...string) *store.Txn {
 	t := &store.Txn{}
 	for _, key := range keys {
-		t.Ops = append(t.Ops, store.Op{Write: key, Value: json.RawMessage("1")})
+		t.Ops = append(t.Ops, store.Op{WriteKey: key, Value: json.RawMessage("1")})
 	}
 	return t
 }
@@ -42,9 +42,9 @@
 		wantBefore, wantAfter int // number of keys before and after DeliverDelayed
 	}{
 		{NoFault, nil, 1, 1},
-		{RequestLost, store.ErrUnknown, 0, 0},
-		{ResponseLost, store.ErrUnknown, 1, 1},
-		{Delayed, store.ErrUnknown, 0, 1},
+		{RequestLost, store.ErrOutcomeUnknown, 0, 0},
+		{ResponseLost, store.ErrOutcomeUnknown, 1, 1},
+		{Delayed, store.ErrOutcomeUnknown, 0, 1},
 	} {
 		t.Run(test.fault.String(), func(t *testing.T) {
 			env := newTestEnvironment()
@@ -111,22 +111,22 @@
 	}
 	env.Advance(100 * time.Millisecond)
 	changes, _, err := c.Changes(context.Background(), "", since, 0)
-	if err != nil || len(changes) != 3 || changes[0].Drop != "c" || changes[1].Drop != "b" || changes[2].Drop != "a" {
+	if err != nil || len(changes) != 3 || changes[0].DeletedKey != "c" || changes[1].DeletedKey != "b" || changes[2].DeletedKey != "a" {
 		t.Errorf("changes %v, error %v; want the deletion of c, b and a in this order", changes, err)
 	}
-	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrNoLease) {
-		t.Errorf("renewing an expired lease: error %v, want %v", err, store.ErrNoLease)
+	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrLeaseEnded) {
+		t.Errorf("renewing an expired lease: error %v, want %v", err, store.ErrLeaseEnded)
 	}
 }
 
-// Reading changes since a revision before the history returns store.ErrTooOld.
+// Reading changes since a revision before the history returns store.ErrChangesUnavailable.
 func TestWatchBeyondHistoryFails(t *testing.T) {
 	env := newTestEnvironment()
 	c := newTestClient(env)
 	result, _ := c.Commit(context.Background(), writeTxn("a"), 0) // the checks below detect a failure
 	env.Store.ExpireHistory()
-	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrTooOld) {
-		t.Errorf("reading changes since revision %d: error %v, want %v", result.Revision, err, store.ErrTooOld)
+	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrChangesUnavailable) {
+		t.Errorf("reading changes since revision %d: error %v, want %v", result.Revision, err, store.ErrChangesUnavailable)
 	}
 	if _, _, err := c.Changes(context.Background(), "", env.Store.revision-1, 0); err != nil {
 		t.Errorf("reading the last change: error %v, want none", err)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -26,13 +26,13 @@
 
 // Options are the parameters of New.
 type Options struct {
-	HTTP        *transport.Client
-	Addr        string
-	Deadline    time.Duration // of a request, without its wait for tokens and for changes
-	Limits      Limits        // the limits in force
-	Next        Limits        // announced lower limits; refusals show when they take effect
-	Controllers int           // number of controllers that share the limits
-	OnAnswer    func(ok bool) // called after each request with whether the service is available
+	HTTP            *transport.Client
+	Addr            string
+	Timeout         time.Duration // of a request, without its wait for tokens and for changes
+	Limits          Limits        // the limits in force
+	AnnouncedLimits Limits        // announced lower limits; refusals show when they take effect
+	ControllerCount int           // number of controllers that share the limits
+	OnResponse      func(ok bool) // called after each request with whether the service is available
 }
 
 // Client is a client of the state service that keeps within the controller's share of its rates.
@@ -52,19 +52,19 @@
 	writeRefusals    []time.Time // times of the latest refusals of writes
 }
 
-// New makes a client of the state service.
-func New(o Options) *Client {
-	requests, writes, burst := o.Limits.rateShare(o.Controllers)
+// NewClient makes a client of the state service.
+func NewClient(o Options) *Client {
+	requests, writes, burst := o.Limits.rateShare(o.ControllerCount)
 	return &Client{
 		http:            o.HTTP,
 		addr:            o.Addr,
-		timeout:         o.Deadline,
-		onResponse:      o.OnAnswer,
+		timeout:         o.Timeout,
+		onResponse:      o.OnResponse,
 		requests:        transport.NewTokenBucket(requests, requests),
 		writes:          transport.NewTokenBucket(writes, burst),
 		limits:          o.Limits,
-		announcedLimits: o.Next,
-		controllerCount: o.Controllers,
+		announcedLimits: o.AnnouncedLimits,
+		controllerCount: o.ControllerCount,
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // send waits for the tokens of a request, sends it and returns the response. Its error is
-// ErrRefused or ErrUnknown, unless the body can't be encoded.
+// ErrRefused or ErrOutcomeUnknown, unless the body can't be encoded.
 func (c *Client) send(ctx context.Context, r request) (*httpwire.Message, error) {
 	if err := c.awaitBudget(ctx, r); err != nil {
 		return nil, err
@@ -91,11 +91,11 @@
 		}
 	}
 	m, err := c.http.Do(ctx, transport.Request{
-		Addr:     c.addr,
-		Method:   r.method,
-		Target:   r.target,
-		Body:     encoded,
-		Deadline: c.timeout + r.maxBlock,
+		Addr:    c.addr,
+		Method:  r.method,
+		Target:  r.target,
+		Body:    encoded,
+		Timeout: c.timeout + r.maxBlock,
 	})
 	if err != nil {
 		return nil, c.reportFailure(err)
@@ -126,11 +126,11 @@
 func (c *Client) reportFailure(err error) error {
 	if errors.Is(err, httpwire.ErrTooLarge) { // the service responded, but the response exceeds the client's limit
 		c.onResponse(true)
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	c.onResponse(false)
 	if errors.Is(err, transport.ErrNoResponse) {
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	return ErrRefused
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -33,7 +33,7 @@
 	}
 	f.service.setResponse("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
 	changes, revision, err := f.client.Changes(ctx, "c/", 431, 2*time.Second)
-	if err != nil || revision != 433 || len(changes) != 2 || changes[1].Drop != "c/d" {
+	if err != nil || revision != 433 || len(changes) != 2 || changes[1].DeletedKey != "c/d" {
 		t.Errorf("Changes: got %v up to revision %d, error %v; want a write and a deletion up to 433", changes, revision, err)
 	}
 	want := []string{
@@ -65,10 +65,10 @@
 }
 
 // Changes that are no longer in the change log, or whose response exceeds the client's size limit,
-// return ErrTooOld, so that the caller lists the keys instead. The service is reported as available.
+// return ErrChangesUnavailable, so that the caller lists the keys instead. The service is reported as available.
 func TestUnavailableChangesRequireListing(t *testing.T) {
 	f := newFixture(t)
-	large := strings.Repeat(" ", httpwire.ResponseLimits.Body+1)
+	large := strings.Repeat(" ", httpwire.ResponseLimits.BodyBytes+1)
 	for _, test := range []struct {
 		name   string
 		status int
@@ -79,8 +79,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f.service.setResponse("/changes", test.status, test.body)
-			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.reportedAvailable {
-				t.Errorf("got error %v, service available %t; want %v and true", err, f.reportedAvailable, ErrTooOld)
+			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrChangesUnavailable) || !f.reportedAvailable {
+				t.Errorf("got error %v, service available %t; want %v and true", err, f.reportedAvailable, ErrChangesUnavailable)
 			}
 			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.takeRequests()); d != "" {
 				t.Errorf("requests differ (-want +got):\n%s", d)
@@ -89,7 +89,7 @@
 	}
 }
 
-// Leases are granted, renewed and revoked; the renewal of a lease that has ended returns ErrNoLease.
+// Leases are granted, renewed and revoked; the renewal of a lease that has ended returns ErrLeaseEnded.
 func TestLeaseRequests(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
@@ -102,8 +102,8 @@
 		t.Errorf("RenewLease: %v", err)
 	}
 	f.service.setResponse("/holds/7/touch", 404, `{}`)
-	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrNoLease) {
-		t.Errorf("RenewLease of a lease that has ended: got error %v, want %v", err, ErrNoLease)
+	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrLeaseEnded) {
+		t.Errorf("RenewLease of a lease that has ended: got error %v, want %v", err, ErrLeaseEnded)
 	}
 	f.service.setResponse("/holds/7", 200, `{}`)
 	if err := f.client.RevokeLease(ctx, 7); err != nil {
@@ -120,7 +120,7 @@
 	leaseID := uint64(7)
 	return &Txn{
 		Preconditions: []Precondition{{"a/b", 0}},
-		Ops:           []Op{{Write: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {Drop: "c/d"}},
+		Ops:           []Op{{WriteKey: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {DeleteKey: "c/d"}},
 	}
 }
 
@@ -136,7 +136,7 @@
 	}{
 		{"committed", 200, `{"epoch":432}`, CommitResult{Committed: true, Revision: 432}, nil},
 		{"conflict", 409, `{"failed":["a/b"],"epoch":431}`, CommitResult{Revision: 431, Conflicts: []string{"a/b"}}, nil},
-		{"no lease", 400, `{"error":"no such lease"}`, CommitResult{}, ErrNoLease},
+		{"no lease", 400, `{"error":"no such lease"}`, CommitResult{}, ErrLeaseEnded},
 		{"too many changes", 400, `{"error":"too many changes"}`, CommitResult{}, ErrTooLarge},
 		{"too long", 413, `{"error":"no such lease"}`, CommitResult{}, ErrTooLarge},
 	} {
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -67,7 +67,7 @@
 }
 
 // Changes waits up to maxBlock for changes after a revision to keys with a prefix. It returns
-// them and the revision up to which they are complete. After ErrTooOld the caller must list the
+// them and the revision up to which they are complete. After ErrChangesUnavailable the caller must list the
 // keys instead.
 func (c *Client) Changes(ctx context.Context, prefix string, since uint64, maxBlock time.Duration) ([]Change, uint64, error) {
 	target := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, maxBlock.Milliseconds())
@@ -77,11 +77,11 @@
 		// After an outage of a minute, the changes of a large fleet can exceed the size limit of
 		// a response. A retry would return even more of them, so the caller lists all records in
 		// pages instead.
-		return nil, 0, fmt.Errorf("changes of %s: %w: %w", prefix, ErrTooOld, err)
+		return nil, 0, fmt.Errorf("changes of %s: %w: %w", prefix, ErrChangesUnavailable, err)
 	case err != nil:
 		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, err)
 	case m.Status == statusGone:
-		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, ErrTooOld)
+		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, ErrChangesUnavailable)
 	}
 	var page changesPage
 	if err := decodeResponse(m, &page); err != nil {
@@ -108,7 +108,7 @@
 		return CommitResult{Revision: response.Revision, Conflicts: response.Conflicts}, nil
 	case statusBadRequest, statusContentTooLarge:
 		if m.Status == statusBadRequest && response.Error == noLeaseText {
-			return CommitResult{}, fmt.Errorf("commit: %w", ErrNoLease)
+			return CommitResult{}, fmt.Errorf("commit: %w", ErrLeaseEnded)
 		}
 		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, bodyExcerpt(m.Body)) // otherwise only the size can be invalid
 	}
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -22,7 +22,7 @@
 	return response.LeaseID, nil
 }
 
-// RenewLease renews a lease. It returns ErrNoLease if the lease has ended.
+// RenewLease renews a lease. It returns ErrLeaseEnded if the lease has ended.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	m, err := c.sendLeaseRequest(ctx, "POST", leaseTarget(leaseID)+"/touch", struct{}{})
 	if err != nil {
@@ -32,7 +32,7 @@
 	case statusOK:
 		return nil
 	case statusNotFound:
-		return fmt.Errorf("renew lease %d: %w", leaseID, ErrNoLease)
+		return fmt.Errorf("renew lease %d: %w", leaseID, ErrLeaseEnded)
 	}
 	return fmt.Errorf("renew lease %d: %w", leaseID, &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)})
 }
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -33,8 +33,8 @@
 	return l.RPS / n, l.WriteRPS / n, max(l.WriteRPS/n, writeBurstSeconds*l.WriteRPS)
 }
 
-// SetControllers sets the number of controllers that share the rates.
-func (c *Client) SetControllers(controllers int) {
+// SetControllerCount sets the number of controllers that share the rates.
+func (c *Client) SetControllerCount(controllers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.controllerCount = controllers
@@ -57,13 +57,15 @@
 	c.reservedForGangs = writes
 }
 
-// Used returns the number of request and write tokens consumed since the start.
-func (c *Client) Used() (requests, writes float64) { return c.requests.Used(), c.writes.Used() }
+// TokensUsed returns the number of request and write tokens consumed since the start.
+func (c *Client) TokensUsed() (requests, writes float64) {
+	return c.requests.TokensUsed(), c.writes.TokensUsed()
+}
 
-// AwaitWrites waits for the budget of n writes, for at most one request timeout, and returns how
+// AwaitWriteBudget waits for the budget of n writes, for at most one request timeout, and returns how
 // many writes can be sent now. Callers build their transaction after that, from the newest state:
 // one that is built first and then waits for its budget may conflict with a write made meanwhile.
-func (c *Client) AwaitWrites(ctx context.Context, n int, p Priority) int {
+func (c *Client) AwaitWriteBudget(ctx context.Context, n int, p Priority) int {
 	deadline := time.Now().Add(c.timeout)
 	reservedShare := c.reservedShare(p)
 	n = min(n, int(c.writes.Burst()*(1-reservedShare)))
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -52,7 +52,7 @@
 type fixture struct {
 	service           *scriptedService
 	client            *Client
-	reportedAvailable bool // argument of the last call of OnAnswer
+	reportedAvailable bool // argument of the last call of OnResponse
 }
 
 // newFixture starts a scripted service and a client of it, which are stopped when the test ends.
@@ -83,14 +83,14 @@
 			t.Error(err)
 		}
 	})
-	f.client = New(Options{
-		HTTP:        client,
-		Addr:        addr,
-		Deadline:    time.Minute,
-		Limits:      Limits{RPS: 1000, WriteRPS: 1000},
-		Next:        Limits{RPS: 1000, WriteRPS: 500},
-		Controllers: 1,
-		OnAnswer:    func(ok bool) { f.reportedAvailable = ok },
+	f.client = NewClient(Options{
+		HTTP:            client,
+		Addr:            addr,
+		Timeout:         time.Minute,
+		Limits:          Limits{RPS: 1000, WriteRPS: 1000},
+		AnnouncedLimits: Limits{RPS: 1000, WriteRPS: 500},
+		ControllerCount: 1,
+		OnResponse:      func(ok bool) { f.reportedAvailable = ok },
 	})
 	return f
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -30,11 +30,11 @@
 
 // Request is one HTTP request.
 type Request struct {
-	Addr     string // host:port of the server
-	Method   string
-	Target   string        // path and query
-	Body     []byte        // nil: a request without a body
-	Deadline time.Duration // limit for the whole request, including connection setup
+	Addr    string // host:port of the server
+	Method  string
+	Target  string        // path and query
+	Body    []byte        // nil: a request without a body
+	Timeout time.Duration // limit for the whole request, including connection setup
 
 	// CloseAfter closes the connection after the response. It is meant for clients with more
 	// server addresses than sockets, which can't keep a connection open to each.
@@ -132,7 +132,7 @@
 	cc.mu.Lock()
 	cc.closed = true
 	cc.mu.Unlock()
-	if m := cc.parser.End(); m != nil {
+	if m := cc.parser.EndOfStream(); m != nil {
 		cc.deliver(result{message: m})
 	} else {
 		cc.deliver(result{err: ErrNoResponse})
@@ -144,7 +144,7 @@
 // ErrNoResponse the server may have carried out the request; any other error means that the
 // request was never sent.
 func (c *Client) Do(ctx context.Context, r Request) (*httpwire.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	cc, err := c.acquireConn(ctx, r.Addr)
 	if err != nil {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -59,7 +59,7 @@
 	ctx := context.Background()
 	for range 5 {
 		for _, target := range []string{"/now", "/later"} {
-			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
+			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Timeout: time.Minute})
 			if doErr != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
 				t.Fatalf("POST %s: got %+v, error %v; want status 200 and the echoed request", target, m, doErr)
 			}
@@ -68,11 +68,11 @@
 	if len(c.idle[addr]) != 1 {
 		t.Errorf("got %d idle connections after sequential requests, want 1", len(c.idle[addr]))
 	}
-	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Deadline: time.Minute})
+	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Timeout: time.Minute})
 	if err != nil || m.Status != 413 || !m.Close {
 		t.Errorf("request with a body above the limit: got %+v, error %v; want status 413 and a closed connection", m, err)
 	}
-	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Deadline: time.Minute})
+	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Timeout: time.Minute})
 	if err != nil || m.Status != 400 {
 		t.Errorf("malformed request: got %+v, error %v; want status 400", m, err)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Deadline: time.Minute}
+	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Timeout: time.Minute}
 	if _, err := c.Do(context.Background(), request); !errors.Is(err, ErrNoResponse) {
 		t.Errorf("server closed the connection: got error %v, want %v", err, ErrNoResponse)
 	}
@@ -131,8 +131,8 @@
 	if _, ok := b.Take(now, 1, 0.3); !ok || wait <= 0 {
 		t.Fatalf("Take after the returned wait of %v: got %t, want true and a positive wait", wait, ok)
 	}
-	if b.Used() != 11 {
-		t.Fatalf("got %v tokens used, want 11", b.Used())
+	if b.TokensUsed() != 11 {
+		t.Fatalf("got %v tokens used, want 11", b.TokensUsed())
 	}
 }
 
--- a/internal/transport/token_bucket.go
+++ b/internal/transport/token_bucket.go
@@ -87,8 +87,8 @@
 	return time.Duration(n / b.rate * float64(time.Second))
 }
 
-// Used returns the number of tokens taken since the start.
-func (b *TokenBucket) Used() float64 {
+// TokensUsed returns the number of tokens taken since the start.
+func (b *TokenBucket) TokensUsed() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.totalTaken
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -19,8 +19,8 @@
 	"violetturn/internal/transport"
 )
 
-// ErrLaunch means that a batch contains a launch, which must not be sent directly. Nothing was sent.
-var ErrLaunch = errors.New("launch commands must not be sent directly")
+// ErrLaunchNotAllowed means that a batch contains a launch, which must not be sent directly. Nothing was sent.
+var ErrLaunchNotAllowed = errors.New("launch commands must not be sent directly")
 
 // StatusError is a response with a status that PROTOCOL does not define for the request.
 type StatusError struct{ Status int }
@@ -40,13 +40,13 @@
 	timeout time.Duration // of one request
 }
 
-// New makes a client whose requests each have the timeout.
-func New(h *transport.Client, timeout time.Duration) *Client {
+// NewClient makes a client whose requests each have the timeout.
+func NewClient(h *transport.Client, timeout time.Duration) *Client {
 	return &Client{http: h, timeout: timeout}
 }
 
-// Status requests the current heartbeat of the worker at addr.
-func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
+// FetchHeartbeat requests the current heartbeat of the worker at addr.
+func (c *Client) FetchHeartbeat(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	m, err := c.do(ctx, addr, "GET", "/show", nil)
 	if err != nil {
 		return nil, fmt.Errorf("request heartbeat of worker %s: %w", addr, err)
@@ -63,11 +63,11 @@
 
 // SendCommands sends commands under a fencing token and an agent epoch to the worker at addr.
 // It returns the worker's heartbeat and whether the worker executed the commands. After an error
-// other than ErrLaunch, the worker may have executed them or may still do so.
+// other than ErrLaunchNotAllowed, the worker may have executed them or may still do so.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, command := range batch.Commands {
 		if command.Action == api.Launch {
-			return nil, false, fmt.Errorf("command for %s: %w", command.Task, ErrLaunch)
+			return nil, false, fmt.Errorf("command for %s: %w", command.Task, ErrLaunchNotAllowed)
 		}
 	}
 	body, err := json.Marshal(batch)
@@ -95,7 +95,7 @@
 		Method:     method,
 		Target:     target,
 		Body:       body,
-		Deadline:   c.timeout,
+		Timeout:    c.timeout,
 		CloseAfter: true,
 	})
 }
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -63,7 +63,7 @@
 			t.Error(err)
 		}
 	})
-	return New(h, time.Minute), server.Listener.Addr().String()
+	return NewClient(h, time.Minute), server.Listener.Addr().String()
 }
 
 // minimalHeartbeat is a heartbeat with only the required fields.
@@ -106,8 +106,8 @@
 	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, Commands: []api.Command{{Action: api.Stop}, {Action: api.Launch, Task: "run-1/0"}}}
-	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunch) || executed {
-		t.Errorf("got executed %t, error %v; want error %v", executed, err, ErrLaunch)
+	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunchNotAllowed) || executed {
+		t.Errorf("got executed %t, error %v; want error %v", executed, err, ErrLaunchNotAllowed)
 	}
 	if requests := worker.receivedRequests(); len(requests) != 0 {
 		t.Errorf("got requests %q, want none", requests)
@@ -119,18 +119,18 @@
 func TestHeartbeatRequest(t *testing.T) {
 	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
-	h, err := client.Status(context.Background(), addr)
+	h, err := client.FetchHeartbeat(context.Background(), addr)
 	if err != nil || h.Host != "i-1" || h.AgentEpoch != 2 {
 		t.Errorf("got heartbeat %+v, error %v; want host i-1 with agent epoch 2", h, err)
 	}
 	worker.setResponse(500, minimalHeartbeat)
 	var statusError *StatusError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &statusError) || statusError.Status != 500 {
+	if _, err := client.FetchHeartbeat(context.Background(), addr); !errors.As(err, &statusError) || statusError.Status != 500 {
 		t.Errorf("status 500: got error %v, want a StatusError with status 500", err)
 	}
 	worker.setResponse(200, `{"host":""}`)
 	var requestError *api.RequestError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &requestError) {
+	if _, err := client.FetchHeartbeat(context.Background(), addr); !errors.As(err, &requestError) {
 		t.Errorf("heartbeat without a host: got error %v, want an api.RequestError", err)
 	}
 }
