--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -48,8 +48,11 @@
 		"gang over the limit":     {api.Job{Team: "limited", Kind: api.Gang, Tasks: 5, GPUs: 1}, exceedsTeamLimit},
 		"spread over two zones":   {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 8, Spread: true}, ""},
 		"spread in one zone":      {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Zone: "x", Spread: true}, cannotSpread},
-		"spread and together":     {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, SingleZone: true}, cannotSpread},
-		"one task is spread":      {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 1, Zone: "x", Spread: true}, ""},
+		"spread and together": {
+			api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, SingleZone: true},
+			cannotSpread,
+		},
+		"one task is spread": {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 1, Zone: "x", Spread: true}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.RejectionReason(&test.spec); got != test.want {
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -50,7 +50,10 @@
 	b.ReportAllocs()
 	for range b.N {
 		x.Sequence++
-		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.MustMarshal(x)}); r.Status != 200 {
+		if r := c.frontend.HandleHeartbeat(&httpwire.Message{
+			Method: "POST", Target: "/checkin",
+			Body: api.MustMarshal(x),
+		}); r.Status != 200 {
 			b.Fatal(r.Status)
 		}
 	}
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -121,7 +121,8 @@
 		out += fmt.Sprintf(" team %s %s", t, api.MustMarshal(u.Record))
 	}
 	for _, id := range s.nodes[0].controller.node.Shards {
-		out += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record), api.MustMarshal(cache.Leaders[id].Record))
+		out += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record),
+			api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for h, m := range cache.Machines {
 		x := s.world.Cloud.WorkersByHost[h]
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -17,7 +17,10 @@
 		t.Fatal(err)
 	}
 	j := &Job{
-		Spec:      api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2, SaveDurationS: 1},
+		Spec: api.Job{
+			UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2,
+			SaveDurationS: 1,
+		},
 		RunTime:   10 * time.Second,
 		DoneTasks: map[int]bool{},
 	}
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -79,7 +79,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f.service.setResponse("/changes", test.status, test.body)
-			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrChangesUnavailable) || !f.reportedAvailable {
+			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrChangesUnavailable) ||
+				!f.reportedAvailable {
 				t.Errorf("got error %v, service available %t; want %v and true", err, f.reportedAvailable, ErrChangesUnavailable)
 			}
 			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.takeRequests()); d != "" {
