--- a/Makefile
+++ b/Makefile
@@ -1,25 +1,25 @@
-# The commands of everyday work. CI runs .ci/run, which is `make check`.
+# Targets for development. CI runs .ci/run, which runs `make check`.
 lint_tool := go tool -modfile=tools/lint.mod
 
 .PHONY: build test check lint format bench deadcode
 
-build: ## the program, at target/violetturn
+build: ## builds the program as target/violetturn
 	go build -ldflags=-linkmode=external -o target/violetturn ./cmd/violetturn
 
-test: ## all tests, without the race detector
+test: ## runs all tests without the race detector
 	go test ./...
 
-check: ## everything that CI checks
+check: ## runs all checks of CI
 	bash test.sh
 
-lint: ## the linters of .golangci.yml
+lint: ## runs the linters configured in .golangci.yml
 	$(lint_tool) golangci-lint run
 
-format: ## gofumpt and goimports
+format: ## formats the code with gofumpt and goimports
 	$(lint_tool) golangci-lint fmt
 
-deadcode: ## functions that nothing reaches
+deadcode: ## lists unreachable functions
 	$(lint_tool) deadcode -test ./...
 
-bench: ## what a plan, a heartbeat, a start and judging idle machines cost at size
+bench: ## benchmarks scheduling plans, heartbeats, startup and scale-in at production size
 	go test ./internal/controller -run '^$$' -bench 'Plan|Heartbeat|Load|ScaleIn'
--- a/cmd/violetturn/arguments.go
+++ b/cmd/violetturn/arguments.go
@@ -4,13 +4,13 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is what --version prints.
+// version is the program version that --version prints.
 const version = "0.1.0"
 
-// commandCheck is the command that checks the files and exits.
+// commandCheck is the name of the command that only checks the files.
 const commandCheck = "check"
 
-// arguments are the command line. Their help texts are in helpTexts.
+// arguments defines the command line. The help texts of its flags are in helpTexts.
 type arguments struct {
 	Config   string           `help:"${config_help}" required:"" type:"path" placeholder:"FILE"`
 	Policy   string           `help:"${policy_help}" type:"path" placeholder:"FILE"`
@@ -24,7 +24,7 @@
 const description = "A cluster scheduler run as several controllers that share a state service. " +
 	"Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug."
 
-// helpTexts returns the help texts of the flags, by the names that arguments gives them.
+// helpTexts returns the help texts of the flags, keyed by the variables that arguments refers to.
 func helpTexts() kong.Vars {
 	return kong.Vars{
 		"config_help":   "Settings file (TOML) that the platform hands over.",
@@ -34,8 +34,8 @@
 	}
 }
 
-// parseArguments reads the command line and returns the arguments and the command that they
-// name. For --help and --version it prints and exits.
+// parseArguments parses the command line and returns the arguments and the name of the command. For
+// --help and --version it prints the text and exits the process.
 func parseArguments(line []string) (*arguments, string, error) {
 	args := &arguments{}
 	parser := kong.Must(
--- a/cmd/violetturn/cluster_test.go
+++ b/cmd/violetturn/cluster_test.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	processNodes = 3     // controllers of a cluster
-	workerPort   = 19000 // of all simulated workers
+	controllerCount = 3     // number of controllers in a cluster
+	workerPort      = 19000 // port of all simulated workers
 )
 
-// cluster is some controllers that run as processes on the loopback network, with the
-// simulated services that they need.
+// cluster runs controllers as processes on the loopback network, together with the simulated
+// services that they need.
 type cluster struct {
-	b          testing.TB
-	deployment *simulator.Deployment
-	server     *simulator.Server
-	nodes      []string // addresses of the controllers for users and workers
-	client     *http.Client
+	tb              testing.TB
+	deployment      *simulator.Deployment
+	server          *simulator.Server
+	controllerAddrs []string // addresses of the controllers for users and workers
+	client          *http.Client
 
 	mu     sync.Mutex // guards random
 	random *rand.Rand
 
-	stop    chan struct{}  // closed to end the goroutines of every
-	running sync.WaitGroup // those goroutines, and heartbeats under way
+	stop    chan struct{}  // closed to stop the goroutines of runPeriodically
+	running sync.WaitGroup // those goroutines, and heartbeats in flight
 }
 
-// serve serves HTTP until the end of the test and returns the address.
-func serve(b testing.TB, addr string, h http.Handler) string {
+// startServer serves HTTP until the end of the test and returns its address.
+func startServer(b testing.TB, addr string, h http.Handler) string {
 	b.Helper()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	b.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
-// freeAddr returns an address that nobody listens on.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(b testing.TB) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,11 +62,11 @@
 	return l.Addr().String()
 }
 
-// newCluster returns a cluster whose controllers have not been started.
+// newCluster returns a cluster without starting its controllers.
 func newCluster(b testing.TB, d *simulator.Deployment) *cluster {
 	b.Helper()
 	return &cluster{
-		b:          b,
+		tb:         b,
 		deployment: d,
 		server:     simulator.NewServer(d.World(time.Now())),
 		random:     rand.New(rand.NewPCG(1, 1)),
@@ -79,33 +79,33 @@
 }
 
 // writeSettings starts the simulated services, writes the settings file of each controller into a
-// folder and returns the files.
+// folder and returns the paths of the files.
 func (c *cluster) writeSettings(dir string) []string {
-	state := serve(c.b, "127.0.0.1:0", c.server.State())
-	cloud := serve(c.b, "127.0.0.1:0", c.server.Cloud(workerPort))
-	serve(c.b, fmt.Sprintf("0.0.0.0:%d", workerPort), c.server.Workers())
+	state := startServer(c.tb, "127.0.0.1:0", c.server.State())
+	cloud := startServer(c.tb, "127.0.0.1:0", c.server.Cloud(workerPort))
+	startServer(c.tb, fmt.Sprintf("0.0.0.0:%d", workerPort), c.server.Workers())
 	var peers, files []string
-	for range processNodes {
-		c.nodes = append(c.nodes, freeAddr(c.b))
-		peers = append(peers, freeAddr(c.b))
+	for range controllerCount {
+		c.controllerAddrs = append(c.controllerAddrs, freeAddr(c.tb))
+		peers = append(peers, freeAddr(c.tb))
 	}
-	for i := range processNodes {
+	for i := range controllerCount {
 		text := c.memberSettings(i, peers) + fmt.Sprintf("[external]\ncloud = %q\nstate = %q\n", cloud, state) + c.factsSettings()
 		file := filepath.Join(dir, fmt.Sprintf("n%d.toml", i))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			c.b.Fatal(err)
+			c.tb.Fatal(err)
 		}
 		files = append(files, file)
 	}
 	return files
 }
 
-// memberSettings returns what the settings of controller i say of the controllers.
+// memberSettings returns the part of controller i's settings that lists the controllers.
 func (c *cluster) memberSettings(i int, peers []string) string {
 	zones := []string{"x", "y", "z"}
 	var s strings.Builder
-	fmt.Fprintf(&s, "host_name = \"n%d\"\nsite = %q\nserve_on = %q\ncluster_listen = %q\n", i, zones[i], c.nodes[i], peers[i])
-	for k := range processNodes {
+	fmt.Fprintf(&s, "host_name = \"n%d\"\nsite = %q\nserve_on = %q\ncluster_listen = %q\n", i, zones[i], c.controllerAddrs[i], peers[i])
+	for k := range controllerCount {
 		if k != i {
 			fmt.Fprintf(&s, "[[members]]\nhost_name = \"n%d\"\nsite = %q\naddr = %q\n", k, zones[k], peers[k])
 		}
@@ -113,11 +113,11 @@
 	return s.String()
 }
 
-// factsSettings returns what the settings say of the deployment.
+// factsSettings returns the part of the settings that describes the deployment.
 func (c *cluster) factsSettings() string {
 	d := c.deployment
 	var s strings.Builder
-	fmt.Fprintf(&s, "[facts]\nsize = %d\nzones = [\"x\", \"y\", \"z\"]\ntime_bound_ms = 25.0\n", processNodes)
+	fmt.Fprintf(&s, "[facts]\nsize = %d\nzones = [\"x\", \"y\", \"z\"]\ntime_bound_ms = 25.0\n", controllerCount)
 	for _, team := range []string{"a", "b"} {
 		fmt.Fprintf(&s, "[[facts.teams]]\nname = %q\ngpus = %g\ngpus_max = %g\n", team, d.TeamGPUs/2, d.TeamGPUs)
 	}
@@ -148,8 +148,8 @@
 	return s.String()
 }
 
-// every runs f at intervals until the cluster stops.
-func (c *cluster) every(d time.Duration, f func()) {
+// runPeriodically calls f at intervals of d in a goroutine until the cluster stops.
+func (c *cluster) runPeriodically(d time.Duration, f func()) {
 	c.running.Go(func() {
 		for {
 			select {
@@ -169,11 +169,11 @@
 	return c.random.IntN(n)
 }
 
-// send sends a request to a controller; status 0 stands for no answer.
-func (c *cluster) send(node int, method, path string, body []byte) (status int, answer []byte) {
-	req, err := http.NewRequest(method, "http://"+c.nodes[node]+path, bytes.NewReader(body))
+// sendRequest sends a request to a controller. Status 0 means that there was no response.
+func (c *cluster) sendRequest(node int, method, path string, body []byte) (status int, answer []byte) {
+	req, err := http.NewRequest(method, "http://"+c.controllerAddrs[node]+path, bytes.NewReader(body))
 	if err != nil {
-		c.b.Error(err)
+		c.tb.Error(err)
 		return 0, nil
 	}
 	resp, err := c.client.Do(req)
@@ -188,8 +188,8 @@
 	return resp.StatusCode, answer
 }
 
-// playUser submits a job and asks for it until the cluster stops.
-func (c *cluster) playUser(class *simulator.Class, n int) {
+// simulateUser submits a job until it is accepted, and then queries it until the cluster stops.
+func (c *cluster) simulateUser(class *simulator.Class, n int) {
 	c.mu.Lock()
 	job, runTime := class.NewJob(n, c.random)
 	c.mu.Unlock()
@@ -198,13 +198,13 @@
 	})
 	body := simulator.Submission(&job)
 	accepted := false
-	c.every(time.Second, func() {
+	c.runPeriodically(time.Second, func() {
 		if !accepted {
-			status, _ := c.send(c.randomBelow(processNodes), "POST", "/v2/runs", body)
+			status, _ := c.sendRequest(c.randomBelow(controllerCount), "POST", "/v2/runs", body)
 			accepted = status == 200 || status == 201
 			return
 		}
 		time.Sleep(4 * time.Second)
-		c.send(c.randomBelow(processNodes), "GET", "/v2/runs/"+job.UID, nil)
+		c.sendRequest(c.randomBelow(controllerCount), "GET", "/v2/runs/"+job.UID, nil)
 	})
 }
--- a/cmd/violetturn/golden_test.go
+++ b/cmd/violetturn/golden_test.go
@@ -15,31 +15,31 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The golden files hold what the program printed, and with which exit code it ended, before its
-// code was made readable: they were taken from a build of commit 1a43aa6 by
+// The golden files hold the output and exit codes of the program. They were written by a build of
+// commit 1a43aa6, before the code was refactored, with
 //
 //	go test ./cmd/violetturn -run TestGolden -update -program PATH
 //
-// Without -program the test runs itself as the program.
+// Without -program, the test binary runs itself as the program.
 var (
 	updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
-	otherProgram = flag.String("program", "", "program to test instead of this one")
+	programPath  = flag.String("program", "", "program to test instead of this test binary")
 )
 
-// asProgram is the environment variable that makes the test binary behave as the program.
-const asProgram = "VIOLETTURN_TEST_AS_PROGRAM"
+// runAsProgramEnv is the environment variable that makes the test binary run main.
+const runAsProgramEnv = "VIOLETTURN_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 	}
 	os.Exit(m.Run())
 }
 
-// programCommand returns a command that runs the program with arguments in a folder.
+// programCommand returns a command that runs the program with the given arguments in a folder.
 func programCommand(t *testing.T, dir string, args []string, environment ...string) *exec.Cmd {
 	t.Helper()
-	program := *otherProgram
+	program := *programPath
 	if program == "" {
 		var err error
 		if program, err = os.Executable(); err != nil {
@@ -48,34 +48,34 @@
 	}
 	cmd := exec.Command(program, args...)
 	cmd.Dir = dir
-	cmd.Env = append([]string{asProgram + "=1"}, environment...)
+	cmd.Env = append([]string{runAsProgramEnv + "=1"}, environment...)
 	return cmd
 }
 
-// programCase is one run of the program that ends by itself.
+// programCase is a run of the program that exits by itself.
 type programCase struct {
 	name        string
 	args        []string
 	environment []string
 }
 
-// masks are what the golden files do not fix: names in the code that an error tells (the TOML
-// decoder names the Go field, the policy's compiler the Go type), and of log lines the time and
-// the message, which is meant to change with the terms; level and attributes are fixed.
-var masks = []struct {
-	found *regexp.Regexp
-	mask  string
+// goldenMasks replace the parts of the output that golden files don't compare: Go identifiers in errors
+// (the TOML decoder prints the name of the field, the policy compiler that of the type), and the time
+// and message of log lines, because messages may be reworded. Level and attributes are compared.
+var goldenMasks = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`struct field .* of type`), "struct field FIELD of type"},
 	{regexp.MustCompile(`type config\.\w+ has`), "type TYPE has"},
 	{regexp.MustCompile(`time=\S+ level=(\w+) msg="[^"]*"`), "time=TIME level=$1 msg=MESSAGE"},
 }
 
-// describe runs the program and returns what it printed and its exit code, masked, and with DIR
-// for the folder.
-func (x programCase) describe(t *testing.T, dir string) string {
+// runAndDescribe runs the program and returns its output and exit code, masked, and with the folder's
+// path replaced by DIR.
+func (c programCase) runAndDescribe(t *testing.T, dir string) string {
 	t.Helper()
-	cmd := programCommand(t, dir, x.args, x.environment...)
+	cmd := programCommand(t, dir, c.args, c.environment...)
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	err := cmd.Run()
@@ -83,16 +83,16 @@
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintf("=== %s\nexit code %d\n--- standard output\n%s--- standard error\n%s\n", x.name, cmd.ProcessState.ExitCode(),
+	text := fmt.Sprintf("=== %s\nexit code %d\n--- standard output\n%s--- standard error\n%s\n", c.name, cmd.ProcessState.ExitCode(),
 		stdout.String(), stderr.String())
 	text = strings.ReplaceAll(text, dir, "DIR")
-	for _, m := range masks {
-		text = m.found.ReplaceAllString(text, m.mask)
+	for _, m := range goldenMasks {
+		text = m.pattern.ReplaceAllString(text, m.replacement)
 	}
 	return text
 }
 
-// compareGolden compares a text with a golden file, or writes the file.
+// compareGolden compares a text with a golden file, or writes the file with -update.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(string(want), got); d != "" {
-		t.Error(d)
+		t.Errorf("%s differs (-want +got):\n%s", path, d)
 	}
 }
 
@@ -129,53 +129,53 @@
 	return string(b)
 }
 
-// Help texts, the version, and what is refused of the arguments and the environment.
+// Help texts, the version, and the errors for invalid arguments and environment variables.
 func TestGoldenArguments(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "settings.toml", validSettings(t))
 	settings := []string{"--config", "settings.toml"}
-	with := func(args ...string) []string { return append(append([]string{}, settings...), args...) }
+	withSettings := func(args ...string) []string { return append(append([]string{}, settings...), args...) }
 	var got strings.Builder
-	for _, x := range []programCase{
+	for _, tt := range []programCase{
 		{name: "help", args: []string{"--help"}},
 		{name: "help of check", args: []string{"check", "--help"}},
 		{name: "help of serve", args: []string{"serve", "--help"}},
 		{name: "version", args: []string{"--version"}},
 		{name: "no arguments"},
-		{name: "unknown flag", args: with("--colour")},
-		{name: "unknown command", args: with("start")},
+		{name: "unknown flag", args: withSettings("--colour")},
+		{name: "unknown command", args: withSettings("start")},
 		{name: "flag without a value", args: []string{"--config"}},
 		{name: "settings that are not there", args: []string{"--config", "none.toml", "check"}},
-		{name: "policy that is not there", args: with("--policy", "none.toml", "check")},
-		{name: "features that are not there", args: with("--features", "none.toml", "check")},
-		{name: "check", args: with("check")},
+		{name: "policy that is not there", args: withSettings("--policy", "none.toml", "check")},
+		{name: "features that are not there", args: withSettings("--features", "none.toml", "check")},
+		{name: "check", args: withSettings("check")},
 		{name: "check before the flags", args: append([]string{"check"}, settings...)},
-		{name: "unknown log level", args: with("check"), environment: []string{"LOG_LEVEL=loud"}},
-		{name: "log level in capitals", args: with("check"), environment: []string{"LOG_LEVEL=DEBUG"}},
-		{name: "profile into a folder that is not there", args: with("--profile", "none")},
+		{name: "unknown log level", args: withSettings("check"), environment: []string{"LOG_LEVEL=loud"}},
+		{name: "log level in capitals", args: withSettings("check"), environment: []string{"LOG_LEVEL=DEBUG"}},
+		{name: "profile into a folder that is not there", args: withSettings("--profile", "none")},
 	} {
-		got.WriteString(x.describe(t, dir))
+		got.WriteString(tt.runAndDescribe(t, dir))
 	}
 	compareGolden(t, "arguments.golden", got.String())
 }
 
-// fileCase is a file that is checked: the text from in the valid one replaced by to, or, if
-// from is "", the text to alone.
-type fileCase struct{ name, from, to string }
+// fileCase is a file to check: the valid file with old replaced by new, or only new if old is "".
+type fileCase struct{ name, old, new string }
 
-// apply returns the text of the file.
-func (x fileCase) apply(t *testing.T, valid string) string {
+// apply returns the content of the file.
+func (c fileCase) apply(t *testing.T, valid string) string {
 	t.Helper()
-	if x.from == "" {
-		return x.to
+	if c.old == "" {
+		return c.new
 	}
-	if !strings.Contains(valid, x.from) {
-		t.Fatalf("%s: the valid file does not have %q", x.name, x.from)
+	if !strings.Contains(valid, c.old) {
+		t.Fatalf("%s: the valid file does not contain %q", c.name, c.old)
 	}
-	return strings.Replace(valid, x.from, x.to, 1)
+	return strings.Replace(valid, c.old, c.new, 1)
 }
 
-// checkFiles returns what check says of each case, given by a flag.
+// checkFiles runs the check command for each case, with the file given by a flag, and returns the
+// outputs.
 func checkFiles(t *testing.T, flagName, valid string, cases []fileCase) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -186,24 +186,24 @@
 	}
 	args = append(args, flagName, "file.toml")
 	var got strings.Builder
-	for _, x := range cases {
-		writeFile(t, dir, "file.toml", x.apply(t, valid))
-		got.WriteString(programCase{name: x.name, args: args}.describe(t, dir))
+	for _, tt := range cases {
+		writeFile(t, dir, "file.toml", tt.apply(t, valid))
+		got.WriteString(programCase{name: tt.name, args: args}.runAndDescribe(t, dir))
 	}
 	return got.String()
 }
 
-// Settings that are accepted and that are refused, with the one line that says why.
+// Valid settings, and invalid ones with their one-line error.
 func TestGoldenSettings(t *testing.T) {
 	compareGolden(t, "settings.golden", checkFiles(t, "--config", validSettings(t), settingsCases))
 }
 
-// Policies that are accepted, with what is said of earlier names, and that are refused.
+// Valid policies with the warnings for deprecated names, and invalid ones with their error.
 func TestGoldenPolicy(t *testing.T) {
 	compareGolden(t, "policy.golden", checkFiles(t, "--policy", "", policyCases))
 }
 
-// Features that are accepted and that are refused.
+// Valid features files, and invalid ones with their error.
 func TestGoldenFeatures(t *testing.T) {
 	compareGolden(t, "features.golden", checkFiles(t, "--features", "", featuresCases))
 }
--- a/cmd/violetturn/goldencases_test.go
+++ b/cmd/violetturn/goldencases_test.go
@@ -1,6 +1,6 @@
 package main
 
-// settingsCases are changes of the valid settings.
+// settingsCases are replacements in the valid settings file.
 var settingsCases = []fileCase{
 	{"valid", "host_name", "host_name"},
 	{"empty", "", "\n"},
@@ -52,7 +52,7 @@
 	{"objective of an unknown kind", `kind = "wait"`, `kind = "sometime"`},
 }
 
-// policyCases are whole policy files.
+// policyCases are complete policy files.
 var policyCases = []fileCase{
 	{"empty", "", "\n"},
 	{"all", "", `weight = "10 - job.priority + job.age / (1 + job.slack)"
@@ -93,7 +93,7 @@
 `},
 }
 
-// featuresCases are whole features files.
+// featuresCases are complete features files.
 var featuresCases = []fileCase{
 	{"empty", "", "\n"},
 	{"zone recovery", "", "[zone_recovery]\nenabled = true\n"},
--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -9,45 +9,45 @@
 	"violetturn/internal/simulator"
 )
 
-// heartbeatSchedule is when a worker sends its next heartbeat.
+// heartbeatSchedule is the state of a worker's heartbeats.
 type heartbeatSchedule struct {
-	next    time.Time
-	sent    string // summary of the last heartbeat's tasks; another one is sent sooner
-	sending bool
+	next        time.Time
+	lastSummary string // summary of the tasks in the last heartbeat; a different summary is sent earlier
+	sending     bool
 }
 
-// playWorkers has the machines' workers send heartbeats.
-func (c *cluster) playWorkers() {
-	known := map[string]*heartbeatSchedule{}
-	var mu sync.Mutex // guards known and what is in it
-	c.every(100*time.Millisecond, func() {
+// simulateWorkers sends the heartbeats of the simulated workers.
+func (c *cluster) simulateWorkers() {
+	schedules := map[string]*heartbeatSchedule{}
+	var mu sync.Mutex // guards schedules and its values
+	c.runPeriodically(100*time.Millisecond, func() {
 		c.server.With(func(w *simulator.World) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, host := range w.Cloud.HostNames() {
-				x := w.Cloud.Hosts[host]
-				r := known[host]
-				if r == nil {
-					r = &heartbeatSchedule{}
-					known[host] = r
+				worker := w.Cloud.Hosts[host]
+				schedule := schedules[host]
+				if schedule == nil {
+					schedule = &heartbeatSchedule{}
+					schedules[host] = schedule
 				}
-				state := ""
-				if x.Up() && !x.Partitioned && !r.sending {
-					state = x.Summary()
+				summary := ""
+				if worker.Up() && !worker.Partitioned && !schedule.sending {
+					summary = worker.Summary()
 				}
 				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
-				soonest := r.next.Add(500*time.Millisecond - interval)
-				if state == "" || w.Now.Before(r.next) && (state == r.sent || w.Now.Before(soonest)) {
+				earliest := schedule.next.Add(500*time.Millisecond - interval)
+				if summary == "" || w.Now.Before(schedule.next) && (summary == schedule.lastSummary || w.Now.Before(earliest)) {
 					continue
 				}
-				r.sent, r.sending = state, true
+				schedule.lastSummary, schedule.sending = summary, true
 				intervals := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
-				r.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sent, agentEpoch, node := api.JSON(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
+				schedule.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
+				heartbeat, sentAt, agentEpoch, node := api.JSON(worker.Heartbeat()), w.Now, worker.AgentEpoch, worker.Node
 				c.running.Go(func() {
-					c.sendHeartbeat(host, node, heartbeat, sent, agentEpoch)
+					c.sendHeartbeat(host, node, heartbeat, sentAt, agentEpoch)
 					mu.Lock()
-					r.sending = false
+					schedule.sending = false
 					mu.Unlock()
 				})
 			}
@@ -55,26 +55,26 @@
 	})
 }
 
-// sendHeartbeat sends a worker's heartbeat and has the worker take in the answer.
-func (c *cluster) sendHeartbeat(host string, node int, heartbeat []byte, sent time.Time, agentEpoch uint64) {
-	status, body := c.send(node, "POST", "/checkin", heartbeat)
+// sendHeartbeat sends a worker's heartbeat and passes the response to the worker.
+func (c *cluster) sendHeartbeat(host string, node int, heartbeat []byte, sentAt time.Time, agentEpoch uint64) {
+	status, body := c.sendRequest(node, "POST", "/checkin", heartbeat)
 	c.server.With(func(w *simulator.World) {
-		x := w.Cloud.Hosts[host]
-		if x == nil || x.Partitioned { // the answer is lost
+		worker := w.Cloud.Hosts[host]
+		if worker == nil || worker.Partitioned { // the response is lost
 			return
 		}
 		batch, leader, err := simulator.ParseHeartbeatResponse(body)
 		switch {
 		case status == 200 && err != nil:
-			c.b.Error(err)
+			c.tb.Errorf("heartbeat response of controller %d: %v", node, err)
 		case status == 200:
-			x.HandleResponse(batch, sent, agentEpoch)
+			worker.HandleResponse(batch, sentAt, agentEpoch)
 		case status == 421 && leader != "":
-			if _, err := fmt.Sscanf(leader, "n%d", &x.Node); err != nil {
-				c.b.Error(err)
+			if _, err := fmt.Sscanf(leader, "n%d", &worker.Node); err != nil {
+				c.tb.Error(err)
 			}
 		default:
-			x.Node = (node + 1) % processNodes
+			worker.Node = (node + 1) % controllerCount
 		}
 	})
 }
--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -1,9 +1,9 @@
 // Command violetturn runs one controller of the cluster scheduler.
 //
-// It reads its settings, and the policy and features if given, refuses them with one line on
-// standard error, and else serves until it is told to stop by SIGTERM or SIGINT. Its exit code
-// is exitOK after such a stop, exitFailed if it could not serve, and exitUsage for arguments or
-// files that it refuses: then nothing was served.
+// It reads its settings file, and the policy and features files if given. If one is invalid, it
+// prints a one-line error to standard error and exits. Otherwise it serves until it receives
+// SIGTERM or SIGINT. The exit code is exitOK after such a signal, exitFailed if the controller could
+// not start or stopped because of an error, and exitUsage if the arguments or files were invalid.
 package main
 
 import (
@@ -23,36 +23,37 @@
 	"violetturn/internal/features"
 )
 
-// Exit codes. The platform reads them, so they stay.
+// Exit codes. The platform interprets them, so they must not change.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the controller could not start, or stopped serving by itself
-	exitUsage  = 2 // bad arguments, settings, policy or features: nothing was served
+	exitFailed = 1 // the controller could not start, or stopped because of an error
+	exitUsage  = 2 // invalid arguments, settings, policy or features; the controller was not started
 )
 
-// logLevelVariable is the environment variable that names the log level.
-const logLevelVariable = "LOG_LEVEL"
+// logLevelEnv is the environment variable that sets the log level.
+const logLevelEnv = "LOG_LEVEL"
 
-// collectorPercent is how much the heap may grow between two collections. What lives is small
-// against the limit, and plans make much that is soon garbage: collecting a quarter as often as
-// by default saves processor time, of which there is less. The memory limit still holds.
-const collectorPercent = 400
+// gcPercent is how much the heap may grow between two garbage collections, in per cent of the live
+// heap. The live heap is small compared with the memory limit, and scheduling plans allocate many
+// short-lived objects. Collecting a quarter as often as by default saves CPU time, which is scarcer
+// than memory. The memory limit still applies.
+const gcPercent = 400
 
 func main() { os.Exit(run()) }
 
-// run does what the arguments name and returns the exit code.
+// run executes the command given by the arguments and returns the exit code.
 func run() int {
 	args, command, err := parseArguments(os.Args[1:])
 	if err != nil {
-		return refuse(os.Stderr, err)
+		return reportUsageError(os.Stderr, err)
 	}
-	level, err := logLevel(os.Getenv(logLevelVariable))
+	level, err := logLevel(os.Getenv(logLevelEnv))
 	if err != nil {
-		return refuse(os.Stderr, err)
+		return reportUsageError(os.Stderr, err)
 	}
 	in, err := readInputs(args)
 	if err != nil {
-		return refuse(os.Stderr, err)
+		return reportUsageError(os.Stderr, err)
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	warnOfDeprecatedNames(log, in.policy)
@@ -63,14 +64,14 @@
 	return runController(in, args.Profile, log)
 }
 
-// refuse writes an error of arguments or files and returns the exit code for it.
-func refuse(to io.Writer, err error) int {
-	_, _ = fmt.Fprintf(to, "violetturn: %v\n", err) // nobody is left to tell if that fails
+// reportUsageError prints an error in the arguments or files and returns the exit code for it.
+func reportUsageError(to io.Writer, err error) int {
+	_, _ = fmt.Fprintf(to, "violetturn: %v\n", err) // a failure to print can't be reported anywhere
 	return exitUsage
 }
 
-// runController runs a controller until a signal to stop, and writes profiles into a folder unless that
-// is "". It returns the exit code.
+// runController runs a controller until SIGTERM or SIGINT and returns the exit code. If profileDir is
+// not empty, it writes profiles into that folder.
 func runController(in inputs, profileDir string, log *slog.Logger) int {
 	limitResources(in.settings)
 	c, err := controller.New(in.settings, in.policy, in.features, log)
@@ -79,38 +80,38 @@
 		return exitFailed
 	}
 	if profileDir != "" {
-		end, err := startProfile(profileDir, c)
+		stopProfile, err := startProfile(profileDir, c)
 		if err != nil {
-			return refuse(os.Stderr, fmt.Errorf("--profile: %w", err))
+			return reportUsageError(os.Stderr, fmt.Errorf("--profile: %w", err))
 		}
-		defer end(log)
+		defer stopProfile(log)
 	}
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	if err := c.Run(stop); err != nil {
+	if err := c.Run(ctx); err != nil {
 		log.Error("ended", "err", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// limitResources keeps the process within what the settings leave it: as many running threads
-// as it has processors, and a collector that works harder before the memory limit instead of a
-// process that is killed at it.
+// limitResources applies the machine limits of the settings to the Go runtime: the number of threads
+// that run at once, and a soft memory limit, near which the garbage collector runs more often, so
+// that the process isn't killed for exceeding the machine's limit.
 func limitResources(s *config.Settings) {
 	runtime.GOMAXPROCS(s.Processors(runtime.NumCPU()))
 	debug.SetMemoryLimit(s.MemoryTarget())
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 }
 
-// inputs are the files that a controller is started with, read and checked.
+// inputs holds the contents of the files that a controller is started with.
 type inputs struct {
 	settings *config.Settings
 	policy   *config.Policy
 	features *features.Features
 }
 
-// readInputs reads and checks the files that the arguments name, in the order of their flags.
+// readInputs reads and checks the files given by the arguments, in the order of their flags.
 func readInputs(args *arguments) (in inputs, err error) {
 	if in.settings, err = config.Load(args.Config); err != nil {
 		return in, err
@@ -122,14 +123,14 @@
 	return in, err
 }
 
-// warnOfDeprecatedNames logs the variables that a policy names as they were called earlier.
+// warnOfDeprecatedNames logs the deprecated variable names that a policy uses.
 func warnOfDeprecatedNames(log *slog.Logger, policy *config.Policy) {
 	for _, name := range policy.DeprecatedNames() {
 		log.Warn("policy uses a deprecated variable", "old", name.Old, "new", name.New)
 	}
 }
 
-// logLevel returns the log level of a name; the default is info.
+// logLevel parses the name of a log level. An empty name means info.
 func logLevel(name string) (slog.Level, error) {
 	switch strings.ToLower(name) {
 	case "", "info":
@@ -139,5 +140,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("%s: %q is none of error, info, debug", logLevelVariable, name)
+	return 0, fmt.Errorf("%s: %q is none of error, info, debug", logLevelEnv, name)
 }
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -12,12 +12,12 @@
 	"violetturn/internal/simulator"
 )
 
-// playedFor is how long the benchmark plays a deployment.
-const playedFor = 60 * time.Second
+// benchmarkDuration is how long the benchmark runs a deployment.
+const benchmarkDuration = 60 * time.Second
 
-// BenchmarkProcesses runs three controllers as processes of their own under the load of a
-// deployment for a minute, and has them write profiles into the folder that
-// PROFILE_DIR names (n0, n1, n2).
+// BenchmarkProcesses runs three controllers as separate processes under the load of a deployment for a
+// minute. They write their profiles into the subfolders n0, n1 and n2 of a folder for the deployment
+// in PROFILE_DIR.
 func BenchmarkProcesses(b *testing.B) {
 	base := os.Getenv("PROFILE_DIR")
 	if base == "" {
@@ -30,59 +30,59 @@
 	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
-				d.Boot = 10 * time.Second // the fill is not what is looked at here
-				newCluster(b, d).run(program, filepath.Join(base, d.Name))
+				d.Boot = 10 * time.Second // short, because the benchmark doesn't measure the initial startup of machines
+				newCluster(b, d).runBenchmark(program, filepath.Join(base, d.Name))
 			}
 		})
 	}
 }
 
-// run plays the deployment with controllers that write their profiles into folders in base.
-func (c *cluster) run(program, base string) {
+// runBenchmark runs the deployment. Each controller writes its profiles into a folder in base.
+func (c *cluster) runBenchmark(program, base string) {
 	var processes []*exec.Cmd
-	for i, file := range c.writeSettings(c.b.TempDir()) {
+	for i, file := range c.writeSettings(c.tb.TempDir()) {
 		dir := filepath.Join(base, fmt.Sprintf("n%d", i))
 		if err := os.MkdirAll(dir, 0o755); err != nil {
-			c.b.Fatal(err)
+			c.tb.Fatal(err)
 		}
 		p := exec.Command(program, "--config", file, "--profile", dir)
 		if err := p.Start(); err != nil {
-			c.b.Fatal(err)
+			c.tb.Fatal(err)
 		}
 		processes = append(processes, p)
 	}
-	c.every(100*time.Millisecond, c.server.Tick)
-	c.playWorkers()
+	c.runPeriodically(100*time.Millisecond, c.server.Tick)
+	c.simulateWorkers()
 	jobs := 0
 	for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
 		for range class.Initial {
-			c.playUser(class, jobs)
+			c.simulateUser(class, jobs)
 			jobs++
 		}
 	}
-	for end := time.Now().Add(playedFor); time.Now().Before(end); time.Sleep(time.Second) {
+	for deadline := time.Now().Add(benchmarkDuration); time.Now().Before(deadline); time.Sleep(time.Second) {
 		for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
 			if c.randomBelow(1000) < int(class.PerSecond*1000) {
-				c.playUser(class, jobs)
+				c.simulateUser(class, jobs)
 				jobs++
 			}
 		}
 	}
 	for _, p := range processes {
 		if err := p.Process.Signal(syscall.SIGTERM); err != nil {
-			c.b.Error(err)
+			c.tb.Error(err)
 		}
 		if err := p.Wait(); err != nil {
-			c.b.Error(err)
+			c.tb.Error(err)
 		}
-		c.b.Logf(
-			"%v of processor time, %v of it in the kernel",
+		c.tb.Logf(
+			"used %v of CPU time, %v of it in the kernel",
 			p.ProcessState.UserTime()+p.ProcessState.SystemTime(), p.ProcessState.SystemTime(),
 		)
 	}
 	close(c.stop)
 	c.running.Wait()
 	c.server.With(func(w *simulator.World) {
-		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.Hosts), jobs, w.Violations)
+		c.tb.Logf("%d machines, %d jobs, violated rules: %v", len(w.Cloud.Hosts), jobs, w.Violations)
 	})
 }
--- a/cmd/violetturn/profile.go
+++ b/cmd/violetturn/profile.go
@@ -12,17 +12,17 @@
 	"violetturn/internal/controller"
 )
 
-// Files of a profile.
+// Names of the files of a profile.
 const (
-	cpuProfile  = "cpu.pprof"
-	heapProfile = "heap.pprof" // live memory, and all that was allocated
-	lockProfile = "lock.txt"
+	cpuProfileFile  = "cpu.pprof"
+	heapProfileFile = "heap.pprof" // live heap objects and all allocations
+	lockProfileFile = "lock.txt"
 )
 
-// startProfile begins to profile this process and gives what ends it and writes the
-// files into a folder.
-func startProfile(dir string, c *controller.Controller) (end func(*slog.Logger), err error) {
-	cpu, err := os.Create(filepath.Join(dir, cpuProfile))
+// startProfile starts profiling this process. It returns a function that stops profiling and writes
+// the files into a folder.
+func startProfile(dir string, c *controller.Controller) (stop func(*slog.Logger), err error) {
+	cpu, err := os.Create(filepath.Join(dir, cpuProfileFile))
 	if err != nil {
 		return nil, err
 	}
@@ -32,25 +32,25 @@
 	c.MeterLock()
 	return func(log *slog.Logger) {
 		pprof.StopCPUProfile()
-		if err := errors.Join(cpu.Close(), writeHeap(dir), writeLock(dir, c)); err != nil {
+		if err := errors.Join(cpu.Close(), writeHeapProfile(dir), writeLockProfile(dir, c)); err != nil {
 			log.Error("profile not written", "err", err)
 		}
 	}, nil
 }
 
-// writeHeap writes the profile of memory.
-func writeHeap(dir string) error {
-	f, err := os.Create(filepath.Join(dir, heapProfile))
+// writeHeapProfile writes the memory profile.
+func writeHeapProfile(dir string) error {
+	f, err := os.Create(filepath.Join(dir, heapProfileFile))
 	if err != nil {
 		return err
 	}
-	runtime.GC() // the profile is as of the last collection
+	runtime.GC() // the profile shows the state at the last garbage collection
 	return errors.Join(pprof.WriteHeapProfile(f), f.Close())
 }
 
-// writeLock writes which functions held the state's lock, and for how long.
-func writeLock(dir string, c *controller.Controller) error {
-	f, err := os.Create(filepath.Join(dir, lockProfile))
+// writeLockProfile writes which functions held the state lock, and for how long.
+func writeLockProfile(dir string, c *controller.Controller) error {
+	f, err := os.Create(filepath.Join(dir, lockProfileFile))
 	if err != nil {
 		return err
 	}
--- a/cmd/violetturn/profile_test.go
+++ b/cmd/violetturn/profile_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/features"
 )
 
-// A profile is three files in the folder; a folder that isn't there is an error.
-func TestProfile(t *testing.T) {
+// A profile consists of three files in the folder. A folder that does not exist is an error.
+func TestProfileWritesThreeFiles(t *testing.T) {
 	cfg := &config.Settings{HostName: "n0", Zone: "x"}
 	cfg.Facts.Size, cfg.Facts.Limits.MaxSockets = 1, 100
 	cfg.Facts.State.WriteRPS, cfg.Facts.State.RPS, cfg.Facts.Cloud.RPS = 10, 10, 10
@@ -24,17 +24,17 @@
 	}
 	dir := t.TempDir()
 	if _, err = startProfile(filepath.Join(dir, "none"), c); err == nil {
-		t.Fatal("a folder that isn't there")
+		t.Fatal("startProfile returned no error for a folder that does not exist")
 	}
-	end, err := startProfile(dir, c)
+	stop, err := startProfile(dir, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.LockUses() // takes the lock once
-	end(log)
-	for _, name := range []string{cpuProfile, heapProfile, lockProfile} {
+	c.LockUses() // acquires the lock once
+	stop(log)
+	for _, name := range []string{cpuProfileFile, heapProfileFile, lockProfileFile} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s is missing or empty (error %v), want a profile", name, err)
 		}
 	}
 }
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	loopbackReaders = 6 // tasks of services bound to zone x
-	loopbackArrays  = 4 // arrays bound to zone x
-	loopbackTasks   = 8 // of each of them
-	loopbackWait    = 90 * time.Second
+	loopbackReaderTasks   = 6 // tasks of the readers (production services) bound to zone x
+	loopbackArrayCount    = 4 // number of arrays bound to zone x
+	loopbackTasksPerArray = 8 // tasks of each array
+	loopbackWaitTimeout   = 90 * time.Second
 )
 
-// loopbackDeployment is small, and its workers report and are given up soon.
+// loopbackDeployment returns a small deployment with short heartbeat intervals and worker leases.
 func loopbackDeployment() *simulator.Deployment {
 	return &simulator.Deployment{
 		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Fetch: 500 * time.Millisecond,
@@ -32,66 +32,68 @@
 	}
 }
 
-// startInX is a task that started in zone x.
-type startInX struct {
-	at     time.Time
-	uid    string
-	host   string
-	reader bool
-	arrays int // tasks of arrays that were in the zone at that moment
+// zoneTaskStart records the start of a task in zone x.
+type zoneTaskStart struct {
+	startedAt  time.Time
+	uid        string
+	host       string
+	isReader   bool
+	arrayTasks int // tasks of arrays present in the zone at that time
 }
 
-// zoneCluster is three controllers as processes, with simulated service workers in three zones.
+// zoneCluster runs three controllers as processes, with simulated workers in three zones.
 type zoneCluster struct {
 	*cluster
-	t         *testing.T
-	program   string
-	files     []string
-	features  string
-	processes []*exec.Cmd
-	uids      []string   // of all jobs
-	readers   []string   // of them, the services in zone x
-	history   []startInX // guarded by the server's lock
+	t             *testing.T
+	programFile   string
+	settingsFiles []string
+	featuresFile  string
+	processes     []*exec.Cmd
+	jobUIDs       []string        // IDs of all jobs
+	readerUIDs    []string        // IDs of the readers in zone x
+	taskStarts    []zoneTaskStart // guarded by the server's lock
 }
 
-// newZoneCluster starts the controllers, workers and services of a zone cluster.
+// newZoneCluster starts the controllers, workers and simulated services of a zone cluster.
 func newZoneCluster(t *testing.T) *zoneCluster {
 	t.Helper()
-	z := &zoneCluster{t: t, cluster: newCluster(t, loopbackDeployment()), processes: make([]*exec.Cmd, processNodes)}
+	z := &zoneCluster{t: t, cluster: newCluster(t, loopbackDeployment()), processes: make([]*exec.Cmd, controllerCount)}
 	dir := t.TempDir()
-	z.program = filepath.Join(dir, "violetturn")
-	if out, err := exec.Command("go", "build", "-o", z.program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	z.programFile = filepath.Join(dir, "violetturn")
+	if out, err := exec.Command("go", "build", "-o", z.programFile, ".").CombinedOutput(); err != nil {
+		t.Fatalf("go build: %v: %s", err, out)
 	}
-	z.features = filepath.Join(dir, "features.toml")
-	if err := os.WriteFile(z.features, []byte("[zone_recovery]\nenabled = true\n"), 0o600); err != nil {
+	z.featuresFile = filepath.Join(dir, "features.toml")
+	if err := os.WriteFile(z.featuresFile, []byte("[zone_recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	z.files = z.writeSettings(dir)
+	z.settingsFiles = z.writeSettings(dir)
 	z.server.With(func(w *simulator.World) {
 		w.ListLag = time.Second
-		w.OnTaskStarted = func(x *simulator.Worker, uid string) {
-			if x.Zone == "x" {
-				z.history = append(z.history, startInX{w.Now, uid, x.Host, w.Jobs[uid].Spec.Kind == api.Service, arraysInX(w)})
+		w.OnTaskStarted = func(worker *simulator.Worker, uid string) {
+			if worker.Zone == "x" {
+				z.taskStarts = append(
+					z.taskStarts, zoneTaskStart{w.Now, uid, worker.Host, w.Jobs[uid].Spec.Kind == api.Service, arrayTasksInX(w)},
+				)
 			}
 		}
 	})
 	for i := range z.processes {
-		z.start(i)
+		z.startController(i)
 	}
-	t.Cleanup(z.end)
-	z.every(50*time.Millisecond, z.server.Tick)
-	z.playWorkers()
+	t.Cleanup(z.stopAll)
+	z.runPeriodically(50*time.Millisecond, z.server.Tick)
+	z.simulateWorkers()
 	return z
 }
 
-// arraysInX counts the tasks of arrays in zone x.
-func arraysInX(w *simulator.World) (n int) {
-	for _, x := range w.Cloud.Workers() {
-		if x.Zone != "x" {
+// arrayTasksInX returns the number of tasks of arrays present in zone x.
+func arrayTasksInX(w *simulator.World) (n int) {
+	for _, worker := range w.Cloud.Workers() {
+		if worker.Zone != "x" {
 			continue
 		}
-		for _, uid := range x.PresentJobs() {
+		for _, uid := range worker.PresentJobs() {
 			if w.Jobs[uid].Spec.Kind == api.Array {
 				n++
 			}
@@ -100,15 +102,15 @@
 	return n
 }
 
-// start starts a controller, which logs into a file of its own.
-func (z *zoneCluster) start(i int) {
+// startController starts controller i, which logs to its own file.
+func (z *zoneCluster) startController(i int) {
 	z.t.Helper()
-	name := filepath.Join(filepath.Dir(z.program), fmt.Sprintf("n%d.log", i))
+	name := filepath.Join(filepath.Dir(z.programFile), fmt.Sprintf("n%d.log", i))
 	log, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		z.t.Fatal(err)
 	}
-	p := exec.Command(z.program, "--features", z.features, "--config", z.files[i])
+	p := exec.Command(z.programFile, "--features", z.featuresFile, "--config", z.settingsFiles[i])
 	p.Stderr = log
 	if err := p.Start(); err != nil {
 		z.t.Fatal(err)
@@ -116,16 +118,16 @@
 	z.processes[i] = p
 }
 
-// kill ends a controller without a word.
-func (z *zoneCluster) kill(i int) {
-	_ = z.processes[i].Process.Kill() // it may have ended
-	_ = z.processes[i].Wait()         // and says that it was killed
+// killController kills controller i without a clean shutdown.
+func (z *zoneCluster) killController(i int) {
+	_ = z.processes[i].Process.Kill() // fails if the process has already exited
+	_ = z.processes[i].Wait()         // returns an error because the process was killed
 }
 
-// end ends all processes, and shows what the controllers logged if the test failed.
-func (z *zoneCluster) end() {
+// stopAll kills all controllers. If the test has failed, it prints the relevant lines of their logs.
+func (z *zoneCluster) stopAll() {
 	for i := range z.processes {
-		z.kill(i)
+		z.killController(i)
 	}
 	close(z.stop)
 	z.running.Wait()
@@ -133,70 +135,72 @@
 		return
 	}
 	for i := range z.processes {
-		raw, err := os.ReadFile(filepath.Join(filepath.Dir(z.program), fmt.Sprintf("n%d.log", i)))
+		raw, err := os.ReadFile(filepath.Join(filepath.Dir(z.programFile), fmt.Sprintf("n%d.log", i)))
 		if err != nil {
 			z.t.Error(err)
 		}
 		for _, line := range strings.Split(string(raw), "\n") {
-			told := func(what string) bool { return strings.Contains(line, what) }
-			if slices.ContainsFunc([]string{"msg=zone ", "shard ", "task placed", "cordoned"}, told) {
+			contains := func(substring string) bool { return strings.Contains(line, substring) }
+			if slices.ContainsFunc([]string{"msg=zone ", "shard ", "task placed", "cordoned"}, contains) {
 				z.t.Log(fmt.Sprintf("n%d ", i) + line)
 			}
 		}
 	}
 }
 
-// submit submits a job until a controller accepts it.
+// submit submits a job, an array with the given change, until a controller accepts it. It returns the
+// job's ID.
 func (z *zoneCluster) submit(change func(*api.Job), runTime time.Duration) string {
 	z.t.Helper()
 	job := api.Job{
-		UID: fmt.Sprintf("run-%06d", len(z.uids)), Class: "array", Team: "a", Kind: api.Array, Priority: "idle", Tasks: loopbackTasks,
-		CPUs: 4, GPUs: 1, MemGB: 29, Image: "array", ImageGB: 1, Zone: "x",
+		UID: fmt.Sprintf("run-%06d", len(z.jobUIDs)), Class: "array", Team: "a", Kind: api.Array, Priority: "idle",
+		Tasks: loopbackTasksPerArray, CPUs: 4, GPUs: 1, MemGB: 29, Image: "array", ImageGB: 1, Zone: "x",
 	}
 	change(&job)
-	z.uids = append(z.uids, job.UID)
+	z.jobUIDs = append(z.jobUIDs, job.UID)
 	z.server.With(func(w *simulator.World) {
 		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, Done: map[int]bool{}}
 	})
-	z.wait(job.UID+" is accepted", func() bool {
-		status, body := z.send(z.randomBelow(processNodes), "POST", "/v2/runs", simulator.Submission(&job))
-		z.checkAnswer(job.UID, status, body, true)
+	z.waitFor(job.UID+" is accepted", func() bool {
+		status, body := z.sendRequest(z.randomBelow(controllerCount), "POST", "/v2/runs", simulator.Submission(&job))
+		z.checkResponse(job.UID, status, body, true)
 		return status == 200 || status == 201
 	})
 	return job.UID
 }
 
-// checkAnswer has the world check what a user was told, and returns the phase.
-func (z *zoneCluster) checkAnswer(uid string, status int, body []byte, submission bool) (phase api.JobPhase) {
+// checkResponse lets the simulator check the response that a user got, and returns the job's phase.
+func (z *zoneCluster) checkResponse(uid string, status int, body []byte, submission bool) (phase api.JobPhase) {
 	var a struct {
 		Phase api.JobPhase `json:"phase"`
 	}
-	_ = json.Unmarshal(body, &a) // an answer without a phase has none
+	_ = json.Unmarshal(body, &a) // a response without a phase leaves it empty
 	z.server.With(func(w *simulator.World) { w.CheckResponse(uid, status, a.Phase, submission) })
 	return a.Phase
 }
 
-// wait asks again until something is so. How long it takes is not judged.
-func (z *zoneCluster) wait(what string, ok func() bool) {
+// waitFor polls until a condition holds. It fails the test after loopbackWaitTimeout; shorter times are
+// not checked.
+func (z *zoneCluster) waitFor(what string, condition func() bool) {
 	z.t.Helper()
-	for end := time.Now().Add(loopbackWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if ok() {
+	for deadline := time.Now().Add(loopbackWaitTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	z.t.Fatalf("%s: not within %v", what, loopbackWait)
+	z.t.Fatalf("condition %q not met within %v", what, loopbackWaitTimeout)
 }
 
-// readersUp counts the readers' tasks that run in zone x on machines that can be reached.
-func (z *zoneCluster) readersUp() int { return z.runningInX(z.readers...) }
+// runningReaderTasks returns the number of reader tasks running on reachable machines of zone x.
+func (z *zoneCluster) runningReaderTasks() int { return z.runningTasksInX(z.readerUIDs...) }
 
-// runningInX counts the tasks of jobs that run in zone x on machines that can be reached.
-func (z *zoneCluster) runningInX(uids ...string) (n int) {
+// runningTasksInX returns the number of tasks of the given jobs running on reachable machines of zone x.
+func (z *zoneCluster) runningTasksInX(uids ...string) (n int) {
 	z.server.With(func(w *simulator.World) {
-		for _, x := range w.Cloud.Workers() {
-			for _, task := range x.Heartbeat().Tasks {
+		for _, worker := range w.Cloud.Workers() {
+			for _, task := range worker.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
-				if x.Zone == "x" && !x.Partitioned && slices.Contains(uids, uid) && task.Phase == api.TaskRunning {
+				if worker.Zone == "x" && !worker.Partitioned && slices.Contains(uids, uid) && task.Phase == api.TaskRunning {
 					n++
 				}
 			}
@@ -205,43 +209,43 @@
 	return n
 }
 
-// machines lists the machines of zone x, those with readers first.
-func (z *zoneCluster) machines() (withReaders, others []*simulator.Worker) {
+// machinesInX returns the machines of zone x: those with readers, and the others.
+func (z *zoneCluster) machinesInX() (withReaders, others []*simulator.Worker) {
 	z.server.With(func(w *simulator.World) {
-		for _, x := range w.Cloud.Workers() {
-			if x.Zone != "x" {
+		for _, worker := range w.Cloud.Workers() {
+			if worker.Zone != "x" {
 				continue
 			}
-			if present := x.PresentJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
-				withReaders = append(withReaders, x)
+			if present := worker.PresentJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
+				withReaders = append(withReaders, worker)
 			} else {
-				others = append(others, x)
+				others = append(others, worker)
 			}
 		}
 	})
 	return withReaders, others
 }
 
-// partition cuts machines off from the network, or ends that.
-func (z *zoneCluster) partition(machines []*simulator.Worker, cutOff bool) {
+// setPartitioned partitions machines from the network, or ends the partition.
+func (z *zoneCluster) setPartitioned(machines []*simulator.Worker, partitioned bool) {
 	z.server.With(func(*simulator.World) {
-		for _, x := range machines {
-			x.Partitioned = cutOff
+		for _, worker := range machines {
+			worker.Partitioned = partitioned
 		}
 	})
 }
 
-// terminate has machines end for good.
+// terminate terminates machines permanently.
 func (z *zoneCluster) terminate(machines []*simulator.Worker) {
 	z.server.With(func(w *simulator.World) {
-		for _, x := range machines {
-			w.Cloud.Terminate(x.Host)
+		for _, worker := range machines {
+			w.Cloud.Terminate(worker.Host)
 		}
 	})
 }
 
-// zoneIs reports whether the zone's record has a state.
-func (z *zoneCluster) zoneIs(state string) func() bool {
+// zoneStateIs returns a condition that reports whether the record of zone x has the given state.
+func (z *zoneCluster) zoneStateIs(state string) func() bool {
 	return func() (is bool) {
 		z.server.With(func(w *simulator.World) {
 			for _, item := range w.Store.Items("live/z/x") {
@@ -252,125 +256,130 @@
 	}
 }
 
-// checkReadersFirst checks the history since a return to an empty zone: until the last of
-// the readers started, arrays never had more tasks there at a time than the machines that
-// returned take beside the readers.
-func (z *zoneCluster) checkReadersFirst(when string, since time.Time, machines int) {
+// checkReadersStartFirst checks the task starts since machines returned to an empty zone: until the last
+// reader task started, arrays never had more tasks in the zone at a time than the returned machines
+// have capacity for in addition to the readers.
+func (z *zoneCluster) checkReadersStartFirst(when string, since time.Time, returnedMachines int) {
 	z.t.Helper()
 	z.server.With(func(*simulator.World) {
-		readers, most := 0, 0
-		for _, s := range z.history {
+		readerTasks, maxArrayTasks := 0, 0
+		for _, start := range z.taskStarts {
 			switch {
-			case s.at.Before(since):
-			case s.reader:
-				readers++
-			case readers < loopbackReaders:
-				most = max(most, s.arrays)
+			case start.startedAt.Before(since):
+			case start.isReader:
+				readerTasks++
+			case readerTasks < loopbackReaderTasks:
+				maxArrayTasks = max(maxArrayTasks, start.arrayTasks)
 			}
 		}
-		if beside := max(2*machines-loopbackReaders, 0); most > beside {
-			z.t.Errorf("%s: %d tasks of arrays ran before the readers, with room for %d beside them", when, most, beside)
-			for _, s := range z.history {
-				z.t.Logf("%v %s on %s, reader %t, %d of arrays", s.at.Sub(since), s.uid, s.host, s.reader, s.arrays)
+		if allowed := max(2*returnedMachines-loopbackReaderTasks, 0); maxArrayTasks > allowed {
+			z.t.Errorf("%s: %d array tasks ran before the last reader started, want at most %d", when, maxArrayTasks, allowed)
+			for _, start := range z.taskStarts {
+				z.t.Logf("%v: %s on %s, reader %t, %d array tasks in the zone",
+					start.startedAt.Sub(since), start.uid, start.host, start.isReader, start.arrayTasks)
 			}
 		}
-		z.t.Logf("%s: %d readers' tasks started, at most %d of arrays ran before the last", when, readers, most)
+		z.t.Logf("%s: %d reader tasks started, at most %d array tasks ran before the last of them", when, readerTasks, maxArrayTasks)
 	})
 }
 
-// now is the world's time.
-func (z *zoneCluster) now() (now time.Time) {
+// simulatedTime returns the current time of the simulator.
+func (z *zoneCluster) simulatedTime() (now time.Time) {
 	z.server.With(func(w *simulator.World) { now = w.Now })
 	return now
 }
 
-// Three controllers as processes, simulated service workers in three zones: zone x with its
-// controller is killed, a part of it returns, it flaps, and then it stays. The readers come
-// before the arrays each time, all arrays end, and no rule is broken.
+// Production services (the readers) must restart before arrays when a zone returns. Three controllers
+// run as processes, with simulated workers in three zones. Zone x fails together with its controller,
+// a part of it returns, and it fails again twice before it returns for good. All arrays must be done in
+// the end, and no rule may be violated.
 //
-// One machine plays all of it over loopback with leases of four seconds; only the order of
-// what happened is judged, never how long it took.
+// Everything runs on one machine over loopback with worker leases of four seconds, so the test checks
+// only the order of task starts, never durations.
 func TestZoneReturnsOnLoopback(t *testing.T) {
 	z := newZoneCluster(t)
-	arrays := z.fill()
+	arrays := z.startJobs()
 	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = true })
-	z.partReturns()
-	z.flaps()
+	z.failAndReturnPartly()
+	z.failRepeatedly()
 	for _, uid := range arrays {
-		z.wait(uid+" is done", func() bool {
-			status, body := z.send(z.randomBelow(processNodes), "GET", "/v2/runs/"+uid, nil)
-			return z.checkAnswer(uid, status, body, false) == api.JobDone
+		z.waitFor(uid+" is done", func() bool {
+			status, body := z.sendRequest(z.randomBelow(controllerCount), "GET", "/v2/runs/"+uid, nil)
+			return z.checkResponse(uid, status, body, false) == api.JobDone
 		})
 	}
 	z.server.With(func(w *simulator.World) {
-		for _, broken := range w.Violations {
-			t.Error(broken)
+		for _, violation := range w.Violations {
+			t.Error(violation)
 		}
 	})
 }
 
-// fill has readers and arrays run in zone x, and readers elsewhere. It returns the arrays.
-func (z *zoneCluster) fill() (arrays []string) {
-	service := func(zone string, tasks int) func(*api.Job) {
+// startJobs starts readers in all zones and arrays in zone x, and waits until those in zone x run. It
+// returns the arrays' IDs.
+func (z *zoneCluster) startJobs() (arrays []string) {
+	readerJob := func(zone string, tasks int) func(*api.Job) {
 		return func(j *api.Job) {
 			j.Class, j.Kind, j.Priority, j.Tasks, j.Zone, j.Image = "service", api.Service, "production", tasks, zone, "reader"
 		}
 	}
-	z.submit(service("y", 6), 0)
-	z.submit(service("z", 6), 0)
+	z.submit(readerJob("y", 6), 0)
+	z.submit(readerJob("z", 6), 0)
 	for range 2 {
-		z.readers = append(z.readers, z.submit(service("x", loopbackReaders/2), 0))
+		z.readerUIDs = append(z.readerUIDs, z.submit(readerJob("x", loopbackReaderTasks/2), 0))
 	}
-	z.wait("readers run", func() bool { return z.readersUp() == loopbackReaders })
-	for range loopbackArrays {
+	z.waitFor("readers run", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
+	for range loopbackArrayCount {
 		arrays = append(arrays, z.submit(func(*api.Job) {}, 8*time.Second))
 	}
-	z.wait("arrays run beside them", func() bool { return z.runningInX(arrays...) >= 2*loopbackTasks })
+	z.waitFor("arrays run as well as the readers", func() bool { return z.runningTasksInX(arrays...) >= 2*loopbackTasksPerArray })
 	return arrays
 }
 
-// partReturns has the zone and its controller go, and five machines without readers return.
-func (z *zoneCluster) partReturns() {
-	withReaders, others := z.machines()
-	z.kill(0)
-	z.partition(withReaders, true)
-	z.partition(others, true)
-	z.wait("the zone is down", z.zoneIs("down"))
+// failAndReturnPartly partitions zone x and kills its controller. Then the controller and five machines
+// without readers return.
+func (z *zoneCluster) failAndReturnPartly() {
+	withReaders, others := z.machinesInX()
+	z.killController(0)
+	z.setPartitioned(withReaders, true)
+	z.setPartitioned(others, true)
+	z.waitFor("the zone is down", z.zoneStateIs("down"))
 	z.waitEmpty(append(withReaders, others...))
 	const returning = 5
 	z.terminate(append(withReaders, others[returning:]...))
-	returned := z.now()
-	z.partition(others[:returning], false)
-	z.start(0)
-	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
-	z.checkReadersFirst("part returned", returned, returning)
+	returned := z.simulatedTime()
+	z.setPartitioned(others[:returning], false)
+	z.startController(0)
+	z.waitFor("readers run again", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
+	z.checkReadersStartFirst("part returned", returned, returning)
 }
 
-// waitEmpty waits until nothing runs on machines any more, but for those that were given up.
+// waitEmpty waits until no task runs on the given machines, except on those that were terminated.
 func (z *zoneCluster) waitEmpty(machines []*simulator.Worker) {
-	z.wait("nothing runs there any more", func() (none bool) {
+	z.waitFor("no task runs on the partitioned machines", func() (none bool) {
 		z.server.With(func(w *simulator.World) {
-			none = !slices.ContainsFunc(w.Cloud.Workers(), func(x *simulator.Worker) bool {
-				return slices.Contains(machines, x) && len(x.PresentJobs()) > 0
+			none = !slices.ContainsFunc(w.Cloud.Workers(), func(worker *simulator.Worker) bool {
+				return slices.Contains(machines, worker) && len(worker.PresentJobs()) > 0
 			})
 		})
 		return none
 	})
 }
 
-// flaps has the zone go, return for a moment, and go again until nothing runs there. Then
-// it returns for good, and the cloud has other machines for those that were given up. The
-// order of starts is judged at the first return only: here it depends on how many were.
-func (z *zoneCluster) flaps() {
-	withReaders, others := z.machines()
+// failRepeatedly partitions zone x, ends the partition briefly, and partitions the zone again until no
+// task runs there. Then the zone returns for good, and the cloud can replace terminated machines. The
+// order of starts is checked only by failAndReturnPartly: here it depends on how many machines were
+// terminated.
+func (z *zoneCluster) failRepeatedly() {
+	withReaders, others := z.machinesInX()
 	all := append(withReaders, others...)
-	z.partition(all, true)
-	z.wait("the zone is down again", z.zoneIs("down"))
-	z.partition(all, false)
-	z.wait("the zone returns", func() bool { return !z.zoneIs("down")() })
-	z.partition(all, true)
+	z.setPartitioned(all, true)
+	z.waitFor("the zone is down again", z.zoneStateIs("down"))
+	z.setPartitioned(all, false)
+	z.waitFor("the zone returns", func() bool { return !z.zoneStateIs("down")() })
+	z.setPartitioned(all, true)
 	z.waitEmpty(all)
-	z.partition(all, false)
+	z.setPartitioned(all, false)
 	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = false })
-	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
+	z.waitFor("readers run again", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,21 +6,21 @@
 	"net"
 )
 
-// FieldError says what is wrong with one setting.
+// FieldError reports an invalid setting.
 type FieldError struct {
-	Field  string // its path, as in "facts.state.rps"
+	Field  string // path of the setting, as in "facts.state.rps"
 	Reason string
 }
 
-// Error implements error; it is one line.
+// Error implements error. The text is one line.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// refuse returns the error of a setting.
-func refuse(field, reason string, args ...any) error {
+// newFieldError returns a FieldError with a formatted reason.
+func newFieldError(field, reason string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
-// Reasons that several settings share.
+// Reasons used for more than one setting.
 const (
 	reasonMissing     = "missing"
 	reasonNotUnique   = "missing or not unique"
@@ -28,16 +28,16 @@
 	reasonNegative    = "must be a number of at least 0"
 )
 
-// amount is a number of the settings with its path.
-type amount struct {
+// numericSetting is a numeric setting and its path.
+type numericSetting struct {
 	field string
 	value float64
 }
 
-// check returns the first thing that is wrong with the settings. It fills in what the coming
-// limits leave out.
+// check returns an error for the first invalid setting. It also completes the announced limits of
+// the state service (facts.state.next) with the current ones.
 func (s *Settings) check() error {
-	steps := []func() error{s.checkNames, s.checkAmounts, s.checkLimits, s.checkNextLimits, s.checkWorkers, s.checkTeams}
+	steps := []func() error{s.checkNames, s.checkPositiveNumbers, s.checkLimits, s.checkNextLimits, s.checkWorkers, s.checkTeams}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// checkNames checks what names and addresses controllers and outside systems.
+// checkNames checks the names and addresses of the controllers and external systems, and the zones.
 func (s *Settings) checkNames() error {
 	if s.HostName == "" {
-		return refuse("host_name", reasonMissing)
+		return newFieldError("host_name", reasonMissing)
 	}
 	if s.Zone == "" {
-		return refuse("site", reasonMissing)
+		return newFieldError("site", reasonMissing)
 	}
 	if err := s.checkMembers(); err != nil {
 		return err
@@ -61,27 +61,27 @@
 		return err
 	}
 	if n := s.Facts.Size; n != len(s.Members)+1 {
-		return refuse("facts.size", "%d, but members name %d controllers with this one", n, len(s.Members)+1)
+		return newFieldError("facts.size", "%d, but members name %d controllers with this one", n, len(s.Members)+1)
 	}
 	if len(s.Facts.Zones) == 0 {
-		return refuse("facts.zones", reasonMissing)
+		return newFieldError("facts.zones", reasonMissing)
 	}
 	return nil
 }
 
-// checkMembers checks that every controller has a name of its own.
+// checkMembers checks that every controller has a unique, non-empty name.
 func (s *Settings) checkMembers() error {
 	seen := map[string]bool{s.HostName: true}
 	for i, m := range s.Members {
 		if m.HostName == "" || seen[m.HostName] {
-			return refuse(fmt.Sprintf("members[%d].host_name", i), reasonNotUnique)
+			return newFieldError(fmt.Sprintf("members[%d].host_name", i), reasonNotUnique)
 		}
 		seen[m.HostName] = true
 	}
 	return nil
 }
 
-// checkAddresses checks that all addresses are of the form host:port.
+// checkAddresses checks that all addresses have the form host:port.
 func (s *Settings) checkAddresses() error {
 	type address struct{ field, value string }
 	addresses := []address{
@@ -95,16 +95,16 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return refuse(a.field, "%q is not host:port", a.value)
+			return newFieldError(a.field, "%q is not host:port", a.value)
 		}
 	}
 	return nil
 }
 
-// checkAmounts checks the numbers that have to be above zero.
-func (s *Settings) checkAmounts() error {
+// checkPositiveNumbers checks the settings that must be greater than zero.
+func (s *Settings) checkPositiveNumbers() error {
 	f := &s.Facts
-	for _, a := range []amount{
+	for _, a := range []numericSetting{
 		{"facts.workers.report_s", f.Workers.ReportS},
 		{"facts.workers.lease_s", f.Workers.LeaseS},
 		{"facts.workers.cancel_s", f.Workers.CancelS},
@@ -116,107 +116,107 @@
 		{"facts.machine_limits.memory_mb", f.Limits.MemoryMB},
 		{"facts.machine_limits.max_sockets", float64(f.Limits.MaxSockets)},
 	} {
-		if !positive(a.value) {
-			return refuse(a.field, reasonNotPositive)
+		if !isPositive(a.value) {
+			return newFieldError(a.field, reasonNotPositive)
 		}
 	}
 	return nil
 }
 
-// positive reports whether a number is above zero and finite.
-func positive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
+// isPositive reports whether v is greater than zero and finite.
+func isPositive(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
-// nonNegative reports whether a number is at least zero and finite.
-func nonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// isNonNegative reports whether v is at least zero and finite.
+func isNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// checkLimits checks the limits of the state service and of this machine.
+// checkLimits checks the limits of the state service and of the controller's machine.
 func (s *Settings) checkLimits() error {
 	if err := s.Facts.State.check("facts.state"); err != nil {
 		return err
 	}
 	l := &s.Facts.Limits
-	if !nonNegative(l.Cores) {
-		return refuse("facts.machine_limits.cores", reasonNegative)
+	if !isNonNegative(l.Cores) {
+		return newFieldError("facts.machine_limits.cores", reasonNegative)
 	}
 	if l.MemoryMB < minMemoryMB {
-		return refuse("facts.machine_limits.memory_mb", "%g, the service needs at least %d", l.MemoryMB, minMemoryMB)
+		return newFieldError("facts.machine_limits.memory_mb", "%g, the service needs at least %d", l.MemoryMB, minMemoryMB)
 	}
 	if need := max(minSockets, socketsPerMember*len(s.Members)); l.MaxSockets < need {
-		return refuse("facts.machine_limits.max_sockets",
+		return newFieldError("facts.machine_limits.max_sockets",
 			"%d, the service needs at least %d with so many controllers", l.MaxSockets, need)
 	}
 	return nil
 }
 
-// check checks that the service can work under the limits, of which field is the path.
+// check returns an error if the limits are too low for this service. field is the path of the limits.
 func (l *StateLimits) check(field string) error {
 	if l.TxnOps < minTxnOps {
-		return refuse(field+".txn_ops", "%d, the service needs at least %d changes in one transaction", l.TxnOps, minTxnOps)
+		return newFieldError(field+".txn_ops", "%d, the service needs at least %d changes in one transaction", l.TxnOps, minTxnOps)
 	}
 	if l.ValueKB < minValueKB {
-		return refuse(field+".value_kb", "%g, the service needs values of at least %d KiB", l.ValueKB, minValueKB)
+		return newFieldError(field+".value_kb", "%g, the service needs values of at least %d KiB", l.ValueKB, minValueKB)
 	}
 	return nil
 }
 
-// checkNextLimits checks the coming limits of the state service. A limit that is not named stays
-// as it is; one that is named has to be one that the service can work under.
+// checkNextLimits checks the announced limits of the state service. A limit that is not set there
+// keeps its current value; one that is set must be high enough for this service.
 func (s *Settings) checkNextLimits() error {
 	const field = "facts.state.next"
-	now, next := &s.Facts.State.StateLimits, s.Facts.State.Next
+	current, next := &s.Facts.State.StateLimits, s.Facts.State.Next
 	if next == nil {
 		return nil
 	}
 	for _, limit := range []struct {
-		name  string
-		value *float64
-		now   float64
+		name    string
+		value   *float64
+		current float64
 	}{
-		{"rps", &next.RPS, now.RPS},
-		{"write_rps", &next.WriteRPS, now.WriteRPS},
-		{"value_kb", &next.ValueKB, now.ValueKB},
+		{"rps", &next.RPS, current.RPS},
+		{"write_rps", &next.WriteRPS, current.WriteRPS},
+		{"value_kb", &next.ValueKB, current.ValueKB},
 	} {
-		if !s.names("facts", "state", "next", limit.name) {
-			*limit.value = limit.now
-		} else if !positive(*limit.value) {
-			return refuse(field+"."+limit.name, reasonNotPositive)
+		if !s.isSet("facts", "state", "next", limit.name) {
+			*limit.value = limit.current
+		} else if !isPositive(*limit.value) {
+			return newFieldError(field+"."+limit.name, reasonNotPositive)
 		}
 	}
-	if !s.names("facts", "state", "next", "txn_ops") {
-		next.TxnOps = now.TxnOps
+	if !s.isSet("facts", "state", "next", "txn_ops") {
+		next.TxnOps = current.TxnOps
 	}
 	return next.check(field)
 }
 
-// checkWorkers checks the workers' times.
+// checkWorkers checks the workers' intervals and timeouts.
 func (s *Settings) checkWorkers() error {
 	w := &s.Facts.Workers
-	for _, a := range []amount{
+	for _, a := range []numericSetting{
 		{"facts.workers.gang_wait_s", w.GangWaitS},
 		{"facts.workers.gang_peer_s", w.GangPeerS},
 	} {
-		if !nonNegative(a.value) {
-			return refuse(a.field, reasonNegative)
+		if !isNonNegative(a.value) {
+			return newFieldError(a.field, reasonNegative)
 		}
 	}
 	if w.ReportS >= w.LeaseS {
-		return refuse("facts.workers.lease_s", "must be longer than report_s")
+		return newFieldError("facts.workers.lease_s", "must be longer than report_s")
 	}
 	return nil
 }
 
-// checkTeams checks the teams' names and amounts.
+// checkTeams checks the teams' names, guarantees and limits.
 func (s *Settings) checkTeams() error {
 	seen := map[string]bool{}
 	for i, t := range s.Facts.Teams {
 		field := fmt.Sprintf("facts.teams[%d]", i)
 		if t.Name == "" || seen[t.Name] {
-			return refuse(field+".name", reasonNotUnique)
+			return newFieldError(field+".name", reasonNotUnique)
 		}
 		seen[t.Name] = true
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if !nonNegative(v) {
-				return refuse(field, "amounts must be numbers of at least 0")
+			if !isNonNegative(v) {
+				return newFieldError(field, "amounts must be numbers of at least 0")
 			}
 		}
 	}
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,9 +1,9 @@
-// Package config reads and checks the platform's settings file and the operators' policy file,
-// both TOML, and derives the controllers' times and limits from the settings.
+// Package config reads and validates the platform's settings file and the operators' policy file,
+// both in TOML, and derives the controller's intervals, timeouts and limits from the settings.
 //
-// Both are read once, at the start. Settings and Policy are never changed afterwards, so any
-// goroutine may use them without a lock. Load and LoadPolicy refuse a file with one line that
-// names the file, the field and the reason. Settings that this version does not know are
-// ignored: the platform may be newer. An expression of a policy that fails while it is
-// evaluated gives a documented fallback; it never stops the controller.
+// Both files are read once at startup. Settings and Policy are immutable afterwards, so any
+// goroutine may use them without a lock. For an invalid file, Load and LoadPolicy return a
+// one-line error that names the file, the field and the reason. Unknown settings are ignored,
+// because the platform may be newer than this program. If a policy expression fails during
+// evaluation, a documented fallback value is used; the controller never stops because of it.
 package config
--- a/internal/config/expression.go
+++ b/internal/config/expression.go
@@ -11,26 +11,26 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// errNotANumber says that an expression has no value that is a number.
+// errNotANumber reports that an expression evaluates to NaN if all its variables are zero.
 var errNotANumber = errors.New("not a number when everything is zero")
 
-// expression is one expression of a policy file.
+// expression is one expression of a policy file, not compiled yet.
 type expression struct {
-	name      string // of its setting
+	name      string // name of the setting that holds the expression
 	source    string
-	variables any         // a value of the type of what it knows, all zero
-	result    expr.Option // the type of its value
+	variables any         // zero value of the struct that holds the expression's variables
+	result    expr.Option // required type of the result
 }
 
-// compile checks the expression and returns its program. It adds earlier names of variables
-// that the expression uses to deprecated. Its error is one line that names the setting.
+// compile type-checks and compiles the expression. It appends the deprecated variable names that
+// the expression uses to deprecated. An error is one line and starts with the setting's name.
 func (e expression) compile(deprecated *[]DeprecatedName) (*vm.Program, error) {
-	renamer := expr.Patch(&variableRenamer{found: deprecated})
+	renamer := expr.Patch(&variableRenamer{deprecated: deprecated})
 	program, err := expr.Compile(e.source, expr.Env(e.variables), e.result, renamer)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", e.name, firstLine(err))
 	}
-	// A trial with everything zero finds what the types don't show.
+	// A test run with all variables zero detects errors that type checking can't.
 	value, err := expr.Run(program, e.variables)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", e.name, firstLine(err))
@@ -41,7 +41,8 @@
 	return program, nil
 }
 
-// firstLine returns an error with the first line of err: the others point into the source.
+// firstLine returns an error with only the first line of err. The compiler's other lines show the
+// position in the source.
 func firstLine(err error) error {
 	line, _, more := strings.Cut(err.Error(), "\n")
 	if !more {
@@ -50,15 +51,16 @@
 	return errors.New(line)
 }
 
-// machines are virtual machines to evaluate programs with; a plan has hundreds to evaluate.
-var machines = sync.Pool{New: func() any { return &vm.VM{} }}
+// vmPool reuses the virtual machines that evaluate programs; one scheduling plan evaluates hundreds
+// of programs.
+var vmPool = sync.Pool{New: func() any { return &vm.VM{} }}
 
-// evaluate returns the value of a program, or the fallback if it fails, or gives a number that
-// is not finite.
+// evaluate returns the result of a program, or the fallback if the program fails or returns a
+// number that is not finite.
 func evaluate[T any](program *vm.Program, variables any, fallback T) T {
-	machine, _ := machines.Get().(*vm.VM) // nothing else is put in
+	machine, _ := vmPool.Get().(*vm.VM) // the pool holds only *vm.VM
 	value, err := machine.Run(program, variables)
-	machines.Put(machine)
+	vmPool.Put(machine)
 	if err != nil {
 		return fallback
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// longestTime is the longest time in seconds for which derived times are checked: far longer ones
-// don't fit a duration.
-const longestTime = 1e9
+// maxCheckedSeconds is the longest lease and cancel time for which derived times are checked. Much
+// longer ones overflow time.Duration.
+const maxCheckedSeconds = 1e9
 
-// checkRefusal checks that an error is one line that says something.
-func checkRefusal(t *testing.T, err error) {
+// checkErrorIsOneLine checks that an error's text is one line and not empty.
+func checkErrorIsOneLine(t *testing.T, err error) {
 	t.Helper()
 	if err.Error() == "" || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("not one line: %q", err)
+		t.Fatalf("error %q, want one line that is not empty", err)
 	}
 }
 
-// Whatever the file, it is refused in one line, or everything that is derived from it is within
-// its bounds.
+// FuzzParse checks that any settings file is either rejected with a one-line error, or that all
+// values derived from it are within their bounds.
 func FuzzParse(f *testing.F) {
 	valid, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
 	if err != nil {
@@ -37,62 +37,64 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Parse(b)
 		if err != nil {
-			checkRefusal(t, err)
+			checkErrorIsOneLine(t, err)
 			if s != nil {
-				t.Fatal("refused, and settings returned")
+				t.Fatalf("Parse returned settings together with the error %v", err)
 			}
 			return
 		}
 		checkDerivedLimits(t, s)
-		if w := s.Facts.Workers; w.LeaseS < longestTime && w.CancelS < longestTime {
+		if w := s.Facts.Workers; w.LeaseS < maxCheckedSeconds && w.CancelS < maxCheckedSeconds {
 			checkDerivedTimes(t, s)
 		}
 	})
 }
 
-// checkDerivedLimits checks the limits that follow from accepted settings.
+// checkDerivedLimits checks the limits derived from accepted settings.
 func checkDerivedLimits(t *testing.T, s *Settings) {
 	t.Helper()
-	lowest, now := s.LowestLimits(), s.Facts.State.StateLimits
-	if lowest.TxnOps < minTxnOps || lowest.ValueKB < minValueKB || !positive(lowest.RPS) || !positive(lowest.WriteRPS) {
-		t.Fatalf("the service can't work under %+v", lowest)
+	lowest, current := s.LowestLimits(), s.Facts.State.StateLimits
+	if lowest.TxnOps < minTxnOps || lowest.ValueKB < minValueKB || !isPositive(lowest.RPS) || !isPositive(lowest.WriteRPS) {
+		t.Fatalf("lowest limits are %+v, below the minimum that the service requires", lowest)
 	}
-	if lowest.TxnOps > now.TxnOps || lowest.ValueKB > now.ValueKB || lowest.RPS > now.RPS || lowest.WriteRPS > now.WriteRPS {
-		t.Fatalf("%+v is above %+v", lowest, now)
+	if lowest.TxnOps > current.TxnOps || lowest.ValueKB > current.ValueKB ||
+		lowest.RPS > current.RPS || lowest.WriteRPS > current.WriteRPS {
+		t.Fatalf("lowest limits %+v exceed the current limits %+v", lowest, current)
 	}
 	if n := s.Processors(8); n < 1 || n > 8 {
-		t.Fatalf("%d of 8 processors", n)
+		t.Fatalf("uses %d of 8 processors, want 1 to 8", n)
 	}
 	if m := s.MemoryTarget(); m <= 0 || float64(m) > s.Facts.Limits.MemoryMB*bytesPerMB {
-		t.Fatalf("memory target of %d bytes", m)
+		t.Fatalf("memory target is %d bytes, want above 0 and at most the limit of %g MB", m, s.Facts.Limits.MemoryMB)
 	}
 }
 
-// checkDerivedTimes checks the times that follow from accepted settings.
+// checkDerivedTimes checks the times derived from accepted settings.
 func checkDerivedTimes(t *testing.T, s *Settings) {
 	t.Helper()
 	if s.WorkerLeaseBound() < s.WorkerLease() {
-		t.Fatal("a worker's lease outlives its bound")
+		t.Fatalf("bound on a worker's lease is %v, want at least the lease of %v", s.WorkerLeaseBound(), s.WorkerLease())
 	}
 	if s.ControllerLeaseTTL() < minControllerLease || s.MaxStaleness() < s.ControllerLeaseTTL() {
-		t.Fatalf("lease of %v, staleness of %v", s.ControllerLeaseTTL(), s.MaxStaleness())
+		t.Fatalf("controller lease is %v, want at least %v; staleness is %v, want at least the lease",
+			s.ControllerLeaseTTL(), minControllerLease, s.MaxStaleness())
 	}
 	grace := s.LeadershipGrace()
 	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelS) {
-		t.Fatalf("a cancellation that a leader can't see takes %v", total)
+		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total, seconds(s.Facts.Workers.CancelS))
 	}
 	if grace < 0 || s.DecisionInterval() < 0 || s.DecisionInterval() > s.HeartbeatInterval() {
-		t.Fatalf("grace of %v, decision interval of %v", grace, s.DecisionInterval())
+		t.Fatalf("grace is %v, want at least 0; decision interval is %v, want 0 to %v", grace, s.DecisionInterval(), s.HeartbeatInterval())
 	}
 	if s.ConfirmsCancelWhenEmpty() && grace > 0 {
-		t.Fatalf("grace of %v where a cancellation leaves no time for it", grace)
+		t.Fatalf("grace is %v, want 0 if cancellations are confirmed only when the job is empty", grace)
 	}
 }
 
-// Whatever the policy, it is refused in one line, or what it decides is within the bounds for any
-// job, and takes little time.
+// FuzzParsePolicy checks that any policy file is either rejected with a one-line error, or that its
+// results are within their bounds for any job and take less than 10 seconds.
 func FuzzParsePolicy(f *testing.F) {
-	for _, p := range policies {
+	for _, p := range acceptedPolicies {
 		f.Add([]byte(p.file), 12.0, 30.0, 9)
 	}
 	f.Add([]byte("weight = \"job.colour\"\n"), 0.0, 0.0, 0)
@@ -102,25 +104,25 @@
 	f.Fuzz(func(t *testing.T, b []byte, age, slack float64, tasks int) {
 		p, err := ParsePolicy(b)
 		if err != nil {
-			checkRefusal(t, err)
+			checkErrorIsOneLine(t, err)
 			return
 		}
 		began := time.Now()
 		job := JobVariables{Class: "a", Kind: "sweep", Priority: 1, Age: age, Slack: slack, Tasks: tasks}
 		if w := p.Weight(job); math.IsNaN(w) || math.IsInf(w, 0) {
-			t.Fatalf("weight %g", w)
+			t.Fatalf("weight is %g, want a finite number", w)
 		}
 		if h := p.Headroom(job, 2.5, 40, slack); !(h >= 0 && h <= maxHeadroom) {
-			t.Fatalf("headroom for %g tasks", h)
+			t.Fatalf("headroom is %g tasks, want 0 to %d", h, maxHeadroom)
 		}
 		if s := p.Idle(40, 3, true); !(s >= 0) || math.IsInf(s, 0) {
-			t.Fatalf("idle machines are kept for %g s", s)
+			t.Fatalf("idle machines are kept for %g s, want a finite number of at least 0", s)
 		}
 		if !p.RestrictsPreemption() && !p.Preempt(job, JobVariables{Priority: 3}, age) {
-			t.Fatal("forbids a preemption though it restricts none")
+			t.Fatal("Preempt returned false for a policy that does not restrict preemption")
 		}
 		if d := time.Since(began); d > 10*time.Second {
-			t.Fatalf("takes %v", d)
+			t.Fatalf("parsing and evaluating the policy took %v, want at most 10s", d)
 		}
 	})
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,11 +12,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The golden files were taken with -update from the code of commit 1a43aa6, on a copy of it in
-// which this file's calls had the names of then.
+// The golden files were written with -update by the code of commit 1a43aa6, in a copy in which this
+// file used the function names of that commit.
 var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// compareGolden compares a text with a golden file, or writes the file.
+// compareGolden compares a text with a golden file, or writes the file with -update.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(string(want), got); d != "" {
-		t.Error(d)
+		t.Errorf("%s differs (-want +got):\n%s", path, d)
 	}
 }
 
-// settingsChanges are changes of the settings file that leave it acceptable.
-var settingsChanges = []struct{ name, from, to string }{
+// acceptedSettingsEdits are replacements in the settings file after which it is still valid.
+var acceptedSettingsEdits = []struct{ name, from, to string }{
 	{"as given", "size = 2", "size = 2"},
 	{"short lease", "report_s = 1.5\nlease_s = 10.0\ncancel_s = 40.0", "report_s = 0.5\nlease_s = 2.0\ncancel_s = 100.0"},
 	{"long lease", "report_s = 1.5\nlease_s = 10.0\ncancel_s = 40.0", "report_s = 3.0\nlease_s = 45.0\ncancel_s = 75.0"},
@@ -51,37 +51,37 @@
 	{"no teams with limits", "cpus_max = 20.0\ngpus = 2.0\ngpus_max = 4.0", "gpus = 2.0"},
 }
 
-// What accepted settings are read as, in the names of the file, and the times and limits that are
-// derived from them.
+// TestGoldenSettings compares the parsed values of valid settings, under their names in the file, and
+// the times and limits derived from them.
 func TestGoldenSettings(t *testing.T) {
 	valid, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	for _, x := range settingsChanges {
-		if !strings.Contains(string(valid), x.from) {
-			t.Fatalf("%s: the file does not have %q", x.name, x.from)
+	for _, edit := range acceptedSettingsEdits {
+		if !strings.Contains(string(valid), edit.from) {
+			t.Fatalf("%s: the settings file does not contain %q", edit.name, edit.from)
 		}
-		s, err := Parse([]byte(strings.Replace(string(valid), x.from, x.to, 1)))
+		s, err := Parse([]byte(strings.Replace(string(valid), edit.from, edit.to, 1)))
 		if err != nil {
-			t.Fatalf("%s: %v", x.name, err)
+			t.Fatalf("%s: Parse returned %v, want no error", edit.name, err)
 		}
-		form, err := toml.Marshal(s)
+		encoded, err := toml.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "=== %s\n%s--- derived\n%s\n", x.name, form, derived(s))
+		fmt.Fprintf(&got, "=== %s\n%s--- derived\n%s\n", edit.name, encoded, describeDerivedValues(s))
 	}
 	compareGolden(t, "settings.golden", got.String())
 }
 
-// derived returns what is derived from settings, one value a line.
-func derived(s *Settings) string {
+// describeDerivedValues returns the values derived from settings, one a line.
+func describeDerivedValues(s *Settings) string {
 	_, known := s.Team("b")
 	_, unknown := s.Team("c")
 	var out strings.Builder
-	for _, x := range []struct {
+	for _, entry := range []struct {
 		name  string
 		value any
 	}{
@@ -102,13 +102,13 @@
 		{"teams with limits", s.HasTeamLimits()},
 		{"known and unknown team", []bool{known, unknown}},
 	} {
-		fmt.Fprintf(&out, "%s: %v\n", x.name, x.value)
+		fmt.Fprintf(&out, "%s: %v\n", entry.name, entry.value)
 	}
 	return out.String()
 }
 
-// policies are policy files that are accepted.
-var policies = []struct{ name, file string }{
+// acceptedPolicies are valid policy files.
+var acceptedPolicies = []struct{ name, file string }{
 	{"built in", ""},
 	{"numbers", "weight = \"job.age - job.slack + job.tasks * (job.gpus + job.cpus)\"\nidle_s = \"spot ? 5 : startup * price\"\n"},
 	{"conditions", "weight = \"job.class == 'a' && job.team == 'b' && job.kind == 'sweep' && job.guaranteed ? 1 : 2\"\n" +
@@ -122,7 +122,8 @@
 		"idle_s = \"[1][startup > 3 ? 5 : 0]\"\n"},
 }
 
-// What accepted policies decide for some jobs and machines, and which earlier names they use.
+// TestGoldenPolicy compares the results of valid policies for some jobs and machines, and the deprecated
+// names that they use.
 func TestGoldenPolicy(t *testing.T) {
 	jobs := []JobVariables{
 		{},
@@ -130,12 +131,12 @@
 		{Class: "c", Team: "b", Kind: "daemon", Priority: 3, Age: 700, Slack: 1e9, Tasks: 1, CPUs: 0.5},
 	}
 	var got strings.Builder
-	for _, x := range policies {
-		p, err := ParsePolicy([]byte(x.file))
+	for _, tt := range acceptedPolicies {
+		p, err := ParsePolicy([]byte(tt.file))
 		if err != nil {
-			t.Fatalf("%s: %v", x.name, err)
+			t.Fatalf("%s: ParsePolicy returned %v, want no error", tt.name, err)
 		}
-		fmt.Fprintf(&got, "=== %s\nearlier names %v, restricts preemption %t\n", x.name, p.DeprecatedNames(), p.RestrictsPreemption())
+		fmt.Fprintf(&got, "=== %s\nearlier names %v, restricts preemption %t\n", tt.name, p.DeprecatedNames(), p.RestrictsPreemption())
 		for i, job := range jobs {
 			fmt.Fprintf(&got, "job %d: weight %g, headroom %g", i, p.Weight(job), p.Headroom(job, 2.5, 40, 45))
 			for k, victim := range jobs {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,46 +1,46 @@
 package config
 
-// The least that the service can work under: the longest step that can't be split (a placement
-// with its shard's capacity record and its team's) takes 4 changes, and a submission of
-// ordinary length has to fit a value.
+// Lowest limits of the state service under which this service works. The largest step that must be
+// atomic (a placement together with the capacity record of its shard and the quota record of its
+// team) takes 4 writes, and a submission of ordinary length has to fit in one value.
 const (
 	minTxnOps  = 4
 	minValueKB = 1
 )
 
-// The least that a controller of any deployment takes: its program and an empty replica, and
-// some connections of each kind.
+// Lowest limits of a controller's machine in any deployment: memory for the program and an empty
+// replica, and sockets for some connections of each kind.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
-	// socketsPerMember are those that another controller takes: a sixteenth of the sockets
-	// serves the other controllers' connections.
+	// socketsPerMember is the number of sockets required for each other controller: a sixteenth
+	// of the sockets is reserved for connections of the other controllers.
 	socketsPerMember = 16
 )
 
 const (
 	bytesPerMB = 1 << 20
-	// memoryShare is the share of the memory limit that the collector aims at: the limit counts
-	// the whole process, stacks and buffers included.
+	// memoryShare is the fraction of the machine's memory limit that the garbage collector may
+	// use. The machine's limit applies to the whole process, including stacks and buffers.
 	memoryShare = 0.7
-	// maxMemoryTarget is beyond any machine, and below what a conversion can't hold.
+	// maxMemoryTarget caps the memory target. It exceeds the memory of any machine and is small
+	// enough that the conversion to an integer can't overflow.
 	maxMemoryTarget = 1 << 40
 )
 
-// Processors returns how many processors the process uses at once: the cores that the settings
-// name, rounded, but at least one and at most those there are.
+// Processors returns how many processors the process may use at once: the configured number of
+// cores, rounded, but at least one and at most the available ones.
 func (s *Settings) Processors(available int) int {
 	return max(1, int(min(s.Facts.Limits.Cores+0.5, float64(available))))
 }
 
-// MemoryTarget returns the number of bytes below which the collector keeps the heap and all
-// else that it knows of.
+// MemoryTarget returns the memory limit of the Go runtime in bytes.
 func (s *Settings) MemoryTarget() int64 {
 	return int64(min(s.Facts.Limits.MemoryMB, maxMemoryTarget/bytesPerMB) * memoryShare * bytesPerMB)
 }
 
-// LowestLimits returns the limits that hold whatever the state service's become: the smaller of
-// today's and the coming ones. Nothing new is made larger than they allow.
+// LowestLimits returns the lower of the current and the announced limits of the state service.
+// New records and transactions stay within them, so that they remain valid when the limits change.
 func (s *Settings) LowestLimits() StateLimits {
 	lowest := s.Facts.State.StateLimits
 	if next := s.Facts.State.Next; next != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's file. Settings that are not named here are ignored.
+// Settings is the content of the platform's settings file. Other settings in the file are ignored.
 type Settings struct {
 	HostName      string   `toml:"host_name"`
 	Zone          string   `toml:"site"`
@@ -18,7 +18,7 @@
 	External      External `toml:"external"`
 	Facts         Facts    `toml:"facts"`
 
-	document map[string]any // the file as a table, for whether it names a setting at all
+	document map[string]any // the whole file as a table, to tell an unset setting from a zero
 }
 
 // Member is another controller.
@@ -28,13 +28,13 @@
 	Addr     string `toml:"addr"` // host:port of its cluster address
 }
 
-// External names the outside systems by host:port.
+// External holds the addresses (host:port) of the external systems.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Facts is what the platform says of the deployment.
+// Facts describes the deployment.
 type Facts struct {
 	Size        int           `toml:"size"` // number of controllers, this one included
 	Zones       []string      `toml:"zones"`
@@ -47,7 +47,7 @@
 	Limits      MachineLimits `toml:"machine_limits"`
 }
 
-// Team is a team with its guarantee and its limit; 0 means none.
+// Team is a team with its guaranteed resources and its limits; 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"` // guaranteed
@@ -59,19 +59,19 @@
 // Limited reports whether the team has a limit.
 func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
-// ObjectiveKind says what an objective is about. Its value is the word of the settings.
+// ObjectiveKind is what an objective measures. The value is the word used in the settings.
 type ObjectiveKind string
 
-// Kinds of objectives that the controller knows; it ignores others.
+// Supported kinds of objectives; others are ignored.
 const (
-	ObjectiveWait     ObjectiveKind = "wait"     // jobs start within the time
-	ObjectiveFinished ObjectiveKind = "finished" // jobs are done within the time
+	ObjectiveWait     ObjectiveKind = "wait"     // a share of the jobs starts within the time
+	ObjectiveFinished ObjectiveKind = "finished" // a share of the jobs is done within the time
 )
 
-// String returns the word of the settings.
+// String returns the word used in the settings.
 func (k ObjectiveKind) String() string { return string(k) }
 
-// Objective restates one aim on starting and finishing of the jobs of a class.
+// Objective is a service level objective for the start or the end of the jobs of a class.
 type Objective struct {
 	Kind    ObjectiveKind `toml:"kind"`
 	Class   string        `toml:"class"`
@@ -79,45 +79,45 @@
 	Share   float64       `toml:"share"` // of the jobs, 0 to 1
 }
 
-// WorkerTimes are the times that workers keep, in seconds.
+// WorkerTimes holds the workers' intervals and timeouts, in seconds.
 type WorkerTimes struct {
-	ReportS float64 `toml:"report_s"` // between two heartbeats
-	LeaseS  float64 `toml:"lease_s"`  // after which a worker that is not answered kills its tasks
-	CancelS float64 `toml:"cancel_s"` // within which the tasks of a cancelled job have to be gone
+	ReportS float64 `toml:"report_s"` // interval between heartbeats
+	LeaseS  float64 `toml:"lease_s"`  // a worker whose heartbeats are not answered for this long kills its tasks
+	CancelS float64 `toml:"cancel_s"` // the tasks of a cancelled job have to end within this time
 
-	GangWaitS float64 `toml:"gang_wait_s"` // for which a gang's task waits for the others
-	GangPeerS float64 `toml:"gang_peer_s"` // within which it notices that one of them has ended
+	GangWaitS float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
+	GangPeerS float64 `toml:"gang_peer_s"` // within this time it detects that another one has ended
 }
 
-// StateLimits are the limits of the state service, for all controllers together.
+// StateLimits holds the limits of the state service, shared by all controllers.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`       // requests a second
-	WriteRPS float64 `toml:"write_rps"` // changes a second
-	ValueKB  float64 `toml:"value_kb"`  // size of a value
-	TxnOps   int     `toml:"txn_ops"`   // changes in one transaction
+	WriteRPS float64 `toml:"write_rps"` // writes a second
+	ValueKB  float64 `toml:"value_kb"`  // largest size of a value in KiB
+	TxnOps   int     `toml:"txn_ops"`   // most writes in one transaction
 }
 
-// StateFacts is what the platform says of the state service.
+// StateFacts describes the state service.
 type StateFacts struct {
 	StateLimits
-	Next *StateLimits `toml:"next"` // what the limits will be from some moment on; nil: they stay
+	Next *StateLimits `toml:"next"` // announced limits that apply from a later time on; nil if none are announced
 }
 
-// CloudFacts is what the platform says of the cloud.
+// CloudFacts describes the cloud.
 type CloudFacts struct {
-	RPS      float64 `toml:"rps"`        // requests a second, for all controllers together
-	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list may lag behind
+	RPS      float64 `toml:"rps"`        // requests a second, shared by all controllers
+	ListLagS float64 `toml:"list_lag_s"` // most seconds that its list of machines may be out of date
 }
 
-// MachineLimits are the limits of the machine that a controller runs on.
+// MachineLimits holds the limits of the machine that a controller runs on.
 type MachineLimits struct {
 	Cores      float64 `toml:"cores"`
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// Load reads and checks a settings file. Its errors name the file, the field and the reason in
-// one line.
+// Load reads and checks a settings file. Errors are one line that names the file, the field and the
+// reason.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return s, nil
 }
 
-// Parse reads and checks settings. Its errors name the field and the reason in one line.
+// Parse parses and checks settings. Errors are one line that names the field and the reason.
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := toml.Unmarshal(b, &s); err != nil {
@@ -145,8 +145,8 @@
 	return &s, nil
 }
 
-// names reports whether the file has a setting at a path of tables.
-func (s *Settings) names(path ...string) bool {
+// isSet reports whether the file contains the setting at the given path of table and key names.
+func (s *Settings) isSet(path ...string) bool {
 	table := s.document
 	for i, name := range path {
 		value, ok := table[name]
@@ -161,7 +161,7 @@
 // HasTeamLimits reports whether any team has a limit.
 func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
 
-// Team finds a team by name; it reports whether there is one.
+// Team returns the team with the given name, and whether it exists.
 func (s *Settings) Team(name string) (Team, bool) {
 	for _, t := range s.Facts.Teams {
 		if t.Name == name {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -43,13 +43,14 @@
 max_sockets = 900
 `
 
+// Valid settings are accepted. Invalid ones give a one-line error that begins with the field's name.
 func TestSettings(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if team, ok := s.Team("a"); !ok || !team.Limited() {
-		t.Error("team a")
+		t.Errorf("Team(\"a\") returned %+v, %t, want a team with a limit", team, ok)
 	}
 	for field, change := range map[string][2]string{
 		"host_name":                            {`host_name = "n0"`, ``},
@@ -72,18 +73,18 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, change[0], change[1], 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("%s: Parse returned %v, want a one-line error that begins with the field", field, err)
 		}
 	}
 }
 
-// What the machine has is used within bounds, however odd the settings: no cores named is
-// one, absurdly many are those there are, and a memory limit beyond any machine is no
-// conversion's overflow.
+// The derived number of processors and memory target are within bounds for extreme settings: cores
+// left out count as one, too many as the available ones, and a huge memory limit doesn't overflow the
+// conversion to an integer.
 func TestMachineLimits(t *testing.T) {
-	for _, x := range []struct {
-		from, to string
-		cpus     int
+	for _, tt := range []struct {
+		from, to       string
+		wantProcessors int
 	}{
 		{"cores = 0.1", "cores = 0.1", 1},
 		{"cores = 0.1", "", 1},
@@ -92,24 +93,24 @@
 		{"cores = 0.1", "cores = 1e300", 8},
 		{"memory_mb = 98.0", "memory_mb = 1e300", 1},
 	} {
-		s, err := Parse([]byte(strings.Replace(validSettings, x.from, x.to, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, tt.from, tt.to, 1)))
 		if err != nil {
-			t.Errorf("%s: %v", x.to, err)
+			t.Errorf("%s: Parse returned %v, want no error", tt.to, err)
 			continue
 		}
-		if got := s.Processors(8); got != x.cpus {
-			t.Errorf("%s: %d processors", x.to, got)
+		if got := s.Processors(8); got != tt.wantProcessors {
+			t.Errorf("%s: uses %d processors, want %d", tt.to, got, tt.wantProcessors)
 		}
 		if m := s.MemoryTarget(); m <= 0 || m > 1<<40 || float64(m) > s.Facts.Limits.MemoryMB*(1<<20) {
-			t.Errorf("%s: memory target %d", x.to, m)
+			t.Errorf("%s: memory target is %d, want above 0 and at most 1<<40 and the limit of %g MB", tt.to, m, s.Facts.Limits.MemoryMB)
 		}
 	}
 }
 
-// Coming limits are checked like today's. What they don't name stays, and nothing is
-// made larger than both allow.
+// Announced limits are checked like the current ones. A limit that they leave out keeps its current
+// value, and the lowest limits are the lower of both.
 func TestNextLimits(t *testing.T) {
-	with := func(next string) (*Settings, error) {
+	parseWithNext := func(next string) (*Settings, error) {
 		return Parse([]byte(strings.Replace(validSettings, "[facts.cloud]", "[facts.state.next]\n"+next+"\n[facts.cloud]", 1)))
 	}
 	for field, next := range map[string]string{
@@ -119,12 +120,12 @@
 		"facts.state.next.rps":       "rps = inf",
 		"not valid":                  "txn_ops = \"x\"",
 	} {
-		if _, err := with(next); err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", field, err)
+		if _, err := parseWithNext(next); err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: Parse returned %v, want a one-line error that begins with the field", field, err)
 		}
 	}
-	if _, err := with("txn_ops = 3"); err == nil {
-		t.Error("too few changes for a step that can't be divided")
+	if _, err := parseWithNext("txn_ops = 3"); err == nil {
+		t.Error("txn_ops = 3 is accepted, want an error: a placement needs 4 writes in one transaction")
 	}
 	for next, want := range map[string]StateLimits{
 		"":                               {120, 25, 4, 8},
@@ -132,18 +133,18 @@
 		"write_rps = 18.0":               {120, 18, 4, 8},
 		"value_kb = 64.0\ntxn_ops = 200": {120, 25, 4, 8},
 	} {
-		s, err := with(next)
+		s, err := parseWithNext(next)
 		if err != nil || s.LowestLimits() != want {
-			t.Errorf("%q: %v, %v", next, s, err)
+			t.Errorf("%q: Parse returned %+v, %v, want the lowest limits %+v", next, s, err, want)
 		}
 	}
 	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.Next != nil || s.LowestLimits() != (StateLimits{120, 25, 4, 8}) {
-		t.Error("no change is coming", err)
+		t.Errorf("without announced limits Parse returned %+v, %v, want no next limits and the current ones as lowest", s, err)
 	}
 }
 
-// What a leader may do without the state service ends in time for a
-// cancellation that it can't see, whatever the settings.
+// A leader that can't reach the state service doesn't read cancellations. Its grace period ends early
+// enough for the tasks of a cancelled job to end within cancel_s, for short and long leases.
 func TestLeadershipGraceLeavesTimeToCancel(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil {
@@ -153,10 +154,10 @@
 		f := &s.Facts.Workers
 		f.ReportS, f.LeaseS, f.CancelS = w[0], w[1], w[2]
 		if s.ControllerLeaseTTL() > s.WorkerLease()/3+500e6 {
-			t.Errorf("%v: hold of %v", w, s.ControllerLeaseTTL())
+			t.Errorf("%v: controller lease is %v, want at most 500ms above a third of %v", w, s.ControllerLeaseTTL(), s.WorkerLease())
 		}
 		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelS) {
-			t.Errorf("%v: grace of %v", w, g)
+			t.Errorf("%v: grace is %v, want lease, grace and worker lease together at most %v", w, g, seconds(f.CancelS))
 		}
 	}
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -2,84 +2,90 @@
 
 import "time"
 
-// clockDriftFactor widens a bound on another machine's clock: steady clocks differ by up to
-// 0.05 per cent (PROTOCOL), doubled for two of them, doubled again.
+// clockDriftFactor widens an upper bound on a duration that another machine measures. By PROTOCOL a
+// monotonic clock drifts by up to 0.05 per cent; that is doubled for two clocks, and doubled again
+// as a safety margin.
 const clockDriftFactor = 1.002
 
-// minControllerLease is the shortest lease of a controller, whatever the heartbeat interval.
+// minControllerLease is a lower bound on the lease of a controller.
 const minControllerLease = 500 * time.Millisecond
 
-// seconds returns the duration of so many seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// WorkerLease returns how long a worker runs on after its last answered heartbeat was sent.
+// WorkerLease returns how long a worker keeps its tasks running after it sent the last heartbeat
+// that was answered.
 func (s *Settings) WorkerLease() time.Duration { return seconds(s.Facts.Workers.LeaseS) }
 
 // HeartbeatInterval returns how often a worker sends a heartbeat.
 func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Facts.Workers.ReportS) }
 
-// WorkerLeaseBound returns when a worker's tasks are surely dead, counted on our clock from the
-// last answer that it can have accepted.
+// WorkerLeaseBound returns the time after which a worker's tasks have certainly ended. It is measured
+// on this controller's clock, from the last response that the worker can have accepted.
 func (s *Settings) WorkerLeaseBound() time.Duration {
 	return time.Duration(float64(s.WorkerLease())*clockDriftFactor) + s.HeartbeatInterval()/8
 }
 
-// GangGatherTimeout returns how long a task of a gang waits on its machine for the others.
+// GangGatherTimeout returns how long a started task of a gang waits for the other tasks to start.
 func (s *Settings) GangGatherTimeout() time.Duration { return seconds(s.Facts.Workers.GangWaitS) }
 
-// GangPeerTimeout returns how soon tasks of a gang notice that one of them has ended, and within
-// what time all have to be told to stop for their progress to be saved.
+// GangPeerTimeout returns the time within which the tasks of a gang detect that one of them has
+// ended. The stop commands have to reach all tasks within this time for their progress to be saved.
 func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerS) }
 
-// DecisionInterval returns how long a controller lets things come together before it commits
-// again: the time of one change at its share of the write rate, but short against a heartbeat
-// interval.
+// DecisionInterval returns how long a controller collects events before its next commit: the time
+// that one write takes at its share of the write rate, but at most a twelfth of a heartbeat interval.
 func (s *Settings) DecisionInterval() time.Duration {
 	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
 }
 
-// CloudCallsPerRound is how many calls of the cloud one round of scaling takes of each kind as a rule.
+// CloudCallsPerRound is the usual number of cloud API calls of each kind in one autoscaler run.
 const CloudCallsPerRound = 2
 
-// AutoscaleInterval returns the time between two rounds of scaling: a few calls of this
-// controller's share of the cloud's rate, and short against a heartbeat interval.
+// AutoscaleInterval returns the time between two autoscaler runs: the time that CloudCallsPerRound
+// calls take at this controller's share of the cloud's rate limit, but at most a third of a heartbeat
+// interval.
 func (s *Settings) AutoscaleInterval() time.Duration {
 	share := s.Facts.Cloud.RPS / float64(s.Facts.Size)
 	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRound/share))
 }
 
-// ReadInterval returns how far apart reads for users' questions are at least: about a quarter of
-// this controller's share of the request rate.
+// ReadInterval returns the minimum interval between two reads of the state service on behalf of user
+// queries. These reads take at most about a quarter of this controller's share of the request rate.
 func (s *Settings) ReadInterval() time.Duration {
 	return seconds(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
 }
 
-// ControllerLeaseTTL returns the time to live of a controller's lease: two heartbeat intervals,
-// so that others take over before the workers' leases run out.
+// ControllerLeaseTTL returns the time to live of a controller's lease: two heartbeat intervals, but at
+// most a third of a worker's lease, so that other controllers take over its shards before the
+// workers' leases expire.
 func (s *Settings) ControllerLeaseTTL() time.Duration {
 	return max(min(2*s.HeartbeatInterval(), s.WorkerLease()/3), minControllerLease)
 }
 
-// LeadershipGrace returns how long after its lease may have ended a leader still answers
-// heartbeats when it can't reach the store. A cancellation that it can't see must end within
-// cancel_s even so: lease, grace and the workers' lease together stay below that.
+// LeadershipGrace returns how long a leader that can't reach the state service may answer heartbeats
+// after its lease may have expired. Meanwhile it can't read cancellations, and a cancelled job's tasks
+// must still end within cancel_s: the controller's lease, the grace period and the workers' lease
+// together stay below cancel_s.
 func (s *Settings) LeadershipGrace() time.Duration {
 	return max(0, min(2*s.WorkerLease(), s.cancelMargin()-s.ControllerLeaseTTL()))
 }
 
-// MaxStaleness returns how long after it last read the changes a leader may answer heartbeats: a
-// cancellation committed since then is not known to it, and its tasks must be gone within
-// cancel_s.
+// MaxStaleness returns how long a leader may answer heartbeats after it last read the changes of the
+// state service. It has not read a cancellation committed since then, and the cancelled job's tasks
+// must end within cancel_s.
 func (s *Settings) MaxStaleness() time.Duration {
 	return max(s.ControllerLeaseTTL(), s.cancelMargin())
 }
 
-// ConfirmsCancelWhenEmpty reports whether a cancellation is confirmed only when the last task of
-// the job is off its machine. It has to be where cancel_s leaves a leader less time besides a
-// worker's lease than it needs to renew its own: no answer of it would be safe then.
+// ConfirmsCancelWhenEmpty reports whether a cancellation is confirmed to the user only after the last
+// task of the job has left its machine. This is necessary if cancel_s minus a worker's lease is
+// shorter than the controller's lease: then no heartbeat response of a leader that has not read the
+// cancellation would be safe.
 func (s *Settings) ConfirmsCancelWhenEmpty() bool { return s.cancelMargin() < s.ControllerLeaseTTL() }
 
-// cancelMargin returns what cancel_s leaves besides a worker's lease; it may be below zero.
+// cancelMargin returns cancel_s minus the bound on a worker's lease and a quarter of a heartbeat
+// interval. It may be negative.
 func (s *Settings) cancelMargin() time.Duration {
 	return seconds(s.Facts.Workers.CancelS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
 }
--- a/internal/config/variables.go
+++ b/internal/config/variables.go
@@ -6,52 +6,52 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// JobVariables is what an expression knows of a job.
+// JobVariables holds the variables of a job that expressions can use.
 type JobVariables struct {
 	Class      string  `expr:"class"`
 	Team       string  `expr:"team"`
 	Kind       string  `expr:"kind"`       // as submitted: "sweep", "daemon" or "ensemble"
 	Priority   int     `expr:"priority"`   // 0 is production, 3 is idle
-	Guaranteed bool    `expr:"guaranteed"` // it fits its team's guarantee
-	Age        float64 `expr:"age"`        // seconds since it was accepted
-	Slack      float64 `expr:"slack"`      // seconds it can wait and still meet its deadline; a large number without one
+	Guaranteed bool    `expr:"guaranteed"` // the job fits its team's guarantee
+	Age        float64 `expr:"age"`        // seconds since the job was accepted
+	Slack      float64 `expr:"slack"`      // seconds that the job can wait and still meet its deadline; a large number if it has none
 	Tasks      int     `expr:"tasks"`
 	GPUs       float64 `expr:"gpus"` // of one task
 	CPUs       float64 `expr:"cpus"` // of one task
 }
 
-// weightVariables is what the expression weight knows.
+// weightVariables holds the variables of the weight expression.
 type weightVariables struct {
 	Job JobVariables `expr:"job"`
 }
 
-// preemptVariables is what the expression preempt knows.
+// preemptVariables holds the variables of the preempt expression.
 type preemptVariables struct {
 	Job    JobVariables `expr:"job"`
 	Victim JobVariables `expr:"victim"`
-	Lost   float64      `expr:"lost"` // seconds of the victim's work that stopping it loses
+	Lost   float64      `expr:"lost"` // seconds of the victim's work that the preemption loses
 }
 
-// headroomVariables is what the expression headroom knows.
+// headroomVariables holds the variables of the headroom expression.
 type headroomVariables struct {
-	Job       JobVariables `expr:"job"`       // the class's latest job
-	Deviation float64      `expr:"deviation"` // by how many tasks the class's arrivals during a boot fluctuate
-	Startup   float64      `expr:"startup"`   // seconds that a machine boots
+	Job       JobVariables `expr:"job"`       // the latest job of the class
+	Deviation float64      `expr:"deviation"` // fluctuation, in tasks, of the class's arrivals during a boot
+	Startup   float64      `expr:"startup"`   // boot time of a machine in seconds
 	Slack     float64      `expr:"slack"`     // seconds that jobs of the class can wait
 }
 
-// idleVariables is what the expression idle_s knows.
+// idleVariables holds the variables of the idle_s expression.
 type idleVariables struct {
-	Startup float64 `expr:"startup"` // seconds that a machine boots
-	Price   float64 `expr:"price"`   // an hour
+	Startup float64 `expr:"startup"` // boot time of the machine in seconds
+	Price   float64 `expr:"price"`   // price an hour
 	Spot    bool    `expr:"spot"`
 }
 
-// DeprecatedName is a variable that a policy names as it was called earlier.
+// DeprecatedName is a deprecated variable name that a policy uses, and the current name.
 type DeprecatedName struct{ Old, New string }
 
-// renamedVariables maps what variables were called earlier to what they are called now.
-var renamedVariables = map[string]string{
+// currentVariableNames maps deprecated variable names to the current ones.
+var currentVariableNames = map[string]string{
 	"lane":    "class",
 	"owner":   "team",
 	"shape":   "kind",
@@ -60,32 +60,32 @@
 	"loaners": "spot",
 }
 
-// variableRenamer replaces earlier names of variables in an expression by those of now, and
-// collects the ones that it found, each once.
+// variableRenamer replaces deprecated variable names in an expression with the current ones. It
+// appends each deprecated name that it finds to deprecated, once.
 type variableRenamer struct {
-	found *[]DeprecatedName
+	deprecated *[]DeprecatedName
 }
 
 // Visit implements ast.Visitor.
 func (v *variableRenamer) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.IdentifierNode:
-		n.Value = v.current(n.Value)
+		n.Value = v.currentName(n.Value)
 	case *ast.MemberNode:
 		if property, ok := n.Property.(*ast.StringNode); ok {
-			property.Value = v.current(property.Value)
+			property.Value = v.currentName(property.Value)
 		}
 	}
 }
 
-// current returns what a variable is called now.
-func (v *variableRenamer) current(name string) string {
-	now, deprecated := renamedVariables[name]
+// currentName returns the current name of a variable and records name if it is deprecated.
+func (v *variableRenamer) currentName(name string) string {
+	newName, deprecated := currentVariableNames[name]
 	if !deprecated {
 		return name
 	}
-	if entry := (DeprecatedName{Old: name, New: now}); !slices.Contains(*v.found, entry) {
-		*v.found = append(*v.found, entry)
+	if entry := (DeprecatedName{Old: name, New: newName}); !slices.Contains(*v.deprecated, entry) {
+		*v.deprecated = append(*v.deprecated, entry)
 	}
-	return now
+	return newName
 }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,9 +1,10 @@
-// Package features reads the file that switches new behaviour on. What it leaves out stays off,
-// or at its documented default. What it names and nobody knows is refused, unlike in the
-// settings: the operators write this file, and a switch that is misspelt would do nothing.
+// Package features reads the features file, which enables new behaviour. A feature that the file
+// does not enable stays off, and a setting that it leaves out keeps its documented default. Unlike
+// in the settings file, unknown settings are an error: operators write this file, and a misspelt
+// switch would have no effect.
 //
-// The file is read once, at the start; Features are never changed afterwards, so any goroutine
-// may use them without a lock. Load refuses a file with one line that names the file, the
+// The file is read once at startup. Features is immutable afterwards, so any goroutine may use it
+// without a lock. For an invalid file, Load returns a one-line error that names the file, the
 // setting and the reason.
 package features
 
@@ -18,31 +19,31 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ZoneRecoveryName is the name of ZoneRecovery in the file, and how controllers tell each other
-// that they have it on.
+// ZoneRecoveryName is the name of the zone recovery feature, in the features file and in the records
+// by which controllers announce their enabled features to each other.
 const ZoneRecoveryName = "zone_recovery"
 
-// ZoneRecovery makes production work run again first when a zone returns. Shares are from 0 to 1,
-// and times are in leases of the workers.
+// ZoneRecovery configures the recovery of a zone, in which production tasks are restarted first.
+// Shares are from 0 to 1, and times are multiples of the workers' lease.
 type ZoneRecovery struct {
 	Enabled       bool    `toml:"enabled"`
-	SuspectShare  float64 `toml:"suspect_share"`  // of a zone's machines lost: it is suspected
-	DownShare     float64 `toml:"down_share"`     // of them lost: it is down, once confirmed
-	Confirm       float64 `toml:"confirm"`        // time for which that has to last
-	FirstShare    float64 `toml:"first_share"`    // of the zone that work of lower priority may take when it returns
-	LeastShare    float64 `toml:"least_share"`    // the same after failures in a row, each of which halves it
-	DoubleEvery   float64 `toml:"double_every"`   // time after which the share doubles
-	ProgressAfter float64 `toml:"progress_after"` // time after which some machines are reserved no longer
-	ProgressShare float64 `toml:"progress_share"` // of the zone's machines, for which that holds
-	Longest       float64 `toml:"longest"`        // time that a state lasts at most
+	SuspectShare  float64 `toml:"suspect_share"`  // a zone that lost this share of its machines is suspected
+	DownShare     float64 `toml:"down_share"`     // a zone that lost this share is down, once confirmed
+	Confirm       float64 `toml:"confirm"`        // how long the loss has to last to be confirmed
+	FirstShare    float64 `toml:"first_share"`    // share of a returned zone that work below production may use at first
+	LeastShare    float64 `toml:"least_share"`    // lower bound of that share; each failure in a row halves it
+	DoubleEvery   float64 `toml:"double_every"`   // time after which that share doubles
+	ProgressAfter float64 `toml:"progress_after"` // time after which some machines are no longer reserved
+	ProgressShare float64 `toml:"progress_share"` // share of the zone's machines to which that applies
+	Longest       float64 `toml:"longest"`        // longest time in the down or recovering state
 }
 
-// Features is what is switched on.
+// Features holds the features and their settings.
 type Features struct {
 	ZoneRecovery ZoneRecovery `toml:"zone_recovery"`
 }
 
-// Default returns all features off, with the settings that hold where a file names none.
+// Default returns the features with all of them off and with the default settings.
 func Default() *Features {
 	return &Features{ZoneRecovery: ZoneRecovery{
 		SuspectShare:  0.25,
@@ -57,7 +58,7 @@
 	}}
 }
 
-// Names lists the features that are switched on.
+// Names returns the names of the enabled features.
 func (f *Features) Names() []string {
 	if f.ZoneRecovery.Enabled {
 		return []string{ZoneRecoveryName}
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// Load reads and checks a file; without one all is off. Its errors name file, field and
-// reason in one line.
+// Load reads and checks a features file. An empty path leaves all features off. Errors are one line
+// that names the file, the setting and the reason.
 func Load(path string) (*Features, error) {
 	if path == "" {
 		return Default(), nil
@@ -82,12 +83,12 @@
 	return f, nil
 }
 
-// Parse reads and checks features. Its errors name the setting and the reason in one line.
+// Parse parses and checks features. Errors are one line that names the setting and the reason.
 func Parse(raw []byte) (*Features, error) {
 	f := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := decoder.Decode(f); err != nil {
-		return nil, describe(err)
+		return nil, singleLineError(err)
 	}
 	if err := f.ZoneRecovery.check(); err != nil {
 		return nil, err
@@ -95,8 +96,8 @@
 	return f, nil
 }
 
-// describe puts an error of the decoder into one line.
-func describe(err error) error {
+// singleLineError converts an error of the decoder to one line.
+func singleLineError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		return fmt.Errorf("%s: no such setting", strings.Join(strict.Errors[0].Key(), "."))
@@ -109,22 +110,22 @@
 	return fmt.Errorf("not valid: %w", err)
 }
 
-// SettingError says what is wrong with one setting.
+// SettingError reports an invalid setting.
 type SettingError struct {
-	Setting string // its path, as in "zone_recovery.confirm"
+	Setting string // path of the setting, as in "zone_recovery.confirm"
 	Reason  string
 }
 
-// Error implements error; it is one line.
+// Error implements error. The text is one line.
 func (e *SettingError) Error() string { return e.Setting + ": " + e.Reason }
 
-// check returns the first setting that is out of range.
+// check returns an error for the first setting that is out of range or contradicts another.
 func (z *ZoneRecovery) check() error {
 	const share, unbounded = 1, math.MaxFloat64
-	for _, x := range []struct {
-		name    string
-		value   float64
-		largest float64 // it has to be above 0 and at most this
+	for _, setting := range []struct {
+		name  string
+		value float64
+		max   float64 // the value must be above 0 and at most this
 	}{
 		{"suspect_share", z.SuspectShare, share},
 		{"down_share", z.DownShare, share},
@@ -136,22 +137,22 @@
 		{"progress_share", z.ProgressShare, share},
 		{"longest", z.Longest, unbounded},
 	} {
-		if !(x.value > 0 && x.value <= x.largest) { // in this form NaN is refused too
-			return refuse(x.name, fmt.Sprintf("%g is out of range", x.value))
+		if !(setting.value > 0 && setting.value <= setting.max) { // written so that NaN is rejected too
+			return newSettingError(setting.name, fmt.Sprintf("%g is out of range", setting.value))
 		}
 	}
 	switch {
 	case z.SuspectShare > z.DownShare:
-		return refuse("suspect_share", "more than down_share")
+		return newSettingError("suspect_share", "more than down_share")
 	case z.LeastShare > z.FirstShare:
-		return refuse("least_share", "more than first_share")
+		return newSettingError("least_share", "more than first_share")
 	case z.ProgressAfter > z.Longest:
-		return refuse("progress_after", "more than longest")
+		return newSettingError("progress_after", "more than longest")
 	}
 	return nil
 }
 
-// refuse returns the error of a setting of zone recovery.
-func refuse(name, reason string) error {
+// newSettingError returns a SettingError of a zone recovery setting.
+func newSettingError(name, reason string) error {
 	return &SettingError{Setting: ZoneRecoveryName + "." + name, Reason: reason}
 }
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Every mistake gives one line that names the setting, and a file that names little
-// leaves the rest as documented.
+// An invalid file gives a one-line error that names the setting. Settings that a file leaves out keep
+// their documented defaults.
 func TestParse(t *testing.T) {
-	for _, x := range []struct{ file, wrong string }{
+	for _, tt := range []struct{ file, wantError string }{
 		{"", ""},
 		{"[zone_recovery]\nenabled = true", ""},
 		{"[zone_recovery]\nenabled = true\nlongest = 12", ""},
@@ -25,31 +25,31 @@
 		{"[zone_recovery]\nprogress_after = 5", "progress_after: more than longest"},
 		{"[zone_recovery", "line 1"},
 	} {
-		f, err := Parse([]byte(x.file))
+		f, err := Parse([]byte(tt.file))
 		switch {
-		case x.wrong == "" && err != nil, x.wrong != "" && (err == nil || !strings.Contains(err.Error(), x.wrong)):
-			t.Errorf("%q: %v, not %q", x.file, err, x.wrong)
+		case tt.wantError == "" && err != nil, tt.wantError != "" && (err == nil || !strings.Contains(err.Error(), tt.wantError)):
+			t.Errorf("%q: Parse returned %v, want an error with %q (none if that is empty)", tt.file, err, tt.wantError)
 		case err != nil && strings.Contains(err.Error(), "\n"):
-			t.Errorf("%q: more than one line: %v", x.file, err)
+			t.Errorf("%q: the error has more than one line: %v", tt.file, err)
 		case err == nil && f.ZoneRecovery.SuspectShare != Default().ZoneRecovery.SuspectShare:
-			t.Errorf("%q: suspect_share is %g", x.file, f.ZoneRecovery.SuspectShare)
+			t.Errorf("%q: suspect_share is %g, want %g", tt.file, f.ZoneRecovery.SuspectShare, Default().ZoneRecovery.SuspectShare)
 		}
 	}
 }
 
-// No file is no features; a file that is not there is an error, not none.
+// An empty path leaves all features off. A path of a file that does not exist is an error.
 func TestLoad(t *testing.T) {
 	if f, err := Load(""); err != nil || f.Names() != nil {
-		t.Error(f, err)
+		t.Errorf("Load(\"\") returned %+v, %v, want all features off", f, err)
 	}
 	path := filepath.Join(t.TempDir(), "features.toml")
 	if _, err := Load(path); err == nil {
-		t.Error("a file that is not there is taken for none")
+		t.Error("Load returned no error for a file that does not exist")
 	}
 	if err := os.WriteFile(path, []byte("[zone_recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if f, err := Load(path); err != nil || len(f.Names()) != 1 || f.Names()[0] != ZoneRecoveryName {
-		t.Error(f, err)
+		t.Errorf("Load returned %+v, %v, want only %s enabled", f, err, ZoneRecoveryName)
 	}
 }
--- a/internal/features/fuzz_test.go
+++ b/internal/features/fuzz_test.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Whatever the file, it is refused in one line, or what it is read as passes the check again.
+// FuzzParse checks that any features file is either rejected with a one-line error, or that the parsed
+// features can be encoded and parsed again without a difference.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(""))
 	f.Add([]byte("[zone_recovery]\nenabled = true\nlongest = 12"))
@@ -19,17 +20,17 @@
 		features, err := Parse(b)
 		if err != nil {
 			if features != nil || err.Error() == "" || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("%+v, %q", features, err)
+				t.Fatalf("Parse returned %+v, %q, want no features and one line that is not empty", features, err)
 			}
 			return
 		}
-		form, err := toml.Marshal(features)
+		encoded, err := toml.Marshal(features)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse(form)
-		if d := cmp.Diff(features, again); d != "" || err != nil {
-			t.Fatalf("%v\n%s", err, d)
+		decoded, err := Parse(encoded)
+		if d := cmp.Diff(features, decoded); d != "" || err != nil {
+			t.Fatalf("parsing the encoded features returned %v, difference:\n%s", err, d)
 		}
 	})
 }
--- a/internal/features/golden_test.go
+++ b/internal/features/golden_test.go
@@ -12,13 +12,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The golden file was taken with -update from the code of commit 1a43aa6.
+// The golden file was written with -update by the code of commit 1a43aa6.
 var updateGolden = flag.Bool("update", false, "write the golden file instead of comparing with it")
 
-// What accepted files are read as, in the names of the file.
+// TestGoldenFeatures compares the parsed values of valid files, under their names in the file.
 func TestGoldenFeatures(t *testing.T) {
 	var got strings.Builder
-	for _, x := range []struct{ name, file string }{
+	for _, tt := range []struct{ name, file string }{
 		{"empty", ""},
 		{"switched on", "[zone_recovery]\nenabled = true"},
 		{"switched off, with a setting", "[zone_recovery]\nenabled = false\nconfirm = 0.75"},
@@ -34,15 +34,15 @@
 progress_share = 0.25
 longest = 8.0`},
 	} {
-		f, err := Parse([]byte(x.file))
+		f, err := Parse([]byte(tt.file))
 		if err != nil {
-			t.Fatalf("%s: %v", x.name, err)
+			t.Fatalf("%s: Parse returned %v, want no error", tt.name, err)
 		}
-		form, err := toml.Marshal(f)
+		encoded, err := toml.Marshal(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "=== %s\nnames %v\n%s\n", x.name, f.Names(), form)
+		fmt.Fprintf(&got, "=== %s\nnames %v\n%s\n", tt.name, f.Names(), encoded)
 	}
 	path := filepath.Join("testdata", "features.golden")
 	if *updateGolden {
@@ -55,6 +55,6 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(string(want), got.String()); d != "" {
-		t.Error(d)
+		t.Errorf("%s differs (-want +got):\n%s", path, d)
 	}
 }
--- a/internal/golden/coverage_test.go
+++ b/internal/golden/coverage_test.go
@@ -16,89 +16,90 @@
 	"violetturn/internal/peer"
 )
 
-// formPackages are the packages whose exported types with JSON names are records or messages.
-var formPackages = []string{"api", "cloud", "job", "shard", "store", "zonehealth"}
+// encodedPackages are the packages whose exported types with JSON tags are records or messages.
+var encodedPackages = []string{"api", "cloud", "job", "shard", "store", "zonehealth"}
 
-// typeName is the name of a type as package.Type.
+// typeName is the name of a type in the form package.Type.
 type typeName string
 
-// fieldUse tells for each struct type that occurs in golden values, and each of its fields,
-// whether the field is set in one of them.
-type fieldUse map[typeName]map[string]bool
+// fieldCoverage records, for each field of each struct type that occurs in golden values, whether at
+// least one golden value sets it.
+type fieldCoverage map[typeName]map[string]bool
 
-// add takes in a value and all that it holds.
-func (u fieldUse) add(v reflect.Value) {
-	switch v.Kind() { //nolint:exhaustive // values of the other kinds hold no further values
+// recordValue records the fields set in a value and in all values that it contains.
+func (c fieldCoverage) recordValue(v reflect.Value) {
+	switch v.Kind() { //nolint:exhaustive // values of the other kinds contain no further values
 	case reflect.Pointer:
 		if !v.IsNil() {
-			u.add(v.Elem())
+			c.recordValue(v.Elem())
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			u.add(v.Index(i))
+			c.recordValue(v.Index(i))
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			u.add(v.MapIndex(key))
+			c.recordValue(v.MapIndex(key))
 		}
 	case reflect.Struct:
-		u.addStruct(v)
+		c.recordStruct(v)
 	}
 }
 
-func (u fieldUse) addStruct(v reflect.Value) {
+// recordStruct records the fields set in a struct and in the values of its fields.
+func (c fieldCoverage) recordStruct(v reflect.Value) {
 	name := typeName(path.Base(v.Type().PkgPath()) + "." + v.Type().Name())
-	if u[name] == nil {
-		u[name] = map[string]bool{}
+	if c[name] == nil {
+		c[name] = map[string]bool{}
 	}
 	for i := range v.NumField() {
 		field := v.Type().Field(i).Name
-		u[name][field] = u[name][field] || !v.Field(i).IsZero()
-		u.add(v.Field(i))
+		c[name][field] = c[name][field] || !v.Field(i).IsZero()
+		c.recordValue(v.Field(i))
 	}
 }
 
-// goldenFieldUse returns the use of fields in all golden values but the protobuf messages.
-func goldenFieldUse() fieldUse {
-	use := fieldUse{}
+// goldenFieldCoverage returns the field coverage of all golden values except the protobuf messages.
+func goldenFieldCoverage() fieldCoverage {
+	coverage := fieldCoverage{}
 	for _, g := range append(records(), variants()...) {
 		if _, isMessage := g.value.(proto.Message); !isMessage {
-			use.add(reflect.ValueOf(g.value))
+			coverage.recordValue(reflect.ValueOf(g.value))
 		}
 	}
-	return use
+	return coverage
 }
 
-// Every field of every record and message is set in a golden value, so that its name is fixed.
-func TestEveryFieldIsFixed(t *testing.T) {
-	for name, fields := range goldenFieldUse() {
+// Every field of every record and message is set in a golden value, so that the golden files contain
+// its encoded name.
+func TestEveryFieldHasGoldenValue(t *testing.T) {
+	for name, fields := range goldenFieldCoverage() {
 		for field, set := range fields {
 			if !set {
-				t.Errorf("no golden value sets %s.%s", name, field)
+				t.Errorf("no golden value sets the field %s.%s, want at least one", name, field)
 			}
 		}
 	}
 }
 
-// Every exported type of the packages of records and messages that has JSON names occurs in a
-// golden value.
-func TestEveryTypeIsFixed(t *testing.T) {
-	use := goldenFieldUse()
-	for _, dir := range formPackages {
-		names := recordedTypes(t, dir)
+// Every exported type with JSON tags in the packages of records and messages occurs in a golden value.
+func TestEveryTypeHasGoldenValue(t *testing.T) {
+	coverage := goldenFieldCoverage()
+	for _, dir := range encodedPackages {
+		names := typesWithJSONTags(t, dir)
 		if len(names) == 0 {
-			t.Errorf("package %s has no recorded types", dir)
+			t.Errorf("package %s has no exported types with JSON tags, want at least one", dir)
 		}
 		for _, name := range names {
-			if use[name] == nil {
-				t.Errorf("no golden value has a %s", name)
+			if coverage[name] == nil {
+				t.Errorf("no golden value contains a %s, want at least one", name)
 			}
 		}
 	}
 }
 
-// recordedTypes returns the exported struct types of a package that have JSON names.
-func recordedTypes(t *testing.T, dir string) []typeName {
+// typesWithJSONTags returns the exported struct types of a package that have JSON tags.
+func typesWithJSONTags(t *testing.T, dir string) []typeName {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
 	if err != nil {
@@ -114,7 +115,7 @@
 			t.Fatal(err)
 		}
 		ast.Inspect(tree, func(n ast.Node) bool {
-			if spec, isType := n.(*ast.TypeSpec); isType && spec.Name.IsExported() && hasJSONNames(spec) {
+			if spec, isType := n.(*ast.TypeSpec); isType && spec.Name.IsExported() && hasJSONTags(spec) {
 				names = append(names, typeName(dir+"."+spec.Name.Name))
 			}
 			return true
@@ -123,8 +124,8 @@
 	return names
 }
 
-// hasJSONNames reports whether a type is a struct with JSON names.
-func hasJSONNames(spec *ast.TypeSpec) bool {
+// hasJSONTags reports whether a type is a struct with JSON tags.
+func hasJSONTags(spec *ast.TypeSpec) bool {
 	structure, isStruct := spec.Type.(*ast.StructType)
 	if !isStruct {
 		return false
@@ -137,13 +138,13 @@
 	return false
 }
 
-// Every protobuf message has a golden value that sets each of its fields.
-func TestEveryMessageIsFixed(t *testing.T) {
-	set := map[protoreflect.FullName]bool{}
+// Every field of every protobuf message is set in a golden value.
+func TestEveryMessageFieldHasGoldenValue(t *testing.T) {
+	covered := map[protoreflect.FullName]bool{}
 	var add func(m protoreflect.Message)
 	add = func(m protoreflect.Message) {
 		m.Range(func(field protoreflect.FieldDescriptor, v protoreflect.Value) bool {
-			set[field.FullName()] = true
+			covered[field.FullName()] = true
 			switch {
 			case field.IsList() && field.Message() != nil:
 				for i := range v.List().Len() {
@@ -164,8 +165,8 @@
 	for i := range messages.Len() {
 		fields := messages.Get(i).Fields()
 		for j := range fields.Len() {
-			if name := fields.Get(j).FullName(); !set[name] {
-				t.Errorf("no golden value sets %s", name)
+			if name := fields.Get(j).FullName(); !covered[name] {
+				t.Errorf("no golden value sets the field %s, want at least one", name)
 			}
 		}
 	}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,11 +1,11 @@
-// Package golden fixes the recorded and transmitted forms of all records and messages.
-// Controllers of neighbouring versions read each other's records, so a form may gain
-// fields but never lose or rename one, however the code's own names change.
+// Package golden tests that the encodings of all records and messages stay compatible.
+// Controllers of consecutive versions read each other's records. An encoding may therefore gain
+// fields but never lose or rename one, even if identifiers in the code are renamed.
 //
-// The forms are in text files, a line each, NAME: FORM. records.txt has each record and
-// message with all fields set, variants.txt those with fields left out and other cases,
-// words.txt the words of enumerations, keys.txt the keys of records in the state service. A
-// line that is there never changes; the names of lines in records.txt are older than those of
+// The expected encodings are in text files with one line each, NAME: ENCODING. records.txt has
+// each record and message with all fields set, variants.txt has values with fields left out and
+// other cases, words.txt has the values of enumerations, and keys.txt has the keys of records in the
+// state service. Existing lines must not change. Some line names in records.txt are former names of
 // the types.
 package golden
 
@@ -22,31 +22,31 @@
 	"violetturn/internal/api"
 )
 
-// golden is a value whose form a line fixes.
-type golden struct {
-	line  string
-	value any // a pointer
+// goldenValue is a value whose encoding a line of a text file defines.
+type goldenValue struct {
+	lineName string
+	value    any // a pointer
 }
 
-// readForms returns the forms of a file by the names of their lines.
-func readForms(t *testing.T, file string) map[string]string {
+// readEncodings returns the encodings of a file by line name.
+func readEncodings(t *testing.T, file string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	forms := map[string]string{}
+	encodings := map[string]string{}
 	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		if _, twice := forms[name]; twice || !found {
-			t.Errorf("%s: line %q is malformed, or there twice", file, line)
+		name, encoding, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		if _, duplicate := encodings[name]; duplicate || !found {
+			t.Errorf("%s: line %q is malformed or its name is duplicated", file, line)
 		}
-		forms[name] = form
+		encodings[name] = encoding
 	}
-	return forms
+	return encodings
 }
 
-// encode returns the recorded form, or that on the wire in hexadecimal.
+// encode returns a value's JSON encoding, or the encoding of a protobuf message in hexadecimal.
 func encode(t *testing.T, v any) string {
 	t.Helper()
 	if m, ok := v.(proto.Message); ok {
@@ -59,27 +59,27 @@
 	return string(api.JSON(v))
 }
 
-// decode reads a form into a new value of the type of like.
-func decode(t *testing.T, like any, form string) any {
+// decode decodes an encoding into a new value of the type of like.
+func decode(t *testing.T, like any, encoding string) any {
 	t.Helper()
 	out := reflect.New(reflect.TypeOf(like).Elem()).Interface()
 	if m, ok := out.(proto.Message); ok {
-		b, err := hex.DecodeString(form)
+		b, err := hex.DecodeString(encoding)
 		if err == nil {
 			err = proto.Unmarshal(b, m)
 		}
 		if err != nil {
-			t.Error(err)
+			t.Errorf("decode %s: %v", encoding, err)
 		}
 		return out
 	}
-	if err := json.Unmarshal([]byte(form), out); err != nil {
-		t.Error(err)
+	if err := json.Unmarshal([]byte(encoding), out); err != nil {
+		t.Errorf("decode %s: %v", encoding, err)
 	}
 	return out
 }
 
-// equal reports whether two values are the same.
+// equal reports whether two values are equal.
 func equal(a, b any) bool {
 	messageA, okA := a.(proto.Message)
 	messageB, okB := b.(proto.Message)
@@ -89,68 +89,68 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Every record and message has the form that a file fixes, that form is read as the same
-// value, and what is read has the form again.
-func TestForms(t *testing.T) {
-	for _, x := range []struct {
+// Every record and message is encoded as its file defines, decoding that gives an equal value, and
+// encoding the decoded value gives the same encoding again.
+func TestEncodings(t *testing.T) {
+	for _, tt := range []struct {
 		file   string
-		values []golden
+		values []goldenValue
 	}{
 		{"records.txt", records()},
 		{"variants.txt", variants()},
 	} {
-		t.Run(x.file, func(t *testing.T) {
-			forms := readForms(t, x.file)
-			if len(forms) != len(x.values) {
-				t.Errorf("%d forms are fixed, there are %d values", len(forms), len(x.values))
+		t.Run(tt.file, func(t *testing.T) {
+			encodings := readEncodings(t, tt.file)
+			if len(encodings) != len(tt.values) {
+				t.Errorf("%s has %d encodings, want one for each of %d values", tt.file, len(encodings), len(tt.values))
 			}
-			for _, g := range x.values {
-				t.Run(g.line, func(t *testing.T) { checkForm(t, g.value, forms[g.line]) })
+			for _, g := range tt.values {
+				t.Run(g.lineName, func(t *testing.T) { checkEncoding(t, g.value, encodings[g.lineName]) })
 			}
 		})
 	}
 }
 
-// checkForm checks a value against its fixed form, in both directions.
-func checkForm(t *testing.T, value any, form string) {
+// checkEncoding checks that a value has the expected encoding, and that it decodes to an equal value.
+func checkEncoding(t *testing.T, value any, encoding string) {
 	t.Helper()
-	if got := encode(t, value); got != form {
-		t.Errorf("encoded as %s\nfixed is   %s", got, form)
+	if got := encode(t, value); got != encoding {
+		t.Errorf("encoded as %s\nwant       %s", got, encoding)
 	}
-	back := decode(t, value, form)
-	if !equal(value, back) {
-		t.Errorf("read as %+v, was %+v", back, value)
+	decoded := decode(t, value, encoding)
+	if !equal(value, decoded) {
+		t.Errorf("decoded as %+v, want %+v", decoded, value)
 	}
-	if got := encode(t, back); got != form {
-		t.Errorf("what is read is encoded as %s", got)
+	if got := encode(t, decoded); got != encoding {
+		t.Errorf("decoded value is encoded as %s, want %s", got, encoding)
 	}
 }
 
-// What a later version adds to a record does not harm.
-func TestReadsLaterForms(t *testing.T) {
-	forms := readForms(t, "records.txt")
+// Fields that a later version adds to a record are ignored when decoding.
+func TestDecodeIgnoresFieldsOfLaterVersions(t *testing.T) {
+	encodings := readEncodings(t, "records.txt")
 	for _, g := range records() {
 		if _, isMessage := g.value.(proto.Message); isMessage || reflect.TypeOf(g.value).Elem().Kind() != reflect.Struct {
 			continue
 		}
-		t.Run(g.line, func(t *testing.T) {
-			later := strings.Replace(forms[g.line], "{", `{"added later":{"x":[1]},`, 1)
-			if back := decode(t, g.value, later); !equal(g.value, back) {
-				t.Errorf("read as %+v, was %+v", back, g.value)
+		t.Run(g.lineName, func(t *testing.T) {
+			laterEncoding := strings.Replace(encodings[g.lineName], "{", `{"added later":{"x":[1]},`, 1)
+			if decoded := decode(t, g.value, laterEncoding); !equal(g.value, decoded) {
+				t.Errorf("decoded as %+v, want %+v", decoded, g.value)
 			}
 		})
 	}
 }
 
-// The words of enumerations are those that the file fixes.
-func TestWords(t *testing.T) {
-	fixed := readForms(t, "words.txt")
-	if len(fixed) != len(words) {
-		t.Errorf("%d words are fixed, there are %d", len(fixed), len(words))
+// The values of enumerations are encoded as words.txt defines.
+func TestEnumWords(t *testing.T) {
+	want := readEncodings(t, "words.txt")
+	if len(want) != len(enumWords) {
+		t.Errorf("words.txt has %d words, want %d", len(want), len(enumWords))
 	}
-	for name, word := range words {
-		if got := encode(t, word); got != fixed[name] {
-			t.Errorf("%s is %s, fixed is %s", name, got, fixed[name])
+	for name, word := range enumWords {
+		if got := encode(t, word); got != want[name] {
+			t.Errorf("%s is encoded as %s, want %s", name, got, want[name])
 		}
 	}
 }
--- a/internal/golden/keys_test.go
+++ b/internal/golden/keys_test.go
@@ -9,9 +9,9 @@
 	"violetturn/internal/statecache"
 )
 
-// TestKeys checks that the keys of the state service are those that keys.txt fixes.
-func TestKeys(t *testing.T) {
-	fixed := readForms(t, "keys.txt")
+// TestStateServiceKeys checks that the keys in the state service are those of keys.txt.
+func TestStateServiceKeys(t *testing.T) {
+	want := readEncodings(t, "keys.txt")
 	keys := map[string]string{
 		"term":                        statecache.TermKey,
 		"job":                         statecache.JobKey("run-1"),
@@ -26,49 +26,50 @@
 		"zone":                        statecache.ZoneKey("x/1"),
 		"final state":                 statecache.FinalStateKey("run-1"),
 	}
-	if len(fixed) != len(keys) {
-		t.Errorf("%d keys are fixed, there are %d", len(fixed), len(keys))
+	if len(want) != len(keys) {
+		t.Errorf("keys.txt has %d keys, want %d", len(want), len(keys))
 	}
 	for name, key := range keys {
-		if key != fixed[name] {
-			t.Errorf("the key of %s is %s, fixed is %s", name, key, fixed[name])
+		if key != want[name] {
+			t.Errorf("the key of %s is %s, want %s", name, key, want[name])
 		}
 	}
 }
 
-// TestKeysAreRead checks that a record under its fixed key is taken in as what it is: the form
-// that a file fixes, read from under the key, comes back from the cache.
-func TestKeysAreRead(t *testing.T) {
-	keys, forms, variantForms := readForms(t, "keys.txt"), readForms(t, "records.txt"), readForms(t, "variants.txt")
-	for _, x := range []struct {
-		key, form string
-		read      func(c *statecache.Cache) any // a pointer
+// TestCacheAppliesRecordsUnderTheirKeys checks that the cache derives a record's type from
+// its key: a record applied under its key of keys.txt has the same encoding when read back.
+func TestCacheAppliesRecordsUnderTheirKeys(t *testing.T) {
+	keys, recordEncodings, variantEncodings :=
+		readEncodings(t, "keys.txt"), readEncodings(t, "records.txt"), readEncodings(t, "variants.txt")
+	for _, tt := range []struct {
+		key, encoding string
+		read          func(c *statecache.Cache) any // a pointer
 	}{
-		{"job", forms["job.Main inner"], func(c *statecache.Cache) any { return c.Jobs["run-1"].Record }},
-		{"task range", forms["job.Chunk"], func(c *statecache.Cache) any {
+		{"job", recordEncodings["job.Main inner"], func(c *statecache.Cache) any { return c.Jobs["run-1"].Record }},
+		{"task range", recordEncodings["job.Chunk"], func(c *statecache.Cache) any {
 			return c.TaskRanges["run-1"][statecache.RangeKey{Index: 3}].Record
 		}},
-		{"task range after two splits", forms["job.Chunk"], func(c *statecache.Cache) any {
+		{"task range after two splits", recordEncodings["job.Chunk"], func(c *statecache.Cache) any {
 			return c.TaskRanges["run-1"][statecache.RangeKey{Generation: 2, Index: 3}].Record
 		}},
-		{"capacity", forms["part.Record"], func(c *statecache.Cache) any { return c.Capacities["n0"].Record }},
-		{"leader", variantForms["shard.LeaderRecord"], func(c *statecache.Cache) any { return c.Leaders["n0"].Record }},
-		{"node", forms["part.Own"], func(c *statecache.Cache) any { return c.Nodes["n0"].Record }},
-		{"page of machines", forms["part.Machine"], func(c *statecache.Cache) any { return c.Machines["i-000012"] }},
-		{"quota", forms["part.Usage"], func(c *statecache.Cache) any { return c.Quotas[statecache.QuotaID("a/b c")].Record }},
-		{"capability", forms["part.Mark"], func(c *statecache.Cache) any { return c.Capabilities["n0"].Record }},
-		{"zone", forms["zonehealth.Record"], func(c *statecache.Cache) any { return c.Zones[statecache.ZoneID("x/1")].Record }},
+		{"capacity", recordEncodings["part.Record"], func(c *statecache.Cache) any { return c.Capacities["n0"].Record }},
+		{"leader", variantEncodings["shard.LeaderRecord"], func(c *statecache.Cache) any { return c.Leaders["n0"].Record }},
+		{"node", recordEncodings["part.Own"], func(c *statecache.Cache) any { return c.Nodes["n0"].Record }},
+		{"page of machines", recordEncodings["part.Machine"], func(c *statecache.Cache) any { return c.Machines["i-000012"] }},
+		{"quota", recordEncodings["part.Usage"], func(c *statecache.Cache) any { return c.Quotas[statecache.QuotaID("a/b c")].Record }},
+		{"capability", recordEncodings["part.Mark"], func(c *statecache.Cache) any { return c.Capabilities["n0"].Record }},
+		{"zone", recordEncodings["zonehealth.Record"], func(c *statecache.Cache) any { return c.Zones[statecache.ZoneID("x/1")].Record }},
 		{"term", "7", func(c *statecache.Cache) any { return &c.HighestTerm }},
 	} {
-		t.Run(x.key, func(t *testing.T) {
+		t.Run(tt.key, func(t *testing.T) {
 			cache := statecache.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
-			value := x.form
-			if x.key == "page of machines" {
-				value = `{"i-000012":` + x.form + `}`
+			value := tt.encoding
+			if tt.key == "page of machines" {
+				value = `{"i-000012":` + tt.encoding + `}`
 			}
-			cache.Apply(keys[x.key], json.RawMessage(value), 1)
-			if got := encode(t, x.read(cache)); got != x.form {
-				t.Errorf("read as %s, is %s", got, x.form)
+			cache.Apply(keys[tt.key], json.RawMessage(value), 1)
+			if got := encode(t, tt.read(cache)); got != tt.encoding {
+				t.Errorf("cached record is encoded as %s, want %s", got, tt.encoding)
 			}
 		})
 	}
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -16,16 +16,16 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// records returns values with every field set, one for each line in records.txt.
-func records() []golden {
+// records returns values with all fields set, one for each line of records.txt.
+func records() []goldenValue {
 	return slices.Concat(
 		apiMessages(), cloudMessages(), storeMessages(), jobRecords(), shardRecords(), zoneRecords(), peerMessages(),
 	)
 }
 
-// apiMessages are the messages of users and workers.
-func apiMessages() []golden {
-	return []golden{
+// apiMessages returns the messages exchanged with users and workers.
+func apiMessages() []goldenValue {
+	return []goldenValue{
 		{"api.Run", &api.Job{
 			UID:          "run-1",
 			Class:        "l",
@@ -72,9 +72,9 @@
 	}
 }
 
-// cloudMessages are the messages of the cloud.
-func cloudMessages() []golden {
-	return []golden{
+// cloudMessages returns the messages exchanged with the cloud.
+func cloudMessages() []goldenValue {
+	return []goldenValue{
 		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
 		{"cloud.Host", &cloud.Host{
 			UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: cloud.MachineRunning, AgeS: 1.5,
@@ -94,9 +94,9 @@
 	}
 }
 
-// storeMessages are the messages of the state service.
-func storeMessages() []golden {
-	return []golden{
+// storeMessages returns the messages exchanged with the state service.
+func storeMessages() []goldenValue {
+	return []goldenValue{
 		{"store.Txn", &store.Txn{
 			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
 			Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
@@ -106,16 +106,16 @@
 	}
 }
 
-// goldenJob returns the submission of a job within its record.
+// goldenJob returns the submitted job that a job record contains.
 func goldenJob(kind api.JobKind, tasks int) api.Job {
 	return api.Job{
 		UID: "run-1", Class: "l", Team: "o", Kind: kind, Priority: "idle", Tasks: tasks, CPUs: 1, MemGB: 4, Image: "i",
 	}
 }
 
-// jobRecords are the records of jobs.
-func jobRecords() []golden {
-	return []golden{
+// jobRecords returns the records of jobs.
+func jobRecords() []goldenValue {
+	return []goldenValue{
 		{"job.Past", &job.FinalState{Phase: api.JobDone, Done: 3}},
 		{"job.Chunk", &job.TaskRange{
 			LastAttempt: 3,
@@ -146,9 +146,9 @@
 	}
 }
 
-// shardRecords are the records of shards, machines and controllers.
-func shardRecords() []golden {
-	return []golden{
+// shardRecords returns the records of shards, machines and controllers.
+func shardRecords() []goldenValue {
+	return []goldenValue{
 		{"part.Own", &shard.NodeRecord{
 			Node:               "n0",
 			Incarnation:        5,
@@ -184,9 +184,9 @@
 	}
 }
 
-// zoneRecords are the records of zones.
-func zoneRecords() []golden {
-	return []golden{
+// zoneRecords returns the records of zones.
+func zoneRecords() []goldenValue {
+	return []goldenValue{
 		{"zonehealth.Record", &zonehealth.Record{
 			State: zonehealth.Recovering, Transitions: 7, SinceMS: 3, LastFailedMS: 2,
 			SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
@@ -200,9 +200,9 @@
 	}
 }
 
-// peerMessages are the messages between controllers.
-func peerMessages() []golden {
-	return []golden{
+// peerMessages returns the messages between controllers.
+func peerMessages() []goldenValue {
+	return []goldenValue{
 		{"peer.Request", &peer.Request{Kind: peer.Request_KIND_ACKNOWLEDGE, From: "n0", Uid: "run-1", Body: []byte("b"), Since: 9}},
 		{"peer.Reply", &peer.Reply{
 			StoreReached: true,
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -14,10 +14,9 @@
 	"violetturn/internal/zonehealth"
 )
 
-// variants returns values in other forms than records does, mostly with fields left out, one
-// for each line in variants.txt.
-func variants() []golden {
-	return []golden{
+// variants returns further values, mostly with fields left out, one for each line of variants.txt.
+func variants() []goldenValue {
+	return []goldenValue{
 		{"api.Job of any machine", &api.Job{
 			UID: "run-1", Class: "l", Team: "o", Kind: api.Service, Priority: "standard", Tasks: 1, Image: "i",
 		}},
@@ -60,8 +59,8 @@
 	}
 }
 
-// words are the words of enumerations in records and messages, one for each line in words.txt.
-var words = map[string]any{
+// enumWords holds the values of enumerations in records and messages, one for each line of words.txt.
+var enumWords = map[string]any{
 	"job kind array":             api.Array,
 	"job kind service":           api.Service,
 	"job kind gang":              api.Gang,
--- a/tools/known_red_test.go
+++ b/tools/known_red_test.go
@@ -18,7 +18,7 @@
 	tests := []struct{ name, list, want string }{
 		{"one", ok, "TestKnownRedList"},
 		{"one without a line end", strings.TrimSuffix(ok, "\n"), "TestKnownRedList"},
-		{"three", strings.Repeat(ok, 3), "TestKnownRedList\nTestKnownRedList\nTestKnownRedList"},
+		{"three", strings.Repeat(ok, 3), strings.TrimSpace(strings.Repeat("TestKnownRedList\n", 3))},
 		{"four", strings.Repeat(ok, 4), ""},
 		{"no issue", "TestKnownRedList; " + command + "; an example\n", ""},
 		{"empty name", "; " + command + "; an example; issue 1\n", ""},
@@ -49,7 +49,7 @@
 
 // A rejected list is reported with a message that names the list.
 func TestKnownRedListErrorsNameTheList(t *testing.T) {
-	for _, list := range []string{"a\na\na\na\n", "TestKnownRedList; a; b\n", "TestThatNobodyWrote; a; b; issue 1\n"} {
+	for _, list := range []string{strings.Repeat("a\n", 4), "TestKnownRedList; a; b\n", "TestThatNobodyWrote; a; b; issue 1\n"} {
 		path := filepath.Join(t.TempDir(), "list")
 		writeFile(t, path, list)
 		out, err := exec.CommandContext(t.Context(), "bash", "../test.sh", "known-red", path).CombinedOutput()
--- a/tools/lint_test.go
+++ b/tools/lint_test.go
@@ -1,4 +1,4 @@
-// Package tools_test checks what CI checks with: the linters' configuration and the test command.
+// Package tools_test tests the tools that CI uses: the configuration of the linters and the test command.
 package tools_test
 
 import (
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// finding is one entry of the linters' report.
+// finding is one issue in the report of golangci-lint.
 type finding struct {
 	FromLinter string
 	Text       string
 	Pos        struct{ Filename string }
 }
 
-// linterPath builds golangci-lint in the version that tools/lint.mod names.
+// linterPath builds golangci-lint in the version of tools/lint.mod and returns the path of the binary.
 func linterPath(t *testing.T) string {
 	t.Helper()
 	find := exec.CommandContext(t.Context(), "go", "tool", "-modfile=tools/lint.mod", "-n", "golangci-lint")
@@ -31,53 +31,53 @@
 	return strings.TrimSpace(string(path))
 }
 
-// lint runs the linters over a module that has findings.
+// lint runs the linters on a module that has findings and returns them.
 func lint(t *testing.T, dir string) []finding {
 	t.Helper()
 	report := filepath.Join(t.TempDir(), "report.json")
 	run := exec.CommandContext(t.Context(), linterPath(t), "run", "--allow-parallel-runners", "--output.json.path", report)
 	run.Dir = dir
 	if out, err := run.CombinedOutput(); err == nil {
-		t.Errorf("the linters pass: %s", out)
+		t.Errorf("the linters reported success, want findings: %s", out)
 	}
 	var found struct{ Issues []finding }
 	if err := json.Unmarshal([]byte(readFile(t, report)), &found); err != nil {
-		t.Fatalf("report: %v", err)
+		t.Fatalf("decode the linters' report: %v", err)
 	}
 	return found.Issues
 }
 
-// Each limit that the project states is in force: what offends it is found, by its linter, and a
-// source that stays within the limits is not found.
-func TestLintersRefuse(t *testing.T) {
+// The linters enforce each limit and rule of the project: the expected linter reports each source that
+// violates one, and no linter reports a source within the limits.
+func TestLintersReportViolations(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "go.mod"), "module violetturn\n\ngo 1.26\n")
 	writeFile(t, filepath.Join(dir, ".golangci.yml"), readFile(t, "../.golangci.yml"))
-	plants := slices.Concat(limitPlants(), codePlants(), layerPlants())
-	for _, p := range plants {
-		writeFile(t, filepath.Join(dir, p.path()), p.source())
+	cases := slices.Concat(limitCases(), codeCases(), layerCases())
+	for _, tt := range cases {
+		writeFile(t, filepath.Join(dir, tt.path()), tt.source())
 	}
 	found := lint(t, dir)
-	for _, p := range plants {
-		t.Run(p.name, func(t *testing.T) {
-			here := slices.DeleteFunc(slices.Clone(found), func(f finding) bool { return f.Pos.Filename != p.path() })
-			if p.linter == "" {
-				if len(here) > 0 {
-					t.Errorf("found %+v, want nothing", here)
+	for _, tt := range cases {
+		t.Run(tt.name, func(t *testing.T) {
+			findings := slices.DeleteFunc(slices.Clone(found), func(f finding) bool { return f.Pos.Filename != tt.path() })
+			if tt.wantLinter == "" {
+				if len(findings) > 0 {
+					t.Errorf("findings %+v, want none", findings)
 				}
 				return
 			}
-			if !slices.ContainsFunc(here, func(f finding) bool {
-				return f.FromLinter == p.linter && strings.Contains(f.Text, p.text)
+			if !slices.ContainsFunc(findings, func(f finding) bool {
+				return f.FromLinter == tt.wantLinter && strings.Contains(f.Text, tt.wantText)
 			}) {
-				t.Errorf("found %+v, want %s %q", here, p.linter, p.text)
+				t.Errorf("findings %+v, want one of %s that contains %q", findings, tt.wantLinter, tt.wantText)
 			}
 		})
 	}
 }
 
-// Each package below internal says in the configuration what its sources may import.
-func TestEachPackageHasALayer(t *testing.T) {
+// Each package in internal has a depguard rule that lists the imports allowed in its sources.
+func TestEveryPackageHasADepguardRule(t *testing.T) {
 	config := readFile(t, "../.golangci.yml")
 	sources, err := filepath.Glob("../internal/*/*.go")
 	if err != nil || len(sources) == 0 {
@@ -90,28 +90,28 @@
 		name := filepath.Base(filepath.Dir(path))
 		rule := "        " + name + ":\n          list-mode: strict\n          files: [\"**/internal/" + name + "/*.go\", \"!$test\"]\n"
 		if !strings.Contains(config, rule) {
-			t.Errorf("%s: .golangci.yml has no layer for %s", path, name)
+			t.Errorf("%s: .golangci.yml has no depguard rule for package %s", path, name)
 		}
 	}
 }
 
-// block returns the lines below a key, as deep as they are indented.
-func block(config, key string) string {
-	_, below, _ := strings.Cut("\n"+config, "\n"+key+":\n")
-	depth := len(key) - len(strings.TrimLeft(key, " ")) + 1
-	var inside []string
-	for line := range strings.Lines(below) {
-		if len(line)-len(strings.TrimLeft(line, " ")) < depth {
+// yamlBlock returns the lines below a key that are indented deeper than the key.
+func yamlBlock(config, key string) string {
+	_, rest, _ := strings.Cut("\n"+config, "\n"+key+":\n")
+	minIndent := len(key) - len(strings.TrimLeft(key, " ")) + 1
+	var lines []string
+	for line := range strings.Lines(rest) {
+		if len(line)-len(strings.TrimLeft(line, " ")) < minIndent {
 			break
 		}
-		inside = append(inside, line)
+		lines = append(lines, line)
 	}
-	return strings.Join(inside, "")
+	return strings.Join(lines, "")
 }
 
-// Nothing excuses findings: the configuration leaves out nothing by path, text, age or number, and
-// the sources have no comment that switches a linter off, other than nolint with a linter and a reason.
-func TestNoExceptions(t *testing.T) {
+// No findings are suppressed: the configuration excludes none by path, text, age or number, and the
+// sources have no comment that disables a linter, other than nolint with a linter and a reason.
+func TestConfigurationHasNoExclusions(t *testing.T) {
 	config := readFile(t, "../.golangci.yml")
 	for key, want := range map[string]string{
 		"run":             "  timeout: 5m\n  modules-download-mode: readonly\n",
@@ -120,32 +120,32 @@
 		"    nolintlint":  "      require-explanation: true\n      require-specific: true\n",
 		"    staticcheck": "      checks:\n        - all\n",
 	} {
-		if got := block(config, key); got != want {
-			t.Errorf("%s: %q, want %q", key, got, want)
+		if got := yamlBlock(config, key); got != want {
+			t.Errorf("block %q is %q, want %q", key, got, want)
 		}
 	}
 	if n := strings.Count(config, "exclusions:"); n != strings.Count(config, "exclusions:\n    generated: strict\n\n") {
-		t.Errorf("%d exclusions, not all of them of generated sources only", n)
+		t.Errorf("%d blocks named exclusions, want all to exclude only generated sources", n)
 	}
-	key := regexp.MustCompile(`(?m)^\s*(- )?((exclude|ignore|skip|new)[a-z-]*|disabled|default-signifies-exhaustive):.*$`)
-	if found := key.FindAllString(config, -1); len(found) > 0 {
-		t.Errorf("the configuration leaves out findings: %q", found)
+	exclusionKey := regexp.MustCompile(`(?m)^\s*(- )?((exclude|ignore|skip|new)[a-z-]*|disabled|default-signifies-exhaustive):.*$`)
+	if found := exclusionKey.FindAllString(config, -1); len(found) > 0 {
+		t.Errorf("the configuration has keys that exclude findings: %q, want none", found)
 	}
-	off := regexp.MustCompile(`//\s*(revive:disable|lint:(file-)?ignore)`)
+	suppression := regexp.MustCompile(`//\s*(revive:disable|lint:(file-)?ignore)`)
 	for _, pattern := range []string{"../cmd/*/*.go", "../internal/*/*.go", "*.go"} {
 		sources, err := filepath.Glob(pattern)
 		if err != nil || len(sources) == 0 {
 			t.Fatalf("%s: %d sources: %v", pattern, len(sources), err)
 		}
 		for _, path := range sources {
-			if found := off.FindString(readFile(t, path)); found != "" {
-				t.Errorf("%s: %q", path, found)
+			if found := suppression.FindString(readFile(t, path)); found != "" {
+				t.Errorf("%s has the suppression comment %q, want none", path, found)
 			}
 		}
 	}
 }
 
-// writeFile writes a file and the folders above it.
+// writeFile writes a file and creates its parent folders.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-// readFile returns what a file holds.
+// readFile returns the content of a file.
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/tools/plants_test.go
+++ b/tools/plants_test.go
@@ -2,159 +2,162 @@
 
 import "strings"
 
-// plant is the only source of a package; the linters have to refuse it, or to pass it if no
-// linter is named.
-type plant struct {
-	name         string
-	pkg          string // below internal
-	declarations string
-	linter       string
-	text         string // of the finding
-	bare         bool   // without a package comment
+// lintCase is the only source file of a package, with the finding that the linters have to report
+// about it, or no finding if wantLinter is empty.
+type lintCase struct {
+	name                  string
+	pkg                   string // folder in internal
+	declarations          string
+	wantLinter            string
+	wantText              string // part of the finding's text
+	withoutPackageComment bool
 }
 
-// source returns the plant's file.
-func (p plant) source() string {
-	if p.bare {
+// source returns the content of the file.
+func (p lintCase) source() string {
+	if p.withoutPackageComment {
 		return "package " + p.pkg + "\n"
 	}
-	return "// Package " + p.pkg + " is planted.\npackage " + p.pkg + "\n\n" + p.declarations
+	return "// Package " + p.pkg + " is an input of the linter tests.\npackage " + p.pkg + "\n\n" + p.declarations
 }
 
-// path returns where the file lies in its module.
-func (p plant) path() string { return "internal/" + p.pkg + "/a.go" }
+// path returns the path of the file in its module.
+func (p lintCase) path() string { return "internal/" + p.pkg + "/a.go" }
 
-// repeat returns a line n times.
-func repeat(line string, n int) string { return strings.Repeat(line+"\n", n) }
+// repeatLine returns n copies of a line.
+func repeatLine(line string, n int) string { return strings.Repeat(line+"\n", n) }
 
-// limitPlants offend the limits of size and the rules for comments.
-func limitPlants() []plant {
-	return []plant{
+// limitCases returns sources that violate the size limits, formatting or the rules for comments, and
+// one that is exactly within the limits.
+func limitCases() []lintCase {
+	return []lintCase{
 		{
-			name: "a function of 60 lines, 6 arguments, 4 results", pkg: "allowed",
+			name: "function of 60 lines, 6 arguments, 4 results", pkg: "allowed",
 			declarations: "// F stays within the limits.\nfunc F(a, b, c, d, e, f int) (g, h, i int, err error) {\n" +
-				repeat("\ta++", 58) + "\treturn a + b, c + d, e + f, nil\n}\n",
+				repeatLine("\ta++", 58) + "\treturn a + b, c + d, e + f, nil\n}\n",
 		},
 		{
-			name: "a function of 61 lines", pkg: "longfunction", linter: "revive", text: "function-length",
-			declarations: "// F is long.\nfunc F(n int) int {\n" + repeat("\tn++", 60) + "\treturn n\n}\n",
+			name: "function of 61 lines", pkg: "longfunction", wantLinter: "revive", wantText: "function-length",
+			declarations: "// F is long.\nfunc F(n int) int {\n" + repeatLine("\tn++", 60) + "\treturn n\n}\n",
 		},
 		{
-			name: "a line of 141 characters", pkg: "longline", linter: "revive", text: "line-length-limit",
+			name: "line of 141 characters", pkg: "longline", wantLinter: "revive", wantText: "line-length-limit",
 			declarations: "// " + strings.Repeat("x", 138) + "\n",
 		},
 		{
-			name: "a file of 401 lines", pkg: "longfile", linter: "revive", text: "file-length-limit",
-			declarations: repeat("// x", 398),
+			name: "file of 401 lines", pkg: "longfile", wantLinter: "revive", wantText: "file-length-limit",
+			declarations: repeatLine("// x", 398),
 		},
 		{
-			name: "16 ways through a function", pkg: "ways", linter: "revive", text: "cyclomatic",
-			declarations: "// F has many ways.\nfunc F(n int) int {\n" + repeat("\tif n > 0 {\n\t\tn--\n\t}", 15) + "\treturn n\n}\n",
+			name: "cyclomatic complexity of 16", pkg: "cyclomatic", wantLinter: "revive", wantText: "cyclomatic",
+			declarations: "// F branches.\nfunc F(n int) int {\n" + repeatLine("\tif n > 0 {\n\t\tn--\n\t}", 15) + "\treturn n\n}\n",
 		},
 		{
-			name: "7 arguments", pkg: "arguments", linter: "revive", text: "argument-limit",
+			name: "7 arguments", pkg: "arguments", wantLinter: "revive", wantText: "argument-limit",
 			declarations: "// F has many arguments.\nfunc F(a, b, c, d, e, f, g int) int { return a + b + c + d + e + f + g }\n",
 		},
 		{
-			name: "5 results", pkg: "results", linter: "revive", text: "function-result-limit",
+			name: "5 results", pkg: "results", wantLinter: "revive", wantText: "function-result-limit",
 			declarations: "// F has many results.\nfunc F() (a, b, c, d, e int) { return 0, 0, 0, 0, 0 }\n",
 		},
 		{
-			name: "an exported function without a comment", pkg: "uncommented", linter: "revive", text: "exported",
+			name: "exported function without a comment", pkg: "uncommented", wantLinter: "revive", wantText: "exported",
 			declarations: "func F() {}\n",
 		},
 		{
-			name: "a package without a comment", pkg: "undocumented", linter: "revive", text: "package-comments", bare: true,
+			name: "package without a comment", pkg: "undocumented", wantLinter: "revive", wantText: "package-comments",
+			withoutPackageComment: true,
 		},
 		{
-			name: "an unformatted source", pkg: "unformatted", linter: "gofumpt", text: "formatted",
-			declarations: "// F is crooked.\nfunc F( ) {}\n",
+			name: "unformatted source", pkg: "unformatted", wantLinter: "gofumpt", wantText: "formatted",
+			declarations: "// F is not formatted.\nfunc F( ) {}\n",
 		},
 		{
-			name: "a misspelt word", pkg: "misspelt", linter: "misspell", text: "cieves",
+			name: "misspelt word", pkg: "misspelt", wantLinter: "misspell", wantText: "cieves",
 			declarations: "// F re" + "cieves.\nfunc F() {}\n",
 		},
 	}
 }
 
-// codePlants offend the rules for errors, enumerations, dead code and comments that excuse.
-func codePlants() []plant {
+// codeCases returns sources that violate the rules for errors, enumerations, unused and deprecated
+// code, shadowed variables or nolint comments.
+func codeCases() []lintCase {
 	const ignoredError = "import \"os\"\n\n// F ignores an error.\nfunc F() { os.Remove(\"x\") }"
-	return []plant{
+	return []lintCase{
 		{
-			name: "an ignored error", pkg: "ignored", linter: "errcheck", text: "os.Remove",
+			name: "ignored error", pkg: "ignored", wantLinter: "errcheck", wantText: "os.Remove",
 			declarations: ignoredError + "\n",
 		},
 		{
-			name: "an unchecked type assertion", pkg: "asserted", linter: "errcheck", text: "not checked",
+			name: "unchecked type assertion", pkg: "asserted", wantLinter: "errcheck", wantText: "not checked",
 			declarations: "// F asserts a type.\nfunc F(x any) int { return x.(int) }\n",
 		},
 		{
-			name: "an error compared by ==", pkg: "compared", linter: "errorlint", text: "errors.Is",
+			name: "error compared with ==", pkg: "compared", wantLinter: "errorlint", wantText: "errors.Is",
 			declarations: "import \"io\"\n\n// F compares.\nfunc F(err error) bool { return err == io.EOF }\n",
 		},
 		{
-			name: "an error wrapped by %v", pkg: "wrapped", linter: "errorlint", text: "%w",
+			name: "error wrapped with %v", pkg: "wrapped", wantLinter: "errorlint", wantText: "%w",
 			declarations: "import \"fmt\"\n\n// F wraps.\nfunc F(err error) error { return fmt.Errorf(\"f: %v\", err) }\n",
 		},
 		{
-			name: "a switch that leaves out a value", pkg: "switched", linter: "exhaustive", text: "B",
+			name: "switch without all values of an enumeration", pkg: "switched", wantLinter: "exhaustive", wantText: "B",
 			declarations: "// E is an enumeration.\ntype E int\n\n// Values of E.\nconst (\n\tA E = iota\n\tB\n)\n\n" +
 				"// F leaves out B.\nfunc F(e E) int {\n\tswitch e {\n\tcase A:\n\t\treturn 1\n\t}\n\treturn 0\n}\n",
 		},
 		{
-			name: "a function that nobody calls", pkg: "uncalled", linter: "unused", text: "f",
+			name: "unused function", pkg: "uncalled", wantLinter: "unused", wantText: "f",
 			declarations: "func f() {}\n",
 		},
 		{
-			name: "a nolint without a reason", pkg: "excused", linter: "nolintlint", text: "explanation",
+			name: "nolint without a reason", pkg: "nolintreason", wantLinter: "nolintlint", wantText: "explanation",
 			declarations: ignoredError + " //nolint:errcheck\n",
 		},
 		{
-			name: "a nolint of all linters", pkg: "excusedall", linter: "nolintlint", text: "specific",
+			name: "nolint of all linters", pkg: "nolintall", wantLinter: "nolintlint", wantText: "specific",
 			declarations: ignoredError + " //nolint // for a test\n",
 		},
 		{
-			name: "a deprecated function", pkg: "deprecated", linter: "staticcheck", text: "SA1019",
-			declarations: "import \"strings\"\n\n// F is old.\nfunc F(s string) string { return strings.Title(s) }\n",
+			name: "call of a deprecated function", pkg: "deprecated", wantLinter: "staticcheck", wantText: "SA1019",
+			declarations: "import \"strings\"\n\n// F calls a deprecated function.\nfunc F(s string) string { return strings.Title(s) }\n",
 		},
 		{
-			name: "a variable that shadows another", pkg: "shadowed", linter: "govet", text: "shadow",
+			name: "shadowed variable", pkg: "shadowed", wantLinter: "govet", wantText: "shadow",
 			declarations: "import \"os\"\n\n// F shadows.\nfunc F() error {\n\terr := os.Remove(\"x\")\n" +
 				"\tif err == nil {\n\t\terr := os.Remove(\"y\")\n\t\treturn err\n\t}\n\treturn err\n}\n",
 		},
 	}
 }
 
-// layerPlants offend the direction of the layers.
-func layerPlants() []plant {
-	return []plant{
+// layerCases returns sources whose imports violate the layers, and one that imports nothing.
+func layerCases() []lintCase {
+	return []lintCase{
 		{
-			name: "a pure package that knows the store", pkg: "sched", linter: "depguard", text: "internal/store",
+			name: "pure package imports the state service client", pkg: "sched", wantLinter: "depguard", wantText: "internal/store",
 			declarations: "import _ \"violetturn/internal/store\"\n",
 		},
 		{
-			name: "a pure package that knows the network", pkg: "zonehealth", linter: "depguard", text: "net/http",
+			name: "pure package imports net/http", pkg: "zonehealth", wantLinter: "depguard", wantText: "net/http",
 			declarations: "import _ \"net/http\"\n",
 		},
 		{
-			name: "an edge that knows the controller", pkg: "store", linter: "depguard", text: "internal/controller",
+			name: "state service client imports the controller", pkg: "store", wantLinter: "depguard", wantText: "internal/controller",
 			declarations: "import _ \"violetturn/internal/controller\"\n",
 		},
 		{
-			name: "a controller that knows the simulator", pkg: "controller", linter: "depguard", text: "internal/simulator",
+			name: "controller imports the simulator", pkg: "controller", wantLinter: "depguard", wantText: "internal/simulator",
 			declarations: "import _ \"violetturn/internal/simulator\"\n",
 		},
 		{
-			name: "a cache that knows the scheduler", pkg: "statecache", linter: "depguard", text: "internal/scheduler",
+			name: "cache imports the scheduler", pkg: "statecache", wantLinter: "depguard", wantText: "internal/scheduler",
 			declarations: "import _ \"violetturn/internal/scheduler\"\n",
 		},
 		{
-			name: "a scheduler that reads files", pkg: "scheduler", linter: "depguard", text: "no files",
+			name: "scheduler imports os", pkg: "scheduler", wantLinter: "depguard", wantText: "no files",
 			declarations: "import _ \"os\"\n",
 		},
 		{
-			name: "the simulator alone", pkg: "simulator",
+			name: "simulator without imports", pkg: "simulator",
 			declarations: "// X is a number.\nconst X = 1\n",
 		},
 	}
