--- a/cmd/violetturn/arguments.go
+++ b/cmd/violetturn/arguments.go
@@ -22,15 +22,15 @@
 }
 
 const description = "A cluster scheduler run as several controllers that share a state service. " +
-	"Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug."
+	"Logs to standard error; the environment variable LOG_LEVEL is error, info (the default) or debug."
 
 // helpTexts returns the help texts of the flags, keyed by the variables that arguments refers to.
 func helpTexts() kong.Vars {
 	return kong.Vars{
-		"config_help":   "Settings file (TOML) that the platform hands over.",
-		"policy_help":   "Policy file (TOML) with the operators' own expressions. Built-in policy without it.",
-		"features_help": "Features file (TOML): new behaviour that is on. None without it.",
-		"profile_help":  "Folder for profiles of processor, memory and the state's lock, written when the process is stopped.",
+		"config_help":   "Settings file (TOML) of the platform.",
+		"policy_help":   "Policy file (TOML) with expressions that override the built-in ones.",
+		"features_help": "Features file (TOML) that enables new behaviour. Without it, all features are off.",
+		"profile_help":  "Folder for profiles of the CPU, memory and the state lock, written when the process is stopped.",
 	}
 }
 
--- a/cmd/violetturn/golden_test.go
+++ b/cmd/violetturn/golden_test.go
@@ -16,7 +16,8 @@
 )
 
 // The golden files hold the output and exit codes of the program. They were written by a build of
-// commit 1a43aa6, before the code was refactored, with
+// commit 1a43aa6, before the code was refactored (only help texts and one error were reworded since),
+// with
 //
 //	go test ./cmd/violetturn -run TestGolden -update -program PATH
 //
--- a/internal/config/expression.go
+++ b/internal/config/expression.go
@@ -12,7 +12,7 @@
 )
 
 // errNotANumber reports that an expression evaluates to NaN if all its variables are zero.
-var errNotANumber = errors.New("not a number when everything is zero")
+var errNotANumber = errors.New("result is NaN if all variables are zero")
 
 // expression is one expression of a policy file, not compiled yet.
 type expression struct {
