--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -21,19 +21,19 @@
 	schedules := map[string]*heartbeatSchedule{}
 	var mu sync.Mutex // guards schedules and its values
 	c.runPeriodically(100*time.Millisecond, func() {
-		c.server.With(func(w *simulator.World) {
+		c.server.WithLock(func(w *simulator.Environment) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, host := range w.Cloud.HostNames() {
-				worker := w.Cloud.Hosts[host]
+				worker := w.Cloud.WorkersByHost[host]
 				schedule := schedules[host]
 				if schedule == nil {
 					schedule = &heartbeatSchedule{}
 					schedules[host] = schedule
 				}
 				summary := ""
-				if worker.Up() && !worker.Partitioned && !schedule.sending {
-					summary = worker.Summary()
+				if worker.Booted() && !worker.Partitioned && !schedule.sending {
+					summary = worker.StateSummary()
 				}
 				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
 				earliest := schedule.next.Add(500*time.Millisecond - interval)
@@ -43,7 +43,7 @@
 				schedule.lastSummary, schedule.sending = summary, true
 				intervals := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
 				schedule.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sentAt, agentEpoch, node := api.JSON(worker.Heartbeat()), w.Now, worker.AgentEpoch, worker.Node
+				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), w.Now, worker.AgentEpoch, worker.Node
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sentAt, agentEpoch)
 					mu.Lock()
@@ -58,8 +58,8 @@
 // sendHeartbeat sends a worker's heartbeat and passes the response to the worker.
 func (c *cluster) sendHeartbeat(host string, node int, heartbeat []byte, sentAt time.Time, agentEpoch uint64) {
 	status, body := c.sendRequest(node, "POST", "/checkin", heartbeat)
-	c.server.With(func(w *simulator.World) {
-		worker := w.Cloud.Hosts[host]
+	c.server.WithLock(func(w *simulator.Environment) {
+		worker := w.Cloud.WorkersByHost[host]
 		if worker == nil || worker.Partitioned { // the response is lost
 			return
 		}
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -27,10 +27,10 @@
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
 	}
-	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large()} {
+	for _, d := range []*simulator.Deployment{simulator.Deployment300(), simulator.Deployment2000()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
-				d.Boot = 10 * time.Second // short, because the benchmark doesn't measure the initial startup of machines
+				d.BootTime = 10 * time.Second // short, because the benchmark doesn't measure the initial startup of machines
 				newCluster(b, d).runBenchmark(program, filepath.Join(base, d.Name))
 			}
 		})
@@ -54,15 +54,15 @@
 	c.runPeriodically(100*time.Millisecond, c.server.Tick)
 	c.simulateWorkers()
 	jobs := 0
-	for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&c.deployment.ServiceJobs, &c.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			c.simulateUser(class, jobs)
 			jobs++
 		}
 	}
 	for deadline := time.Now().Add(benchmarkDuration); time.Now().Before(deadline); time.Sleep(time.Second) {
-		for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
-			if c.randomBelow(1000) < int(class.PerSecond*1000) {
+		for _, class := range []*simulator.JobClass{&c.deployment.ServiceJobs, &c.deployment.ArrayJobs} {
+			if c.randomBelow(1000) < int(class.JobsPerSecond*1000) {
 				c.simulateUser(class, jobs)
 				jobs++
 			}
@@ -82,7 +82,7 @@
 	}
 	close(c.stop)
 	c.running.Wait()
-	c.server.With(func(w *simulator.World) {
-		c.tb.Logf("%d machines, %d jobs, violated rules: %v", len(w.Cloud.Hosts), jobs, w.Violations)
+	c.server.WithLock(func(w *simulator.Environment) {
+		c.tb.Logf("%d machines, %d jobs, violated rules: %v", len(w.Cloud.WorkersByHost), jobs, w.Violations)
 	})
 }
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -26,7 +26,7 @@
 // loopbackDeployment returns a small deployment with short heartbeat intervals and worker leases.
 func loopbackDeployment() *simulator.Deployment {
 	return &simulator.Deployment{
-		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Fetch: 500 * time.Millisecond,
+		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, BootTime: 6 * time.Second, FetchTime: 500 * time.Millisecond,
 		MachineType: simulator.MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		State:       config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	z.settingsFiles = z.writeSettings(dir)
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		w.ListLag = time.Second
 		w.OnTaskStarted = func(worker *simulator.Worker, uid string) {
 			if worker.Zone == "x" {
@@ -88,12 +88,12 @@
 }
 
 // arrayTasksInX returns the number of tasks of arrays present in zone x.
-func arrayTasksInX(w *simulator.World) (n int) {
+func arrayTasksInX(w *simulator.Environment) (n int) {
 	for _, worker := range w.Cloud.Workers() {
 		if worker.Zone != "x" {
 			continue
 		}
-		for _, uid := range worker.PresentJobs() {
+		for _, uid := range worker.UnfinishedTaskJobs() {
 			if w.Jobs[uid].Spec.Kind == api.Array {
 				n++
 			}
@@ -158,8 +158,8 @@
 	}
 	change(&job)
 	z.jobUIDs = append(z.jobUIDs, job.UID)
-	z.server.With(func(w *simulator.World) {
-		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, Done: map[int]bool{}}
+	z.server.WithLock(func(w *simulator.Environment) {
+		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
 	})
 	z.waitFor(job.UID+" is accepted", func() bool {
 		status, body := z.sendRequest(z.randomBelow(controllerCount), "POST", "/v2/runs", simulator.Submission(&job))
@@ -175,7 +175,7 @@
 		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // a response without a phase leaves it empty
-	z.server.With(func(w *simulator.World) { w.CheckResponse(uid, status, a.Phase, submission) })
+	z.server.WithLock(func(w *simulator.Environment) { w.CheckUserResponse(uid, status, a.Phase, submission) })
 	return a.Phase
 }
 
@@ -196,7 +196,7 @@
 
 // runningTasksInX returns the number of tasks of the given jobs running on reachable machines of zone x.
 func (z *zoneCluster) runningTasksInX(uids ...string) (n int) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, worker := range w.Cloud.Workers() {
 			for _, task := range worker.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
@@ -211,12 +211,12 @@
 
 // machinesInX returns the machines of zone x: those with readers, and the others.
 func (z *zoneCluster) machinesInX() (withReaders, others []*simulator.Worker) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, worker := range w.Cloud.Workers() {
 			if worker.Zone != "x" {
 				continue
 			}
-			if present := worker.PresentJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
+			if present := worker.UnfinishedTaskJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
 				withReaders = append(withReaders, worker)
 			} else {
 				others = append(others, worker)
@@ -228,7 +228,7 @@
 
 // setPartitioned partitions machines from the network, or ends the partition.
 func (z *zoneCluster) setPartitioned(machines []*simulator.Worker, partitioned bool) {
-	z.server.With(func(*simulator.World) {
+	z.server.WithLock(func(*simulator.Environment) {
 		for _, worker := range machines {
 			worker.Partitioned = partitioned
 		}
@@ -237,7 +237,7 @@
 
 // terminate terminates machines permanently.
 func (z *zoneCluster) terminate(machines []*simulator.Worker) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, worker := range machines {
 			w.Cloud.Terminate(worker.Host)
 		}
@@ -247,7 +247,7 @@
 // zoneStateIs returns a condition that reports whether the record of zone x has the given state.
 func (z *zoneCluster) zoneStateIs(state string) func() bool {
 	return func() (is bool) {
-		z.server.With(func(w *simulator.World) {
+		z.server.WithLock(func(w *simulator.Environment) {
 			for _, item := range w.Store.Items("live/z/x") {
 				is = strings.Contains(string(item.Value), `"s":"`+state+`"`)
 			}
@@ -261,7 +261,7 @@
 // have capacity for in addition to the readers.
 func (z *zoneCluster) checkReadersStartFirst(when string, since time.Time, returnedMachines int) {
 	z.t.Helper()
-	z.server.With(func(*simulator.World) {
+	z.server.WithLock(func(*simulator.Environment) {
 		readerTasks, maxArrayTasks := 0, 0
 		for _, start := range z.taskStarts {
 			switch {
@@ -285,7 +285,7 @@
 
 // simulatedTime returns the current time of the simulator.
 func (z *zoneCluster) simulatedTime() (now time.Time) {
-	z.server.With(func(w *simulator.World) { now = w.Now })
+	z.server.WithLock(func(w *simulator.Environment) { now = w.Now })
 	return now
 }
 
@@ -299,7 +299,7 @@
 func TestZoneReturnsOnLoopback(t *testing.T) {
 	z := newZoneCluster(t)
 	arrays := z.startJobs()
-	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = true })
+	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = true })
 	z.failAndReturnPartly()
 	z.failRepeatedly()
 	for _, uid := range arrays {
@@ -308,7 +308,7 @@
 			return z.checkResponse(uid, status, body, false) == api.JobDone
 		})
 	}
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, violation := range w.Violations {
 			t.Error(violation)
 		}
@@ -357,9 +357,9 @@
 // waitEmpty waits until no task runs on the given machines, except on those that were terminated.
 func (z *zoneCluster) waitEmpty(machines []*simulator.Worker) {
 	z.waitFor("no task runs on the partitioned machines", func() (none bool) {
-		z.server.With(func(w *simulator.World) {
+		z.server.WithLock(func(w *simulator.Environment) {
 			none = !slices.ContainsFunc(w.Cloud.Workers(), func(worker *simulator.Worker) bool {
-				return slices.Contains(machines, worker) && len(worker.PresentJobs()) > 0
+				return slices.Contains(machines, worker) && len(worker.UnfinishedTaskJobs()) > 0
 			})
 		})
 		return none
@@ -380,6 +380,6 @@
 	z.setPartitioned(all, true)
 	z.waitEmpty(all)
 	z.setPartitioned(all, false)
-	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = false })
+	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = false })
 	z.waitFor("readers run again", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
 }
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -67,7 +67,7 @@
 
 func (f *registryFixture) applyRecord(key string, value any) {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 }
 
 // receiveHeartbeat processes a heartbeat of the worker that reports the tasks.
@@ -179,7 +179,7 @@
 func TestCloudListing_ComparesWithRecords(t *testing.T) {
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
-	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
+	listed := []cloud.Machine{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
 	f.Listing().Update(listed, f.now, lag)
 	f.now = f.now.Add(mismatchDelayLags * lag)
 	f.Listing().Update(listed, f.now, lag)
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -30,8 +30,8 @@
 	return &ScaleInReview{autoscaler: a, now: now}
 }
 
-// Consider decides whether a machine is to be cordoned, so that it is returned once it is empty.
-func (r *ScaleInReview) Consider(host string, machine *shard.Machine, worker *agent.Agent) {
+// Evaluate decides whether a machine is to be cordoned, so that it is returned once it is empty.
+func (r *ScaleInReview) Evaluate(host string, machine *shard.Machine, worker *agent.Agent) {
 	_, machineType := r.autoscaler.catalog.MachineCapacity(machine.MachineType)
 	if machineType == nil || worker.Cordoned {
 		return
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -34,7 +34,7 @@
 	switch {
 	case len(zones) == 0:
 		return "fits no allowed machine type"
-	case spec.Spread && spec.Tasks > 1 && (len(zones) == 1 || spec.Together):
+	case spec.Spread && spec.Tasks > 1 && (len(zones) == 1 || spec.SingleZone):
 		return "can't be scattered"
 	}
 	return ""
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -24,12 +24,12 @@
 		play   func(*testCluster)
 	}{
 		{"gang on a partitioned machine", simulator.RuleRanTwice, shorterLease, partitionGangMachine},
-		{"gang in a partitioned zone", simulator.RuleWrongPlace, shorterLease, partitionGangZone},
-		{"cancelled gang in a partitioned zone", simulator.RuleRanCancelled, shorterCancelTimeout, cancelGangInPartitionedZone},
+		{"gang in a partitioned zone", simulator.RulePlacement, shorterLease, partitionGangZone},
+		{"cancelled gang in a partitioned zone", simulator.RuleRanAfterCancel, shorterCancelTimeout, cancelGangInPartitionedZone},
 		{"gangs beyond their team's limit", simulator.RuleQuota, higherLimit, submitGangsBeyondLimit},
 		{"service on a partitioned machine", simulator.RuleRanTwice, shorterLease, partitionServiceMachine},
 		{"service on a hung machine", simulator.RuleRanTwice, shorterLease, hangServiceMachine},
-		{"cancelled service in a partitioned zone", simulator.RuleRanCancelled, shorterCancelTimeout, cancelServiceInPartitionedZone},
+		{"cancelled service in a partitioned zone", simulator.RuleRanAfterCancel, shorterCancelTimeout, cancelServiceInPartitionedZone},
 		{"array beyond its team's limit", simulator.RuleQuota, higherLimit, submitArrayBeyondLimit},
 	} {
 		for _, mutated := range []bool{false, true} {
@@ -115,13 +115,13 @@
 // partitionGangMachine partitions a machine with tasks of a gang, which go on where they can't
 // be seen, while there is room to be taken.
 func partitionGangMachine(s *testCluster) {
-	s.world.GangPeer = 20 * time.Second
+	s.world.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind = api.Gang })
 	s.submitArray(2, 5*time.Minute, func(j *api.Job) { j.Priority = "idle" })
 	s.runFor(60)
 	for _, h := range s.world.Cloud.HostNames() {
 		if s.runningTasksByHost(id)[h] == 2 {
-			s.world.Cloud.Hosts[h].Partitioned = true
+			s.world.Cloud.WorkersByHost[h].Partitioned = true
 		}
 	}
 	s.runFor(60)
@@ -130,14 +130,14 @@
 // partitionGangZone partitions all machines in the zone of a gang that goes together, while
 // the other zone has room to be taken.
 func partitionGangZone(s *testCluster) {
-	s.world.GangPeer = 20 * time.Second
-	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.Together = api.Gang, true })
+	s.world.PeerLossTimeout = 20 * time.Second
+	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.SingleZone = api.Gang, true })
 	for _, zone := range s.world.Zones {
 		s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Priority, j.Zone = "idle", zone })
 	}
 	s.runFor(60)
 	zone := s.workerOf(id).Zone
-	for _, x := range s.world.Cloud.Hosts {
+	for _, x := range s.world.Cloud.WorkersByHost {
 		x.Partitioned = x.Zone == zone
 	}
 	s.runFor(60)
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -73,8 +73,8 @@
 // the time from which each job has waited.
 func (s *testCluster) checkWaiting(since map[string]time.Time) {
 	teamGPUs := map[string]float64{}
-	for _, x := range s.world.Cloud.Hosts {
-		for _, uid := range x.PresentJobs() {
+	for _, x := range s.world.Cloud.WorkersByHost {
+		for _, uid := range x.UnfinishedTaskJobs() {
 			spec := &s.world.Jobs[uid].Spec
 			teamGPUs[spec.Team] += spec.GPUs
 		}
@@ -90,7 +90,7 @@
 		if at, ok := since[uid]; !ok {
 			since[uid] = s.world.Now
 		} else if s.world.Now.Sub(at) > maxWait {
-			s.world.Violate(simulator.RuleWaiting, "%s for %v with room", uid, maxWait)
+			s.world.RecordViolation(simulator.RuleWaitedTooLong, "%s for %v with room", uid, maxWait)
 		}
 	}
 }
@@ -99,19 +99,19 @@
 // tasks.
 func (s *testCluster) lacksTasks(j *simulator.Job) bool {
 	spec := &j.Spec
-	if spec.Together || spec.Spread || spec.Kind == api.Gang {
+	if spec.SingleZone || spec.Spread || spec.Kind == api.Gang {
 		return false
 	}
-	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.Done) < spec.Tasks
+	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.DoneTasks) < spec.Tasks
 }
 
 // hasRoom reports whether a machine that fits has room for a task.
 func (s *testCluster) hasRoom(spec *api.Job) bool {
-	for _, x := range s.world.Cloud.Hosts {
-		if !x.Up() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.Spot {
+	for _, x := range s.world.Cloud.WorkersByHost {
+		if !x.Booted() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.AllowSpot {
 			continue
 		}
-		if cpus, gpus := x.Room(); cpus >= spec.CPUs && gpus >= spec.GPUs {
+		if cpus, gpus := x.FreeCapacity(); cpus >= spec.CPUs && gpus >= spec.GPUs {
 			return true
 		}
 	}
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -61,13 +61,13 @@
 // sendHeartbeat lets a worker send a heartbeat to the node that it reports to, or hear the
 // response that it waits for.
 func (s *clusterNodes) sendHeartbeat(x *simulator.Worker, f heartbeatFault) {
-	if !x.Up() || x.Hung {
+	if !x.Booted() || x.Hung {
 		return
 	}
 	if s.hearPendingResponse(x) {
 		return
 	}
-	body := api.JSON(x.Heartbeat())
+	body := api.MustMarshal(x.Heartbeat())
 	to := x.Node
 	partitioned := s.workerPartitioned(x, to)
 	if partitioned && f == heartbeatDelayed {
@@ -154,7 +154,7 @@
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
 	for _, h := range s.world.Cloud.HostNames() {
-		out = append(out, api.JSON(s.world.Cloud.Hosts[h].Heartbeat()))
+		out = append(out, api.MustMarshal(s.world.Cloud.WorkersByHost[h].Heartbeat()))
 	}
 	return out
 }
@@ -162,8 +162,8 @@
 // deliverDelayedCommands delivers the commands that partitions delay.
 func (s *clusterNodes) deliverDelayedCommands() {
 	for _, n := range s.nodes {
-		delayed := n.commands.Delayed
-		n.commands.Delayed = nil
+		delayed := n.commands.DelayedDeliveries
+		n.commands.DelayedDeliveries = nil
 		for _, deliver := range delayed {
 			deliver()
 		}
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -25,14 +25,14 @@
 // refuseController has the state service refuse a controller alone, or serve it again.
 func (s serviceFaults) refuseController(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
-	s.world.Store.Refused[n] = !s.world.Store.Refused[n]
+	s.world.Store.RefusedNodes[n] = !s.world.Store.RefusedNodes[n]
 }
 
 // makeStoreUnreachable partitions a controller from the state service, not from its workers,
 // or ends that.
 func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)].name
-	s.world.Store.Unreachable[n] = !s.world.Store.Unreachable[n]
+	s.world.Store.UnreachableNodes[n] = !s.world.Store.UnreachableNodes[n]
 }
 
 // failNextTransaction sets a fault for the next transaction of a controller.
@@ -52,7 +52,7 @@
 
 // changeBootTime has machines be up within a second, or later.
 func (s serviceFaults) changeBootTime(t *rapid.T) {
-	s.world.MachineType.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
+	s.world.MachineType.BootTime = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 }
 
 // lowerLimitsWhenUpgraded lowers the limits of the state service once all controllers are of
@@ -80,7 +80,7 @@
 // a cancellation, and then the state service refuse all.
 func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
-	s.world.Store.Refused[s.nodes[i].name] = true
+	s.world.Store.RefusedNodes[s.nodes[i].name] = true
 	s.stepNode(i)
 	s.cancel((i+1)%len(s.nodes), id)
 	s.world.Store.Down = true
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -95,6 +95,6 @@
 		}
 	case !j.Accepted:
 	case j.Spec.Kind != api.Service && j.FinalPhase != api.JobDone:
-		t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.Done), j.Spec.Tasks, s.describeJob(id))
+		t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.DoneTasks), j.Spec.Tasks, s.describeJob(id))
 	}
 }
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -71,12 +71,12 @@
 			s := newReadyCluster()
 			id := s.submitArray(tasks, 3*time.Second, nil)
 			s.world.Jobs[id].RunTimeStep = 12 * time.Second
-			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
+			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 1 })
 			leader, _ := s.leaderOfJob(t, id)
 			s.startNode(leader) // its release of the first is lost
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
-			s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
+			s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == tasks })
 			s.runUntil(t, 8, "known to be done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
@@ -101,7 +101,7 @@
 		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
 	})
 	s.world.Jobs[id].RunTimeStep = time.Second
-	s.runUntil(t, 120, "tasks done", func() bool { return len(s.world.Jobs[id].Done) == 4 })
+	s.runUntil(t, 120, "tasks done", func() bool { return len(s.world.Jobs[id].DoneTasks) == 4 })
 	s.runUntil(t, 6, "known to be done", s.isDone(id))
 }
 
@@ -120,7 +120,7 @@
 		t.Run(fault.name, func(t *testing.T) {
 			s := newTestCluster()
 			s.world.TeamGPULimits["b"] = 5
-			s.world.Lease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
+			s.world.WorkerLease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
 			for i := range s.nodes {
 				s.startNode(i)
 			}
@@ -135,7 +135,7 @@
 			}
 			for k, h := range s.world.Cloud.HostNames() {
 				if k%2 == 0 {
-					s.world.Cloud.Hosts[h].WorkerFaults = fault.WorkerFaults
+					s.world.Cloud.WorkersByHost[h].WorkerFaults = fault.WorkerFaults
 				}
 			}
 			leader, other := s.leaderOfJob(t, off[0])
@@ -148,7 +148,7 @@
 			s.runRounds(t, 20)
 			s.nodes[other].running = false
 			s.runRounds(t, 14) // just less than the lease since it began
-			for _, x := range s.world.Cloud.Hosts {
+			for _, x := range s.world.Cloud.WorkersByHost {
 				x.Hung = false
 			}
 			s.runRounds(t, 30)
@@ -167,10 +167,10 @@
 	for host := range s.nodes[0].state().Cache.Machines {
 		home = s.homeOf(host)
 	}
-	s.world.Store.Refused[s.nodes[home].name] = true // before the machine is up
+	s.world.Store.RefusedNodes[s.nodes[home].name] = true // before the machine is up
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.world.Store.Refused[s.nodes[home].name] = false
+	s.world.Store.RefusedNodes[s.nodes[home].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
@@ -184,13 +184,13 @@
 func TestLostMachineIsGivenUpByNextLeader(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 60, "machine up", func() bool { return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1 })
+	s.runUntil(t, 60, "machine up", func() bool { return len(s.world.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1 })
 	host := s.world.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
 	home := s.homeOf(host)
-	s.world.Cloud.Hosts[host].Partitioned = true
-	s.world.Store.Refused[s.nodes[home].name] = true
+	s.world.Cloud.WorkersByHost[host].Partitioned = true
+	s.world.Store.RefusedNodes[s.nodes[home].name] = true
 	cfg := s.nodes[0].controller.node.Settings
 	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
-	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.Hosts[host] == nil })
+	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.WorkersByHost[host] == nil })
 }
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -27,7 +27,7 @@
 func TestPredecessorDoubtSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.world.Store.Refused["n1"] = true // n1 lives on, partitioned from the state service
+	s.world.Store.RefusedNodes["n1"] = true // n1 lives on, partitioned from the state service
 	s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -13,7 +13,7 @@
 	s := newReadyCluster()
 	warm := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "a machine is up", func() bool { return s.runningTasks(warm) == 1 })
-	before := s.world.Store.Writes
+	before := s.world.Store.SentWrites
 	jobs := []string{}
 	for range 4 {
 		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.CPUs, r.GPUs, r.MemGB = 12, 0.1, 0, 0.1 })
@@ -23,7 +23,7 @@
 	for _, id := range jobs {
 		s.runUntil(t, 400, "done", s.isDone(id))
 	}
-	if n := s.world.Store.Writes - before; n > 10*len(jobs) {
+	if n := s.world.Store.SentWrites - before; n > 10*len(jobs) {
 		t.Fatalf("%d changes for %d jobs of 12 tasks", n, len(jobs))
 	} else {
 		t.Logf("%d changes for %d jobs", n, len(jobs))
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -20,7 +20,7 @@
 	}
 	home := s.homeOf(host)
 	c := s.nodes[home].controller
-	for range 2 * int(s.world.Lease/time.Second) { // raises count again
+	for range 2 * int(s.world.WorkerLease/time.Second) { // raises count again
 		s.runRound()
 	}
 	raises := c.testState().Agents.Agent(host).TokenSequence
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -20,9 +20,9 @@
 	s.world.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
 	for h := range s.runningTasksByHost(id) {
-		s.world.Cloud.Hosts[h].OutboundLost, unreachable[h] = true, true
+		s.world.Cloud.WorkersByHost[h].OutboundLost, unreachable[h] = true, true
 	}
-	s.runUntil(t, 3*rounds(s.world.Lease), "replicas run elsewhere", func() bool {
+	s.runUntil(t, 3*rounds(s.world.WorkerLease), "replicas run elsewhere", func() bool {
 		on := s.runningTasksByHost(id)
 		for h := range unreachable {
 			if on[h] > 0 {
@@ -47,7 +47,7 @@
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 			var worker *simulator.Worker
 			for h := range s.runningTasksByHost(id) {
-				worker = s.world.Cloud.Hosts[h]
+				worker = s.world.Cloud.WorkersByHost[h]
 			}
 			worker.InboundLost = true
 			if handover {
@@ -57,9 +57,9 @@
 				on := s.runningTasksByHost(id)
 				return on[worker.Host] == 0 && s.runningTasks(id) == 2
 			}
-			lease := rounds(s.world.Lease)
+			lease := rounds(s.world.WorkerLease)
 			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
-			if s.world.Cloud.Hosts[worker.Host] == nil {
+			if s.world.Cloud.WorkersByHost[worker.Host] == nil {
 				return // it was returned as idle, which is as good
 			}
 			more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
@@ -88,7 +88,7 @@
 	s.runUntil(t, 20, "it runs", func() bool { return s.runningTasks(off) == 1 })
 	var early []func() // what was sent for the start
 	for _, n := range s.nodes {
-		early, n.commands.Delayed = append(early, n.commands.Delayed...), nil
+		early, n.commands.DelayedDeliveries = append(early, n.commands.DelayedDeliveries...), nil
 	}
 	s.cancel(1, off)
 	s.runUntil(t, 20, "it is gone", func() bool { return s.presentTasks(off) == 0 })
@@ -106,8 +106,8 @@
 	s.deliverDelayedCommands()
 	setDelayed(false)
 	s.runUntil(t, 40, "it is gone", func() bool { return s.presentTasks(next) == 0 })
-	if s.runningTasks(on) != 3 || s.world.LateStarts > 0 {
-		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.runningTasks(on), s.world.LateStarts)
+	if s.runningTasks(on) != 3 || s.world.LaunchesAfterCancel > 0 {
+		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.runningTasks(on), s.world.LaunchesAfterCancel)
 	}
 	s.checkRecovery(t)
 }
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -46,10 +46,10 @@
 	facts.Teams = []config.Team{{Name: "a"}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	world := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	world := simulator.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	info.Now = func() time.Time { return world.Now }
-	info.SteppedClock = true
+	info.SimulatedClock = true
 	services := &external.Services{Store: &simulator.StoreClient{Store: world.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, unlimitedWrites{}))
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -46,7 +46,7 @@
 	if controllerCount == r.controllerCount {
 		return false
 	}
-	r.node.Log.Info("rate share changed", logkey.Controllers(controllerCount), logkey.Before(r.controllerCount))
+	r.node.Log.Info("rate share changed", logkey.Controllers(controllerCount), logkey.PreviousCount(r.controllerCount))
 	r.controllerCount = controllerCount
 	return true
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -43,7 +43,7 @@
 // applyRecord applies a record and returns its version.
 func (f *tableFixture) applyRecord(key string, value any) uint64 {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 	return f.version
 }
 
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -24,7 +24,7 @@
 	list := &l.list
 	lag := time.Duration(l.node.Settings.Facts.Cloud.ListLagS * float64(time.Second))
 	interval := max(lag, l.node.Settings.HeartbeatInterval())
-	if list.listing.Active() && now.Sub(list.listing.Began) > listTimeoutIntervals*interval {
+	if list.listing.Active() && now.Sub(list.listing.StartedAt) > listTimeoutIntervals*interval {
 		list.listing.Abandon() // the cloud did not answer meanwhile
 	}
 	if !list.listing.Active() && now.Sub(list.readAt) <= interval {
@@ -40,5 +40,5 @@
 	list.readAt = now
 	state := l.guard.Lock()
 	defer l.guard.Unlock()
-	state.Agents.Listing().Update(hosts, list.listing.Began, lag)
+	state.Agents.Listing().Update(hosts, list.listing.StartedAt, lag)
 }
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -31,7 +31,7 @@
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
 		if team.Limited() {
-			stage.teamUsage[team.Name] = s.accounts.TeamUse(team.Name)
+			stage.teamUsage[team.Name] = s.accounts.TeamUsage(team.Name)
 		}
 	}
 	return stage
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -50,7 +50,7 @@
 // apply writes a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 	return f.version
 }
 
--- a/internal/storesync/barrier.go
+++ b/internal/storesync/barrier.go
@@ -85,7 +85,7 @@
 // bounded part of the request rate. A single query is not delayed.
 func (s *Sync) runReadBarrier(ctx context.Context, barrier *readBarrier) {
 	wait := s.node.Settings.ReadInterval() - s.barriers.sinceLastRead(s.node.Now())
-	if wait > 0 && !s.node.SteppedClock {
+	if wait > 0 && !s.node.SimulatedClock {
 		timing.Sleep(ctx, wait)
 	}
 	s.barriers.begin(s.node.Now())
