--- a/cmd/violetturn/arguments.go
+++ b/cmd/violetturn/arguments.go
@@ -4,13 +4,13 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is what --version prints.
+// version is the program version that --version prints.
 const version = "0.1.0"
 
-// commandCheck is the command that checks the files and exits.
+// commandCheck is the name of the command that only checks the files.
 const commandCheck = "check"
 
-// arguments are the command line. Their help texts are in helpTexts.
+// arguments defines the command line. The help texts of its flags are in helpTexts.
 type arguments struct {
 	Config   string           `help:"${config_help}" required:"" type:"path" placeholder:"FILE"`
 	Policy   string           `help:"${policy_help}" type:"path" placeholder:"FILE"`
@@ -22,20 +22,20 @@
 }
 
 const description = "A cluster scheduler run as several controllers that share a state service. " +
-	"Logs to standard error; the variable LOG_LEVEL is error, info (the default) or debug."
+	"Logs to standard error; the environment variable LOG_LEVEL is error, info (the default) or debug."
 
-// helpTexts returns the help texts of the flags, by the names that arguments gives them.
+// helpTexts returns the help texts of the flags, keyed by the variables that arguments refers to.
 func helpTexts() kong.Vars {
 	return kong.Vars{
-		"config_help":   "Settings file (TOML) that the platform hands over.",
-		"policy_help":   "Policy file (TOML) with the operators' own expressions. Built-in policy without it.",
-		"features_help": "Features file (TOML): new behaviour that is on. None without it.",
-		"profile_help":  "Folder for profiles of processor, memory and the state's lock, written when the process is stopped.",
+		"config_help":   "Settings file (TOML) of the platform.",
+		"policy_help":   "Policy file (TOML) with expressions that override the built-in ones.",
+		"features_help": "Features file (TOML) that enables new behaviour. Without it, all features are off.",
+		"profile_help":  "Folder for profiles of the CPU, memory and the state lock, written when the process is stopped.",
 	}
 }
 
-// parseArguments reads the command line and returns the arguments and the command that they
-// name. For --help and --version it prints and exits.
+// parseArguments parses the command line and returns the arguments and the name of the command. For
+// --help and --version it prints the text and exits the process.
 func parseArguments(line []string) (*arguments, string, error) {
 	args := &arguments{}
 	parser := kong.Must(
