--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -99,7 +99,7 @@
 // that run at once, and a soft memory limit, near which the garbage collector runs more often, so
 // that the process isn't killed for exceeding the machine's limit.
 func limitResources(s *config.Settings) {
-	runtime.GOMAXPROCS(s.Processors(runtime.NumCPU()))
+	runtime.GOMAXPROCS(s.MaxProcs(runtime.NumCPU()))
 	debug.SetMemoryLimit(s.MemoryTarget())
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -44,7 +44,7 @@
 			return
 		}
 		checkDerivedLimits(t, s)
-		if w := s.Facts.Workers; w.LeaseS < maxCheckedSeconds && w.CancelS < maxCheckedSeconds {
+		if w := s.Facts.Workers; w.LeaseS < maxCheckedSeconds && w.CancelTimeoutS < maxCheckedSeconds {
 			checkDerivedTimes(t, s)
 		}
 	})
@@ -61,7 +61,7 @@
 		lowest.RPS > current.RPS || lowest.WriteRPS > current.WriteRPS {
 		t.Fatalf("lowest limits %+v exceed the current limits %+v", lowest, current)
 	}
-	if n := s.Processors(8); n < 1 || n > 8 {
+	if n := s.MaxProcs(8); n < 1 || n > 8 {
 		t.Fatalf("uses %d of 8 processors, want 1 to 8", n)
 	}
 	if m := s.MemoryTarget(); m <= 0 || float64(m) > s.Facts.Limits.MemoryMB*bytesPerMB {
@@ -80,13 +80,13 @@
 			s.ControllerLeaseTTL(), minControllerLease, s.MaxStaleness())
 	}
 	grace := s.LeadershipGrace()
-	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelS) {
-		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total, seconds(s.Facts.Workers.CancelS))
+	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelTimeoutS) {
+		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total, seconds(s.Facts.Workers.CancelTimeoutS))
 	}
 	if grace < 0 || s.DecisionInterval() < 0 || s.DecisionInterval() > s.HeartbeatInterval() {
 		t.Fatalf("grace is %v, want at least 0; decision interval is %v, want 0 to %v", grace, s.DecisionInterval(), s.HeartbeatInterval())
 	}
-	if s.ConfirmsCancelWhenEmpty() && grace > 0 {
+	if s.ConfirmsCancelAfterTasksEnd() && grace > 0 {
 		t.Fatalf("grace is %v, want 0 if cancellations are confirmed only when the job is empty", grace)
 	}
 }
@@ -115,10 +115,10 @@
 		if h := p.Headroom(job, 2.5, 40, slack); !(h >= 0 && h <= maxHeadroom) {
 			t.Fatalf("headroom is %g tasks, want 0 to %d", h, maxHeadroom)
 		}
-		if s := p.Idle(40, 3, true); !(s >= 0) || math.IsInf(s, 0) {
+		if s := p.IdleSeconds(40, 3, true); !(s >= 0) || math.IsInf(s, 0) {
 			t.Fatalf("idle machines are kept for %g s, want a finite number of at least 0", s)
 		}
-		if !p.RestrictsPreemption() && !p.Preempt(job, JobVariables{Priority: 3}, age) {
+		if !p.RestrictsPreemption() && !p.AllowsPreemption(job, JobVariables{Priority: 3}, age) {
 			t.Fatal("Preempt returned false for a policy that does not restrict preemption")
 		}
 		if d := time.Since(began); d > 10*time.Second {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -111,9 +111,9 @@
 // candidate task.
 func (p *Policy) RestrictsPreemption() bool { return p.restrictsPreemption }
 
-// Preempt reports whether the job may preempt the victim, where PROTOCOL allows it. lost is the work
+// AllowsPreemption reports whether the job may preempt the victim, where PROTOCOL allows it. lost is the work
 // of the victim, in seconds, that the preemption would lose. The fallback is false.
-func (p *Policy) Preempt(job, victim JobVariables, lost float64) bool {
+func (p *Policy) AllowsPreemption(job, victim JobVariables, lost float64) bool {
 	return evaluate(p.preempt, preemptVariables{Job: job, Victim: victim, Lost: lost}, false)
 }
 
@@ -126,8 +126,8 @@
 	return min(max(evaluate(p.headroom, variables, 0.0), 0), maxHeadroom)
 }
 
-// Idle returns for how many seconds a machine without tasks is kept. startup is its boot time in
+// IdleSeconds returns for how many seconds a machine without tasks is kept. startup is its boot time in
 // seconds and price its price an hour. The fallback is startup.
-func (p *Policy) Idle(startup, price float64, spot bool) float64 {
+func (p *Policy) IdleSeconds(startup, price float64, spot bool) float64 {
 	return max(evaluate(p.idle, idleVariables{Startup: startup, Price: price, Spot: spot}, startup), 0)
 }
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -32,8 +32,8 @@
 	for _, job := range []JobVariables{{Class: "a", Team: "b", Kind: "sweep", Tasks: 9, Priority: 2}, {Class: "c", Priority: 1}} {
 		for _, victim := range []JobVariables{{Class: "a", Priority: 3}, {Class: "c", Priority: 3}} {
 			if oldPolicy.Weight(job) != currentPolicy.Weight(job) ||
-				oldPolicy.Preempt(job, victim, 1) != currentPolicy.Preempt(job, victim, 1) ||
-				oldPolicy.Idle(1, 1, true) != currentPolicy.Idle(1, 1, true) {
+				oldPolicy.AllowsPreemption(job, victim, 1) != currentPolicy.AllowsPreemption(job, victim, 1) ||
+				oldPolicy.IdleSeconds(1, 1, true) != currentPolicy.IdleSeconds(1, 1, true) {
 				t.Errorf("job %+v, victim %+v: deprecated and current names give different results", job, victim)
 			}
 		}
@@ -44,7 +44,7 @@
 		Kind:     "sweep",
 		Tasks:    9,
 		Priority: 2,
-	}) != 7 || oldPolicy.Preempt(JobVariables{}, JobVariables{Class: "c", Priority: 3}, 1) != true {
+	}) != 7 || oldPolicy.AllowsPreemption(JobVariables{}, JobVariables{Class: "c", Priority: 3}, 1) != true {
 		t.Error("weight is not 7, or preemption is not allowed, with deprecated names")
 	}
 	for _, src := range []string{`weight = "job.lanes"`, `idle_s = "loaner ? 1 : 2"`} {
@@ -64,11 +64,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 ||
-		p.Idle(40, 3, true) != 5 {
+	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.IdleSeconds(40, 3, false) != 80 ||
+		p.IdleSeconds(40, 3, true) != 5 {
 		t.Error("weight or idle time differs from the configured expressions: want weights 10 and -2, idle times 80 and 5")
 	}
-	if !p.Preempt(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
+	if !p.AllowsPreemption(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
 		p.Headroom(JobVariables{Priority: 1}, 4, 40, 10) != 10 {
 		t.Error("preempt or headroom differs from the built-in expressions: want true, headrooms 0 and 10")
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,28 +36,28 @@
 
 // Facts describes the deployment.
 type Facts struct {
-	Size        int           `toml:"size"` // number of controllers, this one included
-	Zones       []string      `toml:"zones"`
-	TimeBoundMS float64       `toml:"time_bound_ms"`
-	Teams       []Team        `toml:"teams"`
-	Objectives  []Objective   `toml:"objectives"`
-	Workers     WorkerTimes   `toml:"workers"`
-	State       StateFacts    `toml:"state"`
-	Cloud       CloudFacts    `toml:"cloud"`
-	Limits      MachineLimits `toml:"machine_limits"`
+	ControllerCount int           `toml:"size"` // number of controllers, this one included
+	Zones           []string      `toml:"zones"`
+	TimeBoundMS     float64       `toml:"time_bound_ms"`
+	Teams           []Team        `toml:"teams"`
+	Objectives      []Objective   `toml:"objectives"`
+	Workers         WorkerTimes   `toml:"workers"`
+	State           StateFacts    `toml:"state"`
+	Cloud           CloudFacts    `toml:"cloud"`
+	Limits          MachineLimits `toml:"machine_limits"`
 }
 
 // Team is a team with its guaranteed resources and its limits; 0 means no guarantee or no limit.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"` // guaranteed
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"` // guaranteed
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"` // guaranteed
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"` // guaranteed
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Limited reports whether the team has a limit.
-func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+// HasLimit reports whether the team has a limit.
+func (t Team) HasLimit() bool { return t.MaxCPUs > 0 || t.MaxGPUs > 0 }
 
 // ObjectiveKind is what an objective measures. The value is the word used in the settings.
 type ObjectiveKind string
@@ -81,12 +81,12 @@
 
 // WorkerTimes holds the workers' intervals and timeouts, in seconds.
 type WorkerTimes struct {
-	ReportS float64 `toml:"report_s"` // interval between heartbeats
-	LeaseS  float64 `toml:"lease_s"`  // a worker whose heartbeats are not answered for this long kills its tasks
-	CancelS float64 `toml:"cancel_s"` // the tasks of a cancelled job have to end within this time
+	HeartbeatIntervalS float64 `toml:"report_s"` // interval between heartbeats
+	LeaseS             float64 `toml:"lease_s"`  // a worker whose heartbeats are not answered for this long kills its tasks
+	CancelTimeoutS     float64 `toml:"cancel_s"` // the tasks of a cancelled job have to end within this time
 
-	GangWaitS float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
-	GangPeerS float64 `toml:"gang_peer_s"` // within this time it detects that another one has ended
+	GangGatherTimeoutS float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
+	GangPeerTimeoutS   float64 `toml:"gang_peer_s"` // within this time it detects that another one has ended
 }
 
 // StateLimits holds the limits of the state service, shared by all controllers.
@@ -100,7 +100,7 @@
 // StateFacts describes the state service.
 type StateFacts struct {
 	StateLimits
-	Next *StateLimits `toml:"next"` // announced limits that apply from a later time on; nil if none are announced
+	NextLimits *StateLimits `toml:"next"` // announced limits that apply from a later time on; nil if none are announced
 }
 
 // CloudFacts describes the cloud.
@@ -159,7 +159,7 @@
 }
 
 // HasTeamLimits reports whether any team has a limit.
-func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
+func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.HasLimit) }
 
 // Team returns the team with the given name, and whether it exists.
 func (s *Settings) Team(name string) (Team, bool) {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if team, ok := s.Team("a"); !ok || !team.Limited() {
+	if team, ok := s.Team("a"); !ok || !team.HasLimit() {
 		t.Errorf("Team(\"a\") returned %+v, %t, want a team with a limit", team, ok)
 	}
 	for field, change := range map[string][2]string{
@@ -98,7 +98,7 @@
 			t.Errorf("%s: Parse returned %v, want no error", tt.to, err)
 			continue
 		}
-		if got := s.Processors(8); got != tt.wantProcessors {
+		if got := s.MaxProcs(8); got != tt.wantProcessors {
 			t.Errorf("%s: uses %d processors, want %d", tt.to, got, tt.wantProcessors)
 		}
 		if m := s.MemoryTarget(); m <= 0 || m > 1<<40 || float64(m) > s.Facts.Limits.MemoryMB*(1<<20) {
@@ -138,7 +138,7 @@
 			t.Errorf("%q: Parse returned %+v, %v, want the lowest limits %+v", next, s, err, want)
 		}
 	}
-	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.Next != nil ||
+	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.NextLimits != nil ||
 		s.LowestLimits() != (StateLimits{120, 25, 4, 8}) {
 		t.Errorf("without announced limits Parse returned %+v, %v, want no next limits and the current ones as lowest", s, err)
 	}
@@ -153,12 +153,12 @@
 	}
 	for _, w := range [][3]float64{{1.5, 10, 40}, {3, 45, 75}, {1, 30, 31}, {0.5, 2, 100}} {
 		f := &s.Facts.Workers
-		f.ReportS, f.LeaseS, f.CancelS = w[0], w[1], w[2]
+		f.HeartbeatIntervalS, f.LeaseS, f.CancelTimeoutS = w[0], w[1], w[2]
 		if s.ControllerLeaseTTL() > s.WorkerLease()/3+500e6 {
 			t.Errorf("%v: controller lease is %v, want at most 500ms above a third of %v", w, s.ControllerLeaseTTL(), s.WorkerLease())
 		}
-		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelS) {
-			t.Errorf("%v: grace is %v, want lease, grace and worker lease together at most %v", w, g, seconds(f.CancelS))
+		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelTimeoutS) {
+			t.Errorf("%v: grace is %v, want lease, grace and worker lease together at most %v", w, g, seconds(f.CancelTimeoutS))
 		}
 	}
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -18,7 +18,9 @@
 func (s *Settings) WorkerLease() time.Duration { return seconds(s.Facts.Workers.LeaseS) }
 
 // HeartbeatInterval returns how often a worker sends a heartbeat.
-func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Facts.Workers.ReportS) }
+func (s *Settings) HeartbeatInterval() time.Duration {
+	return seconds(s.Facts.Workers.HeartbeatIntervalS)
+}
 
 // WorkerLeaseBound returns the time after which a worker's tasks have certainly ended. It is measured
 // on this controller's clock, from the last response that the worker can have accepted.
@@ -27,33 +29,35 @@
 }
 
 // GangGatherTimeout returns how long a started task of a gang waits for the other tasks to start.
-func (s *Settings) GangGatherTimeout() time.Duration { return seconds(s.Facts.Workers.GangWaitS) }
+func (s *Settings) GangGatherTimeout() time.Duration {
+	return seconds(s.Facts.Workers.GangGatherTimeoutS)
+}
 
 // GangPeerTimeout returns the time within which the tasks of a gang detect that one of them has
 // ended. The stop commands have to reach all tasks within this time for their progress to be saved.
-func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerS) }
+func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerTimeoutS) }
 
 // DecisionInterval returns how long a controller collects events before its next commit: the time
 // that one write takes at its share of the write rate, but at most a twelfth of a heartbeat interval.
 func (s *Settings) DecisionInterval() time.Duration {
-	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
+	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.ControllerCount)/s.Facts.State.WriteRPS))
 }
 
-// CloudCallsPerRound is the usual number of cloud API calls of each kind in one autoscaler run.
-const CloudCallsPerRound = 2
+// CloudCallsPerRun is the usual number of cloud API calls of each kind in one autoscaler run.
+const CloudCallsPerRun = 2
 
-// AutoscaleInterval returns the time between two autoscaler runs: the time that CloudCallsPerRound
+// AutoscaleInterval returns the time between two autoscaler runs: the time that CloudCallsPerRun
 // calls take at this controller's share of the cloud's rate limit, but at most a third of a heartbeat
 // interval.
 func (s *Settings) AutoscaleInterval() time.Duration {
-	share := s.Facts.Cloud.RPS / float64(s.Facts.Size)
-	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRound/share))
+	share := s.Facts.Cloud.RPS / float64(s.Facts.ControllerCount)
+	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRun/share))
 }
 
-// ReadInterval returns the minimum interval between two reads of the state service on behalf of user
+// QueryReadInterval returns the minimum interval between two reads of the state service on behalf of user
 // queries. These reads take at most about a quarter of this controller's share of the request rate.
-func (s *Settings) ReadInterval() time.Duration {
-	return seconds(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
+func (s *Settings) QueryReadInterval() time.Duration {
+	return seconds(4 * float64(s.Facts.ControllerCount) / s.Facts.State.RPS)
 }
 
 // ControllerLeaseTTL returns the time to live of a controller's lease: two heartbeat intervals, but at
@@ -78,14 +82,16 @@
 	return max(s.ControllerLeaseTTL(), s.cancelMargin())
 }
 
-// ConfirmsCancelWhenEmpty reports whether a cancellation is confirmed to the user only after the last
+// ConfirmsCancelAfterTasksEnd reports whether a cancellation is confirmed to the user only after the last
 // task of the job has left its machine. This is necessary if cancel_s minus a worker's lease is
 // shorter than the controller's lease: then no heartbeat response of a leader that has not read the
 // cancellation would be safe.
-func (s *Settings) ConfirmsCancelWhenEmpty() bool { return s.cancelMargin() < s.ControllerLeaseTTL() }
+func (s *Settings) ConfirmsCancelAfterTasksEnd() bool {
+	return s.cancelMargin() < s.ControllerLeaseTTL()
+}
 
 // cancelMargin returns cancel_s minus the bound on a worker's lease and a quarter of a heartbeat
 // interval. It may be negative.
 func (s *Settings) cancelMargin() time.Duration {
-	return seconds(s.Facts.Workers.CancelS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
+	return seconds(s.Facts.Workers.CancelTimeoutS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
 }
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -15,8 +15,8 @@
 // lease, or a higher limit, than the world has. Unchanged, the same events break nothing.
 func TestCheckersCatch(t *testing.T) {
 	shorterLease := func(s *config.Settings) { s.Facts.Workers.LeaseS = 4 }
-	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelS = 30 }
-	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].GPUsMax = 9 }
+	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelTimeoutS = 30 }
+	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].MaxGPUs = 9 }
 	for _, x := range []struct {
 		name   string
 		rule   simulator.Rule
@@ -100,8 +100,8 @@
 	before := s.world.CancelTimeout.Seconds()
 	s.world.CancelTimeout = d
 	for _, n := range s.nodes {
-		if f := &n.controller.node.Settings.Facts.Workers; f.CancelS == before {
-			f.CancelS = d.Seconds()
+		if f := &n.controller.node.Settings.Facts.Workers; f.CancelTimeoutS == before {
+			f.CancelTimeoutS = d.Seconds()
 		}
 	}
 }
@@ -175,7 +175,7 @@
 			s.world.Cloud.NoCapacity = true
 			if mutated {
 				for _, n := range s.nodes {
-					n.controller.node.Settings.Facts.Teams[1].GPUsMax = 3
+					n.controller.node.Settings.Facts.Teams[1].MaxGPUs = 3
 				}
 			}
 			s.submitArray(1, time.Second, nil)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -96,13 +96,13 @@
 		}
 	}
 	f := &s.Facts
-	f.Size, f.Zones = len(names), zones
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 1, 9, 40
-	f.Workers.GangWaitS, f.Workers.GangPeerS = 12, 3
+	f.ControllerCount, f.Zones = len(names), zones
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelTimeoutS = 1, 9, 40
+	f.Workers.GangGatherTimeoutS, f.Workers.GangPeerTimeoutS = 12, 3
 	f.Cloud.RPS, f.Cloud.ListLagS = 8, 2
 	f.Limits.MemoryMB, f.Limits.MaxSockets = 100, 900
 	for _, t := range []string{"a", "b"} {
-		f.Teams = append(f.Teams, config.Team{Name: t, GPUs: limits[t] / 2, GPUsMax: limits[t]})
+		f.Teams = append(f.Teams, config.Team{Name: t, GuaranteedGPUs: limits[t] / 2, MaxGPUs: limits[t]})
 	}
 	return s
 }
@@ -189,11 +189,11 @@
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
 	cfg := testSettings(i, names, s.world.Zones, s.world.TeamGPULimits)
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = s.world.WorkerLease.Seconds(), s.world.CancelTimeout.Seconds()
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.world.WorkerLease.Seconds(), s.world.CancelTimeout.Seconds()
 	next := s.nextStateLimits
-	cfg.Facts.State.StateLimits, cfg.Facts.State.Next = s.stateLimits, &next
+	cfg.Facts.State.StateLimits, cfg.Facts.State.NextLimits = s.stateLimits, &next
 	if n.inProduction {
-		cfg.Facts.State.Next = nil
+		cfg.Facts.State.NextLimits = nil
 	}
 	if s.adjustSettings != nil {
 		s.adjustSettings(n, cfg)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,10 +96,10 @@
 		Timeout:         settings.ControllerLeaseTTL() / 3,
 		Limits:          store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
 		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
-		ControllerCount: settings.Facts.Size,
+		ControllerCount: settings.Facts.ControllerCount,
 		OnResponse:      c.sync.RecordStoreAnswer,
 	})
-	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
+	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
 	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
 	c.services.Workers = worker.NewClient(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
 	c.services.Peers = peer.NewClient(client)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -47,7 +47,7 @@
 	s := newReadyCluster()
 	s.world.GangStartTimeout = 25 * time.Second
 	for _, n := range s.nodes {
-		n.controller.node.Settings.Facts.Workers.GangWaitS = 25
+		n.controller.node.Settings.Facts.Workers.GangGatherTimeoutS = 25
 	}
 	other := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.runUntil(t, 300, "done", s.isDone(other))
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -51,10 +51,10 @@
 	}
 	l.testCluster = newClusterWithoutNodes(w, d.State, d.State)
 	l.adjustSettings = func(_ *testNode, cfg *config.Settings) {
-		cfg.Facts.Workers.ReportS = d.HeartbeatS
+		cfg.Facts.Workers.HeartbeatIntervalS = d.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
-			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPULimit/2, d.TeamGPULimit
+			cfg.Facts.Teams[i].GuaranteedGPUs, cfg.Facts.Teams[i].MaxGPUs = d.TeamGPULimit/2, d.TeamGPULimit
 		}
 	}
 	l.onStart = func(n *testNode) {
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -26,16 +26,16 @@
 // ZoneRecovery configures the recovery of a zone, in which production tasks are restarted first.
 // Shares are from 0 to 1, and times are multiples of the workers' lease.
 type ZoneRecovery struct {
-	Enabled       bool    `toml:"enabled"`
-	SuspectShare  float64 `toml:"suspect_share"`  // a zone that lost this share of its machines is suspected
-	DownShare     float64 `toml:"down_share"`     // a zone that lost this share is down, once confirmed
-	Confirm       float64 `toml:"confirm"`        // how long the loss has to last to be confirmed
-	FirstShare    float64 `toml:"first_share"`    // share of a returned zone that work below production may use at first
-	LeastShare    float64 `toml:"least_share"`    // lower bound of that share; each failure in a row halves it
-	DoubleEvery   float64 `toml:"double_every"`   // time after which that share doubles
-	ProgressAfter float64 `toml:"progress_after"` // time after which some machines are no longer reserved
-	ProgressShare float64 `toml:"progress_share"` // share of the zone's machines to which that applies
-	Longest       float64 `toml:"longest"`        // longest time in the down or recovering state
+	Enabled          bool    `toml:"enabled"`
+	SuspectShare     float64 `toml:"suspect_share"`  // a zone that lost this share of its machines is suspected
+	DownShare        float64 `toml:"down_share"`     // a zone that lost this share is down, once confirmed
+	ConfirmAfter     float64 `toml:"confirm"`        // how long the loss has to last to be confirmed
+	InitialShare     float64 `toml:"first_share"`    // share of a returned zone that work below production may use at first
+	MinInitialShare  float64 `toml:"least_share"`    // lower bound of that share; each failure in a row halves it
+	DoublingInterval float64 `toml:"double_every"`   // time after which that share doubles
+	ProgressAfter    float64 `toml:"progress_after"` // time after which some machines are no longer reserved
+	ProgressShare    float64 `toml:"progress_share"` // share of the zone's machines to which that applies
+	MaxStateDuration float64 `toml:"longest"`        // longest time in the down or recovering state
 }
 
 // Features holds the features and their settings.
@@ -46,15 +46,15 @@
 // Default returns the features with all of them off and with the default settings.
 func Default() *Features {
 	return &Features{ZoneRecovery: ZoneRecovery{
-		SuspectShare:  0.25,
-		DownShare:     0.5,
-		Confirm:       0.25,
-		FirstShare:    1. / 16,
-		LeastShare:    1. / 64,
-		DoubleEvery:   0.25,
-		ProgressAfter: 2,
-		ProgressShare: 0.125,
-		Longest:       4,
+		SuspectShare:     0.25,
+		DownShare:        0.5,
+		ConfirmAfter:     0.25,
+		InitialShare:     1. / 16,
+		MinInitialShare:  1. / 64,
+		DoublingInterval: 0.25,
+		ProgressAfter:    2,
+		ProgressShare:    0.125,
+		MaxStateDuration: 4,
 	}}
 }
 
@@ -129,13 +129,13 @@
 	}{
 		{"suspect_share", z.SuspectShare, share},
 		{"down_share", z.DownShare, share},
-		{"confirm", z.Confirm, unbounded},
-		{"first_share", z.FirstShare, share},
-		{"least_share", z.LeastShare, share},
-		{"double_every", z.DoubleEvery, unbounded},
+		{"confirm", z.ConfirmAfter, unbounded},
+		{"first_share", z.InitialShare, share},
+		{"least_share", z.MinInitialShare, share},
+		{"double_every", z.DoublingInterval, unbounded},
 		{"progress_after", z.ProgressAfter, unbounded},
 		{"progress_share", z.ProgressShare, share},
-		{"longest", z.Longest, unbounded},
+		{"longest", z.MaxStateDuration, unbounded},
 	} {
 		if !(setting.value > 0 && setting.value <= setting.max) { // written so that NaN is rejected too
 			return newSettingError(setting.name, fmt.Sprintf("%g is out of range", setting.value))
@@ -144,9 +144,9 @@
 	switch {
 	case z.SuspectShare > z.DownShare:
 		return newSettingError("suspect_share", "more than down_share")
-	case z.LeastShare > z.FirstShare:
+	case z.MinInitialShare > z.InitialShare:
 		return newSettingError("least_share", "more than first_share")
-	case z.ProgressAfter > z.Longest:
+	case z.ProgressAfter > z.MaxStateDuration:
 		return newSettingError("progress_after", "more than longest")
 	}
 	return nil
