--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -11,17 +11,18 @@
 	"violetturn/internal/simulator"
 )
 
-// The checkers catch a controller that breaks the rules: one that believes in a shorter
-// lease, or a higher limit, than the world has. Unchanged, the same events break nothing.
-func TestCheckersCatch(t *testing.T) {
+// The checkers of the environment must detect a controller that breaks a rule because its settings
+// have a shorter worker lease, a shorter cancellation timeout or a higher team limit than the
+// environment. With the right settings, the same events must violate nothing.
+func TestCheckersDetectViolations(t *testing.T) {
 	shorterLease := func(s *config.Settings) { s.Facts.Workers.LeaseS = 4 }
 	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelS = 30 }
 	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].GPUsMax = 9 }
-	for _, x := range []struct {
-		name   string
-		rule   simulator.Rule
-		mutate func(*config.Settings)
-		play   func(*testCluster)
+	for _, test := range []struct {
+		name     string
+		rule     simulator.Rule
+		mutate   func(*config.Settings)
+		scenario func(*testCluster)
 	}{
 		{"gang on a partitioned machine", simulator.RuleRanTwice, shorterLease, partitionGangMachine},
 		{"gang in a partitioned zone", simulator.RuleWrongPlace, shorterLease, partitionGangZone},
@@ -33,57 +34,58 @@
 		{"array beyond its team's limit", simulator.RuleQuota, higherLimit, submitArrayBeyondLimit},
 	} {
 		for _, mutated := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, mutated %t", x.name, mutated), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, mutated %t", test.name, mutated), func(t *testing.T) {
 				s := newReadyCluster()
 				if mutated {
 					for _, n := range s.nodes {
-						x.mutate(n.controller.node.Settings)
+						test.mutate(n.controller.node.Settings)
 					}
 				}
-				x.play(s)
-				caught := slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == x.rule })
-				if caught != mutated {
-					t.Errorf("%s, mutated %t: %v", x.rule, mutated, s.world.Violations)
+				test.scenario(s)
+				detected := slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == test.rule })
+				if detected != mutated {
+					t.Errorf("violation of %s: got %t, want %t; violations: %v", test.rule, detected, mutated, s.world.Violations)
 				}
 			})
 		}
 	}
 }
 
-// partitionServiceMachine partitions one machine while its tasks run on and another has room.
+// partitionServiceMachine partitions one machine whose tasks continue to run, while another machine
+// has free capacity.
 func partitionServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, x := range s.world.Cloud.Workers() {
-		if len(x.Tasks) == 2 {
-			x.Partitioned = true
+	for _, worker := range s.world.Cloud.Workers() {
+		if len(worker.Tasks) == 2 {
+			worker.Partitioned = true
 		}
 	}
 	s.runFor(60)
 }
 
-// hangServiceMachine hangs one machine within its lease, after which it goes on.
+// hangServiceMachine hangs one machine for less than its lease; then the machine continues.
 func hangServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, x := range s.world.Cloud.Workers() {
-		if len(x.Tasks) == 2 {
-			x.Hung = true
-			defer func() { x.Hung = false }()
+	for _, worker := range s.world.Cloud.Workers() {
+		if len(worker.Tasks) == 2 {
+			worker.Hung = true
+			defer func() { worker.Hung = false }()
 		}
 	}
-	s.runFor(17) // just less than its lease
+	s.runFor(17) // slightly less than its lease
 }
 
-// cancelServiceInPartitionedZone partitions a zone as a service there is cancelled.
+// cancelServiceInPartitionedZone cancels a service in a zone that has just been partitioned.
 func cancelServiceInPartitionedZone(s *testCluster) {
 	s.cancelInPartitionedZone(func() string {
 		return s.submitService(4, func(j *api.Job) { j.Zone = "y" })
 	})
 }
 
-// cancelInPartitionedZone partitions zone y, with n1, which leads the shard of the machines
-// there, as a job there is cancelled.
+// cancelInPartitionedZone submits a job in zone y, partitions the zone and then cancels the job.
+// The partitioned zone contains n1, which leads the shard of the machines there.
 func (s *testCluster) cancelInPartitionedZone(submit func() string) {
 	s.setCancelTimeout(16 * time.Second)
 	id := submit()
@@ -94,8 +96,8 @@
 	s.runFor(60)
 }
 
-// setCancelTimeout sets in which time cancelled tasks have to end. A controller that believes
-// in another time than the world has keeps it.
+// setCancelTimeout sets the time within which cancelled tasks must end. A controller whose settings
+// differ from the environment keeps its own timeout.
 func (s *testCluster) setCancelTimeout(d time.Duration) {
 	before := s.world.CancelTimeout.Seconds()
 	s.world.CancelTimeout = d
@@ -106,14 +108,14 @@
 	}
 }
 
-// submitArrayBeyondLimit submits an array that needs more than its team may have.
+// submitArrayBeyondLimit submits an array that needs more GPUs than its team may use.
 func submitArrayBeyondLimit(s *testCluster) {
 	s.submitArray(12, time.Minute, func(j *api.Job) { j.Team = "a" })
 	s.runFor(80)
 }
 
-// partitionGangMachine partitions a machine with tasks of a gang, which go on where they can't
-// be seen, while there is room to be taken.
+// partitionGangMachine partitions a machine with tasks of a gang, which continue to run there,
+// while other machines have capacity that can be gained by preemption.
 func partitionGangMachine(s *testCluster) {
 	s.world.GangPeer = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind = api.Gang })
@@ -127,8 +129,8 @@
 	s.runFor(60)
 }
 
-// partitionGangZone partitions all machines in the zone of a gang that goes together, while
-// the other zone has room to be taken.
+// partitionGangZone partitions all machines in the zone of a single-zone gang, while the other
+// zone has capacity that can be gained by preemption.
 func partitionGangZone(s *testCluster) {
 	s.world.GangPeer = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.Together = api.Gang, true })
@@ -137,21 +139,21 @@
 	}
 	s.runFor(60)
 	zone := s.workerOf(id).Zone
-	for _, x := range s.world.Cloud.Hosts {
-		x.Partitioned = x.Zone == zone
+	for _, worker := range s.world.Cloud.Hosts {
+		worker.Partitioned = worker.Zone == zone
 	}
 	s.runFor(60)
 }
 
-// cancelGangInPartitionedZone partitions a zone as a gang there is cancelled.
+// cancelGangInPartitionedZone cancels a gang in a zone that has just been partitioned.
 func cancelGangInPartitionedZone(s *testCluster) {
 	s.cancelInPartitionedZone(func() string {
 		return s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Kind, j.Zone = api.Gang, "y" })
 	})
 }
 
-// submitGangsBeyondLimit submits several gangs that together need more than their team may
-// have.
+// submitGangsBeyondLimit submits several gangs that together need more GPUs than their team may
+// use.
 func submitGangsBeyondLimit(s *testCluster) {
 	for range 4 {
 		s.submitArray(3, time.Minute, func(j *api.Job) { j.Team, j.Kind = "a", api.Gang })
@@ -159,9 +161,9 @@
 	s.runFor(80)
 }
 
-// The checker of what waits catches too: a controller that believes in a lower limit than
-// there is leaves a job waiting beside room.
-func TestWaitingCheckerCatches(t *testing.T) {
+// The checker of waiting tasks must detect a controller whose settings have a lower team limit than
+// the environment: it leaves a job waiting although there is free capacity.
+func TestWaitingCheckerDetectsStarvedJob(t *testing.T) {
 	for _, mutated := range []bool{false, true} {
 		t.Run(fmt.Sprintf("mutated %t", mutated), func(t *testing.T) {
 			s := newTestCluster()
@@ -170,7 +172,7 @@
 				s.startNode(i)
 			}
 			s.runRounds(t, 10)
-			id := s.submitService(3, nil) // leaves room on one of two machines
+			id := s.submitService(3, nil) // leaves free capacity on one of two machines
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 			s.world.Cloud.NoCapacity = true
 			if mutated {
@@ -179,19 +181,19 @@
 				}
 			}
 			s.submitArray(1, time.Second, nil)
-			since := map[string]time.Time{}
+			waitingSince := map[string]time.Time{}
 			for range 240 {
 				s.runRound()
-				s.checkWaiting(since)
+				s.checkWaiting(waitingSince)
 			}
-			if caught := len(s.world.Violations) > 0; caught != mutated {
-				t.Errorf("mutated %t: %v", mutated, s.world.Violations)
+			if detected := len(s.world.Violations) > 0; detected != mutated {
+				t.Errorf("violation by a waiting job: got %t, want %t; violations: %v", detected, mutated, s.world.Violations)
 			}
 		})
 	}
 }
 
-// failureRecorder keeps what a checker would fail with.
+// failureRecorder is a fataler that records failures instead of failing a test.
 type failureRecorder []string
 
 // Helper does nothing.
@@ -202,9 +204,9 @@
 	*r = append(*r, fmt.Sprintf(format, args...))
 }
 
-// The checker of invalid submissions catches: a controller that knows a team too many, or a
-// machine type that there is not, accepts what can't run.
-func TestInvalidSubmissionCheckerCatches(t *testing.T) {
+// The checker of invalid submissions must detect a controller that accepts jobs which can't run,
+// because it has a team in its settings that does not exist, or a machine type that is not offered.
+func TestInvalidSubmissionCheckerDetectsAcceptedJob(t *testing.T) {
 	for name, mutate := range map[string]func(c *Controller){
 		"": func(*Controller) {},
 		"a team": func(c *Controller) {
@@ -215,9 +217,9 @@
 		t.Run("mutated "+name, func(t *testing.T) {
 			s := newReadyCluster()
 			mutate(s.nodes[1].controller)
-			var caught failureRecorder
-			if s.submitInvalid(&caught, 1); len(caught) > 0 != (name != "") {
-				t.Errorf("mutated %q: %v", name, caught)
+			var failures failureRecorder
+			if s.submitInvalid(&failures, 1); len(failures) > 0 != (name != "") {
+				t.Errorf("failures of the checker with mutation %q: got %v, want any: %t", name, failures, name != "")
 			}
 		})
 	}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -17,64 +17,66 @@
 	"violetturn/internal/statecache"
 )
 
-// maxWait is how long a task may wait while a machine that fits has room.
+// maxWait is the time for which a task may wait while a suitable machine has free capacity.
 const maxWait = 90 * time.Second
 
-// maxRecoveryRounds is after how many rounds without faults everything must be as it should.
+// maxRecoveryRounds is the number of rounds without faults within which a cluster must recover.
 const maxRecoveryRounds = 1200
 
-// checkViolations fails if a rule is broken.
+// checkViolations fails the test if a rule was violated.
 func (s *testCluster) checkViolations(t fataler) {
 	t.Helper()
 	if len(s.world.Violations) > 0 {
-		t.Fatalf("%v", s.world.Violations)
+		t.Fatalf("got violations %v, want none", s.world.Violations)
 	}
 }
 
-// checkRecovery ends all faults. From then on nothing waits for long while there is room,
-// every job is known at every node, what was cancelled is gone in time, and all else is
-// done or runs. The world checks the rules at each step.
+// checkRecovery ends all faults and runs the cluster until it has recovered: every node can
+// answer queries about every job, no cancelled job has tasks, and all other jobs are done or, if
+// they are services, run. In the meantime no task may wait for long while there is free capacity.
+// The environment checks the rules at each step.
 func (s *testCluster) checkRecovery(t *testing.T) {
 	t.Helper()
 	s.endFaults()
-	since := map[string]time.Time{}
-	s.runUntil(t, maxRecoveryRounds, "all served and known at every node after the faults", func() bool {
+	waitingSince := map[string]time.Time{}
+	s.runUntil(t, maxRecoveryRounds, "every node answers for every job, and all jobs are done or run", func() bool {
 		for i := range s.nodes {
 			for _, id := range s.jobIDs {
 				s.poll(i, id)
 			}
 		}
-		s.checkWaiting(since)
+		s.checkWaiting(waitingSince)
 		return !slices.ContainsFunc(s.jobIDs, func(id string) bool { return !s.recovered(t, id) })
 	})
 }
 
-// recovered reports whether a job is known at every node and either over and gone, or a
-// service that runs as a whole.
+// recovered reports whether every node answers queries about a job, and the job has either finished
+// without leaving tasks behind, or is a service with all its tasks present. A job that was not
+// accepted must have no tasks.
 func (s *testCluster) recovered(t *testing.T, id string) bool {
 	t.Helper()
 	j := s.world.Jobs[id]
 	if !j.Accepted {
 		return s.presentTasks(id) == 0
 	}
-	wanted := 0
+	wantTasks := 0
 	if j.FinalPhase == "" {
 		if j.Spec.Kind != api.Service {
 			return false
 		}
-		wanted = j.Spec.Tasks
+		wantTasks = j.Spec.Tasks
 	}
-	unknown := func(n *testNode) bool { return n.controller.frontend.Query(t.Context(), id).Status != 200 }
-	return s.presentTasks(id) == wanted && !slices.ContainsFunc(s.nodes, unknown)
+	jobUnknown := func(n *testNode) bool { return n.controller.frontend.Query(t.Context(), id).Status != 200 }
+	return s.presentTasks(id) == wantTasks && !slices.ContainsFunc(s.nodes, jobUnknown)
 }
 
-// checkWaiting checks, once all faults are over, that nothing is left waiting for longer than
-// maxWait while a machine that fits has room and its team is under its limit. since keeps
-// the time from which each job has waited.
-func (s *testCluster) checkWaiting(since map[string]time.Time) {
+// checkWaiting records a violation if, after all faults have ended, a job has waited for longer
+// than maxWait while a suitable machine has free capacity and its team is below its limit.
+// waitingSince contains the time since which each job has waited.
+func (s *testCluster) checkWaiting(waitingSince map[string]time.Time) {
 	teamGPUs := map[string]float64{}
-	for _, x := range s.world.Cloud.Hosts {
-		for _, uid := range x.PresentJobs() {
+	for _, worker := range s.world.Cloud.Hosts {
+		for _, uid := range worker.PresentJobs() {
 			spec := &s.world.Jobs[uid].Spec
 			teamGPUs[spec.Team] += spec.GPUs
 		}
@@ -82,22 +84,22 @@
 	for _, uid := range s.jobIDs {
 		j := s.world.Jobs[uid]
 		limit := s.world.TeamGPULimits[j.Spec.Team]
-		beyondQuota := limit > 0 && teamGPUs[j.Spec.Team]+j.Spec.GPUs > limit
-		if !s.lacksTasks(j) || beyondQuota || !s.hasRoom(&j.Spec) {
-			delete(since, uid)
+		exceedsQuota := limit > 0 && teamGPUs[j.Spec.Team]+j.Spec.GPUs > limit
+		if !s.hasPendingTasks(j) || exceedsQuota || !s.hasFreeCapacity(&j.Spec) {
+			delete(waitingSince, uid)
 			continue
 		}
-		if at, ok := since[uid]; !ok {
-			since[uid] = s.world.Now
-		} else if s.world.Now.Sub(at) > maxWait {
-			s.world.Violate(simulator.RuleWaiting, "%s for %v with room", uid, maxWait)
+		if start, ok := waitingSince[uid]; !ok {
+			waitingSince[uid] = s.world.Now
+		} else if s.world.Now.Sub(start) > maxWait {
+			s.world.Violate(simulator.RuleWaiting, "%s waited for over %v despite free capacity", uid, maxWait)
 		}
 	}
 }
 
-// lacksTasks reports whether a job has tasks to start whose places do not depend on its other
-// tasks.
-func (s *testCluster) lacksTasks(j *simulator.Job) bool {
+// hasPendingTasks reports whether a job has tasks that are still to be placed. It is false for jobs
+// whose tasks can't be placed independently of each other.
+func (s *testCluster) hasPendingTasks(j *simulator.Job) bool {
 	spec := &j.Spec
 	if spec.Together || spec.Spread || spec.Kind == api.Gang {
 		return false
@@ -105,27 +107,28 @@
 	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.Done) < spec.Tasks
 }
 
-// hasRoom reports whether a machine that fits has room for a task.
-func (s *testCluster) hasRoom(spec *api.Job) bool {
-	for _, x := range s.world.Cloud.Hosts {
-		if !x.Up() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.Spot {
+// hasFreeCapacity reports whether a suitable machine has free capacity for one task.
+func (s *testCluster) hasFreeCapacity(spec *api.Job) bool {
+	for _, worker := range s.world.Cloud.Hosts {
+		if !worker.Up() || worker.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != worker.Zone || worker.Spot && !spec.Spot {
 			continue
 		}
-		if cpus, gpus := x.Room(); cpus >= spec.CPUs && gpus >= spec.GPUs {
+		if cpus, gpus := worker.Room(); cpus >= spec.CPUs && gpus >= spec.GPUs {
 			return true
 		}
 	}
 	return false
 }
 
-// arraysDone reports whether every accepted job but services is over and known to be.
+// arraysDone reports whether every accepted job that is not a service has finished and a query has
+// returned so.
 func (s *testCluster) arraysDone() bool {
 	for _, id := range s.jobIDs {
 		j := s.world.Jobs[id]
 		if j.FinalPhase != "" || j.Spec.Kind == api.Service {
 			continue
 		}
-		// It may be accepted although no user was told.
+		// It may have been accepted although no user got the response.
 		if s.poll(0, id); j.Accepted && j.FinalPhase == "" {
 			return false
 		}
@@ -133,53 +136,54 @@
 	return true
 }
 
-// checkCapacityRecords compares the capacity records of shards that a controller caches, which
-// it does not read back when it wrote them itself, with what the state service has of that
-// version.
+// checkCapacityRecords compares the capacity records of shards that a controller caches with the
+// records of the same version in the state service. A controller does not read back the records
+// that it wrote itself.
 func (s *testCluster) checkCapacityRecords(t *rapid.T, n *testNode) {
 	store := simulator.StoreClient{Store: s.world.Store}
 	for id, cached := range n.state().Cache.Capacities {
-		it, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
-		if err != nil || !found || it.Version != cached.Version {
-			continue // it has moved on, or can't be read now
+		item, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
+		if err != nil || !found || item.Version != cached.Version {
+			continue // there is a newer version, or it can't be read now
 		}
 		var recorded shard.CapacityRecord
-		if err := json.Unmarshal(it.Value, &recorded); err != nil {
+		if err := json.Unmarshal(item.Value, &recorded); err != nil {
 			t.Fatal(err)
 		}
-		same := cached.Record.Term == recorded.Term && cached.Record.Leader == recorded.Leader
-		same = same && cached.Record.Released == recorded.Released && cached.Record.PredecessorMayAnswer == recorded.PredecessorMayAnswer
-		if !same || !maps.Equal(cached.Record.Free, recorded.Free) || !maps.Equal(cached.Record.QuotaUse, recorded.QuotaUse) {
-			t.Fatalf("%s has %+v of shard %s, recorded is %s", n.name, cached.Record, id, it.Value)
+		equal := cached.Record.Term == recorded.Term && cached.Record.Leader == recorded.Leader
+		equal = equal && cached.Record.Released == recorded.Released && cached.Record.PredecessorMayAnswer == recorded.PredecessorMayAnswer
+		if !equal || !maps.Equal(cached.Record.Free, recorded.Free) || !maps.Equal(cached.Record.QuotaUse, recorded.QuotaUse) {
+			t.Fatalf("capacity record of shard %s cached by %s: got %+v, want %s", id, n.name, cached.Record, item.Value)
 		}
 	}
 }
 
-// checkDerivedState compares what plans keep of machines and jobs with what it would be
-// if worked out anew: one change that forgot to drop it, and every later plan of
-// that machine is wrong.
+// checkDerivedState compares the cached loads of machines, the cached pending tasks of jobs and
+// the cached machine names with newly computed ones. If one change fails to invalidate a cached
+// load, every later plan for that machine is wrong.
 func (s *testCluster) checkDerivedState(t *rapid.T) {
 	for _, n := range s.nodes {
 		c := n.controller
 		s.checkCapacityRecords(t, n)
-		for _, h := range c.testState().Cache.MachinesWithCachedLoad() {
-			kept := c.testState().Cache.CachedLoad(h)
-			c.testState().Cache.InvalidateLoad(h)
-			if now := c.testState().FreeCapacity.LoadOf(h); !now.Used.ApproxEqual(kept.Used) || !now.Stopping.ApproxEqual(kept.Stopping) ||
-				now.Services != kept.Services ||
-				now.Arrays != kept.Arrays ||
-				!slices.EqualFunc(now.RunningByPriority[:], kept.RunningByPriority[:], sched.Resources.ApproxEqual) {
-				t.Fatalf("%s keeps %+v of %s, there is %+v", n.name, kept, h, now)
+		for _, host := range c.testState().Cache.MachinesWithCachedLoad() {
+			cached := c.testState().Cache.CachedLoad(host)
+			c.testState().Cache.InvalidateLoad(host)
+			if computed := c.testState().FreeCapacity.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
+				!computed.Stopping.ApproxEqual(cached.Stopping) ||
+				computed.Services != cached.Services ||
+				computed.Arrays != cached.Arrays ||
+				!slices.EqualFunc(computed.RunningByPriority[:], cached.RunningByPriority[:], sched.Resources.ApproxEqual) {
+				t.Fatalf("load of %s cached by %s: got %+v, want %+v", host, n.name, cached, computed)
 			}
 		}
 		for uid, j := range c.testState().Cache.Jobs {
-			if kept, found := j.PendingTasks(), j.ComputePendingTasks(); !slices.Equal(kept, found) {
-				t.Fatalf("%s keeps %v of %s, waiting are %v", n.name, kept, uid, found)
+			if cached, computed := j.PendingTasks(), j.ComputePendingTasks(); !slices.Equal(cached, computed) {
+				t.Fatalf("pending tasks of %s cached by %s: got %v, want %v", uid, n.name, cached, computed)
 			}
 		}
 		names := slices.Sorted(maps.Keys(c.testState().Cache.Machines))
-		if kept := c.testState().Cache.MachineNames(); !slices.Equal(kept, names) {
-			t.Fatalf("%s keeps the names %v, there are %v", n.name, kept, names)
+		if cached := c.testState().Cache.MachineNames(); !slices.Equal(cached, names) {
+			t.Fatalf("machine names cached by %s: got %v, want %v", n.name, cached, names)
 		}
 	}
 }
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -10,15 +10,15 @@
 	"violetturn/internal/simulator"
 )
 
-// heartbeatFault is what happens to a heartbeat.
+// heartbeatFault is a fault in the delivery of a heartbeat or of its response.
 type heartbeatFault int
 
 // Faults of heartbeats.
 const (
-	heartbeatServed  heartbeatFault = iota // none
-	heartbeatDelayed                       // if a partition stops it, it arrives when the test delivers it
-	responseLost                           // the worker does not hear the response
-	responseDelayed                        // it hears it when its next heartbeat is due
+	heartbeatServed  heartbeatFault = iota // no fault
+	heartbeatDelayed                       // if a partition blocks it, the test delivers it later
+	responseLost                           // the worker does not receive the response
+	responseDelayed                        // the worker receives the response when its next heartbeat is due
 )
 
 // String returns the name of the fault.
@@ -27,11 +27,11 @@
 }
 
 const (
-	maxHeartbeatCopies = 64              // that are kept
-	responseTimeout    = 4 * time.Second // after which a worker no longer waits for a response
+	maxHeartbeatCopies = 64              // copies that the cluster keeps for later delivery
+	responseTimeout    = 4 * time.Second // after this time a worker ignores a response
 )
 
-// heartbeatCopy is a heartbeat that arrived, and the node that it was for.
+// heartbeatCopy is a heartbeat that arrived, with the node that it was sent to.
 type heartbeatCopy struct {
 	to   int
 	body []byte
@@ -41,10 +41,10 @@
 type heartbeatResponse struct {
 	status   int
 	commands api.CommandBatch
-	leader   string // that the worker should report to
+	leader   string // the node that the worker should report to
 }
 
-// sentHeartbeat says when, by whom and to whom a heartbeat was sent.
+// sentHeartbeat describes a heartbeat that was sent: its sender, its receiver and its time.
 type sentHeartbeat struct {
 	worker     *simulator.Worker
 	to         int
@@ -52,82 +52,85 @@
 	agentEpoch uint64
 }
 
-// pendingResponse is a response that a worker still waits for.
+// pendingResponse is a response that its worker has not received yet.
 type pendingResponse struct {
 	sent     sentHeartbeat
 	commands api.CommandBatch
 }
 
-// sendHeartbeat lets a worker send a heartbeat to the node that it reports to, or hear the
-// response that it waits for.
-func (s *clusterNodes) sendHeartbeat(x *simulator.Worker, f heartbeatFault) {
-	if !x.Up() || x.Hung {
+// sendHeartbeat makes a worker send a heartbeat to the node that it reports to, or receive the
+// response that it is waiting for.
+func (s *clusterNodes) sendHeartbeat(worker *simulator.Worker, fault heartbeatFault) {
+	if !worker.Up() || worker.Hung {
 		return
 	}
-	if s.hearPendingResponse(x) {
+	if s.receivePendingResponse(worker) {
 		return
 	}
-	body := api.JSON(x.Heartbeat())
-	to := x.Node
-	partitioned := s.workerPartitioned(x, to)
-	if partitioned && f == heartbeatDelayed {
+	body := api.JSON(worker.Heartbeat())
+	to := worker.Node
+	partitioned := s.workerPartitioned(worker, to)
+	if partitioned && fault == heartbeatDelayed {
 		s.delayedHeartbeats = append(s.delayedHeartbeats, func() { s.deliverHeartbeat(to, body) })
 	}
 	if partitioned || !s.nodes[to].serves() {
-		s.tryNextNode(x, to)
+		s.tryNextNode(worker, to)
 		return
 	}
 	if len(s.heartbeatCopies) < maxHeartbeatCopies {
 		s.heartbeatCopies = append(s.heartbeatCopies, heartbeatCopy{to, body})
 	}
-	sent := sentHeartbeat{x, to, s.world.Now, x.AgentEpoch}
+	sent := sentHeartbeat{worker, to, s.world.Now, worker.AgentEpoch}
 	response := s.deliverHeartbeat(to, body)
 	switch {
-	case f == responseLost || x.InboundLost:
-		s.tryNextNode(x, to)
-	case response.status == http.StatusOK && f == responseDelayed:
-		s.pendingResponses[x.Host] = &pendingResponse{sent, response.commands}
+	case fault == responseLost || worker.InboundLost:
+		s.tryNextNode(worker, to)
+	case response.status == http.StatusOK && fault == responseDelayed:
+		s.pendingResponses[worker.Host] = &pendingResponse{sent, response.commands}
 	default:
 		s.handleHeartbeatResponse(sent, response)
 	}
 }
 
-// hearPendingResponse lets a worker hear the response that it waits for, unless that comes too
-// late, and reports whether it waited for one.
-func (s *clusterNodes) hearPendingResponse(x *simulator.Worker) bool {
-	p := s.pendingResponses[x.Host]
-	if p == nil {
+// receivePendingResponse delivers the response that a worker is waiting for, unless it arrives
+// after responseTimeout. It reports whether the worker was waiting for one.
+func (s *clusterNodes) receivePendingResponse(worker *simulator.Worker) bool {
+	pending := s.pendingResponses[worker.Host]
+	if pending == nil {
 		return false
 	}
-	delete(s.pendingResponses, x.Host)
-	if s.world.Now.Sub(p.sent.at) < responseTimeout {
-		x.HandleResponse(p.commands, p.sent.at, p.sent.agentEpoch)
+	delete(s.pendingResponses, worker.Host)
+	if s.world.Now.Sub(pending.sent.at) < responseTimeout {
+		worker.HandleResponse(pending.commands, pending.sent.at, pending.sent.agentEpoch)
 	}
 	return true
 }
 
-// workerPartitioned reports whether a heartbeat of a worker can't reach a node.
-func (s *clusterNodes) workerPartitioned(x *simulator.Worker, node int) bool {
-	return x.Partitioned || x.OutboundLost || s.nodes[node].commands.Partitioned || s.partitioned(s.zoneOf(node), x.Zone)
+// workerPartitioned reports whether heartbeats of a worker can't reach a node.
+func (s *clusterNodes) workerPartitioned(worker *simulator.Worker, node int) bool {
+	return worker.Partitioned || worker.OutboundLost || s.nodes[node].commands.Partitioned || s.partitioned(s.zoneOf(node), worker.Zone)
 }
 
-// tryNextNode has a worker report to the node after one that did not answer it.
-func (s *clusterNodes) tryNextNode(x *simulator.Worker, node int) { x.Node = (node + 1) % len(s.nodes) }
+// tryNextNode makes a worker that got no usable response from a node report to the next one.
+func (s *clusterNodes) tryNextNode(worker *simulator.Worker, node int) {
+	worker.Node = (node + 1) % len(s.nodes)
+}
 
-// handleHeartbeatResponse lets a worker take in a response that it heard.
-func (s *clusterNodes) handleHeartbeatResponse(sent sentHeartbeat, r heartbeatResponse) {
+// handleHeartbeatResponse makes a worker process a response: it carries out the commands, follows
+// a redirect, or turns to the next node.
+func (s *clusterNodes) handleHeartbeatResponse(sent sentHeartbeat, response heartbeatResponse) {
 	switch {
-	case r.status == http.StatusOK:
-		sent.worker.HandleResponse(r.commands, sent.at, sent.agentEpoch)
-	case r.status == http.StatusMisdirectedRequest && r.leader != "" && r.leader != s.nodes[sent.to].name:
-		sent.worker.Node = slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == r.leader })
+	case response.status == http.StatusOK:
+		sent.worker.HandleResponse(response.commands, sent.at, sent.agentEpoch)
+	case response.status == http.StatusMisdirectedRequest && response.leader != "" && response.leader != s.nodes[sent.to].name:
+		sent.worker.Node = slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == response.leader })
 	default:
 		s.tryNextNode(sent.worker, sent.to)
 	}
 }
 
-// deliverHeartbeat has a node handle a heartbeat. The response of one that does not serve is
-// empty.
+// deliverHeartbeat makes a node handle a heartbeat and returns its response, which is empty if the
+// node does not serve.
 func (s *clusterNodes) deliverHeartbeat(to int, body []byte) heartbeatResponse {
 	n := s.nodes[to]
 	if !n.serves() {
@@ -141,7 +144,7 @@
 	return heartbeatResponse{r.Status, commands, leader}
 }
 
-// deliverCopies has every node handle copies of heartbeats.
+// deliverCopies delivers copies of heartbeats to every node.
 func (s *clusterNodes) deliverCopies(copies [][]byte) {
 	for _, body := range copies {
 		for i := range s.nodes {
@@ -150,7 +153,7 @@
 	}
 }
 
-// heartbeats returns a heartbeat of each machine, as it was sent now.
+// heartbeats returns the current heartbeat of each worker.
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
 	for _, h := range s.world.Cloud.HostNames() {
@@ -159,7 +162,7 @@
 	return out
 }
 
-// deliverDelayedCommands delivers the commands that partitions delay.
+// deliverDelayedCommands delivers the commands that partitions have delayed.
 func (s *clusterNodes) deliverDelayedCommands() {
 	for _, n := range s.nodes {
 		delayed := n.commands.Delayed
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -10,15 +10,15 @@
 	"violetturn/internal/peer"
 )
 
-// networkFaults are the faults of the network between controllers, zones and services.
+// networkFaults are the current faults of the network between controllers, zones and services.
 type networkFaults struct {
 	isolated         map[int]bool // controllers that can't reach their peers
-	partitionedZone  string       // a zone that nothing outside it can reach; "": none
+	partitionedZone  string       // the zone that is partitioned from everything outside it; "": none
 	zonesPartitioned bool         // the zones can't reach each other
 	peersRefused     bool         // connections between controllers are refused
 }
 
-// partitioned reports whether a zone and another can't reach each other.
+// partitioned reports whether two zones can't reach each other.
 func (f *networkFaults) partitioned(a, b string) bool {
 	return a != b && (f.zonesPartitioned || f.partitionedZone == a || f.partitionedZone == b)
 }
@@ -26,8 +26,8 @@
 // zoneOf returns the zone of a node.
 func (s *clusterNodes) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
 
-// partitionZone partitions a zone from all else, also from the state service and the cloud;
-// "" ends that.
+// partitionZone partitions a zone from everything outside it, including the state service and the
+// cloud. "" ends the partition.
 func (s *clusterNodes) partitionZone(zone string) {
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
@@ -36,7 +36,7 @@
 	}
 }
 
-// errPeerUnreachable is what a controller gets of a peer that it can't reach.
+// errPeerUnreachable is the error of a request to a peer that can't be reached.
 var errPeerUnreachable = errors.New("peer unreachable")
 
 // peerLink is the connection of a controller to its peers.
@@ -45,7 +45,7 @@
 	from    int
 }
 
-// Ask sends a request to a peer, which serves it at once.
+// Ask sends a request to a peer, which serves it immediately.
 func (l peerLink) Ask(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
 	to := slices.IndexFunc(l.cluster.nodes, func(n *testNode) bool { return n.name == addr })
 	n := l.cluster.nodes[to]
@@ -63,7 +63,7 @@
 	return !s.peersRefused && !s.isolated[a] && !s.isolated[b] && !s.partitioned(s.zoneOf(a), s.zoneOf(b))
 }
 
-// beforeCommits runs f before the next transaction of each node.
+// beforeCommits makes each node call f before its next transaction.
 func (s *clusterNodes) beforeCommits(f func(node int)) {
 	for i, n := range s.nodes {
 		n.storeClient.BeforeCommit = func() { f(i) }
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -8,7 +8,8 @@
 	"violetturn/internal/simulator"
 )
 
-// isDone returns a function that reports whether a user is told that a job is done.
+// isDone returns a function that polls a job and reports whether the response says that it is
+// done.
 func (s *testCluster) isDone(id string) func() bool {
 	return func() bool {
 		s.poll(1, id)
@@ -16,17 +17,17 @@
 	}
 }
 
-// tasksInPhaseByHost counts the tasks of a job in a phase, as their workers say, by machine.
+// tasksInPhaseByHost counts the tasks of a job in a phase by machine, as workers report them.
 func (s *testCluster) tasksInPhaseByHost(id string, phase api.TaskPhase) map[string]int {
-	on := map[string]int{}
-	for h, x := range s.world.Cloud.Hosts {
-		for _, t := range x.Heartbeat().Tasks {
+	counts := map[string]int{}
+	for host, worker := range s.world.Cloud.Hosts {
+		for _, t := range worker.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id && t.Phase == phase {
-				on[h]++
+				counts[host]++
 			}
 		}
 	}
-	return on
+	return counts
 }
 
 // runningTasksByHost counts the running tasks of a job by machine.
@@ -34,7 +35,7 @@
 	return s.tasksInPhaseByHost(id, api.TaskRunning)
 }
 
-// tasksInPhase counts the tasks of a job in a phase, as their workers say.
+// tasksInPhase counts the tasks of a job in a phase, as workers report them.
 func (s *testCluster) tasksInPhase(id string, phase api.TaskPhase) int {
 	n := 0
 	for _, tasks := range s.tasksInPhaseByHost(id, phase) {
@@ -46,11 +47,11 @@
 // runningTasks counts the running tasks of a job.
 func (s *testCluster) runningTasks(id string) int { return s.tasksInPhase(id, api.TaskRunning) }
 
-// presentTasks counts the tasks of a job that take room on machines.
+// presentTasks counts the tasks of a job that use capacity of machines.
 func (s *testCluster) presentTasks(id string) int {
 	n := 0
-	for _, x := range s.world.Cloud.Hosts {
-		for _, uid := range x.PresentJobs() {
+	for _, worker := range s.world.Cloud.Hosts {
+		for _, uid := range worker.PresentJobs() {
 			if uid == id {
 				n++
 			}
@@ -59,19 +60,20 @@
 	return n
 }
 
-// workerOf returns a machine that has a task of the job, or nil.
+// workerOf returns a worker that has a task of the job, or nil.
 func (s *testCluster) workerOf(id string) *simulator.Worker {
-	for _, x := range s.world.Cloud.Workers() {
-		for _, t := range x.Heartbeat().Tasks {
+	for _, worker := range s.world.Cloud.Workers() {
+		for _, t := range worker.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id {
-				return x
+				return worker
 			}
 		}
 	}
 	return nil
 }
 
-// leaderOf returns the name of the node that leads a shard and may act, "" if none does.
+// leaderOf returns the name of the node that leads a shard and may act for it, or "" if there is
+// none.
 func (s *testCluster) leaderOf(shard string) string {
 	for _, n := range s.nodes {
 		if n.running && n.state().Leadership.Leads(shard) && n.state().Leadership.MayAct(n.controller.node.Now()) {
@@ -81,18 +83,19 @@
 	return ""
 }
 
-// nodeOf returns the index of the node of a name.
+// nodeOf returns the index of the node with a name.
 func (s *testCluster) nodeOf(name string) int {
 	return slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == name })
 }
 
-// homeOf returns the node after which a machine's shard is named.
+// homeOf returns the index of the preferred leader of a machine's shard: the node after which
+// the shard is named.
 func (s *testCluster) homeOf(host string) int {
 	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
 
-// leaderOfJob returns the node that leads the shard of a machine with a running task of a
-// job, and another node.
+// leaderOfJob returns the index of the node that leads the shard of a machine with a running task
+// of a job, and the index of another node.
 func (s *testCluster) leaderOfJob(t fataler, uid string) (leader, other int) {
 	t.Helper()
 	for h := range s.runningTasksByHost(uid) {
@@ -103,36 +106,38 @@
 			}
 		}
 	}
-	t.Fatalf("nobody leads the shard of %s", uid)
+	t.Fatalf("no shard with a running task of %s has a leader, want one", uid)
 	return 0, 0
 }
 
-// describeJob returns what the first controller knows of a job.
+// describeJob describes a job, and the state of the cluster that matters for its placement, as
+// cached by the first controller. It is for failure messages.
 func (s *testCluster) describeJob(uid string) string {
 	cache := s.nodes[0].state().Cache
-	out := ""
+	description := ""
 	if j := cache.Jobs[uid]; j != nil {
-		out = fmt.Sprintf("job %s", api.JSON(j.Record))
+		description = fmt.Sprintf("job %s", api.JSON(j.Record))
 		for n, r := range j.Ranges {
-			out += fmt.Sprintf(" range %d %s", n, api.JSON(r.Record))
+			description += fmt.Sprintf(" range %d %s", n, api.JSON(r.Record))
 		}
 	}
-	for t, u := range cache.Quotas {
-		out += fmt.Sprintf(" team %s %s", t, api.JSON(u.Record))
+	for team, quota := range cache.Quotas {
+		description += fmt.Sprintf(" team %s %s", team, api.JSON(quota.Record))
 	}
 	for _, id := range s.nodes[0].controller.node.Shards {
-		out += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(cache.Capacities[id].Record), api.JSON(cache.Leaders[id].Record))
+		description += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(cache.Capacities[id].Record), api.JSON(cache.Leaders[id].Record))
 	}
-	for h, m := range cache.Machines {
-		x := s.world.Cloud.Hosts[h]
-		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.JSON(m), x != nil, x != nil && x.Up())
+	for host, machine := range cache.Machines {
+		worker := s.world.Cloud.Hosts[host]
+		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.JSON(machine), worker != nil, worker != nil && worker.Up())
 	}
 	for _, n := range s.nodes {
-		p := n.state().Scheduler.Plan(n.controller.node.Now())
-		out += fmt.Sprintf(
-			" %s: unmet %d offers %v machine types %d",
-			n.name, len(p.UnmetDemand), n.state().Catalog.AvailableOffers(n.controller.node.Now()), len(n.state().Catalog.MachineTypes()),
+		plan := n.state().Scheduler.Plan(n.controller.node.Now())
+		description += fmt.Sprintf(
+			" %s: unmet demand %d offers %v machine types %d",
+			n.name, len(plan.UnmetDemand),
+			n.state().Catalog.AvailableOffers(n.controller.node.Now()), len(n.state().Catalog.MachineTypes()),
 		)
 	}
-	return out
+	return description
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -16,48 +16,49 @@
 	"violetturn/internal/state"
 )
 
-// roundInterval is the simulated time of a round.
+// roundInterval is the simulated time that one round takes.
 const roundInterval = 500 * time.Millisecond
 
-// bootTime is how long a machine boots, if a test does not change it.
+// bootTime is the boot time of a machine, unless a test changes it.
 const bootTime = 6 * time.Second
 
-// clockDrift is by how much the clock of each node runs faster than that of the node before:
-// the last one's is 0.05 per cent fast.
+// clockDrift is the amount by which the clock of each node runs faster than that of the node
+// before it. The clock of the last node is 0.05 per cent fast.
 const clockDrift = 0.00025
 
-// testCluster joins controllers with the simulated services. It runs everything in one
-// goroutine, so that a seed gives the same events every time. The types that it embeds hold
-// what it is built of; its own methods ask what jobs and controllers do, and check it.
+// testCluster connects controllers to the simulated services. It runs everything in one
+// goroutine, so that a seed produces the same events every time. The embedded types contain the
+// nodes, the network and the users; the methods of testCluster itself query and check the state
+// of jobs and controllers.
 type testCluster struct{ clusterUsers }
 
-// clusterNodes are the controllers of a cluster, the simulated world and the network between
-// them.
+// clusterNodes are the controllers of a cluster, the simulated environment and the network
+// between them.
 type clusterNodes struct {
 	networkFaults
 	world *simulator.World
 	nodes []*testNode
 	log   *slog.Logger
 
-	delayedHeartbeats []func()                    // that a partition delays
-	heartbeatCopies   []heartbeatCopy             // that arrived, to arrive once more, late
-	pendingResponses  map[string]*pendingResponse // by worker, on their way to it
+	delayedHeartbeats []func()                    // deliver heartbeats that a partition delays
+	heartbeatCopies   []heartbeatCopy             // of heartbeats that arrived, for a second and late delivery
+	pendingResponses  map[string]*pendingResponse // by worker; in transit to it
 
-	stateLimits, nextStateLimits config.StateLimits // of the state service
-	limitsLowered                bool               // the state service has its next limits
+	stateLimits, nextStateLimits config.StateLimits // current and announced limits of the state service
+	limitsLowered                bool               // the state service applies the announced limits
 
-	adjustSettings func(*testNode, *config.Settings) // changes a controller's settings before it starts; may be nil
-	onStart        func(*testNode)                   // hears of each controller that was started; may be nil
+	adjustSettings func(*testNode, *config.Settings) // changes the settings of a controller before it starts; may be nil
+	onStart        func(*testNode)                   // is called with each controller after its start; may be nil
 }
 
-// testStates are the states of the controllers of tests, which run one after the other.
+// testStates caches the states of the controllers of tests. Tests run one after the other.
 var testStates = map[*Controller]*state.State{}
 
-// testState returns the state of a controller, without its lock: in tests nothing else uses
-// it at the time.
+// testState returns the state of a controller without holding its lock: in a test nothing else
+// uses the state at the same time.
 func (c *Controller) testState() *state.State {
-	if known := testStates[c]; known != nil {
-		return known
+	if cached := testStates[c]; cached != nil {
+		return cached
 	}
 	s := c.guard.Lock()
 	c.guard.Unlock()
@@ -71,23 +72,23 @@
 	controller   *Controller
 	storeClient  *simulator.StoreClient
 	commands     *simulator.CommandClient
-	async        []func() // work that the controller runs asynchronously, until its next step
+	async        []func() // asynchronous work of the controller, which runs at the end of its next step
 	running      bool
-	inProduction bool // it behaves as the version in production
-	paused       bool // it does nothing, while its clock runs on
+	inProduction bool // it behaves like the version in production
+	paused       bool // it does nothing, but its clock advances
 }
 
 // state returns the state of the node's controller.
 func (n *testNode) state() *state.State { return n.controller.testState() }
 
-// serves reports whether the node acts and answers requests.
+// serves reports whether the node is running, not paused, and so answers requests.
 func (n *testNode) serves() bool { return n.running && !n.paused }
 
-// rounds returns the number of rounds in a time.
+// rounds returns the number of rounds that a duration takes.
 func rounds(d time.Duration) int { return int(d / roundInterval) }
 
-// testSettings returns the settings of a node of a small deployment. limits are those of
-// the teams.
+// testSettings returns the settings of a node in a small deployment. limits contains the GPU
+// limit of each team.
 func testSettings(i int, names, zones []string, limits map[string]float64) *config.Settings {
 	s := &config.Settings{HostName: names[i], Zone: zones[i%len(zones)]}
 	for k, n := range names {
@@ -107,8 +108,8 @@
 	return s
 }
 
-// newTestCluster returns a cluster of three controllers that have just started. With SIM_LOG
-// in the environment they log to stderr.
+// newTestCluster returns a cluster of three controllers that have just started. If the
+// environment variable SIM_LOG is set, they log to stderr.
 func newTestCluster() *testCluster {
 	w := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	w.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: bootTime, Fetch: 2 * time.Second}
@@ -129,8 +130,8 @@
 	return s
 }
 
-// newClusterWithoutNodes returns a cluster without controllers, in a world whose state service
-// has limits, and others next.
+// newClusterWithoutNodes returns a cluster without controllers. limits and nextLimits are the
+// current and the announced limits of its state service.
 func newClusterWithoutNodes(w *simulator.World, limits, nextLimits config.StateLimits) *testCluster {
 	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
 		networkFaults:    networkFaults{isolated: map[int]bool{}},
@@ -142,14 +143,14 @@
 	}}}
 }
 
-// newReadyCluster returns a cluster whose controllers lead their shards.
+// newReadyCluster returns a cluster whose controllers already lead their shards.
 func newReadyCluster() *testCluster {
 	s := newTestCluster()
 	s.runFor(10)
 	return s
 }
 
-// startNode starts a controller, or restarts it with nothing but its settings.
+// startNode starts a controller, or restarts it; only its settings survive a restart.
 func (s *clusterNodes) startNode(i int) {
 	n := s.nodes[i]
 	cfg := s.settingsOf(i)
@@ -157,10 +158,10 @@
 	c := newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
 	n.controller = c
 	c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
-	begin := s.world.Now
+	startTime := s.world.Now
 	drift := float64(i) * clockDrift
 	c.node.Now = func() time.Time {
-		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(begin)) * drift))
+		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(startTime)) * drift))
 	}
 	n.async = nil
 	c.node.SteppedClock = true
@@ -172,10 +173,10 @@
 	n.commands = &simulator.CommandClient{
 		World:           s.world,
 		Node:            n.name,
-		PartitionedFrom: func(x *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), x.Zone) },
+		PartitionedFrom: func(w *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), w.Zone) },
 	}
 	c.services.Peers = peerLink{s, i}
-	c.services.Store = s.storeOf(n, cfg)
+	c.services.Store = s.newStateService(n, cfg)
 	c.services.Cloud = &simulator.CloudClient{Cloud: s.world.Cloud, Node: n.name}
 	c.services.Workers = n.commands
 	n.running, n.paused = true, false
@@ -184,7 +185,7 @@
 	}
 }
 
-// settingsOf returns a node's settings.
+// settingsOf returns the settings of a node.
 func (s *clusterNodes) settingsOf(i int) *config.Settings {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
@@ -201,9 +202,10 @@
 	return cfg
 }
 
-// storeOf returns the state service as a node reaches it. A node makes nothing larger than
-// the next limits, unless it behaves as the version in production.
-func (s *clusterNodes) storeOf(n *testNode, cfg *config.Settings) external.StateService {
+// newStateService returns a node's client of the state service. The client reports a violation if
+// a transaction exceeds the announced limit, or, for a node that behaves like the version in
+// production, the current limit.
+func (s *clusterNodes) newStateService(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.world.Store,
 		Node:          n.name,
@@ -218,16 +220,16 @@
 	return &productionStore{n.storeClient, jobKinds{}}
 }
 
-// restartNodes restarts all controllers, with a function that hears of each.
-func (s *clusterNodes) restartNodes(started func(*testNode)) {
-	s.onStart = started
+// restartNodes restarts all controllers and calls onStart with each of them.
+func (s *clusterNodes) restartNodes(onStart func(*testNode)) {
+	s.onStart = onStart
 	for i := range s.nodes {
 		s.startNode(i)
 	}
 	s.runFor(10)
 }
 
-// stepNode lets a controller do what its loops would.
+// stepNode runs each loop of a controller once.
 func (s *clusterNodes) stepNode(i int) {
 	n := s.nodes[i]
 	if !n.serves() {
@@ -238,7 +240,7 @@
 		n.controller.members.QueryPeers(ctx)
 	}
 	if n.state().Cache.Loaded {
-		_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
+		_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // fails during an outage
 	} else {
 		_ = n.controller.sync.Load(ctx)
 	}
@@ -252,25 +254,26 @@
 	}
 }
 
-// runRound lets all controllers and workers do what they do in half a second.
+// runRound runs one step of all controllers, sends a heartbeat of each worker and advances the
+// time by half a second.
 func (s *clusterNodes) runRound() {
 	for i := range s.nodes {
 		s.stepNode(i)
 	}
-	for _, h := range s.world.Cloud.HostNames() {
-		s.sendHeartbeat(s.world.Cloud.Hosts[h], heartbeatServed)
+	for _, host := range s.world.Cloud.HostNames() {
+		s.sendHeartbeat(s.world.Cloud.Hosts[host], heartbeatServed)
 	}
 	s.world.Advance(roundInterval)
 }
 
-// runFor runs some rounds. Whether a rule was broken is checked later.
+// runFor runs a number of rounds. It does not check for violations.
 func (s *clusterNodes) runFor(count int) {
 	for range count {
 		s.runRound()
 	}
 }
 
-// runRounds runs some rounds, and fails if a rule is broken.
+// runRounds runs a number of rounds, and fails the test if a rule is violated.
 func (s *testCluster) runRounds(t testing.TB, count int) {
 	t.Helper()
 	for range count {
@@ -279,19 +282,20 @@
 	}
 }
 
-// runUntil runs rounds until ok, and fails if a rule is broken or after so many rounds.
-func (s *testCluster) runUntil(t testing.TB, most int, what string, ok func() bool) {
+// runUntil runs rounds until reached returns true. It fails the test if a rule is violated or if
+// that takes more than maxRounds.
+func (s *testCluster) runUntil(t testing.TB, maxRounds int, awaited string, reached func() bool) {
 	t.Helper()
-	for range most {
-		if ok() {
+	for range maxRounds {
+		if reached() {
 			return
 		}
 		s.runRounds(t, 1)
 	}
-	t.Fatalf("%s: not after %d rounds", what, most)
+	t.Fatalf("%s: not reached within %d rounds", awaited, maxRounds)
 }
 
-// endFaults ends all faults, and restarts the controllers that are down or behave as the
+// endFaults ends all faults, and restarts the controllers that are stopped or behave like the
 // version in production.
 func (s *clusterNodes) endFaults() {
 	s.world.Store.Down, s.world.Cloud.Down, s.world.Cloud.NoCapacity = false, false, false
@@ -306,8 +310,8 @@
 			s.startNode(i)
 		}
 	}
-	for _, x := range s.world.Cloud.Hosts {
-		x.WorkerFaults = simulator.WorkerFaults{}
+	for _, worker := range s.world.Cloud.Hosts {
+		worker.WorkerFaults = simulator.WorkerFaults{}
 	}
 	for _, n := range s.nodes {
 		n.commands.Partitioned = false
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -12,16 +12,16 @@
 	"violetturn/internal/simulator"
 )
 
-// clusterUsers are the users of a cluster.
+// clusterUsers is a cluster with the users that submit, query and cancel jobs.
 type clusterUsers struct {
 	clusterNodes
 	jobIDs []string // of submitted jobs, in order
 }
 
-// submit submits a job, again perhaps, through a node.
+// submit submits a job through a node, possibly again.
 func (s *clusterUsers) submit(i int, uid string) {
 	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.world.Jobs[uid].Spec.Kind == api.Gang {
-		return // the version in production does not know gangs
+		return // the version in production does not support gangs
 	}
 	r := s.nodes[i].controller.frontend.ServeOrForward(
 		context.Background(),
@@ -30,7 +30,7 @@
 	s.checkResponse(uid, r.Status, r.Body, true)
 }
 
-// poll asks a node for the state of a job.
+// poll queries a node for the state of a job.
 func (s *clusterUsers) poll(i int, uid string) {
 	if s.nodes[i].serves() {
 		r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
@@ -48,16 +48,17 @@
 	s.checkResponse(uid, r.Status, r.Body, false)
 }
 
-// checkResponse checks what a user was told of a job.
+// checkResponse checks the response that a user got for a job.
 func (s *clusterUsers) checkResponse(uid string, status int, body []byte, submission bool) {
 	var state struct {
 		Phase api.JobPhase `json:"phase"`
 	}
-	_ = json.Unmarshal(body, &state) // a response without a phase has none
+	_ = json.Unmarshal(body, &state) // without a phase in the body the phase stays empty
 	s.world.CheckResponse(uid, status, state.Phase, submission)
 }
 
-// queryEverywhere asks all nodes about a job, and repeats its submission, within one moment.
+// queryEverywhere queries all nodes for a job and submits it to each of them again, without
+// advancing the time.
 func (s *clusterUsers) queryEverywhere(uid string) {
 	for i := range s.nodes {
 		s.poll(i, uid)
@@ -68,13 +69,14 @@
 	}
 }
 
-// fataler is what a checker needs of a test.
+// fataler is the part of testing.TB that a checker uses.
 type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// invalidSubmissions are changes to a submission after which a service must refuse it.
+// invalidSubmissions are changes that make a valid submission invalid, with the status of the
+// response that the service must return.
 var invalidSubmissions = []struct {
 	name   string
 	status int
@@ -86,26 +88,26 @@
 	{"unknown team", 422, func(fields map[string]json.RawMessage) { fields["owner"] = json.RawMessage(`"nobody"`) }},
 }
 
-// submitInvalid submits invalid jobs through a node: new ones, which it must refuse, and a
-// known one, which is answered with its state.
+// submitInvalid submits invalid jobs through a node. The node must refuse new jobs. For an existing
+// job it returns the job's state.
 func (s *clusterUsers) submitInvalid(t fataler, i int) {
 	t.Helper()
 	n := s.nodes[i]
 	if !n.serves() {
 		return
 	}
-	for _, x := range invalidSubmissions {
-		if got := s.submitChanged(n, "run-990000", x.change); got != x.status && got != 503 {
-			t.Fatalf("%s: answered %d, not %d", x.name, got, x.status)
+	for _, invalid := range invalidSubmissions {
+		if got := s.submitChanged(n, "run-990000", invalid.change); got != invalid.status && got != 503 {
+			t.Fatalf("status of an invalid submission (%s): got %d, want %d or 503", invalid.name, got, invalid.status)
 		}
-		if len(s.jobIDs) > 0 { // one that some user was told of
-			s.submitChanged(n, s.jobIDs[len(s.jobIDs)-1], x.change)
+		if len(s.jobIDs) > 0 { // the job that a user submitted last
+			s.submitChanged(n, s.jobIDs[len(s.jobIDs)-1], invalid.change)
 		}
 	}
 }
 
-// submitChanged submits a small job with a changed body through a node, and returns the
-// status of the response.
+// submitChanged submits a small job through a node after change has modified the fields of its
+// body, and returns the status of the response.
 func (s *clusterUsers) submitChanged(n *testNode, uid string, change func(fields map[string]json.RawMessage)) int {
 	body := simulator.Submission(&api.Job{
 		UID:      uid,
@@ -120,7 +122,7 @@
 		Image:    "i",
 	})
 	var fields map[string]json.RawMessage
-	_ = json.Unmarshal(body, &fields) // it was made above
+	_ = json.Unmarshal(body, &fields) // the body was encoded above and is valid
 	change(fields)
 	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(fields)}
 	r := n.controller.frontend.ServeOrForward(context.Background(), request)
@@ -130,8 +132,8 @@
 	return r.Status
 }
 
-// submitJob submits a job of team b to the first controller, with what change changes, also of
-// the run time of its tasks.
+// submitJob submits a job of team b to the first controller and returns its UID. change, unless
+// nil, can modify the job and the run time of its tasks.
 func (s *clusterUsers) submitJob(change func(*api.Job, *time.Duration)) string {
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
 	r := &api.Job{
@@ -148,7 +150,7 @@
 	return id
 }
 
-// submitService submits a service.
+// submitService submits a service and returns its UID.
 func (s *clusterUsers) submitService(tasks int, change func(*api.Job)) string {
 	return s.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Tasks = api.Service, tasks
@@ -158,7 +160,7 @@
 	})
 }
 
-// submitArray submits an array whose tasks run so long.
+// submitArray submits an array with the given run time of its tasks and returns its UID.
 func (s *clusterUsers) submitArray(tasks int, run time.Duration, change func(*api.Job)) string {
 	return s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Tasks, *d = tasks, run
@@ -168,7 +170,7 @@
 	})
 }
 
-// submitGang submits a gang of four tasks, and fails if it is not accepted.
+// submitGang submits a gang of four tasks, and fails the test if it is not accepted.
 func (s *clusterUsers) submitGang(t *testing.T, change func(*api.Job, *time.Duration)) string {
 	t.Helper()
 	id := s.submitJob(func(r *api.Job, d *time.Duration) {
@@ -179,7 +181,7 @@
 		}
 	})
 	if !s.world.Jobs[id].Accepted {
-		t.Fatal("not accepted")
+		t.Fatal("gang was not accepted")
 	}
 	return id
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,12 +29,12 @@
 	"violetturn/internal/worker"
 )
 
-// Controller is one controller of the service. Use New.
+// Controller is one controller of the service. New creates one.
 type Controller struct {
 	node     *node.Info
 	guard    *state.Guard
 	services *external.Services
-	http     *transport.Client // of the services
+	http     *transport.Client // shared by the clients of all services
 
 	sync      *storesync.Sync
 	commands  *commands.Sender
@@ -44,57 +44,59 @@
 	decisions *decisions.Loop
 	scaling   *scaling.Loop
 
-	server  *transport.Server // for users and workers
-	cluster *transport.Server // for the peers
+	server     *transport.Server // serves users and workers
+	peerServer *transport.Server // serves the peers
 }
 
-// Shares of the sockets that a controller may have: what is left is for its own connections
-// to the outside systems and to workers.
+// Shares of the sockets that a controller may open, for its two servers. The remaining sockets
+// are for its own connections to the external systems and to workers.
 const (
 	serverSocketsNumerator, serverSocketsDenominator = 5, 8
 	clusterSocketsDenominator                        = 16
 )
 
-// idleLeases is after how many leases of a worker an idle connection is closed.
-const idleLeases = 2
+// idleTimeoutLeases is the time after which a server closes an idle connection, as a multiple of
+// the worker lease.
+const idleTimeoutLeases = 2
 
-// cloudTimeout bounds a request to the cloud.
+// cloudTimeout is the time limit of a request to the cloud.
 const cloudTimeout = 3 * time.Second
 
-// New makes a controller with clients of its outside systems and its servers. Nothing runs
-// before Run.
-func New(settings *config.Settings, policy *config.Policy, on *features.Features, log *slog.Logger) (*Controller, error) {
+// New creates a controller with the clients of its external systems and its servers. Nothing
+// runs until Run is called.
+func New(settings *config.Settings, policy *config.Policy, enabledFeatures *features.Features, log *slog.Logger) (*Controller, error) {
 	client, err := transport.NewClient(responseLimits(settings))
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	c := newController(settings, policy, log)
-	c.node.Features = on
+	c.node.Features = enabledFeatures
 	c.http = client
 	c.addServices(client)
 	c.addServers()
 	return c, nil
 }
 
-// responseLimits bounds what an answer of an outside system may make a controller hold: a
-// sixteenth of its memory. Only a watch that missed much can be larger, and whoever missed
-// so much reads all records anew, in pages.
+// responseLimits returns the size limits of a response from an external system: its body may use
+// a sixteenth of the controller's memory. Only the response to a watch that has missed many
+// changes can be larger. A controller that has missed that many reads all records again, in
+// pages.
 func responseLimits(settings *config.Settings) httpwire.Limits {
-	const memoryShare, leastBytes = 16, 1 << 20
+	const memoryDivisor, minBytes = 16, 1 << 20
 	limits := httpwire.ResponseLimits
-	limits.Body = max(leastBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare))
+	limits.Body = max(minBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor))
 	return limits
 }
 
-// addServices adds the clients of the outside systems.
+// addServices creates the clients of the external systems.
 func (c *Controller) addServices(client *transport.Client) {
 	settings := c.node.Settings
-	now, lowest := settings.Facts.State, settings.LowestLimits()
+	current, lowest := settings.Facts.State, settings.LowestLimits()
 	c.services.Store = store.New(store.Options{
 		HTTP:        client,
 		Addr:        settings.External.State,
 		Deadline:    settings.ControllerLeaseTTL() / 3,
-		Limits:      store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
+		Limits:      store.Limits{RPS: current.RPS, WriteRPS: current.WriteRPS},
 		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
 		Controllers: settings.Facts.Size,
 		OnAnswer:    c.sync.RecordStoreAnswer,
@@ -105,18 +107,19 @@
 	c.services.Peers = peer.New(client)
 }
 
-// addServers adds the servers for users and workers, and for peers.
+// addServers creates the server for users and workers, and the server for peers.
 func (c *Controller) addServers() {
 	settings := c.node.Settings
-	sockets, idle := settings.Facts.Limits.MaxSockets, idleLeases*settings.WorkerLease()
-	forUsers := sockets * serverSocketsNumerator / serverSocketsDenominator
-	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, forUsers, idle)
-	forPeers := httpwire.RequestLimits
-	forPeers.Body *= 2 // a peer's message holds a whole submission and a little more
-	c.cluster = transport.NewServer(c.frontend.HandlePeer, forPeers, sockets/clusterSocketsDenominator, idle)
+	sockets, idleTimeout := settings.Facts.Limits.MaxSockets, idleTimeoutLeases*settings.WorkerLease()
+	userSockets := sockets * serverSocketsNumerator / serverSocketsDenominator
+	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, userSockets, idleTimeout)
+	peerLimits := httpwire.RequestLimits
+	peerLimits.Body *= 2 // a peer's message contains a whole submission and a few other fields
+	c.peerServer = transport.NewServer(c.frontend.HandlePeer, peerLimits, sockets/clusterSocketsDenominator, idleTimeout)
 }
 
-// newController makes a controller without its outside systems and servers.
+// newController creates a controller without the clients of its external systems and without its
+// servers.
 func newController(settings *config.Settings, policy *config.Policy, log *slog.Logger) *Controller {
 	info := node.New(settings, policy, log)
 	services := &external.Services{}
@@ -139,29 +142,29 @@
 	return c
 }
 
-// writeBudget is the changes that the controller may send to the state service now.
+// writeBudget is the number of writes that the controller may send to the state service now.
 type writeBudget struct{ services *external.Services }
 
-// Available implements schema.WriteBudget. It does not wait.
+// Available implements schema.WriteBudget. It does not block.
 func (b writeBudget) Available() int {
 	return b.services.Store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
 }
 
-// Run serves until ctx ends, and then shuts down in order: loops first, then the lease, so
-// that others take over at once, then the servers. It returns an error if an address can't
-// be served on.
+// Run serves until ctx is done, and then shuts down in order: it stops the loops first, then
+// revokes the lease, so that other controllers take over its shards at once, and then stops the
+// servers. It returns an error if it can't listen on an address.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	failed := make(chan error, 2) // one for each server
-	go func() { failed <- c.server.Run(c.node.Settings.ServeOn) }()
-	go func() { failed <- c.cluster.Run(c.node.Settings.ClusterListen) }()
+	serverErrors := make(chan error, 2) // one for each server
+	go func() { serverErrors <- c.server.Run(c.node.Settings.ServeOn) }()
+	go func() { serverErrors <- c.peerServer.Run(c.node.Settings.ClusterListen) }()
 	var loops sync.WaitGroup
 	for _, loop := range c.loops() {
 		loops.Go(func() { loop(ctx) })
 	}
 	select {
-	case err := <-failed:
+	case err := <-serverErrors:
 		cancel()
 		loops.Wait()
 		return fmt.Errorf("serving on %s and %s: %w", c.node.Settings.ServeOn, c.node.Settings.ClusterListen, err)
@@ -172,8 +175,8 @@
 	return c.shutDown()
 }
 
-// loops are the goroutines of a controller besides those of its servers; each ends with its
-// context.
+// loops returns the functions that Run runs in goroutines of their own, besides the servers. Each
+// returns when its context is done.
 func (c *Controller) loops() []func(context.Context) {
 	return []func(context.Context){
 		c.election.LeaseLoop,
@@ -186,18 +189,20 @@
 	}
 }
 
-// watchLoop keeps the cache in step, and has workers whose tasks have changed report.
+// watchLoop keeps the cache up to date, and requests heartbeats from workers whose tasks have
+// changed.
 func (c *Controller) watchLoop(ctx context.Context) { c.sync.Watch(ctx, c.commands.RequestHeartbeats) }
 
-// stopTimeout bounds the end of a server: gnet looks twice a second whether it has ended.
+// stopTimeout is the time limit for stopping the servers. gnet checks only twice a second whether
+// a server has stopped.
 const stopTimeout = 5 * time.Second
 
-// shutDown ends the lease, the servers and the connections.
+// shutDown revokes the lease, stops the servers and closes the connections.
 func (c *Controller) shutDown() error {
 	c.election.RevokeLease()
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	for _, server := range []*transport.Server{c.server, c.cluster} {
+	for _, server := range []*transport.Server{c.server, c.peerServer} {
 		if err := server.Stop(ctx); err != nil {
 			return fmt.Errorf("stopping a server: %w", err)
 		}
@@ -205,9 +210,10 @@
 	return c.http.Close()
 }
 
-// MeterLock records from now on how the state's lock is used. It is called before Run.
+// MeterLock starts recording the use of the state's lock. Call it before Run.
 func (c *Controller) MeterLock() { c.guard.StartMeter() }
 
-// LockUses returns what was recorded since MeterLock or the last call, by function, the
-// longest in all first.
+// LockUses returns the uses of the state's lock, by function, that were recorded since MeterLock
+// or since the last call of LockUses. The function that used the lock longest in total comes
+// first.
 func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -9,56 +9,58 @@
 	"violetturn/internal/simulator"
 )
 
-// A leader is partitioned from the state service and from the other controllers while workers
-// and users still reach it, and jobs are cancelled through the new one.
+// A leader is partitioned from the state service and from the other controllers while workers and
+// users still reach it, and a job is cancelled through another controller. The cancelled tasks must
+// end in time.
 func TestLeaderIsolatedFromStoreAndPeers(t *testing.T) {
 	s := newReadyCluster()
-	off, on := s.submitService(3, nil), s.submitService(2, nil)
-	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 3 && s.runningTasks(on) == 2 })
-	leader, other := s.leaderOfJob(t, off)
+	cancelled, service := s.submitService(3, nil), s.submitService(2, nil)
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(service) == 2 })
+	leader, other := s.leaderOfJob(t, cancelled)
 	s.world.Store.Unreachable[s.nodes[leader].name], s.isolated[leader] = true, true
-	for i, n := range s.nodes { // nor do the others reach its workers, which stay with it
+	for i, n := range s.nodes { // the others can't reach its workers, which keep reporting to it
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
-	s.world.Cloud.Down = true // or the machines, silent to the new leader, go back
-	s.cancel(other, off)
+	s.world.Cloud.Down = true // else the new leader would return the machines, from which it receives no heartbeat
+	s.cancel(other, cancelled)
 	for range 100 {
-		s.poll(leader, off)
-		s.poll(leader, on)
+		s.poll(leader, cancelled)
+		s.poll(leader, service)
 		s.runRounds(t, 1)
 	}
-	if s.presentTasks(off) > 0 {
-		t.Error("cancelled tasks run on")
+	if s.presentTasks(cancelled) > 0 {
+		t.Errorf("tasks of the cancelled service: got %d, want 0", s.presentTasks(cancelled))
 	}
 	s.checkRecovery(t)
 }
 
-// A controller that loses its workers alone keeps its lease, and once kept its shard
-// too, while the leases of all its workers ran out. It releases the shard to one that
-// is heard, loses no replica, and has it back when it is heard again.
-func TestControllerWithoutItsWorkers(t *testing.T) {
+// A controller that loses contact with its workers only keeps its lease. It once kept its shard as
+// well, while the leases of all its workers ran out. It must release the shard to a controller that
+// workers can reach, without losing a replica, and acquire it again when workers reach it again.
+func TestControllerWithoutWorkerContactReleasesShard(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 8, "y" })
 	near := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 4, "x" })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 8 && s.runningTasks(near) == 4 })
-	home := "n1" // the only one in its zone
+	preferred := "n1" // the only controller in its zone
 	n := s.nodes[1]
 	n.commands.Partitioned = true
 	for range 4 * rounds(s.world.Lease) {
 		s.runRound()
 		if s.runningTasks(id) != 8 || s.runningTasks(near) != 4 {
-			t.Fatal("a replica was lost")
+			t.Fatalf("running replicas by zone: got y %d, x %d, want 8 and 4", s.runningTasks(id), s.runningTasks(near))
 		}
 	}
-	if o := s.leaderOf(home); o == home || o == "" {
-		t.Fatalf("led by %q", o)
+	if leader := s.leaderOf(preferred); leader == preferred || leader == "" {
+		t.Fatalf("leader of shard %s: got %q, want another controller", preferred, leader)
 	}
-	more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
-	s.submit(s.nodeOf(home), more)
-	s.runUntil(t, 100, "other work done", s.isDone(more))
+	array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
+	s.submit(s.nodeOf(preferred), array)
+	s.runUntil(t, 100, "another job done", s.isDone(array))
 	n.commands.Partitioned = false
-	s.runUntil(t, 40, "shard led at home again", func() bool { return s.leaderOf(home) == home })
-	// When nobody hears a worker, it may as well be the workers: shards keep their leaders.
+	s.runUntil(t, 40, "shard led by its preferred leader again", func() bool { return s.leaderOf(preferred) == preferred })
+	// If no controller has contact with a worker, the fault may be with the workers, so shards keep
+	// their leaders.
 	for _, n := range s.nodes {
 		n.commands.Partitioned = true
 	}
@@ -67,52 +69,52 @@
 	}
 	for _, n := range s.nodes {
 		if s.leaderOf(n.name) == "" {
-			t.Fatalf("shard of %s has no leader", n.name)
+			t.Fatalf("leader of shard %s: got none, want one", n.name)
 		}
 	}
 	s.checkViolations(t)
 }
 
-// A controller that loses the state service, but not its workers, lets them go
-// in time, and its shard is served by another without a task running twice.
+// A controller that loses the state service, but not its workers, must stop answering them in time,
+// and another controller must take over its shard without a task running twice.
 func TestControllerWithWorkersButNoStore(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	home := s.nodes[0].state().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
-	s.world.Store.Unreachable[home] = true
-	cfg := s.nodes[0].controller.node.Settings
+	shardID := s.nodes[0].state().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
+	s.world.Store.Unreachable[shardID] = true
+	settings := s.nodes[0].controller.node.Settings
 	s.runUntil(
 		t,
-		rounds(cfg.ControllerLeaseTTL()+cfg.LeadershipGrace()+cfg.WorkerLeaseBound())+20,
+		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGrace()+settings.WorkerLeaseBound())+20,
 		"shard led by another",
 		func() bool {
-			o := s.leaderOf(home)
-			if o == "" || o == home {
+			leader := s.leaderOf(shardID)
+			if leader == "" || leader == shardID {
 				return false
 			}
-			for h, m := range s.nodes[s.nodeOf(o)].state().Cache.Machines {
-				if x := s.world.Cloud.Hosts[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
+			for host, machine := range s.nodes[s.nodeOf(leader)].state().Cache.Machines {
+				if worker := s.world.Cloud.Hosts[host]; machine.Shard == shardID && (worker == nil || s.nodes[worker.Node].name != leader) {
 					return false
 				}
 			}
 			return true
 		},
 	)
-	partitioned := s.nodeOf(home)
-	for range rounds(cfg.ControllerLeaseTTL() + cfg.LeadershipGrace()) {
+	partitioned := s.nodeOf(shardID)
+	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGrace()) {
 		s.runRound()
 	}
-	for _, x := range s.world.Cloud.Hosts { // a worker that the new leader's fence has not reached must not be held
-		r := x.Heartbeat()
-		r.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(home).Term, 0)
-		if s.deliverHeartbeat(partitioned, api.JSON(r)).status == 200 {
-			t.Error("it answers heartbeats beyond its grace")
+	for _, worker := range s.world.Cloud.Hosts { // a worker that has not got the new leader's token must not be kept
+		heartbeat := worker.Heartbeat()
+		heartbeat.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(shardID).Term, 0)
+		if s.deliverHeartbeat(partitioned, api.JSON(heartbeat)).status == 200 {
+			t.Error("heartbeat after the former leader's grace period: got status 200, want another")
 		}
 	}
-	low := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
-	s.submit(1, low)
-	s.runUntil(t, 120, "replicas and new work run", func() bool { return s.isDone(low)() && s.runningTasks(id) == 4 })
-	s.world.Store.Unreachable[home] = false
-	s.runUntil(t, 60, "shard led at home again", func() bool { return s.leaderOf(home) == home })
+	array := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
+	s.submit(1, array)
+	s.runUntil(t, 120, "new job done and replicas run", func() bool { return s.isDone(array)() && s.runningTasks(id) == 4 })
+	s.world.Store.Unreachable[shardID] = false
+	s.runUntil(t, 60, "shard led by its preferred leader again", func() bool { return s.leaderOf(shardID) == shardID })
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,5 +1,6 @@
-// Package controller constructs a controller from its parts, runs its loops and shuts it down.
+// Package controller constructs a controller from its components, runs its loops and shuts it
+// down.
 //
-// docs/architecture.md shows the parts, who owns which state, and the way of a submission, a
-// heartbeat, a cancellation and a configuration change through them.
+// docs/architecture.md describes the components, which of them owns which state, and how a
+// submission, a heartbeat, a cancellation and a configuration change pass through them.
 package controller
--- a/internal/controller/fault_actions_controllers_test.go
+++ b/internal/controller/fault_actions_controllers_test.go
@@ -6,16 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-// controllerFaults are what happens to controllers and between them.
+// controllerFaults contains the actions that affect controllers and the network between them.
 type controllerFaults struct{ drawnCluster }
 
-// stepDrawnController has a controller act once.
+// stepDrawnController runs one step of a controller.
 func (s controllerFaults) stepDrawnController(t *rapid.T) { s.stepNode(s.drawNode(t)) }
 
-// stopController stops a controller without notice.
+// stopController stops a controller without a shutdown.
 func (s controllerFaults) stopController(t *rapid.T) { s.nodes[s.drawNode(t)].running = false }
 
-// restartController restarts a controller, which keeps nothing.
+// restartController restarts a controller, which loses its state in memory.
 func (s controllerFaults) restartController(t *rapid.T) { s.startNode(s.drawNode(t)) }
 
 // startStoppedController starts a controller if it is stopped.
@@ -25,12 +25,12 @@
 	}
 }
 
-// upgradeController stops a controller of the version in production. It comes back as the
-// new version, at once or later.
+// upgradeController stops a controller of the version in production. It restarts with the new
+// version, either at once or later.
 func (s controllerFaults) upgradeController(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)]
 	if !n.inProduction {
-		t.Skip("new already")
+		t.Skip("already upgraded")
 	}
 	n.inProduction = false
 	if n.running = false; rapid.Bool().Draw(t, "at once") {
@@ -38,7 +38,8 @@
 	}
 }
 
-// stopAllControllers stops all for about as long as a lease, and starts one.
+// stopAllControllers stops all controllers for about the duration of a worker lease, and then
+// starts one of them.
 func (s controllerFaults) stopAllControllers(t *rapid.T) {
 	for _, n := range s.nodes {
 		n.running = false
@@ -48,7 +49,7 @@
 	s.runDrawnRounds(t, 0, 8)
 }
 
-// runOneController lets time pass in which one controller acts, and no worker.
+// runOneController advances the time while only one controller acts. No worker sends a heartbeat.
 func (s controllerFaults) runOneController(t *rapid.T) {
 	i := s.drawNode(t)
 	for range rapid.IntRange(10, 40).Draw(t, "rounds") {
@@ -57,33 +58,33 @@
 	}
 }
 
-// isolateController partitions a controller from the state service and its peers, not from
-// its workers and users, or ends that.
+// isolateController partitions a controller from the state service and its peers, but not from its
+// workers and users, or ends that partition.
 func (s controllerFaults) isolateController(t *rapid.T) {
 	i := s.drawNode(t)
 	s.isolated[i] = !s.isolated[i]
 	s.world.Store.Unreachable[s.nodes[i].name] = s.isolated[i]
 }
 
-// makeWorkersUnreachable partitions a controller from its workers only, or ends that.
+// makeWorkersUnreachable partitions a controller from its workers only, or ends that partition.
 func (s controllerFaults) makeWorkersUnreachable(t *rapid.T) {
 	commands := s.nodes[s.drawNode(t)].commands
 	commands.Partitioned = !commands.Partitioned
 }
 
-// partitionDrawnZone partitions a zone, or ends that.
+// partitionDrawnZone partitions a zone, or ends the partition of a zone.
 func (s controllerFaults) partitionDrawnZone(t *rapid.T) {
 	s.partitionZone(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone"))
 }
 
-// partitionZones partitions the zones from each other, or ends that.
+// partitionZones partitions the zones from each other, or ends that partition.
 func (s controllerFaults) partitionZones(_ *rapid.T) { s.zonesPartitioned = !s.zonesPartitioned }
 
-// togglePeers has connections between controllers be refused, or ends that.
+// togglePeers makes controllers refuse connections from each other, or accept them again.
 func (s controllerFaults) togglePeers(_ *rapid.T) { s.peersRefused = !s.peersRefused }
 
-// pauseBeforeCommit pauses a controller before its next transaction, which it then sends on
-// what it believed before.
+// pauseBeforeCommit pauses a controller before its next transaction. The controller then sends the
+// transaction, which is based on its state from before the pause.
 func (s controllerFaults) pauseBeforeCommit(t *rapid.T) {
 	n, rounds := s.nodes[s.drawNode(t)], rapid.IntRange(1, 30).Draw(t, "rounds")
 	n.storeClient.BeforeCommit = func() {
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/simulator"
 )
 
-// serviceFaults are what happens to the state service and the cloud.
+// serviceFaults contains the actions that affect the state service and the cloud.
 type serviceFaults struct{ drawnCluster }
 
 // toggleStoreOutage begins or ends an outage of the state service.
@@ -17,56 +17,56 @@
 // toggleCloudOutage begins or ends an outage of the cloud.
 func (s serviceFaults) toggleCloudOutage(_ *rapid.T) { s.world.Cloud.Down = !s.world.Cloud.Down }
 
-// toggleCapacity has the cloud have no capacity, or some again.
+// toggleCapacity makes the cloud run out of capacity, or have capacity again.
 func (s serviceFaults) toggleCapacity(_ *rapid.T) {
 	s.world.Cloud.NoCapacity = !s.world.Cloud.NoCapacity
 }
 
-// refuseController has the state service refuse a controller alone, or serve it again.
+// refuseController makes the state service refuse one controller only, or serve it again.
 func (s serviceFaults) refuseController(t *rapid.T) {
-	n := s.nodes[s.drawNode(t)].name
-	s.world.Store.Refused[n] = !s.world.Store.Refused[n]
+	name := s.nodes[s.drawNode(t)].name
+	s.world.Store.Refused[name] = !s.world.Store.Refused[name]
 }
 
-// makeStoreUnreachable partitions a controller from the state service, not from its workers,
-// or ends that.
+// makeStoreUnreachable partitions a controller from the state service but not from its workers, or
+// ends that partition.
 func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
-	n := s.nodes[s.drawNode(t)].name
-	s.world.Store.Unreachable[n] = !s.world.Store.Unreachable[n]
+	name := s.nodes[s.drawNode(t)].name
+	s.world.Store.Unreachable[name] = !s.world.Store.Unreachable[name]
 }
 
-// failNextTransaction sets a fault for the next transaction of a controller.
+// failNextTransaction injects a fault into the next transaction of a controller.
 func (s serviceFaults) failNextTransaction(t *rapid.T) {
-	n := s.nodes[s.drawNode(t)].name
-	s.world.Store.NextFault[n] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
+	name := s.nodes[s.drawNode(t)].name
+	s.world.Store.NextFault[name] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
 }
 
-// failNextCloudRequest sets a fault for the next rental or return of a controller.
+// failNextCloudRequest injects a fault into the next rental or return request of a controller.
 func (s serviceFaults) failNextCloudRequest(t *rapid.T) {
-	n := s.nodes[s.drawNode(t)].name
-	s.world.Cloud.NextFault[n] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
+	name := s.nodes[s.drawNode(t)].name
+	s.world.Cloud.NextFault[name] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
 }
 
-// deliverDelayedTransactions has delayed transactions arrive.
+// deliverDelayedTransactions makes the state service carry out the delayed transactions.
 func (s serviceFaults) deliverDelayedTransactions(_ *rapid.T) { s.world.Store.DeliverDelayed() }
 
-// changeBootTime has machines be up within a second, or later.
+// changeBootTime draws the boot time of machines, from none to 12 seconds.
 func (s serviceFaults) changeBootTime(t *rapid.T) {
 	s.world.MachineType.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 }
 
-// lowerLimitsWhenUpgraded lowers the limits of the state service once all controllers are of
-// the new version.
+// lowerLimitsWhenUpgraded lowers the limits of the state service if all controllers run the new
+// version.
 func (s serviceFaults) lowerLimitsWhenUpgraded(t *rapid.T) {
 	if s.limitsLowered || !s.upgraded() {
-		t.Skip("not yet")
+		t.Skip("limits already lowered, or not all controllers upgraded")
 	}
 	s.limitsLowered = true
 	s.lowerStateLimits()
 }
 
-// upgraded reports whether all controllers run, and are and know each other to be of the new
-// version.
+// upgraded reports whether all controllers are running the new version, and have recorded that all
+// others do too.
 func (s serviceFaults) upgraded() bool {
 	for _, n := range s.nodes {
 		if n.inProduction || !n.running {
@@ -76,8 +76,8 @@
 	return s.nodes[0].state().Schema.AllUpgraded()
 }
 
-// cancelDuringStoreOutage has the state service refuse one controller alone, another confirm
-// a cancellation, and then the state service refuse all.
+// cancelDuringStoreOutage makes the state service refuse one controller, then another controller
+// cancel a job, and then the state service refuse all controllers.
 func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
 	s.world.Store.Refused[s.nodes[i].name] = true
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -9,17 +9,18 @@
 	"violetturn/internal/simulator"
 )
 
-// faultAction is something that a generated test lets happen.
+// faultAction is an action that a generated test can draw: a fault, an action of a user, or the
+// passing of time.
 type faultAction struct {
 	name string
 	run  func(t *rapid.T)
 }
 
-// drawnCluster is a cluster whose events a generated test draws.
+// drawnCluster is a cluster in which a generated test draws the events.
 type drawnCluster struct{ *testCluster }
 
-// faultActions returns the actions from which a generated test draws, with the check that
-// follows each of them under the empty name.
+// faultActions returns the actions that a generated test draws from, by name. The action with the
+// empty name is the check that rapid runs after each action.
 func (s drawnCluster) faultActions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){"": s.checkInvariants}
 	for i, a := range s.orderedFaultActions() {
@@ -28,9 +29,9 @@
 	return actions
 }
 
-// orderedFaultActions returns the actions in the order in which they are drawn from: a seed
-// gives the same events as long as their number and their order stay the same. What stands
-// there several times is drawn more often.
+// orderedFaultActions returns the actions in a fixed order: a seed produces the same events as long
+// as the number and the order of the actions stay the same. An action that is listed several times
+// is drawn more often.
 func (s drawnCluster) orderedFaultActions() []faultAction {
 	controllers, workers := controllerFaults{s}, workerFaults{s}
 	services, users := serviceFaults{s}, userActions{s}
@@ -90,7 +91,8 @@
 	}
 }
 
-// checkInvariants checks the rules, and the state that controllers derive.
+// checkInvariants checks that no rule is violated, and that the derived state of controllers is
+// correct.
 func (s drawnCluster) checkInvariants(t *rapid.T) {
 	s.checkViolations(t)
 	s.checkDerivedState(t)
@@ -101,7 +103,7 @@
 	return rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")
 }
 
-// drawWorker draws a machine.
+// drawWorker draws a worker, and skips the action if there is none.
 func (s drawnCluster) drawWorker(t *rapid.T) *simulator.Worker {
 	names := s.world.Cloud.HostNames()
 	if len(names) == 0 {
@@ -110,7 +112,7 @@
 	return s.world.Cloud.Hosts[rapid.SampledFrom(names).Draw(t, "host")]
 }
 
-// drawJobID draws a submitted job.
+// drawJobID draws the ID of a submitted job, and skips the action if there is none.
 func (s drawnCluster) drawJobID(t *rapid.T) string {
 	if len(s.jobIDs) == 0 {
 		t.Skip("no job")
@@ -118,7 +120,7 @@
 	return rapid.SampledFrom(s.jobIDs).Draw(t, "job")
 }
 
-// drawTenths draws a time in tenths of a second.
+// drawTenths draws a duration; from and to are its bounds in tenths of a second.
 func drawTenths(t *rapid.T, from, to int) time.Duration {
 	return time.Duration(rapid.IntRange(from, to).Draw(t, "tenths")) * 100 * time.Millisecond
 }
@@ -130,11 +132,11 @@
 	}
 }
 
-// runFewRounds runs a few rounds.
+// runFewRounds runs between 1 and 8 rounds.
 func (s drawnCluster) runFewRounds(t *rapid.T) { s.runDrawnRounds(t, 1, 8) }
 
 // runManyRounds runs long enough for machines to boot and tasks to end.
 func (s drawnCluster) runManyRounds(t *rapid.T) { s.runDrawnRounds(t, 8, 40) }
 
-// advanceClock lets time pass in which nobody does anything.
+// advanceClock advances the time without a step of any controller or worker.
 func (s drawnCluster) advanceClock(t *rapid.T) { s.world.Advance(drawTenths(t, 1, 60)) }
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -10,13 +10,14 @@
 	"violetturn/internal/simulator"
 )
 
-// userActions are what users do.
+// userActions contains the actions of users.
 type userActions struct{ drawnCluster }
 
-// maxDrawnJobs is how many jobs a generated test submits.
+// maxDrawnJobs is the maximum number of jobs that a generated test submits.
 const maxDrawnJobs = 16
 
-// submitDrawn submits a job of a kind through a drawn controller; "" draws the kind.
+// submitDrawn submits a job of a kind through a drawn controller. If kind is empty, it is drawn
+// too.
 func (s userActions) submitDrawn(t *rapid.T, kind api.JobKind) {
 	if len(s.jobIDs) >= maxDrawnJobs {
 		t.Skip("enough jobs")
@@ -28,28 +29,29 @@
 	s.submit(s.drawNode(t), id)
 }
 
-// submitDrawnJob submits a job of any kind.
+// submitDrawnJob submits a job of a drawn kind.
 func (s userActions) submitDrawnJob(t *rapid.T) { s.submitDrawn(t, "") }
 
 // submitDrawnGang submits a gang.
 func (s userActions) submitDrawnGang(t *rapid.T) { s.submitDrawn(t, api.Gang) }
 
-// repeatSubmission submits a known job again.
+// repeatSubmission submits an existing job again.
 func (s userActions) repeatSubmission(t *rapid.T) { s.submit(s.drawNode(t), s.drawJobID(t)) }
 
-// pollJob asks a controller for a job.
+// pollJob queries a controller for a job.
 func (s userActions) pollJob(t *rapid.T) { s.poll(s.drawNode(t), s.drawJobID(t)) }
 
 // cancelJob cancels a job.
 func (s userActions) cancelJob(t *rapid.T) { s.cancel(s.drawNode(t), s.drawJobID(t)) }
 
-// queryDrawnJobEverywhere asks all controllers for a job at once.
+// queryDrawnJobEverywhere queries all controllers for a job at the same time.
 func (s userActions) queryDrawnJobEverywhere(t *rapid.T) { s.queryEverywhere(s.drawJobID(t)) }
 
-// submitInvalidJobs submits what a controller must refuse.
+// submitInvalidJobs submits jobs that a controller must refuse.
 func (s userActions) submitInvalidJobs(t *rapid.T) { s.submitInvalid(t, s.drawNode(t)) }
 
-// cancelAtTaskEnd cancels a job at the very end of a task, and asks about it everywhere.
+// cancelAtTaskEnd cancels a job at the moment when one of its tasks ends, and queries all
+// controllers for it.
 func (s userActions) cancelAtTaskEnd(t *rapid.T) {
 	id := s.drawJobID(t)
 	s.world.OnTaskDone = func(ended string) {
@@ -63,7 +65,7 @@
 	s.world.OnTaskDone = nil
 }
 
-// drawJob draws a job of a kind and the run time of its tasks; "" draws the kind.
+// drawJob draws a job of a kind and the run time of its tasks. If kind is empty, it is drawn too.
 func drawJob(t *rapid.T, uid string, kind api.JobKind) (*api.Job, time.Duration) {
 	if kind == "" {
 		kind = rapid.SampledFrom([]api.JobKind{api.Array, api.Service, api.Gang}).Draw(t, "kind")
@@ -92,15 +94,15 @@
 		drawGang(t, j)
 	case api.Service:
 		j.Tasks = min(j.Tasks, 4)
-	case api.Array: // as drawn
+	case api.Array: // no more to draw
 	}
 	return j, time.Duration(rapid.IntRange(1, 20).Draw(t, "run time")) * time.Second
 }
 
-// drawManyTasks draws a number of tasks that takes several task ranges.
+// drawManyTasks draws a number of tasks that needs several task ranges.
 func drawManyTasks(t *rapid.T) int { return rapid.IntRange(20, 60).Draw(t, "tasks") }
 
-// drawGang draws what is special about gangs.
+// drawGang draws the properties of a gang that differ from those of other jobs.
 func drawGang(t *rapid.T, j *api.Job) {
 	j.GPUs = float64(rapid.IntRange(0, 1).Draw(t, "gpus"))
 	if rapid.IntRange(0, 7).Draw(t, "large") == 0 {
--- a/internal/controller/fault_actions_workers_test.go
+++ b/internal/controller/fault_actions_workers_test.go
@@ -2,40 +2,40 @@
 
 import "pgregory.net/rapid"
 
-// workerFaults are what happens to workers and their machines.
+// workerFaults contains the actions that affect workers and their machines.
 type workerFaults struct{ drawnCluster }
 
-// sendDrawnHeartbeat has a worker send a heartbeat, with a fault.
+// sendDrawnHeartbeat makes a worker send a heartbeat with a drawn fault.
 func (s workerFaults) sendDrawnHeartbeat(t *rapid.T) {
 	s.sendHeartbeat(s.drawWorker(t), heartbeatFault(rapid.IntRange(0, 3).Draw(t, "fault")))
 }
 
-// partitionWorker partitions a worker from all else, or ends that.
+// partitionWorker partitions a worker from everything else, or ends that partition.
 func (s workerFaults) partitionWorker(t *rapid.T) {
-	x := s.drawWorker(t)
-	x.Partitioned = !x.Partitioned
+	worker := s.drawWorker(t)
+	worker.Partitioned = !worker.Partitioned
 }
 
-// loseInbound loses what is sent to a worker, or ends that.
+// loseInbound starts or stops dropping the messages to a worker.
 func (s workerFaults) loseInbound(t *rapid.T) {
-	x := s.drawWorker(t)
-	x.InboundLost = !x.InboundLost
+	worker := s.drawWorker(t)
+	worker.InboundLost = !worker.InboundLost
 }
 
-// loseOutbound loses what a worker sends, or ends that.
+// loseOutbound starts or stops dropping the messages from a worker.
 func (s workerFaults) loseOutbound(t *rapid.T) {
-	x := s.drawWorker(t)
-	x.OutboundLost = !x.OutboundLost
+	worker := s.drawWorker(t)
+	worker.OutboundLost = !worker.OutboundLost
 }
 
-// hangWorker hangs a worker, or lets it go on.
+// hangWorker makes a worker hang, or continue.
 func (s workerFaults) hangWorker(t *rapid.T) {
-	x := s.drawWorker(t)
-	x.Hung = !x.Hung
+	worker := s.drawWorker(t)
+	worker.Hung = !worker.Hung
 }
 
-// hangManyWorkers hangs two workers of three, or lets all go on, within their leases and past
-// them.
+// hangManyWorkers makes two of three workers hang, or all workers continue. They can hang for less
+// or for more than their leases.
 func (s workerFaults) hangManyWorkers(t *rapid.T) {
 	hung := rapid.Bool().Draw(t, "hung")
 	for i, h := range s.world.Cloud.HostNames() {
@@ -55,25 +55,26 @@
 	}
 }
 
-// noticeSpotInterruption announces the end of a spot machine.
+// noticeSpotInterruption sends a worker on a spot machine the notice that its machine will be
+// interrupted.
 func (s workerFaults) noticeSpotInterruption(t *rapid.T) {
-	x, left := s.drawWorker(t), 4.0
-	if x.Spot {
-		x.SpotNoticeS = &left
+	worker, noticeS := s.drawWorker(t), 4.0
+	if worker.Spot {
+		worker.SpotNoticeS = &noticeS
 	}
 }
 
-// deliverHeartbeatCopies has heartbeats of some time ago arrive once more.
+// deliverHeartbeatCopies delivers copies of earlier heartbeats.
 func (s workerFaults) deliverHeartbeatCopies(t *rapid.T) {
 	if len(s.heartbeatCopies) == 0 {
-		t.Skip("none")
+		t.Skip("no copies")
 	}
 	for range rapid.IntRange(1, 8).Draw(t, "copies") {
-		c := rapid.SampledFrom(s.heartbeatCopies).Draw(t, "copy")
+		heartbeat := rapid.SampledFrom(s.heartbeatCopies).Draw(t, "copy")
 		if rapid.Bool().Draw(t, "everywhere") {
-			s.deliverCopies([][]byte{c.body})
+			s.deliverCopies([][]byte{heartbeat.body})
 		} else {
-			s.deliverHeartbeat(c.to, c.body)
+			s.deliverHeartbeat(heartbeat.to, heartbeat.body)
 		}
 	}
 	if rapid.Bool().Draw(t, "newer") {
@@ -81,7 +82,7 @@
 	}
 }
 
-// deliverDelayedMessages delivers the heartbeats and the commands that partitions delay.
+// deliverDelayedMessages delivers the heartbeats and the commands that partitions have delayed.
 func (s workerFaults) deliverDelayedMessages(_ *rapid.T) {
 	delayed := s.delayedHeartbeats
 	s.delayedHeartbeats = nil
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -10,10 +10,10 @@
 	"violetturn/internal/api"
 )
 
-// Under lost, delayed, repeated and reordered messages, crashes, outages, partitions and
-// dying machines no rule is broken, and once the faults end every job that was accepted
-// runs.
-func TestRulesHoldUnderTrouble(t *testing.T) {
+// No rule is violated while messages are lost, delayed, repeated or reordered, while processes
+// crash, services fail, networks are partitioned and machines fail. After the faults end, every
+// accepted job runs.
+func TestRulesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newDrawnCluster(t)
 		t.Repeat(s.faultActions())
@@ -27,17 +27,17 @@
 	})
 }
 
-// newDrawnCluster returns a cluster that begins with the version in production, with the new
-// version, or with lowered limits too.
+// newDrawnCluster returns a cluster that starts with the version in production, with the new
+// version, or with the new version and lowered limits of the state service.
 func newDrawnCluster(t *rapid.T) drawnCluster {
 	s := newTestCluster()
 	s.setStateLimits(8, 8, 1, 4)
-	begin := rapid.SampledFrom([]string{"production", "new", "lowered limits"}).Draw(t, "begin")
+	initialState := rapid.SampledFrom([]string{"production", "new", "lowered limits"}).Draw(t, "begin")
 	for i, n := range s.nodes {
-		n.inProduction = begin == "production"
+		n.inProduction = initialState == "production"
 		s.startNode(i)
 	}
-	if begin == "lowered limits" {
+	if initialState == "lowered limits" {
 		s.limitsLowered = true
 		s.lowerStateLimits()
 	}
@@ -45,30 +45,31 @@
 	return drawnCluster{s}
 }
 
-// runWithoutFaults runs until all arrays and gangs are done, or for long enough. It checks
-// the derived state at first, and that nothing waits beside room all the time.
+// runWithoutFaults runs until all arrays and gangs are done, or for maxRounds. It checks the
+// derived state during the first checkedRounds, and during the whole time that no task waits for
+// long while there is free capacity.
 func (s drawnCluster) runWithoutFaults(t *rapid.T) {
 	const (
 		checkedRounds = 100
 		minRounds     = 200
 		maxRounds     = 2000
 	)
-	since := map[string]time.Time{}
+	waitingSince := map[string]time.Time{}
 	for range checkedRounds {
 		s.runRound()
-		s.checkWaiting(since)
+		s.checkWaiting(waitingSince)
 		s.checkDerivedState(t)
 	}
 	for k := 0; k < maxRounds && (k < minRounds || !s.arraysDone()); k++ {
 		s.runRound()
-		s.checkWaiting(since)
+		s.checkWaiting(waitingSince)
 		if k%10 == 0 {
 			s.cancelServices()
 		}
 	}
 }
 
-// cancelServices cancels the services, which would use their teams' limits for ever.
+// cancelServices cancels the services, which would otherwise use up their teams' limits forever.
 func (s drawnCluster) cancelServices() {
 	for _, id := range s.jobIDs {
 		if j := s.world.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
@@ -77,24 +78,27 @@
 	}
 }
 
-// checkOutcome checks that a job is known at every node, has no tasks if it was cancelled,
-// and is done if it was accepted and is no service.
+// checkOutcome checks that every node can answer queries about an accepted job, that the job has no
+// running tasks if it was cancelled, and that it is done if it was accepted and is not a service.
 func (s drawnCluster) checkOutcome(t *rapid.T, id string) {
 	j := s.world.Jobs[id]
 	for i, n := range s.nodes {
 		r := n.controller.frontend.Query(context.Background(), id)
 		if s.checkResponse(id, r.Status, r.Body, false); j.Accepted && r.Status != 200 {
-			t.Fatalf("%s: node %d answers %d after all faults", id, i, r.Status)
+			t.Fatalf("query of %s at node %d after all faults: got status %d, want 200", id, i, r.Status)
 		}
 	}
 	running := s.runningTasks(id)
 	switch {
 	case j.FinalPhase == api.JobCancelled:
 		if running > 0 {
-			t.Fatalf("%s is cancelled and has %d tasks", id, running)
+			t.Fatalf("running tasks of cancelled %s: got %d, want 0", id, running)
 		}
 	case !j.Accepted:
 	case j.Spec.Kind != api.Service && j.FinalPhase != api.JobDone:
-		t.Fatalf("%s has not been done: %d of %d; %s", id, len(j.Done), j.Spec.Tasks, s.describeJob(id))
+		t.Fatalf(
+			"phase of %s: got %q, want %q; %d of %d tasks done; %s",
+			id, j.FinalPhase, api.JobDone, len(j.Done), j.Spec.Tasks, s.describeJob(id),
+		)
 	}
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -8,35 +8,35 @@
 	"violetturn/internal/simulator"
 )
 
-// An outage of the state service takes no node out of the balancer's rotation, not
-// even one that starts in it; a node that is still loading is not ready.
-func TestHealthInOutage(t *testing.T) {
+// An outage of the state service must not make nodes unhealthy for the load balancer, not even a
+// node that starts during the outage. A node that is still loading its replica is not ready.
+func TestHealthDuringStoreOutage(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
 	if r := c.frontend.Health(); r.Status != 503 {
-		t.Errorf("before it has loaded: %d", r.Status)
+		t.Errorf("health before the replica is loaded: got status %d, want 503", r.Status)
 	}
 	c.sync.RecordStoreAnswer(false)
 	if r := c.frontend.Health(); r.Status != 200 {
-		t.Errorf("started in an outage: %d", r.Status)
+		t.Errorf("health of a node started in an outage: got status %d, want 200", r.Status)
 	}
 	if r := c.frontend.Submit(
 		context.Background(),
 		simulator.Submission(&api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Array, Priority: "idle", Tasks: 1, Image: "i"}),
 	); r.Status != 503 || r.RetryAfter == 0 {
-		t.Errorf("a submission in an outage: %d, to come back after %d s", r.Status, r.RetryAfter)
+		t.Errorf("submission in an outage: got status %d, retry after %d s, want 503 with a retry time", r.Status, r.RetryAfter)
 	}
 	s.stepNode(0)
 	c.sync.RecordStoreAnswer(true)
 	if r := c.frontend.Health(); r.Status != 200 {
-		t.Errorf("loaded: %d", r.Status)
+		t.Errorf("health once the replica is loaded: got status %d, want 200", r.Status)
 	}
 }
 
-// A node that reaches neither the state service nor any peer can say nothing to
-// its users and is not healthy; their jobs would seem unknown. One that shares
-// an outage with its peers stays.
-func TestIsolatedNodeLetsUsersGo(t *testing.T) {
+// A node that reaches neither the state service nor any peer is unhealthy: it can't answer its users,
+// for whom their jobs would seem unknown. A node stays healthy if a peer can't reach the state
+// service either.
+func TestIsolatedNodeIsUnhealthy(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	c.sync.RecordStoreAnswer(false)
@@ -44,10 +44,10 @@
 	c.testState().Reachability.PeersQueried = true
 	c.testState().Reachability.StoreReachableByPeer["n1"] = false
 	if r := c.frontend.Health(); r.Status != 200 {
-		t.Errorf("in an outage that a peer sees too: %d", r.Status)
+		t.Errorf("health in an outage that a peer reports too: got status %d, want 200", r.Status)
 	}
 	delete(c.testState().Reachability.StoreReachableByPeer, "n1")
 	if r := c.frontend.Health(); r.Status != 503 {
-		t.Errorf("alone: %d", r.Status)
+		t.Errorf("health of an isolated node: got status %d, want 503", r.Status)
 	}
 }
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -9,8 +9,8 @@
 	"violetturn/internal/simulator"
 )
 
-// Leaders change ten times in two minutes, also inside an outage: with machines that
-// answer, no replica is lost.
+// No replica may be lost if leaders change ten times in two minutes, also during an outage of the
+// state service, as long as the machines are reachable.
 func TestReplicasSurviveTenLeaderChanges(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitService(4, nil)
@@ -18,19 +18,20 @@
 	for k := range 10 {
 		leader, _ := s.leaderOfJob(t, id)
 		s.world.Store.Down = k == 4 || k == 5
-		s.startNode(leader) // ends, and is back within one step
+		s.startNode(leader) // it stops and restarts within one step
 		s.runRounds(t, 4)
 		s.world.Store.Down = false
 		if s.runRounds(t, 20); s.runningTasks(id) != 4 {
-			t.Fatalf("%d of 4 replicas after %d changes", s.runningTasks(id), k+1)
+			t.Fatalf("running replicas after %d leader changes: got %d, want 4", k+1, s.runningTasks(id))
 		}
 	}
 	s.checkRecovery(t)
 }
 
-// Jobs are cancelled in the seconds in which a shard changes its leader: before the
-// end of one shows, while nobody leads the shard, as it is acquired, and as it is released.
-func TestCancellationDuringHandover(t *testing.T) {
+// Jobs are cancelled during the seconds in which the leader of a shard changes: before the end of the
+// old leader is detected, while the shard has no leader, while it is acquired, and while it is
+// released.
+func TestCancellationDuringLeaderChange(t *testing.T) {
 	for after := range 12 {
 		t.Run(fmt.Sprintf("after %d rounds", after), func(t *testing.T) {
 			s := newReadyCluster()
@@ -48,9 +49,9 @@
 			s.cancel((other+1)%3, ids[1])
 			s.runRounds(t, after)
 			s.cancel(leader, ids[2])
-			s.runUntil(t, 80, "cancelled ones gone", func() bool {
+			s.runUntil(t, 80, "tasks of the cancelled services gone", func() bool {
 				for _, id := range ids[:3] {
-					if s.world.Jobs[id].FinalPhase == "" { // their users ask again
+					if s.world.Jobs[id].FinalPhase == "" { // the users repeat the request
 						s.cancel(other, id)
 					}
 				}
@@ -62,21 +63,21 @@
 	}
 }
 
-// Jobs of two or three tasks end far apart across a change of leader: the ends that were
-// not committed yet are found by the next one, and the job is known to be done at once
-// when its last task is.
+// The tasks of a job with two or three tasks end far apart, with a change of the leader in between.
+// The next leader must find the ends that were not committed yet, and the job must be reported as
+// done as soon as its last task has ended.
 func TestTasksEndFarApartAcrossLeaderChange(t *testing.T) {
 	for _, tasks := range []int{2, 3} {
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitArray(tasks, 3*time.Second, nil)
 			s.world.Jobs[id].RunTimeStep = 12 * time.Second
-			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
+			s.runUntil(t, 80, "first task ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
 			leader, _ := s.leaderOfJob(t, id)
-			s.startNode(leader) // its release of the first is lost
+			s.startNode(leader) // the uncommitted release of the first task is lost
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
-			s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
+			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
 			s.runUntil(t, 8, "known to be done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
@@ -90,24 +91,24 @@
 	}
 }
 
-// A job whose tasks ran in several leaders' shards is done when its last task is:
-// each leader once waited for ends that only the others could see, and committed
-// its own no sooner than what can wait.
-func TestDoneAcrossLeaders(t *testing.T) {
+// A job whose tasks run in the shards of several leaders must be reported as done when its last task
+// has ended. Each leader once waited for ends that only the other leaders could observe, and
+// committed the ends in its own shard as late as writes that are not urgent.
+func TestJobDoneAcrossLeaders(t *testing.T) {
 	s := newReadyCluster()
-	stay := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Spread = api.Service, 2, true })
-	s.runUntil(t, 60, "a machine in each zone", func() bool { return s.runningTasks(stay) == 2 })
+	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Spread = api.Service, 2, true })
+	s.runUntil(t, 60, "a replica runs in each zone", func() bool { return s.runningTasks(service) == 2 })
 	id := s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
 	})
 	s.world.Jobs[id].RunTimeStep = time.Second
-	s.runUntil(t, 120, "tasks done", func() bool { return len(s.world.Jobs[id].Done) == 4 })
+	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == 4 })
 	s.runUntil(t, 6, "known to be done", s.isDone(id))
 }
 
-// Every team is at its limit, jobs are cancelled whose machines are partitioned or hang, and
-// the leader changes in that spell: others of the team wait until the cancelled tasks
-// have surely gone.
+// Every team is at its limit, jobs are cancelled while their machines are partitioned or hang, and
+// the leader changes in the meantime. Other jobs of the team must wait until the cancelled tasks
+// have certainly ended.
 func TestTeamAtLimitDuringLeaderChange(t *testing.T) {
 	for _, fault := range []struct {
 		name string
@@ -125,31 +126,33 @@
 				s.startNode(i)
 			}
 			s.runRounds(t, 10)
-			var off []string
+			var services []string
 			for _, team := range []string{"a", "b"} {
-				off = append(off, s.submitService(5, func(r *api.Job) { r.Team = team }))
+				services = append(services, s.submitService(5, func(r *api.Job) { r.Team = team }))
 			}
-			s.runUntil(t, 120, "teams at their limits", func() bool { return s.runningTasks(off[0]) == 5 && s.runningTasks(off[1]) == 5 })
+			s.runUntil(t, 120, "teams at their limits", func() bool {
+				return s.runningTasks(services[0]) == 5 && s.runningTasks(services[1]) == 5
+			})
 			for _, team := range []string{"a", "b"} {
 				s.submitArray(4, 3*time.Second, func(r *api.Job) { r.Team = team })
 			}
-			for k, h := range s.world.Cloud.HostNames() {
-				if k%2 == 0 {
-					s.world.Cloud.Hosts[h].WorkerFaults = fault.WorkerFaults
+			for i, host := range s.world.Cloud.HostNames() {
+				if i%2 == 0 {
+					s.world.Cloud.Hosts[host].WorkerFaults = fault.WorkerFaults
 				}
 			}
-			leader, other := s.leaderOfJob(t, off[0])
+			leader, other := s.leaderOfJob(t, services[0])
 			s.nodes[leader].running = false
-			for _, id := range off {
+			for _, id := range services {
 				s.cancel(other, id)
 			}
 			s.runRounds(t, 2)
-			s.startNode(leader) // back in the spell
+			s.startNode(leader) // it restarts while the fault lasts
 			s.runRounds(t, 20)
 			s.nodes[other].running = false
-			s.runRounds(t, 14) // just less than the lease since it began
-			for _, x := range s.world.Cloud.Hosts {
-				x.Hung = false
+			s.runRounds(t, 14) // slightly less than the lease since the fault began
+			for _, worker := range s.world.Cloud.Hosts {
+				worker.Hung = false
 			}
 			s.runRounds(t, 30)
 			s.checkRecovery(t)
@@ -157,40 +160,41 @@
 	}
 }
 
-// A shard that changes leaders and comes back must not carry the first leader's
-// patience with a machine that was still booting then: it came up meanwhile.
-func TestMachineOutlivesLeaderChanges(t *testing.T) {
+// A leader that loses a shard and leads it again later must not apply the boot timeout from its
+// first leadership to a machine that was still booting then and has started in the meantime.
+func TestMachineSurvivesLeaderChanges(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 20, "machine known", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
-	home := 0
+	s.runUntil(t, 20, "machine registered", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
+	preferred := 0
 	for host := range s.nodes[0].state().Cache.Machines {
-		home = s.homeOf(host)
+		preferred = s.homeOf(host)
 	}
-	s.world.Store.Refused[s.nodes[home].name] = true // before the machine is up
+	s.world.Store.Refused[s.nodes[preferred].name] = true // before the machine has booted
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.world.Store.Refused[s.nodes[home].name] = false
+	s.world.Store.Refused[s.nodes[preferred].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
-			t.Fatal("the replica was stopped")
+			t.Fatalf("running replicas: got %d, want 1", s.runningTasks(id))
 		}
 	}
 }
 
-// A machine that was lost under an earlier leader is given up by the next one
-// soon, not after the time of a whole boot once more.
-func TestLostMachineIsGivenUpByNextLeader(t *testing.T) {
+// A machine that was lost under an earlier leader must be returned soon by the next leader, not only
+// after the time for a whole boot has passed again.
+func TestLostMachineIsReturnedByNextLeader(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 60, "machine up", func() bool { return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1 })
+	s.runUntil(t, 60, "replica runs on a machine", func() bool { return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1 })
 	host := s.world.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
-	home := s.homeOf(host)
+	preferred := s.homeOf(host)
 	s.world.Cloud.Hosts[host].Partitioned = true
-	s.world.Store.Refused[s.nodes[home].name] = true
-	cfg := s.nodes[0].controller.node.Settings
-	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
+	s.world.Store.Refused[s.nodes[preferred].name] = true
+	settings := s.nodes[0].controller.node.Settings
+	// By the end of this time its task has certainly ended.
+	bound := settings.LeadershipGrace() + settings.WorkerLeaseBound() + 2*settings.ControllerLeaseTTL() + 2*time.Second
 	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.Hosts[host] == nil })
 }
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -8,64 +8,70 @@
 	"violetturn/internal/api"
 )
 
-// A leader that hears from a peer that its shard was acquired stops answering at once and
-// sends its workers there, long before its own time is over.
+// A leader that a peer informs that its shard was acquired must stop answering heartbeats at once
+// and redirect its workers to the new leader, long before its own grace period ends.
 func TestReplacedLeaderRedirectsWorkers(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" })
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
-	home := s.nodes[leader].name
-	s.world.Store.Refused[home] = true
-	s.runUntil(t, 40, "acquired", func() bool { o := s.leaderOf(home); return o != "" && o != home })
+	shard := s.nodes[leader].name
+	s.world.Store.Refused[shard] = true
+	s.runUntil(t, 40, "shard acquired by a peer", func() bool {
+		newLeader := s.leaderOf(shard)
+		return newLeader != "" && newLeader != shard
+	})
 	c := s.nodes[leader].controller
 	c.members.QueryPeers(context.Background())
-	if o := c.testState().Leadership.Lookup(home); o == nil || o.Successor() != s.leaderOf(home) {
-		t.Fatalf("it does not know: %+v", o)
+	if leadership := c.testState().Leadership.Lookup(shard); leadership == nil || leadership.Successor() != s.leaderOf(shard) {
+		t.Fatalf("leadership of shard %s at its former leader: got %+v, want successor %q", shard, leadership, s.leaderOf(shard))
 	}
-	for h, m := range c.testState().Cache.Machines {
-		if x := s.world.Cloud.Hosts[h]; m.Shard == home && x != nil && x.Up() {
-			r := x.Heartbeat()
+	for host, m := range c.testState().Cache.Machines {
+		if worker := s.world.Cloud.Hosts[host]; m.Shard == shard && worker != nil && worker.Up() {
+			r := worker.Heartbeat()
 			r.Token = 0
-			if got := s.deliverHeartbeat(leader, api.JSON(r)); got.status != 421 || got.leader != s.leaderOf(home) {
-				t.Errorf("%s is answered %d, leader %q", h, got.status, got.leader)
+			if got := s.deliverHeartbeat(leader, api.JSON(r)); got.status != 421 || got.leader != s.leaderOf(shard) {
+				t.Errorf("heartbeat of %s: got status %d, leader %q, want 421, leader %q", host, got.status, got.leader, s.leaderOf(shard))
 			}
 		}
 	}
 	for range 60 {
 		s.runRound()
 		if len(s.world.Violations) > 0 || s.runningTasks(id) != 3 {
-			t.Fatalf("%d replicas, %v", s.runningTasks(id), s.world.Violations)
+			t.Fatalf("got %d running replicas, violations %v, want 3 and none", s.runningTasks(id), s.world.Violations)
 		}
 	}
 }
 
-// A worker learns whom to report to, and a node that may not answer never keeps
-// it with a 200.
+// A node that does not lead a worker's shard must redirect the worker to the leader. A node that
+// may no longer answer for a shard must not respond with 200, which would keep the worker there.
 func TestOtherNodesRedirectWorkers(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(nil)
-	s.runUntil(t, 40, "machine known", func() bool {
+	s.runUntil(t, 40, "machine registered and running", func() bool {
 		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.world.Cloud.Hosts) > 0
 	})
-	for h, m := range s.nodes[0].state().Cache.Machines {
-		x := s.world.Cloud.Hosts[h]
+	for host, m := range s.nodes[0].state().Cache.Machines {
+		worker := s.world.Cloud.Hosts[host]
 		for i, n := range s.nodes {
-			got := s.deliverHeartbeat(i, api.JSON(x.Heartbeat()))
-			switch own := n.name == m.Shard; {
-			case own && got.status != 200, !own && (got.status != 421 || got.leader != m.Shard):
-				t.Errorf("%s of shard %s at %s: %d %q", h, m.Shard, n.name, got.status, got.leader)
+			got := s.deliverHeartbeat(i, api.JSON(worker.Heartbeat()))
+			switch leads := n.name == m.Shard; {
+			case leads && got.status != 200, !leads && (got.status != 421 || got.leader != m.Shard):
+				t.Errorf(
+					"heartbeat of %s of shard %s at %s: got status %d, leader %q, want 200 from the leader, else 421 and the leader",
+					host, m.Shard, n.name, got.status, got.leader,
+				)
 			}
 		}
 	}
-	for range 100 { // a node refused by the state service alone
+	for range 100 { // the state service refuses only this node
 		s.world.Store.Refused["n0"] = true
 		s.runRound()
 	}
-	for h := range s.nodes[1].state().Cache.Machines {
-		if x := s.world.Cloud.Hosts[h]; x != nil {
-			if s.deliverHeartbeat(0, api.JSON(x.Heartbeat())).status == 200 {
-				t.Error("answers 200 long after its lease has ended")
+	for host := range s.nodes[1].state().Cache.Machines {
+		if worker := s.world.Cloud.Hosts[host]; worker != nil {
+			if s.deliverHeartbeat(0, api.JSON(worker.Heartbeat())).status == 200 {
+				t.Error("heartbeat long after the end of the node's lease: got status 200, want another")
 			}
 		}
 	}
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -9,9 +9,10 @@
 	"violetturn/internal/simulator"
 )
 
-// A shard acquired by a transaction whose response was lost once was led by nobody: the
-// key was ours and kept alive, but the shard was not among those we lead.
-func TestShardAcquiredWithoutResponse(t *testing.T) {
+// A shard once had no active leader after the response to its acquisition was lost: the leader key
+// belonged to this node and was kept alive by its lease, but the node did not treat the shard as
+// one that it leads.
+func TestShardIsLedAfterLostCommitResponse(t *testing.T) {
 	s := newTestCluster()
 	for i, n := range s.nodes { // the first transaction registers, the next acquires the shard
 		s.stepNode(i)
@@ -22,46 +23,50 @@
 	})
 }
 
-// A leader that restarts quickly must not lose the knowledge that the leader before it may
-// still be answering workers: the doubt stays in the shard's capacity record.
-func TestPredecessorDoubtSurvivesRestart(t *testing.T) {
+// After a quick restart, a leader must still take into account that the previous leader may be
+// answering workers. The shard's capacity record keeps that information.
+func TestPredecessorMayAnswerSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.world.Store.Refused["n1"] = true // n1 lives on, partitioned from the state service
-	s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
+	s.world.Store.Refused["n1"] = true // n1 continues to run, partitioned from the state service
+	s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
-	s.runUntil(t, 10, "acquired again", func() bool { return s.leaderOf("n1") == s.nodes[successor].name })
+	s.runUntil(t, 10, "shard acquired again", func() bool { return s.leaderOf("n1") == s.nodes[successor].name })
 	c := s.nodes[successor].controller
 	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
-		t.Fatalf("bounds earlier answers by %v from now, n1 may go on for %v", got, c.node.Settings.LeadershipGrace())
+		t.Fatalf(
+			"time for which the previous leader may still answer: got %v, want more than half of the grace period of %v",
+			got, c.node.Settings.LeadershipGrace(),
+		)
 	}
 }
 
-// A shard that a peer acquired between the read and the transaction is left to it.
-func TestShardIsNotTakenFromLivingLeader(t *testing.T) {
+// A controller must not take over a shard that a peer has acquired between the controller's read of
+// the leader key and its transaction.
+func TestShardIsNotAcquiredFromRunningLeader(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[1].controller
 	before := c.testState().Leadership.Lookup("n1").Term
-	old := c.testState().Cache.Leaders["n0"].Version
+	oldVersion := c.testState().Cache.Leaders["n0"].Version
 	s.nodes[0].running = false
-	s.runUntil(t, 40, "shard of n0 acquired", func() bool { o := s.leaderOf("n0"); return o != "" })
+	s.runUntil(t, 40, "shard of n0 acquired", func() bool { leader := s.leaderOf("n0"); return leader != "" })
 	successor := s.leaderOf("n0")
 	other := s.nodes[1]
 	if successor == "n1" {
 		other = s.nodes[2]
 	}
 	s.runRound()
-	other.controller.election.AcquireShard(context.Background(), "n0", old) // it still looks at the old leader's key
+	other.controller.election.AcquireShard(context.Background(), "n0", oldVersion) // based on the old version of the leader key
 	if s.leaderOf("n0") != successor || other.state().Leadership.Lookup("n0") != nil ||
 		c.testState().Leadership.Lookup("n1").Term != before {
-		t.Fatal("the shard changed its leader")
+		t.Fatalf("leader of shard n0: got %q, want %q, with no other leadership changed", s.leaderOf("n0"), successor)
 	}
 }
 
-// Controllers that are back at once, in the middle of acquiring a shard and with
-// transactions of their earlier lives still to arrive, leave every shard with one
-// leader and every replica running.
+// Controllers restart at once while they are acquiring a shard, and delayed transactions of their
+// previous incarnations arrive afterwards. Every shard must still have one leader, and every replica
+// must keep running.
 func TestRestartDuringElection(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
@@ -69,7 +74,7 @@
 	s.nodes[1].running = false
 	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].state().Cache.Leaders["n1"].Record == nil })
 	for _, n := range s.nodes {
-		s.world.Store.NextFault[n.name] = simulator.Delayed // the acquisition is on its way when its sender ends
+		s.world.Store.NextFault[n.name] = simulator.Delayed // the acquisition is in transit when its sender stops
 	}
 	for i := range s.nodes {
 		s.stepNode(i)
@@ -81,22 +86,22 @@
 		s.stepNode(i)
 		s.world.Store.DeliverDelayed()
 	}
-	// Sooner than the leases of the earlier lives end: those are over.
-	s.runUntil(t, 5, "shards led at home", func() bool {
+	// This must not take until the leases of the previous incarnations expire, as those have ended.
+	s.runUntil(t, 5, "each shard led by its preferred leader", func() bool {
 		return s.leaderOf("n0") == "n0" && s.leaderOf("n1") == "n1" && s.leaderOf("n2") == "n2"
 	})
 	for range 40 {
 		s.runRound()
 		if s.runningTasks(id) != 4 {
-			t.Fatal("a replica was lost")
+			t.Fatalf("running replicas: got %d, want 4", s.runningTasks(id))
 		}
 	}
 	s.checkViolations(t)
 }
 
-// An acquisition that conflicted with another, which raised the term, is tried again at
-// once, not with the next renewal of the lease: after the end of all controllers
-// they come together, and the workers' leases run.
+// An acquisition that conflicts with another one, which raised the term, must be retried at once
+// and not only with the next renewal of the lease: when all controllers have stopped and restart,
+// they acquire shards at the same time, while the workers' leases are running out.
 func TestConflictedAcquisitionIsRetried(t *testing.T) {
 	s := newReadyCluster()
 	s.startNode(1)
@@ -112,11 +117,14 @@
 	for len(c.sync.LeaderlessShardSignal()) > 0 {
 		<-c.sync.LeaderlessShardSignal()
 	}
-	old := c.testState().Cache.Leaders["n1"].Version
+	oldVersion := c.testState().Cache.Leaders["n1"].Version
 	first := s.nodes[0]
-	first.controller.election.AcquireShard(context.Background(), "n0", first.state().Cache.Leaders["n0"].Version) // raises the term
-	c.election.AcquireShard(context.Background(), "n1", old)
+	first.controller.election.AcquireShard(context.Background(), "n0", first.state().Cache.Leaders["n0"].Version) // this raises the term
+	c.election.AcquireShard(context.Background(), "n1", oldVersion)
 	if c.testState().Leadership.Lookup("n1") != nil || len(c.sync.LeaderlessShardSignal()) != 1 {
-		t.Fatalf("acquired %t, to be tried again %d", c.testState().Leadership.Lookup("n1") != nil, len(c.sync.LeaderlessShardSignal()))
+		t.Fatalf(
+			"shard acquired: got %t, want false; retry signals: got %d, want 1",
+			c.testState().Leadership.Lookup("n1") != nil, len(c.sync.LeaderlessShardSignal()),
+		)
 	}
 }
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -7,12 +7,12 @@
 	"violetturn/internal/api"
 )
 
-// Changes are what the state service has least of. An array of short tasks that
-// end one after the other takes a few, not one for each of its tasks.
-func TestArrayTakesFewChanges(t *testing.T) {
+// The write rate is the scarcest resource of the state service. An array whose short tasks end one
+// after the other must need only a few writes, not one for each of its tasks.
+func TestArrayNeedsFewWrites(t *testing.T) {
 	s := newReadyCluster()
-	warm := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 60, "a machine is up", func() bool { return s.runningTasks(warm) == 1 })
+	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	s.runUntil(t, 60, "a replica runs on a machine", func() bool { return s.runningTasks(service) == 1 })
 	before := s.world.Store.Writes
 	jobs := []string{}
 	for range 4 {
@@ -21,50 +21,53 @@
 		jobs = append(jobs, id)
 	}
 	for _, id := range jobs {
-		s.runUntil(t, 400, "done", s.isDone(id))
+		s.runUntil(t, 400, "array done", s.isDone(id))
 	}
 	if n := s.world.Store.Writes - before; n > 10*len(jobs) {
-		t.Fatalf("%d changes for %d jobs of 12 tasks", n, len(jobs))
+		t.Fatalf("writes for %d jobs of 12 tasks: got %d, want at most %d", len(jobs), n, 10*len(jobs))
 	} else {
-		t.Logf("%d changes for %d jobs", n, len(jobs))
+		t.Logf("%d writes for %d jobs", n, len(jobs))
 	}
 }
 
-// The rates of the state service are shared by the controllers that live: one that
-// was left alone once had its fifth of them for the work of all.
-func TestSurvivorHasAllOfTheRates(t *testing.T) {
+// The running controllers share the rate limits of the state service. The last running controller
+// once had to do the work of all with its initial fifth of the rates.
+func TestLastControllerUsesFullRates(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
 	s.stepNode(0)
 	s.stepNode(0)
 	if c.testState().Leadership.Rates().ControllerCount() != 3 {
-		t.Fatalf("%d share before the others have registered", c.testState().Leadership.Rates().ControllerCount())
+		t.Fatalf(
+			"controllers that share the rates before the others have registered: got %d, want 3",
+			c.testState().Leadership.Rates().ControllerCount(),
+		)
 	}
-	s.runUntil(t, 4, "all three share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 3 })
+	s.runUntil(t, 4, "three controllers share the rates", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 3 })
 	s.nodes[1].running, s.nodes[2].running = false, false
-	s.runUntil(t, 20, "alone", func() bool {
+	s.runUntil(t, 20, "the last controller uses the full rates", func() bool {
 		return c.testState().Leadership.Rates().ControllerCount() == 1 &&
 			c.sync.WritesPerSecond() == int(c.node.Settings.LowestLimits().WriteRPS)
 	})
 	s.startNode(2)
-	s.runUntil(t, 20, "two share", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 2 })
+	s.runUntil(t, 20, "two controllers share the rates", func() bool { return c.testState().Leadership.Rates().ControllerCount() == 2 })
 }
 
-// A watch that falls behind by more changes than the state service keeps reads all records
-// anew and goes on.
-func TestWatchFallsBehind(t *testing.T) {
+// If the state service no longer has all the changes that a watch has missed, the controller must
+// read all records again and then continue the watch.
+func TestWatchReloadsAfterFallingBehind(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	s.nodes[2].paused = true
 	s.world.Store.ExpireHistory()
 	s.nodes[2].paused = false
-	terminated := s.submitJob(nil)
-	s.runUntil(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
+	array := s.submitJob(nil)
+	s.runUntil(t, 80, "the controller that fell behind has caught up", func() bool {
 		current := s.nodes[0].state().Cache.Revision
-		return s.nodes[2].state().Cache.Loaded && s.nodes[2].state().Cache.Revision >= current && s.isDone(terminated)()
+		return s.nodes[2].state().Cache.Loaded && s.nodes[2].state().Cache.Revision >= current && s.isDone(array)()
 	})
 	if n := s.runningTasks(id); n != 2 {
-		t.Errorf("%d of 2 replicas run", n)
+		t.Errorf("running replicas: got %d, want 2", n)
 	}
 }
--- a/internal/controller/submissions_test.go
+++ b/internal/controller/submissions_test.go
@@ -10,9 +10,9 @@
 	"violetturn/internal/simulator"
 )
 
-// What users get wrong is told them, and a known job is answered with its state
-// before its repetition is judged.
-func TestSubmissions(t *testing.T) {
+// Users get an error status for an invalid submission. The repeated submission of an existing job is
+// answered with the job's state, even if the repetition is invalid.
+func TestSubmissionStatuses(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
 	ctx := context.Background()
@@ -33,11 +33,11 @@
 		return simulator.Submission(r)
 	}
 	if r := c.frontend.Submit(ctx, body(func(*api.Job) {})); r.Status != 503 || r.RetryAfter == 0 {
-		t.Errorf("before the machine types are known: %d", r.Status)
+		t.Errorf("before the machine types are loaded: got status %d, retry after %d s, want 503 with a retry time", r.Status, r.RetryAfter)
 	}
 	s.runFor(10)
-	for _, x := range []struct {
-		what   string
+	for _, test := range []struct {
+		name   string
 		status int
 		change func(*api.Job)
 	}{
@@ -48,39 +48,39 @@
 		{"spread in one zone", 422, func(r *api.Job) { r.Zone, r.Spread, r.Tasks = "x", true, 2 }},
 		{"unknown kind", 400, func(r *api.Job) { r.Kind = "gang" }},
 		{"gang over the limit", 422, func(r *api.Job) { r.Team, r.Kind, r.Tasks = "a", api.Gang, 6 }},
-		{"longer than a record", 400, func(r *api.Job) { r.Image = strings.Repeat("x", 4000) }},
+		{"exceeds the size limit of a record", 400, func(r *api.Job) { r.Image = strings.Repeat("x", 4000) }},
 		{"array over the limit", 201, func(r *api.Job) { r.Team, r.Tasks = "a", 50 }},
-		{"again, now malformed", 200, func(r *api.Job) { r.Kind = "gang" }},
-		{"again, now impossible", 200, func(r *api.Job) { r.Team = "z" }},
+		{"repeated, now malformed", 200, func(r *api.Job) { r.Kind = "gang" }},
+		{"repeated, now with an unknown team", 200, func(r *api.Job) { r.Team = "z" }},
 	} {
-		if r := c.frontend.Submit(ctx, body(x.change)); r.Status != x.status {
-			t.Errorf("%s: %d %s", x.what, r.Status, r.Body)
+		if r := c.frontend.Submit(ctx, body(test.change)); r.Status != test.status {
+			t.Errorf("submission (%s): got status %d, body %s, want status %d", test.name, r.Status, r.Body, test.status)
 		}
 	}
 	if r := s.nodes[1].controller.frontend.Query(ctx, "run-000999"); r.Status != 404 {
-		t.Errorf("unknown job: %d", r.Status)
+		t.Errorf("query of an unknown job: got status %d, want 404", r.Status)
 	}
 	s.world.Store.Down = true
 	if r := s.nodes[1].controller.frontend.Query(ctx, "run-000999"); r.Status != 503 {
-		t.Errorf("unknown job in an outage: %d, which only the store can tell", r.Status)
+		t.Errorf("query of an unknown job in an outage of the state service: got status %d, want 503", r.Status)
 	}
 }
 
-// A job that is over, asked about by a repetition that is longer than a record may be, is
-// answered with its state by a controller that remembers nothing of it.
-func TestOversizedResubmissionOfKnownJob(t *testing.T) {
+// A controller that has restarted must answer the repeated submission of a finished job with the
+// job's state, even if the repetition exceeds the size limit of a record.
+func TestOversizedResubmissionReturnsJobState(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitArray(1, time.Second, nil)
-	s.runUntil(t, 80, "done", s.isDone(id))
+	s.runUntil(t, 80, "array done", s.isDone(id))
 	s.startNode(1)
 	s.runRounds(t, 6)
 	r := s.world.Jobs[id].Spec
 	r.Image = strings.Repeat("x", 4000)
 	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
-		t.Errorf("answered %d", got.Status)
+		t.Errorf("repeated submission of a finished job: got status %d, want 200", got.Status)
 	}
 	r.UID = "run-999999"
 	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 400 {
-		t.Errorf("one that nobody knows is answered %d", got.Status)
+		t.Errorf("oversized submission of a new job: got status %d, want 400", got.Status)
 	}
 }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -12,25 +12,27 @@
 	"violetturn/internal/timing"
 )
 
-// summaryLeases is after how many leases of a worker a summary is logged.
-const summaryLeases = 4
+// summaryIntervalLeases is the interval between two logged summaries, as a multiple of the worker
+// lease.
+const summaryIntervalLeases = 4
 
-// summaryLoop logs from time to time what this controller uses and holds, and drops what is
-// remembered of jobs that are over.
+// summaryLoop periodically logs this controller's request rates and the size of its state, and
+// removes the in-memory state of finished jobs.
 func (c *Controller) summaryLoop(ctx context.Context) {
-	every := summaryLeases * c.node.Settings.WorkerLease()
-	var requests, writes float64
-	for timing.Sleep(ctx, every) {
-		nowRequests, nowWrites := c.services.Store.Used()
-		c.logSummary(rate(nowRequests-requests, every), rate(nowWrites-writes, every))
-		requests, writes = nowRequests, nowWrites
+	interval := summaryIntervalLeases * c.node.Settings.WorkerLease()
+	var previousRequests, previousWrites float64
+	for timing.Sleep(ctx, interval) {
+		totalRequests, totalWrites := c.services.Store.Used()
+		c.logSummary(perSecond(totalRequests-previousRequests, interval), perSecond(totalWrites-previousWrites, interval))
+		previousRequests, previousWrites = totalRequests, totalWrites
 	}
 }
 
-// rate returns a count by second, to a tenth.
-func rate(count float64, d time.Duration) float64 { return math.Round(count/d.Seconds()*10) / 10 }
+// perSecond returns a count as a rate per second, rounded to a tenth.
+func perSecond(count float64, d time.Duration) float64 { return math.Round(count/d.Seconds()*10) / 10 }
 
-// logSummary logs the rates of requests and changes, and what the state holds.
+// logSummary logs the rates of requests and writes, and the size of the state. It then removes
+// the in-memory state of finished jobs.
 func (c *Controller) logSummary(requestRate, writeRate float64) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -46,8 +48,8 @@
 	state.DropFinishedJobs()
 }
 
-// logCommits logs what became of transactions since the last summary, by purpose, and begins
-// to count anew.
+// logCommits logs the outcomes of transactions since the last summary, by purpose, and resets
+// the counts.
 func (c *Controller) logCommits(s *state.State) {
 	for _, purpose := range slices.Sorted(maps.Keys(s.Stats.Commits)) {
 		count := s.Stats.Commits[purpose]
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -7,10 +7,11 @@
 	"violetturn/internal/api"
 )
 
-// A worker takes raises of its token for news only now and then. Stops were once
-// announced by them, and a start on the same machine soon after waited for the
-// worker's next heartbeat: stops go directly, and the raise is kept for the start.
-func TestTokenRaisesAreKeptForLaunches(t *testing.T) {
+// A worker reacts to a raised token with an early heartbeat, but not to raises in quick succession.
+// Stops were once announced by raises, so that a launch on the same machine soon afterwards had to
+// wait for the worker's next regular heartbeat. Stops must be sent as direct commands, and raises
+// must be used for launches only.
+func TestTokenRaisesAreReservedForLaunches(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
@@ -18,16 +19,19 @@
 	for h := range s.runningTasksByHost(id) {
 		host = h
 	}
-	home := s.homeOf(host)
-	c := s.nodes[home].controller
-	for range 2 * int(s.world.Lease/time.Second) { // raises count again
+	leader := s.homeOf(host)
+	c := s.nodes[leader].controller
+	for range 2 * int(s.world.Lease/time.Second) { // wait until the worker reacts to raises again
 		s.runRound()
 	}
 	raises := c.testState().Agents.Agent(host).TokenSequence
-	s.cancel(home, id)
-	s.stepNode(home)
+	s.cancel(leader, id)
+	s.stepNode(leader)
 	if s.runningTasks(id) != 0 || c.testState().Agents.Agent(host).TokenSequence != raises {
-		t.Fatalf("stopped: %d run, %d raises", s.runningTasks(id), c.testState().Agents.Agent(host).TokenSequence-raises)
+		t.Fatalf(
+			"after the stop: got %d running tasks, %d raises, want none",
+			s.runningTasks(id), c.testState().Agents.Agent(host).TokenSequence-raises,
+		)
 	}
 	s.runUntil(t, 6, "machine empty", func() bool {
 		return len(c.testState().Cache.Placements[host]) == 0 && len(c.testState().Agents.Agent(host).Heartbeat.Tasks) == 0
@@ -35,9 +39,12 @@
 	next := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	for range 2 {
 		s.stepNode(0)
-		s.stepNode(home)
+		s.stepNode(leader)
 	}
-	if on := c.testState().Cache.Placements[host]; len(on) != 1 || c.testState().Agents.Agent(host).TokenSequence != raises+1 {
-		t.Fatalf("%s placed on %d, %d raises", next, len(on), c.testState().Agents.Agent(host).TokenSequence-raises)
+	if placed := c.testState().Cache.Placements[host]; len(placed) != 1 || c.testState().Agents.Agent(host).TokenSequence != raises+1 {
+		t.Fatalf(
+			"placement of %s on %s: got %d placements, %d raises, want 1 of each",
+			next, host, len(placed), c.testState().Agents.Agent(host).TokenSequence-raises,
+		)
 	}
 }
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -8,31 +8,31 @@
 	"violetturn/internal/simulator"
 )
 
-// A transaction without a response is carried out late, after newer ones of the same
-// controller: an acceptance after the job's whole life, a cancellation after its end, the
-// acquisition of a shard after it was acquired again and released.
+// The state service carries out a transaction late, without a response, after newer transactions
+// of the same controller: the acceptance of a job after the job has finished, a cancellation after
+// the job has ended, and the acquisition of a shard after it was acquired again and released.
 func TestDelayedTransactions(t *testing.T) {
 	s := newReadyCluster()
 	s.world.Store.NextFault["n0"] = simulator.Delayed
-	a := s.submitArray(2, time.Second, nil)
-	s.submit(1, a)
-	b := s.submitArray(2, 4*time.Second, nil)
-	s.runUntil(t, 80, "b runs", func() bool { return s.runningTasks(b) == 2 })
+	first := s.submitArray(2, time.Second, nil)
+	s.submit(1, first)
+	second := s.submitArray(2, 4*time.Second, nil)
+	s.runUntil(t, 80, "second array runs", func() bool { return s.runningTasks(second) == 2 })
 	s.world.Store.NextFault["n2"] = simulator.Delayed
-	s.cancel(2, b)
-	s.runUntil(t, 80, "both done", func() bool { return s.isDone(a)() && s.isDone(b)() })
-	s.startNode(1) // remembers nothing
+	s.cancel(2, second)
+	s.runUntil(t, 80, "both arrays done", func() bool { return s.isDone(first)() && s.isDone(second)() })
+	s.startNode(1) // it loses its state in memory
 	s.world.Store.DeliverDelayed()
 	for range 8 {
-		s.queryEverywhere(a)
-		s.queryEverywhere(b)
+		s.queryEverywhere(first)
+		s.queryEverywhere(second)
 		s.runRounds(t, 1)
 	}
 	id := s.submitService(3, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
 	s.nodes[leader].running = false
-	for range 12 { // whoever acquires the shard hears nothing, and so for all else
+	for range 12 { // acquisitions of the shard and all other transactions get no response
 		for _, n := range s.nodes {
 			s.world.Store.NextFault[n.name] = simulator.Delayed
 		}
@@ -43,38 +43,38 @@
 	s.world.Store.DeliverDelayed()
 	s.runRounds(t, 40)
 	if s.runningTasks(id) != 3 {
-		t.Errorf("%d of 3 replicas", s.runningTasks(id))
+		t.Errorf("running replicas: got %d, want 3", s.runningTasks(id))
 	}
 	s.checkRecovery(t)
 }
 
-// A transaction is carried out at once and only its response is lost, while other nodes
-// read what it wrote and tell it: an acceptance, an end, a cancellation.
+// A transaction is carried out at once and only its response is lost, while other nodes read what
+// it wrote and report it to users: the acceptance, the end and the cancellation of a job.
 func TestLostCommitResponseWhileOthersRead(t *testing.T) {
 	s := newReadyCluster()
 	s.world.Store.NextFault["n0"] = simulator.ResponseLost
-	a := s.submitArray(2, 4*time.Second, nil) // its user may have heard nothing
-	if !s.world.Jobs[a].Accepted {
-		t.Error("an acceptance whose response was lost is not settled by reading")
+	array := s.submitArray(2, 4*time.Second, nil) // its user may not have got the acceptance
+	if !s.world.Jobs[array].Accepted {
+		t.Error("acceptance whose commit response was lost: not confirmed to the user by a read, want it confirmed")
 	}
-	s.queryEverywhere(a)
-	b := s.submitService(2, nil)
-	s.runUntil(t, 80, "all run", func() bool { return s.runningTasks(b) == 2 })
+	s.queryEverywhere(array)
+	service := s.submitService(2, nil)
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(service) == 2 })
 	s.world.Store.NextFault["n1"] = simulator.ResponseLost
-	s.cancel(1, b)
-	s.queryEverywhere(b)
-	if s.world.Jobs[b].FinalPhase != api.JobCancelled {
-		t.Error("other nodes don't read the cancellation")
+	s.cancel(1, service)
+	s.queryEverywhere(service)
+	if s.world.Jobs[service].FinalPhase != api.JobCancelled {
+		t.Errorf("phase of the service after its cancellation: got %q, want %q", s.world.Jobs[service].FinalPhase, api.JobCancelled)
 	}
-	for range 60 { // each end's response is lost too
+	for range 60 { // the response to the commit of each task's end is lost too
 		for _, n := range s.nodes {
 			s.world.Store.NextFault[n.name] = simulator.ResponseLost
 		}
 		s.runRounds(t, 1)
-		s.queryEverywhere(a)
+		s.queryEverywhere(array)
 	}
-	if s.world.Jobs[a].FinalPhase != api.JobDone {
-		t.Error("an end whose responses are lost is never told")
+	if s.world.Jobs[array].FinalPhase != api.JobDone {
+		t.Errorf("phase of the array after all responses were lost: got %q, want %q", s.world.Jobs[array].FinalPhase, api.JobDone)
 	}
 	s.checkRecovery(t)
 }
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -9,39 +9,40 @@
 	"violetturn/internal/simulator"
 )
 
-// Workers can't open connections to any controller while direct commands still reach
-// them: their tasks go elsewhere, and no machine is used that hears no launch.
+// Workers can't connect to any controller while direct commands still reach them. Their tasks must
+// be moved to other machines, and no machine may be used that can't receive launches.
 func TestWorkerOutboundPartition(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitService(4, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	low := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
-	s.runUntil(t, 80, "as many machines have room to be taken", func() bool { return s.runningTasks(low) == 4 })
+	idle := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+	s.runUntil(t, 80, "idle tasks that can be preempted run", func() bool { return s.runningTasks(idle) == 4 })
 	s.world.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
-	for h := range s.runningTasksByHost(id) {
-		s.world.Cloud.Hosts[h].OutboundLost, unreachable[h] = true, true
+	for host := range s.runningTasksByHost(id) {
+		s.world.Cloud.Hosts[host].OutboundLost, unreachable[host] = true, true
 	}
 	s.runUntil(t, 3*rounds(s.world.Lease), "replicas run elsewhere", func() bool {
-		on := s.runningTasksByHost(id)
-		for h := range unreachable {
-			if on[h] > 0 {
+		counts := s.runningTasksByHost(id)
+		for host := range unreachable {
+			if counts[host] > 0 {
 				return false
 			}
 		}
 		return s.runningTasks(id) == 4
 	})
-	s.cancel(0, low)
+	s.cancel(0, idle)
 	s.checkRecovery(t)
 }
 
-// A machine whose heartbeats arrive while responses and commands don't reach it lets its
-// lease expire again and again. It was answered, so it once counted as alive for ever: its
-// tasks waited there and were launched with each response. Now its agent epochs show that it
-// doesn't hear, its tasks go elsewhere, and it gets no more until it obeys; also when its shard has changed its leader meanwhile.
+// The heartbeats of a worker arrive, but responses and commands don't reach it, so that its lease
+// expires again and again. As its heartbeats were answered, it once counted as alive forever: its
+// tasks waited there and were launched with each response. The worker's agent epochs show that it
+// receives nothing. Its tasks must be moved to other machines, and it must get no more tasks until
+// it carries out commands, also if the leader of its shard changes in the meantime.
 func TestWorkerInboundPartition(t *testing.T) {
-	for _, handover := range []bool{false, true} {
-		t.Run(fmt.Sprintf("handover %t", handover), func(t *testing.T) {
+	for _, leaderChanges := range []bool{false, true} {
+		t.Run(fmt.Sprintf("leader changes %t", leaderChanges), func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
@@ -50,83 +51,87 @@
 				worker = s.world.Cloud.Hosts[h]
 			}
 			worker.InboundLost = true
-			if handover {
+			if leaderChanges {
 				s.startNode(s.homeOf(worker.Host))
 			}
 			elsewhere := func() bool {
-				on := s.runningTasksByHost(id)
-				return on[worker.Host] == 0 && s.runningTasks(id) == 2
+				counts := s.runningTasksByHost(id)
+				return counts[worker.Host] == 0 && s.runningTasks(id) == 2
 			}
 			lease := rounds(s.world.Lease)
 			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
 			if s.world.Cloud.Hosts[worker.Host] == nil {
-				return // it was returned as idle, which is as good
+				return // it was returned as idle, which is correct too
 			}
-			more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
-			s.runUntil(t, 100, "other work done", s.isDone(more))
+			array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
+			s.runUntil(t, 100, "another job done", s.isDone(array))
 			if !elsewhere() {
-				t.Fatal("a replica is back")
+				t.Fatalf("running replicas by machine: got %v, want 2 in total and none on %s", s.runningTasksByHost(id), worker.Host)
 			}
 		})
 	}
 }
 
-// Direct commands, or their responses, are delayed for seconds and for as long as the
-// cancellation timeout, while the machine goes on and its heartbeats are answered.
+// Direct commands or their responses are delayed for seconds, or for as long as the cancellation
+// timeout, while the machine continues to run and its heartbeats are answered.
 func TestDelayedCommands(t *testing.T) {
 	s := newReadyCluster()
-	on := s.submitService(3, nil)
-	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(on) == 3 })
+	service := s.submitService(3, nil)
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(service) == 3 })
 	setDelayed := func(delayed bool) {
 		for _, n := range s.nodes {
 			n.commands.PartitionedFrom = func(*simulator.Worker) bool { return delayed }
 		}
 	}
-	s.runRounds(t, 10) // tokens may be raised again
+	s.runRounds(t, 10) // until tokens may be raised again
 	setDelayed(true)
-	off := s.submitArray(1, time.Hour, nil) // the machine with room hears of it only with its next heartbeat
-	s.runUntil(t, 20, "it runs", func() bool { return s.runningTasks(off) == 1 })
-	var early []func() // what was sent for the start
+	// The machine with free capacity is sent the launch only in the response to its next heartbeat.
+	cancelled := s.submitArray(1, time.Hour, nil)
+	s.runUntil(t, 20, "first array runs", func() bool { return s.runningTasks(cancelled) == 1 })
+	var delayedLaunches []func() // the commands that were sent for the launch
 	for _, n := range s.nodes {
-		early, n.commands.Delayed = append(early, n.commands.Delayed...), nil
+		delayedLaunches, n.commands.Delayed = append(delayedLaunches, n.commands.Delayed...), nil
 	}
-	s.cancel(1, off)
-	s.runUntil(t, 20, "it is gone", func() bool { return s.presentTasks(off) == 0 })
+	s.cancel(1, cancelled)
+	s.runUntil(t, 20, "first array's task gone", func() bool { return s.presentTasks(cancelled) == 0 })
 	s.runRounds(t, rounds(s.world.CancelTimeout))
-	for _, f := range early {
-		f()
+	for _, deliver := range delayedLaunches {
+		deliver()
 	}
 	s.runRounds(t, 10)
 	next := s.submitArray(1, time.Hour, nil)
-	s.runUntil(t, 20, "it runs", func() bool { return s.runningTasks(next) == 1 })
-	s.startNode(0) // what raises the tokens of its next life is delayed too
+	s.runUntil(t, 20, "second array runs", func() bool { return s.runningTasks(next) == 1 })
+	s.startNode(0) // the commands of its new incarnation that raise tokens are delayed too
 	s.runRounds(t, 2)
 	s.cancel(1, next)
 	s.runRounds(t, 6)
 	s.deliverDelayedCommands()
 	setDelayed(false)
-	s.runUntil(t, 40, "it is gone", func() bool { return s.presentTasks(next) == 0 })
-	if s.runningTasks(on) != 3 || s.world.LateStarts > 0 {
-		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.runningTasks(on), s.world.LateStarts)
+	s.runUntil(t, 40, "second array's task gone", func() bool { return s.presentTasks(next) == 0 })
+	if s.runningTasks(service) != 3 || s.world.LateStarts > 0 {
+		t.Errorf(
+			"got %d running replicas, %d launches after a confirmed cancellation, want 3 and 0",
+			s.runningTasks(service), s.world.LateStarts,
+		)
 	}
 	s.checkRecovery(t)
 }
 
-// A zone with workers and a controller is partitioned for longer than a lease, and just as
-// long as one.
+// A zone with workers and a controller is partitioned, for about as long as a worker lease and for
+// much longer.
 func TestZonePartition(t *testing.T) {
 	for _, count := range []int{16, 18, 20, 60, 120} {
 		t.Run(fmt.Sprintf("%d rounds", count), func(t *testing.T) {
 			s := newReadyCluster()
-			for _, z := range s.world.Zones {
-				s.submitService(2, func(r *api.Job) { r.Zone = z })
+			for _, zone := range s.world.Zones {
+				s.submitService(2, func(r *api.Job) { r.Zone = zone })
 			}
-			off := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
-			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 2 })
+			cancelled := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
+			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 2 })
 			s.partitionZone("y")
 			s.runRounds(t, 1)
-			s.world.Cloud.Down = count > 100 // or the machines, silent to the others, go back
-			s.cancel(0, off)
+			s.world.Cloud.Down = count > 100 // else the other controllers would return the machines, from which no heartbeat arrives
+			s.cancel(0, cancelled)
 			s.runRounds(t, count)
 			s.checkRecovery(t)
 		})
