--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,7 +52,7 @@
 // are for its own connections to the external systems and to workers.
 const (
 	serverSocketsNumerator, serverSocketsDenominator = 5, 8
-	clusterSocketsDenominator                        = 16
+	peerSocketsDenominator                           = 16
 )
 
 // idleTimeoutLeases is the time after which a server closes an idle connection, as a multiple of
@@ -67,7 +67,7 @@
 func New(settings *config.Settings, policy *config.Policy, enabledFeatures *features.Features, log *slog.Logger) (*Controller, error) {
 	client, err := transport.NewClient(responseLimits(settings))
 	if err != nil {
-		return nil, fmt.Errorf("client: %w", err)
+		return nil, fmt.Errorf("creating the HTTP client: %w", err)
 	}
 	c := newController(settings, policy, log)
 	c.node.Features = enabledFeatures
@@ -115,7 +115,7 @@
 	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, userSockets, idleTimeout)
 	peerLimits := httpwire.RequestLimits
 	peerLimits.Body *= 2 // a peer's message contains a whole submission and a few other fields
-	c.peerServer = transport.NewServer(c.frontend.HandlePeer, peerLimits, sockets/clusterSocketsDenominator, idleTimeout)
+	c.peerServer = transport.NewServer(c.frontend.HandlePeer, peerLimits, sockets/peerSocketsDenominator, idleTimeout)
 }
 
 // newController creates a controller without the clients of its external systems and without its
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -40,15 +40,15 @@
 func TestControllerWithoutWorkerContactReleasesShard(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 8, "y" })
-	near := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 4, "x" })
-	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 8 && s.runningTasks(near) == 4 })
+	otherService := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 4, "x" })
+	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 8 && s.runningTasks(otherService) == 4 })
 	preferred := "n1" // the only controller in its zone
 	n := s.nodes[1]
 	n.commands.Partitioned = true
 	for range 4 * rounds(s.world.Lease) {
 		s.runRound()
-		if s.runningTasks(id) != 8 || s.runningTasks(near) != 4 {
-			t.Fatalf("running replicas by zone: got y %d, x %d, want 8 and 4", s.runningTasks(id), s.runningTasks(near))
+		if s.runningTasks(id) != 8 || s.runningTasks(otherService) != 4 {
+			t.Fatalf("running replicas by zone: got y %d, x %d, want 8 and 4", s.runningTasks(id), s.runningTasks(otherService))
 		}
 	}
 	if leader := s.leaderOf(preferred); leader == preferred || leader == "" {
@@ -87,7 +87,7 @@
 	s.runUntil(
 		t,
 		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGrace()+settings.WorkerLeaseBound())+20,
-		"shard led by another",
+		"shard led by another controller",
 		func() bool {
 			leader := s.leaderOf(shardID)
 			if leader == "" || leader == shardID {
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -15,14 +15,14 @@
 	s := newReadyCluster()
 	id := s.submitService(4, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	for k := range 10 {
+	for change := range 10 {
 		leader, _ := s.leaderOfJob(t, id)
-		s.world.Store.Down = k == 4 || k == 5
+		s.world.Store.Down = change == 4 || change == 5
 		s.startNode(leader) // it stops and restarts within one step
 		s.runRounds(t, 4)
 		s.world.Store.Down = false
 		if s.runRounds(t, 20); s.runningTasks(id) != 4 {
-			t.Fatalf("running replicas after %d leader changes: got %d, want 4", k+1, s.runningTasks(id))
+			t.Fatalf("running replicas after %d leader changes: got %d, want 4", change+1, s.runningTasks(id))
 		}
 	}
 	s.checkRecovery(t)
@@ -32,8 +32,8 @@
 // old leader is detected, while the shard has no leader, while it is acquired, and while it is
 // released.
 func TestCancellationDuringLeaderChange(t *testing.T) {
-	for after := range 12 {
-		t.Run(fmt.Sprintf("after %d rounds", after), func(t *testing.T) {
+	for delayRounds := range 12 {
+		t.Run(fmt.Sprintf("after %d rounds", delayRounds), func(t *testing.T) {
 			s := newReadyCluster()
 			var ids []string
 			for range 4 {
@@ -42,12 +42,12 @@
 			s.runUntil(t, 120, "replicas run", func() bool { return s.runningTasks(ids[3]) == 2 && s.runningTasks(ids[0]) == 2 })
 			leader, other := s.leaderOfJob(t, ids[0])
 			s.nodes[leader].running = false
-			s.runRounds(t, after)
+			s.runRounds(t, delayRounds)
 			s.cancel(other, ids[0])
 			s.runRounds(t, 1)
 			s.startNode(leader)
 			s.cancel((other+1)%3, ids[1])
-			s.runRounds(t, after)
+			s.runRounds(t, delayRounds)
 			s.cancel(leader, ids[2])
 			s.runUntil(t, 80, "tasks of the cancelled services gone", func() bool {
 				for _, id := range ids[:3] {
@@ -78,7 +78,7 @@
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
 			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
-			s.runUntil(t, 8, "known to be done", func() bool {
+			s.runUntil(t, 8, "job reported as done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
 						s.poll(i, id)
@@ -103,7 +103,7 @@
 	})
 	s.world.Jobs[id].RunTimeStep = time.Second
 	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == 4 })
-	s.runUntil(t, 6, "known to be done", s.isDone(id))
+	s.runUntil(t, 6, "job reported as done", s.isDone(id))
 }
 
 // Every team is at its limit, jobs are cancelled while their machines are partitioned or hang, and
@@ -187,7 +187,9 @@
 func TestLostMachineIsReturnedByNextLeader(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 60, "replica runs on a machine", func() bool { return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1 })
+	s.runUntil(t, 60, "replica runs on a machine", func() bool {
+		return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1
+	})
 	host := s.world.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
 	preferred := s.homeOf(host)
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -8,8 +8,9 @@
 	"violetturn/internal/api"
 )
 
-// A leader that a peer informs that its shard was acquired must stop answering heartbeats at once
-// and redirect its workers to the new leader, long before its own grace period ends.
+// When a peer reports to a leader that the leader's shard was acquired, the leader must stop
+// answering heartbeats at once and redirect its workers to the new leader, long before its own grace
+// period ends.
 func TestReplacedLeaderRedirectsWorkers(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" })
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Direct commands or their responses are delayed for seconds, or for as long as the cancellation
-// timeout, while the machine continues to run and its heartbeats are answered.
+// Direct commands or their responses are delayed, some for seconds and some for as long as the
+// cancellation timeout, while the machine continues to run and its heartbeats are answered.
 func TestDelayedCommands(t *testing.T) {
 	s := newReadyCluster()
 	service := s.submitService(3, nil)
@@ -88,14 +88,14 @@
 	// The machine with free capacity is sent the launch only in the response to its next heartbeat.
 	cancelled := s.submitArray(1, time.Hour, nil)
 	s.runUntil(t, 20, "first array runs", func() bool { return s.runningTasks(cancelled) == 1 })
-	var delayedLaunches []func() // the commands that were sent for the launch
+	var delayedCommands []func() // the direct commands that were sent for the launch
 	for _, n := range s.nodes {
-		delayedLaunches, n.commands.Delayed = append(delayedLaunches, n.commands.Delayed...), nil
+		delayedCommands, n.commands.Delayed = append(delayedCommands, n.commands.Delayed...), nil
 	}
 	s.cancel(1, cancelled)
 	s.runUntil(t, 20, "first array's task gone", func() bool { return s.presentTasks(cancelled) == 0 })
 	s.runRounds(t, rounds(s.world.CancelTimeout))
-	for _, deliver := range delayedLaunches {
+	for _, deliver := range delayedCommands {
 		deliver()
 	}
 	s.runRounds(t, 10)
