--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -50,7 +50,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		x.Sequence++
-		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
+		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.MustMarshal(x)}); r.Status != 200 {
 			b.Fatal(r.Status)
 		}
 	}
@@ -74,7 +74,7 @@
 			default:
 				continue
 			}
-			items = append(items, store.Item{Key: key, Value: api.JSON(v), Version: version})
+			items = append(items, store.Item{Key: key, Value: api.MustMarshal(v), Version: version})
 		}
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -108,7 +108,7 @@
 				for host, m := range c.testState().Cache.Machines {
 					s := c.testState().Agents.Agent(host)
 					s.UnderusedSince = time.Time{}
-					review.Consider(host, m, s)
+					review.Evaluate(host, m, s)
 				}
 			}
 		})
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -44,8 +44,8 @@
 // newOutageSchedule returns a cluster with a drawn lease and cancellation timeout.
 func newOutageSchedule(t *rapid.T) *outageSchedule {
 	o := &outageSchedule{testCluster: newTestCluster(), t: t, other: 1}
-	o.world.Lease = o.drawSeconds("lease", 4, 20)
-	timeout := float64(o.world.Lease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
+	o.world.WorkerLease = o.drawSeconds("lease", 4, 20)
+	timeout := float64(o.world.WorkerLease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
 	o.world.CancelTimeout = time.Duration(timeout).Round(100 * time.Millisecond)
 	for i := range o.nodes {
 		o.startNode(i)
@@ -66,7 +66,7 @@
 		o.job = o.submitJob(func(j *api.Job, _ *time.Duration) {
 			j.Kind, j.Tasks, j.Zone = api.Service, rapid.IntRange(1, 3).Draw(o.t, "tasks"), "x"
 			if rapid.Bool().Draw(o.t, "saves") {
-				j.CheckpointS, j.SaveS = 5, 3
+				j.CheckpointIntervalS, j.SaveDurationS = 5, 3
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 
 // span returns the longest time that a fault lasts, in whole seconds.
 func (o *outageSchedule) span() int {
-	return int(2 * (o.world.CancelTimeout + o.world.Lease) / time.Second)
+	return int(2 * (o.world.CancelTimeout + o.world.WorkerLease) / time.Second)
 }
 
 // at schedules an event within so many seconds.
@@ -104,7 +104,7 @@
 // else may happen to the controllers.
 func (o *outageSchedule) scheduleFaults() {
 	name := o.nodes[o.leader].name
-	o.during("refused", 4, func(on bool) { o.world.Store.Refused[name] = on })
+	o.during("refused", 4, func(on bool) { o.world.Store.RefusedNodes[name] = on })
 	o.during("outage", 8, func(on bool) { o.world.Store.Down = on })
 	o.at("cancel", 8, func() { o.cancel(o.other, o.job) })
 	if rapid.Bool().Draw(o.t, "peers refused") {
@@ -149,7 +149,7 @@
 			if fault > responseDelayed {
 				fault = heartbeatServed
 			}
-			o.sendHeartbeat(o.world.Cloud.Hosts[h], fault)
+			o.sendHeartbeat(o.world.Cloud.WorkersByHost[h], fault)
 		}
 		if o.world.Jobs[o.job].CancelRequested { // any node may be the one that tells
 			o.poll(k%len(o.nodes), o.job)
@@ -172,7 +172,7 @@
 	if len(o.world.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
 		o.t.Fatalf("lease %v, cancellation timeout %v, grace %v, staleness %v: %v",
-			o.world.Lease, o.world.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.world.Violations)
+			o.world.WorkerLease, o.world.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.world.Violations)
 	}
 }
 
@@ -187,7 +187,7 @@
 		o.checkBounds()
 	}
 	if j.FinalPhase != api.JobCancelled {
-		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.world.Lease, o.world.CancelTimeout)
+		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.world.WorkerLease, o.world.CancelTimeout)
 	}
 	for range rounds(o.world.CancelTimeout) + 2 {
 		o.runRound()
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -105,8 +105,8 @@
 				}
 				s.cancel(0, low)
 				s.checkRecovery(t)
-				if s.world.LateStarts > 0 {
-					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LateStarts)
+				if s.world.LaunchesAfterCancel > 0 {
+					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LaunchesAfterCancel)
 				}
 			})
 		}
@@ -134,9 +134,9 @@
 		}
 		switch k {
 		case 6:
-			s.world.Store.Refused["n2"] = true // it passes its users on
+			s.world.Store.RefusedNodes["n2"] = true // it passes its users on
 		case 12:
-			s.world.Store.Refused["n2"] = false
+			s.world.Store.RefusedNodes["n2"] = false
 		case 15:
 			s.startNode(1)
 		}
@@ -148,7 +148,7 @@
 		}
 	}
 	s.checkRecovery(t)
-	if s.world.LateStarts > 0 {
-		t.Errorf("%d starts were sent after a confirmed cancellation", s.world.LateStarts)
+	if s.world.LaunchesAfterCancel > 0 {
+		t.Errorf("%d starts were sent after a confirmed cancellation", s.world.LaunchesAfterCancel)
 	}
 }
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -16,8 +16,8 @@
 // environment. With the right settings, the same events must violate nothing.
 func TestCheckersDetectViolations(t *testing.T) {
 	shorterLease := func(s *config.Settings) { s.Facts.Workers.LeaseS = 4 }
-	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelS = 30 }
-	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].GPUsMax = 9 }
+	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelTimeoutS = 30 }
+	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].MaxGPUs = 9 }
 	for _, test := range []struct {
 		name     string
 		rule     simulator.Rule
@@ -25,12 +25,12 @@
 		scenario func(*testCluster)
 	}{
 		{"gang on a partitioned machine", simulator.RuleRanTwice, shorterLease, partitionGangMachine},
-		{"gang in a partitioned zone", simulator.RuleWrongPlace, shorterLease, partitionGangZone},
-		{"cancelled gang in a partitioned zone", simulator.RuleRanCancelled, shorterCancelTimeout, cancelGangInPartitionedZone},
+		{"gang in a partitioned zone", simulator.RulePlacement, shorterLease, partitionGangZone},
+		{"cancelled gang in a partitioned zone", simulator.RuleRanAfterCancel, shorterCancelTimeout, cancelGangInPartitionedZone},
 		{"gangs beyond their team's limit", simulator.RuleQuota, higherLimit, submitGangsBeyondLimit},
 		{"service on a partitioned machine", simulator.RuleRanTwice, shorterLease, partitionServiceMachine},
 		{"service on a hung machine", simulator.RuleRanTwice, shorterLease, hangServiceMachine},
-		{"cancelled service in a partitioned zone", simulator.RuleRanCancelled, shorterCancelTimeout, cancelServiceInPartitionedZone},
+		{"cancelled service in a partitioned zone", simulator.RuleRanAfterCancel, shorterCancelTimeout, cancelServiceInPartitionedZone},
 		{"array beyond its team's limit", simulator.RuleQuota, higherLimit, submitArrayBeyondLimit},
 	} {
 		for _, mutated := range []bool{false, true} {
@@ -102,8 +102,8 @@
 	before := s.world.CancelTimeout.Seconds()
 	s.world.CancelTimeout = d
 	for _, n := range s.nodes {
-		if f := &n.controller.node.Settings.Facts.Workers; f.CancelS == before {
-			f.CancelS = d.Seconds()
+		if f := &n.controller.node.Settings.Facts.Workers; f.CancelTimeoutS == before {
+			f.CancelTimeoutS = d.Seconds()
 		}
 	}
 }
@@ -117,13 +117,13 @@
 // partitionGangMachine partitions a machine with tasks of a gang, which continue to run there,
 // while other machines have capacity that can be gained by preemption.
 func partitionGangMachine(s *testCluster) {
-	s.world.GangPeer = 20 * time.Second
+	s.world.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind = api.Gang })
 	s.submitArray(2, 5*time.Minute, func(j *api.Job) { j.Priority = "idle" })
 	s.runFor(60)
 	for _, h := range s.world.Cloud.HostNames() {
 		if s.runningTasksByHost(id)[h] == 2 {
-			s.world.Cloud.Hosts[h].Partitioned = true
+			s.world.Cloud.WorkersByHost[h].Partitioned = true
 		}
 	}
 	s.runFor(60)
@@ -132,14 +132,14 @@
 // partitionGangZone partitions all machines in the zone of a single-zone gang, while the other
 // zone has capacity that can be gained by preemption.
 func partitionGangZone(s *testCluster) {
-	s.world.GangPeer = 20 * time.Second
-	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.Together = api.Gang, true })
+	s.world.PeerLossTimeout = 20 * time.Second
+	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.SingleZone = api.Gang, true })
 	for _, zone := range s.world.Zones {
 		s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Priority, j.Zone = "idle", zone })
 	}
 	s.runFor(60)
 	zone := s.workerOf(id).Zone
-	for _, worker := range s.world.Cloud.Hosts {
+	for _, worker := range s.world.Cloud.WorkersByHost {
 		worker.Partitioned = worker.Zone == zone
 	}
 	s.runFor(60)
@@ -177,7 +177,7 @@
 			s.world.Cloud.NoCapacity = true
 			if mutated {
 				for _, n := range s.nodes {
-					n.controller.node.Settings.Facts.Teams[1].GPUsMax = 3
+					n.controller.node.Settings.Facts.Teams[1].MaxGPUs = 3
 				}
 			}
 			s.submitArray(1, time.Second, nil)
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -75,8 +75,8 @@
 // waitingSince contains the time since which each job has waited.
 func (s *testCluster) checkWaiting(waitingSince map[string]time.Time) {
 	teamGPUs := map[string]float64{}
-	for _, worker := range s.world.Cloud.Hosts {
-		for _, uid := range worker.PresentJobs() {
+	for _, worker := range s.world.Cloud.WorkersByHost {
+		for _, uid := range worker.UnfinishedTaskJobs() {
 			spec := &s.world.Jobs[uid].Spec
 			teamGPUs[spec.Team] += spec.GPUs
 		}
@@ -92,7 +92,7 @@
 		if start, ok := waitingSince[uid]; !ok {
 			waitingSince[uid] = s.world.Now
 		} else if s.world.Now.Sub(start) > maxWait {
-			s.world.Violate(simulator.RuleWaiting, "%s waited for over %v despite free capacity", uid, maxWait)
+			s.world.RecordViolation(simulator.RuleWaitedTooLong, "%s waited for over %v despite free capacity", uid, maxWait)
 		}
 	}
 }
@@ -101,19 +101,19 @@
 // whose tasks can't be placed independently of each other.
 func (s *testCluster) hasPendingTasks(j *simulator.Job) bool {
 	spec := &j.Spec
-	if spec.Together || spec.Spread || spec.Kind == api.Gang {
+	if spec.SingleZone || spec.Spread || spec.Kind == api.Gang {
 		return false
 	}
-	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.Done) < spec.Tasks
+	return j.Accepted && j.FinalPhase == "" && s.presentTasks(spec.UID)+len(j.DoneTasks) < spec.Tasks
 }
 
 // hasFreeCapacity reports whether a suitable machine has free capacity for one task.
 func (s *testCluster) hasFreeCapacity(spec *api.Job) bool {
-	for _, worker := range s.world.Cloud.Hosts {
-		if !worker.Up() || worker.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != worker.Zone || worker.Spot && !spec.Spot {
+	for _, worker := range s.world.Cloud.WorkersByHost {
+		if !worker.Booted() || worker.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != worker.Zone || worker.Spot && !spec.AllowSpot {
 			continue
 		}
-		if cpus, gpus := worker.Room(); cpus >= spec.CPUs && gpus >= spec.GPUs {
+		if cpus, gpus := worker.FreeCapacity(); cpus >= spec.CPUs && gpus >= spec.GPUs {
 			return true
 		}
 	}
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -61,13 +61,13 @@
 // sendHeartbeat makes a worker send a heartbeat to the node that it reports to, or receive the
 // response that it is waiting for.
 func (s *clusterNodes) sendHeartbeat(worker *simulator.Worker, fault heartbeatFault) {
-	if !worker.Up() || worker.Hung {
+	if !worker.Booted() || worker.Hung {
 		return
 	}
 	if s.receivePendingResponse(worker) {
 		return
 	}
-	body := api.JSON(worker.Heartbeat())
+	body := api.MustMarshal(worker.Heartbeat())
 	to := worker.Node
 	partitioned := s.workerPartitioned(worker, to)
 	if partitioned && fault == heartbeatDelayed {
@@ -157,7 +157,7 @@
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
 	for _, h := range s.world.Cloud.HostNames() {
-		out = append(out, api.JSON(s.world.Cloud.Hosts[h].Heartbeat()))
+		out = append(out, api.MustMarshal(s.world.Cloud.WorkersByHost[h].Heartbeat()))
 	}
 	return out
 }
@@ -165,8 +165,8 @@
 // deliverDelayedCommands delivers the commands that partitions have delayed.
 func (s *clusterNodes) deliverDelayedCommands() {
 	for _, n := range s.nodes {
-		delayed := n.commands.Delayed
-		n.commands.Delayed = nil
+		delayed := n.commands.DelayedDeliveries
+		n.commands.DelayedDeliveries = nil
 		for _, deliver := range delayed {
 			deliver()
 		}
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -32,7 +32,7 @@
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
-		s.world.Store.Unreachable[n.name], s.world.Cloud.Unreachable[n.name] = unreachable, unreachable
+		s.world.Store.UnreachableNodes[n.name], s.world.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
 	}
 }
 
@@ -45,8 +45,8 @@
 	from    int
 }
 
-// Ask sends a request to a peer, which serves it immediately.
-func (l peerLink) Ask(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
+// Call sends a request to a peer, which serves it immediately.
+func (l peerLink) Call(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
 	to := slices.IndexFunc(l.cluster.nodes, func(n *testNode) bool { return n.name == addr })
 	n := l.cluster.nodes[to]
 	if !n.serves() || !l.cluster.connected(l.from, to) {
@@ -55,7 +55,7 @@
 	if !n.controller.members.ShouldServePeer(r) {
 		return n.controller.members.PeerStatus(r), nil
 	}
-	return frontend.PeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
+	return frontend.NewPeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
 }
 
 // connected reports whether two controllers can reach each other.
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -20,7 +20,7 @@
 // tasksInPhaseByHost counts the tasks of a job in a phase by machine, as workers report them.
 func (s *testCluster) tasksInPhaseByHost(id string, phase api.TaskPhase) map[string]int {
 	counts := map[string]int{}
-	for host, worker := range s.world.Cloud.Hosts {
+	for host, worker := range s.world.Cloud.WorkersByHost {
 		for _, t := range worker.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id && t.Phase == phase {
 				counts[host]++
@@ -50,8 +50,8 @@
 // presentTasks counts the tasks of a job that use capacity of machines.
 func (s *testCluster) presentTasks(id string) int {
 	n := 0
-	for _, worker := range s.world.Cloud.Hosts {
-		for _, uid := range worker.PresentJobs() {
+	for _, worker := range s.world.Cloud.WorkersByHost {
+		for _, uid := range worker.UnfinishedTaskJobs() {
 			if uid == id {
 				n++
 			}
@@ -116,20 +116,20 @@
 	cache := s.nodes[0].state().Cache
 	description := ""
 	if j := cache.Jobs[uid]; j != nil {
-		description = fmt.Sprintf("job %s", api.JSON(j.Record))
+		description = fmt.Sprintf("job %s", api.MustMarshal(j.Record))
 		for n, r := range j.Ranges {
-			description += fmt.Sprintf(" range %d %s", n, api.JSON(r.Record))
+			description += fmt.Sprintf(" range %d %s", n, api.MustMarshal(r.Record))
 		}
 	}
 	for team, quota := range cache.Quotas {
-		description += fmt.Sprintf(" team %s %s", team, api.JSON(quota.Record))
+		description += fmt.Sprintf(" team %s %s", team, api.MustMarshal(quota.Record))
 	}
 	for _, id := range s.nodes[0].controller.node.Shards {
-		description += fmt.Sprintf(" shard %s %s leader %s", id, api.JSON(cache.Capacities[id].Record), api.JSON(cache.Leaders[id].Record))
+		description += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record), api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for host, machine := range cache.Machines {
-		worker := s.world.Cloud.Hosts[host]
-		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.JSON(machine), worker != nil, worker != nil && worker.Up())
+		worker := s.world.Cloud.WorkersByHost[host]
+		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.MustMarshal(machine), worker != nil, worker != nil && worker.Booted())
 	}
 	for _, n := range s.nodes {
 		plan := n.state().Scheduler.Plan(n.controller.node.Now())
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -36,7 +36,7 @@
 // between them.
 type clusterNodes struct {
 	networkFaults
-	world *simulator.World
+	world *simulator.Environment
 	nodes []*testNode
 	log   *slog.Logger
 
@@ -97,13 +97,13 @@
 		}
 	}
 	f := &s.Facts
-	f.Size, f.Zones = len(names), zones
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 1, 9, 40
-	f.Workers.GangWaitS, f.Workers.GangPeerS = 12, 3
+	f.ControllerCount, f.Zones = len(names), zones
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelTimeoutS = 1, 9, 40
+	f.Workers.GangGatherTimeoutS, f.Workers.GangPeerTimeoutS = 12, 3
 	f.Cloud.RPS, f.Cloud.ListLagS = 8, 2
 	f.Limits.MemoryMB, f.Limits.MaxSockets = 100, 900
 	for _, t := range []string{"a", "b"} {
-		f.Teams = append(f.Teams, config.Team{Name: t, GPUs: limits[t] / 2, GPUsMax: limits[t]})
+		f.Teams = append(f.Teams, config.Team{Name: t, GuaranteedGPUs: limits[t] / 2, MaxGPUs: limits[t]})
 	}
 	return s
 }
@@ -111,11 +111,11 @@
 // newTestCluster returns a cluster of three controllers that have just started. If the
 // environment variable SIM_LOG is set, they log to stderr.
 func newTestCluster() *testCluster {
-	w := simulator.New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: bootTime, Fetch: 2 * time.Second}
+	w := simulator.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: bootTime, FetchTime: 2 * time.Second}
 	w.Zones = []string{"x", "y"}
-	w.Lease, w.CancelTimeout, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
-	w.GangWait, w.GangPeer = 12*time.Second, 3*time.Second
+	w.WorkerLease, w.CancelTimeout, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
+	w.GangStartTimeout, w.PeerLossTimeout = 12*time.Second, 3*time.Second
 	w.TeamGPULimits = map[string]float64{"a": 5}
 	limits := config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 	nextLimits := config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
@@ -132,7 +132,7 @@
 
 // newClusterWithoutNodes returns a cluster without controllers. limits and nextLimits are the
 // current and the announced limits of its state service.
-func newClusterWithoutNodes(w *simulator.World, limits, nextLimits config.StateLimits) *testCluster {
+func newClusterWithoutNodes(w *simulator.Environment, limits, nextLimits config.StateLimits) *testCluster {
 	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
 		networkFaults:    networkFaults{isolated: map[int]bool{}},
 		world:            w,
@@ -164,14 +164,14 @@
 		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(startTime)) * drift))
 	}
 	n.async = nil
-	c.node.SteppedClock = true
+	c.node.SimulatedClock = true
 	c.node.RunAsync = func(f func()) {
 		if n.controller == c {
 			n.async = append(n.async, f)
 		}
 	}
 	n.commands = &simulator.CommandClient{
-		World:           s.world,
+		Environment:     s.world,
 		Node:            n.name,
 		PartitionedFrom: func(w *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), w.Zone) },
 	}
@@ -190,11 +190,11 @@
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
 	cfg := testSettings(i, names, s.world.Zones, s.world.TeamGPULimits)
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = s.world.Lease.Seconds(), s.world.CancelTimeout.Seconds()
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.world.WorkerLease.Seconds(), s.world.CancelTimeout.Seconds()
 	next := s.nextStateLimits
-	cfg.Facts.State.StateLimits, cfg.Facts.State.Next = s.stateLimits, &next
+	cfg.Facts.State.StateLimits, cfg.Facts.State.NextLimits = s.stateLimits, &next
 	if n.inProduction {
-		cfg.Facts.State.Next = nil
+		cfg.Facts.State.NextLimits = nil
 	}
 	if s.adjustSettings != nil {
 		s.adjustSettings(n, cfg)
@@ -261,7 +261,7 @@
 		s.stepNode(i)
 	}
 	for _, host := range s.world.Cloud.HostNames() {
-		s.sendHeartbeat(s.world.Cloud.Hosts[host], heartbeatServed)
+		s.sendHeartbeat(s.world.Cloud.WorkersByHost[host], heartbeatServed)
 	}
 	s.world.Advance(roundInterval)
 }
@@ -299,18 +299,18 @@
 // version in production.
 func (s *clusterNodes) endFaults() {
 	s.world.Store.Down, s.world.Cloud.Down, s.world.Cloud.NoCapacity = false, false, false
-	clear(s.world.Store.Refused)
-	clear(s.world.Store.Unreachable)
-	clear(s.world.Cloud.Unreachable)
+	clear(s.world.Store.RefusedNodes)
+	clear(s.world.Store.UnreachableNodes)
+	clear(s.world.Cloud.UnreachableNodes)
 	s.networkFaults = networkFaults{isolated: map[int]bool{}}
-	s.world.MachineType.Boot = bootTime
+	s.world.MachineType.BootTime = bootTime
 	for i, n := range s.nodes {
 		if !n.running || n.inProduction {
 			n.inProduction = false
 			s.startNode(i)
 		}
 	}
-	for _, worker := range s.world.Cloud.Hosts {
+	for _, worker := range s.world.Cloud.WorkersByHost {
 		worker.WorkerFaults = simulator.WorkerFaults{}
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -54,7 +54,7 @@
 		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &state) // without a phase in the body the phase stays empty
-	s.world.CheckResponse(uid, status, state.Phase, submission)
+	s.world.CheckUserResponse(uid, status, state.Phase, submission)
 }
 
 // queryEverywhere queries all nodes for a job and submits it to each of them again, without
@@ -124,7 +124,7 @@
 	var fields map[string]json.RawMessage
 	_ = json.Unmarshal(body, &fields) // the body was encoded above and is valid
 	change(fields)
-	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.JSON(fields)}
+	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.MustMarshal(fields)}
 	r := n.controller.frontend.ServeOrForward(context.Background(), request)
 	if s.world.Jobs[uid] != nil {
 		s.checkResponse(uid, r.Status, r.Body, true)
@@ -144,7 +144,7 @@
 	if change != nil {
 		change(r, &d)
 	}
-	s.world.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, Done: map[int]bool{}}
+	s.world.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(0, id)
 	return id
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,7 +84,7 @@
 func responseLimits(settings *config.Settings) httpwire.Limits {
 	const memoryDivisor, minBytes = 16, 1 << 20
 	limits := httpwire.ResponseLimits
-	limits.Body = max(minBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor))
+	limits.BodyBytes = max(minBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor))
 	return limits
 }
 
@@ -92,19 +92,19 @@
 func (c *Controller) addServices(client *transport.Client) {
 	settings := c.node.Settings
 	current, lowest := settings.Facts.State, settings.LowestLimits()
-	c.services.Store = store.New(store.Options{
-		HTTP:        client,
-		Addr:        settings.External.State,
-		Deadline:    settings.ControllerLeaseTTL() / 3,
-		Limits:      store.Limits{RPS: current.RPS, WriteRPS: current.WriteRPS},
-		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
-		Controllers: settings.Facts.Size,
-		OnAnswer:    c.sync.RecordStoreAnswer,
+	c.services.Store = store.NewClient(store.Options{
+		HTTP:            client,
+		Addr:            settings.External.State,
+		Timeout:         settings.ControllerLeaseTTL() / 3,
+		Limits:          store.Limits{RPS: current.RPS, WriteRPS: current.WriteRPS},
+		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
+		ControllerCount: settings.Facts.ControllerCount,
+		OnResponse:      c.sync.RecordStoreAnswer,
 	})
-	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
-	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
-	c.services.Workers = worker.New(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.services.Peers = peer.New(client)
+	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
+	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
+	c.services.Workers = worker.NewClient(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
+	c.services.Peers = peer.NewClient(client)
 }
 
 // addServers creates the server for users and workers, and the server for peers.
@@ -114,7 +114,7 @@
 	userSockets := sockets * serverSocketsNumerator / serverSocketsDenominator
 	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, userSockets, idleTimeout)
 	peerLimits := httpwire.RequestLimits
-	peerLimits.Body *= 2 // a peer's message contains a whole submission and a few other fields
+	peerLimits.BodyBytes *= 2 // a peer's message contains a whole submission and a few other fields
 	c.peerServer = transport.NewServer(c.frontend.HandlePeer, peerLimits, sockets/peerSocketsDenominator, idleTimeout)
 }
 
@@ -147,7 +147,7 @@
 
 // Available implements schema.WriteBudget. It does not block.
 func (b writeBudget) Available() int {
-	return b.services.Store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
+	return b.services.Store.AwaitWriteBudget(context.Background(), 0, store.PriorityDecision)
 }
 
 // Run serves until ctx is done, and then shuts down in order: it stops the loops first, then
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -21,7 +21,7 @@
 	spare := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves machines with room when it goes
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(spare) == 4 })
 	for h := range s.runningTasksByHost(off) {
-		s.world.Cloud.Hosts[h].Partitioned = true
+		s.world.Cloud.WorkersByHost[h].Partitioned = true
 	}
 	s.runRounds(t, 1)
 	for i := range s.nodes {
@@ -99,7 +99,7 @@
 	}
 	var copies [][]byte
 	for range 8 {
-		copies = append(copies, api.JSON(s.world.Cloud.Hosts[host].Heartbeat()))
+		copies = append(copies, api.MustMarshal(s.world.Cloud.WorkersByHost[host].Heartbeat()))
 		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
 	}
 	s.world.Cloud.Terminate(host)
@@ -107,7 +107,7 @@
 		s.deliverCopies(copies)
 		s.runRound()
 	}
-	bound := rounds(s.world.Lease + 4*time.Second)
+	bound := rounds(s.world.WorkerLease + 4*time.Second)
 	for k := 0; k < bound+40 && s.runningTasks(id) < 2; k++ {
 		again()
 	}
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -25,14 +25,14 @@
 // refuseController makes the state service refuse one controller only, or serve it again.
 func (s serviceFaults) refuseController(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Store.Refused[name] = !s.world.Store.Refused[name]
+	s.world.Store.RefusedNodes[name] = !s.world.Store.RefusedNodes[name]
 }
 
 // makeStoreUnreachable partitions a controller from the state service but not from its workers, or
 // ends that partition.
 func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Store.Unreachable[name] = !s.world.Store.Unreachable[name]
+	s.world.Store.UnreachableNodes[name] = !s.world.Store.UnreachableNodes[name]
 }
 
 // failNextTransaction injects a fault into the next transaction of a controller.
@@ -52,7 +52,7 @@
 
 // changeBootTime draws the boot time of machines, from none to 12 seconds.
 func (s serviceFaults) changeBootTime(t *rapid.T) {
-	s.world.MachineType.Boot = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
+	s.world.MachineType.BootTime = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 }
 
 // lowerLimitsWhenUpgraded lowers the limits of the state service if all controllers run the new
@@ -80,7 +80,7 @@
 // cancel a job, and then the state service refuse all controllers.
 func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
-	s.world.Store.Refused[s.nodes[i].name] = true
+	s.world.Store.RefusedNodes[s.nodes[i].name] = true
 	s.stepNode(i)
 	s.cancel((i+1)%len(s.nodes), id)
 	s.world.Store.Down = true
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -109,7 +109,7 @@
 	if len(names) == 0 {
 		t.Skip("no machine")
 	}
-	return s.world.Cloud.Hosts[rapid.SampledFrom(names).Draw(t, "host")]
+	return s.world.Cloud.WorkersByHost[rapid.SampledFrom(names).Draw(t, "host")]
 }
 
 // drawJobID draws the ID of a submitted job, and skips the action if there is none.
--- a/internal/controller/fault_actions_workers_test.go
+++ b/internal/controller/fault_actions_workers_test.go
@@ -39,7 +39,7 @@
 func (s workerFaults) hangManyWorkers(t *rapid.T) {
 	hung := rapid.Bool().Draw(t, "hung")
 	for i, h := range s.world.Cloud.HostNames() {
-		s.world.Cloud.Hosts[h].Hung = hung && i%3 > 0
+		s.world.Cloud.WorkersByHost[h].Hung = hung && i%3 > 0
 	}
 }
 
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -16,10 +16,10 @@
 // It is simulated time in one goroutine, so nothing shows how real processes keep up; and
 // it takes minutes under the race detector, for which test.sh runs it apart.
 func TestFourThousandMachines(t *testing.T) {
-	l := newLoadScenario(simulator.Huge())
+	l := newLoadScenario(simulator.Deployment4000())
 	l.phase = "fill"
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&l.deployment.ServiceJobs, &l.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			l.newJob(class)
 		}
 	}
@@ -54,7 +54,7 @@
 func (l *loadScenario) machinesUp() int {
 	n := 0
 	for _, x := range l.world.Cloud.Workers() {
-		if x.Up() {
+		if x.Booted() {
 			n++
 		}
 	}
@@ -65,7 +65,7 @@
 func (l *loadScenario) tasksRunning() int {
 	n := 0
 	for _, x := range l.world.Cloud.Workers() {
-		n += len(x.PresentJobs())
+		n += len(x.UnfinishedTaskJobs())
 	}
 	return n
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -45,13 +45,13 @@
 // under the same number, and the lost task is surely dead before that starts.
 func TestGatheringGangGetsReplacement(t *testing.T) {
 	s := newReadyCluster()
-	s.world.GangWait = 25 * time.Second
+	s.world.GangStartTimeout = 25 * time.Second
 	for _, n := range s.nodes {
-		n.controller.node.Settings.Facts.Workers.GangWaitS = 25
+		n.controller.node.Settings.Facts.Workers.GangGatherTimeoutS = 25
 	}
 	other := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.runUntil(t, 300, "done", s.isDone(other))
-	s.world.MachineType.Fetch = 6 * time.Second
+	s.world.MachineType.FetchTime = 6 * time.Second
 	id := s.submitGang(t, nil)
 	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
 	s.world.Cloud.Terminate(s.workerOf(id).Host)
@@ -68,7 +68,7 @@
 	for _, how := range []string{"terminated", "hung", "partitioned"} {
 		t.Run(how, func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
+			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointIntervalS, r.SaveDurationS, r.SingleZone = 5, 1, true })
 			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
 			x := s.workerOf(id)
@@ -94,7 +94,7 @@
 func TestPreemptedGangSaves(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
-		r.Priority, r.CheckpointS, r.SaveS, *d = "idle", 100, 1, 40*time.Second
+		r.Priority, r.CheckpointIntervalS, r.SaveDurationS, *d = "idle", 100, 1, 40*time.Second
 	})
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
@@ -102,7 +102,7 @@
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
 	saved := false
 	s.runUntil(t, 100, "the gang has left", func() bool {
-		for _, x := range s.world.Cloud.Hosts {
+		for _, x := range s.world.Cloud.WorkersByHost {
 			for _, p := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(p.Task)
 				saved = saved || uid == id && p.Phase == api.TaskEnded && p.Saved
@@ -161,7 +161,7 @@
 		if !c.testState().Scheduler.HasReleasedClaims(id) {
 			t.Fatal("does not go before newer ones")
 		}
-		for _, x := range s.world.Cloud.Hosts {
+		for _, x := range s.world.Cloud.WorkersByHost {
 			for _, p := range x.Heartbeat().Tasks {
 				if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
 					t.Fatal("a task was started without the others")
@@ -178,7 +178,7 @@
 // leader: nothing is started again, and nobody calls the job anything else.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Together, *d = true, 8*time.Second })
+	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.SingleZone, *d = true, 8*time.Second })
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	x := s.workerOf(id)
 	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
@@ -225,7 +225,7 @@
 			id := fmt.Sprintf("run-%06d", 1000+k)
 			r := s.world.Jobs[large].Spec
 			r.UID, r.Tasks = id, 2
-			s.world.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
+			s.world.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, DoneTasks: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.isDone(large)()
@@ -244,6 +244,6 @@
 	}
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
 	s.world.Cloud.NoCapacity = true
-	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Together, r.Tasks = true, 3 })
+	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.SingleZone, r.Tasks = true, 3 })
 	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -98,7 +98,7 @@
 	case j.Spec.Kind != api.Service && j.FinalPhase != api.JobDone:
 		t.Fatalf(
 			"phase of %s: got %q, want %q; %d of %d tasks done; %s",
-			id, j.FinalPhase, api.JobDone, len(j.Done), j.Spec.Tasks, s.describeJob(id),
+			id, j.FinalPhase, api.JobDone, len(j.DoneTasks), j.Spec.Tasks, s.describeJob(id),
 		)
 	}
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -13,11 +13,11 @@
 func TestHealthDuringStoreOutage(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
-	if r := c.frontend.Health(); r.Status != 503 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
 		t.Errorf("health before the replica is loaded: got status %d, want 503", r.Status)
 	}
 	c.sync.RecordStoreAnswer(false)
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("health of a node started in an outage: got status %d, want 200", r.Status)
 	}
 	if r := c.frontend.Submit(
@@ -28,7 +28,7 @@
 	}
 	s.stepNode(0)
 	c.sync.RecordStoreAnswer(true)
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("health once the replica is loaded: got status %d, want 200", r.Status)
 	}
 }
@@ -43,11 +43,11 @@
 	s.world.Advance(c.node.Settings.ControllerLeaseTTL())
 	c.testState().Reachability.PeersQueried = true
 	c.testState().Reachability.StoreReachableByPeer["n1"] = false
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("health in an outage that a peer reports too: got status %d, want 200", r.Status)
 	}
 	delete(c.testState().Reachability.StoreReachableByPeer, "n1")
-	if r := c.frontend.Health(); r.Status != 503 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
 		t.Errorf("health of an isolated node: got status %d, want 503", r.Status)
 	}
 }
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -72,12 +72,12 @@
 			s := newReadyCluster()
 			id := s.submitArray(tasks, 3*time.Second, nil)
 			s.world.Jobs[id].RunTimeStep = 12 * time.Second
-			s.runUntil(t, 80, "first task ended", func() bool { return len(s.world.Jobs[id].Done) == 1 })
+			s.runUntil(t, 80, "first task ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 1 })
 			leader, _ := s.leaderOfJob(t, id)
 			s.startNode(leader) // the uncommitted release of the first task is lost
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
-			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == tasks })
+			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == tasks })
 			s.runUntil(t, 8, "job reported as done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
@@ -102,7 +102,7 @@
 		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
 	})
 	s.world.Jobs[id].RunTimeStep = time.Second
-	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.world.Jobs[id].Done) == 4 })
+	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 4 })
 	s.runUntil(t, 6, "job reported as done", s.isDone(id))
 }
 
@@ -121,7 +121,7 @@
 		t.Run(fault.name, func(t *testing.T) {
 			s := newTestCluster()
 			s.world.TeamGPULimits["b"] = 5
-			s.world.Lease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
+			s.world.WorkerLease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
 			for i := range s.nodes {
 				s.startNode(i)
 			}
@@ -138,7 +138,7 @@
 			}
 			for i, host := range s.world.Cloud.HostNames() {
 				if i%2 == 0 {
-					s.world.Cloud.Hosts[host].WorkerFaults = fault.WorkerFaults
+					s.world.Cloud.WorkersByHost[host].WorkerFaults = fault.WorkerFaults
 				}
 			}
 			leader, other := s.leaderOfJob(t, services[0])
@@ -151,7 +151,7 @@
 			s.runRounds(t, 20)
 			s.nodes[other].running = false
 			s.runRounds(t, 14) // slightly less than the lease since the fault began
-			for _, worker := range s.world.Cloud.Hosts {
+			for _, worker := range s.world.Cloud.WorkersByHost {
 				worker.Hung = false
 			}
 			s.runRounds(t, 30)
@@ -170,10 +170,10 @@
 	for host := range s.nodes[0].state().Cache.Machines {
 		preferred = s.homeOf(host)
 	}
-	s.world.Store.Refused[s.nodes[preferred].name] = true // before the machine has booted
+	s.world.Store.RefusedNodes[s.nodes[preferred].name] = true // before the machine has booted
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.world.Store.Refused[s.nodes[preferred].name] = false
+	s.world.Store.RefusedNodes[s.nodes[preferred].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
@@ -188,15 +188,15 @@
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "replica runs on a machine", func() bool {
-		return len(s.world.Cloud.Hosts) > 0 && s.runningTasks("run-000000") == 1
+		return len(s.world.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1
 	})
 	host := s.world.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
 	preferred := s.homeOf(host)
-	s.world.Cloud.Hosts[host].Partitioned = true
-	s.world.Store.Refused[s.nodes[preferred].name] = true
+	s.world.Cloud.WorkersByHost[host].Partitioned = true
+	s.world.Store.RefusedNodes[s.nodes[preferred].name] = true
 	settings := s.nodes[0].controller.node.Settings
 	// By the end of this time its task has certainly ended.
 	bound := settings.LeadershipGrace() + settings.WorkerLeaseBound() + 2*settings.ControllerLeaseTTL() + 2*time.Second
-	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.Hosts[host] == nil })
+	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.WorkersByHost[host] == nil })
 }
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -76,7 +76,7 @@
 	for _, j := range l.world.Jobs {
 		jobs[j.FinalPhase]++
 	}
-	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.world.Cloud.Hosts), jobs, len(l.world.Violations))
+	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.world.Cloud.WorkersByHost), jobs, len(l.world.Violations))
 }
 
 // mostHeld returns the functions that held a lock longest in all.
@@ -89,7 +89,7 @@
 // -cpuprofile and -memprofile it shows where a controller's time and memory go; the
 // labels "phase" and "work" tell them apart (pprof -tagfocus, -tagroot).
 func BenchmarkDeployment(b *testing.B) {
-	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large(), simulator.Huge()} {
+	for _, d := range []*simulator.Deployment{simulator.Deployment300(), simulator.Deployment2000(), simulator.Deployment4000()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
 				l := newLoadScenario(d)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -31,14 +31,14 @@
 	lastSummary   map[string]string    // by machine, what its last heartbeat said
 	pollAt        map[string]time.Time // by unfinished job
 	endAt         map[string]time.Time // by service, when its user cancels it
-	dueJobs       map[*simulator.Class]float64
+	dueJobs       map[*simulator.JobClass]float64
 	resubmissions []string // refused, to be repeated
 	costs         map[string]*phaseCost
 }
 
 // newLoadScenario returns a deployment whose controllers have just started.
 func newLoadScenario(d *simulator.Deployment) *loadScenario {
-	w := d.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w := d.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	l := &loadScenario{
 		deployment:    d,
 		random:        rand.New(rand.NewPCG(1, 1)),
@@ -46,15 +46,15 @@
 		lastSummary:   map[string]string{},
 		pollAt:        map[string]time.Time{},
 		endAt:         map[string]time.Time{},
-		dueJobs:       map[*simulator.Class]float64{},
+		dueJobs:       map[*simulator.JobClass]float64{},
 		costs:         map[string]*phaseCost{},
 	}
 	l.testCluster = newClusterWithoutNodes(w, d.State, d.State)
 	l.adjustSettings = func(_ *testNode, cfg *config.Settings) {
-		cfg.Facts.Workers.ReportS = d.HeartbeatS
+		cfg.Facts.Workers.HeartbeatIntervalS = d.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
-			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPUs/2, d.TeamGPUs
+			cfg.Facts.Teams[i].GuaranteedGPUs, cfg.Facts.Teams[i].MaxGPUs = d.TeamGPULimit/2, d.TeamGPULimit
 		}
 	}
 	l.onStart = func(n *testNode) {
@@ -129,11 +129,11 @@
 // sendHeartbeats has each worker send a heartbeat that is due or has something new.
 func (l *loadScenario) sendHeartbeats() {
 	for _, host := range l.world.Cloud.HostNames() {
-		x := l.world.Cloud.Hosts[host]
-		if !x.Up() {
+		x := l.world.Cloud.WorkersByHost[host]
+		if !x.Booted() {
 			continue
 		}
-		state := x.Summary()
+		state := x.StateSummary()
 		if l.world.Now.Before(l.nextHeartbeat[host]) && state == l.lastSummary[host] {
 			continue
 		}
@@ -147,7 +147,7 @@
 			continue
 		}
 		sent := sentHeartbeat{x, to, l.world.Now, x.AgentEpoch}
-		status, body := l.request("heartbeat", to, "POST", "/checkin", api.JSON(x.Heartbeat()))
+		status, body := l.request("heartbeat", to, "POST", "/checkin", api.MustMarshal(x.Heartbeat()))
 		commands, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
 			panic(err)
@@ -161,8 +161,8 @@
 
 // runUsers lets users submit jobs, ask for them and cancel the services whose time has come.
 func (l *loadScenario) runUsers() {
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		l.dueJobs[class] += class.PerSecond * loadStep.Seconds()
+	for _, class := range []*simulator.JobClass{&l.deployment.ServiceJobs, &l.deployment.ArrayJobs} {
+		l.dueJobs[class] += class.JobsPerSecond * loadStep.Seconds()
 		for ; l.dueJobs[class] >= 1; l.dueJobs[class]-- {
 			l.newJob(class)
 		}
@@ -203,12 +203,12 @@
 }
 
 // newJob submits a new job of a class.
-func (l *loadScenario) newJob(class *simulator.Class) {
+func (l *loadScenario) newJob(class *simulator.JobClass) {
 	run, runTime := class.NewJob(len(l.jobIDs), l.random)
 	if class.Service {
 		l.endAt[run.UID] = l.world.Now.Add(runTime)
 	}
-	l.world.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
+	l.world.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, DoneTasks: map[int]bool{}}
 	l.jobIDs = append(l.jobIDs, run.UID)
 	l.submitFrom(run.UID)
 }
@@ -256,8 +256,8 @@
 // controller and its return, an outage of the state service, the last controller left.
 func (l *loadScenario) playPhases() {
 	l.phase = "fill"
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&l.deployment.ServiceJobs, &l.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			l.newJob(class)
 		}
 	}
@@ -282,8 +282,8 @@
 	now    func() time.Time
 }
 
-// AwaitWrites returns how many of n changes the budget allows now.
-func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
+// AwaitWriteBudget returns how many of n changes the budget allows now.
+func (b *budgetedStore) AwaitWriteBudget(_ context.Context, n int, _ store.Priority) int {
 	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -13,11 +13,11 @@
 	bound := func(r *api.Job) { r.Zone = "y" }
 	s.submitService(3, bound)
 	a := s.submitArray(8, 6*time.Second, bound)
-	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.Together = true })
+	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.SingleZone = true })
 	s.runUntil(t, 80, "some run", func() bool { return s.runningTasks(a) > 0 })
 	for range 3 {
 		for k, h := range s.world.Cloud.HostNames() {
-			if x := s.world.Cloud.Hosts[h]; x.Zone == "y" && k%2 == 0 {
+			if x := s.world.Cloud.WorkersByHost[h]; x.Zone == "y" && k%2 == 0 {
 				s.world.Cloud.Terminate(h)
 			}
 		}
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -82,8 +82,8 @@
 			return large && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
-	if s.world.Store.TooLarge > 20 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.TooLarge)
+	if s.world.Store.RefusedTooLarge > 20 {
+		t.Fatalf("%d transactions were refused for their size", s.world.Store.RefusedTooLarge)
 	}
 }
 
@@ -102,7 +102,7 @@
 			t.Fatalf("%d of its tasks run", n)
 		}
 	}
-	if s.lowerStateLimits(); s.world.Store.TooLarge > 0 {
+	if s.lowerStateLimits(); s.world.Store.RefusedTooLarge > 0 {
 		t.Fatal("something was refused for its size")
 	}
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -18,11 +18,11 @@
 	id := s.submitJob(nil)
 	s.runUntil(t, 60, "array done", s.isDone(id))
 	host := s.world.Cloud.HostNames()[0]
-	late := api.JSON(s.world.Cloud.Hosts[host].Heartbeat())
+	late := api.MustMarshal(s.world.Cloud.WorkersByHost[host].Heartbeat())
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
-			return s.world.Cloud.Hosts[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
+			return s.world.Cloud.WorkersByHost[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
 		},
 	)
 	for range 20 {
@@ -46,11 +46,11 @@
 	for i := range 60 {
 		c.testState().Agents.Unregistered().SetRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
-	before := s.world.Store.Writes
-	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
+	before := s.world.Store.SentWrites
+	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.SentWrites < before+60 {
 		c.decisions.RegisterMachines(context.Background())
 	}
-	if n := s.world.Store.Writes - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
+	if n := s.world.Store.SentWrites - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
 		t.Fatalf("%d changes for %d machines", n, len(c.testState().Cache.Machines))
 	}
 }
@@ -84,13 +84,13 @@
 	s.lowerStateLimits()
 	s.cancel(0, id)
 	s.runUntil(t, 400, "all machines are terminated and deregistered", func() bool {
-		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
+		return len(s.world.Cloud.WorkersByHost) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
 	s.runUntil(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
 	again := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.runUntil(t, 400, "done", s.isDone(again))
-	if s.world.Store.TooLarge > 3 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.TooLarge)
+	if s.world.Store.RefusedTooLarge > 3 {
+		t.Fatalf("%d transactions were refused for their size", s.world.Store.RefusedTooLarge)
 	}
 }
 
@@ -104,7 +104,7 @@
 		for _, h := range hosts {
 			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.Apply(statecache.MachinePageKey(id), api.JSON(p), version)
+		m.Apply(statecache.MachinePageKey(id), api.MustMarshal(p), version)
 	}
 	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	page("i-00023-", 2, "i-000231")
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -17,14 +17,14 @@
 	s := newTestCluster()
 	s.runFor(60) // terms grow old
 	id := s.submitJob(nil)
-	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.Hosts) > 0 })
+	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.WorkersByHost) > 0 })
 	first := s.world.Cloud.HostNames()[0]
 	for range 30 { // the controllers hear of it only by their own fences
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
 		s.world.Advance(roundInterval)
-		if s.world.Cloud.Hosts[first] == nil {
+		if s.world.Cloud.WorkersByHost[first] == nil {
 			t.Fatal("the machine went back")
 		}
 	}
@@ -37,16 +37,16 @@
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
 		t.Run(fmt.Sprintf("boot in %v", boot), func(t *testing.T) {
 			s := newReadyCluster()
-			s.world.MachineType.Boot = boot
+			s.world.MachineType.BootTime = boot
 			a := s.submitArray(12, 2*time.Second, nil)
 			// Who rents hears no response and ends: only the machines tell that they are there.
-			for k := 0; k < 20 && len(s.world.Cloud.Hosts) == 0; k++ {
+			for k := 0; k < 20 && len(s.world.Cloud.WorkersByHost) == 0; k++ {
 				for _, n := range s.nodes {
 					s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
 				}
 				s.runRounds(t, 1)
 			}
-			if len(s.world.Cloud.Hosts) == 0 {
+			if len(s.world.Cloud.WorkersByHost) == 0 {
 				t.Error("nothing was rented")
 			}
 			for i := range s.nodes {
@@ -66,7 +66,7 @@
 			}
 			s.runUntil(t, 200, "array done", s.isDone(a))
 			s.checkRecovery(t)
-			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
+			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.WorkersByHost) <= 4 })
 		})
 	}
 }
@@ -76,15 +76,15 @@
 // and nothing more was rented before they were up.
 func TestLargeJobRentsAllItNeeds(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.Boot = 100 * time.Second
+	s.world.MachineType.BootTime = 100 * time.Second
 	s.runFor(10)
 	s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 2000, time.Hour })
-	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.world.Cloud.Hosts) >= 1000 })
-	if n := len(s.world.Cloud.Hosts); n > 1100 {
+	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.world.Cloud.WorkersByHost) >= 1000 })
+	if n := len(s.world.Cloud.WorkersByHost); n > 1100 {
 		t.Errorf("%d machines are rented for 2000 tasks, two a machine", n)
 	}
 	for _, x := range s.world.Cloud.Workers() {
-		if x.Up() {
+		if x.Booted() {
 			t.Fatal("the first machines are up before the last are rented")
 		}
 	}
@@ -95,7 +95,7 @@
 // the first minutes with too few machines.
 func TestHeadroomBeyondOneRental(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.Boot = time.Minute
+	s.world.MachineType.BootTime = time.Minute
 	s.runFor(4)
 	c := s.nodes[0].controller
 	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "l", WithinS: 10}}
@@ -112,15 +112,15 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Note(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Capacity.Arrivals().Record(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
 	}
 	s.runFor(6) // a sixteenth of a boot is eight rounds
-	if n := len(s.world.Cloud.Hosts); n < 150 {
+	if n := len(s.world.Cloud.WorkersByHost); n < 150 {
 		t.Fatalf("%d machines after three seconds", n)
 	}
-	rented := len(s.world.Cloud.Hosts)
+	rented := len(s.world.Cloud.WorkersByHost)
 	s.runFor(6)
-	if n := len(s.world.Cloud.Hosts); n != rented {
+	if n := len(s.world.Cloud.WorkersByHost); n != rented {
 		t.Fatalf("%d machines, then %d, though there was enough", rented, n)
 	}
 }
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -79,7 +79,7 @@
 	if got := c.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("acknowledged time: got %v, want that of the oldest response, %v", got, now.Add(-time.Second))
 	}
-	c.node.Settings.Facts.Size = 4
+	c.node.Settings.Facts.ControllerCount = 4
 	if !c.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("acknowledged time with a controller that can't be queried: got a time, want none")
 	}
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -46,7 +46,7 @@
 			if (k+i)%2 == 0 {
 				f = responseDelayed
 			}
-			s.sendHeartbeat(s.world.Cloud.Hosts[h], f)
+			s.sendHeartbeat(s.world.Cloud.WorkersByHost[h], f)
 		}
 		s.world.Advance(roundInterval)
 		s.checkViolations(t)
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -80,7 +80,7 @@
 		if s[key] = m.Spec.Kind; m.Spec.Kind != api.Service {
 			m.Spec.Kind = api.Array
 		}
-		raw = api.JSON(m)
+		raw = api.MustMarshal(m)
 	}
 	return raw
 }
@@ -91,7 +91,7 @@
 		var m prodJobRecord
 		_ = json.Unmarshal(raw, &m) // asProduction wrote it
 		m.Spec.Kind = was
-		raw = api.JSON(m)
+		raw = api.MustMarshal(m)
 	}
 	return raw
 }
@@ -121,7 +121,7 @@
 	if err := json.Unmarshal(raw, v); err != nil {
 		return nil, err
 	}
-	return api.JSON(v), nil
+	return api.MustMarshal(v), nil
 }
 
 // productionStore makes a controller's view of the state service that of the version
@@ -149,8 +149,8 @@
 	log, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, e := range log {
-		if e.Drop == "" {
-			if e.Value = p.kinds.read(e.Write, e.Value); e.Value == nil {
+		if e.DeletedKey == "" {
+			if e.Value = p.kinds.read(e.WrittenKey, e.Value); e.Value == nil {
 				continue
 			}
 		}
@@ -163,15 +163,15 @@
 func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
-		if op.Drop == "" {
-			v, err := asProduction(op.Write, op.Value)
+		if op.DeleteKey == "" {
+			v, err := asProduction(op.WriteKey, op.Value)
 			if err != nil {
 				panic(err)
 			}
 			if v == nil {
 				continue
 			}
-			op.Value = p.kinds.write(op.Write, v)
+			op.Value = p.kinds.write(op.WriteKey, v)
 		}
 		u.Ops = append(u.Ops, op)
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -55,8 +55,8 @@
 			t.Fatal(err)
 		}
 		v, err := read(raw)
-		if err != nil || !sameJSON(t, raw, api.JSON(v)) {
-			t.Errorf("%s comes back as %s, %v", name, api.JSON(v), err)
+		if err != nil || !sameJSON(t, raw, api.MustMarshal(v)) {
+			t.Errorf("%s comes back as %s, %v", name, api.MustMarshal(v), err)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	s.startNode(1)
 	s.runFor(20)
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.CPUs, r.MemGB = 40, 0, 0.1, 0.1 })
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.Together = 2, api.Service, true })
+	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.SingleZone = 2, api.Service, true })
 	s.runFor(20)
 	items, _, err := s.nodes[0].controller.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			o.SchemaVersion = 0
-			it.Value = api.JSON(o)
+			it.Value = api.MustMarshal(o)
 		}
 		if !sameJSON(t, it.Value, old) {
 			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
@@ -121,7 +121,7 @@
 			MemGB:    1,
 			Image:    "i",
 		}
-		s.world.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
+		s.world.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, DoneTasks: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.running && !n.inProduction {
 				return n.controller.frontend.Submit(context.Background(), simulator.Submission(r)).Status
@@ -162,13 +162,13 @@
 	}
 	s.runFor(30)
 	r := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.world.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, Done: map[int]bool{}}
+	s.world.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, DoneTasks: map[int]bool{}}
 	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.world.Now.UnixMilli()}
 	m.ChooseLayout(2, 300, false)
 	a := &frontend.Submission{Ctx: context.Background(), Record: m, Response: make(chan transport.Response, 1)}
 	s.nodes[0].controller.frontend.AcceptBatch(context.Background(), []*frontend.Submission{a}) // without asking who may read it
 	s.runFor(200)
-	if !slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleAttempts }) {
+	if !slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleGangAttempts }) {
 		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.world.Violations)
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -65,7 +65,7 @@
 	if c.drop {
 		m.replica.Apply(c.key, nil, c.version)
 	} else {
-		m.replica.Apply(c.key, api.JSON(shard.NodeRecord{Term: c.version}), c.version)
+		m.replica.Apply(c.key, api.MustMarshal(shard.NodeRecord{Term: c.version}), c.version)
 	}
 }
 
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -20,7 +20,7 @@
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(b) == 4 })
 	s.cancel(2, b)
 	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(b) == 0 })
-	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.Hosts) == 0 })
+	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.WorkersByHost) == 0 })
 }
 
 // Two task ranges of one job that ended in the same round once stopped all releases
@@ -46,14 +46,14 @@
 	}
 	s.runFor(10)
 	small := func() {
-		s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 1, 8, 8*time.Second })
+		s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimatedRunS, *d = 1, 8, 8*time.Second })
 	}
 	small()
 	s.runUntil(t, 60, "one machine", func() bool { return s.runningTasks("run-000000") == 1 })
 	s.world.Cloud.NoCapacity = true
 	small()
 	small()
-	large := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 12, 80, 80*time.Second })
+	large := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimatedRunS, *d = 12, 80, 80*time.Second })
 	begun := false
 	for k := 0; k < 480 && !begun; k++ {
 		if k%6 == 0 { // more than the one machine can do
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -28,7 +28,7 @@
 func TestPredecessorMayAnswerSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.world.Store.Refused["n1"] = true // n1 continues to run, partitioned from the state service
+	s.world.Store.RefusedNodes["n1"] = true // n1 continues to run, partitioned from the state service
 	s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -13,7 +13,7 @@
 	s := newReadyCluster()
 	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "a replica runs on a machine", func() bool { return s.runningTasks(service) == 1 })
-	before := s.world.Store.Writes
+	before := s.world.Store.SentWrites
 	jobs := []string{}
 	for range 4 {
 		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.CPUs, r.GPUs, r.MemGB = 12, 0.1, 0, 0.1 })
@@ -23,7 +23,7 @@
 	for _, id := range jobs {
 		s.runUntil(t, 400, "array done", s.isDone(id))
 	}
-	if n := s.world.Store.Writes - before; n > 10*len(jobs) {
+	if n := s.world.Store.SentWrites - before; n > 10*len(jobs) {
 		t.Fatalf("writes for %d jobs of 12 tasks: got %d, want at most %d", len(jobs), n, 10*len(jobs))
 	} else {
 		t.Logf("%d writes for %d jobs", n, len(jobs))
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -22,7 +22,7 @@
 	interval := summaryIntervalLeases * c.node.Settings.WorkerLease()
 	var previousRequests, previousWrites float64
 	for timing.Sleep(ctx, interval) {
-		totalRequests, totalWrites := c.services.Store.Used()
+		totalRequests, totalWrites := c.services.Store.TokensUsed()
 		c.logSummary(perSecond(totalRequests-previousRequests, interval), perSecond(totalWrites-previousWrites, interval))
 		previousRequests, previousWrites = totalRequests, totalWrites
 	}
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -21,7 +21,7 @@
 	}
 	leader := s.homeOf(host)
 	c := s.nodes[leader].controller
-	for range 2 * int(s.world.Lease/time.Second) { // wait until the worker reacts to raises again
+	for range 2 * int(s.world.WorkerLease/time.Second) { // wait until the worker reacts to raises again
 		s.runRound()
 	}
 	raises := c.testState().Agents.Agent(host).TokenSequence
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -20,9 +20,9 @@
 	s.world.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
 	for host := range s.runningTasksByHost(id) {
-		s.world.Cloud.Hosts[host].OutboundLost, unreachable[host] = true, true
+		s.world.Cloud.WorkersByHost[host].OutboundLost, unreachable[host] = true, true
 	}
-	s.runUntil(t, 3*rounds(s.world.Lease), "replicas run elsewhere", func() bool {
+	s.runUntil(t, 3*rounds(s.world.WorkerLease), "replicas run elsewhere", func() bool {
 		counts := s.runningTasksByHost(id)
 		for host := range unreachable {
 			if counts[host] > 0 {
@@ -48,7 +48,7 @@
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 			var worker *simulator.Worker
 			for h := range s.runningTasksByHost(id) {
-				worker = s.world.Cloud.Hosts[h]
+				worker = s.world.Cloud.WorkersByHost[h]
 			}
 			worker.InboundLost = true
 			if leaderChanges {
@@ -58,9 +58,9 @@
 				counts := s.runningTasksByHost(id)
 				return counts[worker.Host] == 0 && s.runningTasks(id) == 2
 			}
-			lease := rounds(s.world.Lease)
+			lease := rounds(s.world.WorkerLease)
 			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
-			if s.world.Cloud.Hosts[worker.Host] == nil {
+			if s.world.Cloud.WorkersByHost[worker.Host] == nil {
 				return // it was returned as idle, which is correct too
 			}
 			array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
@@ -90,7 +90,7 @@
 	s.runUntil(t, 20, "first array runs", func() bool { return s.runningTasks(cancelled) == 1 })
 	var delayedCommands []func() // the direct commands that were sent for the launch
 	for _, n := range s.nodes {
-		delayedCommands, n.commands.Delayed = append(delayedCommands, n.commands.Delayed...), nil
+		delayedCommands, n.commands.DelayedDeliveries = append(delayedCommands, n.commands.DelayedDeliveries...), nil
 	}
 	s.cancel(1, cancelled)
 	s.runUntil(t, 20, "first array's task gone", func() bool { return s.presentTasks(cancelled) == 0 })
@@ -108,10 +108,10 @@
 	s.deliverDelayedCommands()
 	setDelayed(false)
 	s.runUntil(t, 40, "second array's task gone", func() bool { return s.presentTasks(next) == 0 })
-	if s.runningTasks(service) != 3 || s.world.LateStarts > 0 {
+	if s.runningTasks(service) != 3 || s.world.LaunchesAfterCancel > 0 {
 		t.Errorf(
 			"got %d running replicas, %d launches after a confirmed cancellation, want 3 and 0",
-			s.runningTasks(service), s.world.LateStarts,
+			s.runningTasks(service), s.world.LaunchesAfterCancel,
 		)
 	}
 	s.checkRecovery(t)
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -74,7 +74,7 @@
 	withReaders, others := z.machines()
 	setPartitioned(withReaders, true)
 	setPartitioned(others, true)
-	lease := rounds(z.world.Lease)
+	lease := rounds(z.world.WorkerLease)
 	z.runChecked(lease/2 + rnd.IntN(2*lease))
 	if rnd.IntN(2) == 0 { // it flaps
 		setPartitioned(others, false)
@@ -95,7 +95,7 @@
 
 // follow measures from the return of machines on.
 func (z *zoneScenario) follow(staying []*simulator.Worker) (o zoneOutcome, runs bool) {
-	returned, writes, from := z.world.Now, z.world.Store.Writes, len(z.starts)
+	returned, writes, from := z.world.Now, z.world.Store.SentWrites, len(z.starts)
 	room := 2*len(staying) - readerTasks
 	const most = 600
 	for range most {
@@ -122,7 +122,7 @@
 		}
 	}
 	o.wasted = max(0, o.wasted-z.runningArrays())
-	o.changes = float64(z.world.Store.Writes-writes) / z.world.Now.Sub(returned).Seconds()
+	o.changes = float64(z.world.Store.SentWrites-writes) / z.world.Now.Sub(returned).Seconds()
 	return o, o.readers > 0 && o.arrays > 0 && len(z.world.Violations) == 0
 }
 
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -186,7 +186,7 @@
 func TestZoneRecoveryWithGangsAndCancellations(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	gang := z.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Kind, r.Tasks, r.Zone, r.Together, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
+		r.Kind, r.Tasks, r.Zone, r.SingleZone, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
 	})
 	z.runUntil(t, 120, "gang runs", func() bool { return z.runningTasks(gang) == 4 })
 	_, others := z.loseZone()
@@ -220,7 +220,7 @@
 	z.runUntil(t, 300, "all replicas run", func() bool { return z.runningTasks(spread) == 6 && z.runningReaders() == readerTasks })
 	z.runChecked(40)
 	for host, n := range stays {
-		if x := z.world.Cloud.Hosts[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
+		if x := z.world.Cloud.WorkersByHost[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
 			t.Errorf("a replica on %s in %s was moved", host, x.Zone)
 		}
 	}
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -41,7 +41,7 @@
 	tb.Helper()
 	const lease = 9 * time.Second
 	z := &zoneScenario{testCluster: newTestCluster(), t: tb}
-	z.world.Lease, z.world.CancelTimeout = lease, 4*lease
+	z.world.WorkerLease, z.world.CancelTimeout = lease, 4*lease
 	z.world.Zones = []string{"x", "y", "z"}
 	z.world.TeamGPULimits = map[string]float64{}
 	z.restartNodes(started)
@@ -88,7 +88,7 @@
 func (z *zoneScenario) submitIdleArray(tasks int, d time.Duration) string {
 	return z.submitJob(func(r *api.Job, run *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.Image, *run = "idle", tasks, "x", "array", d
-		r.CheckpointS, r.SaveS = 5, 4 // it saves before it leaves
+		r.CheckpointIntervalS, r.SaveDurationS = 5, 4 // it saves before it leaves
 	})
 }
 
@@ -116,7 +116,7 @@
 	for _, x := range z.world.Cloud.Workers() {
 		switch {
 		case x.Zone != "x":
-		case len(x.PresentJobs()) > 0 && z.isReader(x.PresentJobs()[0]):
+		case len(x.UnfinishedTaskJobs()) > 0 && z.isReader(x.UnfinishedTaskJobs()[0]):
 			withReaders = append(withReaders, x)
 		default:
 			others = append(others, x)
