--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -81,7 +81,8 @@
 	}
 	grace := s.LeadershipGrace()
 	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelTimeoutS) {
-		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total, seconds(s.Facts.Workers.CancelTimeoutS))
+		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total,
+			seconds(s.Facts.Workers.CancelTimeoutS))
 	}
 	if grace < 0 || s.DecisionInterval() < 0 || s.DecisionInterval() > s.HeartbeatInterval() {
 		t.Fatalf("grace is %v, want at least 0; decision interval is %v, want 0 to %v", grace, s.DecisionInterval(), s.HeartbeatInterval())
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -144,7 +144,8 @@
 			}
 			fmt.Fprintln(&got)
 		}
-		fmt.Fprintf(&got, "idle %g, spot %g, at once %g\n\n", p.IdleSeconds(40, 3, false), p.IdleSeconds(40, 3, true), p.IdleSeconds(0, 3, false))
+		fmt.Fprintf(&got, "idle %g, spot %g, at once %g\n\n", p.IdleSeconds(40, 3, false), p.IdleSeconds(40, 3, true),
+			p.IdleSeconds(0, 3, false))
 	}
 	compareGolden(t, "policy.golden", got.String())
 }
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -125,11 +125,13 @@
 		description += fmt.Sprintf(" team %s %s", team, api.MustMarshal(quota.Record))
 	}
 	for _, id := range s.nodes[0].controller.node.Shards {
-		description += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record), api.MustMarshal(cache.Leaders[id].Record))
+		description += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record),
+			api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for host, machine := range cache.Machines {
 		worker := s.environment.Cloud.WorkersByHost[host]
-		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.MustMarshal(machine), worker != nil, worker != nil && worker.Booted())
+		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.MustMarshal(machine), worker != nil,
+			worker != nil && worker.Booted())
 	}
 	for _, n := range s.nodes {
 		plan := n.state().Scheduler.Plan(n.controller.node.Now())
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -94,7 +94,8 @@
 				return false
 			}
 			for host, machine := range s.nodes[s.nodeOf(leader)].state().Cache.Machines {
-				if worker := s.environment.Cloud.WorkersByHost[host]; machine.Shard == shardID && (worker == nil || s.nodes[worker.Node].name != leader) {
+				if worker := s.environment.Cloud.WorkersByHost[host]; machine.Shard == shardID &&
+					(worker == nil || s.nodes[worker.Node].name != leader) {
 					return false
 				}
 			}
