--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/store"
 )
 
-// BenchmarkPlan is one decision's plan on a shard as the grown deployments have
-// them; locks are held for as long.
+// BenchmarkPlan measures the plan of one decision on shards of the sizes that larger deployments
+// have. The state is locked for as long.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, n/10)
@@ -25,39 +25,45 @@
 	}
 }
 
-// BenchmarkCheckin is the response to one heartbeat in such a shard.
+// BenchmarkHeartbeat measures the computation of the commands for one heartbeat on a large shard.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newSizedController(800, 80)
-	s := c.testState().Agents.Agent("i-000009")
+	agentState := c.testState().Agents.Agent("i-000009")
 	for range b.N {
-		s.Heartbeat.Sequence++
-		c.testState().Reconciler.CommandsFor(s.Heartbeat, s, c.node.Now())
+		agentState.Heartbeat.Sequence++
+		c.testState().Reconciler.CommandsFor(agentState.Heartbeat, agentState, c.node.Now())
 	}
 }
 
-// BenchmarkReport is one heartbeat from its body to the response's: its JSON, the judgement,
-// the commands.
+// BenchmarkHeartbeatRequest measures one heartbeat from request body to response body: the JSON
+// encoding, the evaluation and the commands.
 func BenchmarkHeartbeatRequest(b *testing.B) {
 	c := newSizedController(800, 80)
 	token := c.testState().Agents.Agent("i-000009").Token()
-	x := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: token}
-	for _, pl := range c.testState().Cache.Placements[x.Host] {
-		x.Tasks = append(
-			x.Tasks,
-			api.TaskState{Task: pl.TaskName(c.testState().Cache.Jobs[pl.UID]), Attempt: pl.Placement.Attempt, Phase: api.TaskRunning},
+	heartbeat := &api.Heartbeat{Host: "i-000009", MachineType: "m", Zone: "x", AgentEpoch: 1, Token: token}
+	for _, placement := range c.testState().Cache.Placements[heartbeat.Host] {
+		heartbeat.Tasks = append(
+			heartbeat.Tasks,
+			api.TaskState{
+				Task:    placement.TaskName(c.testState().Cache.Jobs[placement.UID]),
+				Attempt: placement.Placement.Attempt,
+				Phase:   api.TaskRunning,
+			},
 		)
 	}
 	b.ReportAllocs()
 	for range b.N {
-		x.Sequence++
-		if r := c.frontend.HandleHeartbeat(&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(x)}); r.Status != 200 {
-			b.Fatal(r.Status)
+		heartbeat.Sequence++
+		if r := c.frontend.HandleHeartbeat(
+			&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(heartbeat)},
+		); r.Status != 200 {
+			b.Fatalf("heartbeat answered with status %d, want 200", r.Status)
 		}
 	}
 }
 
-// BenchmarkLoad is what a start, or a return after changes were missed, takes in: all
-// records of a fleet.
+// BenchmarkLoad measures loading all records of a deployment, as after a start or after missed
+// changes.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, n/10)
@@ -85,8 +91,8 @@
 	}
 }
 
-// BenchmarkJudge is a round of judging which machines go back, where every second one has
-// one replica that may fit elsewhere.
+// BenchmarkScaleIn measures one run that decides which machines to return, where every second
+// machine has one replica that may fit elsewhere.
 func BenchmarkScaleIn(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, 0)
@@ -106,9 +112,9 @@
 			for range b.N {
 				review := c.testState().Autoscaler.NewReview(c.node.Now())
 				for host, m := range c.testState().Cache.Machines {
-					s := c.testState().Agents.Agent(host)
-					s.UnderusedSince = time.Time{}
-					review.Consider(host, m, s)
+					agentState := c.testState().Agents.Agent(host)
+					agentState.UnderusedSince = time.Time{}
+					review.Consider(host, m, agentState)
 				}
 			}
 		})
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -7,22 +7,22 @@
 	"violetturn/internal/api"
 )
 
-// playStoreOutage has the state service refuse a leader alone, cancels a job through another
-// controller, and then has the state service refuse all, for longer than the cancellation
-// timeout, while the workers go on sending heartbeats to the old leader. It returns a job
-// that was not cancelled; fault happens right after the confirmation.
-func playStoreOutage(t *testing.T, fault func(s *testCluster, leader, other int)) (s *testCluster, kept string) {
+// runStoreOutage has the state service refuse only a leader, cancels a job through another
+// controller, and then has the state service refuse all controllers for longer than the
+// cancellation timeout, while the workers still send heartbeats to the old leader. fault is
+// called right after the cancellation is confirmed. The result is a job that was not cancelled.
+func runStoreOutage(t *testing.T, fault func(s *testCluster, leader, other int)) (s *testCluster, uncancelled string) {
 	t.Helper()
 	s = newReadyCluster()
-	zone := func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" }
-	cancelled := s.submitJob(zone)
-	kept = s.submitJob(zone)
-	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(kept) == 3 })
+	zoneService := func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" }
+	cancelled := s.submitJob(zoneService)
+	uncancelled = s.submitJob(zoneService)
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(uncancelled) == 3 })
 	leader, other := s.leaderOfJob(t, cancelled)
 	s.world.Store.Refused[s.nodes[leader].name] = true
-	s.stepNode(leader) // it notices
+	s.stepNode(leader) // it observes the refusal
 	if s.cancel(other, cancelled); s.world.Jobs[cancelled].FinalPhase != api.JobCancelled {
-		t.Fatal("not confirmed")
+		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.world.Jobs[cancelled].FinalPhase, api.JobCancelled)
 	}
 	s.world.Store.Down = true
 	fault(s, leader, other)
@@ -30,40 +30,40 @@
 		s.runRound()
 		s.checkViolations(t)
 	}
-	if n := s.runningTasks(cancelled); n > 0 {
-		t.Fatalf("%d cancelled tasks run on", n)
+	if running := s.runningTasks(cancelled); running > 0 {
+		t.Fatalf("%d tasks of the cancelled job run after the cancellation timeout, want 0", running)
 	}
-	return s, kept
+	return s, uncancelled
 }
 
-// Tasks whose cancellation the old leader can't see are gone in time, whatever happens to it
-// and to the controller that confirmed; and as long as all controllers can answer for what
-// they did, nothing else is lost with them.
+// Tasks whose cancellation the old leader can't read end within the cancellation timeout,
+// whatever happens to the leader and to the controller that confirmed. As long as all controllers
+// can report their cancellations to one another, no other task ends with them.
 func TestCancellationDuringStoreOutage(t *testing.T) {
-	none := func(*testCluster, int, int) {}
-	s, kept := playStoreOutage(t, none)
-	if n := s.runningTasks(kept); n != 3 {
-		t.Errorf("%d of 3 replicas outlive an outage in which all controllers answer one another", n)
+	noFault := func(*testCluster, int, int) {}
+	s, uncancelled := runStoreOutage(t, noFault)
+	if running := s.runningTasks(uncancelled); running != 3 {
+		t.Errorf("%d replicas run after an outage in which all controllers reach one another, want 3", running)
 	}
 	for name, fault := range map[string]func(s *testCluster, leader, other int){
-		"peers refused":           func(s *testCluster, _, _ int) { s.peersRefused = true },
-		"the confirmer ends":      func(s *testCluster, _, other int) { s.nodes[other].running = false },
-		"the confirmer is back":   func(s *testCluster, _, other int) { s.startNode(other) },
-		"the leader is back":      func(s *testCluster, leader, _ int) { s.startNode(leader) },
-		"the confirmer is paused": func(s *testCluster, _, other int) { s.nodes[other].paused = true },
+		"peers refused":                   func(s *testCluster, _, _ int) { s.peersRefused = true },
+		"confirming controller ends":      func(s *testCluster, _, other int) { s.nodes[other].running = false },
+		"confirming controller restarts":  func(s *testCluster, _, other int) { s.startNode(other) },
+		"leader restarts":                 func(s *testCluster, leader, _ int) { s.startNode(leader) },
+		"confirming controller is paused": func(s *testCluster, _, other int) { s.nodes[other].paused = true },
 		"machines hang within their leases": func(s *testCluster, _, _ int) {
-			for _, x := range s.world.Cloud.Hosts {
-				x.Hung = true
+			for _, worker := range s.world.Cloud.Hosts {
+				worker.Hung = true
 			}
 			s.runFor(14)
-			for _, x := range s.world.Cloud.Hosts {
-				x.Hung = false
+			for _, worker := range s.world.Cloud.Hosts {
+				worker.Hung = false
 			}
 		},
-		"the leader can't reach the others, its workers can": func(s *testCluster, leader, _ int) {
+		"leader can't reach its peers, its workers can": func(s *testCluster, leader, _ int) {
 			s.world.Store.Unreachable[s.nodes[leader].name], s.peersRefused = true, true
 		},
 	} {
-		t.Run(name, func(t *testing.T) { playStoreOutage(t, fault) })
+		t.Run(name, func(t *testing.T) { runStoreOutage(t, fault) })
 	}
 }
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -10,35 +10,35 @@
 	"violetturn/internal/api"
 )
 
-// A leader that is paused after it judged a heartbeat and then sends its response; a worker
-// that hears nothing but old responses; leases and cancellation timeouts that leave much
-// time, little, or none at all. On both sides of each bound: no task is on its machine later
-// than the timeout after any user was told, and with controllers that answer one another, a
-// confirmation comes once all faults are over.
+// A leader may be paused between evaluating a heartbeat and sending its response, a worker may
+// receive only old responses, and leases and cancellation timeouts leave much time, little or
+// none. On both sides of each bound no task is on its machine later than the timeout after a user
+// received the confirmation; and if the controllers reach one another, the cancellation is
+// confirmed once all faults have ended.
 func TestCancellationDuringStoreOutageTimings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOutageSchedule(t)
 		o.submitServices()
 		o.scheduleFaults()
-		o.play()
+		o.runSchedule()
 		o.confirmAfterFaults()
 	})
 }
 
-// outageSchedule is a cluster in which a job is cancelled during an outage of the state
-// service, with drawn times of all events.
+// outageSchedule is a cluster in which a job is cancelled during an outage of the state service.
+// The times of all events are drawn.
 type outageSchedule struct {
 	*testCluster
 	t             *rapid.T
-	job           string // that is cancelled
-	leader, other int    // the leader of its shard, and the controller that is asked to cancel it
+	cancelledJob  string // the job that is cancelled
+	leader, other int    // the leader of its shard, and the controller that receives the cancellation
 	events        []scheduledEvent
 }
 
-// scheduledEvent is something that happens at a time.
+// scheduledEvent is a fault, the end of a fault or a request at a drawn time.
 type scheduledEvent struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 // newOutageSchedule returns a cluster with a drawn lease and cancellation timeout.
@@ -55,15 +55,15 @@
 }
 
 // drawSeconds draws a time in tenths of seconds.
-func (o *outageSchedule) drawSeconds(name string, from, to int) time.Duration {
-	return time.Duration(rapid.IntRange(from*10, to*10).Draw(o.t, name)) * 100 * time.Millisecond
+func (o *outageSchedule) drawSeconds(name string, minSeconds, maxSeconds int) time.Duration {
+	return time.Duration(rapid.IntRange(minSeconds*10, maxSeconds*10).Draw(o.t, name)) * 100 * time.Millisecond
 }
 
-// submitServices submits two services, the last of which is cancelled, and runs until some
-// of their tasks run while others are still being started.
+// submitServices submits two services, the second of which is cancelled, and runs for a drawn
+// number of rounds, so that some of their tasks run while others may still be starting.
 func (o *outageSchedule) submitServices() {
 	for range 2 {
-		o.job = o.submitJob(func(j *api.Job, _ *time.Duration) {
+		o.cancelledJob = o.submitJob(func(j *api.Job, _ *time.Duration) {
 			j.Kind, j.Tasks, j.Zone = api.Service, rapid.IntRange(1, 3).Draw(o.t, "tasks"), "x"
 			if rapid.Bool().Draw(o.t, "saves") {
 				j.CheckpointS, j.SaveS = 5, 3
@@ -71,44 +71,44 @@
 		})
 	}
 	o.runFor(rapid.IntRange(24, 60).Draw(o.t, "rounds"))
-	if len(o.runningTasksByHost(o.job)) > 0 {
-		o.leader, o.other = o.leaderOfJob(o.t, o.job)
+	if len(o.runningTasksByHost(o.cancelledJob)) > 0 {
+		o.leader, o.other = o.leaderOfJob(o.t, o.cancelledJob)
 	}
 }
 
-// drawTime draws a time within so many seconds.
-func (o *outageSchedule) drawTime(name string, most int) time.Time {
-	return o.world.Now.Add(o.drawSeconds(name, 0, most))
+// drawTime draws a time within maxSeconds from now.
+func (o *outageSchedule) drawTime(name string, maxSeconds int) time.Time {
+	return o.world.Now.Add(o.drawSeconds(name, 0, maxSeconds))
 }
 
-// span returns the longest time that a fault lasts, in whole seconds.
-func (o *outageSchedule) span() int {
+// maxFaultSeconds returns the longest time that a fault lasts, in whole seconds.
+func (o *outageSchedule) maxFaultSeconds() int {
 	return int(2 * (o.world.CancelTimeout + o.world.Lease) / time.Second)
 }
 
-// at schedules an event within so many seconds.
-func (o *outageSchedule) at(name string, most int, do func()) {
-	o.events = append(o.events, scheduledEvent{o.drawTime(name, most), do})
+// scheduleEvent schedules an event at a drawn time within maxSeconds.
+func (o *outageSchedule) scheduleEvent(name string, maxSeconds int, run func()) {
+	o.events = append(o.events, scheduledEvent{o.drawTime(name, maxSeconds), run})
 }
 
-// during schedules a fault that begins within so many seconds, and its end.
-func (o *outageSchedule) during(name string, most int, set func(on bool)) {
-	from := o.drawTime(name+" from", most)
-	until := from.Add(o.drawSeconds(name+" for", 0, o.span()))
+// scheduleFault schedules a fault that begins within maxSeconds, and its end.
+func (o *outageSchedule) scheduleFault(name string, maxSeconds int, set func(active bool)) {
+	from := o.drawTime(name+" from", maxSeconds)
+	until := from.Add(o.drawSeconds(name+" for", 0, o.maxFaultSeconds()))
 	o.events = append(o.events,
 		scheduledEvent{from, func() { set(true) }},
 		scheduledEvent{until, func() { set(false) }})
 }
 
-// scheduleFaults schedules the refusal of the leader, the outage, the cancellation, and what
-// else may happen to the controllers.
+// scheduleFaults schedules the refusal of the leader, the outage, the cancellation, and possible
+// faults of the controllers.
 func (o *outageSchedule) scheduleFaults() {
 	name := o.nodes[o.leader].name
-	o.during("refused", 4, func(on bool) { o.world.Store.Refused[name] = on })
-	o.during("outage", 8, func(on bool) { o.world.Store.Down = on })
-	o.at("cancel", 8, func() { o.cancel(o.other, o.job) })
+	o.scheduleFault("refused", 4, func(active bool) { o.world.Store.Refused[name] = active })
+	o.scheduleFault("outage", 8, func(active bool) { o.world.Store.Down = active })
+	o.scheduleEvent("cancel", 8, func() { o.cancel(o.other, o.cancelledJob) })
 	if rapid.Bool().Draw(o.t, "peers refused") {
-		o.during("peers refused", 12, func(on bool) { o.peersRefused = on })
+		o.scheduleFault("peers refused", 12, func(active bool) { o.peersRefused = active })
 	}
 	for _, i := range []int{o.leader, o.other} {
 		o.scheduleControllerFault(i)
@@ -116,43 +116,44 @@
 	slices.SortStableFunc(o.events, func(a, b scheduledEvent) int { return a.at.Compare(b.at) })
 }
 
-// scheduleControllerFault schedules that a controller is away, restarts or is paused, or
-// nothing.
+// scheduleControllerFault may schedule that a controller is down for some time, restarts, or is
+// paused.
 func (o *outageSchedule) scheduleControllerFault(i int) {
 	switch rapid.SampledFrom([]string{"", "", "away", "restart", "paused"}).Draw(o.t, "node") {
 	case "away":
-		o.during("away", 16, func(away bool) {
-			if o.nodes[i].running = false; !away {
+		o.scheduleFault("away", 16, func(down bool) {
+			if o.nodes[i].running = false; !down {
 				o.startNode(i)
 			}
 		})
 	case "restart":
-		o.at("restart", 16, func() { o.startNode(i) })
+		o.scheduleEvent("restart", 16, func() { o.startNode(i) })
 	case "paused":
-		o.during("paused", 16, func(paused bool) { o.nodes[i].paused = paused })
+		o.scheduleFault("paused", 16, func(paused bool) { o.nodes[i].paused = paused })
 	}
 }
 
-// play lets everybody act, with drawn faults of heartbeats, until all events have happened.
-func (o *outageSchedule) play() {
-	const drawnFaults = 40
+// runSchedule runs controllers and workers, with drawn faults of heartbeats, until all events
+// have happened.
+func (o *outageSchedule) runSchedule() {
+	const drawnFaultCount = 40
 	step := rapid.SampledFrom([]time.Duration{200, 300, 500}).Draw(o.t, "step") * time.Millisecond
-	faults := rapid.SliceOfN(rapid.IntRange(0, 11), drawnFaults, drawnFaults).Draw(o.t, "faults")
-	end := o.world.Now.Add(time.Duration(o.span()) * time.Second)
-	for k := 0; o.world.Now.Before(end) || len(o.events) > 0; k++ {
+	faults := rapid.SliceOfN(rapid.IntRange(0, 11), drawnFaultCount, drawnFaultCount).Draw(o.t, "faults")
+	end := o.world.Now.Add(time.Duration(o.maxFaultSeconds()) * time.Second)
+	for round := 0; o.world.Now.Before(end) || len(o.events) > 0; round++ {
 		o.runDueEvents()
 		for i := range o.nodes {
 			o.stepNode(i)
 		}
-		for i, h := range o.world.Cloud.HostNames() {
-			fault := heartbeatFault(faults[(k+i)%drawnFaults])
+		for i, host := range o.world.Cloud.HostNames() {
+			fault := heartbeatFault(faults[(round+i)%drawnFaultCount])
 			if fault > responseDelayed {
 				fault = heartbeatServed
 			}
-			o.sendHeartbeat(o.world.Cloud.Hosts[h], fault)
+			o.sendHeartbeat(o.world.Cloud.Hosts[host], fault)
 		}
-		if o.world.Jobs[o.job].CancelRequested { // any node may be the one that tells
-			o.poll(k%len(o.nodes), o.job)
+		if o.world.Jobs[o.cancelledJob].CancelRequested { // any node may return the final phase to the user
+			o.poll(round%len(o.nodes), o.cancelledJob)
 		}
 		o.world.Advance(step)
 		o.checkBounds()
@@ -162,32 +163,33 @@
 // runDueEvents runs the events whose time has come.
 func (o *outageSchedule) runDueEvents() {
 	for len(o.events) > 0 && !o.world.Now.Before(o.events[0].at) {
-		o.events[0].do()
+		o.events[0].run()
 		o.events = o.events[1:]
 	}
 }
 
-// checkBounds fails if a rule is broken, and tells the bounds on time.
+// checkBounds fails if a rule is violated, and logs the time bounds in force.
 func (o *outageSchedule) checkBounds() {
 	if len(o.world.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
-		o.t.Fatalf("lease %v, cancellation timeout %v, grace %v, staleness %v: %v",
+		o.t.Fatalf("lease %v, cancellation timeout %v, leadership grace %v, max staleness %v: violations %v",
 			o.world.Lease, o.world.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.world.Violations)
 	}
 }
 
-// confirmAfterFaults ends all faults and checks that the cancellation is confirmed, and that
-// its tasks are gone in time.
+// confirmAfterFaults ends all faults and checks that the cancellation is confirmed and that the
+// tasks of the job end in time.
 func (o *outageSchedule) confirmAfterFaults() {
 	o.endFaults()
-	j := o.world.Jobs[o.job]
-	for k := 0; k < 300 && j.FinalPhase == ""; k++ {
+	j := o.world.Jobs[o.cancelledJob]
+	for round := 0; round < 300 && j.FinalPhase == ""; round++ {
 		o.runRound()
-		o.cancel(o.other, o.job)
+		o.cancel(o.other, o.cancelledJob)
 		o.checkBounds()
 	}
 	if j.FinalPhase != api.JobCancelled {
-		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.world.Lease, o.world.CancelTimeout)
+		o.t.Fatalf("lease %v, cancellation timeout %v: job in phase %q after all faults ended, want %q",
+			o.world.Lease, o.world.CancelTimeout, j.FinalPhase, api.JobCancelled)
 	}
 	for range rounds(o.world.CancelTimeout) + 2 {
 		o.runRound()
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -9,19 +9,19 @@
 	"violetturn/internal/simulator"
 )
 
-// One-task jobs come four a second for minutes and a quarter of them is cancelled, through
-// any node and at any age.
-func TestOneTaskJobs(t *testing.T) {
+// One-task jobs are submitted at four per second for a minute, and a quarter of them cause a
+// cancellation of a recent job, through any node and at any age of the job.
+func TestOneTaskJobsWithCancellations(t *testing.T) {
 	s := newReadyCluster()
-	for k := range 120 { // a minute of two jobs a round
-		for i := range 2 {
+	for round := range 120 { // one minute with two jobs per round
+		for half := range 2 {
 			id := s.submitArray(1, 2*time.Second, func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.5, 1 })
-			if n := 2*k + i; n%4 == 0 {
+			if submitted := 2*round + half; submitted%4 == 0 {
 				s.world.Jobs[id].RunTime = time.Minute
-				s.cancel(n%3, s.jobIDs[max(0, len(s.jobIDs)-1-n%7)])
+				s.cancel(submitted%3, s.jobIDs[max(0, len(s.jobIDs)-1-submitted%7)])
 			}
 		}
-		switch k {
+		switch round {
 		case 40:
 			s.startNode(0)
 		case 80:
@@ -34,24 +34,25 @@
 	s.checkRecovery(t)
 }
 
-// A cancellation, a query and a repeated submission come at the end of a job's last task,
-// with no other fault and with one that loses responses.
+// A cancellation, a query and a repeated submission arrive when the last task of a job ends, with
+// no other fault and with a fault that loses or delays a request or response of the state
+// service.
 func TestCancellationAtLastTaskEnd(t *testing.T) {
 	for node := range 3 {
-		for _, f := range []simulator.Fault{simulator.NoFault, simulator.ResponseLost, simulator.RequestLost, simulator.Delayed} {
+		for _, fault := range []simulator.Fault{simulator.NoFault, simulator.ResponseLost, simulator.RequestLost, simulator.Delayed} {
 			for _, kind := range []api.JobKind{api.Array, api.Gang} {
-				t.Run(fmt.Sprintf("n%d, %s, fault %v", node, kind, f), func(t *testing.T) {
+				t.Run(fmt.Sprintf("n%d, %s, fault %v", node, kind, fault), func(t *testing.T) {
 					s := newReadyCluster()
 					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
-					ends := 0
+					endedTasks := 0
 					s.world.OnTaskDone = func(uid string) {
-						if ends++; uid == id && ends == 2 {
-							s.world.Store.NextFault[s.nodes[node].name] = f
+						if endedTasks++; uid == id && endedTasks == 2 {
+							s.world.Store.NextFault[s.nodes[node].name] = fault
 							s.cancel(node, id)
 							s.queryEverywhere(id)
 						}
 					}
-					s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
+					s.runUntil(t, 80, "both tasks ended", func() bool { return endedTasks == 2 })
 					for range 12 {
 						s.queryEverywhere(id)
 						s.runRounds(t, 1)
@@ -59,7 +60,7 @@
 					s.world.Store.DeliverDelayed()
 					s.queryEverywhere(id)
 					if s.checkRecovery(t); s.world.Jobs[id].FinalPhase == "" {
-						t.Errorf("node %d, fault %d, %s: never over", node, f, kind)
+						t.Errorf("node %d, fault %d, %s: job has no final phase", node, fault, kind)
 					}
 				})
 			}
@@ -67,74 +68,75 @@
 	}
 }
 
-// A cancellation is confirmed by another node in the moment between a decision and its
-// transaction: a placement, the end of the last task, a claim of a gang. The later of the
-// two is not carried out.
-func TestCancellationBesideDecision(t *testing.T) {
+// Another node confirms a cancellation between a decision and its transaction: a placement, the
+// end of the last task, or a claim of a gang. The later of the two is not carried out.
+func TestCancellationDuringDecision(t *testing.T) {
 	for _, kind := range []api.JobKind{api.Array, api.Gang} {
-		for _, last := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, last task ended %t", kind, last), func(t *testing.T) {
+		for _, lastTaskEnded := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, last task ended %t", kind, lastTaskEnded), func(t *testing.T) {
 				s := newReadyCluster()
-				low := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
-				s.runUntil(t, 80, "machines are up", func() bool { return s.runningTasks(low) == 4 })
+				idleArray := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+				s.runUntil(t, 80, "machines are up", func() bool { return s.runningTasks(idleArray) == 4 })
 				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
-				if last {
-					ends := 0
+				if lastTaskEnded {
+					endedTasks := 0
 					s.world.OnTaskDone = func(uid string) {
 						if uid == id {
-							ends++
+							endedTasks++
 						}
 					}
-					s.runUntil(t, 80, "both ended", func() bool { return ends == 2 })
+					s.runUntil(t, 80, "both tasks ended", func() bool { return endedTasks == 2 })
 				}
-				var told api.JobPhase
+				var confirmedPhase api.JobPhase
 				s.beforeCommits(func(node int) {
-					if told != "" {
+					if confirmedPhase != "" {
 						return
 					}
 					s.cancel((node+1)%3, id)
-					told = s.world.Jobs[id].FinalPhase
+					confirmedPhase = s.world.Jobs[id].FinalPhase
 					s.queryEverywhere(id)
 				})
 				for range 12 {
 					s.runRounds(t, 1)
 					s.queryEverywhere(id)
 				}
-				if told != api.JobCancelled {
-					t.Errorf("%s, last %t: told %q", kind, last, told)
+				if confirmedPhase != api.JobCancelled {
+					t.Errorf("%s, last task ended %t: cancellation answered with phase %q, want %q",
+						kind, lastTaskEnded, confirmedPhase, api.JobCancelled)
 				}
-				s.cancel(0, low)
+				s.cancel(0, idleArray)
 				s.checkRecovery(t)
 				if s.world.LateStarts > 0 {
-					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LateStarts)
+					t.Errorf("%s, last task ended %t: %d tasks started after a confirmed cancellation, want 0",
+						kind, lastTaskEnded, s.world.LateStarts)
 				}
 			})
 		}
 	}
 }
 
-// Users ask at all nodes, again and again, and repeat the submission, right after a job
-// was accepted, ended or confirmed as cancelled, and some cancel at once.
+// Users query all nodes repeatedly and repeat the submission, right after a job was accepted,
+// ended or confirmed as cancelled, and some cancel at once.
 func TestQueriesRightAfterChanges(t *testing.T) {
 	s := newReadyCluster()
-	for k := range 24 {
+	for round := range 24 {
 		var id string
-		if k%3 == 0 {
+		if round%3 == 0 {
 			id = s.submitService(1, nil)
 		} else {
 			id = s.submitArray(1, time.Second, nil)
 		}
 		s.queryEverywhere(id)
-		if k%3 == 0 {
-			s.cancel((k+1)%3, id)
+		if round%3 == 0 {
+			s.cancel((round+1)%3, id)
 			s.queryEverywhere(id)
 			if s.world.Jobs[id].FinalPhase != api.JobCancelled {
-				t.Fatal("not confirmed")
+				t.Fatalf("job in phase %q after its cancellation, want %q", s.world.Jobs[id].FinalPhase, api.JobCancelled)
 			}
 		}
-		switch k {
+		switch round {
 		case 6:
-			s.world.Store.Refused["n2"] = true // it passes its users on
+			s.world.Store.Refused["n2"] = true // it redirects its users
 		case 12:
 			s.world.Store.Refused["n2"] = false
 		case 15:
@@ -149,6 +151,6 @@
 	}
 	s.checkRecovery(t)
 	if s.world.LateStarts > 0 {
-		t.Errorf("%d starts were sent after a confirmed cancellation", s.world.LateStarts)
+		t.Errorf("%d tasks started after a confirmed cancellation, want 0", s.world.LateStarts)
 	}
 }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -8,28 +8,28 @@
 	"violetturn/internal/api"
 )
 
-// All controllers are away for longer than a lease; shards change their leaders and back, all end, and
-// one returns, also at once.
-func TestAllControllersAway(t *testing.T) {
-	for _, away := range []time.Duration{0, 4 * time.Second, 8500 * time.Millisecond, 9500 * time.Millisecond, 25 * time.Second} {
-		for _, first := range []int{0, 2} {
-			t.Run(fmt.Sprintf("away %v, n%d returns first", away, first), func(t *testing.T) {
+// A shard changes its leader and back, then all controllers are down, some times for longer than
+// a lease, and a single one returns: it acquires that shard.
+func TestAllControllersDown(t *testing.T) {
+	for _, downtime := range []time.Duration{0, 4 * time.Second, 8500 * time.Millisecond, 9500 * time.Millisecond, 25 * time.Second} {
+		for _, firstReturning := range []int{0, 2} {
+			t.Run(fmt.Sprintf("down for %v, n%d returns first", downtime, firstReturning), func(t *testing.T) {
 				s := newReadyCluster()
 				id := s.submitService(3, nil)
 				s.submitArray(6, 10*time.Second, nil)
 				s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-				s.world.Store.Refused["n1"] = true // its shard changes its leader
-				s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
-				s.world.Store.Refused["n1"] = false // and back
+				s.world.Store.Refused["n1"] = true // its shard gets another leader
+				s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
+				s.world.Store.Refused["n1"] = false // and returns to n1
 				s.runRounds(t, 3)
 				for _, n := range s.nodes {
 					n.running = false
 				}
-				s.world.Advance(away)
-				s.startNode(first)
+				s.world.Advance(downtime)
+				s.startNode(firstReturning)
 				s.runRounds(t, 20)
-				if o := s.leaderOf("n1"); o != s.nodes[first].name {
-					t.Errorf("away %v: shard of n1 led by %q", away, o)
+				if leader := s.leaderOf("n1"); leader != s.nodes[firstReturning].name {
+					t.Errorf("down for %v: shard of n1 led by %q, want %q", downtime, leader, s.nodes[firstReturning].name)
 				}
 				s.checkRecovery(t)
 			})
@@ -37,9 +37,9 @@
 	}
 }
 
-// A service survives the end of all controllers within the workers' lease, and
+// The replicas of a service survive a restart of all controllers within the workers' lease, and
 // an outage of the state service that is longer than the lease.
-func TestReplicasOutliveControllersAndOutage(t *testing.T) {
+func TestReplicasSurviveControllerRestartAndStoreOutage(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
@@ -50,23 +50,23 @@
 	for i := range s.nodes {
 		s.startNode(i)
 	}
-	check := func(rounds int) {
-		for range rounds {
+	check := func(roundCount int) {
+		for range roundCount {
 			s.runRound()
 			if s.runningTasks(id) != 2 {
-				t.Fatal("a replica was lost")
+				t.Fatalf("%d replicas run, want 2", s.runningTasks(id))
 			}
 		}
 	}
 	check(60)
 	s.world.Store.Down = true
-	check(26) // 13 s, the lease is 9 s
+	check(26) // 13 s; the lease is 9 s
 	s.world.Store.Down = false
 	check(60)
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear the new
-// leader's responses: the tasks go elsewhere, once each is surely gone.
+// A leader ends while machines with long tasks are partitioned, or don't receive the responses of
+// the new leader: the tasks are placed elsewhere, each after it has certainly ended.
 func TestLeaderEndsWhileMachinesAreUnreachable(t *testing.T) {
 	for _, inboundLost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("inbound lost %t", inboundLost), func(t *testing.T) {
@@ -74,18 +74,18 @@
 			id := s.submitArray(4, 40*time.Second, nil)
 			s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
 			leader, _ := s.leaderOfJob(t, id)
-			for h := range s.runningTasksByHost(id) {
-				s.world.Cloud.Hosts[h].Partitioned, s.world.Cloud.Hosts[h].InboundLost = !inboundLost, inboundLost
+			for host := range s.runningTasksByHost(id) {
+				s.world.Cloud.Hosts[host].Partitioned, s.world.Cloud.Hosts[host].InboundLost = !inboundLost, inboundLost
 			}
 			s.nodes[leader].running = false
 			s.runUntil(t, 200, "tasks run elsewhere", func() bool {
-				n := 0
-				for h, k := range s.runningTasksByHost(id) {
-					if x := s.world.Cloud.Hosts[h]; !x.Partitioned && !x.InboundLost {
-						n += k
+				running := 0
+				for host, tasks := range s.runningTasksByHost(id) {
+					if worker := s.world.Cloud.Hosts[host]; !worker.Partitioned && !worker.InboundLost {
+						running += tasks
 					}
 				}
-				return n == 4
+				return running == 4
 			})
 			s.checkRecovery(t)
 		})
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -8,39 +8,39 @@
 	"violetturn/internal/simulator"
 )
 
-// A heartbeat that was delayed since before a start reaches the new leader when the job has
-// been cancelled and the machine is partitioned: it shows nothing about now, and the
-// team, which is at its limit, has no room before the lease is over.
+// A heartbeat that was delayed since before a start reaches the new leader after the job was
+// cancelled and its machine partitioned. It proves nothing about the present, and the team, which
+// is at its limit, gets no capacity before the lease has expired.
 func TestDelayedHeartbeatReachesNewLeader(t *testing.T) {
 	s := newReadyCluster()
-	first := s.submitArray(5, time.Second, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
-	s.runUntil(t, 120, "machines are up", s.isDone(first))
+	firstArray := s.submitArray(5, time.Second, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
+	s.runUntil(t, 120, "machines are up", s.isDone(firstArray))
 	delayed := s.heartbeats()
-	off := s.submitService(5, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
-	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 5 })
-	spare := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves machines with room when it goes
-	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(spare) == 4 })
-	for h := range s.runningTasksByHost(off) {
-		s.world.Cloud.Hosts[h].Partitioned = true
+	cancelledService := s.submitService(5, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelledService) == 5 })
+	otherZoneService := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves free capacity when it is cancelled
+	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(otherZoneService) == 4 })
+	for host := range s.runningTasksByHost(cancelledService) {
+		s.world.Cloud.Hosts[host].Partitioned = true
 	}
 	s.runRounds(t, 1)
 	for i := range s.nodes {
-		s.startNode(i) // all are new leaders at once
+		s.startNode(i) // all are new leaders at the same time
 	}
 	s.runRounds(t, 2)
-	for _, id := range []string{off, spare} {
+	for _, id := range []string{cancelledService, otherZoneService} {
 		s.cancel(1, id)
 	}
 	s.submitArray(4, 2*time.Second, func(r *api.Job) { r.Team, r.Zone = "a", "y" })
-	s.runRounds(t, 1) // the new leader knows
+	s.runRounds(t, 1) // the new leader has recorded the cancellations and the array
 	s.deliverCopies(delayed)
 	s.runRounds(t, 24)
 	s.checkRecovery(t)
 }
 
-// Old heartbeats reach every controller just as a new leader begins, and others are delayed
-// until it has acted: the machine's own heartbeats are heard all the same, and its tasks run
-// on.
+// Old heartbeats reach every controller just when a new leader begins, and others are delayed
+// until it has acted. The current heartbeats of the machines still count, and their tasks keep
+// running.
 func TestOldHeartbeatsReachNewLeader(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitService(2, nil)
@@ -49,7 +49,7 @@
 	for range 6 {
 		s.runRounds(t, 1)
 	}
-	old := s.heartbeatCopies
+	oldHeartbeats := s.heartbeatCopies
 	s.nodes[leader].running = false
 	for _, n := range s.nodes { // commands of the new leader that raise tokens are delayed
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return true }
@@ -59,43 +59,43 @@
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		if o := s.leaderOf(s.nodes[leader].name); o != "" {
+		if newLeader := s.leaderOf(s.nodes[leader].name); newLeader != "" {
 			break
 		}
 		s.world.Advance(100 * time.Millisecond)
 	}
 	successor := s.leaderOf(s.nodes[leader].name)
 	if successor == "" {
-		t.Fatal("nobody acquired the shard")
+		t.Fatal("no controller acquired the shard of the ended leader")
 	}
-	for _, x := range old {
+	for _, heartbeat := range oldHeartbeats {
 		for i := range s.nodes {
-			s.deliverHeartbeat(i, x.body)
+			s.deliverHeartbeat(i, heartbeat.body)
 		}
 	}
-	for k := range 100 {
+	for round := range 100 {
 		s.runRound()
-		if k == 8 { // the new leader has acted
+		if round == 8 { // the new leader has acted
 			s.deliverCopies(delayed)
 		}
 		if s.runningTasks(id) != 2 || len(s.world.Violations) > 0 {
-			t.Fatalf("round %d: %d of 2 replicas, %v", k, s.runningTasks(id), s.world.Violations)
+			t.Fatalf("round %d: %d replicas run, want 2; violations %v", round, s.runningTasks(id), s.world.Violations)
 		}
 	}
 	s.cancel(other, id)
 	s.checkRecovery(t)
 }
 
-// Copies of heartbeats that come late change no belief: not that a machine lives
-// that was lost, and not, for a controller that has just started and remembers
-// nothing, that one exists which was terminated long ago.
+// Late copies of heartbeats prove nothing: they don't revive a lost machine, and a controller
+// that has just started and has no history does not register a machine from them that was
+// terminated long ago.
 func TestDelayedHeartbeatCopies(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	var host string
-	for h := range s.runningTasksByHost(id) {
-		host = h
+	for tasksHost := range s.runningTasksByHost(id) {
+		host = tasksHost
 	}
 	var copies [][]byte
 	for range 8 {
@@ -103,26 +103,26 @@
 		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
 	}
 	s.world.Cloud.Terminate(host)
-	again := func() {
+	deliverCopies := func() {
 		s.deliverCopies(copies)
 		s.runRound()
 	}
 	bound := rounds(s.world.Lease + 4*time.Second)
-	for k := 0; k < bound+40 && s.runningTasks(id) < 2; k++ {
-		again()
+	for round := 0; round < bound+40 && s.runningTasks(id) < 2; round++ {
+		deliverCopies()
 	}
 	if s.runningTasks(id) < 2 {
-		t.Fatalf("%d of 2 replicas run while copies of the lost machine's heartbeats come in", s.runningTasks(id))
+		t.Fatalf("%d replicas run while copies of the lost machine's heartbeats arrive, want 2", s.runningTasks(id))
 	}
 	s.runUntil(t, 60, "machine deregistered", func() bool { return s.nodes[0].state().Cache.Machines[host] == nil })
 	for i := range s.nodes {
 		s.startNode(i)
 	}
 	for range 40 {
-		again()
+		deliverCopies()
 		for _, n := range s.nodes {
 			if n.state().Cache.Machines[host] != nil {
-				t.Fatal("a machine that was terminated long ago is registered again")
+				t.Fatalf("machine %s, terminated long ago, is registered again at %s", host, n.name)
 			}
 		}
 	}
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -10,76 +10,76 @@
 	"violetturn/internal/simulator"
 )
 
-// Four thousand simulated service machines: three controllers fill them, one ends and its machines
-// are taken over, then all end at once and start anew, and go on without a broken rule.
+// Three controllers fill four thousand simulated machines. One controller ends and its machines
+// are taken over, then all restart at once, and no rule is violated.
 //
-// It is simulated time in one goroutine, so nothing shows how real processes keep up; and
-// it takes minutes under the race detector, for which test.sh runs it apart.
+// It runs in simulated time in one goroutine, so it does not show whether real processes keep up.
+// Under the race detector it takes minutes, so test.sh runs it separately.
 func TestFourThousandMachines(t *testing.T) {
-	l := newLoadScenario(simulator.Huge())
-	l.phase = "fill"
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
+	scenario := newLoadScenario(simulator.Huge())
+	scenario.phase = "fill"
+	for _, class := range []*simulator.Class{&scenario.deployment.Services, &scenario.deployment.Arrays} {
 		for range class.Initial {
-			l.newJob(class)
+			scenario.submitNewJob(class)
 		}
 	}
-	l.play("fill", 150*time.Second)
-	up := l.machinesUp()
-	const wanted = 3400 // about four thousand, as the jobs that are drawn need them
-	if up < wanted {
-		t.Fatalf("%d machines are up, not %d", up, wanted)
+	scenario.runPhase("fill", 150*time.Second)
+	booted := scenario.bootedMachines()
+	const minBooted = 3400 // the drawn jobs need about four thousand
+	if booted < minBooted {
+		t.Fatalf("%d machines have booted, want at least %d", booted, minBooted)
 	}
-	before := l.tasksRunning()
+	tasksBefore := scenario.totalPresentTasks()
 
-	l.nodes[2].running = false
-	l.play("takeover", 30*time.Second)
-	if own := l.nodes[0].state().Cache.Leaders["n2"].Record; own == nil || own.Node == "n2" {
-		t.Fatalf("the lost controller's shard is led by %v", own)
+	scenario.nodes[2].running = false
+	scenario.runPhase("takeover", 30*time.Second)
+	if leader := scenario.nodes[0].state().Cache.Leaders["n2"].Record; leader == nil || leader.Node == "n2" {
+		t.Fatalf("shard of the ended controller n2 has leader record %v, want another leader", leader)
 	}
-	for i := range l.nodes {
-		l.startNode(i)
+	for i := range scenario.nodes {
+		scenario.startNode(i)
 	}
-	l.play("start", 45*time.Second)
+	scenario.runPhase("start", 45*time.Second)
 
-	if after := l.tasksRunning(); after < before*9/10 {
-		t.Errorf("%d tasks run after the restart, %d before", after, before)
+	if tasksAfter := scenario.totalPresentTasks(); tasksAfter < tasksBefore*9/10 {
+		t.Errorf("%d tasks run after the restart, want at least 9/10 of the %d before", tasksAfter, tasksBefore)
 	}
-	l.checkAccepted(t)
-	for _, broken := range l.world.Violations {
-		t.Error(broken)
+	scenario.checkAcceptedJobs(t)
+	for _, violation := range scenario.world.Violations {
+		t.Error(violation)
 	}
 }
 
-// machinesUp counts the machines that have booted.
-func (l *loadScenario) machinesUp() int {
+// bootedMachines counts the machines that have booted.
+func (l *loadScenario) bootedMachines() int {
 	n := 0
-	for _, x := range l.world.Cloud.Workers() {
-		if x.Up() {
+	for _, worker := range l.world.Cloud.Workers() {
+		if worker.Up() {
 			n++
 		}
 	}
 	return n
 }
 
-// tasksRunning counts the tasks on machines.
-func (l *loadScenario) tasksRunning() int {
+// totalPresentTasks counts the tasks that are on machines.
+func (l *loadScenario) totalPresentTasks() int {
 	n := 0
-	for _, x := range l.world.Cloud.Workers() {
-		n += len(x.PresentJobs())
+	for _, worker := range l.world.Cloud.Workers() {
+		n += len(worker.PresentJobs())
 	}
 	return n
 }
 
-// checkAccepted asks every controller for every job and checks that those that were
-// accepted are known. What is said is checked by the world.
-func (l *loadScenario) checkAccepted(t *testing.T) {
+// checkAcceptedJobs queries every job at every controller and checks that accepted jobs are
+// found. The simulator checks the content of the responses.
+func (l *loadScenario) checkAcceptedJobs(t *testing.T) {
 	t.Helper()
 	for i := range l.nodes {
 		for _, uid := range l.jobIDs {
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
-			if j := l.world.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.JobCancelled {
-				t.Errorf("controller %d answers %d for %s", i, status, uid)
+			if job := l.world.Jobs[uid]; job.Accepted && status != 200 && job.FinalPhase != api.JobCancelled {
+				t.Errorf("controller %d answers with status %d, want 200, for accepted job %s", i, status, uid)
 			}
 		}
 	}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -14,116 +14,117 @@
 	"violetturn/internal/simulator"
 )
 
-// A gang of one, one in several shards, and one whose tasks take several
-// records each start all at once under one number, and end at once.
-func TestGangsRunTogether(t *testing.T) {
-	for _, n := range []int{1, 4, 60} {
-		t.Run(fmt.Sprintf("%d tasks", n), func(t *testing.T) {
+// The tasks of a gang start together under one attempt number and end together: a gang of one
+// task, one in several shards, and one whose tasks need several records.
+func TestGangTasksStartAndEndTogether(t *testing.T) {
+	for _, tasks := range []int{1, 4, 60} {
+		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) {
-				if r.Tasks = n; n > 4 {
+				if r.Tasks = tasks; tasks > 4 {
 					r.GPUs, r.CPUs = 0, 0.5
 				}
 			})
-			s.runUntil(t, 300, "all run", func() bool {
-				on := s.tasksInPhase(id, api.TaskRunning)
-				if on != 0 && on != n {
-					t.Fatalf("%d of %d run", on, n)
+			s.runUntil(t, 300, "all tasks run", func() bool {
+				running := s.tasksInPhase(id, api.TaskRunning)
+				if running != 0 && running != tasks {
+					t.Fatalf("%d tasks run, want 0 or all %d", running, tasks)
 				}
-				return on == n
+				return running == tasks
 			})
-			s.runUntil(t, 200, "done", s.isDone(id))
-			s.runUntil(t, 40, "its records are gone", func() bool {
-				c := s.nodes[0].controller
-				return c.testState().Cache.Jobs[id] == nil && len(c.testState().Cache.TaskRanges[id]) == 0
+			s.runUntil(t, 200, "job done", s.isDone(id))
+			s.runUntil(t, 40, "job records are deleted", func() bool {
+				controller := s.nodes[0].controller
+				return controller.testState().Cache.Jobs[id] == nil && len(controller.testState().Cache.TaskRanges[id]) == 0
 			})
 		})
 	}
 }
 
-// While a gang gathers one of its machines is lost: the others wait for a replacement
-// under the same number, and the lost task is surely dead before that starts.
+// A gang loses one of its machines while its tasks gather: the others wait for a replacement in
+// the same attempt, which starts after the lost task has certainly ended.
 func TestGatheringGangGetsReplacement(t *testing.T) {
 	s := newReadyCluster()
 	s.world.GangWait = 25 * time.Second
 	for _, n := range s.nodes {
 		n.controller.node.Settings.Facts.Workers.GangWaitS = 25
 	}
-	other := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
-	s.runUntil(t, 300, "done", s.isDone(other))
+	firstGang := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // leaves a booted machine for each task
+	s.runUntil(t, 300, "job done", s.isDone(firstGang))
 	s.world.MachineType.Fetch = 6 * time.Second
 	id := s.submitGang(t, nil)
-	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
+	s.runUntil(t, 40, "tasks are launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
 	s.world.Cloud.Terminate(s.workerOf(id).Host)
-	s.runUntil(t, 100, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
-	if g := s.nodes[0].state().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
-		t.Fatalf("runs as attempt %d", g.Attempt)
+	s.runUntil(t, 100, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
+	if gang := s.nodes[0].state().Cache.Jobs[id].Record.Gang; gang.Attempt != 1 {
+		t.Fatalf("gang runs as attempt %d, want 1", gang.Attempt)
 	}
-	s.runUntil(t, 200, "done", s.isDone(id))
+	s.runUntil(t, 200, "job done", s.isDone(id))
 }
 
-// A running gang loses a machine: the attempt is over as a whole, and the next one goes
-// on from the last checkpoint when all of the old one is surely gone.
+// A running gang loses a machine: the whole attempt ends, and the next one continues from the
+// last checkpoint after all tasks of the old attempt have certainly ended.
 func TestRunningGangLosesMachine(t *testing.T) {
-	for _, how := range []string{"terminated", "hung", "partitioned"} {
-		t.Run(how, func(t *testing.T) {
+	for _, failure := range []string{"terminated", "hung", "partitioned"} {
+		t.Run(failure, func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
-			s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
+			s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
-			x := s.workerOf(id)
-			switch how {
+			worker := s.workerOf(id)
+			switch failure {
 			case "terminated":
-				s.world.Cloud.Terminate(x.Host)
+				s.world.Cloud.Terminate(worker.Host)
 			case "hung":
-				x.Hung = true
+				worker.Hung = true
 			case "partitioned":
-				x.Partitioned = true
+				worker.Partitioned = true
 			}
-			s.runUntil(t, 400, how+": a later attempt runs", func() bool {
+			s.runUntil(t, 400, failure+": a later attempt runs", func() bool {
 				j := s.nodes[0].state().Cache.Jobs[id]
 				return j != nil && j.Record.Gang.Attempt > 1 && s.tasksInPhase(id, api.TaskRunning) == 4
 			})
-			s.runUntil(t, 300, "done", s.isDone(id))
+			s.runUntil(t, 300, "job done", s.isDone(id))
 		})
 	}
 }
 
-// A gang told to make room for work of higher priority saves its progress as a whole, and
-// later goes on from there.
-func TestPreemptedGangSaves(t *testing.T) {
+// A gang that is preempted by work of higher priority saves its progress as a whole, and later
+// continues from it.
+func TestPreemptedGangSavesProgress(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
 		r.Priority, r.CheckpointS, r.SaveS, *d = "idle", 100, 1, 40*time.Second
 	})
-	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
+	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
 	s.world.Cloud.NoCapacity = true
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
 	saved := false
-	s.runUntil(t, 100, "the gang has left", func() bool {
-		for _, x := range s.world.Cloud.Hosts {
-			for _, p := range x.Heartbeat().Tasks {
-				uid, _, _ := api.SplitTaskName(p.Task)
-				saved = saved || uid == id && p.Phase == api.TaskEnded && p.Saved
+	s.runUntil(t, 100, "gang is preempted", func() bool {
+		for _, worker := range s.world.Cloud.Hosts {
+			for _, taskState := range worker.Heartbeat().Tasks {
+				uid, _, _ := api.SplitTaskName(taskState.Task)
+				saved = saved || uid == id && taskState.Phase == api.TaskEnded && taskState.Saved
 			}
 		}
 		return s.tasksInPhase(id, api.TaskRunning) == 0
 	})
 	if !saved {
-		t.Fatal("its progress was lost")
+		t.Fatal("no task of the preempted gang reports saved progress")
 	}
 	s.world.Cloud.NoCapacity = false
-	s.runUntil(t, 400, "done", s.isDone(id))
+	s.runUntil(t, 400, "job done", s.isDone(id))
 }
 
-// A gang that has reserved only some of its room releases it after too many misses, and what
-// is reserved when its user cancels is free at once, without a word from the machines.
-func TestReservedRoomIsReleased(t *testing.T) {
+// A gang that has reserved only a part of the capacity it needs releases it after too many failed
+// claims. What is reserved when the user cancels is free at once, without a heartbeat from the
+// machines.
+func TestReservedCapacityIsReleased(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
-	warm := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, 2*time.Second })
-	s.runUntil(t, 300, "done", s.isDone(warm))
+	warmUp := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, 2*time.Second })
+	s.runUntil(t, 300, "job done", s.isDone(warmUp))
 	reserve := func(cancelled bool) {
 		id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
 		j := c.testState().Cache.Jobs[id]
@@ -134,37 +135,37 @@
 			}
 		}
 		if host == nil {
-			t.Fatal("no machine of its own shard")
+			t.Fatal("no schedulable machine of shard n0")
 		}
 		c.guard.Lock()
-		claim := &scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}
-		tx := c.testState().Scheduler.GangTransaction(claim, c.node.Now()).Transaction
+		gangClaim := &scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}
+		transaction := c.testState().Scheduler.GangTransaction(gangClaim, c.node.Now()).Transaction
 		c.guard.Unlock()
-		if tx == nil {
-			t.Fatal("nothing claimed")
+		if transaction == nil {
+			t.Fatal("no transaction for the claim of the gang")
 		}
-		if done, _, err := c.sync.Commit(t.Context(), "gangs", tx, 0); !done {
+		if committed, _, err := c.sync.Commit(t.Context(), "gangs", transaction, 0); !committed {
 			t.Fatal(err)
 		}
-		if p := j.GangPhase(); p != job.GangReserving {
-			t.Fatalf("is %s", p)
+		if phase := j.GangPhase(); phase != job.GangReserving {
+			t.Fatalf("gang is in phase %s, want %s", phase, job.GangReserving)
 		}
 		if cancelled {
 			s.cancel(0, id)
 			c.decisions.UpdateGangs(t.Context())
-			if n := j.CountPlaced(); n != 0 {
-				t.Fatalf("%d places are reserved after the cancellation", n)
+			if placed := j.CountPlaced(); placed != 0 {
+				t.Fatalf("%d placements are reserved after the cancellation, want 0", placed)
 			}
 			return
 		}
-		s.runUntil(t, 40, "released", func() bool { return j.CountPlaced() == 0 })
+		s.runUntil(t, 40, "claims are released", func() bool { return j.CountPlaced() == 0 })
 		if !c.testState().Scheduler.HasReleasedClaims(id) {
-			t.Fatal("does not go before newer ones")
+			t.Fatal("released claims of the gang are not recorded, so newer gangs may go first")
 		}
-		for _, x := range s.world.Cloud.Hosts {
-			for _, p := range x.Heartbeat().Tasks {
-				if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
-					t.Fatal("a task was started without the others")
+		for _, worker := range s.world.Cloud.Hosts {
+			for _, taskState := range worker.Heartbeat().Tasks {
+				if uid, _, _ := api.SplitTaskName(taskState.Task); uid == id {
+					t.Fatalf("task %s was started without the rest of the gang", taskState.Task)
 				}
 			}
 		}
@@ -174,68 +175,69 @@
 	reserve(false)
 }
 
-// Once one task is done all are, whatever becomes of their machines and of the shard's
-// leader: nothing is started again, and nobody calls the job anything else.
+// Once one task of a gang is done all are, whatever happens to their machines and to the leader
+// of the shard: no task is started again, and no controller reports another phase.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Together, *d = true, 8*time.Second })
-	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
-	x := s.workerOf(id)
-	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
-	s.world.Cloud.Terminate(x.Host)
+	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
+	worker := s.workerOf(id)
+	s.runUntil(t, 60, "no task runs any more", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
+	s.world.Cloud.Terminate(worker.Host)
 	s.nodes[0].running = false
 	s.runFor(6)
 	s.startNode(0)
-	s.runUntil(t, 100, "done", s.isDone(id))
+	s.runUntil(t, 100, "job done", s.isDone(id))
 	for range 40 {
 		s.runRound()
-		if n := s.tasksInPhase(id, api.TaskRunning) + s.tasksInPhase(id, api.TaskGathering); n > 0 {
-			t.Fatalf("%d tasks of a done gang run", n)
+		if running := s.tasksInPhase(id, api.TaskRunning) + s.tasksInPhase(id, api.TaskGathering); running > 0 {
+			t.Fatalf("%d tasks of a done gang run, want 0", running)
 		}
 	}
 }
 
-// What a newer worker says in words that this version doesn't have is read as the
-// safest: a task that runs, an end without success.
+// Phases and causes of a newer worker that this version does not have are read as the safest
+// ones: a running task, and an end without success.
 func TestUnknownPhasesAndCauses(t *testing.T) {
 	if agent.ExitReasonOf("melted") != job.ExitLost || api.ExitCause("melted").Known() || api.TaskPhase("melting").Known() {
-		t.Fatal("an unknown word is taken for a known one")
+		t.Fatalf("unknown cause read as %v, want %v; unknown cause or phase must not count as known",
+			agent.ExitReasonOf("melted"), job.ExitLost)
 	}
-	for _, how := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
+	for _, cause := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
-		if g.RecordTaskEnd(1, agent.ExitReasonOf(how), true); !g.Ended {
-			t.Fatalf("goes on after %s", how)
+		if g.RecordTaskEnd(1, agent.ExitReasonOf(cause), true); !g.Ended {
+			t.Fatalf("attempt is not over after a task ended with cause %s", cause)
 		}
 	}
 }
 
-// Two gangs that each find half of what they need don't block one another, and a large
-// one begins under a stream of small ones.
+// Two gangs that can each claim half of what they need don't block one another, and a large gang
+// starts under a stream of small ones.
 func TestGangsDontBlockOneAnother(t *testing.T) {
 	s := newReadyCluster()
 	first := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
 	second := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	s.runUntil(t, 400, "the first", s.isDone(first))
-	s.runUntil(t, 400, "the second", s.isDone(second))
-	s.world.Cloud.NoCapacity = true // what there is has to do
+	s.runUntil(t, 400, "first gang done", s.isDone(first))
+	s.runUntil(t, 400, "second gang done", s.isDone(second))
+	s.world.Cloud.NoCapacity = true // only the existing machines are available
 	large := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	k := 0
-	s.runUntil(t, 480, "the large one", func() bool {
-		if k++; k%6 == 0 {
-			id := fmt.Sprintf("run-%06d", 1000+k)
-			r := s.world.Jobs[large].Spec
-			r.UID, r.Tasks = id, 2
-			s.world.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, Done: map[int]bool{}}
+	rounds := 0
+	s.runUntil(t, 480, "large gang done", func() bool {
+		if rounds++; rounds%6 == 0 {
+			id := fmt.Sprintf("run-%06d", 1000+rounds)
+			spec := s.world.Jobs[large].Spec
+			spec.UID, spec.Tasks = id, 2
+			s.world.Jobs[id] = &simulator.Job{Spec: spec, RunTime: 6 * time.Second, Done: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.isDone(large)()
 	})
 }
 
-// A gang that goes together and finds no room looks for it in the zone where it can have
-// some: it once stuck to its own, which was full of work of its own priority and where nothing
-// was left to rent, while the other had tasks of lower priority.
-func TestGangTakesTheZoneThatYields(t *testing.T) {
+// A gang that must run in a single zone and does not fit is placed in the zone where preemption
+// can free capacity. It once stayed with its preferred zone, which was full of work of the same
+// priority and had nothing left to rent, while the other zone ran tasks of lower priority.
+func TestGangChoosesZoneWithPreemptibleTasks(t *testing.T) {
 	s := newReadyCluster()
 	for zone, priority := range map[string]api.Priority{"x": api.Standard, "y": api.Idle} {
 		s.submitJob(func(r *api.Job, d *time.Duration) {
@@ -245,5 +247,5 @@
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
 	s.world.Cloud.NoCapacity = true
 	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Together, r.Tasks = true, 3 })
-	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
+	s.runUntil(t, 80, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -16,12 +16,11 @@
 	"violetturn/internal/statecache"
 )
 
-// largeShard builds a controller that leads a shard of many machines. Its clock stands
-// still.
+// largeShard builds a controller that leads a shard of many machines. Its clock does not advance.
 type largeShard struct {
 	*Controller
-	version uint64 // of the last record
-	clock   time.Time
+	lastVersion uint64 // of the last applied record
+	clock       time.Time
 }
 
 // Sizes of the jobs of a large shard.
@@ -30,8 +29,8 @@
 	tasksPerJob    = 16
 )
 
-// newSizedController returns a controller that replicates and leads a shard of so many
-// machines, all but some full, and so many waiting arrays.
+// newSizedController returns a controller that leads a shard with the given number of machines,
+// all but some of them full, and of waiting arrays.
 func newSizedController(machines, waiting int) *Controller {
 	s := newLargeShard()
 	s.addMachines(machines)
@@ -39,10 +38,10 @@
 		s.addRunningJob(i)
 	}
 	for i := range waiting {
-		m := s.newJobRecord(500_000+i, []api.Priority{api.Production, api.Standard}[i%2])
-		s.apply(statecache.JobKey(m.Spec.UID), m)
+		record := s.newJobRecord(500_000+i, []api.Priority{api.Production, api.Standard}[i%2])
+		s.apply(statecache.JobKey(record.Spec.UID), record)
 	}
-	s.hearMachines()
+	s.recordHeartbeats()
 	return s.Controller
 }
 
@@ -67,20 +66,20 @@
 		BootS:       60,
 		Zones:       zones,
 	}})
-	s := &largeShard{Controller: c, version: 1, clock: now}
+	s := &largeShard{Controller: c, lastVersion: 1, clock: now}
 	s.apply(statecache.LeaderKey("n0"), shard.LeaderRecord{Node: "n0", Incarnation: c.node.Incarnation, Term: 1})
-	c.testState().Leadership.Begin("n0", &leadership.Leadership{Term: 1, Version: s.version})
+	c.testState().Leadership.Begin("n0", &leadership.Leadership{Term: 1, Version: s.lastVersion})
 	s.apply(statecache.CapacityKey("n0"), shard.CapacityRecord{Term: 1, Leader: "n0", Free: shard.FreeCapacity{}})
 	return s
 }
 
-// apply has the controller take in a record.
+// apply applies a record to the cache of the controller.
 func (s *largeShard) apply(key string, record any) {
-	s.version++
-	s.testState().Cache.Apply(key, api.JSON(record), s.version)
+	s.lastVersion++
+	s.testState().Cache.Apply(key, api.JSON(record), s.lastVersion)
 }
 
-// addMachines adds machines, page by page.
+// addMachines adds machines, one page after the other.
 func (s *largeShard) addMachines(machines int) {
 	page := shard.MachinePage{}
 	for i := range machines {
@@ -99,7 +98,7 @@
 
 // newJobRecord returns the record of an array.
 func (s *largeShard) newJobRecord(id int, priority api.Priority) *job.Record {
-	m := &job.Record{
+	record := &job.Record{
 		Spec: api.Job{
 			UID:       fmt.Sprintf("run-%06d", id),
 			Class:     "l",
@@ -117,27 +116,27 @@
 		Shard:      "n0",
 		AcceptedMS: s.clock.UnixMilli(),
 	}
-	m.ChooseLayout(64, 500, false)
-	return m
+	record.ChooseLayout(64, 500, false)
+	return record
 }
 
-// addRunningJob adds an array whose tasks run on the machines from the i-th on. One machine
-// in 128 stays empty.
+// addRunningJob adds an array whose tasks run on machines from the i-th on. One machine in 128
+// stays empty.
 func (s *largeShard) addRunningJob(i int) {
-	m := s.newJobRecord(i, "standard")
-	m.InlineRange = (*job.TaskRange)(nil).Copy()
-	for k := range tasksPerJob {
-		if i/machinesPerJob%16 > 0 || k > 1 {
-			m.InlineRange.Place(k, machineName(i+k/2), 0)
+	record := s.newJobRecord(i, "standard")
+	record.InlineRange = (*job.TaskRange)(nil).Copy()
+	for task := range tasksPerJob {
+		if i/machinesPerJob%16 > 0 || task > 1 {
+			record.InlineRange.Place(task, machineName(i+task/2), 0)
 		}
 	}
-	s.apply(statecache.JobKey(m.Spec.UID), m)
+	s.apply(statecache.JobKey(record.Spec.UID), record)
 }
 
-// hearMachines has every machine have sent a heartbeat just now.
-func (s *largeShard) hearMachines() {
-	for h := range s.testState().Cache.Machines {
-		a := s.testState().Agents.Ensure(h, s.testState().Leadership.Lookup("n0"))
-		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: h}
+// recordHeartbeats records a current heartbeat of every machine.
+func (s *largeShard) recordHeartbeats() {
+	for host := range s.testState().Cache.Machines {
+		a := s.testState().Agents.Ensure(host, s.testState().Leadership.Lookup("n0"))
+		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: host}
 	}
 }
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -17,58 +17,59 @@
 	"violetturn/internal/state"
 )
 
-// phaseCost is what the controllers used in a phase.
+// phaseCost is the cost of a phase, for all controllers together.
 type phaseCost struct {
-	simulated time.Duration
-	busy      map[string]time.Duration // by kind of work
-	allocated uint64
-	longest   time.Duration // of a single step
-	lockUses  map[string]*state.LockUse
+	simulated      time.Duration
+	busy           map[string]time.Duration // by kind of work
+	allocatedBytes uint64
+	longestStep    time.Duration // of a single step
+	lockUses       map[string]*state.LockUse
 }
 
-// measure runs work of a controller and charges it to the phase.
-func (l *loadScenario) measure(work string, f func()) {
+// measure runs a piece of work of a controller and charges its cost to the current phase.
+func (l *loadScenario) measure(work string, call func()) {
 	cost := l.costs[l.phase]
 	if cost == nil {
 		cost = &phaseCost{busy: map[string]time.Duration{}, lockUses: map[string]*state.LockUse{}}
 		l.costs[l.phase] = cost
 	}
 	before := allocatedBytes()
-	began := time.Now()
-	pprof.Do(context.Background(), pprof.Labels("phase", l.phase, "work", work), func(context.Context) { f() })
-	took := time.Since(began)
-	cost.allocated += allocatedBytes() - before
-	cost.busy[work] += took
-	cost.longest = max(cost.longest, took)
+	startedAt := time.Now()
+	pprof.Do(context.Background(), pprof.Labels("phase", l.phase, "work", work), func(context.Context) { call() })
+	elapsed := time.Since(startedAt)
+	cost.allocatedBytes += allocatedBytes() - before
+	cost.busy[work] += elapsed
+	cost.longestStep = max(cost.longestStep, elapsed)
 }
 
-// allocatedBytes returns how many bytes the process has allocated in all.
+// allocatedBytes returns the number of bytes that the process has allocated since its start.
 func allocatedBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/allocs:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
 }
 
-// print prints what each phase cost, per simulated second of all controllers together.
-func (l *loadScenario) print() {
+// printCosts prints the cost of each phase per simulated second, for all controllers together.
+func (l *loadScenario) printCosts() {
 	for _, phase := range []string{"fill", "steady", "takeover", "start", "outage", "return", "last"} {
 		cost := l.costs[phase]
-		all := time.Duration(0)
+		total := time.Duration(0)
 		for _, d := range cost.busy {
-			all += d
+			total += d
 		}
-		perSecond := func(d time.Duration) float64 { return d.Seconds() * 1000 / cost.simulated.Seconds() }
+		perSecond := func(duration time.Duration) float64 { return duration.Seconds() * 1000 / cost.simulated.Seconds() }
 		fmt.Printf(
-			"%-8s %6.1f ms/s  %6.2f MB/s allocated  longest step %v\n", phase, perSecond(all),
-			float64(cost.allocated)/1e6/cost.simulated.Seconds(), cost.longest.Round(time.Microsecond),
+			"%-8s %6.1f ms/s  %6.2f MB/s allocated  longest step %v\n", phase, perSecond(total),
+			float64(cost.allocatedBytes)/1e6/cost.simulated.Seconds(), cost.longestStep.Round(time.Microsecond),
 		)
 		for _, work := range []string{"watch", "lease", "decide", "cloud", "commands", "heartbeat", "user"} {
-			fmt.Printf("    %-9s %5.1f %%\n", work, 100*cost.busy[work].Seconds()/all.Seconds())
+			fmt.Printf("    %-9s %5.1f %%\n", work, 100*cost.busy[work].Seconds()/total.Seconds())
 		}
-		for _, use := range mostHeld(cost.lockUses, 6) {
+		for _, lockUse := range longestHeld(cost.lockUses, 6) {
 			fmt.Printf(
 				"    lock %5.1f %% of the time used, longest %8v, %6d times: %s\n",
-				100*use.TotalHeld.Seconds()/all.Seconds(), use.LongestHold.Round(time.Microsecond), use.Holds, use.Function,
+				100*lockUse.TotalHeld.Seconds()/total.Seconds(), lockUse.LongestHold.Round(time.Microsecond),
+				lockUse.Holds, lockUse.Function,
 			)
 		}
 	}
@@ -76,30 +77,31 @@
 	for _, j := range l.world.Jobs {
 		jobs[j.FinalPhase]++
 	}
-	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.world.Cloud.Hosts), jobs, len(l.world.Violations))
+	fmt.Printf("machines %d, jobs %v, violations %d\n", len(l.world.Cloud.Hosts), jobs, len(l.world.Violations))
 }
 
-// mostHeld returns the functions that held a lock longest in all.
-func mostHeld(holds map[string]*state.LockUse, most int) []*state.LockUse {
-	uses := slices.SortedFunc(maps.Values(holds), func(a, b *state.LockUse) int { return cmp.Compare(b.TotalHeld, a.TotalHeld) })
-	return uses[:min(most, len(uses))]
+// longestHeld returns the functions that held a lock longest in total, at most limit of them.
+func longestHeld(lockUses map[string]*state.LockUse, limit int) []*state.LockUse {
+	uses := slices.SortedFunc(maps.Values(lockUses), func(a, b *state.LockUse) int { return cmp.Compare(b.TotalHeld, a.TotalHeld) })
+	return uses[:min(limit, len(uses))]
 }
 
-// BenchmarkDeployment plays a simulated deployment with its most expensive seconds. With
-// -cpuprofile and -memprofile it shows where a controller's time and memory go; the
-// labels "phase" and "work" tell them apart (pprof -tagfocus, -tagroot).
+// BenchmarkDeployment runs the most expensive phases of simulated deployments of three sizes.
+// With -cpuprofile and -memprofile it shows where a controller spends time and memory; the
+// profile labels "phase" and "work" separate the phases and kinds of work (pprof -tagfocus,
+// -tagroot).
 func BenchmarkDeployment(b *testing.B) {
-	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large(), simulator.Huge()} {
-		b.Run(d.Name, func(b *testing.B) {
+	for _, deployment := range []*simulator.Deployment{simulator.Small(), simulator.Large(), simulator.Huge()} {
+		b.Run(deployment.Name, func(b *testing.B) {
 			for range b.N {
-				l := newLoadScenario(d)
-				l.playPhases()
-				l.print()
-				if len(l.world.Violations) > 0 {
-					b.Fatal(l.world.Violations[0])
+				scenario := newLoadScenario(deployment)
+				scenario.runPhases()
+				scenario.printCosts()
+				if len(scenario.world.Violations) > 0 {
+					b.Fatal(scenario.world.Violations[0])
 				}
 				runtime.GC()
-				runtime.KeepAlive(l)
+				runtime.KeepAlive(scenario)
 			}
 		})
 	}
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -15,68 +15,68 @@
 	"violetturn/internal/transport"
 )
 
-// loadStep is the time between two steps of each controller.
-const loadStep = 500 * time.Millisecond
+// stepInterval is the simulated time between two steps of each controller.
+const stepInterval = 500 * time.Millisecond
 
-// pollEvery is how often a user asks for the state of a job (PROTOCOL).
-const pollEvery = 5 * time.Second
+// pollInterval is how often a user queries the state of a job (PROTOCOL).
+const pollInterval = 5 * time.Second
 
-// loadScenario plays a deployment at its size, and measures what its controllers do.
+// loadScenario simulates a deployment at full size and measures the work of its controllers.
 type loadScenario struct {
 	*testCluster
 	deployment    *simulator.Deployment
 	random        *rand.Rand
 	phase         string
-	nextHeartbeat map[string]time.Time // by machine, of its next heartbeat
-	lastSummary   map[string]string    // by machine, what its last heartbeat said
-	pollAt        map[string]time.Time // by unfinished job
-	endAt         map[string]time.Time // by service, when its user cancels it
-	dueJobs       map[*simulator.Class]float64
-	resubmissions []string // refused, to be repeated
+	nextHeartbeat map[string]time.Time         // by machine
+	lastSummary   map[string]string            // by machine, the summary of its last heartbeat
+	pollAt        map[string]time.Time         // by unfinished job, the time of its next query
+	cancelAt      map[string]time.Time         // by service, the time at which its user cancels it
+	dueJobs       map[*simulator.Class]float64 // jobs of a class to submit, with the fraction carried over
+	resubmissions []string                     // refused submissions, to be sent again
 	costs         map[string]*phaseCost
 }
 
 // newLoadScenario returns a deployment whose controllers have just started.
-func newLoadScenario(d *simulator.Deployment) *loadScenario {
-	w := d.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	l := &loadScenario{
-		deployment:    d,
+func newLoadScenario(deployment *simulator.Deployment) *loadScenario {
+	world := deployment.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	scenario := &loadScenario{
+		deployment:    deployment,
 		random:        rand.New(rand.NewPCG(1, 1)),
 		nextHeartbeat: map[string]time.Time{},
 		lastSummary:   map[string]string{},
 		pollAt:        map[string]time.Time{},
-		endAt:         map[string]time.Time{},
+		cancelAt:      map[string]time.Time{},
 		dueJobs:       map[*simulator.Class]float64{},
 		costs:         map[string]*phaseCost{},
 	}
-	l.testCluster = newClusterWithoutNodes(w, d.State, d.State)
-	l.adjustSettings = func(_ *testNode, cfg *config.Settings) {
-		cfg.Facts.Workers.ReportS = d.HeartbeatS
+	scenario.testCluster = newClusterWithoutNodes(world, deployment.State, deployment.State)
+	scenario.adjustSettings = func(_ *testNode, cfg *config.Settings) {
+		cfg.Facts.Workers.ReportS = deployment.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
-			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = d.TeamGPUs/2, d.TeamGPUs
+			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = deployment.TeamGPUs/2, deployment.TeamGPUs
 		}
 	}
-	l.onStart = func(n *testNode) {
-		perNode := d.State.WriteRPS / float64(len(l.nodes))
+	scenario.onStart = func(n *testNode) {
+		writeRPSPerNode := deployment.State.WriteRPS / float64(len(scenario.nodes))
 		n.controller.services.Store = &budgetedStore{
 			n.storeClient,
-			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
-			func() time.Time { return l.world.Now },
+			transport.NewTokenBucket(writeRPSPerNode, 0.6*deployment.State.WriteRPS),
+			func() time.Time { return scenario.world.Now },
 		}
 		n.controller.guard.StartMeter()
 	}
 	for i := range 3 {
-		l.nodes = append(l.nodes, &testNode{name: fmt.Sprintf("n%d", i)})
+		scenario.nodes = append(scenario.nodes, &testNode{name: fmt.Sprintf("n%d", i)})
 	}
-	for i := range l.nodes {
-		l.startNode(i)
+	for i := range scenario.nodes {
+		scenario.startNode(i)
 	}
-	return l
+	return scenario
 }
 
-// measureStep lets a controller do what its loops would.
-func (l *loadScenario) measureStep(i int) {
+// stepController runs one step of each loop of a controller and measures them.
+func (l *loadScenario) stepController(i int) {
 	n := l.nodes[i]
 	if !n.serves() {
 		return
@@ -95,59 +95,60 @@
 	if l.world.Now.UnixMilli()%1000 == 0 {
 		l.measure("cloud", func() { n.controller.scaling.Autoscale(ctx) })
 	}
-	aside := n.async
+	asyncCalls := n.async
 	n.async = nil
 	l.measure("commands", func() {
-		for _, f := range aside {
-			f()
+		for _, call := range asyncCalls {
+			call()
 		}
 	})
 }
 
-// request sends an HTTP request to a controller, with the parsing that belongs to it.
-func (l *loadScenario) request(work string, to int, method, target string, body []byte) (status int, answer []byte) {
-	c := l.nodes[to].controller
-	raw := httpwire.AppendRequest(nil, method, target, "controller", body)
+// request sends an HTTP request to a controller. The measured work includes parsing the request
+// and encoding the response.
+func (l *loadScenario) request(work string, node int, method, target string, body []byte) (status int, responseBody []byte) {
+	c := l.nodes[node].controller
+	rawRequest := httpwire.AppendRequest(nil, method, target, "controller", body)
 	l.measure(work, func() {
-		p := httpwire.NewParser(false, httpwire.RequestLimits)
-		p.Feed(raw)
-		req, err := p.Next()
+		parser := httpwire.NewParser(false, httpwire.RequestLimits)
+		parser.Feed(rawRequest)
+		req, err := parser.Next()
 		if err != nil || req == nil {
 			panic(fmt.Sprint("request not parsed: ", err))
 		}
 		done := make(chan transport.Response, 1)
-		r, now := c.frontend.Handle(req, func(r transport.Response) { done <- r })
-		if !now {
-			r = <-done
+		response, answered := c.frontend.Handle(req, func(r transport.Response) { done <- r })
+		if !answered {
+			response = <-done
 		}
-		answer = httpwire.AppendResponse(nil, r.Status, r.Body, r.RetryAfter, false)
-		status, answer = r.Status, r.Body
+		responseBody = httpwire.AppendResponse(nil, response.Status, response.Body, response.RetryAfter, false)
+		status, responseBody = response.Status, response.Body
 	})
-	return status, answer
+	return status, responseBody
 }
 
-// sendHeartbeats has each worker send a heartbeat that is due or has something new.
+// sendHeartbeats has each worker send a heartbeat that is due or whose content has changed.
 func (l *loadScenario) sendHeartbeats() {
 	for _, host := range l.world.Cloud.HostNames() {
-		x := l.world.Cloud.Hosts[host]
-		if !x.Up() {
+		worker := l.world.Cloud.Hosts[host]
+		if !worker.Up() {
 			continue
 		}
-		state := x.Summary()
-		if l.world.Now.Before(l.nextHeartbeat[host]) && state == l.lastSummary[host] {
+		summary := worker.Summary()
+		if l.world.Now.Before(l.nextHeartbeat[host]) && summary == l.lastSummary[host] {
 			continue
 		}
-		l.lastSummary[host] = state
+		l.lastSummary[host] = summary
 		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
 		l.nextHeartbeat[host] = l.world.Now.Add(time.Duration(interval * float64(time.Second)))
-		to := x.Node
-		if !l.nodes[to].serves() {
-			x.Node = (to + 1) % len(l.nodes)
+		node := worker.Node
+		if !l.nodes[node].serves() {
+			worker.Node = (node + 1) % len(l.nodes)
 			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
 			continue
 		}
-		sent := sentHeartbeat{x, to, l.world.Now, x.AgentEpoch}
-		status, body := l.request("heartbeat", to, "POST", "/checkin", api.JSON(x.Heartbeat()))
+		sent := sentHeartbeat{worker, node, l.world.Now, worker.AgentEpoch}
+		status, body := l.request("heartbeat", node, "POST", "/checkin", api.JSON(worker.Heartbeat()))
 		commands, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
 			panic(err)
@@ -159,32 +160,32 @@
 	}
 }
 
-// runUsers lets users submit jobs, ask for them and cancel the services whose time has come.
+// runUsers has users submit jobs, query their state, and cancel the services whose time has come.
 func (l *loadScenario) runUsers() {
 	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		l.dueJobs[class] += class.PerSecond * loadStep.Seconds()
+		l.dueJobs[class] += class.PerSecond * stepInterval.Seconds()
 		for ; l.dueJobs[class] >= 1; l.dueJobs[class]-- {
-			l.newJob(class)
+			l.submitNewJob(class)
 		}
 	}
-	repeat := l.resubmissions
+	resubmissions := l.resubmissions
 	l.resubmissions = nil
-	for _, uid := range repeat {
-		l.submitFrom(uid)
+	for _, uid := range resubmissions {
+		l.submitToRandomNode(uid)
 	}
 	for _, uid := range l.jobIDs {
-		at, unfinished := l.pollAt[uid]
-		if !unfinished || l.world.Now.Before(at) {
+		nextPoll, unfinished := l.pollAt[uid]
+		if !unfinished || l.world.Now.Before(nextPoll) {
 			continue
 		}
-		l.pollAt[uid] = l.world.Now.Add(pollEvery)
-		to := l.anyNode()
-		if end, service := l.endAt[uid]; service && l.world.Now.After(end) {
+		l.pollAt[uid] = l.world.Now.Add(pollInterval)
+		node := l.randomServingNode()
+		if cancelTime, isService := l.cancelAt[uid]; isService && l.world.Now.After(cancelTime) {
 			l.world.Jobs[uid].CancelRequested = true
-			status, body := l.request("user", to, "POST", "/v2/runs/"+uid+"/cancel", nil)
+			status, body := l.request("user", node, "POST", "/v2/runs/"+uid+"/cancel", nil)
 			l.checkResponse(uid, status, body, false)
 		} else {
-			status, body := l.request("user", to, "GET", "/v2/runs/"+uid, nil)
+			status, body := l.request("user", node, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
 		}
 		if l.world.Jobs[uid].FinalPhase != "" {
@@ -193,8 +194,8 @@
 	}
 }
 
-// anyNode draws a controller that serves.
-func (l *loadScenario) anyNode() int {
+// randomServingNode draws a controller that serves requests.
+func (l *loadScenario) randomServingNode() int {
 	for {
 		if i := l.random.IntN(len(l.nodes)); l.nodes[i].serves() {
 			return i
@@ -202,92 +203,96 @@
 	}
 }
 
-// newJob submits a new job of a class.
-func (l *loadScenario) newJob(class *simulator.Class) {
-	run, runTime := class.NewJob(len(l.jobIDs), l.random)
+// submitNewJob draws a job of a class and submits it.
+func (l *loadScenario) submitNewJob(class *simulator.Class) {
+	spec, runTime := class.NewJob(len(l.jobIDs), l.random)
 	if class.Service {
-		l.endAt[run.UID] = l.world.Now.Add(runTime)
+		l.cancelAt[spec.UID] = l.world.Now.Add(runTime)
 	}
-	l.world.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, Done: map[int]bool{}}
-	l.jobIDs = append(l.jobIDs, run.UID)
-	l.submitFrom(run.UID)
+	l.world.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: runTime, Done: map[int]bool{}}
+	l.jobIDs = append(l.jobIDs, spec.UID)
+	l.submitToRandomNode(spec.UID)
 }
 
-// submitFrom submits a job through any controller. One that is refused is submitted again.
-func (l *loadScenario) submitFrom(uid string) {
-	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.world.Jobs[uid].Spec))
+// submitToRandomNode submits a job to a drawn controller. A refused job is submitted again at the
+// next step.
+func (l *loadScenario) submitToRandomNode(uid string) {
+	status, body := l.request("user", l.randomServingNode(), "POST", "/v2/runs", simulator.Submission(&l.world.Jobs[uid].Spec))
 	l.checkResponse(uid, status, body, true)
 	if status == 200 || status == 201 {
-		l.pollAt[uid] = l.world.Now.Add(pollEvery)
+		l.pollAt[uid] = l.world.Now.Add(pollInterval)
 	} else {
 		l.resubmissions = append(l.resubmissions, uid)
 	}
 }
 
-// play lets everybody go on for a while.
-func (l *loadScenario) play(phase string, d time.Duration) {
+// runPhase runs controllers, workers and users for a simulated time and charges the cost to a
+// phase.
+func (l *loadScenario) runPhase(phase string, duration time.Duration) {
 	l.phase = phase
-	for end := l.world.Now.Add(d); l.world.Now.Before(end); {
+	for end := l.world.Now.Add(duration); l.world.Now.Before(end); {
 		for i := range l.nodes {
-			l.measureStep(i)
+			l.stepController(i)
 		}
 		l.sendHeartbeats()
 		l.runUsers()
-		l.world.Advance(loadStep)
+		l.world.Advance(stepInterval)
 	}
 	if cost := l.costs[phase]; cost != nil {
-		cost.simulated += d
+		cost.simulated += duration
 		for _, n := range l.nodes {
-			for _, use := range n.controller.guard.LockUses() {
-				sum := cost.lockUses[use.Function]
+			for _, lockUse := range n.controller.guard.LockUses() {
+				sum := cost.lockUses[lockUse.Function]
 				if sum == nil {
-					sum = &state.LockUse{Function: use.Function}
-					cost.lockUses[use.Function] = sum
+					sum = &state.LockUse{Function: lockUse.Function}
+					cost.lockUses[lockUse.Function] = sum
 				}
-				sum.Holds += use.Holds
-				sum.TotalHeld += use.TotalHeld
-				sum.LongestHold = max(sum.LongestHold, use.LongestHold)
+				sum.Holds += lockUse.Holds
+				sum.TotalHeld += lockUse.TotalHeld
+				sum.LongestHold = max(sum.LongestHold, lockUse.LongestHold)
 			}
 		}
 	}
 }
 
-// playPhases plays the phases in which controllers do most: the fill, a steady load, a lost
-// controller and its return, an outage of the state service, the last controller left.
-func (l *loadScenario) playPhases() {
+// runPhases runs the phases with the highest load on controllers: the initial jobs, a steady
+// load, the loss of a controller and its restart, an outage of the state service and its end, and
+// a single controller left.
+func (l *loadScenario) runPhases() {
 	l.phase = "fill"
 	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
 		for range class.Initial {
-			l.newJob(class)
+			l.submitNewJob(class)
 		}
 	}
-	l.play("fill", 90*time.Second)
-	l.play("steady", 90*time.Second)
+	l.runPhase("fill", 90*time.Second)
+	l.runPhase("steady", 90*time.Second)
 	l.nodes[2].running = false
-	l.play("takeover", 25*time.Second)
+	l.runPhase("takeover", 25*time.Second)
 	l.startNode(2)
-	l.play("start", 25*time.Second)
+	l.runPhase("start", 25*time.Second)
 	l.world.Store.Down = true
-	l.play("outage", 15*time.Second)
+	l.runPhase("outage", 15*time.Second)
 	l.world.Store.Down = false
-	l.play("return", 25*time.Second)
+	l.runPhase("return", 25*time.Second)
 	l.nodes[1].running, l.nodes[2].running = false, false
-	l.play("last", 40*time.Second)
+	l.runPhase("last", 40*time.Second)
 }
 
-// budgetedStore keeps to a share of the changes of a second, as the real client does.
+// budgetedStore limits the writes per second to this controller's share, as the real client does.
 type budgetedStore struct {
 	*simulator.StoreClient
 	budget *transport.TokenBucket
 	now    func() time.Time
 }
 
-// AwaitWrites returns how many of n changes the budget allows now.
+// AwaitWrites returns how many of n writes the budget allows now.
 func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
 	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
-// Commit commits a transaction if the budget allows it, and else returns store.ErrRefused.
+// Commit commits a transaction if the budget allows its writes, and returns store.ErrRefused
+// otherwise.
 func (b *budgetedStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	if _, ok := b.budget.Take(b.now(), float64(len(t.Ops)), 0); !ok {
 		return store.CommitResult{}, store.ErrRefused
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -7,18 +7,18 @@
 	"violetturn/internal/api"
 )
 
-// Jobs bound to one zone, arrays too, lose machines there.
+// Jobs that are bound to one zone, a service and arrays, lose machines there and recover.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	s := newReadyCluster()
-	bound := func(r *api.Job) { r.Zone = "y" }
-	s.submitService(3, bound)
-	a := s.submitArray(8, 6*time.Second, bound)
+	inZoneY := func(r *api.Job) { r.Zone = "y" }
+	s.submitService(3, inZoneY)
+	array := s.submitArray(8, 6*time.Second, inZoneY)
 	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.Together = true })
-	s.runUntil(t, 80, "some run", func() bool { return s.runningTasks(a) > 0 })
+	s.runUntil(t, 80, "some tasks of the array run", func() bool { return s.runningTasks(array) > 0 })
 	for range 3 {
-		for k, h := range s.world.Cloud.HostNames() {
-			if x := s.world.Cloud.Hosts[h]; x.Zone == "y" && k%2 == 0 {
-				s.world.Cloud.Terminate(h)
+		for i, host := range s.world.Cloud.HostNames() {
+			if worker := s.world.Cloud.Hosts[host]; worker.Zone == "y" && i%2 == 0 {
+				s.world.Cloud.Terminate(host)
 			}
 		}
 		s.runRounds(t, 20)
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// newClusterInProduction returns a cluster of the version in production under limits that let it write
-// large records, and the coming ones far smaller.
+// newClusterInProduction returns a cluster of the version in production whose current limits
+// allow large records, and whose announced lower limits are far smaller.
 func newClusterInProduction(t *testing.T) *testCluster {
 	t.Helper()
 	s := newTestCluster()
@@ -26,14 +26,14 @@
 	return s
 }
 
-// setStateLimits sets the state service's limits, today's and the coming ones, for controllers
-// that are started from now on.
+// setStateLimits sets the current and the announced lower limits of the state service, for
+// controllers that start after this.
 func (s *testCluster) setStateLimits(kb float64, ops int, nextKB float64, nextOps int) {
 	s.stateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: kb, TxnOps: ops}
 	s.nextStateLimits = config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: nextKB, TxnOps: nextOps}
 }
 
-// upgradeNodes brings all controllers back new, one after the other.
+// upgradeNodes restarts all controllers with the new version, one after the other.
 func (s *testCluster) upgradeNodes() {
 	for i, n := range s.nodes {
 		n.inProduction = false
@@ -42,91 +42,91 @@
 	}
 }
 
-// lowerStateLimits has the state service keep to its next limits.
+// lowerStateLimits has the state service enforce the announced lower limits.
 func (s *testCluster) lowerStateLimits() {
 	s.world.Store.MaxOps, s.world.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
 }
 
-// Jobs that the version in production recorded for large values run on, are cancelled
-// and done when the limits come down the moment after the last controller is new: their
-// records are split, and no transaction is sent in a refused form for ever.
-func TestLimitsFallOnLargeRecords(t *testing.T) {
+// Jobs with large records of the version in production keep running, are cancelled and finish
+// when the limits are lowered right after the last controller was upgraded: their records are
+// split, and no refused transaction is repeated in the same form without end.
+func TestLargeRecordsAreSplitWhenLimitsFall(t *testing.T) {
 	s := newClusterInProduction(t)
-	small := func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.05, 0.05 }
-	inline := s.submitJob(func(r *api.Job, d *time.Duration) { small(r); r.Tasks, *d = 120, time.Minute })
-	inRanges := s.submitJob(func(r *api.Job, d *time.Duration) { small(r); r.Tasks, *d = 450, 90*time.Second })
-	cancelled := s.submitJob(func(r *api.Job, _ *time.Duration) { small(r); r.Tasks, r.Kind = 110, api.Service })
-	s.runUntil(t, 200, "all run", func() bool {
+	setSmallTasks := func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.05, 0.05 }
+	inline := s.submitJob(func(r *api.Job, d *time.Duration) { setSmallTasks(r); r.Tasks, *d = 120, time.Minute })
+	inRanges := s.submitJob(func(r *api.Job, d *time.Duration) { setSmallTasks(r); r.Tasks, *d = 450, 90*time.Second })
+	cancelled := s.submitJob(func(r *api.Job, _ *time.Duration) { setSmallTasks(r); r.Tasks, r.Kind = 110, api.Service })
+	s.runUntil(t, 200, "all tasks run", func() bool {
 		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
 	})
 	large := 0
-	for _, it := range s.world.Store.Items(statecache.LivePrefix) {
-		if len(it.Value) > int(s.nextStateLimits.ValueKB*1024) {
+	for _, item := range s.world.Store.Items(statecache.LivePrefix) {
+		if len(item.Value) > int(s.nextStateLimits.ValueKB*1024) {
 			large++
 		}
 	}
 	if large < 3 {
-		t.Fatalf("%d records are larger than the coming limit", large)
+		t.Fatalf("%d records are larger than the announced lower limit, want at least 3", large)
 	}
 	s.upgradeNodes()
 	s.lowerStateLimits()
-	s.runUntil(t, 60, "cancelled", func() bool {
+	s.runUntil(t, 60, "cancellation confirmed", func() bool {
 		s.cancel(1, cancelled)
 		return s.world.Jobs[cancelled].FinalPhase == api.JobCancelled
 	})
-	s.runUntil(t, 900, "done", s.isDone(inline))
-	s.runUntil(t, 900, "done", s.isDone(inRanges))
-	s.runUntil(t, 400, "no large record of a job is left", func() bool {
-		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
-			large := len(it.Value) > int(s.nextStateLimits.ValueKB*1024)
-			return large && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
+	s.runUntil(t, 900, "job with inline range done", s.isDone(inline))
+	s.runUntil(t, 900, "job with several ranges done", s.isDone(inRanges))
+	s.runUntil(t, 400, "no large job record remains", func() bool {
+		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(item simulator.Item) bool {
+			isLarge := len(item.Value) > int(s.nextStateLimits.ValueKB*1024)
+			return isLarge && item.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
 	if s.world.Store.TooLarge > 20 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.TooLarge)
+		t.Fatalf("%d transactions were refused because of their size, want at most 20", s.world.Store.TooLarge)
 	}
 }
 
-// While the limits are still today's, large records are split in the background.
-func TestLargeRecordsAreSplitBeforehand(t *testing.T) {
+// While the current limits still apply, large records are split in the background.
+func TestLargeRecordsAreSplitBeforeLimitsFall(t *testing.T) {
 	s := newClusterInProduction(t)
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.GPUs, r.CPUs, r.MemGB, r.Tasks, r.Kind = 0, 0.05, 0.05, 120, api.Service
 	})
-	s.runUntil(t, 100, "all run", func() bool { return s.runningTasks(id) == 120 })
+	s.runUntil(t, 100, "all tasks run", func() bool { return s.runningTasks(id) == 120 })
 	s.upgradeNodes()
-	s.runUntil(t, 200, "split", func() bool { return s.nodes[0].state().Cache.Jobs[id].Record.Generation == 1 })
+	s.runUntil(t, 200, "record is split", func() bool { return s.nodes[0].state().Cache.Jobs[id].Record.Generation == 1 })
 	for range 60 {
 		s.runRound()
-		if n := s.runningTasks(id); n != 120 {
-			t.Fatalf("%d of its tasks run", n)
+		if running := s.runningTasks(id); running != 120 {
+			t.Fatalf("%d tasks run after the split, want 120", running)
 		}
 	}
 	if s.lowerStateLimits(); s.world.Store.TooLarge > 0 {
-		t.Fatal("something was refused for its size")
+		t.Fatalf("%d transactions were refused because of their size, want 0", s.world.Store.TooLarge)
 	}
 }
 
-// A shard whose room no longer fits its record is used as a whole by its leader: peers
-// see the machines with most room only.
-func TestTrimmedShardServesAllItsMachines(t *testing.T) {
+// The leader uses all machines of a shard whose free capacity does not fit the capacity record:
+// only peers are limited to the machines with the most free capacity, which the record lists.
+func TestLeaderUsesMachinesMissingFromCapacityRecord(t *testing.T) {
 	s := newTestCluster()
 	s.setStateLimits(1, 8, 1, 4)
 	for i := range s.nodes {
 		s.startNode(i)
 	}
 	s.runFor(10)
-	for k := range 3 {
+	for i := range 3 {
 		s.submitJob(func(r *api.Job, _ *time.Duration) {
-			r.Kind, r.Tasks, r.Zone, r.CPUs, r.Image = api.Service, 120, "x", 0.5+0.001*float64(k), fmt.Sprint(k)
+			r.Kind, r.Tasks, r.Zone, r.CPUs, r.Image = api.Service, 120, "x", 0.5+0.001*float64(i), fmt.Sprint(i)
 		})
 	}
-	n := 0
-	s.runUntil(t, 400, "all run", func() bool {
-		n = 0
+	running := 0
+	s.runUntil(t, 400, "all tasks run", func() bool {
+		running = 0
 		for _, id := range s.jobIDs {
-			n += s.runningTasks(id)
+			running += s.runningTasks(id)
 		}
-		return n == 360
+		return running == 360
 	})
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -11,14 +11,14 @@
 	"violetturn/internal/statecache"
 )
 
-// A machine that was returned is not recorded again when a heartbeat that a partition
-// delayed arrives, or because the list still shows it.
+// A returned machine is not registered again, neither by a heartbeat that a partition delayed nor
+// because the list of machines still contains it.
 func TestReturnedMachineStaysDeregistered(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(nil)
 	s.runUntil(t, 60, "array done", s.isDone(id))
 	host := s.world.Cloud.HostNames()[0]
-	late := api.JSON(s.world.Cloud.Hosts[host].Heartbeat())
+	lateHeartbeat := api.JSON(s.world.Cloud.Hosts[host].Heartbeat())
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
@@ -27,19 +27,18 @@
 	)
 	for range 20 {
 		for i := range s.nodes {
-			s.deliverHeartbeat(i, late)
+			s.deliverHeartbeat(i, lateHeartbeat)
 		}
 		s.runRound()
 		for _, n := range s.nodes {
 			if n.state().Cache.Machines[host] != nil {
-				t.Fatal("registered again")
+				t.Fatalf("returned machine %s is registered again at %s", host, n.name)
 			}
 		}
 	}
 }
 
-// Rented machines are recorded in groups, not by a change each, and deregistered
-// likewise.
+// Rented machines are registered in groups, not with one write each.
 func TestMachinesAreRecordedInGroups(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
@@ -50,74 +49,75 @@
 	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
 		c.decisions.RegisterMachines(context.Background())
 	}
-	if n := s.world.Store.Writes - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
-		t.Fatalf("%d changes for %d machines", n, len(c.testState().Cache.Machines))
+	if writes := s.world.Store.Writes - before; writes > 6 || len(c.testState().Cache.Machines) < 60 {
+		t.Fatalf("%d writes for %d registered machines, want at most 6 for at least 60", writes, len(c.testState().Cache.Machines))
 	}
 }
 
-// Machines that went lately stay known as gone however many went: a late copy of one's
-// heartbeat must not bring it back. All of them were once dropped at a fixed number.
-func TestTerminatedMachinesAreRemembered(t *testing.T) {
-	m := statecache.New(nil)
+// Recently terminated machines stay recorded as terminated, however many were terminated: a late
+// copy of a heartbeat must not register one again. All of them were once removed when a fixed
+// number was reached.
+func TestRecentTerminationsStayRecorded(t *testing.T) {
+	cache := statecache.New(nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	const machines = 3 * statecache.MinTerminated
 	for i := range machines {
-		m.RecordTerminated(name(i))
-		for back := range min(i, statecache.MinTerminated/2) {
-			if back%97 == 0 && !m.Terminated[name(i-back)] {
-				t.Fatalf("of %d that went the %dth last is not remembered", i+1, back+1)
+		cache.RecordTerminated(name(i))
+		for previous := range min(i, statecache.MinTerminated/2) {
+			if previous%97 == 0 && !cache.Terminated[name(i-previous)] {
+				t.Fatalf("of %d terminated machines, number %d from the end is not recorded", i+1, previous+1)
 			}
 		}
 	}
-	if len(m.Terminated) > statecache.MinTerminated {
-		t.Errorf("%d are remembered", len(m.Terminated))
+	if len(cache.Terminated) > statecache.MinTerminated {
+		t.Errorf("%d terminated machines are recorded, want at most %d", len(cache.Terminated), statecache.MinTerminated)
 	}
 }
 
-// Machines recorded in pages of a hundred are deregistered, and others registered, when
-// values have room for ten; a fine page speaks for its machines before a coarse one.
-func TestPagesGrowFiner(t *testing.T) {
+// Machines in pages of a hundred are deregistered, and others registered, after the limits are
+// lowered so that values hold ten: a finer page supersedes a coarser one for its machines.
+func TestMachinePagesAreSplitWhenLimitsFall(t *testing.T) {
 	s := newClusterInProduction(t)
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.CPUs = 30, api.Service, 1 })
-	s.runUntil(t, 200, "all run", func() bool { return s.runningTasks(id) == 30 })
+	s.runUntil(t, 200, "all tasks run", func() bool { return s.runningTasks(id) == 30 })
 	s.upgradeNodes()
 	s.lowerStateLimits()
 	s.cancel(0, id)
 	s.runUntil(t, 400, "all machines are terminated and deregistered", func() bool {
 		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
-	s.runUntil(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
+	s.runUntil(t, 400, "machine pages are deleted", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
 	again := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
-	s.runUntil(t, 400, "done", s.isDone(again))
+	s.runUntil(t, 400, "second job done", s.isDone(again))
 	if s.world.Store.TooLarge > 3 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.TooLarge)
+		t.Fatalf("%d transactions were refused because of their size, want at most 3", s.world.Store.TooLarge)
 	}
 }
 
-// A machine whose coarse page a late write of the version before changes after a fine
-// one has taken over stays as the fine one says.
-func TestFinePageHidesCoarse(t *testing.T) {
+// A late write of the version in production to a coarser page has no effect on machines that a
+// finer page covers.
+func TestFinerPageSupersedesCoarserPage(t *testing.T) {
 	s := newTestCluster()
-	m := s.nodes[0].state().Cache
-	page := func(id string, version uint64, hosts ...string) {
-		p := shard.MachinePage{}
-		for _, h := range hosts {
-			p[h] = &shard.Machine{Shard: id, MachineType: "m"}
+	cache := s.nodes[0].state().Cache
+	applyPage := func(id string, version uint64, hostNames ...string) {
+		page := shard.MachinePage{}
+		for _, host := range hostNames {
+			page[host] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		m.Apply(statecache.MachinePageKey(id), api.JSON(p), version)
+		cache.Apply(statecache.MachinePageKey(id), api.JSON(page), version)
 	}
-	page("i-0002-", 1, "i-000231", "i-000232", "i-000247")
-	page("i-00023-", 2, "i-000231")
-	if m.Machines["i-000231"].Shard != "i-00023-" || m.Machines["i-000232"] != nil || m.Machines["i-000247"] == nil ||
-		!m.Terminated["i-000232"] {
-		t.Fatal(m.Machines)
+	applyPage("i-0002-", 1, "i-000231", "i-000232", "i-000247")
+	applyPage("i-00023-", 2, "i-000231")
+	if cache.Machines["i-000231"].Shard != "i-00023-" || cache.Machines["i-000232"] != nil || cache.Machines["i-000247"] == nil ||
+		!cache.Terminated["i-000232"] {
+		t.Fatalf("machines %v, want i-000231 of the finer page, i-000247 of the coarser one and i-000232 terminated", cache.Machines)
 	}
-	page("i-0002-", 3, "i-000232", "i-000239", "i-000247")
-	if m.Machines["i-000232"] != nil || m.Machines["i-000239"] != nil || len(m.Machines) != 2 {
-		t.Fatal("a late write brings machines back", m.Machines)
+	applyPage("i-0002-", 3, "i-000232", "i-000239", "i-000247")
+	if cache.Machines["i-000232"] != nil || cache.Machines["i-000239"] != nil || len(cache.Machines) != 2 {
+		t.Fatalf("after a late write to the coarser page: machines %v, want only i-000231 and i-000247", cache.Machines)
 	}
-	m.Apply(statecache.MachinePageKey("i-0002-"), nil, 4)
-	if len(m.Machines) != 1 || m.Machines["i-000231"] == nil {
-		t.Fatal(m.Machines)
+	cache.Apply(statecache.MachinePageKey("i-0002-"), nil, 4)
+	if len(cache.Machines) != 1 || cache.Machines["i-000231"] == nil {
+		t.Fatalf("coarser page deleted: machines %v, want only i-000231", cache.Machines)
 	}
 }
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -11,95 +11,96 @@
 	"violetturn/internal/simulator"
 )
 
-// A machine that was fenced before its first heartbeat was answered once counted
-// as silent since long before it was rented, and went back at once.
-func TestNewMachineIsKept(t *testing.T) {
+// A machine that received a command before its first heartbeat was answered once counted as
+// silent since long before it was rented, and was returned at once.
+func TestNewMachineIsNotReturned(t *testing.T) {
 	s := newTestCluster()
-	s.runFor(60) // terms grow old
+	s.runFor(60) // the terms are old by then
 	id := s.submitJob(nil)
 	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.Hosts) > 0 })
-	first := s.world.Cloud.HostNames()[0]
-	for range 30 { // the controllers hear of it only by their own fences
+	firstMachine := s.world.Cloud.HostNames()[0]
+	for range 30 { // no heartbeats: the controllers only reach the machine with their own commands
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
 		s.world.Advance(roundInterval)
-		if s.world.Cloud.Hosts[first] == nil {
-			t.Fatal("the machine went back")
+		if s.world.Cloud.Hosts[firstMachine] == nil {
+			t.Fatalf("machine %s was returned before its first heartbeat", firstMachine)
 		}
 	}
 	s.runUntil(t, 60, "array done", s.isDone(id))
 }
 
-// New machines are up within two seconds and get work at once while writes lag, and the
-// leader ends.
-func TestFastBoot(t *testing.T) {
+// New machines boot within two seconds and get work at once, while requests to the services fail
+// or are delayed and controllers restart.
+func TestMachinesThatBootFast(t *testing.T) {
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
 		t.Run(fmt.Sprintf("boot in %v", boot), func(t *testing.T) {
 			s := newReadyCluster()
 			s.world.MachineType.Boot = boot
-			a := s.submitArray(12, 2*time.Second, nil)
-			// Who rents hears no response and ends: only the machines tell that they are there.
-			for k := 0; k < 20 && len(s.world.Cloud.Hosts) == 0; k++ {
+			array := s.submitArray(12, 2*time.Second, nil)
+			// The controller that rents receives no response and is restarted: only the
+			// heartbeats of the machines show that they exist.
+			for round := 0; round < 20 && len(s.world.Cloud.Hosts) == 0; round++ {
 				for _, n := range s.nodes {
 					s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
 				}
 				s.runRounds(t, 1)
 			}
 			if len(s.world.Cloud.Hosts) == 0 {
-				t.Error("nothing was rented")
+				t.Error("no machine was rented in 20 rounds")
 			}
 			for i := range s.nodes {
 				s.startNode(i)
 			}
 			s.submitService(3, nil)
-			for k := range 30 {
-				s.world.Store.NextFault[s.nodes[k%3].name] = simulator.Fault(k % 4)
-				s.world.Cloud.NextFault[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
-				if k%5 == 4 {
+			for round := range 30 {
+				s.world.Store.NextFault[s.nodes[round%3].name] = simulator.Fault(round % 4)
+				s.world.Cloud.NextFault[s.nodes[(round+1)%3].name] = simulator.Fault(round % 3)
+				if round%5 == 4 {
 					s.world.Store.DeliverDelayed()
 				}
-				if k%10 == 9 {
-					s.startNode(k / 10)
+				if round%10 == 9 {
+					s.startNode(round / 10)
 				}
 				s.runRounds(t, 1)
 			}
-			s.runUntil(t, 200, "array done", s.isDone(a))
+			s.runUntil(t, 200, "array done", s.isDone(array))
 			s.checkRecovery(t)
-			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
+			s.runUntil(t, 400, "at most 4 machines remain", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
 		})
 	}
 }
 
-// A job that needs a thousand machines has them all rented while the first boot. Its tasks
-// were once looked at a few hundred at a time: those met the machines that were coming,
-// and nothing more was rented before they were up.
-func TestLargeJobRentsAllItNeeds(t *testing.T) {
+// A job that needs a thousand machines has all of them rented while the first ones boot. Once its
+// tasks were planned a few hundred at a time: those fit the provisioning machines, and no more
+// were rented until these had booted.
+func TestLargeJobRentsAllMachinesWhileFirstBoot(t *testing.T) {
 	s := newTestCluster()
 	s.world.MachineType.Boot = 100 * time.Second
 	s.runFor(10)
 	s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 2000, time.Hour })
 	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.world.Cloud.Hosts) >= 1000 })
-	if n := len(s.world.Cloud.Hosts); n > 1100 {
-		t.Errorf("%d machines are rented for 2000 tasks, two a machine", n)
+	if machines := len(s.world.Cloud.Hosts); machines > 1100 {
+		t.Errorf("%d machines are rented for 2000 tasks, two per machine; want at most 1100", machines)
 	}
-	for _, x := range s.world.Cloud.Workers() {
-		if x.Up() {
-			t.Fatal("the first machines are up before the last are rented")
+	for _, worker := range s.world.Cloud.Workers() {
+		if worker.Up() {
+			t.Fatalf("machine %s has booted before the last machine was rented", worker.Host)
 		}
 	}
 }
 
-// Headroom is rented for as soon as more is wanted, and in each round until there is enough: one takes no
-// more than the cloud gives at once, and looking only a sixteenth of a boot apart left
-// the first minutes with too few machines.
-func TestHeadroomBeyondOneRental(t *testing.T) {
+// Headroom is rented as soon as it is needed, and in each run until there is enough: a rental is
+// limited to what the cloud provides at once, and a check only every sixteenth of a boot time
+// left too few machines in the first minutes.
+func TestHeadroomTakesSeveralRentals(t *testing.T) {
 	s := newTestCluster()
 	s.world.MachineType.Boot = time.Minute
 	s.runFor(4)
 	c := s.nodes[0].controller
 	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "l", WithinS: 10}}
-	run := &api.Job{
+	spec := &api.Job{
 		UID:      "run-1",
 		Class:    "l",
 		Team:     "b",
@@ -112,15 +113,15 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Note(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Capacity.Arrivals().Note(&job.Record{Spec: *spec, AcceptedMS: c.node.Now().UnixMilli()})
 	}
-	s.runFor(6) // a sixteenth of a boot is eight rounds
-	if n := len(s.world.Cloud.Hosts); n < 150 {
-		t.Fatalf("%d machines after three seconds", n)
+	s.runFor(6) // a sixteenth of the boot time is eight rounds
+	if machines := len(s.world.Cloud.Hosts); machines < 150 {
+		t.Fatalf("%d machines after three seconds, want at least 150", machines)
 	}
 	rented := len(s.world.Cloud.Hosts)
 	s.runFor(6)
-	if n := len(s.world.Cloud.Hosts); n != rented {
-		t.Fatalf("%d machines, then %d, though there was enough", rented, n)
+	if machines := len(s.world.Cloud.Hosts); machines != rented {
+		t.Fatalf("%d machines, and %d three seconds later: want no change, as there were enough", rented, machines)
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -8,54 +8,53 @@
 	"violetturn/internal/api"
 )
 
-// Work of a higher priority takes the room of lower ones, and of no more of them
-// than it needs.
+// Work of a higher priority preempts work of a lower one, but no more tasks than it needs.
 func TestProductionPreemptsIdle(t *testing.T) {
 	s := newReadyCluster()
-	low := s.submitJob(func(r *api.Job, d *time.Duration) {
+	idleJob := s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Team, r.Priority, r.Tasks = "b", "idle", 4
 		*d = time.Hour
 	})
-	s.runUntil(t, 80, "idle work runs", func() bool { return s.runningTasks(low) == 4 })
+	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleJob) == 4 })
 	s.world.Cloud.NoCapacity = true
-	high := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Priority, r.Tasks = api.Service, "production", 1 })
-	s.runUntil(t, 20, "production runs", func() bool { return s.runningTasks(high) == 1 })
-	if n := s.runningTasks(low); n != 3 {
-		t.Fatalf("%d idle tasks left of 4", n)
+	productionJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Priority, r.Tasks = api.Service, "production", 1 })
+	s.runUntil(t, 20, "production task runs", func() bool { return s.runningTasks(productionJob) == 1 })
+	if running := s.runningTasks(idleJob); running != 3 {
+		t.Fatalf("%d idle tasks run, want 3 of 4", running)
 	}
 }
 
-// There is more work than room, urgent and not, over slow connections: the urgent goes first,
-// and nothing is given up.
-func TestMoreWorkThanRoom(t *testing.T) {
+// Urgent and standard work exceeds the capacity, and responses to heartbeats are slow: the urgent
+// jobs run first, and no job is lost.
+func TestUrgentJobsRunFirstWhenCapacityIsShort(t *testing.T) {
 	s := newReadyCluster()
-	low := s.submitArray(8, time.Hour, func(r *api.Job) { r.Priority = "idle" })
-	s.runUntil(t, 80, "idle work runs", func() bool { return s.runningTasks(low) > 0 })
+	idleArray := s.submitArray(8, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleArray) > 0 })
 	s.world.Cloud.NoCapacity = true
 	var urgent []string
 	for range 3 {
 		urgent = append(urgent, s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "urgent" }))
 		s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "standard" })
 	}
-	for k := 0; k < 400 && slices.ContainsFunc(urgent, func(id string) bool { return !s.isDone(id)() }); k++ {
+	for round := 0; round < 400 && slices.ContainsFunc(urgent, func(id string) bool { return !s.isDone(id)() }); round++ {
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		for i, h := range s.world.Cloud.HostNames() { // responses take more than a round
-			f := heartbeatServed
-			if (k+i)%2 == 0 {
-				f = responseDelayed
+		for i, host := range s.world.Cloud.HostNames() { // some responses take more than a round
+			fault := heartbeatServed
+			if (round+i)%2 == 0 {
+				fault = responseDelayed
 			}
-			s.sendHeartbeat(s.world.Cloud.Hosts[h], f)
+			s.sendHeartbeat(s.world.Cloud.Hosts[host], fault)
 		}
 		s.world.Advance(roundInterval)
 		s.checkViolations(t)
 	}
 	for _, id := range urgent {
 		if !s.isDone(id)() {
-			t.Errorf("urgent %s is not done", id)
+			t.Errorf("urgent job %s is not done after 400 rounds", id)
 		}
 	}
-	s.cancel(1, low)
+	s.cancel(1, idleArray)
 	s.checkRecovery(t)
 }
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/store"
 )
 
-// The structures into which the version in production reads records, field by field as
-// it has them. It writes back what it read: a field that is not here is lost.
+// The record types of the version in production, field by field. It writes back what it has read,
+// so a field that is not declared here is lost.
 type (
 	prodJobRecord struct {
 		Spec           api.Job        `json:"r"`
@@ -43,15 +43,15 @@
 		Incarnation        uint64 `json:"inc"`
 		Term               uint64 `json:"term"`
 		WorkersUnreachable bool   `json:"m,omitempty"`
-		HearsWorkers       bool   `json:"h,omitempty"`
+		HasWorkerContact   bool   `json:"h,omitempty"`
 	}
 	prodCapacityRecord struct {
-		Term               uint64                `json:"term"`
-		Leader             string                `json:"by"`
-		Released           bool                  `json:"rel,omitempty"`
-		PredecessorInDoubt bool                  `json:"d,omitempty"`
-		Free               json.RawMessage       `json:"free"`
-		QuotaUse           map[string][3]float64 `json:"u,omitempty"`
+		Term                 uint64                `json:"term"`
+		Leader               string                `json:"by"`
+		Released             bool                  `json:"rel,omitempty"`
+		PredecessorMayAnswer bool                  `json:"d,omitempty"`
+		Free                 json.RawMessage       `json:"free"`
+		QuotaUse             map[string][3]float64 `json:"u,omitempty"`
 	}
 	prodMachine struct {
 		Shard        string `json:"p"`
@@ -67,115 +67,115 @@
 	}
 )
 
-// jobKinds keeps what kind a job is of, by key: a kind that the version in production
-// doesn't know it takes for an array, and writes back under its name.
+// jobKinds keeps the kind of each job by key. The version in production reads a kind that it does
+// not support as an array, and writes it back under its own name.
 type jobKinds map[string]api.JobKind
 
-// read returns a record as the version in production reads it, nil for one that it does not
-// know.
+// read returns a record as the version in production reads it, or nil for a type of record that
+// it does not have.
 func (s jobKinds) read(key string, raw json.RawMessage) json.RawMessage {
 	if raw, _ = asProduction(key, raw); raw != nil && strings.HasPrefix(key, statecache.JobKey("")) {
-		var m prodJobRecord
-		_ = json.Unmarshal(raw, &m) // asProduction wrote it
-		if s[key] = m.Spec.Kind; m.Spec.Kind != api.Service {
-			m.Spec.Kind = api.Array
+		var record prodJobRecord
+		_ = json.Unmarshal(raw, &record) // asProduction encoded it
+		if s[key] = record.Spec.Kind; record.Spec.Kind != api.Service {
+			record.Spec.Kind = api.Array
 		}
-		raw = api.JSON(m)
+		raw = api.JSON(record)
 	}
 	return raw
 }
 
-// write returns a record that the version in production writes, with the kind that was read.
+// write returns a record that the version in production writes, with the kind of the job that was
+// read.
 func (s jobKinds) write(key string, raw json.RawMessage) json.RawMessage {
-	if was := s[key]; was != "" && strings.HasPrefix(key, statecache.JobKey("")) {
-		var m prodJobRecord
-		_ = json.Unmarshal(raw, &m) // asProduction wrote it
-		m.Spec.Kind = was
-		raw = api.JSON(m)
+	if kind := s[key]; kind != "" && strings.HasPrefix(key, statecache.JobKey("")) {
+		var record prodJobRecord
+		_ = json.Unmarshal(raw, &record) // asProduction encoded it
+		record.Spec.Kind = kind
+		raw = api.JSON(record)
 	}
 	return raw
 }
 
-// asProduction returns a record as the version in production writes it back, nil for one
-// that it doesn't know.
+// asProduction returns a record as the version in production writes it back, or nil for a type of
+// record that it does not have.
 func asProduction(key string, raw json.RawMessage) (json.RawMessage, error) {
-	var v any
+	var record any
 	switch {
 	case strings.HasPrefix(key, statecache.JobKey("")):
-		v = &prodJobRecord{}
+		record = &prodJobRecord{}
 	case strings.HasPrefix(key, taskRangePrefix):
-		v = &prodTaskRange{}
+		record = &prodTaskRange{}
 	case strings.HasPrefix(key, statecache.CapacityKey("")):
-		v = &prodCapacityRecord{}
+		record = &prodCapacityRecord{}
 	case strings.HasPrefix(key, statecache.LeaderKey("")), strings.HasPrefix(key, statecache.NodeKey("")):
-		v = &prodLeaderRecord{}
+		record = &prodLeaderRecord{}
 	case strings.HasPrefix(key, statecache.MachinePageKey("")):
-		v = &map[string]*prodMachine{}
+		record = &map[string]*prodMachine{}
 	case strings.HasPrefix(key, statecache.QuotaKey("")):
-		v = &prodQuotaRecord{}
+		record = &prodQuotaRecord{}
 	case strings.HasPrefix(key, statecache.CapabilityKey("")):
 		return nil, nil
 	default:
 		return raw, nil
 	}
-	if err := json.Unmarshal(raw, v); err != nil {
+	if err := json.Unmarshal(raw, record); err != nil {
 		return nil, err
 	}
-	return api.JSON(v), nil
+	return api.JSON(record), nil
 }
 
-// productionStore makes a controller's view of the state service that of the version
-// in production: it sees no fields, and no kinds of records, that this doesn't know,
-// and writes none.
+// productionStore restricts a controller to what the version in production reads and writes:
+// fields and types of records that this version does not have are neither returned nor written.
 type productionStore struct {
 	external.StateService
 	kinds jobKinds
 }
 
-// List reads the keys with a prefix, as the version in production does.
+// List returns the items under a prefix, as the version in production reads them.
 func (p *productionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
 	items, revision, err := p.StateService.List(ctx, prefix)
 	var out []store.Item
-	for _, it := range items {
-		if it.Value = p.kinds.read(it.Key, it.Value); it.Value != nil {
-			out = append(out, it)
+	for _, item := range items {
+		if item.Value = p.kinds.read(item.Key, item.Value); item.Value != nil {
+			out = append(out, item)
 		}
 	}
 	return out, revision, err
 }
 
-// Changes reads changes, as the version in production does.
+// Changes returns the changes under a prefix, as the version in production reads them.
 func (p *productionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
-	log, revision, err := p.StateService.Changes(ctx, prefix, since, block)
+	changes, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
-	for _, e := range log {
-		if e.Drop == "" {
-			if e.Value = p.kinds.read(e.Write, e.Value); e.Value == nil {
+	for _, change := range changes {
+		if change.Drop == "" {
+			if change.Value = p.kinds.read(change.Write, change.Value); change.Value == nil {
 				continue
 			}
 		}
-		out = append(out, e)
+		out = append(out, change)
 	}
 	return out, revision, err
 }
 
-// Commit commits a transaction, as the version in production does.
+// Commit commits a transaction, as the version in production writes its records.
 func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
-	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
+	rewritten := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
 		if op.Drop == "" {
-			v, err := asProduction(op.Write, op.Value)
+			value, err := asProduction(op.Write, op.Value)
 			if err != nil {
 				panic(err)
 			}
-			if v == nil {
+			if value == nil {
 				continue
 			}
-			op.Value = p.kinds.write(op.Write, v)
+			op.Value = p.kinds.write(op.Write, value)
 		}
-		u.Ops = append(u.Ops, op)
+		rewritten.Ops = append(rewritten.Ops, op)
 	}
-	return p.StateService.Commit(ctx, u, r)
+	return p.StateService.Commit(ctx, rewritten, r)
 }
 
 // taskRangePrefix is the prefix of the keys of task ranges.
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -20,8 +20,8 @@
 	"violetturn/internal/transport"
 )
 
-// sameJSON reports whether two records say the same.
-func sameJSON(t *testing.T, a, b json.RawMessage) bool {
+// equalJSON reports whether two records have the same content.
+func equalJSON(t *testing.T, a, b json.RawMessage) bool {
 	t.Helper()
 	var x, y any
 	if err := json.Unmarshal(a, &x); err != nil {
@@ -33,8 +33,8 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// Records that the version in production wrote are read and written back as they were:
-// the files are its own work.
+// Records of the version in production are read and written back unchanged. The files were
+// written by that version.
 func TestReadsProductionRecords(t *testing.T) {
 	for name, read := range map[string]func(raw json.RawMessage) (any, error){
 		"job-inner.json":   func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
@@ -54,16 +54,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v, err := read(raw)
-		if err != nil || !sameJSON(t, raw, api.JSON(v)) {
-			t.Errorf("%s comes back as %s, %v", name, api.JSON(v), err)
+		record, err := read(raw)
+		if err != nil || !equalJSON(t, raw, api.JSON(record)) {
+			t.Errorf("%s is written back as %s, error %v; want it unchanged", name, api.JSON(record), err)
 		}
 	}
 }
 
-// What is written while a controller may still be of the version in production says
-// the same after that has read it and written it back, but for the word about itself
-// that a node leaves in its own record, which nobody else rewrites.
+// Records that are written while one controller may still run the version in production have the
+// same content after that version has read them and written them back. The exception is the
+// schema version that a node writes to its own record, which no other node rewrites.
 func TestProductionReadsUpgradeRecords(t *testing.T) {
 	s := newTestCluster()
 	s.nodes[1].inProduction = true
@@ -74,43 +74,44 @@
 	s.runFor(20)
 	items, _, err := s.nodes[0].controller.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
-		t.Fatal(len(items), err)
+		t.Fatalf("%d items in the state service, error %v; want at least 8 and no error", len(items), err)
 	}
-	for _, it := range items {
-		old, err := asProduction(it.Key, it.Value)
+	for _, item := range items {
+		rewritten, err := asProduction(item.Key, item.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.HasPrefix(it.Key, statecache.CapabilityKey("")) {
-			continue // it knows no such records, and leaves them alone
+		if strings.HasPrefix(item.Key, statecache.CapabilityKey("")) {
+			continue // the version in production ignores these records
 		}
-		if strings.HasPrefix(it.Key, statecache.NodeKey("")) {
-			var o shard.NodeRecord
-			if err := json.Unmarshal(it.Value, &o); err != nil {
+		if strings.HasPrefix(item.Key, statecache.NodeKey("")) {
+			var nodeRecord shard.NodeRecord
+			if err := json.Unmarshal(item.Value, &nodeRecord); err != nil {
 				t.Fatal(err)
 			}
-			o.SchemaVersion = 0
-			it.Value = api.JSON(o)
+			nodeRecord.SchemaVersion = 0
+			item.Value = api.JSON(nodeRecord)
 		}
-		if !sameJSON(t, it.Value, old) {
-			t.Errorf("%s: %s comes back as %s", it.Key, it.Value, old)
+		if !equalJSON(t, item.Value, rewritten) {
+			t.Errorf("%s: %s is written back as %s, want the same content", item.Key, item.Value, rewritten)
 		}
 	}
 	if s.nodes[0].state().Schema.AllUpgraded() {
-		t.Error("upgraded with one of the version in production")
+		t.Error("all controllers count as upgraded, though n1 runs the version in production")
 	}
 }
 
-// That all are new is known from what each leaves behind: also to one alone after the
-// end of all, and not as long as one has never shown it.
-func TestUpgradeIsKnown(t *testing.T) {
+// The records that each controller leaves show that all controllers are upgraded: also to a
+// single controller after all have ended, and not as long as one controller has never recorded
+// it.
+func TestUpgradeIsDetectedFromRecords(t *testing.T) {
 	s := newTestCluster()
 	for i := range s.nodes {
 		s.nodes[i].inProduction = true
 		s.startNode(i)
 	}
-	gang := func() int {
-		r := &api.Job{
+	submitGang := func() int {
+		spec := &api.Job{
 			UID:      "run-000900",
 			Class:    "l",
 			Team:     "b",
@@ -121,10 +122,10 @@
 			MemGB:    1,
 			Image:    "i",
 		}
-		s.world.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, Done: map[int]bool{}}
+		s.world.Jobs[spec.UID] = &simulator.Job{Spec: *spec, RunTime: time.Second, Done: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.running && !n.inProduction {
-				return n.controller.frontend.Submit(context.Background(), simulator.Submission(r)).Status
+				return n.controller.frontend.Submit(context.Background(), simulator.Submission(spec)).Status
 			}
 		}
 		return 0
@@ -135,10 +136,10 @@
 		s.startNode(i)
 		s.runFor(10)
 		if i < 2 {
-			if a := gang(); a != 503 {
-				t.Fatalf("with %d new controllers a gang is answered %d", i+1, a)
+			if status := submitGang(); status != 503 {
+				t.Fatalf("gang submitted with %d of 3 controllers upgraded: status %d, want 503", i+1, status)
 			}
-			s.nodes[0].running = i == 0 // the first one dies, and stays counted
+			s.nodes[0].running = i == 0 // the first controller ends after the second is upgraded, and still counts
 		}
 	}
 	for _, n := range s.nodes {
@@ -147,28 +148,30 @@
 	s.runFor(40)
 	s.startNode(2)
 	s.runFor(30)
-	if a := gang(); a != 201 {
-		t.Fatalf("one new controller alone answers %d", a)
+	if status := submitGang(); status != 201 {
+		t.Fatalf("gang submitted to a single upgraded controller: status %d, want 201", status)
 	}
 }
 
-// The simulated services' checkers see what a controller of the version in production does to a
-// gang that was accepted too early.
-func TestPlantedGangIsCaught(t *testing.T) {
+// The checkers of the simulator detect that a controller of the version in production places the
+// tasks of a gang one by one, if the gang was accepted too early.
+func TestCheckersDetectGangAcceptedTooEarly(t *testing.T) {
 	s := newTestCluster()
 	for i := range s.nodes {
 		s.nodes[i].inProduction = i > 0
 		s.startNode(i)
 	}
 	s.runFor(30)
-	r := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.world.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, Done: map[int]bool{}}
-	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.world.Now.UnixMilli()}
-	m.ChooseLayout(2, 300, false)
-	a := &frontend.Submission{Ctx: context.Background(), Record: m, Response: make(chan transport.Response, 1)}
-	s.nodes[0].controller.frontend.AcceptBatch(context.Background(), []*frontend.Submission{a}) // without asking who may read it
+	spec := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
+	s.world.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: time.Second, Done: map[int]bool{}}
+	record := &job.Record{Spec: spec, Shard: "n1", AcceptedMS: s.world.Now.UnixMilli()}
+	record.ChooseLayout(2, 300, false)
+	submission := &frontend.Submission{Ctx: context.Background(), Record: record, Response: make(chan transport.Response, 1)}
+	// AcceptBatch does not check that all controllers support gangs.
+	s.nodes[0].controller.frontend.AcceptBatch(context.Background(), []*frontend.Submission{submission})
 	s.runFor(200)
 	if !slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleAttempts }) {
-		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.world.Violations)
+		t.Fatalf("violations %v, want one of rule %q, as the gang's tasks were placed one by one",
+			s.world.Violations, simulator.RuleAttempts)
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -14,96 +14,98 @@
 	"violetturn/internal/statecache"
 )
 
-// Responses of reads and of own transactions come in any order, some delayed. However they
-// do, the replica holds what the state service holds once it has read all: a write that came
-// after the drop of its key once left a ghost for good.
+// Responses to reads and to this controller's transactions arrive in any order, some delayed. In
+// every order the replica equals the state service once it has read all changes. Once a delayed
+// write that arrived after the deletion of its key left a key in the replica for good that no
+// longer existed.
 func TestReplicaWithDelayedResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newReplicaModel()
+		model := newReplicaModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"change": m.change,
-			"read":   func(_ *rapid.T) { m.delayed = append(m.delayed, m.read()) },
-			"answer": m.deliver,
+			"change": model.change,
+			"read":   func(_ *rapid.T) { model.delayedResponses = append(model.delayedResponses, model.read()) },
+			"answer": model.deliver,
 		})
-		for _, deliver := range m.delayed {
+		for _, deliver := range model.delayedResponses {
 			deliver()
 		}
-		m.read()()
-		if !maps.Equal(m.replica.Versions, m.versions) || len(m.replica.Nodes) != len(m.versions) {
-			t.Fatalf("the replica has %v, the service %v", m.replica.Versions, m.versions)
+		model.read()()
+		if !maps.Equal(model.replica.Versions, model.storeVersions) || len(model.replica.Nodes) != len(model.storeVersions) {
+			t.Fatalf("replica has versions %v, want %v as in the state service", model.replica.Versions, model.storeVersions)
 		}
 	})
 }
 
-// keyChange is a change of a key.
+// keyChange is a write or deletion of a key.
 type keyChange struct {
 	key     string
-	drop    bool
+	deleted bool
 	version uint64
 }
 
 // replicaModel is a replica with a model of the state service that it replicates.
 type replicaModel struct {
-	replica  *statecache.Cache
-	log      []keyChange
-	versions map[string]uint64 // of the keys that there are
-	revision uint64
-	delayed  []func() // responses on their way
+	replica          *statecache.Cache
+	changes          []keyChange
+	storeVersions    map[string]uint64 // of the existing keys
+	revision         uint64
+	delayedResponses []func() // deliveries of responses that have not arrived yet
 }
 
 // newReplicaModel returns an empty replica of an empty state service.
 func newReplicaModel() *replicaModel {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	return &replicaModel{
-		replica:  statecache.New(log),
-		versions: map[string]uint64{},
+		replica:       statecache.New(log),
+		storeVersions: map[string]uint64{},
 	}
 }
 
-// apply has the replica take in a change.
-func (m *replicaModel) apply(c keyChange) {
-	if c.drop {
-		m.replica.Apply(c.key, nil, c.version)
+// apply applies a change to the replica.
+func (m *replicaModel) apply(change keyChange) {
+	if change.deleted {
+		m.replica.Apply(change.key, nil, change.version)
 	} else {
-		m.replica.Apply(c.key, api.JSON(shard.NodeRecord{Term: c.version}), c.version)
+		m.replica.Apply(change.key, api.JSON(shard.NodeRecord{Term: change.version}), change.version)
 	}
 }
 
-// read reads the changes that the replica lacks, and returns the delivery of the response.
+// read reads the changes that the replica lacks, and returns a function that delivers the
+// response.
 func (m *replicaModel) read() func() {
-	since, until := m.replica.Revision, m.revision
+	from, until := m.replica.Revision, m.revision
 	return func() {
-		for _, c := range m.log {
-			if c.version > since && c.version <= until {
-				m.apply(c)
+		for _, change := range m.changes {
+			if change.version > from && change.version <= until {
+				m.apply(change)
 			}
 		}
 		m.replica.AdvanceRevision(until)
 	}
 }
 
-// change writes or drops a key. The response of an own transaction is delayed.
+// change writes or deletes a key. The response of a transaction of this controller is delayed.
 func (m *replicaModel) change(t *rapid.T) {
 	key := statecache.NodeKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
 	m.revision++
-	c := keyChange{key, m.versions[key] != 0 && rapid.Bool().Draw(t, "drop"), m.revision}
-	if m.log = append(m.log, c); c.drop {
-		delete(m.versions, key)
+	change := keyChange{key, m.storeVersions[key] != 0 && rapid.Bool().Draw(t, "drop"), m.revision}
+	if m.changes = append(m.changes, change); change.deleted {
+		delete(m.storeVersions, key)
 	} else {
-		m.versions[key] = m.revision
+		m.storeVersions[key] = m.revision
 	}
 	if rapid.Bool().Draw(t, "own") {
-		m.delayed = append(m.delayed, func() { m.apply(c) })
+		m.delayedResponses = append(m.delayedResponses, func() { m.apply(change) })
 	}
 }
 
-// deliver delivers one of the delayed responses.
+// deliver delivers a drawn delayed response.
 func (m *replicaModel) deliver(t *rapid.T) {
-	if len(m.delayed) == 0 {
-		t.Skip("none")
+	if len(m.delayedResponses) == 0 {
+		t.Skip("no delayed response")
 	}
-	i := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "which")
-	deliver := m.delayed[i]
-	m.delayed = append(m.delayed[:i], m.delayed[i+1:]...)
+	i := rapid.IntRange(0, len(m.delayedResponses)-1).Draw(t, "which")
+	deliver := m.delayedResponses[i]
+	m.delayedResponses = append(m.delayedResponses[:i], m.delayedResponses[i+1:]...)
 	deliver()
 }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -11,20 +11,21 @@
 
 func TestJobsWithoutFaults(t *testing.T) {
 	s := newTestCluster()
-	s.runUntil(t, 20, "shards led at home", func() bool {
+	s.runUntil(t, 20, "each node leads its own shard", func() bool {
 		return s.leaderOf("n0") == "n0" && s.leaderOf("n1") == "n1" && s.leaderOf("n2") == "n2"
 	})
-	a := s.submitJob(nil)
-	b := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Spread = api.Service, 4, true })
-	s.runUntil(t, 60, "array done", s.isDone(a))
-	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(b) == 4 })
-	s.cancel(2, b)
-	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(b) == 0 })
+	array := s.submitJob(nil)
+	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Spread = api.Service, 4, true })
+	s.runUntil(t, 60, "array done", s.isDone(array))
+	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(service) == 4 })
+	s.cancel(2, service)
+	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(service) == 0 })
 	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.Hosts) == 0 })
 }
 
-// Two task ranges of one job that ended in the same round once stopped all releases
-// of their shard: the second did not fit the transaction and took the first along.
+// Two task ranges of one job end in the same round. This once blocked all releases of their
+// shard: the second range did not fit the transaction, which was then not sent for the first one
+// either.
 func TestTwoTaskRangesEndTogether(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) {
@@ -33,10 +34,9 @@
 	s.runUntil(t, 120, "array of three task ranges done", s.isDone(id))
 }
 
-// A large array that is late goes after what can still be in time, and would
-// never begin under a stream of small jobs that always can: it begins within
-// four minutes all the same.
-func TestLargestBegins(t *testing.T) {
+// A large array that misses its objective is ordered after work that can still meet its own, so a
+// stream of small jobs could delay it for ever. It starts within four minutes nevertheless.
+func TestLargeLateArrayStartsAmongSmallJobs(t *testing.T) {
 	s := newTestCluster()
 	for i := range s.nodes {
 		s.nodes[i].controller.node.Settings.Facts.Objectives = append(
@@ -45,35 +45,35 @@
 		)
 	}
 	s.runFor(10)
-	small := func() {
+	submitSmallArray := func() {
 		s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 1, 8, 8*time.Second })
 	}
-	small()
-	s.runUntil(t, 60, "one machine", func() bool { return s.runningTasks("run-000000") == 1 })
+	submitSmallArray()
+	s.runUntil(t, 60, "first small job runs", func() bool { return s.runningTasks("run-000000") == 1 })
 	s.world.Cloud.NoCapacity = true
-	small()
-	small()
-	large := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 12, 80, 80*time.Second })
-	begun := false
-	for k := 0; k < 480 && !begun; k++ {
-		if k%6 == 0 { // more than the one machine can do
-			small()
+	submitSmallArray()
+	submitSmallArray()
+	largeArray := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 12, 80, 80*time.Second })
+	started := false
+	for round := 0; round < 480 && !started; round++ {
+		if round%6 == 0 { // more than the one machine can run
+			submitSmallArray()
 		}
 		s.runRound()
-		begun = s.runningTasks(large) > 0
+		started = s.runningTasks(largeArray) > 0
 	}
-	if !begun {
-		t.Fatal("the large array has not begun after four minutes")
+	if !started {
+		t.Fatal("no task of the large array runs after four minutes")
 	}
 }
 
-// A job of a limited team that starves, and for which there is no machine, was
-// looked at twice: the second time what lacked room already stood as used, the
-// limit seemed reached, and nothing was ever rented for it.
-func TestStarvingJobOfLimitedTeamIsRentedFor(t *testing.T) {
+// A starving job of a team with a limit, for which there is no machine, was once counted twice:
+// the second time its missing capacity was already counted as used, so the limit seemed to be
+// reached and nothing was rented for it.
+func TestMachinesAreRentedForStarvingJobOfLimitedTeam(t *testing.T) {
 	s := newReadyCluster()
 	s.world.Cloud.NoCapacity = true
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // its limit is 5
+	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // the team's limit is 5
 	for range 2 * int(scheduler.MaxStartDelay/time.Second) {
 		s.runRound()
 	}
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -12,26 +12,26 @@
 	"violetturn/internal/zonehealth"
 )
 
-// setZoneRecord switches zone recovery on everywhere and sets the record of zone x.
-func (c *Controller) setZoneRecord(r zonehealth.Record) {
+// setZoneRecord enables zone recovery on all controllers and sets the record of zone x.
+func (c *Controller) setZoneRecord(record zonehealth.Record) {
 	c.node.Features.ZoneRecovery.Enabled = true
 	for _, node := range c.node.Shards {
 		c.testState().Cache.Capabilities[node] = statecache.Versioned[shard.CapabilityRecord]{
 			Record: &shard.CapabilityRecord{SchemaVersion: schema.Version, Features: c.node.Features.Names()},
 		}
 	}
-	c.testState().Cache.Zones["x"] = statecache.Versioned[zonehealth.Record]{Record: &r}
+	c.testState().Cache.Zones["x"] = statecache.Versioned[zonehealth.Record]{Record: &record}
 }
 
-// Arrays start again in place on a share of the machines that grows, and never on what the
-// readers need; which machines follows from their names.
+// Arrays restart in place on a growing share of the machines, and never on the capacity that
+// waiting production tasks need. Which machines are admitted is determined by their names.
 func TestSlowStartAdmitsMachinesGradually(t *testing.T) {
 	const machines = 64
-	for _, x := range []struct {
-		start   float64
-		waiting int // tasks, two of which fill a machine
-		state   zonehealth.State
-		open    int
+	for _, test := range []struct {
+		slowStartShare float64
+		waitingTasks   int // tasks, two of which fill a machine
+		state          zonehealth.State
+		wantAdmitted   int
 	}{
 		{1. / 16, 0, zonehealth.Recovering, 4},
 		{1. / 4, 0, zonehealth.Recovering, 16},
@@ -40,56 +40,56 @@
 		{1. / 4, 32, zonehealth.Recovering, 16},
 		{1, 200, zonehealth.Recovering, 0},
 		{1, 0, zonehealth.Down, 0},
-		{0, 0, zonehealth.Healthy, 0}, // nothing is held back there
+		{0, 0, zonehealth.Healthy, 0}, // a healthy zone restricts nothing
 	} {
 		c := newSizedController(machines, 0)
-		r := zonehealth.Record{
-			State:                 x.state,
+		record := zonehealth.Record{
+			State:                 test.state,
 			SinceMS:               c.node.Now().UnixMilli(),
 			LastFailedMS:          1,
-			SlowStartShare:        x.start,
+			SlowStartShare:        test.slowStartShare,
 			MachinesBeforeFailure: machines,
 		}
-		r = r.WithObservation("n0", zonehealth.Observation{Healthy: machines})
-		waiting := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: x.waiting}}
-		c.setZoneRecord(r.WithObservation("n1", zonehealth.Observation{Lost: 1, WaitingProduction: waiting}))
+		record = record.WithObservation("n0", zonehealth.Observation{Healthy: machines})
+		waitingProduction := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: test.waitingTasks}}
+		c.setZoneRecord(record.WithObservation("n1", zonehealth.Observation{Lost: 1, WaitingProduction: waitingProduction}))
 		names := c.testState().Cache.MachineNames()
-		open := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
-		if len(open) != x.open {
-			t.Errorf("%+v: %d machines are open", x, len(open))
+		admitted := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
+		if len(admitted) != test.wantAdmitted {
+			t.Errorf("%+v: %d machines admitted, want %d", test, len(admitted), test.wantAdmitted)
 		}
-		for _, name := range names[:x.open] {
-			if !open[name] {
-				t.Errorf("%+v: %s is not open", x, name)
+		for _, name := range names[:test.wantAdmitted] {
+			if !admitted[name] {
+				t.Errorf("%+v: machine %s is not admitted", test, name)
 			}
 		}
 	}
 }
 
-// Room for production tasks whose machines are lost, and which may still be running there,
-// is kept from all other work in the zone, also when the slow start is over.
-func TestReservationKeepsRoom(t *testing.T) {
-	placed := func(waiting int) int {
-		c := newSizedController(256, 4) // with room for four tasks
-		r := zonehealth.Record{
+// The zone reserves capacity for production tasks that may still be running on lost machines: no
+// other work gets it, also when the slow start is over.
+func TestReservationKeepsCapacityForProduction(t *testing.T) {
+	countPlacements := func(waitingTasks int) int {
+		c := newSizedController(256, 4) // free capacity for four tasks
+		record := zonehealth.Record{
 			State:                 zonehealth.Recovering,
 			SinceMS:               c.node.Now().Add(-time.Second).UnixMilli(),
 			SlowStartShare:        1,
 			MachinesBeforeFailure: 256,
 		}
-		r = r.WithObservation("n1", zonehealth.Observation{
-			Lost:              waiting,
-			WaitingProduction: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waiting}},
+		record = record.WithObservation("n1", zonehealth.Observation{
+			Lost:              waitingTasks,
+			WaitingProduction: []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: waitingTasks}},
 		})
-		c.setZoneRecord(r)
+		c.setZoneRecord(record)
 		for _, j := range c.testState().Cache.Jobs { // none is production
 			j.Record.Spec.Priority = "standard"
 		}
 		return len(c.testState().Scheduler.Plan(c.node.Now()).Placements)
 	}
-	for _, x := range []struct{ waiting, places int }{{0, 4}, {3, 1}, {4, 0}, {9, 0}} {
-		if got := placed(x.waiting); got != x.places {
-			t.Errorf("with %d tasks waiting %d are placed, not %d", x.waiting, got, x.places)
+	for _, test := range []struct{ waitingTasks, wantPlacements int }{{0, 4}, {3, 1}, {4, 0}, {9, 0}} {
+		if got := countPlacements(test.waitingTasks); got != test.wantPlacements {
+			t.Errorf("with %d production tasks waiting: placed %d other tasks, want %d", test.waitingTasks, got, test.wantPlacements)
 		}
 	}
 }
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -15,138 +15,142 @@
 	"violetturn/internal/simulator"
 )
 
-// zoneOutcome is what one return of a zone came to.
+// zoneOutcome is the result of one simulated return of a zone.
 type zoneOutcome struct {
-	readers  time.Duration // until all readers ran again
-	arrays   time.Duration // until as many arrays ran as had room
-	wasted   int           // tasks of arrays that started and were stopped again
-	machines float64       // seconds of machines, which is what is paid for
-	changes  float64       // a second
+	serviceDelay    time.Duration // until all replicas of services ran again
+	arrayDelay      time.Duration // until as many array tasks ran as fit beside the services
+	stoppedTasks    int           // array tasks that started and were stopped again
+	machineSeconds  float64       // paid machine time
+	writesPerSecond float64       // to the state service
 }
 
-// zoneOutcomes are the outcomes of many returns.
+// zoneOutcomes collects the outcomes of many returns.
 type zoneOutcomes struct {
-	name              string
-	readers, arrays   *hdrhistogram.Histogram // milliseconds
-	wasted            int
-	machines, changes float64
-	failed            int
-	series            []zoneOutcome
+	name                            string
+	serviceDelays, arrayDelays      *hdrhistogram.Histogram // milliseconds
+	stoppedTasks                    int
+	machineSeconds, writesPerSecond float64
+	failed                          int
+	outcomes                        []zoneOutcome
 }
 
-// newZoneOutcomes returns no outcomes.
+// newZoneOutcomes returns an empty collection.
 func newZoneOutcomes(name string) *zoneOutcomes {
 	const longest = int64(10 * time.Minute / time.Millisecond)
-	return &zoneOutcomes{name: name, readers: hdrhistogram.New(1, longest, 3), arrays: hdrhistogram.New(1, longest, 3)}
+	return &zoneOutcomes{name: name, serviceDelays: hdrhistogram.New(1, longest, 3), arrayDelays: hdrhistogram.New(1, longest, 3)}
 }
 
-// add adds an outcome. runs says that it is one: all ran again in time and no rule broke.
-func (s *zoneOutcomes) add(tb testing.TB, o zoneOutcome, runs bool) {
+// add adds an outcome. recovered is set if everything ran again in time and no rule of the
+// simulator was violated; other outcomes only count as failed.
+func (s *zoneOutcomes) add(tb testing.TB, outcome zoneOutcome, recovered bool) {
 	tb.Helper()
-	if !runs {
+	if !recovered {
 		s.failed++
 		return
 	}
-	for _, x := range []struct {
-		to *hdrhistogram.Histogram
-		d  time.Duration
-	}{{s.readers, o.readers}, {s.arrays, o.arrays}} {
-		if err := x.to.RecordValue(max(x.d.Milliseconds(), 1)); err != nil {
+	for _, measured := range []struct {
+		histogram *hdrhistogram.Histogram
+		delay     time.Duration
+	}{{s.serviceDelays, outcome.serviceDelay}, {s.arrayDelays, outcome.arrayDelay}} {
+		if err := measured.histogram.RecordValue(max(measured.delay.Milliseconds(), 1)); err != nil {
 			tb.Fatal(err)
 		}
 	}
-	s.wasted += o.wasted
-	s.machines += o.machines
-	s.changes += o.changes
-	s.series = append(s.series, o)
+	s.stoppedTasks += outcome.stoppedTasks
+	s.machineSeconds += outcome.machineSeconds
+	s.writesPerSecond += outcome.writesPerSecond
+	s.outcomes = append(s.outcomes, outcome)
 }
 
-// measureZoneReturn plays one return of a zone: partitioned for one to three leases, perhaps flapping,
-// and then some of its machines return without those of the readers.
-func measureZoneReturn(tb testing.TB, seed uint64, on bool) (o zoneOutcome, runs bool) {
+// measureZoneReturn simulates one return of a zone: it is partitioned for one half to two and a
+// half leases, may return and fail again, and then some of its machines return, but not those
+// that ran services.
+func measureZoneReturn(tb testing.TB, seed uint64, enabled bool) (outcome zoneOutcome, recovered bool) {
 	tb.Helper()
-	started := func(*testNode) {}
-	if on {
-		started = enableZoneRecovery
+	onStart := func(*testNode) {}
+	if enabled {
+		onStart = enableZoneRecovery
 	}
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	z := newZoneScenario(tb, started)
-	withReaders, others := z.machines()
-	setPartitioned(withReaders, true)
-	setPartitioned(others, true)
-	lease := rounds(z.world.Lease)
-	z.runChecked(lease/2 + rnd.IntN(2*lease))
-	if rnd.IntN(2) == 0 { // it flaps
-		setPartitioned(others, false)
-		z.runChecked(4 + rnd.IntN(lease))
-		setPartitioned(others, true)
-		z.runChecked(4 + rnd.IntN(lease))
+	z := newZoneScenario(tb, onStart)
+	serviceMachines, otherMachines := z.zoneMachines()
+	setPartitioned(serviceMachines, true)
+	setPartitioned(otherMachines, true)
+	leaseRounds := rounds(z.world.Lease)
+	z.runChecked(leaseRounds/2 + rnd.IntN(2*leaseRounds))
+	if rnd.IntN(2) == 0 { // the zone returns and fails again
+		setPartitioned(otherMachines, false)
+		z.runChecked(4 + rnd.IntN(leaseRounds))
+		setPartitioned(otherMachines, true)
+		z.runChecked(4 + rnd.IntN(leaseRounds))
 	}
-	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+	for _, worker := range serviceMachines {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	staying := others[:readerTasks/2+rnd.IntN(len(others)-readerTasks/2)]
-	for _, x := range others[len(staying):] {
-		z.world.Cloud.Terminate(x.Host)
+	returning := otherMachines[:serviceReplicas/2+rnd.IntN(len(otherMachines)-serviceReplicas/2)]
+	for _, worker := range otherMachines[len(returning):] {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	setPartitioned(staying, false)
-	return z.follow(staying)
+	setPartitioned(returning, false)
+	return z.measureRecovery(returning)
 }
 
-// follow measures from the return of machines on.
-func (z *zoneScenario) follow(staying []*simulator.Worker) (o zoneOutcome, runs bool) {
-	returned, writes, from := z.world.Now, z.world.Store.Writes, len(z.starts)
-	room := 2*len(staying) - readerTasks
-	const most = 600
-	for range most {
+// measureRecovery measures the recovery from the return of the given machines on.
+func (z *zoneScenario) measureRecovery(returning []*simulator.Worker) (outcome zoneOutcome, recovered bool) {
+	returnedAt, writesBefore, firstStart := z.world.Now, z.world.Store.Writes, len(z.taskStarts)
+	spareSlots := 2*len(returning) - serviceReplicas
+	const maxRounds = 600
+	for range maxRounds {
 		z.runRound()
-		for _, x := range z.world.Cloud.Workers() {
-			if x.Zone == "x" {
-				o.machines += 0.5
+		for _, worker := range z.world.Cloud.Workers() {
+			if worker.Zone == "x" {
+				outcome.machineSeconds += 0.5
 			}
 		}
-		past := z.world.Now.Sub(returned)
-		if o.readers == 0 && z.runningReaders() == readerTasks {
-			o.readers = past
+		elapsed := z.world.Now.Sub(returnedAt)
+		if outcome.serviceDelay == 0 && z.runningReplicas() == serviceReplicas {
+			outcome.serviceDelay = elapsed
 		}
-		if o.arrays == 0 && o.readers > 0 && z.runningArrays() >= room {
-			o.arrays = past
+		if outcome.arrayDelay == 0 && outcome.serviceDelay > 0 && z.runningArrayTasks() >= spareSlots {
+			outcome.arrayDelay = elapsed
 		}
-		if o.readers > 0 && o.arrays > 0 {
+		if outcome.serviceDelay > 0 && outcome.arrayDelay > 0 {
 			break
 		}
 	}
-	for _, s := range z.starts[from:] {
-		if !s.reader {
-			o.wasted++
+	for _, start := range z.taskStarts[firstStart:] {
+		if !start.service {
+			outcome.stoppedTasks++
 		}
 	}
-	o.wasted = max(0, o.wasted-z.runningArrays())
-	o.changes = float64(z.world.Store.Writes-writes) / z.world.Now.Sub(returned).Seconds()
-	return o, o.readers > 0 && o.arrays > 0 && len(z.world.Violations) == 0
+	outcome.stoppedTasks = max(0, outcome.stoppedTasks-z.runningArrayTasks())
+	outcome.writesPerSecond = float64(z.world.Store.Writes-writesBefore) / z.world.Now.Sub(returnedAt).Seconds()
+	return outcome, outcome.serviceDelay > 0 && outcome.arrayDelay > 0 && len(z.world.Violations) == 0
 }
 
-// BenchmarkZoneRecovery measures returns of a zone with and without the feature, each over
-// the same seeds, in simulated time with simulated services; ZONE_REPORT names an HTML file for the
-// plots.
+// BenchmarkZoneRecovery measures returns of a zone with and without zone recovery, each with the
+// same seeds, in simulated time with simulated services. The environment variable ZONE_REPORT
+// names an HTML file for the plots.
 func BenchmarkZoneRecovery(b *testing.B) {
 	const seeds = 60
 	for range b.N {
 		off, on := newZoneOutcomes("off"), newZoneOutcomes("on")
 		for seed := range uint64(seeds) {
-			for _, s := range []*zoneOutcomes{off, on} {
-				o, runs := measureZoneReturn(b, seed, s == on)
-				s.add(b, o, runs)
+			for _, result := range []*zoneOutcomes{off, on} {
+				outcome, recovered := measureZoneReturn(b, seed, result == on)
+				result.add(b, outcome, recovered)
 			}
 		}
-		for _, s := range []*zoneOutcomes{off, on} {
-			n := float64(max(len(s.series), 1))
+		for _, result := range []*zoneOutcomes{off, on} {
+			n := float64(max(len(result.outcomes), 1))
 			fmt.Printf(
-				"%-3s %d returns, %d not over in time; readers again after %.1f s (median) %.1f (p95) %.1f (worst); "+
-					"arrays after %.1f %.1f %.1f; %.2f tasks of arrays stopped again, %.0f s of machines, %.1f changes a second\n",
-				s.name, len(s.series), s.failed, quantile(s.readers, 50), quantile(s.readers, 95), quantile(s.readers, 100),
-				quantile(s.arrays, 50), quantile(s.arrays, 95), quantile(s.arrays, 100),
-				float64(s.wasted)/n, s.machines/n, s.changes/n,
+				"%-3s %d returns, %d not recovered in time; services run after %.1f s (median) %.1f (p95) %.1f (worst); "+
+					"arrays after %.1f %.1f %.1f; %.2f array tasks stopped again, %.0f s of machine time, %.1f writes per second\n",
+				result.name, len(result.outcomes), result.failed,
+				quantileSeconds(result.serviceDelays, 50), quantileSeconds(result.serviceDelays, 95),
+				quantileSeconds(result.serviceDelays, 100),
+				quantileSeconds(result.arrayDelays, 50), quantileSeconds(result.arrayDelays, 95), quantileSeconds(result.arrayDelays, 100),
+				float64(result.stoppedTasks)/n, result.machineSeconds/n, result.writesPerSecond/n,
 			)
 		}
 		if path := os.Getenv("ZONE_REPORT"); path != "" {
@@ -157,25 +161,26 @@
 	}
 }
 
-// quantile returns a quantile, in percent, in seconds.
-func quantile(h *hdrhistogram.Histogram, q float64) float64 {
+// quantileSeconds returns a quantile, given in percent, of a histogram of milliseconds, in
+// seconds.
+func quantileSeconds(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// plotZoneOutcomes writes the plots to a file.
-func plotZoneOutcomes(path string, sums ...*zoneOutcomes) error {
+// plotZoneOutcomes writes the plots to an HTML file.
+func plotZoneOutcomes(path string, results ...*zoneOutcomes) error {
 	page := components.NewPage()
 	page.SetPageTitle("Zone recovery, simulated time and services")
-	for _, x := range []struct {
-		title string
-		of    func(*zoneOutcomes) *hdrhistogram.Histogram
+	for _, chart := range []struct {
+		title     string
+		histogram func(*zoneOutcomes) *hdrhistogram.Histogram
 	}{
-		{"Seconds until all readers run again", func(s *zoneOutcomes) *hdrhistogram.Histogram { return s.readers }},
-		{"Seconds until arrays fill what is left", func(s *zoneOutcomes) *hdrhistogram.Histogram { return s.arrays }},
+		{"Seconds until all services run again", func(s *zoneOutcomes) *hdrhistogram.Histogram { return s.serviceDelays }},
+		{"Seconds until arrays fill the remaining capacity", func(s *zoneOutcomes) *hdrhistogram.Histogram { return s.arrayDelays }},
 	} {
 		line := charts.NewLine()
 		line.SetGlobalOptions(
-			charts.WithTitleOpts(opts.Title{Title: x.title, Subtitle: "simulated time and services, by share of the returns"}),
+			charts.WithTitleOpts(opts.Title{Title: chart.title, Subtitle: "simulated time and services, by share of the returns"}),
 			charts.WithLegendOpts(opts.Legend{Top: "bottom"}),
 		)
 		var shares []string
@@ -183,28 +188,28 @@
 			shares = append(shares, fmt.Sprintf("%d %%", share))
 		}
 		line.SetXAxis(shares)
-		for _, s := range sums {
+		for _, result := range results {
 			var points []opts.LineData
 			for share := 0; share <= 100; share += 5 {
-				points = append(points, opts.LineData{Value: quantile(x.of(s), float64(share))})
+				points = append(points, opts.LineData{Value: quantileSeconds(chart.histogram(result), float64(share))})
 			}
-			line.AddSeries("feature "+s.name, points)
+			line.AddSeries("feature "+result.name, points)
 		}
 		page.AddCharts(line)
 	}
 	bar := charts.NewBar()
-	bar.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: "Tasks of arrays started and stopped again", Subtitle: "by return"}))
-	var names []string
-	for i := range sums[0].series {
-		names = append(names, fmt.Sprint(i))
+	bar.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: "Array tasks started and stopped again", Subtitle: "by return"}))
+	var labels []string
+	for i := range results[0].outcomes {
+		labels = append(labels, fmt.Sprint(i))
 	}
-	bar.SetXAxis(names)
-	for _, s := range sums {
+	bar.SetXAxis(labels)
+	for _, result := range results {
 		var points []opts.BarData
-		for _, o := range s.series {
-			points = append(points, opts.BarData{Value: o.wasted})
+		for _, outcome := range result.outcomes {
+			points = append(points, opts.BarData{Value: outcome.stoppedTasks})
 		}
-		bar.AddSeries("feature "+s.name, points)
+		bar.AddSeries("feature "+result.name, points)
 	}
 	page.AddCharts(bar)
 	file, err := os.Create(path)
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -12,135 +12,141 @@
 	"violetturn/internal/zonehealth"
 )
 
-// The zone's own controller goes with it, and comes back last, or first and alone while the
-// machines stay away.
-func TestZonesOwnController(t *testing.T) {
-	for _, first := range []bool{true, false} {
-		t.Run(fmt.Sprintf("its controller first %t", first), func(t *testing.T) {
+// The controller of the zone fails with it, and returns either last, or first and alone while the
+// machines stay partitioned.
+func TestZoneFailsWithItsController(t *testing.T) {
+	for _, controllerFirst := range []bool{true, false} {
+		t.Run(fmt.Sprintf("controller returns first %t", controllerFirst), func(t *testing.T) {
 			z := newZoneScenario(t, enableZoneRecovery)
 			z.nodes[0].running = false
-			withReaders, others := z.loseZone()
-			if first {
+			serviceMachines, otherMachines := z.partitionUntilDown()
+			if controllerFirst {
 				z.startNode(0)
 				z.runChecked(30)
 				if s := z.zoneRecord(1).State; s == zonehealth.Healthy {
-					t.Error("the zone is healthy as soon as its controller is back")
+					t.Errorf("zone is %s as soon as its controller is back, want any other state", s)
 				}
 			}
-			returned := z.world.Now
-			for _, x := range withReaders {
-				z.world.Cloud.Terminate(x.Host)
+			returnedAt := z.world.Now
+			for _, worker := range serviceMachines {
+				z.world.Cloud.Terminate(worker.Host)
 			}
-			setPartitioned(others, false)
-			z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-			// What is beyond the readers' room goes to arrays by the slow start.
-			if n, beyond := z.arrayStartsBeforeReaders(returned), 2*len(others)-readerTasks; n > beyond {
-				t.Errorf("back first %t: %d tasks of arrays started before the readers, with room for %d", first, n, beyond)
+			setPartitioned(otherMachines, false)
+			z.runUntil(t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
+			// The slow start gives the capacity that the services don't need to arrays.
+			if started, spareSlots := z.arrayStartsBeforeServices(returnedAt), 2*len(otherMachines)-serviceReplicas; started > spareSlots {
+				t.Errorf("controller first %t: %d array tasks started before all replicas ran, want at most %d",
+					controllerFirst, started, spareSlots)
 			}
-			if !first {
+			if !controllerFirst {
 				z.startNode(0)
 			}
-			z.runUntilRecovered(2*arrayTasks - readerTasks)
+			z.runUntilRecovered(2*arrayTasks - serviceReplicas)
 		})
 	}
 }
 
-// Whoever wrote the zone's states ends, or is paused and goes on late: what it then would
-// write rests on an old record and on a shard that it no longer leads, and is refused.
-func TestZoneWriterWakesLate(t *testing.T) {
+// The controller that wrote the zone record is paused and resumes late. Its write is based on an
+// old record and on a shard that it no longer leads, and the state service rejects it.
+func TestStaleZoneWriteIsRejected(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	_, others := z.loseZone()
+	_, otherMachines := z.partitionUntilDown()
 	writer := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.state().Leadership.Leads("n0") })
-	late := z.nodes[writer].controller
-	old := z.zoneRecord(writer)
+	staleController := z.nodes[writer].controller
+	oldRecord := z.zoneRecord(writer)
 	z.nodes[writer].paused = true
-	setPartitioned(others, false)
-	reader := (writer + 1) % 3
-	z.runUntil(t, 100, "another goes on", func() bool { return z.zoneRecord(reader).Transitions > old.Transitions })
-	now := z.zoneRecord(reader)
+	setPartitioned(otherMachines, false)
+	other := (writer + 1) % 3
+	z.runUntil(t, 100, "another controller updates the record", func() bool {
+		return z.zoneRecord(other).Transitions > oldRecord.Transitions
+	})
+	newRecord := z.zoneRecord(other)
 
-	// It wakes: its replica is old, its lease long over by now. Even if it could act, the
-	// record has moved on.
-	stale := statecache.NewTransaction()
-	stale.Require(statecache.ZoneKey("x"), late.testState().Cache.Zones["x"].Version)
-	stale.Require(statecache.LeaderKey("n0"), late.testState().Leadership.Lookup("n0").Version)
-	stale.Put(statecache.ZoneKey("x"), zonehealth.Record{State: zonehealth.Down, Transitions: old.Transitions})
-	done, failed, _ := late.sync.Commit(t.Context(), "zones", stale, 0)
-	if done || !slices.Contains(failed, statecache.ZoneKey("x")) || !slices.Contains(failed, statecache.LeaderKey("n0")) {
-		t.Errorf("a late write is taken: %t, failed %v", done, failed)
+	// The paused controller has an old replica and its lease expired long ago. Even if it could
+	// act, the preconditions on the newer records fail.
+	staleWrite := statecache.NewTransaction()
+	staleWrite.Require(statecache.ZoneKey("x"), staleController.testState().Cache.Zones["x"].Version)
+	staleWrite.Require(statecache.LeaderKey("n0"), staleController.testState().Leadership.Lookup("n0").Version)
+	staleWrite.Put(statecache.ZoneKey("x"), zonehealth.Record{State: zonehealth.Down, Transitions: oldRecord.Transitions})
+	committed, failed, _ := staleController.sync.Commit(t.Context(), "zones", staleWrite, 0)
+	if committed || !slices.Contains(failed, statecache.ZoneKey("x")) || !slices.Contains(failed, statecache.LeaderKey("n0")) {
+		t.Errorf("stale write: committed %t, failed preconditions %v; want it rejected for the zone and the leader record",
+			committed, failed)
 	}
 	z.nodes[writer].paused = false
 	z.runChecked(10)
-	if got := z.zoneRecord(reader); got.Transitions < now.Transitions {
-		t.Errorf("the number fell from %d to %d", now.Transitions, got.Transitions)
+	if got := z.zoneRecord(other); got.Transitions < newRecord.Transitions {
+		t.Errorf("zone record had %d transitions and now has %d, want no fewer", newRecord.Transitions, got.Transitions)
 	}
-	z.runUntilRecovered(2*arrayTasks - readerTasks)
+	z.runUntilRecovered(2*arrayTasks - serviceReplicas)
 }
 
-// With one zone only nobody can tell a lost zone from being partitioned: it is never down, and
-// nothing is held back.
-func TestOneZoneOnly(t *testing.T) {
+// With a single zone its loss can't be distinguished from a partition: the zone is never recorded
+// as down, and no placement is restricted.
+func TestSingleZoneIsNeverDown(t *testing.T) {
 	s := newTestCluster()
 	s.world.Zones = []string{"x"}
 	s.restartNodes(enableZoneRecovery)
 	id := s.submitJob(func(r *api.Job, d *time.Duration) { r.Priority, r.Tasks, *d = "idle", 8, time.Hour })
 	s.runUntil(t, 100, "array runs", func() bool { return s.runningTasks(id) == 8 })
-	for _, x := range s.world.Cloud.Workers() {
-		x.Partitioned = true
+	for _, worker := range s.world.Cloud.Workers() {
+		worker.Partitioned = true
 	}
 	for range 60 {
 		s.runRound()
 		for _, n := range s.nodes {
-			if v := n.state().Cache.Zones["x"].Record; v != nil && v.RestrictsPlacement() {
-				t.Fatalf("the only zone is %s", v.State)
+			if record := n.state().Cache.Zones["x"].Record; record != nil && record.RestrictsPlacement() {
+				t.Fatalf("the only zone is %s and restricts placement, want no restriction", record.State)
 			}
 		}
 	}
-	for _, x := range s.world.Cloud.Workers() {
-		x.Partitioned = false
+	for _, worker := range s.world.Cloud.Workers() {
+		worker.Partitioned = false
 	}
 	s.runUntil(t, 200, "array runs again", func() bool { return s.runningTasks(id) == 8 })
 }
 
-// A controller that lacks the feature turns it off for all, and back on when it has it.
-func TestMixedFleet(t *testing.T) {
-	with := map[string]bool{"n0": true, "n1": true}
-	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = with[n.name] })
-	_, others := z.machines()
-	setPartitioned(others, true)
+// A controller that lacks the feature disables it for all controllers; the feature is enabled
+// again when that controller has it.
+func TestFeatureNeedsAllControllers(t *testing.T) {
+	hasFeature := map[string]bool{"n0": true, "n1": true}
+	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = hasFeature[n.name] })
+	_, otherMachines := z.zoneMachines()
+	setPartitioned(otherMachines, true)
 	z.runChecked(60)
 	for i, n := range z.nodes {
 		if n.state().Schema.FeatureEnabled(features.ZoneRecoveryName) || len(n.state().Cache.Zones) > 0 {
-			t.Fatalf("controller %d acts on a feature that another lacks", i)
+			t.Fatalf("controller %d has zone recovery enabled or zone records, though controller n2 lacks the feature", i)
 		}
 	}
-	setPartitioned(others, false)
+	setPartitioned(otherMachines, false)
 	z.runChecked(60)
-	with["n2"] = true
+	hasFeature["n2"] = true
 	z.startNode(2)
-	z.runUntil(t, 40, "all have it", func() bool {
+	z.runUntil(t, 40, "feature enabled on all controllers", func() bool {
 		return !slices.ContainsFunc(z.nodes, func(n *testNode) bool {
 			return !n.state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 		})
 	})
-	z.loseZone()
-	with["n0"] = false
+	z.partitionUntilDown()
+	hasFeature["n0"] = false
 	z.startNode(0)
-	z.runUntil(t, 40, "it is off again", func() bool {
+	z.runUntil(t, 40, "feature disabled again", func() bool {
 		return !z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 	})
 	if z.nodes[1].state().Zones.Admission(z.world.Now) != nil {
-		t.Error("work is held back though the feature is off")
+		t.Error("zone recovery restricts placement though the feature is disabled")
 	}
 }
 
-// A controller that has ended before it had the feature keeps it off: its mark lacks it.
-func TestDeadControllerWithoutFeature(t *testing.T) {
-	with := map[string]bool{"n0": true, "n1": true}
-	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = with[n.name] })
+// A controller that ended before it had the feature keeps the feature disabled: the capability
+// record that it left does not list it.
+func TestEndedControllerKeepsFeatureDisabled(t *testing.T) {
+	hasFeature := map[string]bool{"n0": true, "n1": true}
+	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = hasFeature[n.name] })
 	z.nodes[2].running = false
 	z.runChecked(60)
 	if z.nodes[1].state().Cache.Nodes["n2"].Record != nil || z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName) {
-		t.Error("a feature is on that a controller which may come back lacks")
+		t.Error("n2 has a node record, or the feature is enabled though n2 may restart without it; want neither")
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -11,249 +11,256 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Half of a zone returns, without the readers' machines, before these are surely gone: the
-// readers run again before any array has taken what they need there, and the arrays follow
-// step by step. Without the feature arrays take all of it first, and are stopped again.
-func TestReadersFirstWhenHalfReturns(t *testing.T) {
-	for _, on := range []bool{true, false} {
-		t.Run(fmt.Sprintf("feature %t", on), func(t *testing.T) {
-			started := func(*testNode) {}
-			if on {
-				started = enableZoneRecovery
+// Half of a zone returns, without the machines that ran its services and before these have
+// certainly ended. With zone recovery the services run again before any array takes the capacity
+// that they need, and the arrays follow gradually. Without it arrays take all the capacity first
+// and are stopped again.
+func TestServicesRestartFirstWhenHalfOfZoneReturns(t *testing.T) {
+	for _, enabled := range []bool{true, false} {
+		t.Run(fmt.Sprintf("feature %t", enabled), func(t *testing.T) {
+			onStart := func(*testNode) {}
+			if enabled {
+				onStart = enableZoneRecovery
 			}
-			z := newZoneScenario(t, started)
-			_, others := z.machines()
-			beside := 2*len(others) - readerTasks
-			returned := z.returnHalf(on)
-			z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-			after := z.world.Now.Sub(returned)
-			before := z.arrayStartsBeforeReaders(returned)
-			t.Logf("feature %t: readers run after %v, %d tasks of arrays started before", on, after, before)
-			if on && before > beside {
-				t.Errorf("%d tasks of arrays started before the readers ran again, with room for %d beside them", before, beside)
+			z := newZoneScenario(t, onStart)
+			_, otherMachines := z.zoneMachines()
+			spareSlots := 2*len(otherMachines) - serviceReplicas
+			returnedAt := z.returnMachinesWithoutServices(enabled)
+			z.runUntil(t, 200, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
+			elapsed := z.world.Now.Sub(returnedAt)
+			startedBefore := z.arrayStartsBeforeServices(returnedAt)
+			t.Logf("feature %t: all replicas run after %v, %d array tasks started before", enabled, elapsed, startedBefore)
+			if enabled && startedBefore > spareSlots {
+				t.Errorf("%d array tasks started before all replicas ran again, want at most %d, which fit beside them",
+					startedBefore, spareSlots)
 			}
-			if !on && before <= beside {
-				t.Error("without the feature no array is ahead: the test shows nothing")
+			if !enabled && startedBefore <= spareSlots {
+				t.Errorf("without zone recovery %d array tasks started first, want more than %d: the test shows nothing",
+					startedBefore, spareSlots)
 			}
-			z.runUntil(t, 400, "arrays are back", func() bool { return z.runningArrays() >= 2*arrayTasks-readerTasks })
+			z.runUntil(t, 400, "arrays run again", func() bool { return z.runningArrayTasks() >= 2*arrayTasks-serviceReplicas })
 		})
 	}
 }
 
-// The zone flaps twice within minutes, the second time in the middle of the first recovery.
-// Each failure raises the number, the second halves the slow start, and the readers are
-// ahead both times.
-func TestZoneFlaps(t *testing.T) {
+// The zone fails twice within minutes, the second time during the first recovery. Each failure
+// raises the transition count, the second halves the slow start share, and the services run
+// before the arrays after both.
+func TestZoneFailsAgainDuringRecovery(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	withReaders, others := z.loseZone()
-	first := z.zoneRecord(1)
-	setPartitioned(others, false)
-	z.runUntilZone(zonehealth.Recovering, 1, 40)
+	serviceMachines, otherMachines := z.partitionUntilDown()
+	firstFailure := z.zoneRecord(1)
+	setPartitioned(otherMachines, false)
+	z.runUntilZoneState(zonehealth.Recovering, 1, 40)
 	z.runChecked(3)
-	setPartitioned(others, true)
-	z.runUntilZone(zonehealth.Down, 1, 60)
-	second := z.zoneRecord(1)
-	if second.Transitions <= first.Transitions || second.SlowStartShare != first.SlowStartShare/2 {
+	setPartitioned(otherMachines, true)
+	z.runUntilZoneState(zonehealth.Down, 1, 60)
+	secondFailure := z.zoneRecord(1)
+	if secondFailure.Transitions <= firstFailure.Transitions || secondFailure.SlowStartShare != firstFailure.SlowStartShare/2 {
 		t.Errorf(
-			"number %d after %d, start %g after %g",
-			second.Transitions,
-			first.Transitions,
-			second.SlowStartShare,
-			first.SlowStartShare,
+			"second failure: %d transitions after %d, slow start share %g after %g; want more transitions and half the share",
+			secondFailure.Transitions,
+			firstFailure.Transitions,
+			secondFailure.SlowStartShare,
+			firstFailure.SlowStartShare,
 		)
 	}
-	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+	for _, worker := range serviceMachines {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	returned := z.world.Now
-	setPartitioned(others, false)
-	z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-	if n := z.arrayStartsBeforeReaders(returned); n > 2*len(others)-readerTasks {
-		t.Errorf("%d tasks of arrays started before the readers", n)
+	returnedAt := z.world.Now
+	setPartitioned(otherMachines, false)
+	z.runUntil(t, 200, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
+	if started := z.arrayStartsBeforeServices(returnedAt); started > 2*len(otherMachines)-serviceReplicas {
+		t.Errorf("%d array tasks started before all replicas ran again, want at most %d", started, 2*len(otherMachines)-serviceReplicas)
 	}
-	z.runUntilRecovered(2*arrayTasks - readerTasks)
+	z.runUntilRecovered(2*arrayTasks - serviceReplicas)
 }
 
-// Room is kept for a production task until its end is committed and it waits in the queue:
-// also in the seconds in which a new leader has heard of nothing yet, and in those between
-// its machine's return to the cloud and the commit. Arrays took it in both.
-func TestRoomIsKeptUntilEndsAreCommitted(t *testing.T) {
+// Capacity stays reserved for a production task until its end is committed and it is queued
+// again. Two gaps once let arrays take it: the seconds in which a new leader has not received any
+// heartbeat yet, and those between the return of the task's machine to the cloud and the commit.
+func TestCapacityIsReservedUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	withReaders, _ := z.loseZone()
+	serviceMachines, _ := z.partitionUntilDown()
 	leader := slices.IndexFunc(z.nodes, func(n *testNode) bool { return n.state().Leadership.Leads("n0") })
-	c := z.nodes[leader].controller
-	waiting := func() (tasks int) {
-		observations := c.testState().Zones.Observe(c.node.Now()).Observations
+	leaderController := z.nodes[leader].controller
+	waitingTasks := func() (tasks int) {
+		observations := leaderController.testState().Zones.Observe(leaderController.node.Now()).Observations
 		for _, d := range observations["x"]["n0"].WaitingProduction {
 			tasks += d.Tasks
 		}
 		return tasks
 	}
-	if n := waiting(); n != readerTasks {
-		t.Fatalf("lost: room for %d tasks", n)
+	if n := waitingTasks(); n != serviceReplicas {
+		t.Fatalf("machines lost: capacity reserved for %d tasks, want %d", n, serviceReplicas)
 	}
-	for _, x := range withReaders {
-		c.testState().Agents.Agent(x.Host).Terminated = true
+	for _, worker := range serviceMachines {
+		leaderController.testState().Agents.Agent(worker.Host).Terminated = true
 	}
-	if n := waiting(); n != readerTasks {
-		t.Errorf("gone: room for %d tasks", n)
+	if n := waitingTasks(); n != serviceReplicas {
+		t.Errorf("machines terminated: capacity reserved for %d tasks, want %d", n, serviceReplicas)
 	}
-	for _, x := range withReaders {
-		c.testState().Agents.Drop(x.Host)
-		leadership := c.testState().Leadership.Lookup(c.testState().Cache.Machines[x.Host].Shard)
-		c.testState().Agents.Ensure(x.Host, leadership).LastAnswered = c.node.Now()
+	for _, worker := range serviceMachines {
+		leaderController.testState().Agents.Drop(worker.Host)
+		leadership := leaderController.testState().Leadership.Lookup(leaderController.testState().Cache.Machines[worker.Host].Shard)
+		leaderController.testState().Agents.Ensure(worker.Host, leadership).LastAnswered = leaderController.node.Now()
 	}
-	if n := waiting(); n != readerTasks {
-		t.Errorf("not heard of yet: room for %d tasks", n)
+	if n := waitingTasks(); n != serviceReplicas {
+		t.Errorf("no heartbeat received yet: capacity reserved for %d tasks, want %d", n, serviceReplicas)
 	}
 }
 
-// A reservation ends when what the readers lack can't be had: so little returns that they
-// don't all fit, and some arrays that fit nowhere else still go on after a while.
-func TestReservationEnds(t *testing.T) {
+// A reservation ends when the missing capacity can't be had: so few machines return that the
+// services don't all fit, and arrays that fit nowhere else still run after a while.
+func TestReservationEndsWhenCapacityIsMissing(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	withReaders, others := z.loseZone()
-	for _, x := range slices.Concat(withReaders, others[2:]) {
-		z.world.Cloud.Terminate(x.Host)
+	serviceMachines, otherMachines := z.partitionUntilDown()
+	for _, worker := range slices.Concat(serviceMachines, otherMachines[2:]) {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	small := z.submitJob(func(r *api.Job, d *time.Duration) {
+	smallArray := z.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.GPUs, *d = "idle", 4, "x", 0, 5*time.Second
 	})
-	setPartitioned(others[:2], false)
-	z.runUntil(t, 300, "small work is done beside the readers", z.isDone(small))
-	z.runUntilZone(zonehealth.Healthy, 1, 300)
-	z.runUntil(t, 100, "two machines are full of replicas", func() bool { return z.runningReaders() == 4 })
+	setPartitioned(otherMachines[:2], false)
+	z.runUntil(t, 300, "small array is done beside the services", z.isDone(smallArray))
+	z.runUntilZoneState(zonehealth.Healthy, 1, 300)
+	z.runUntil(t, 100, "replicas fill both machines", func() bool { return z.runningReplicas() == 4 })
 }
 
-// The state service is down as the zone returns: nothing is placed meanwhile, and
-// afterwards the readers are ahead.
-func TestZoneReturnsInOutage(t *testing.T) {
+// The state service is down while the zone returns: nothing is placed during the outage, and
+// afterwards the services run before the arrays.
+func TestZoneReturnsDuringStoreOutage(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	withReaders, others := z.loseZone()
+	serviceMachines, otherMachines := z.partitionUntilDown()
 	z.world.Store.Down = true
-	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+	for _, worker := range serviceMachines {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	setPartitioned(others, false)
+	setPartitioned(otherMachines, false)
 	z.runChecked(20)
 	z.world.Store.Down = false
-	back := z.world.Now
-	z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-	if n := z.arrayStartsBeforeReaders(back); n > 2*len(others)-readerTasks {
-		t.Errorf("%d tasks of arrays started before the readers", n)
+	storeRecoveredAt := z.world.Now
+	z.runUntil(t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
+	if started := z.arrayStartsBeforeServices(storeRecoveredAt); started > 2*len(otherMachines)-serviceReplicas {
+		t.Errorf("%d array tasks started before all replicas ran again, want at most %d", started, 2*len(otherMachines)-serviceReplicas)
 	}
-	z.runUntilRecovered(2*arrayTasks - readerTasks)
+	z.runUntilRecovered(2*arrayTasks - serviceReplicas)
 }
 
-// The split is one-way: heartbeats arrive, responses and commands don't. The zone's machines run
-// nothing, so it counts as lost.
-func TestZoneOneWaySplit(t *testing.T) {
+// The partition is one-way: heartbeats arrive, responses and commands don't. The machines of the
+// zone run nothing, so the zone counts as lost.
+func TestZoneWithOneWayPartition(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	withReaders, others := z.machines()
-	all := slices.Concat(withReaders, others)
-	for _, x := range all {
-		x.InboundLost = true
+	serviceMachines, otherMachines := z.zoneMachines()
+	allMachines := slices.Concat(serviceMachines, otherMachines)
+	for _, worker := range allMachines {
+		worker.InboundLost = true
 	}
-	z.runUntilZone(zonehealth.Down, 1, 120)
-	for _, x := range all {
-		x.InboundLost = false
+	z.runUntilZoneState(zonehealth.Down, 1, 120)
+	for _, worker := range allMachines {
+		worker.InboundLost = false
 	}
 	z.runUntilRecovered(2 * arrayTasks)
 }
 
-// Two zones drop at once: the third observes both, and both recover.
-func TestTwoZonesAtOnce(t *testing.T) {
+// Two zones fail at once: the controller of the third zone records both as down, and both
+// recover.
+func TestTwoZonesFailAtOnce(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	var lost []*simulator.Worker
-	for _, x := range z.world.Cloud.Workers() {
-		if x.Zone != "z" {
-			lost = append(lost, x)
+	var partitioned []*simulator.Worker
+	for _, worker := range z.world.Cloud.Workers() {
+		if worker.Zone != "z" {
+			partitioned = append(partitioned, worker)
 		}
 	}
-	setPartitioned(lost, true)
-	z.runUntilZone(zonehealth.Down, 2, 60)
+	setPartitioned(partitioned, true)
+	z.runUntilZoneState(zonehealth.Down, 2, 60)
 	z.runUntil(t, 60, "zone y is down", func() bool {
-		v := z.nodes[2].state().Cache.Zones["y"].Record
-		return v != nil && v.State == zonehealth.Down
+		record := z.nodes[2].state().Cache.Zones["y"].Record
+		return record != nil && record.State == zonehealth.Down
 	})
-	setPartitioned(lost, false)
+	setPartitioned(partitioned, false)
 	z.runUntilRecovered(2 * arrayTasks)
 }
 
-// Gangs bound to the zone, a team at its limit and cancellations during the outage: gangs
-// begin again as a whole behind the readers, nothing passes a limit, and what was cancelled
-// does not come back.
+// A gang bound to the zone, and an array that is cancelled during the outage: the gang restarts
+// as a whole after the services, no team exceeds its limit, and no task of the cancelled array
+// runs again.
 func TestZoneRecoveryWithGangsAndCancellations(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	gang := z.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Kind, r.Tasks, r.Zone, r.Together, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
 	})
 	z.runUntil(t, 120, "gang runs", func() bool { return z.runningTasks(gang) == 4 })
-	_, others := z.loseZone()
+	_, otherMachines := z.partitionUntilDown()
 	cancelled := z.arrays[0]
 	z.cancel(1, cancelled)
 	z.runChecked(10)
-	withReaders, _ := z.machines()
-	setPartitioned(slices.Concat(withReaders, others), false)
-	z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
+	serviceMachines, _ := z.zoneMachines()
+	setPartitioned(slices.Concat(serviceMachines, otherMachines), false)
+	z.runUntil(t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
 	z.runUntil(t, 400, "gang runs again", func() bool { return z.runningTasks(gang) == 4 })
 	if z.runningTasks(cancelled) > 0 {
-		t.Error("a cancelled array runs again")
+		t.Errorf("%d tasks of the cancelled array run again, want 0", z.runningTasks(cancelled))
 	}
 	z.runUntilRecovered(arrayTasks)
 }
 
-// Services spread over zones get their replicas back that may only be in this zone, and
-// those that found room elsewhere stay there.
-func TestSpreadServices(t *testing.T) {
+// A service spread over zones gets those replicas back that may only run in this zone; replicas
+// that were placed elsewhere stay there.
+func TestSpreadServicesKeepReplicasInOtherZones(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	z.world.Cloud.NoCapacity = false
-	spread := z.submitJob(func(r *api.Job, _ *time.Duration) {
+	spreadService := z.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Priority, r.Tasks, r.Spread, r.Image = api.Service, "production", 6, true, "spread"
 	})
-	z.runUntil(t, 200, "spread replicas run", func() bool { return z.runningTasks(spread) == 6 })
+	z.runUntil(t, 200, "spread replicas run", func() bool { return z.runningTasks(spreadService) == 6 })
 	z.world.Cloud.NoCapacity = true
-	withReaders, others := z.loseZone()
+	serviceMachines, otherMachines := z.partitionUntilDown()
 	z.runChecked(40)
-	stays := z.runningTasksByHost(spread)
-	setPartitioned(slices.Concat(withReaders, others), false)
-	z.runUntil(t, 300, "all replicas run", func() bool { return z.runningTasks(spread) == 6 && z.runningReaders() == readerTasks })
+	replicasElsewhere := z.runningTasksByHost(spreadService)
+	setPartitioned(slices.Concat(serviceMachines, otherMachines), false)
+	z.runUntil(t, 300, "all replicas run", func() bool {
+		return z.runningTasks(spreadService) == 6 && z.runningReplicas() == serviceReplicas
+	})
 	z.runChecked(40)
-	for host, n := range stays {
-		if x := z.world.Cloud.Hosts[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
-			t.Errorf("a replica on %s in %s was moved", host, x.Zone)
+	for host, n := range replicasElsewhere {
+		if worker := z.world.Cloud.Hosts[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < n {
+			t.Errorf("%d replicas on %s in zone %s, want at least the %d before",
+				z.runningTasksByHost(spreadService)[host], host, worker.Zone, n)
 		}
 	}
 }
 
-// The record of a zone is written seldom: a recovery takes few changes.
-func TestZoneRecordIsWrittenSeldom(t *testing.T) {
+// The record of a zone is written rarely: a recovery takes few writes.
+func TestZoneRecordIsWrittenRarely(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	writes := 0
-	last := uint64(0)
-	watch := func() {
-		if v := z.nodes[1].state().Cache.Zones["x"]; v.Version != last {
-			last = v.Version
+	lastVersion := uint64(0)
+	countWrites := func() {
+		if zone := z.nodes[1].state().Cache.Zones["x"]; zone.Version != lastVersion {
+			lastVersion = zone.Version
 			writes++
 		}
 	}
-	began := z.world.Now
-	withReaders, others := z.machines()
-	setPartitioned(slices.Concat(withReaders, others), true)
+	startedAt := z.world.Now
+	serviceMachines, otherMachines := z.zoneMachines()
+	setPartitioned(slices.Concat(serviceMachines, otherMachines), true)
 	for range 40 {
 		z.runRound()
-		watch()
+		countWrites()
 	}
-	setPartitioned(slices.Concat(withReaders, others), false)
+	setPartitioned(slices.Concat(serviceMachines, otherMachines), false)
 	for range 200 {
 		z.runRound()
-		watch()
+		countWrites()
 	}
-	took := z.world.Now.Sub(began)
-	if most := int(took / z.nodes[0].controller.node.Settings.HeartbeatInterval() / 4); writes > most || writes < 3 {
-		t.Errorf("%d writes in %v, at most %d", writes, took, most)
+	elapsed := z.world.Now.Sub(startedAt)
+	if maxWrites := int(elapsed / z.nodes[0].controller.node.Settings.HeartbeatInterval() / 4); writes > maxWrites || writes < 3 {
+		t.Errorf("%d writes of the zone record in %v, want 3 to %d", writes, elapsed, maxWrites)
 	}
-	if v := z.nodes[1].state().Cache.Zones["x"].Record; v.State != zonehealth.Healthy || len(v.Observations) > 0 {
-		t.Errorf("the record is left as %+v", *v)
+	if record := z.nodes[1].state().Cache.Zones["x"].Record; record.State != zonehealth.Healthy || len(record.Observations) > 0 {
+		t.Errorf("zone record after the recovery: %+v, want healthy and without observations", *record)
 	}
 }
