--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -9,58 +9,60 @@
 	"violetturn/internal/zonehealth"
 )
 
-// zoneScenario is a cluster of three zones, a controller at home in each, whose zone x has
-// readers and arrays that are bound to it, and more arrays that wait for room there. The
-// cloud has no more machines to give.
+// zoneScenario is a cluster of three zones with a controller in each. Services and arrays that
+// are bound to zone x run there, more arrays wait for capacity in it, and the cloud rents no more
+// machines.
 type zoneScenario struct {
 	*testCluster
-	t       testing.TB
-	readers []string
-	arrays  []string
-	starts  []zoneStart
+	t          testing.TB
+	services   []string
+	arrays     []string
+	taskStarts []zoneTaskStart
 }
 
-// zoneStart is a task that started in zone x.
-type zoneStart struct {
-	at     time.Time
-	uid    string
-	reader bool
-	host   string
+// zoneTaskStart records the start of a task in zone x.
+type zoneTaskStart struct {
+	at      time.Time
+	uid     string
+	service bool // a replica of a service, not a task of an array
+	host    string
 }
 
 const (
-	readerTasks = 8
-	arrayTasks  = 8
+	serviceReplicas = 8
+	arrayTasks      = 8
 )
 
-// enableZoneRecovery switches zone recovery on at a controller.
+// enableZoneRecovery enables zone recovery on a controller.
 func enableZoneRecovery(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = true }
 
-// newZoneScenario returns a scenario whose readers and arrays run, while more arrays wait.
-func newZoneScenario(tb testing.TB, started func(*testNode)) *zoneScenario {
+// newZoneScenario returns a scenario in which the services and the first arrays run, while more
+// arrays wait. onStart is called for each controller that starts.
+func newZoneScenario(tb testing.TB, onStart func(*testNode)) *zoneScenario {
 	tb.Helper()
 	const lease = 9 * time.Second
 	z := &zoneScenario{testCluster: newTestCluster(), t: tb}
 	z.world.Lease, z.world.CancelTimeout = lease, 4*lease
 	z.world.Zones = []string{"x", "y", "z"}
 	z.world.TeamGPULimits = map[string]float64{}
-	z.restartNodes(started)
-	z.fill()
+	z.restartNodes(onStart)
+	z.submitInitialJobs()
 	z.world.Cloud.NoCapacity = true
-	for range 3 { // they wait for the room of the others
+	for range 3 { // these wait for the capacity that the first arrays use
 		z.arrays = append(z.arrays, z.submitIdleArray(arrayTasks, time.Hour))
 	}
-	z.world.OnTaskStarted = func(x *simulator.Worker, uid string) {
-		if x.Zone == "x" {
-			z.starts = append(z.starts, zoneStart{z.world.Now, uid, z.isReader(uid), x.Host})
+	z.world.OnTaskStarted = func(worker *simulator.Worker, uid string) {
+		if worker.Zone == "x" {
+			z.taskStarts = append(z.taskStarts, zoneTaskStart{z.world.Now, uid, z.isService(uid), worker.Host})
 		}
 	}
 	z.runFor(30)
 	return z
 }
 
-// fill runs services in the other zones, and readers and arrays in zone x.
-func (z *zoneScenario) fill() {
+// submitInitialJobs submits services in the other zones, and services and arrays in zone x, and
+// waits until they run.
+func (z *zoneScenario) submitInitialJobs() {
 	z.t.Helper()
 	for _, zone := range []string{"y", "z"} {
 		z.submitJob(func(r *api.Job, _ *time.Duration) {
@@ -68,138 +70,144 @@
 		})
 	}
 	for range 2 {
-		z.readers = append(z.readers, z.submitReader(readerTasks/2))
+		z.services = append(z.services, z.submitZoneService(serviceReplicas/2))
 	}
-	z.runUntil(z.t, 160, "readers run", func() bool { return z.runningReaders() == readerTasks })
+	z.runUntil(z.t, 160, "services run in zone x", func() bool { return z.runningReplicas() == serviceReplicas })
 	for range 2 {
 		z.arrays = append(z.arrays, z.submitIdleArray(arrayTasks, time.Hour))
 	}
-	z.runUntil(z.t, 160, "arrays run", func() bool { return z.runningTasks(z.arrays[0])+z.runningTasks(z.arrays[1]) == 2*arrayTasks })
+	z.runUntil(z.t, 160, "arrays run in zone x", func() bool {
+		return z.runningTasks(z.arrays[0])+z.runningTasks(z.arrays[1]) == 2*arrayTasks
+	})
 }
 
-// submitReader submits a service of readers in zone x.
-func (z *zoneScenario) submitReader(tasks int) string {
+// submitZoneService submits a production service that is bound to zone x.
+func (z *zoneScenario) submitZoneService(tasks int) string {
 	return z.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Priority, r.Tasks, r.Zone, r.Image = api.Service, "production", tasks, "x", "reader"
 	})
 }
 
-// submitIdleArray submits an array of low priority in zone x.
-func (z *zoneScenario) submitIdleArray(tasks int, d time.Duration) string {
-	return z.submitJob(func(r *api.Job, run *time.Duration) {
-		r.Priority, r.Tasks, r.Zone, r.Image, *run = "idle", tasks, "x", "array", d
-		r.CheckpointS, r.SaveS = 5, 4 // it saves before it leaves
+// submitIdleArray submits an array of priority idle that is bound to zone x.
+func (z *zoneScenario) submitIdleArray(tasks int, runTime time.Duration) string {
+	return z.submitJob(func(r *api.Job, jobRunTime *time.Duration) {
+		r.Priority, r.Tasks, r.Zone, r.Image, *jobRunTime = "idle", tasks, "x", "array", runTime
+		r.CheckpointS, r.SaveS = 5, 4 // a stopped task saves its progress first
 	})
 }
 
-// isReader reports whether a job is a service of readers.
-func (z *zoneScenario) isReader(uid string) bool { return z.world.Jobs[uid].Spec.Kind == api.Service }
+// isService reports whether a job is a service.
+func (z *zoneScenario) isService(uid string) bool { return z.world.Jobs[uid].Spec.Kind == api.Service }
 
-// runningReaders counts the readers that run.
-func (z *zoneScenario) runningReaders() (n int) {
-	for _, uid := range z.readers {
+// runningReplicas counts the running replicas of the services of zone x.
+func (z *zoneScenario) runningReplicas() (n int) {
+	for _, uid := range z.services {
 		n += z.runningTasks(uid)
 	}
 	return n
 }
 
-// runningArrays counts the tasks of arrays that run.
-func (z *zoneScenario) runningArrays() (n int) {
+// runningArrayTasks counts the running tasks of the arrays of zone x.
+func (z *zoneScenario) runningArrayTasks() (n int) {
 	for _, uid := range z.arrays {
 		n += z.runningTasks(uid)
 	}
 	return n
 }
 
-// machines returns the machines of zone x, those with readers first.
-func (z *zoneScenario) machines() (withReaders, others []*simulator.Worker) {
-	for _, x := range z.world.Cloud.Workers() {
+// zoneMachines returns the machines of zone x: those that run a replica of a service, and the
+// others.
+func (z *zoneScenario) zoneMachines() (serviceMachines, otherMachines []*simulator.Worker) {
+	for _, worker := range z.world.Cloud.Workers() {
 		switch {
-		case x.Zone != "x":
-		case len(x.PresentJobs()) > 0 && z.isReader(x.PresentJobs()[0]):
-			withReaders = append(withReaders, x)
+		case worker.Zone != "x":
+		case len(worker.PresentJobs()) > 0 && z.isService(worker.PresentJobs()[0]):
+			serviceMachines = append(serviceMachines, worker)
 		default:
-			others = append(others, x)
+			otherMachines = append(otherMachines, worker)
 		}
 	}
-	return withReaders, others
+	return serviceMachines, otherMachines
 }
 
-// setPartitioned partitions machines from all else, or ends that.
+// setPartitioned partitions machines from everything else, or ends their partition.
 func setPartitioned(machines []*simulator.Worker, partitioned bool) {
-	for _, x := range machines {
-		x.Partitioned = partitioned
+	for _, worker := range machines {
+		worker.Partitioned = partitioned
 	}
 }
 
-// zoneRecord returns the record of zone x as a controller has it.
+// zoneRecord returns the record of zone x that a controller has cached.
 func (z *zoneScenario) zoneRecord(node int) zonehealth.Record {
-	if v := z.nodes[node].state().Cache.Zones["x"].Record; v != nil {
-		return *v
+	if record := z.nodes[node].state().Cache.Zones["x"].Record; record != nil {
+		return *record
 	}
 	return zonehealth.Record{}
 }
 
-// runUntilZone runs until a controller has zone x in a state.
-func (z *zoneScenario) runUntilZone(state zonehealth.State, node, most int) {
+// runUntilZoneState runs until the record of zone x that a controller has cached shows a state.
+func (z *zoneScenario) runUntilZoneState(state zonehealth.State, node, maxRounds int) {
 	z.t.Helper()
-	z.runUntil(z.t, most, "zone x is "+string(state), func() bool { return z.zoneRecord(node).State == state })
+	z.runUntil(z.t, maxRounds, "zone x is "+string(state), func() bool { return z.zoneRecord(node).State == state })
 }
 
-// runChecked runs rounds and fails if a rule is broken.
+// runChecked runs rounds and fails if a rule of the simulator is violated.
 func (z *zoneScenario) runChecked(rounds int) {
 	z.t.Helper()
 	z.runRounds(z.t, rounds)
 }
 
-// loseZone partitions all machines of zone x until the zone is down.
-func (z *zoneScenario) loseZone() (withReaders, others []*simulator.Worker) {
+// partitionUntilDown partitions all machines of zone x until the zone is recorded as down.
+func (z *zoneScenario) partitionUntilDown() (serviceMachines, otherMachines []*simulator.Worker) {
 	z.t.Helper()
-	withReaders, others = z.machines()
-	setPartitioned(withReaders, true)
-	setPartitioned(others, true)
-	z.runUntilZone(zonehealth.Down, 1, 60)
-	return withReaders, others
+	serviceMachines, otherMachines = z.zoneMachines()
+	setPartitioned(serviceMachines, true)
+	setPartitioned(otherMachines, true)
+	z.runUntilZoneState(zonehealth.Down, 1, 60)
+	return serviceMachines, otherMachines
 }
 
-// runUntilRecovered runs until readers and arrays run again and the zone is healthy.
-func (z *zoneScenario) runUntilRecovered(arrays int) {
+// runUntilRecovered runs until all replicas and arrayTaskCount array tasks run again and the zone
+// is healthy.
+func (z *zoneScenario) runUntilRecovered(arrayTaskCount int) {
 	z.t.Helper()
-	z.runUntil(z.t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-	z.runUntil(z.t, 600, "arrays are back", func() bool { return z.runningArrays() >= arrays })
-	z.runUntilZone(zonehealth.Healthy, 1, 200)
+	z.runUntil(z.t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
+	z.runUntil(z.t, 600, "arrays run again", func() bool { return z.runningArrayTasks() >= arrayTaskCount })
+	z.runUntilZoneState(zonehealth.Healthy, 1, 200)
 }
 
-// arrayStartsBeforeReaders counts the tasks of arrays that started in x before the readers ran again.
-func (z *zoneScenario) arrayStartsBeforeReaders(from time.Time) (n int) {
-	readers := 0
-	for _, s := range z.starts {
-		if s.at.Before(from) {
+// arrayStartsBeforeServices counts the array tasks that started in zone x, from a time on, before
+// as many replicas as all services have.
+func (z *zoneScenario) arrayStartsBeforeServices(from time.Time) (count int) {
+	startedReplicas := 0
+	for _, start := range z.taskStarts {
+		if start.at.Before(from) {
 			continue
 		}
-		if s.reader {
-			readers++
-		} else if readers < readerTasks {
-			n++
+		if start.service {
+			startedReplicas++
+		} else if startedReplicas < serviceReplicas {
+			count++
 		}
 	}
-	return n
-}
-
-// returnHalf partitions the zone and lets the machines return that had no readers: those
-// that had are lost.
-func (z *zoneScenario) returnHalf(down bool) (returned time.Time) {
-	withReaders, others := z.machines()
-	setPartitioned(withReaders, true)
-	setPartitioned(others, true)
-	if down {
-		z.runUntilZone(zonehealth.Down, 1, 40)
+	return count
+}
+
+// returnMachinesWithoutServices partitions zone x, terminates its machines that ran services, and
+// ends the partition of the others. With untilDown it first waits until the zone is down. It
+// returns the time at which the partition ended.
+func (z *zoneScenario) returnMachinesWithoutServices(untilDown bool) (returnedAt time.Time) {
+	serviceMachines, otherMachines := z.zoneMachines()
+	setPartitioned(serviceMachines, true)
+	setPartitioned(otherMachines, true)
+	if untilDown {
+		z.runUntilZoneState(zonehealth.Down, 1, 40)
 	} else {
 		z.runFor(20)
 	}
-	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+	for _, worker := range serviceMachines {
+		z.world.Cloud.Terminate(worker.Host)
 	}
-	setPartitioned(others, false)
+	setPartitioned(otherMachines, false)
 	return z.world.Now
 }
