--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/store"
 )
 
-// BenchmarkPlan measures the plan of one decision on shards of the sizes that larger deployments
-// have. The state is locked for as long.
+// BenchmarkPlan measures the plan of one decision on shards of the sizes of large deployments.
+// The lock of the state is held for the same time.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, n/10)
@@ -69,18 +69,18 @@
 		c := newSizedController(n, n/10)
 		var items []store.Item
 		for key, version := range c.testState().Cache.Versions {
-			var v any
+			var record any
 			switch {
 			case strings.HasPrefix(key, statecache.JobKey("")):
-				v = c.testState().Cache.Jobs[key[len(statecache.JobKey("")):]].Record
+				record = c.testState().Cache.Jobs[key[len(statecache.JobKey("")):]].Record
 			case strings.HasPrefix(key, statecache.MachinePageKey("")):
-				v = c.testState().Cache.Pages[key[len(statecache.MachinePageKey("")):]].Record
+				record = c.testState().Cache.Pages[key[len(statecache.MachinePageKey("")):]].Record
 			case strings.HasPrefix(key, statecache.CapacityKey("")):
-				v = c.testState().Cache.Capacities[key[len(statecache.CapacityKey("")):]].Record
+				record = c.testState().Cache.Capacities[key[len(statecache.CapacityKey("")):]].Record
 			default:
 				continue
 			}
-			items = append(items, store.Item{Key: key, Value: api.JSON(v), Version: version})
+			items = append(items, store.Item{Key: key, Value: api.JSON(record), Version: version})
 		}
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -111,10 +111,10 @@
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			for range b.N {
 				review := c.testState().Autoscaler.NewReview(c.node.Now())
-				for host, m := range c.testState().Cache.Machines {
+				for host, machine := range c.testState().Cache.Machines {
 					agentState := c.testState().Agents.Agent(host)
 					agentState.UnderusedSince = time.Time{}
-					review.Consider(host, m, agentState)
+					review.Consider(host, machine, agentState)
 				}
 			}
 		})
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -7,10 +7,11 @@
 	"violetturn/internal/api"
 )
 
-// runStoreOutage has the state service refuse only a leader, cancels a job through another
-// controller, and then has the state service refuse all controllers for longer than the
-// cancellation timeout, while the workers still send heartbeats to the old leader. fault is
-// called right after the cancellation is confirmed. The result is a job that was not cancelled.
+// runStoreOutage makes the state service refuse the requests of a leader only, cancels a job
+// through another controller, and then makes the state service refuse all requests for longer
+// than the cancellation timeout, while the workers still send heartbeats to the old leader. fault
+// is called right after the cancellation is confirmed. It returns the cluster and a job that was
+// not cancelled.
 func runStoreOutage(t *testing.T, fault func(s *testCluster, leader, other int)) (s *testCluster, uncancelled string) {
 	t.Helper()
 	s = newReadyCluster()
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -54,7 +54,7 @@
 	return o
 }
 
-// drawSeconds draws a time in tenths of seconds.
+// drawSeconds draws a duration from minSeconds to maxSeconds, in steps of a tenth of a second.
 func (o *outageSchedule) drawSeconds(name string, minSeconds, maxSeconds int) time.Duration {
 	return time.Duration(rapid.IntRange(minSeconds*10, maxSeconds*10).Draw(o.t, name)) * 100 * time.Millisecond
 }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/api"
 )
 
-// A shard changes its leader and back, then all controllers are down, some times for longer than
-// a lease, and a single one returns: it acquires that shard.
+// A shard changes its leader and back, then all controllers are down, in some cases for longer
+// than a lease, and a single one returns: it acquires that shard.
 func TestAllControllersDown(t *testing.T) {
 	for _, downtime := range []time.Duration{0, 4 * time.Second, 8500 * time.Millisecond, 9500 * time.Millisecond, 25 * time.Second} {
 		for _, firstReturning := range []int{0, 2} {
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -86,9 +86,9 @@
 	s.checkRecovery(t)
 }
 
-// Late copies of heartbeats prove nothing: they don't revive a lost machine, and a controller
-// that has just started and has no history does not register a machine from them that was
-// terminated long ago.
+// Late copies of heartbeats are no evidence that a machine runs: a lost machine still counts as
+// lost, and a controller that has just started and has no history does not register a machine
+// that was terminated long ago.
 func TestDelayedHeartbeatCopies(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
@@ -103,13 +103,13 @@
 		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
 	}
 	s.world.Cloud.Terminate(host)
-	deliverCopies := func() {
+	deliverCopiesAndRun := func() {
 		s.deliverCopies(copies)
 		s.runRound()
 	}
 	bound := rounds(s.world.Lease + 4*time.Second)
 	for round := 0; round < bound+40 && s.runningTasks(id) < 2; round++ {
-		deliverCopies()
+		deliverCopiesAndRun()
 	}
 	if s.runningTasks(id) < 2 {
 		t.Fatalf("%d replicas run while copies of the lost machine's heartbeats arrive, want 2", s.runningTasks(id))
@@ -119,7 +119,7 @@
 		s.startNode(i)
 	}
 	for range 40 {
-		deliverCopies()
+		deliverCopiesAndRun()
 		for _, n := range s.nodes {
 			if n.state().Cache.Machines[host] != nil {
 				t.Fatalf("machine %s, terminated long ago, is registered again at %s", host, n.name)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -129,9 +129,9 @@
 		id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
 		j := c.testState().Cache.Jobs[id]
 		var host *sched.Host
-		for _, h := range c.testState().Scheduler.SchedulableHosts(c.node.Now()) {
-			if h.Shard == "n0" {
-				host = h
+		for _, candidate := range c.testState().Scheduler.SchedulableHosts(c.node.Now()) {
+			if candidate.Shard == "n0" {
+				host = candidate
 			}
 		}
 		if host == nil {
@@ -215,22 +215,22 @@
 // starts under a stream of small ones.
 func TestGangsDontBlockOneAnother(t *testing.T) {
 	s := newReadyCluster()
-	first := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	second := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	s.runUntil(t, 400, "first gang done", s.isDone(first))
-	s.runUntil(t, 400, "second gang done", s.isDone(second))
+	firstGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
+	secondGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
+	s.runUntil(t, 400, "first gang done", s.isDone(firstGang))
+	s.runUntil(t, 400, "second gang done", s.isDone(secondGang))
 	s.world.Cloud.NoCapacity = true // only the existing machines are available
-	large := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	rounds := 0
+	largeGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
+	round := 0
 	s.runUntil(t, 480, "large gang done", func() bool {
-		if rounds++; rounds%6 == 0 {
-			id := fmt.Sprintf("run-%06d", 1000+rounds)
-			spec := s.world.Jobs[large].Spec
+		if round++; round%6 == 0 {
+			id := fmt.Sprintf("run-%06d", 1000+round)
+			spec := s.world.Jobs[largeGang].Spec
 			spec.UID, spec.Tasks = id, 2
 			s.world.Jobs[id] = &simulator.Job{Spec: spec, RunTime: 6 * time.Second, Done: map[int]bool{}}
 			s.submit(0, id)
 		}
-		return s.isDone(large)()
+		return s.isDone(largeGang)()
 	})
 }
 
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -22,7 +22,7 @@
 	simulated      time.Duration
 	busy           map[string]time.Duration // by kind of work
 	allocatedBytes uint64
-	longestStep    time.Duration // of a single step
+	longestStep    time.Duration // longest single call of measured work
 	lockUses       map[string]*state.LockUse
 }
 
@@ -54,8 +54,8 @@
 	for _, phase := range []string{"fill", "steady", "takeover", "start", "outage", "return", "last"} {
 		cost := l.costs[phase]
 		total := time.Duration(0)
-		for _, d := range cost.busy {
-			total += d
+		for _, duration := range cost.busy {
+			total += duration
 		}
 		perSecond := func(duration time.Duration) float64 { return duration.Seconds() * 1000 / cost.simulated.Seconds() }
 		fmt.Printf(
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -27,7 +27,7 @@
 	deployment    *simulator.Deployment
 	random        *rand.Rand
 	phase         string
-	nextHeartbeat map[string]time.Time         // by machine
+	nextHeartbeat map[string]time.Time         // by machine, the time of its next heartbeat
 	lastSummary   map[string]string            // by machine, the summary of its last heartbeat
 	pollAt        map[string]time.Time         // by unfinished job, the time of its next query
 	cancelAt      map[string]time.Time         // by service, the time at which its user cancels it
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -59,14 +59,14 @@
 	s.runUntil(t, 200, "all tasks run", func() bool {
 		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
 	})
-	large := 0
+	largeRecords := 0
 	for _, item := range s.world.Store.Items(statecache.LivePrefix) {
 		if len(item.Value) > int(s.nextStateLimits.ValueKB*1024) {
-			large++
+			largeRecords++
 		}
 	}
-	if large < 3 {
-		t.Fatalf("%d records are larger than the announced lower limit, want at least 3", large)
+	if largeRecords < 3 {
+		t.Fatalf("%d records are larger than the announced lower limit, want at least 3", largeRecords)
 	}
 	s.upgradeNodes()
 	s.lowerStateLimits()
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -87,8 +87,8 @@
 		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
 	s.runUntil(t, 400, "machine pages are deleted", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
-	again := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
-	s.runUntil(t, 400, "second job done", s.isDone(again))
+	secondJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
+	s.runUntil(t, 400, "second job done", s.isDone(secondJob))
 	if s.world.Store.TooLarge > 3 {
 		t.Fatalf("%d transactions were refused because of their size, want at most 3", s.world.Store.TooLarge)
 	}
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -11,15 +11,15 @@
 	"violetturn/internal/simulator"
 )
 
-// A machine that received a command before its first heartbeat was answered once counted as
-// silent since long before it was rented, and was returned at once.
+// A machine that was fenced (by raising its token to the current term) before its first heartbeat
+// was answered once counted as silent since long before it was rented, and was returned at once.
 func TestNewMachineIsNotReturned(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(60) // the terms are old by then
 	id := s.submitJob(nil)
 	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.Hosts) > 0 })
 	firstMachine := s.world.Cloud.HostNames()[0]
-	for range 30 { // no heartbeats: the controllers only reach the machine with their own commands
+	for range 30 { // no heartbeats: the controllers only fence the machine
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -23,19 +23,19 @@
 // equalJSON reports whether two records have the same content.
 func equalJSON(t *testing.T, a, b json.RawMessage) bool {
 	t.Helper()
-	var x, y any
-	if err := json.Unmarshal(a, &x); err != nil {
+	var decodedA, decodedB any
+	if err := json.Unmarshal(a, &decodedA); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(b, &y); err != nil {
+	if err := json.Unmarshal(b, &decodedB); err != nil {
 		t.Fatal(err)
 	}
-	return reflect.DeepEqual(x, y)
+	return reflect.DeepEqual(decodedA, decodedB)
 }
 
 // Records of the version in production are read and written back unchanged. The files were
 // written by that version.
-func TestReadsProductionRecords(t *testing.T) {
+func TestRecordsOfProductionVersionAreUnchanged(t *testing.T) {
 	for name, read := range map[string]func(raw json.RawMessage) (any, error){
 		"job-inner.json":   func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
 		"job-chunked.json": func(raw json.RawMessage) (any, error) { return job.ParseRecord(raw) },
@@ -64,7 +64,7 @@
 // Records that are written while one controller may still run the version in production have the
 // same content after that version has read them and written them back. The exception is the
 // schema version that a node writes to its own record, which no other node rewrites.
-func TestProductionReadsUpgradeRecords(t *testing.T) {
+func TestProductionVersionPreservesNewRecords(t *testing.T) {
 	s := newTestCluster()
 	s.nodes[1].inProduction = true
 	s.startNode(1)
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -15,9 +15,8 @@
 )
 
 // Responses to reads and to this controller's transactions arrive in any order, some delayed. In
-// every order the replica equals the state service once it has read all changes. Once a delayed
-// write that arrived after the deletion of its key left a key in the replica for good that no
-// longer existed.
+// every order the replica equals the state service once it has read all changes. A delayed write
+// that arrived after the deletion of its key once left the deleted key in the replica for good.
 func TestReplicaWithDelayedResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newReplicaModel()
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -36,8 +36,8 @@
 
 // newZoneOutcomes returns an empty collection.
 func newZoneOutcomes(name string) *zoneOutcomes {
-	const longest = int64(10 * time.Minute / time.Millisecond)
-	return &zoneOutcomes{name: name, serviceDelays: hdrhistogram.New(1, longest, 3), arrayDelays: hdrhistogram.New(1, longest, 3)}
+	const maxDelayMS = int64(10 * time.Minute / time.Millisecond)
+	return &zoneOutcomes{name: name, serviceDelays: hdrhistogram.New(1, maxDelayMS, 3), arrayDelays: hdrhistogram.New(1, maxDelayMS, 3)}
 }
 
 // add adds an outcome. recovered is set if everything ran again in time and no rule of the
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -23,8 +23,8 @@
 			if controllerFirst {
 				z.startNode(0)
 				z.runChecked(30)
-				if s := z.zoneRecord(1).State; s == zonehealth.Healthy {
-					t.Errorf("zone is %s as soon as its controller is back, want any other state", s)
+				if state := z.zoneRecord(1).State; state == zonehealth.Healthy {
+					t.Errorf("zone is %s as soon as its controller is back, want any other state", state)
 				}
 			}
 			returnedAt := z.world.Now
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -87,27 +87,27 @@
 	leaderController := z.nodes[leader].controller
 	waitingTasks := func() (tasks int) {
 		observations := leaderController.testState().Zones.Observe(leaderController.node.Now()).Observations
-		for _, d := range observations["x"]["n0"].WaitingProduction {
-			tasks += d.Tasks
+		for _, demand := range observations["x"]["n0"].WaitingProduction {
+			tasks += demand.Tasks
 		}
 		return tasks
 	}
-	if n := waitingTasks(); n != serviceReplicas {
-		t.Fatalf("machines lost: capacity reserved for %d tasks, want %d", n, serviceReplicas)
+	if reserved := waitingTasks(); reserved != serviceReplicas {
+		t.Fatalf("machines lost: capacity reserved for %d tasks, want %d", reserved, serviceReplicas)
 	}
 	for _, worker := range serviceMachines {
 		leaderController.testState().Agents.Agent(worker.Host).Terminated = true
 	}
-	if n := waitingTasks(); n != serviceReplicas {
-		t.Errorf("machines terminated: capacity reserved for %d tasks, want %d", n, serviceReplicas)
+	if reserved := waitingTasks(); reserved != serviceReplicas {
+		t.Errorf("machines terminated: capacity reserved for %d tasks, want %d", reserved, serviceReplicas)
 	}
 	for _, worker := range serviceMachines {
 		leaderController.testState().Agents.Drop(worker.Host)
 		leadership := leaderController.testState().Leadership.Lookup(leaderController.testState().Cache.Machines[worker.Host].Shard)
 		leaderController.testState().Agents.Ensure(worker.Host, leadership).LastAnswered = leaderController.node.Now()
 	}
-	if n := waitingTasks(); n != serviceReplicas {
-		t.Errorf("no heartbeat received yet: capacity reserved for %d tasks, want %d", n, serviceReplicas)
+	if reserved := waitingTasks(); reserved != serviceReplicas {
+		t.Errorf("no heartbeat received yet: capacity reserved for %d tasks, want %d", reserved, serviceReplicas)
 	}
 }
 
@@ -225,10 +225,10 @@
 		return z.runningTasks(spreadService) == 6 && z.runningReplicas() == serviceReplicas
 	})
 	z.runChecked(40)
-	for host, n := range replicasElsewhere {
-		if worker := z.world.Cloud.Hosts[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < n {
+	for host, before := range replicasElsewhere {
+		if worker := z.world.Cloud.Hosts[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < before {
 			t.Errorf("%d replicas on %s in zone %s, want at least the %d before",
-				z.runningTasksByHost(spreadService)[host], host, worker.Zone, n)
+				z.runningTasksByHost(spreadService)[host], host, worker.Zone, before)
 		}
 	}
 }
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -176,8 +176,8 @@
 	z.runUntilZoneState(zonehealth.Healthy, 1, 200)
 }
 
-// arrayStartsBeforeServices counts the array tasks that started in zone x, from a time on, before
-// as many replicas as all services have.
+// arrayStartsBeforeServices counts the array tasks that started in zone x since a time, but
+// before all replicas of the services had started again.
 func (z *zoneScenario) arrayStartsBeforeServices(from time.Time) (count int) {
 	startedReplicas := 0
 	for _, start := range z.taskStarts {
