--- a/cmd/violetturn/cluster_test.go
+++ b/cmd/violetturn/cluster_test.go
@@ -68,7 +68,7 @@
 	return &cluster{
 		b:          b,
 		deployment: d,
-		server:     simulator.NewServer(d.World(time.Now())),
+		server:     simulator.NewServer(d.NewEnvironment(time.Now())),
 		random:     rand.New(rand.NewPCG(1, 1)),
 		stop:       make(chan struct{}),
 		client: &http.Client{
@@ -81,9 +81,9 @@
 // writeSettings starts the simulated services, writes the settings file of each controller into a
 // folder and returns the files.
 func (c *cluster) writeSettings(dir string) []string {
-	state := serve(c.b, "127.0.0.1:0", c.server.State())
-	cloud := serve(c.b, "127.0.0.1:0", c.server.Cloud(workerPort))
-	serve(c.b, fmt.Sprintf("0.0.0.0:%d", workerPort), c.server.Workers())
+	state := serve(c.b, "127.0.0.1:0", c.server.StateHandler())
+	cloud := serve(c.b, "127.0.0.1:0", c.server.CloudHandler(workerPort))
+	serve(c.b, fmt.Sprintf("0.0.0.0:%d", workerPort), c.server.WorkerHandler())
 	var peers, files []string
 	for range processNodes {
 		c.nodes = append(c.nodes, freeAddr(c.b))
@@ -119,7 +119,7 @@
 	var s strings.Builder
 	fmt.Fprintf(&s, "[facts]\nsize = %d\nzones = [\"x\", \"y\", \"z\"]\ntime_bound_ms = 25.0\n", processNodes)
 	for _, team := range []string{"a", "b"} {
-		fmt.Fprintf(&s, "[[facts.teams]]\nname = %q\ngpus = %g\ngpus_max = %g\n", team, d.TeamGPUs/2, d.TeamGPUs)
+		fmt.Fprintf(&s, "[[facts.teams]]\nname = %q\ngpus = %g\ngpus_max = %g\n", team, d.TeamGPULimit/2, d.TeamGPULimit)
 	}
 	fmt.Fprintf(&s, `[[facts.objectives]]
 kind = "wait"
@@ -189,12 +189,12 @@
 }
 
 // playUser submits a job and asks for it until the cluster stops.
-func (c *cluster) playUser(class *simulator.Class, n int) {
+func (c *cluster) playUser(class *simulator.JobClass, n int) {
 	c.mu.Lock()
 	job, runTime := class.NewJob(n, c.random)
 	c.mu.Unlock()
-	c.server.With(func(w *simulator.World) {
-		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, Done: map[int]bool{}}
+	c.server.WithLock(func(w *simulator.Environment) {
+		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
 	})
 	body := simulator.Submission(&job)
 	accepted := false
--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -21,19 +21,19 @@
 	known := map[string]*heartbeatSchedule{}
 	var mu sync.Mutex // guards known and what is in it
 	c.every(100*time.Millisecond, func() {
-		c.server.With(func(w *simulator.World) {
+		c.server.WithLock(func(w *simulator.Environment) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, host := range w.Cloud.HostNames() {
-				x := w.Cloud.Hosts[host]
+				x := w.Cloud.WorkersByHost[host]
 				r := known[host]
 				if r == nil {
 					r = &heartbeatSchedule{}
 					known[host] = r
 				}
 				state := ""
-				if x.Up() && !x.Partitioned && !r.sending {
-					state = x.Summary()
+				if x.Booted() && !x.Partitioned && !r.sending {
+					state = x.StateSummary()
 				}
 				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
 				soonest := r.next.Add(500*time.Millisecond - interval)
@@ -43,7 +43,7 @@
 				r.sent, r.sending = state, true
 				intervals := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
 				r.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sent, agentEpoch, node := api.JSON(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
+				heartbeat, sent, agentEpoch, node := api.MustMarshal(x.Heartbeat()), w.Now, x.AgentEpoch, x.Node
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sent, agentEpoch)
 					mu.Lock()
@@ -58,8 +58,8 @@
 // sendHeartbeat sends a worker's heartbeat and has the worker take in the answer.
 func (c *cluster) sendHeartbeat(host string, node int, heartbeat []byte, sent time.Time, agentEpoch uint64) {
 	status, body := c.send(node, "POST", "/checkin", heartbeat)
-	c.server.With(func(w *simulator.World) {
-		x := w.Cloud.Hosts[host]
+	c.server.WithLock(func(w *simulator.Environment) {
+		x := w.Cloud.WorkersByHost[host]
 		if x == nil || x.Partitioned { // the answer is lost
 			return
 		}
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -27,10 +27,10 @@
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v: %s", err, out)
 	}
-	for _, d := range []*simulator.Deployment{simulator.Small(), simulator.Large()} {
+	for _, d := range []*simulator.Deployment{simulator.Deployment300(), simulator.Deployment2000()} {
 		b.Run(d.Name, func(b *testing.B) {
 			for range b.N {
-				d.Boot = 10 * time.Second // the fill is not what is looked at here
+				d.BootTime = 10 * time.Second // the fill is not what is looked at here
 				newCluster(b, d).run(program, filepath.Join(base, d.Name))
 			}
 		})
@@ -54,15 +54,15 @@
 	c.every(100*time.Millisecond, c.server.Tick)
 	c.playWorkers()
 	jobs := 0
-	for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&c.deployment.ServiceJobs, &c.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			c.playUser(class, jobs)
 			jobs++
 		}
 	}
 	for end := time.Now().Add(playedFor); time.Now().Before(end); time.Sleep(time.Second) {
-		for _, class := range []*simulator.Class{&c.deployment.Services, &c.deployment.Arrays} {
-			if c.randomBelow(1000) < int(class.PerSecond*1000) {
+		for _, class := range []*simulator.JobClass{&c.deployment.ServiceJobs, &c.deployment.ArrayJobs} {
+			if c.randomBelow(1000) < int(class.JobsPerSecond*1000) {
 				c.playUser(class, jobs)
 				jobs++
 			}
@@ -82,7 +82,7 @@
 	}
 	close(c.stop)
 	c.running.Wait()
-	c.server.With(func(w *simulator.World) {
-		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.Hosts), jobs, w.Violations)
+	c.server.WithLock(func(w *simulator.Environment) {
+		c.b.Logf("%d machines, %d jobs, broken: %v", len(w.Cloud.WorkersByHost), jobs, w.Violations)
 	})
 }
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -26,7 +26,7 @@
 // loopbackDeployment is small, and its workers report and are given up soon.
 func loopbackDeployment() *simulator.Deployment {
 	return &simulator.Deployment{
-		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, Boot: 6 * time.Second, Fetch: 500 * time.Millisecond,
+		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, BootTime: 6 * time.Second, FetchTime: 500 * time.Millisecond,
 		MachineType: simulator.MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		State:       config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	z.files = z.writeSettings(dir)
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		w.ListLag = time.Second
 		w.OnTaskStarted = func(x *simulator.Worker, uid string) {
 			if x.Zone == "x" {
@@ -86,12 +86,12 @@
 }
 
 // arraysInX counts the tasks of arrays in zone x.
-func arraysInX(w *simulator.World) (n int) {
+func arraysInX(w *simulator.Environment) (n int) {
 	for _, x := range w.Cloud.Workers() {
 		if x.Zone != "x" {
 			continue
 		}
-		for _, uid := range x.PresentJobs() {
+		for _, uid := range x.UnfinishedTaskJobs() {
 			if w.Jobs[uid].Spec.Kind == api.Array {
 				n++
 			}
@@ -155,8 +155,8 @@
 	}
 	change(&job)
 	z.uids = append(z.uids, job.UID)
-	z.server.With(func(w *simulator.World) {
-		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, Done: map[int]bool{}}
+	z.server.WithLock(func(w *simulator.Environment) {
+		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
 	})
 	z.wait(job.UID+" is accepted", func() bool {
 		status, body := z.send(z.randomBelow(processNodes), "POST", "/v2/runs", simulator.Submission(&job))
@@ -172,7 +172,7 @@
 		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &a) // an answer without a phase has none
-	z.server.With(func(w *simulator.World) { w.CheckResponse(uid, status, a.Phase, submission) })
+	z.server.WithLock(func(w *simulator.Environment) { w.CheckUserResponse(uid, status, a.Phase, submission) })
 	return a.Phase
 }
 
@@ -192,7 +192,7 @@
 
 // runningInX counts the tasks of jobs that run in zone x on machines that can be reached.
 func (z *zoneCluster) runningInX(uids ...string) (n int) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, x := range w.Cloud.Workers() {
 			for _, task := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
@@ -207,12 +207,12 @@
 
 // machines lists the machines of zone x, those with readers first.
 func (z *zoneCluster) machines() (withReaders, others []*simulator.Worker) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, x := range w.Cloud.Workers() {
 			if x.Zone != "x" {
 				continue
 			}
-			if present := x.PresentJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
+			if present := x.UnfinishedTaskJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
 				withReaders = append(withReaders, x)
 			} else {
 				others = append(others, x)
@@ -224,7 +224,7 @@
 
 // partition cuts machines off from the network, or ends that.
 func (z *zoneCluster) partition(machines []*simulator.Worker, cutOff bool) {
-	z.server.With(func(*simulator.World) {
+	z.server.WithLock(func(*simulator.Environment) {
 		for _, x := range machines {
 			x.Partitioned = cutOff
 		}
@@ -233,7 +233,7 @@
 
 // terminate has machines end for good.
 func (z *zoneCluster) terminate(machines []*simulator.Worker) {
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, x := range machines {
 			w.Cloud.Terminate(x.Host)
 		}
@@ -243,7 +243,7 @@
 // zoneIs reports whether the zone's record has a state.
 func (z *zoneCluster) zoneIs(state string) func() bool {
 	return func() (is bool) {
-		z.server.With(func(w *simulator.World) {
+		z.server.WithLock(func(w *simulator.Environment) {
 			for _, item := range w.Store.Items("live/z/x") {
 				is = strings.Contains(string(item.Value), `"s":"`+state+`"`)
 			}
@@ -257,7 +257,7 @@
 // returned take beside the readers.
 func (z *zoneCluster) checkReadersFirst(when string, since time.Time, machines int) {
 	z.t.Helper()
-	z.server.With(func(*simulator.World) {
+	z.server.WithLock(func(*simulator.Environment) {
 		readers, most := 0, 0
 		for _, s := range z.history {
 			switch {
@@ -280,7 +280,7 @@
 
 // now is the world's time.
 func (z *zoneCluster) now() (now time.Time) {
-	z.server.With(func(w *simulator.World) { now = w.Now })
+	z.server.WithLock(func(w *simulator.Environment) { now = w.Now })
 	return now
 }
 
@@ -293,7 +293,7 @@
 func TestZoneReturnsOnLoopback(t *testing.T) {
 	z := newZoneCluster(t)
 	arrays := z.fill()
-	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = true })
+	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = true })
 	z.partReturns()
 	z.flaps()
 	for _, uid := range arrays {
@@ -302,7 +302,7 @@
 			return z.checkAnswer(uid, status, body, false) == api.JobDone
 		})
 	}
-	z.server.With(func(w *simulator.World) {
+	z.server.WithLock(func(w *simulator.Environment) {
 		for _, broken := range w.Violations {
 			t.Error(broken)
 		}
@@ -349,9 +349,9 @@
 // waitEmpty waits until nothing runs on machines any more, but for those that were given up.
 func (z *zoneCluster) waitEmpty(machines []*simulator.Worker) {
 	z.wait("nothing runs there any more", func() (none bool) {
-		z.server.With(func(w *simulator.World) {
+		z.server.WithLock(func(w *simulator.Environment) {
 			none = !slices.ContainsFunc(w.Cloud.Workers(), func(x *simulator.Worker) bool {
-				return slices.Contains(machines, x) && len(x.PresentJobs()) > 0
+				return slices.Contains(machines, x) && len(x.UnfinishedTaskJobs()) > 0
 			})
 		})
 		return none
@@ -371,6 +371,6 @@
 	z.partition(all, true)
 	z.waitEmpty(all)
 	z.partition(all, false)
-	z.server.With(func(w *simulator.World) { w.Cloud.NoCapacity = false })
+	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = false })
 	z.wait("readers run again", func() bool { return z.readersUp() == loopbackReaders })
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -50,7 +50,7 @@
 // also stale if it shows an earlier term although the worker showed the current one more than
 // deliveryTimeout ago; within deliveryTimeout, such a heartbeat may still be in transit.
 func (a *Agent) IsStale(h *api.Heartbeat, now time.Time, deliveryTimeout time.Duration) bool {
-	if last := a.LastHeartbeat; last != (HeartbeatNumber{}) && !h.Newer(last.AgentEpoch, last.Sequence) {
+	if last := a.LastHeartbeat; last != (HeartbeatNumber{}) && !h.NewerThan(last.AgentEpoch, last.Sequence) {
 		return true
 	}
 	return a.Fenced() && shard.TokenTerm(h.Token) < a.Term && now.Sub(a.fencedAt) > deliveryTimeout
@@ -81,7 +81,7 @@
 		}
 	}
 	a.UnacknowledgedAnswers = 0
-	if a.Heartbeat == nil || h.Newer(a.Heartbeat.AgentEpoch, a.Heartbeat.Sequence) {
+	if a.Heartbeat == nil || h.NewerThan(a.Heartbeat.AgentEpoch, a.Heartbeat.Sequence) {
 		a.Heartbeat = h
 	}
 	return true
--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -38,7 +38,7 @@
 func (c *CloudListing) IsStarting(host string) bool { return c.starting[host] }
 
 // replace stores a new list in place of the previous one.
-func (c *CloudListing) replace(hosts []cloud.Host) {
+func (c *CloudListing) replace(hosts []cloud.Machine) {
 	c.listed, c.starting = map[string]bool{}, map[string]bool{}
 	for _, host := range hosts {
 		c.listed[host.UID] = host.Phase != cloud.MachineFailed
@@ -68,7 +68,7 @@
 // the machine records. The list lags by up to lag and may be older than the previous one, so a
 // difference is only a hint: a request to return the machine gets the definite answer from the
 // cloud.
-func (c *CloudListing) Update(hosts []cloud.Host, readStartedAt time.Time, lag time.Duration) {
+func (c *CloudListing) Update(hosts []cloud.Machine, readStartedAt time.Time, lag time.Duration) {
 	now, mismatchDelay := c.registry.node.Now(), mismatchDelayLags*lag
 	c.replace(hosts)
 	for _, host := range hosts {
@@ -91,7 +91,7 @@
 // addUnregistered adds a machine on the list that has no record to the unregistered machines,
 // once it has stayed on the list long enough. Before that, a peer may just have rented it, or it
 // may have been returned and still be listed.
-func (c *CloudListing) addUnregistered(host cloud.Host, now time.Time, mismatchDelay time.Duration) {
+func (c *CloudListing) addUnregistered(host cloud.Machine, now time.Time, mismatchDelay time.Duration) {
 	if c.unregisteredDuration(host.UID, now) > mismatchDelay && host.Phase != cloud.MachineFailed {
 		c.registry.unregistered.Add(host.UID, shard.Machine{
 			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
@@ -101,7 +101,7 @@
 
 // updateListedAgent updates the agent of a listed machine whose shard this node leads. A machine
 // that the cloud lists as failed is cordoned.
-func (c *CloudListing) updateListedAgent(host cloud.Host, leadership *leadership.Leadership) {
+func (c *CloudListing) updateListedAgent(host cloud.Machine, leadership *leadership.Leadership) {
 	agent := c.registry.Ensure(host.UID, leadership)
 	agent.MissingFromLists = 0
 	if host.Phase == cloud.MachineFailed && !agent.Cordoned {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -26,7 +26,7 @@
 func (r *Registry) StopCommand(j *statecache.Job, attempt AttemptID) api.Command {
 	graceS := 0.0
 	if j.SavesOnStop() {
-		graceS = j.Record.Spec.SaveS * 2
+		graceS = j.Record.Spec.SaveDurationS * 2
 		if j.IsGang() {
 			graceS += r.node.Settings.GangPeerTimeout().Seconds() // each task waits for the saves of all others
 		}
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -8,7 +8,7 @@
 	if agent.Heartbeat == nil || agent.Heartbeat.SpotNoticeS == nil {
 		return false
 	}
-	neededS := 2*j.Record.Spec.SaveS + 2*r.node.Settings.HeartbeatInterval().Seconds()
+	neededS := 2*j.Record.Spec.SaveDurationS + 2*r.node.Settings.HeartbeatInterval().Seconds()
 	if j.IsGang() {
 		neededS += r.node.Settings.GangPeerTimeout().Seconds() // to send the stop to all tasks of the gang
 	}
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -119,7 +119,7 @@
 	}
 	r.leadership.Begin(shard, newLeadership)
 	r.node.Log.Info("shard acquired", logkey.Shard(shard), logkey.Term(acquired.Term),
-		logkey.HadLeader(acquired.HadLeader), logkey.Clean(acquired.PredecessorsStopped))
+		logkey.HadLeader(acquired.HadLeader), logkey.PredecessorsStopped(acquired.PredecessorsStopped))
 	for host, machine := range r.cache.Machines {
 		if machine.Shard == shard {
 			r.Ensure(host, newLeadership)
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -37,8 +37,8 @@
 func newRegistryFixture(t *testing.T) *registryFixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Members: []config.Member{{HostName: "n1"}}}
-	settings.Facts.Size = 2
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 2
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	f := &registryFixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
@@ -67,7 +67,7 @@
 
 func (f *registryFixture) applyRecord(key string, value any) {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 }
 
 // receiveHeartbeat processes a heartbeat of the worker that reports the tasks.
@@ -179,7 +179,7 @@
 func TestCloudListing_ComparesWithRecords(t *testing.T) {
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
-	listed := []cloud.Host{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
+	listed := []cloud.Machine{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
 	f.Listing().Update(listed, f.now, lag)
 	f.now = f.now.Add(mismatchDelayLags * lag)
 	f.Listing().Update(listed, f.now, lag)
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -24,10 +24,10 @@
 	case api.CauseError:
 		agent.FailedJobs[j.Record.Spec.UID] = true
 		if len(agent.FailedJobs) >= failedJobsToCordon && !agent.Cordoned {
-			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Why("tasks of several jobs failed on it"))
+			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Reason("tasks of several jobs failed on it"))
 			agent.Cordoned = true
 		}
-	case api.CauseNoRoom:
+	case api.CauseInsufficientResources:
 		agent.AvoidUntil = r.node.Now().Add(2 * r.node.Settings.HeartbeatInterval())
 	case api.CauseStopped, api.CauseBusy, api.CauseUnknown, api.CausePeerLost, api.CauseGangIncomplete:
 		// implies nothing about the machine
@@ -43,7 +43,7 @@
 		return job.ExitDone
 	case api.CauseError, api.CauseUnknown:
 		return job.ExitError
-	case api.CauseNoRoom, api.CauseBusy:
+	case api.CauseInsufficientResources, api.CauseBusy:
 		return job.ExitRefused
 	case api.CausePeerLost, api.CauseGangIncomplete:
 		return job.ExitPeerLost
--- a/internal/api/fields.go
+++ b/internal/api/fields.go
@@ -24,7 +24,7 @@
 // fail keeps an error of a field unless there is an earlier one.
 func (r *fieldReader) fail(name, reason string) {
 	if r.err == nil {
-		r.err = Refuse(StatusBadRequest, "%s: %s", name, reason)
+		r.err = NewRequestError(StatusBadRequest, "%s: %s", name, reason)
 	}
 }
 
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -11,7 +11,7 @@
 // Whatever the body, it is a bad request, or a job within all bounds whose record reads as the
 // same job.
 func FuzzParseJob(f *testing.F) {
-	f.Add(JSON(validFields()))
+	f.Add(MustMarshal(validFields()))
 	f.Add([]byte(`{"uid":"run-1"}`))
 	f.Add([]byte(`{"uid":"run-1","UID":"run-2","shape":null}`))
 	f.Add([]byte(`[{"uid":"run-1"}]`))
@@ -25,11 +25,11 @@
 			return
 		}
 		checkJob(t, j)
-		if uid, ok := UIDOf(body); !ok || uid != j.UID {
+		if uid, ok := ExtractUID(body); !ok || uid != j.UID {
 			t.Fatalf("job %s has ID %q, %t", j.UID, uid, ok)
 		}
 		var again Job
-		if err := json.Unmarshal(JSON(j), &again); err != nil || !reflect.DeepEqual(j, &again) {
+		if err := json.Unmarshal(MustMarshal(j), &again); err != nil || !reflect.DeepEqual(j, &again) {
 			t.Fatalf("%+v is recorded as %+v: %v", j, again, err)
 		}
 	})
@@ -49,7 +49,7 @@
 			t.Fatalf("a text is empty: %+v", j)
 		}
 	}
-	amounts := []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimateS, j.CheckpointS, j.SaveS}
+	amounts := []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimatedRunS, j.CheckpointIntervalS, j.SaveDurationS}
 	if j.DeadlineS != nil {
 		amounts = append(amounts, *j.DeadlineS)
 	}
@@ -79,11 +79,11 @@
 		if h.Host == "" || h.AgentEpoch == 0 || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, notInHost) {
 			t.Fatalf("host %q, epoch %d", h.Host, h.AgentEpoch)
 		}
-		again, err := ParseHeartbeat(JSON(h))
+		again, err := ParseHeartbeat(MustMarshal(h))
 		if err != nil || !reflect.DeepEqual(h, again) {
 			t.Fatalf("%+v is sent on as %+v: %v", h, again, err)
 		}
-		if h.Newer(h.AgentEpoch, h.Sequence) || !h.Newer(h.AgentEpoch-1, h.Sequence) {
+		if h.NewerThan(h.AgentEpoch, h.Sequence) || !h.NewerThan(h.AgentEpoch-1, h.Sequence) {
 			t.Fatal("newer than itself, or not newer than an earlier epoch")
 		}
 	})
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -28,8 +28,8 @@
 	Tasks       []TaskState `json:"pieces"`  // all on the machine, ended ones until they are cleared
 }
 
-// Newer reports whether the heartbeat was made after the one of an agent epoch and sequence.
-func (h *Heartbeat) Newer(agentEpoch, sequence uint64) bool {
+// NewerThan reports whether the heartbeat was made after the one of an agent epoch and sequence.
+func (h *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
 	return h.AgentEpoch > agentEpoch || h.AgentEpoch == agentEpoch && h.Sequence > sequence
 }
 
@@ -43,10 +43,10 @@
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var h Heartbeat
 	if err := json.Unmarshal(body, &h); err != nil {
-		return nil, Refuse(StatusBadRequest, "%v", err)
+		return nil, NewRequestError(StatusBadRequest, "%v", err)
 	}
 	if h.AgentEpoch == 0 || h.Host == "" || len(h.Host) > maxHostLength || strings.ContainsAny(h.Host, notInHost) {
-		return nil, Refuse(StatusBadRequest, "host or tenure missing")
+		return nil, NewRequestError(StatusBadRequest, "host or tenure missing")
 	}
 	return &h, nil
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -47,7 +47,7 @@
 		{3, 1, false},
 	} {
 		h := &Heartbeat{AgentEpoch: 2, Sequence: 5}
-		if h.Newer(x.epoch, x.sequence) != x.newer {
+		if h.NewerThan(x.epoch, x.sequence) != x.newer {
 			t.Errorf("than epoch %d, sequence %d: not %t", x.epoch, x.sequence, x.newer)
 		}
 	}
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -10,30 +10,30 @@
 
 // Job is a submission. Its JSON names are also those of the job's record.
 type Job struct {
-	UID          string   `json:"uid"`
-	Class        string   `json:"lane"` // the class of jobs that objectives are set for
-	Team         string   `json:"owner"`
-	Kind         JobKind  `json:"shape"`
-	Priority     Priority `json:"rank"`
-	Tasks        int      `json:"pieces"`              // number of them
-	CPUs         float64  `json:"cpus"`                // of one task
-	GPUs         float64  `json:"gpus"`                // of one task
-	MemGB        float64  `json:"memGb"`               // of one task
-	Image        string   `json:"bundle"`              // that a machine must have
-	ImageGB      float64  `json:"sizeGb"`              // its size
-	MachineTypes []string `json:"builds"`              // those allowed; nil: any
-	Zone         string   `json:"site,omitempty"`      // the one allowed; "": any
-	Together     bool     `json:"together,omitempty"`  // all tasks in the same zone
-	Spread       bool     `json:"scatter,omitempty"`   // at most half of the tasks in one zone
-	Spot         bool     `json:"loaners,omitempty"`   // spot machines are allowed
-	EstimateS    float64  `json:"guessS,omitempty"`    // the user's estimate of a task's run time; 0 for services
-	CheckpointS  float64  `json:"bookmarkS,omitempty"` // between two checkpoints; 0: the task never saves
-	SaveS        float64  `json:"stowS,omitempty"`     // that a task needs to save when it is stopped
-	DeadlineS    *float64 `json:"dueS,omitempty"`      // from the submission; nil: none
+	UID                 string   `json:"uid"`
+	Class               string   `json:"lane"` // the class of jobs that objectives are set for
+	Team                string   `json:"owner"`
+	Kind                JobKind  `json:"shape"`
+	Priority            Priority `json:"rank"`
+	Tasks               int      `json:"pieces"`              // number of them
+	CPUs                float64  `json:"cpus"`                // of one task
+	GPUs                float64  `json:"gpus"`                // of one task
+	MemGB               float64  `json:"memGb"`               // of one task
+	Image               string   `json:"bundle"`              // that a machine must have
+	ImageGB             float64  `json:"sizeGb"`              // its size
+	MachineTypes        []string `json:"builds"`              // those allowed; nil: any
+	Zone                string   `json:"site,omitempty"`      // the one allowed; "": any
+	SingleZone          bool     `json:"together,omitempty"`  // all tasks in the same zone
+	Spread              bool     `json:"scatter,omitempty"`   // at most half of the tasks in one zone
+	AllowSpot           bool     `json:"loaners,omitempty"`   // spot machines are allowed
+	EstimatedRunS       float64  `json:"guessS,omitempty"`    // the user's estimate of a task's run time; 0 for services
+	CheckpointIntervalS float64  `json:"bookmarkS,omitempty"` // between two checkpoints; 0: the task never saves
+	SaveDurationS       float64  `json:"stowS,omitempty"`     // that a task needs to save when it is stopped
+	DeadlineS           *float64 `json:"dueS,omitempty"`      // from the submission; nil: none
 }
 
-// State is what users are told of a job. Done and Running count tasks.
-type State struct {
+// JobState is what users are told of a job. Done and Running count tasks.
+type JobState struct {
 	UID     string   `json:"uid"`
 	Phase   JobPhase `json:"phase"`
 	Done    int      `json:"done"`
@@ -44,7 +44,7 @@
 func ParseJob(body []byte) (*Job, error) {
 	r, ok := newFieldReader(body)
 	if !ok {
-		return nil, Refuse(StatusBadRequest, "not a JSON object")
+		return nil, NewRequestError(StatusBadRequest, "not a JSON object")
 	}
 	j := &Job{}
 	r.readIdentity(j)
@@ -89,16 +89,16 @@
 		j.Zone = *zone
 		r.check("site", j.Zone != "")
 	}
-	r.read("together", &j.Together)
+	r.read("together", &j.SingleZone)
 	r.read("scatter", &j.Spread)
-	r.read("loaners", &j.Spot)
+	r.read("loaners", &j.AllowSpot)
 }
 
 // readTimes reads the times of a job, in seconds.
 func (r *fieldReader) readTimes(j *Job) {
-	r.amount("guessS", &j.EstimateS)
-	r.amount("bookmarkS", &j.CheckpointS)
-	r.amount("stowS", &j.SaveS)
+	r.amount("guessS", &j.EstimatedRunS)
+	r.amount("bookmarkS", &j.CheckpointIntervalS)
+	r.amount("stowS", &j.SaveDurationS)
 	r.readNullable("dueS", &j.DeadlineS)
 	if j.DeadlineS != nil {
 		r.check("dueS", *j.DeadlineS >= 0)
@@ -125,9 +125,9 @@
 	return true
 }
 
-// UIDOf reads only the ID of a submission and reports whether it has a valid one. A known ID is
+// ExtractUID reads only the ID of a submission and reports whether it has a valid one. A known ID is
 // answered with its state before the rest is judged.
-func UIDOf(body []byte) (string, bool) {
+func ExtractUID(body []byte) (string, bool) {
 	var fields map[string]json.RawMessage
 	var uid string
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["uid"], &uid) != nil {
@@ -136,8 +136,8 @@
 	return uid, ValidUID(uid)
 }
 
-// KindOf reads only the kind of a submission; it returns "" if that can't be read.
-func KindOf(body []byte) JobKind {
+// ExtractJobKind reads only the kind of a submission; it returns "" if that can't be read.
+func ExtractJobKind(body []byte) JobKind {
 	var m struct {
 		Kind JobKind `json:"shape"`
 	}
--- a/internal/api/job_test.go
+++ b/internal/api/job_test.go
@@ -38,7 +38,7 @@
 }
 
 // parseFields parses a submission with these fields.
-func parseFields(f fields) (*Job, error) { return ParseJob(JSON(f)) }
+func parseFields(f fields) (*Job, error) { return ParseJob(MustMarshal(f)) }
 
 // isBadRequest reports whether an error leads to StatusBadRequest.
 func isBadRequest(err error) bool {
@@ -125,7 +125,7 @@
 		if err != nil || j.UID != "run-000412" || j.Tasks != 16 || *j.DeadlineS != 900 {
 			t.Fatalf("%+v %v", j, err)
 		}
-		if uid, ok := UIDOf(JSON(f)); !ok || uid != "run-000412" {
+		if uid, ok := ExtractUID(MustMarshal(f)); !ok || uid != "run-000412" {
 			t.Fatal(uid)
 		}
 	})
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// JSON encodes a value that is known to encode.
-func JSON(v any) []byte {
+// MustMarshal encodes a value that is known to encode.
+func MustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("api: %v", err)) // no type of ours can fail to encode
--- a/internal/api/words.go
+++ b/internal/api/words.go
@@ -89,21 +89,21 @@
 
 // Causes of a task's end.
 const (
-	CauseDone           ExitCause = "done"       // completed
-	CauseStopped        ExitCause = "stopped"    // by command
-	CauseError          ExitCause = "error"      // failed
-	CauseNoRoom         ExitCause = "no_room"    // start refused: not enough free resources
-	CauseBusy           ExitCause = "busy"       // start refused: the machine has another attempt of the task
-	CauseUnknown        ExitCause = "unknown"    // start refused: no such job or task
-	CausePeerLost       ExitCause = "mates_gone" // of a gang: another task of it has ended
-	CauseGangIncomplete ExitCause = "alone"      // of a gang: it was not complete in time
+	CauseDone                  ExitCause = "done"       // completed
+	CauseStopped               ExitCause = "stopped"    // by command
+	CauseError                 ExitCause = "error"      // failed
+	CauseInsufficientResources ExitCause = "no_room"    // start refused: not enough free resources
+	CauseBusy                  ExitCause = "busy"       // start refused: the machine has another attempt of the task
+	CauseUnknown               ExitCause = "unknown"    // start refused: no such job or task
+	CausePeerLost              ExitCause = "mates_gone" // of a gang: another task of it has ended
+	CauseGangIncomplete        ExitCause = "alone"      // of a gang: it was not complete in time
 )
 
 // Known reports whether PROTOCOL, as this version knows it, has such a cause. One that it does
 // not have is read as an end without success that is nobody's fault.
 func (c ExitCause) Known() bool {
 	switch c {
-	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
+	case CauseDone, CauseStopped, CauseError, CauseInsufficientResources, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
 		return true
 	}
 	return false
--- a/internal/api/words_test.go
+++ b/internal/api/words_test.go
@@ -35,7 +35,7 @@
 		{CauseDone, "done", true},
 		{CauseStopped, "stopped", true},
 		{CauseError, "error", true},
-		{CauseNoRoom, "no_room", true},
+		{CauseInsufficientResources, "no_room", true},
 		{CauseBusy, "busy", true},
 		{CauseUnknown, "unknown", true},
 		{CausePeerLost, "mates_gone", true},
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -24,10 +24,10 @@
 	catalog    *catalog.Catalog
 	agents     *agent.Registry
 	commands   *agent.DirectCommands
-	room       *capacity.Room
+	room       *capacity.Calculator
 	estimates  *estimate.Estimates
 	zones      *zonestate.Zones
-	accounts   *capacity.Accounts
+	accounts   *capacity.Accounting
 	scheduler  *scheduler.Scheduler
 	wake       notify.Signal
 
@@ -38,18 +38,18 @@
 
 // Deps is what an autoscaler reads.
 type Deps struct {
-	Node       *node.Info
-	Cache      *statecache.Cache
-	Leadership *leadership.Table
-	Catalog    *catalog.Catalog
-	Agents     *agent.Registry
-	Commands   *agent.DirectCommands
-	Room       *capacity.Room
-	Estimates  *estimate.Estimates
-	Zones      *zonestate.Zones
-	Capacity   *capacity.Accounts
-	Scheduler  *scheduler.Scheduler
-	Wake       notify.Signal
+	Node         *node.Info
+	Cache        *statecache.Cache
+	Leadership   *leadership.Table
+	Catalog      *catalog.Catalog
+	Agents       *agent.Registry
+	Commands     *agent.DirectCommands
+	FreeCapacity *capacity.Calculator
+	Estimates    *estimate.Estimates
+	Zones        *zonestate.Zones
+	Accounting   *capacity.Accounting
+	Scheduler    *scheduler.Scheduler
+	Wake         notify.Signal
 }
 
 // New returns an autoscaler that has not looked yet.
@@ -61,10 +61,10 @@
 		catalog:    d.Catalog,
 		agents:     d.Agents,
 		commands:   d.Commands,
-		room:       d.Room,
+		room:       d.FreeCapacity,
 		estimates:  d.Estimates,
 		zones:      d.Zones,
-		accounts:   d.Capacity,
+		accounts:   d.Accounting,
 		scheduler:  d.Scheduler,
 		wake:       d.Wake,
 	}
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -42,7 +42,7 @@
 func newClassDemand(class string, arrivals []capacity.Arrival, boot time.Duration, now time.Time) classDemand {
 	demand := classDemand{class: class, arrivals: arrivals}
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) < capacity.ArrivalWindows*boot {
+		if now.Sub(arrival.AcceptedAt) < capacity.ArrivalWindowBoots*boot {
 			demand.sumOfSquares += arrival.Tasks * arrival.Tasks
 			demand.newest = arrival.Spec
 		}
@@ -52,7 +52,7 @@
 
 // fluctuation returns by how many tasks what comes during a boot fluctuates.
 func (d *classDemand) fluctuation() float64 {
-	return math.Sqrt(d.sumOfSquares / capacity.ArrivalWindows)
+	return math.Sqrt(d.sumOfSquares / capacity.ArrivalWindowBoots)
 }
 
 // headroom returns which tasks to keep room for that have not come yet: of classes
@@ -137,10 +137,10 @@
 	if len(arrivals) == 0 || arrivals[len(arrivals)-1].Spec.Kind != api.Array {
 		return 0
 	}
-	half := min(now.Sub(arrivals[0].At), capacity.ArrivalWindows*boot) / 2
+	half := min(now.Sub(arrivals[0].AcceptedAt), capacity.ArrivalWindowBoots*boot) / 2
 	jobs, tasks := 0, 0.0
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) < half {
+		if now.Sub(arrival.AcceptedAt) < half {
 			jobs++
 			tasks += arrival.Tasks
 		}
@@ -175,7 +175,7 @@
 func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
 	machines := map[string]bool{}
 	for _, headroom := range a.headroom(now) {
-		room := a.room.WithPreemptibleRoom(hosts, headroom.priority)
+		room := a.room.WithPreemptibleCapacity(hosts, headroom.priority)
 		for _, demand := range headroom.requests {
 			ranking := sched.NewRanking(nil, room, &demand.Request)
 			for range demand.Count {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -48,7 +48,7 @@
 			}
 		}
 		if review != nil {
-			review.Consider(host, machine, worker)
+			review.Evaluate(host, machine, worker)
 		}
 		_, offered := record.Free[host]
 		if a.isToReturn(host, worker, offered, now) {
@@ -56,7 +56,7 @@
 		}
 	}
 	slices.Sort(decided.Return)
-	decided.Return = decided.Return[:min(len(decided.Return), cloud.MaxReturn)]
+	decided.Return = decided.Return[:min(len(decided.Return), cloud.MaxMachinesPerReturn)]
 	return decided
 }
 
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -30,8 +30,8 @@
 	return &ScaleInReview{autoscaler: a, now: now}
 }
 
-// Consider decides whether a machine is to be cordoned, so that it is returned once it is empty.
-func (r *ScaleInReview) Consider(host string, machine *shard.Machine, worker *agent.Agent) {
+// Evaluate decides whether a machine is to be cordoned, so that it is returned once it is empty.
+func (r *ScaleInReview) Evaluate(host string, machine *shard.Machine, worker *agent.Agent) {
 	_, machineType := r.autoscaler.catalog.MachineCapacity(machine.MachineType)
 	if machineType == nil || worker.Cordoned {
 		return
@@ -120,7 +120,7 @@
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
-	patience := r.autoscaler.node.Policy.Idle(machineType.BootS, price, machine.Spot)
+	patience := r.autoscaler.node.Policy.IdleSeconds(machineType.BootS, price, machine.Spot)
 	if r.now.Sub(worker.IdleSince).Seconds() > patience && !r.isNeededIdle(host) {
 		r.cordon(host, worker, "idle")
 	}
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -49,7 +49,7 @@
 	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{at: now, tasks: map[string]int{}}
 	for _, wanted := range headroom {
-		room := a.room.WithPreemptibleRoom(hosts, wanted.priority)
+		room := a.room.WithPreemptibleCapacity(hosts, wanted.priority)
 		more := sched.PlanRentals(wanted.requests, room, a.catalog.AvailableOffers(now), home)
 		if len(more) == 0 { // else again in the next round: one takes no more than the cloud gives at once
 			sufficient.tasks[wanted.class] = wanted.tasks()
@@ -62,15 +62,15 @@
 
 // RentingShard is the shard that machines are rented for, and when that was decided.
 type RentingShard struct {
-	Shard string // "": this controller leads none
-	Term  uint64
-	At    time.Time
+	Shard     string // "": this controller leads none
+	Term      uint64
+	DecidedAt time.Time
 }
 
 // RentingShard returns the shard that machines are rented for, this controller's home if it leads
 // that.
 func (a *Autoscaler) RentingShard(now time.Time) RentingShard {
-	renting := RentingShard{At: now}
+	renting := RentingShard{DecidedAt: now}
 	for _, name := range a.node.Shards {
 		led := a.leadership.InForce(name)
 		if led != nil && (renting.Shard == "" || name == a.node.Settings.HostName) {
@@ -80,9 +80,9 @@
 	return renting
 }
 
-// NoteRental records the cloud's answer to a rental, and reports whether it gave less than was
+// RecordRental records the cloud's answer to a rental, and reports whether it gave less than was
 // asked for. An error that is not cloud.ErrNoCapacity leaves open whether machines were rented.
-func (a *Autoscaler) NoteRental(r cloud.RentalRequest, hosts []string, err error, by RentingShard) (refused bool) {
+func (a *Autoscaler) RecordRental(r cloud.RentalRequest, hosts []string, err error, by RentingShard) (refused bool) {
 	offer := sched.Offer{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot}
 	switch {
 	case err == nil:
@@ -102,7 +102,7 @@
 		a.node.Log.Info("rental outcome unknown", "request", r.Name, "err", err)
 	}
 	if refused {
-		a.catalog.BackOff(&offer, by.At)
+		a.catalog.BackOff(&offer, by.DecidedAt)
 	}
 	return refused
 }
--- a/internal/capacity/accounts.go
+++ b/internal/capacity/accounts.go
@@ -12,51 +12,51 @@
 	"violetturn/internal/statecache"
 )
 
-// Accounts is what shards offer to peers and what teams use of their limits. The lock of
+// Accounting is what shards offer to peers and what teams use of their limits. The lock of
 // internal/state guards it.
-type Accounts struct {
+type Accounting struct {
 	node       *node.Info
 	cache      *statecache.Cache
 	schema     *schema.State
 	leadership *leadership.Table
 	catalog    *catalog.Catalog
-	room       *Room
+	room       *Calculator
 
 	arrivals       *Arrivals
 	demand         expectedDemand
 	quotaShortages map[string]bool // teams whose limit left too little for a placement
 }
 
-// AccountDeps is what accounts read.
-type AccountDeps struct {
-	Node       *node.Info
-	Cache      *statecache.Cache
-	Schema     *schema.State
-	Leadership *leadership.Table
-	Catalog    *catalog.Catalog
-	Room       *Room
+// AccountingDeps is what accounts read.
+type AccountingDeps struct {
+	Node         *node.Info
+	Cache        *statecache.Cache
+	Schema       *schema.State
+	Leadership   *leadership.Table
+	Catalog      *catalog.Catalog
+	FreeCapacity *Calculator
 }
 
-// NewAccounts returns accounts that have seen no job arrive.
-func NewAccounts(d AccountDeps) *Accounts {
-	return &Accounts{
+// NewAccounting returns accounts that have seen no job arrive.
+func NewAccounting(d AccountingDeps) *Accounting {
+	return &Accounting{
 		node:           d.Node,
 		cache:          d.Cache,
 		schema:         d.Schema,
 		leadership:     d.Leadership,
 		catalog:        d.Catalog,
-		room:           d.Room,
+		room:           d.FreeCapacity,
 		arrivals:       newArrivals(d.Node, d.Catalog),
 		quotaShortages: map[string]bool{},
 	}
 }
 
 // Arrivals returns the jobs that came lately.
-func (a *Accounts) Arrivals() *Arrivals { return a.arrivals }
+func (a *Accounting) Arrivals() *Arrivals { return a.arrivals }
 
 // putCapacityRecord adds the write of a shard's capacity record to a transaction, on the version
 // that is known.
-func (a *Accounts) putCapacityRecord(
+func (a *Accounting) putCapacityRecord(
 	t *statecache.Transaction, shardName string, free shard.FreeCapacity, use map[string]sched.Resources,
 ) {
 	before := a.cache.Capacities[shardName]
@@ -83,7 +83,7 @@
 
 // trimCapacity leaves out of a shard's free room what does not fit its record beside what
 // teams use, and returns how many machines that are.
-func (a *Accounts) trimCapacity(free shard.FreeCapacity, use map[string]sched.Resources, now time.Time) (left int) {
+func (a *Accounting) trimCapacity(free shard.FreeCapacity, use map[string]sched.Resources, now time.Time) (left int) {
 	size := a.schema.MaxGrowableBytes() - quotaUseBytes*len(use)
 	if free.FitsIn(size) {
 		return 0
--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -11,20 +11,20 @@
 	"violetturn/internal/node"
 )
 
-// MinArrivals is how many arrivals of a class are remembered at the least.
-const MinArrivals = 1024
+// MinArrivalsPerClass is how many arrivals of a class are remembered at the least.
+const MinArrivalsPerClass = 1024
 
-// ArrivalWindows is over how many boots arrivals are looked at.
-const ArrivalWindows = 4
+// ArrivalWindowBoots is over how many boots arrivals are looked at.
+const ArrivalWindowBoots = 4
 
 // maxClasses bounds the classes whose arrivals are remembered: users may name classes at will.
 const maxClasses = 64
 
 // Arrival is a job that came.
 type Arrival struct {
-	At    time.Time
-	Spec  *api.Job
-	Tasks float64 // number of tasks
+	AcceptedAt time.Time
+	Spec       *api.Job
+	Tasks      float64 // number of tasks
 }
 
 // Arrivals remembers the jobs that came lately, by class, the oldest first. Their number is
@@ -39,16 +39,16 @@
 	return &Arrivals{node: node, catalog: catalog, byClass: map[string][]Arrival{}}
 }
 
-// Note remembers a job that came.
-func (a *Arrivals) Note(record *job.Record) {
+// Record remembers a job that came.
+func (a *Arrivals) Record(record *job.Record) {
 	class := record.Spec.Class
 	if a.byClass[class] == nil && len(a.byClass) >= maxClasses {
 		clear(a.byClass)
 	}
 	arrivals := append(a.byClass[class], Arrival{
-		At:    time.UnixMilli(record.AcceptedMS),
-		Spec:  &record.Spec,
-		Tasks: float64(record.Spec.Tasks),
+		AcceptedAt: time.UnixMilli(record.AcceptedMS),
+		Spec:       &record.Spec,
+		Tasks:      float64(record.Spec.Tasks),
 	})
 	if len(arrivals) > a.maxPerClass() {
 		arrivals = arrivals[1:]
@@ -59,21 +59,21 @@
 // maxPerClass bounds the arrivals of a class that are remembered: each accepted job takes
 // a change of the state service, so more can't come in the time that is looked at.
 func (a *Arrivals) maxPerClass() int {
-	window := ArrivalWindows * a.catalog.ShortestBoot().Seconds()
-	return max(MinArrivals, int(a.node.Settings.Facts.State.WriteRPS*window))
+	window := ArrivalWindowBoots * a.catalog.ShortestBoot().Seconds()
+	return max(MinArrivalsPerClass, int(a.node.Settings.Facts.State.WriteRPS*window))
 }
 
 // ByClass returns the classes and their arrivals, the oldest first.
 func (a *Arrivals) ByClass() iter.Seq2[string, []Arrival] { return maps.All(a.byClass) }
 
-// CameSince reports whether the newest arrival of some class is a job of that kind and came
+// ArrivedSince reports whether the newest arrival of some class is a job of that kind and came
 // after that time.
-func (a *Arrivals) CameSince(kind api.JobKind, since time.Time) bool {
+func (a *Arrivals) ArrivedSince(kind api.JobKind, since time.Time) bool {
 	for _, arrivals := range a.byClass {
 		if len(arrivals) == 0 {
 			continue
 		}
-		if newest := arrivals[len(arrivals)-1]; newest.Spec.Kind == kind && newest.At.After(since) {
+		if newest := arrivals[len(arrivals)-1]; newest.Spec.Kind == kind && newest.AcceptedAt.After(since) {
 			return true
 		}
 	}
--- a/internal/capacity/arrivals_test.go
+++ b/internal/capacity/arrivals_test.go
@@ -30,15 +30,15 @@
 	a := testArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
 	const more = 3
-	for i := range MinArrivals + more {
-		a.Note(arrival("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
+	for i := range MinArrivalsPerClass + more {
+		a.Record(arrival("a", api.Array, now.Add(time.Duration(i)*time.Second), i))
 	}
 	for class, arrivals := range a.ByClass() {
-		if class != "a" || len(arrivals) != MinArrivals {
+		if class != "a" || len(arrivals) != MinArrivalsPerClass {
 			t.Fatalf("%d arrivals of %s", len(arrivals), class)
 		}
-		oldest, newest := arrivals[0], arrivals[MinArrivals-1]
-		if oldest.Tasks != more || newest.Tasks != MinArrivals+more-1 || !oldest.At.Equal(now.Add(more*time.Second)) {
+		oldest, newest := arrivals[0], arrivals[MinArrivalsPerClass-1]
+		if oldest.Tasks != more || newest.Tasks != MinArrivalsPerClass+more-1 || !oldest.AcceptedAt.Equal(now.Add(more*time.Second)) {
 			t.Errorf("from %+v to %+v", oldest, newest)
 		}
 	}
@@ -48,7 +48,7 @@
 func TestClassesOfArrivalsAreBounded(t *testing.T) {
 	a := testArrivals(t)
 	for i := range 10 * maxClasses {
-		a.Note(arrival(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
+		a.Record(arrival(fmt.Sprint(i), api.Array, time.Unix(1_800_000_000, 0), 1))
 		if len(a.byClass) > maxClasses {
 			t.Fatalf("%d classes are remembered", len(a.byClass))
 		}
@@ -59,19 +59,19 @@
 func TestCameSince(t *testing.T) {
 	a := testArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
-	if a.CameSince(api.Gang, now) {
+	if a.ArrivedSince(api.Gang, now) {
 		t.Error("a gang came though none did")
 	}
-	a.Note(arrival("a", api.Gang, now, 1))
-	a.Note(arrival("b", api.Array, now.Add(time.Minute), 1))
-	if !a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
+	a.Record(arrival("a", api.Gang, now, 1))
+	a.Record(arrival("b", api.Array, now.Add(time.Minute), 1))
+	if !a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
 		t.Error("the gang did not come")
 	}
-	if a.CameSince(api.Gang, now) {
+	if a.ArrivedSince(api.Gang, now) {
 		t.Error("the gang came after its time")
 	}
-	a.Note(arrival("a", api.Array, now.Add(time.Minute), 1))
-	if a.CameSince(api.Gang, now.Add(-time.Millisecond)) {
+	a.Record(arrival("a", api.Array, now.Add(time.Minute), 1))
+	if a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
 		t.Error("a gang that is not the newest of its class counts")
 	}
 }
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -28,7 +28,7 @@
 
 // openClaim opens a shard for placements: an own one with its room as it is, a
 // peer's as its record says; nil if it has no leader.
-func (a *Accounts) openClaim(shardName string, now time.Time) *shardClaim {
+func (a *Accounting) openClaim(shardName string, now time.Time) *shardClaim {
 	record := a.cache.Capacities[shardName].Record
 	if record == nil || a.cache.Leaders[shardName].Record == nil {
 		return nil
@@ -48,13 +48,13 @@
 
 // Claims are the shards that a transaction claims room of. It lives for one transaction.
 type Claims struct {
-	accounts *Accounts
+	accounts *Accounting
 	byShard  map[string]*shardClaim
 	changes  int // of capacity and quota records
 }
 
 // NewClaims returns the claims of a transaction, none yet.
-func (a *Accounts) NewClaims() *Claims {
+func (a *Accounting) NewClaims() *Claims {
 	return &Claims{accounts: a, byShard: map[string]*shardClaim{}}
 }
 
@@ -134,7 +134,7 @@
 }
 
 // placeableJob returns the job of a placement if this controller may place that task now.
-func (a *Accounts) placeableJob(placement Placement) *statecache.Job {
+func (a *Accounting) placeableJob(placement Placement) *statecache.Job {
 	job := a.cache.Jobs[placement.UID]
 	if job == nil || job.Record.Cancelled || job.Record.RangeFinished(placement.RangeIndex) {
 		return nil
@@ -156,7 +156,7 @@
 		p.claims.changes++
 	}
 	name := p.job.Record.Spec.Team
-	if team, _ := p.claims.accounts.node.Settings.Team(name); team.Limited() {
+	if team, _ := p.claims.accounts.node.Settings.Team(name); team.HasLimit() {
 		p.claim.use[name] = p.quotaUse.Rounded()
 		if p.quota.grows {
 			p.claim.shares[name] = p.quota.share
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -19,7 +19,7 @@
 // expectedPeerDemand returns what room peers are likely to look for in the shards of this
 // controller: what their jobs wait for now, and what came lately. It decides which machines a
 // shard's record names when it can't name all. It is worked out once in a heartbeat interval.
-func (a *Accounts) expectedPeerDemand(now time.Time) []shard.PeerDemand {
+func (a *Accounting) expectedPeerDemand(now time.Time) []shard.PeerDemand {
 	if !a.demand.computedAt.IsZero() && now.Sub(a.demand.computedAt) < a.node.Settings.HeartbeatInterval() {
 		return a.demand.sizes
 	}
@@ -31,8 +31,8 @@
 	}
 	for _, arrivals := range a.arrivals.ByClass() {
 		for _, arrival := range arrivals {
-			if now.Sub(arrival.At) < ArrivalWindows*a.catalog.ShortestBoot() {
-				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindows // in the time of a boot
+			if now.Sub(arrival.AcceptedAt) < ArrivalWindowBoots*a.catalog.ShortestBoot() {
+				tasks[statecache.ResourcesOf(arrival.Spec)] += arrival.Tasks / ArrivalWindowBoots // in the time of a boot
 			}
 		}
 	}
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -13,12 +13,12 @@
 
 // HeldQuota is what shards hold of a team's limit.
 type HeldQuota struct {
-	Held   sched.Resources // by the shard in question
-	Others sched.Resources // by all others together
+	Held         sched.Resources // by the shard in question
+	HeldByOthers sched.Resources // by all others together
 }
 
 // QuotaShares returns what a shard holds of a team's limit, and what the others hold.
-func (a *Accounts) QuotaShares(team, shardName string) HeldQuota {
+func (a *Accounting) QuotaShares(team, shardName string) HeldQuota {
 	var quota HeldQuota
 	record := a.cache.Quotas[statecache.QuotaID(team)].Record
 	if record == nil {
@@ -28,7 +28,7 @@
 		if name == shardName {
 			quota.Held = held
 		} else {
-			quota.Others = quota.Others.Add(held)
+			quota.HeldByOthers = quota.HeldByOthers.Add(held)
 		}
 	}
 	return quota
@@ -36,7 +36,7 @@
 
 // QuotaLimitOf returns a team's limit; 0 of a resource is no limit.
 func QuotaLimitOf(team config.Team) sched.Resources {
-	return sched.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+	return sched.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 }
 
 // quotaGrant is whether a team may use so much in a shard.
@@ -53,14 +53,14 @@
 func (c *Claims) quotaGrantFor(teamName, shardName string, use sched.Resources, grown map[string]sched.Resources) quotaGrant {
 	a := c.accounts
 	team, _ := a.node.Settings.Team(teamName)
-	if !team.Limited() {
+	if !team.HasLimit() {
 		return quotaGrant{granted: true}
 	}
 	quota := a.QuotaShares(teamName, shardName)
 	for other, claim := range c.byShard {
 		if share, ok := claim.shares[teamName]; ok && other != shardName {
 			before := a.QuotaShares(teamName, other).Held
-			quota.Others = quota.Others.Add(share).Sub(before)
+			quota.HeldByOthers = quota.HeldByOthers.Add(share).Sub(before)
 		}
 	}
 	if share, ok := grown[teamName]; ok {
@@ -70,13 +70,13 @@
 	if sched.WithinQuota(limit, quota.Held, use) {
 		return quotaGrant{granted: true}
 	}
-	share, ok := sched.QuotaShare(limit, quota.Others, use)
+	share, ok := sched.QuotaShare(limit, quota.HeldByOthers, use)
 	return quotaGrant{granted: ok, grows: true, share: share}
 }
 
 // QuotaUseOf sums what limited teams' tasks use in a shard, ended ones that are not
 // yet committed as such included: another leader might start them anew.
-func (a *Accounts) QuotaUseOf(shardName string) map[string]sched.Resources {
+func (a *Accounting) QuotaUseOf(shardName string) map[string]sched.Resources {
 	use := map[string]sched.Resources{}
 	if !a.node.Settings.HasTeamLimits() {
 		return use
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, team := range a.node.Settings.Facts.Teams {
-		if used, ok := sum[team.Name]; ok && team.Limited() {
+		if used, ok := sum[team.Name]; ok && team.HasLimit() {
 			use[team.Name] = used.Rounded()
 		}
 	}
@@ -103,7 +103,7 @@
 
 // putQuotaShares adds to a transaction what shards hold of teams' limits from now on, by shard
 // and team. It goes only with writes of those shards' capacity records.
-func (a *Accounts) putQuotaShares(t *statecache.Transaction, shares map[string]map[string]sched.Resources) {
+func (a *Accounting) putQuotaShares(t *statecache.Transaction, shares map[string]map[string]sched.Resources) {
 	records := map[string]shard.QuotaRecord{}
 	for shardName, byTeam := range shares {
 		for team, share := range byTeam {
@@ -129,7 +129,7 @@
 // all of a limit at once, when the shards hold too little yet to return their surplus by
 // themselves. Each shard's record is written with its share, so that no placement there rests on
 // the old one.
-func (a *Accounts) ReclaimTransaction(now time.Time) *statecache.Transaction {
+func (a *Accounting) ReclaimTransaction(now time.Time) *statecache.Transaction {
 	claims := a.NewClaims()
 	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
 		delete(a.quotaShortages, team)
@@ -148,7 +148,7 @@
 
 // reclaimShares claims the shards that hold more of a team's limit than is used there, as many
 // as a transaction takes beside the team's record.
-func (a *Accounts) reclaimShares(claims *Claims, team string, now time.Time) {
+func (a *Accounting) reclaimShares(claims *Claims, team string, now time.Time) {
 	for _, name := range a.node.Shards {
 		held := a.QuotaShares(team, name).Held
 		claim := a.openClaim(name, now)
@@ -167,13 +167,13 @@
 // CountsAgainstQuota reports whether what a gang's tasks use counts against a limit: the room of one
 // on a machine whose worker does not answer may still be used, done or not, so its record is kept
 // until all have been heard of.
-func (a *Accounts) CountsAgainstQuota(job *statecache.Job) bool {
+func (a *Accounting) CountsAgainstQuota(job *statecache.Job) bool {
 	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
-	return team.Limited()
+	return team.HasLimit()
 }
 
-// TeamUse returns what a team's tasks use in all, by the shards' capacity records.
-func (a *Accounts) TeamUse(team string) sched.Resources {
+// TeamUsage returns what a team's tasks use in all, by the shards' capacity records.
+func (a *Accounting) TeamUsage(team string) sched.Resources {
 	var use sched.Resources
 	for _, capacity := range a.cache.Capacities {
 		use = use.Add(capacity.Record.QuotaUse[team])
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -28,11 +28,11 @@
 // date whose machines or their room have changed, and returns what it holds of quotas beyond its
 // need; nil if none is due. Placements write these records anyway, so this is done at
 // intervals. tasksWait says whether tasks of own jobs wait for room.
-func (a *Accounts) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
+func (a *Accounting) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
 	for _, name := range a.leadership.Shards() {
 		record := a.cache.Capacities[name].Record
 		led := a.leadership.InForce(name)
-		if led == nil || record == nil || !a.catalog.IsKnown() {
+		if led == nil || record == nil || !a.catalog.IsLoaded() {
 			continue
 		}
 		sinceLast := led.CapacityRecordAge(now)
@@ -57,7 +57,7 @@
 }
 
 // newCapacityUpdate works out an own shard's capacity record from what is placed there.
-func (a *Accounts) newCapacityUpdate(shardName string, now time.Time) capacityUpdate {
+func (a *Accounting) newCapacityUpdate(shardName string, now time.Time) capacityUpdate {
 	update := capacityUpdate{
 		free:   a.freeCapacity(shardName, now),
 		use:    a.QuotaUseOf(shardName),
@@ -66,10 +66,10 @@
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
 		use := update.use[team.Name]
-		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.Others, held.Held, use) {
+		if !team.HasLimit() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
 			continue
 		}
-		if less, ok := sched.QuotaShare(QuotaLimitOf(team), held.Others, use); ok {
+		if less, ok := sched.QuotaShare(QuotaLimitOf(team), held.HeldByOthers, use); ok {
 			update.shares[team.Name] = less
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // isRecorded reports whether a shard's capacity record says all that an update would write.
-func (a *Accounts) isRecorded(update capacityUpdate, record *shard.CapacityRecord, led *leadership.Leadership, now time.Time) bool {
+func (a *Accounting) isRecorded(update capacityUpdate, record *shard.CapacityRecord, led *leadership.Leadership, now time.Time) bool {
 	free := update.free
 	if len(record.Free) < len(free) { // as it would be recorded
 		free = maps.Clone(free)
@@ -91,7 +91,7 @@
 
 // updateTransaction writes an own shard's capacity record and returns as many teams' quotas as a
 // transaction takes.
-func (a *Accounts) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
+func (a *Accounting) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
 	for team := range update.shares {
 		if len(update.shares) < a.schema.TransactionLimits().TxnOps {
 			break
@@ -106,7 +106,7 @@
 }
 
 // freeCapacity returns the free room of an own shard's machines as its capacity record offers it.
-func (a *Accounts) freeCapacity(shardName string, now time.Time) shard.FreeCapacity {
+func (a *Accounting) freeCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
 	for host, room := range a.room.freeInShard(shardName, now) {
 		free[host] = room.Rounded()
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -12,9 +12,9 @@
 	"violetturn/internal/statecache"
 )
 
-// Room is what is placed on machines and what room they have left. It keeps nothing itself: what
+// Calculator is what is placed on machines and what room they have left. It keeps nothing itself: what
 // is worked out stands in the cache of internal/statecache. The lock of internal/state guards it.
-type Room struct {
+type Calculator struct {
 	node       *node.Info
 	cache      *statecache.Cache
 	leadership *leadership.Table
@@ -22,8 +22,8 @@
 	agents     *agent.Registry
 }
 
-// RoomDeps is what a room reads.
-type RoomDeps struct {
+// CalculatorDeps is what a room reads.
+type CalculatorDeps struct {
 	Node       *node.Info
 	Cache      *statecache.Cache
 	Leadership *leadership.Table
@@ -31,15 +31,15 @@
 	Agents     *agent.Registry
 }
 
-// NewRoom returns the room of the machines in a cache.
-func NewRoom(d RoomDeps) *Room {
-	return &Room{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
+// NewCalculator returns the room of the machines in a cache.
+func NewCalculator(d CalculatorDeps) *Calculator {
+	return &Calculator{node: d.Node, cache: d.Cache, leadership: d.Leadership, catalog: d.Catalog, agents: d.Agents}
 }
 
 // LoadOf returns what is placed on a machine. A plan asks for that of all machines,
 // so it is worked out only when something has changed there: whoever changes what
 // it rests on (placements, the jobs' records, ended attempts) drops it.
-func (r *Room) LoadOf(host string) *statecache.MachineLoad {
+func (r *Calculator) LoadOf(host string) *statecache.MachineLoad {
 	load := r.cache.CachedLoad(host)
 	if load != nil {
 		return load
@@ -75,7 +75,7 @@
 }
 
 // UnfinishedTasks counts the tasks on a machine that have not ended.
-func (r *Room) UnfinishedTasks(host string) int {
+func (r *Calculator) UnfinishedTasks(host string) int {
 	load := r.LoadOf(host)
 	return load.Services + load.Arrays
 }
@@ -83,7 +83,7 @@
 // StartDelay estimates how many seconds a start on a machine waits for the worker's next
 // heartbeat: one whose token was raised a moment ago can't be made to send one by another raise.
 // On a peer's machine that is so if a task was placed there.
-func (r *Room) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
+func (r *Calculator) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
 	raised := time.UnixMilli(load.LastPlacedMS)
 	if worker := r.agents.Agent(host); worker != nil {
 		raised = worker.LastTokenChange()
@@ -94,9 +94,9 @@
 	return 0
 }
 
-// WithPreemptibleRoom returns copies of the machines with the room of tasks of a lower priority
+// WithPreemptibleCapacity returns copies of the machines with the room of tasks of a lower priority
 // added to what is free: that need not be kept, it can be taken when needed.
-func (r *Room) WithPreemptibleRoom(hosts []*sched.Host, priority int) []*sched.Host {
+func (r *Calculator) WithPreemptibleCapacity(hosts []*sched.Host, priority int) []*sched.Host {
 	copies := make([]sched.Host, len(hosts)) // one allocation for all
 	out := make([]*sched.Host, len(hosts))
 	for i, host := range hosts {
@@ -114,7 +114,7 @@
 const maxMissedHeartbeats = 3
 
 // isSchedulable reports whether a machine of an own shard can take tasks.
-func (r *Room) isSchedulable(host string, now time.Time) bool {
+func (r *Calculator) isSchedulable(host string, now time.Time) bool {
 	worker := r.agents.Agent(host)
 	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
 		return false
@@ -125,7 +125,7 @@
 
 // freeInShard computes the free room of the usable machines of an own shard from the
 // committed placements, less those that have ended. A machine without any is left out.
-func (r *Room) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
+func (r *Calculator) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
 	for _, host := range r.cache.MachineNames() {
 		if r.cache.Machines[host].Shard != shardName {
@@ -143,7 +143,7 @@
 
 // FreeOnMachine returns the free room of a machine of an own shard, and the size of the machine;
 // false if it has none or can't take tasks.
-func (r *Room) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+func (r *Calculator) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
 	if !r.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
@@ -157,7 +157,7 @@
 
 // ProvisioningHosts lists the machines that have not come up yet: those rented for this
 // controller's shards, or all.
-func (r *Room) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
+func (r *Calculator) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var hosts []*sched.Host
 	for name, machine := range r.cache.Machines {
 		if !all && !r.leadership.Leads(machine.RentedFor) || len(r.cache.Placements[name]) > 0 {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -27,8 +27,8 @@
 // MachineTypes returns the machine types in the cloud's order, none before they were read.
 func (c *Catalog) MachineTypes() []cloud.MachineType { return c.machineTypes }
 
-// IsKnown reports whether the machine types have been read.
-func (c *Catalog) IsKnown() bool { return len(c.machineTypes) > 0 }
+// IsLoaded reports whether the machine types have been read.
+func (c *Catalog) IsLoaded() bool { return len(c.machineTypes) > 0 }
 
 // ShortestBoot returns how long the machine type that boots fastest takes; 0 if none is known.
 func (c *Catalog) ShortestBoot() time.Duration {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -18,8 +18,8 @@
 func testCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
-	settings.Facts.Teams = []config.Team{{Name: "limited", GPUsMax: 4}, {Name: "free"}}
+	settings.Facts.Workers.HeartbeatIntervalS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.Teams = []config.Team{{Name: "limited", MaxGPUs: 4}, {Name: "free"}}
 	c := New(node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil))))
 	c.SetMachineTypes([]cloud.MachineType{
 		{Name: "small", CPUs: 4, MemGB: 16, Price: 1, SpotPrice: 0.5, BootS: 40, FetchGBPerS: 1, Zones: []string{"x"}},
@@ -48,7 +48,7 @@
 		"a gang's tasks may not":    {api.Job{Team: "limited", Kind: api.Gang, Tasks: 5, GPUs: 1}, overLimit},
 		"spread over two zones":     {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 8, Spread: true}, ""},
 		"spread in one zone":        {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Zone: "x", Spread: true}, cantBe},
-		"spread and together":       {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, Together: true}, cantBe},
+		"spread and together":       {api.Job{Team: "free", Kind: api.Array, Tasks: 2, CPUs: 1, Spread: true, SingleZone: true}, cantBe},
 		"one task is spread":        {api.Job{Team: "free", Kind: api.Array, Tasks: 1, CPUs: 1, Zone: "x", Spread: true}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,15 +96,15 @@
 	c := testCatalog(t)
 	now := time.Unix(1_800_000_000, 0)
 	for _, spot := range []bool{false, true} {
-		if c.CloudRefuses("y", now) {
+		if c.AllOffersRefused("y", now) {
 			t.Errorf("refuses y though an offer is left")
 		}
 		c.BackOff(&sched.Offer{MachineType: "large", Zone: "y", Spot: spot}, now)
 	}
-	if !c.CloudRefuses("y", now) || c.CloudRefuses("x", now) {
-		t.Errorf("refuses: x %t, y %t", c.CloudRefuses("x", now), c.CloudRefuses("y", now))
+	if !c.AllOffersRefused("y", now) || c.AllOffersRefused("x", now) {
+		t.Errorf("refuses: x %t, y %t", c.AllOffersRefused("x", now), c.AllOffersRefused("y", now))
 	}
-	if New(c.node).CloudRefuses("y", now) {
+	if New(c.node).AllOffersRefused("y", now) {
 		t.Error("refuses before the machine types are known")
 	}
 }
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -27,14 +27,14 @@
 	if !ok {
 		return "unknown team"
 	}
-	if exceedsLimit(spec, team.CPUsMax, team.GPUsMax) {
+	if exceedsLimit(spec, team.MaxCPUs, team.MaxGPUs) {
 		return "more than the team's limit"
 	}
 	zones := c.zonesFor(spec)
 	switch {
 	case len(zones) == 0:
 		return "fits no allowed machine type"
-	case spec.Spread && spec.Tasks > 1 && (len(zones) == 1 || spec.Together):
+	case spec.Spread && spec.Tasks > 1 && (len(zones) == 1 || spec.SingleZone):
 		return "can't be scattered"
 	}
 	return ""
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -62,11 +62,11 @@
 // ClearBackoff lets an offer be asked for again: the cloud gave such a machine, or got one back.
 func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, keyOf(offer)) }
 
-// CloudRefuses reports whether the cloud refuses all that it could rent in a zone.
-func (c *Catalog) CloudRefuses(zone string, now time.Time) bool {
+// AllOffersRefused reports whether the cloud refuses all that it could rent in a zone.
+func (c *Catalog) AllOffersRefused(zone string, now time.Time) bool {
 	offered := false
 	for _, offer := range c.AvailableOffers(now) {
 		offered = offered || offer.Zone == zone
 	}
-	return c.IsKnown() && !offered
+	return c.IsLoaded() && !offered
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// MaxRental is the most machines that one request may ask for.
-	MaxRental = 50
-	// MaxReturn is the most machines that one request may return.
-	MaxReturn = 100
+	// MaxMachinesPerRental is the most machines that one request may ask for.
+	MaxMachinesPerRental = 50
+	// MaxMachinesPerReturn is the most machines that one request may return.
+	MaxMachinesPerReturn = 100
 )
 
 // Statuses of the cloud's answers.
@@ -47,8 +47,8 @@
 	budget   *transport.TokenBucket
 }
 
-// New makes a client that sends rps requests a second to addr, each with the deadline.
-func New(h *transport.Client, addr string, deadline time.Duration, rps float64) *Client {
+// NewClient makes a client that sends rps requests a second to addr, each with the deadline.
+func NewClient(h *transport.Client, addr string, deadline time.Duration, rps float64) *Client {
 	return &Client{http: h, addr: addr, deadline: deadline, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
 }
 
@@ -74,7 +74,7 @@
 	return answer.Hosts, nil
 }
 
-// Return returns machines to the cloud, MaxReturn at most. When it succeeds they are terminated.
+// Return returns machines to the cloud, MaxMachinesPerReturn at most. When it succeeds they are terminated.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.do(ctx, "POST", "/rentals/return", returnRequest{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return machines: %w", err)
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Page reads the machines whose names come after since, MaxPage at most. truncated reports
+// ListPage reads the machines whose names come after since, MaxMachinesPerPage at most. truncated reports
 // whether there are more.
-func (c *Client) Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error) {
+func (c *Client) ListPage(ctx context.Context, since string) (hosts []Machine, truncated bool, err error) {
 	var answer struct {
-		Hosts     []Host `json:"hosts"`
-		Truncated bool   `json:"truncated"`
+		Hosts     []Machine `json:"hosts"`
+		Truncated bool      `json:"truncated"`
 	}
-	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxPage)
+	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxMachinesPerPage)
 	if err := c.do(ctx, "GET", target, nil, &answer); err != nil {
 		return nil, false, fmt.Errorf("list machines: %w", err)
 	}
@@ -109,7 +109,7 @@
 			return fmt.Errorf("encode: %w", err)
 		}
 	}
-	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Deadline: c.deadline})
+	m, err := c.http.Do(ctx, transport.Request{Addr: c.addr, Method: method, Target: target, Body: encoded, Timeout: c.deadline})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -63,7 +63,7 @@
 			t.Error(err)
 		}
 	})
-	return New(client, server.Listener.Addr().String(), time.Minute, 1000)
+	return NewClient(client, server.Listener.Addr().String(), time.Minute, 1000)
 }
 
 // Requests are those of PROTOCOL, and their answers are read.
@@ -99,14 +99,14 @@
 		{
 			"page", `{"hosts":[{"uid":"i-3","phase":"failed","heldS":1.5}],"truncated":false}`,
 			func() (any, error) {
-				hosts, truncated, err := client.Page(ctx, "i 2")
+				hosts, truncated, err := client.ListPage(ctx, "i 2")
 				if truncated {
 					t.Error("the last page counts as truncated")
 				}
 				return hosts, err
 			},
 			"GET /rentals?since=i+2&limit=500 ",
-			[]Host{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
+			[]Machine{{UID: "i-3", Phase: "failed", AgeS: 1.5}},
 		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// MaxPage is the most machines that one page of the list holds.
-const MaxPage = 500
+// MaxMachinesPerPage is the most machines that one page of the list holds.
+const MaxMachinesPerPage = 500
 
 // pageReader reads one page of the list of rented machines; Client is one.
 type pageReader interface {
-	Page(ctx context.Context, since string) (hosts []Host, truncated bool, err error)
+	ListPage(ctx context.Context, since string) (hosts []Machine, truncated bool, err error)
 }
 
 // Listing reads the list of rented machines a few pages at a time. Eight pages, which
@@ -23,12 +23,12 @@
 //
 // The zero value has read nothing. It is not safe for use by several goroutines at once.
 type Listing struct {
-	// Began is when the listing under way read its first page.
-	Began time.Time
+	// StartedAt is when the listing under way read its first page.
+	StartedAt time.Time
 
-	hosts  []Host // those read so far
-	since  string // name of the last of them
-	active bool   // some pages have been read and some not
+	hosts  []Machine // those read so far
+	since  string    // name of the last of them
+	active bool      // some pages have been read and some not
 }
 
 // Active reports whether some pages have been read and some not.
@@ -37,12 +37,12 @@
 // Read reads up to so many pages, one at least. complete reports whether the last one has been
 // read; hosts is then the whole list, else nil. After an error the next call reads the same
 // page again.
-func (l *Listing) Read(ctx context.Context, from pageReader, now time.Time, pages int) (hosts []Host, complete bool, err error) {
+func (l *Listing) Read(ctx context.Context, from pageReader, now time.Time, pages int) (hosts []Machine, complete bool, err error) {
 	if !l.active {
-		*l = Listing{Began: now, active: true}
+		*l = Listing{StartedAt: now, active: true}
 	}
 	for range max(pages, 1) {
-		page, truncated, err := from.Page(ctx, l.since)
+		page, truncated, err := from.ListPage(ctx, l.since)
 		if err != nil {
 			return nil, false, err
 		}
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -18,7 +18,7 @@
 	pages   int
 }
 
-func (p *pagedList) Page(_ context.Context, since string) ([]Host, bool, error) {
+func (p *pagedList) ListPage(_ context.Context, since string) ([]Machine, bool, error) {
 	if p.failing {
 		return nil, false, ErrUnavailable
 	}
@@ -28,10 +28,10 @@
 		from++
 	}
 	rest := p.names[from:]
-	page := rest[:min(len(rest), MaxPage)]
-	hosts := []Host{}
+	page := rest[:min(len(rest), MaxMachinesPerPage)]
+	hosts := []Machine{}
 	for _, name := range page {
-		hosts = append(hosts, Host{UID: name})
+		hosts = append(hosts, Machine{UID: name})
 	}
 	return hosts, len(rest) > len(page), nil
 }
@@ -78,13 +78,13 @@
 				source.names = slices.Delete(source.names, terminated, terminated+1)
 			}
 		}
-		if need := (len(stays) + MaxPage - 1) / MaxPage; source.pages-before < need {
+		if need := (len(stays) + MaxMachinesPerPage - 1) / MaxMachinesPerPage; source.pages-before < need {
 			t.Fatalf("%d pages for %d machines", source.pages-before, len(stays))
 		}
 	})
 }
 
-func checkListing(t *rapid.T, hosts []Host, stays map[string]bool, created int) {
+func checkListing(t *rapid.T, hosts []Machine, stays map[string]bool, created int) {
 	listed := map[string]bool{}
 	for _, h := range hosts {
 		if listed[h.UID] {
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -27,8 +27,8 @@
 // String returns the wire's word.
 func (p MachinePhase) String() string { return string(p) }
 
-// Host is a rented machine as the cloud lists it.
-type Host struct {
+// Machine is a rented machine as the cloud lists it.
+type Machine struct {
 	UID         string       `json:"uid"`
 	Addr        string       `json:"addr"` // host:port of its worker
 	MachineType string       `json:"build"`
@@ -44,7 +44,7 @@
 	MachineType string `json:"build"`
 	Zone        string `json:"site"`
 	Spot        bool   `json:"loaners"`
-	Count       int    `json:"howMany"` // MaxRental at most
+	Count       int    `json:"howMany"` // MaxMachinesPerRental at most
 }
 
 // returnRequest returns machines.
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -39,7 +39,7 @@
 
 // probeWorker requests the status of a worker and records contact with workers if it responds.
 func (s *Sender) probeWorker(ctx context.Context, addr string) {
-	if _, err := s.services.Workers.Status(ctx, addr); err != nil {
+	if _, err := s.services.Workers.FetchHeartbeat(ctx, addr); err != nil {
 		return
 	}
 	state := s.guard.Lock()
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -55,7 +55,7 @@
 	for range b.N {
 		heartbeat.Sequence++
 		if r := c.frontend.HandleHeartbeat(
-			&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.JSON(heartbeat)},
+			&httpwire.Message{Method: "POST", Target: "/checkin", Body: api.MustMarshal(heartbeat)},
 		); r.Status != 200 {
 			b.Fatalf("heartbeat answered with status %d, want 200", r.Status)
 		}
@@ -80,7 +80,7 @@
 			default:
 				continue
 			}
-			items = append(items, store.Item{Key: key, Value: api.JSON(record), Version: version})
+			items = append(items, store.Item{Key: key, Value: api.MustMarshal(record), Version: version})
 		}
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -114,7 +114,7 @@
 				for host, machine := range c.testState().Cache.Machines {
 					agentState := c.testState().Agents.Agent(host)
 					agentState.UnderusedSince = time.Time{}
-					review.Consider(host, machine, agentState)
+					review.Evaluate(host, machine, agentState)
 				}
 			}
 		})
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -20,14 +20,14 @@
 	uncancelled = s.submitJob(zoneService)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(uncancelled) == 3 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.world.Store.Refused[s.nodes[leader].name] = true
+	s.environment.Store.RefusedNodes[s.nodes[leader].name] = true
 	s.stepNode(leader) // it observes the refusal
-	if s.cancel(other, cancelled); s.world.Jobs[cancelled].FinalPhase != api.JobCancelled {
-		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.world.Jobs[cancelled].FinalPhase, api.JobCancelled)
+	if s.cancel(other, cancelled); s.environment.Jobs[cancelled].FinalPhase != api.JobCancelled {
+		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.environment.Jobs[cancelled].FinalPhase, api.JobCancelled)
 	}
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	fault(s, leader, other)
-	for range rounds(s.world.CancelTimeout) + 20 {
+	for range rounds(s.environment.CancelTimeout) + 20 {
 		s.runRound()
 		s.checkViolations(t)
 	}
@@ -53,16 +53,16 @@
 		"leader restarts":                 func(s *testCluster, leader, _ int) { s.startNode(leader) },
 		"confirming controller is paused": func(s *testCluster, _, other int) { s.nodes[other].paused = true },
 		"machines hang within their leases": func(s *testCluster, _, _ int) {
-			for _, worker := range s.world.Cloud.Hosts {
+			for _, worker := range s.environment.Cloud.WorkersByHost {
 				worker.Hung = true
 			}
 			s.runFor(14)
-			for _, worker := range s.world.Cloud.Hosts {
+			for _, worker := range s.environment.Cloud.WorkersByHost {
 				worker.Hung = false
 			}
 		},
 		"leader can't reach its peers, its workers can": func(s *testCluster, leader, _ int) {
-			s.world.Store.Unreachable[s.nodes[leader].name], s.peersRefused = true, true
+			s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.peersRefused = true, true
 		},
 	} {
 		t.Run(name, func(t *testing.T) { runStoreOutage(t, fault) })
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -44,9 +44,9 @@
 // newOutageSchedule returns a cluster with a drawn lease and cancellation timeout.
 func newOutageSchedule(t *rapid.T) *outageSchedule {
 	o := &outageSchedule{testCluster: newTestCluster(), t: t, other: 1}
-	o.world.Lease = o.drawSeconds("lease", 4, 20)
-	timeout := float64(o.world.Lease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
-	o.world.CancelTimeout = time.Duration(timeout).Round(100 * time.Millisecond)
+	o.environment.WorkerLease = o.drawSeconds("lease", 4, 20)
+	timeout := float64(o.environment.WorkerLease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
+	o.environment.CancelTimeout = time.Duration(timeout).Round(100 * time.Millisecond)
 	for i := range o.nodes {
 		o.startNode(i)
 	}
@@ -66,7 +66,7 @@
 		o.cancelledJob = o.submitJob(func(j *api.Job, _ *time.Duration) {
 			j.Kind, j.Tasks, j.Zone = api.Service, rapid.IntRange(1, 3).Draw(o.t, "tasks"), "x"
 			if rapid.Bool().Draw(o.t, "saves") {
-				j.CheckpointS, j.SaveS = 5, 3
+				j.CheckpointIntervalS, j.SaveDurationS = 5, 3
 			}
 		})
 	}
@@ -78,12 +78,12 @@
 
 // drawTime draws a time within maxSeconds from now.
 func (o *outageSchedule) drawTime(name string, maxSeconds int) time.Time {
-	return o.world.Now.Add(o.drawSeconds(name, 0, maxSeconds))
+	return o.environment.Now.Add(o.drawSeconds(name, 0, maxSeconds))
 }
 
 // maxFaultSeconds returns the longest time that a fault lasts, in whole seconds.
 func (o *outageSchedule) maxFaultSeconds() int {
-	return int(2 * (o.world.CancelTimeout + o.world.Lease) / time.Second)
+	return int(2 * (o.environment.CancelTimeout + o.environment.WorkerLease) / time.Second)
 }
 
 // scheduleEvent schedules an event at a drawn time within maxSeconds.
@@ -104,8 +104,8 @@
 // faults of the controllers.
 func (o *outageSchedule) scheduleFaults() {
 	name := o.nodes[o.leader].name
-	o.scheduleFault("refused", 4, func(active bool) { o.world.Store.Refused[name] = active })
-	o.scheduleFault("outage", 8, func(active bool) { o.world.Store.Down = active })
+	o.scheduleFault("refused", 4, func(active bool) { o.environment.Store.RefusedNodes[name] = active })
+	o.scheduleFault("outage", 8, func(active bool) { o.environment.Store.Down = active })
 	o.scheduleEvent("cancel", 8, func() { o.cancel(o.other, o.cancelledJob) })
 	if rapid.Bool().Draw(o.t, "peers refused") {
 		o.scheduleFault("peers refused", 12, func(active bool) { o.peersRefused = active })
@@ -139,30 +139,30 @@
 	const drawnFaultCount = 40
 	step := rapid.SampledFrom([]time.Duration{200, 300, 500}).Draw(o.t, "step") * time.Millisecond
 	faults := rapid.SliceOfN(rapid.IntRange(0, 11), drawnFaultCount, drawnFaultCount).Draw(o.t, "faults")
-	end := o.world.Now.Add(time.Duration(o.maxFaultSeconds()) * time.Second)
-	for round := 0; o.world.Now.Before(end) || len(o.events) > 0; round++ {
+	end := o.environment.Now.Add(time.Duration(o.maxFaultSeconds()) * time.Second)
+	for round := 0; o.environment.Now.Before(end) || len(o.events) > 0; round++ {
 		o.runDueEvents()
 		for i := range o.nodes {
 			o.stepNode(i)
 		}
-		for i, host := range o.world.Cloud.HostNames() {
+		for i, host := range o.environment.Cloud.HostNames() {
 			fault := heartbeatFault(faults[(round+i)%drawnFaultCount])
 			if fault > responseDelayed {
 				fault = heartbeatServed
 			}
-			o.sendHeartbeat(o.world.Cloud.Hosts[host], fault)
+			o.sendHeartbeat(o.environment.Cloud.WorkersByHost[host], fault)
 		}
-		if o.world.Jobs[o.cancelledJob].CancelRequested { // any node may return the final phase to the user
+		if o.environment.Jobs[o.cancelledJob].CancelRequested { // any node may return the final phase to the user
 			o.poll(round%len(o.nodes), o.cancelledJob)
 		}
-		o.world.Advance(step)
+		o.environment.Advance(step)
 		o.checkBounds()
 	}
 }
 
 // runDueEvents runs the events whose time has come.
 func (o *outageSchedule) runDueEvents() {
-	for len(o.events) > 0 && !o.world.Now.Before(o.events[0].at) {
+	for len(o.events) > 0 && !o.environment.Now.Before(o.events[0].at) {
 		o.events[0].run()
 		o.events = o.events[1:]
 	}
@@ -170,10 +170,10 @@
 
 // checkBounds fails if a rule is violated, and logs the time bounds in force.
 func (o *outageSchedule) checkBounds() {
-	if len(o.world.Violations) > 0 {
+	if len(o.environment.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
 		o.t.Fatalf("lease %v, cancellation timeout %v, leadership grace %v, max staleness %v: violations %v",
-			o.world.Lease, o.world.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.world.Violations)
+			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.environment.Violations)
 	}
 }
 
@@ -181,7 +181,7 @@
 // tasks of the job end in time.
 func (o *outageSchedule) confirmAfterFaults() {
 	o.endFaults()
-	j := o.world.Jobs[o.cancelledJob]
+	j := o.environment.Jobs[o.cancelledJob]
 	for round := 0; round < 300 && j.FinalPhase == ""; round++ {
 		o.runRound()
 		o.cancel(o.other, o.cancelledJob)
@@ -189,9 +189,9 @@
 	}
 	if j.FinalPhase != api.JobCancelled {
 		o.t.Fatalf("lease %v, cancellation timeout %v: job in phase %q after all faults ended, want %q",
-			o.world.Lease, o.world.CancelTimeout, j.FinalPhase, api.JobCancelled)
+			o.environment.WorkerLease, o.environment.CancelTimeout, j.FinalPhase, api.JobCancelled)
 	}
-	for range rounds(o.world.CancelTimeout) + 2 {
+	for range rounds(o.environment.CancelTimeout) + 2 {
 		o.runRound()
 		o.checkBounds()
 	}
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -17,7 +17,7 @@
 		for half := range 2 {
 			id := s.submitArray(1, 2*time.Second, func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.5, 1 })
 			if submitted := 2*round + half; submitted%4 == 0 {
-				s.world.Jobs[id].RunTime = time.Minute
+				s.environment.Jobs[id].RunTime = time.Minute
 				s.cancel(submitted%3, s.jobIDs[max(0, len(s.jobIDs)-1-submitted%7)])
 			}
 		}
@@ -25,9 +25,9 @@
 		case 40:
 			s.startNode(0)
 		case 80:
-			s.world.Store.NextFault["n1"] = simulator.Delayed
+			s.environment.Store.NextFault["n1"] = simulator.Delayed
 		case 90:
-			s.world.Store.DeliverDelayed()
+			s.environment.Store.DeliverDelayed()
 		}
 		s.runRounds(t, 1)
 	}
@@ -45,9 +45,9 @@
 					s := newReadyCluster()
 					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
 					endedTasks := 0
-					s.world.OnTaskDone = func(uid string) {
+					s.environment.OnTaskDone = func(uid string) {
 						if endedTasks++; uid == id && endedTasks == 2 {
-							s.world.Store.NextFault[s.nodes[node].name] = fault
+							s.environment.Store.NextFault[s.nodes[node].name] = fault
 							s.cancel(node, id)
 							s.queryEverywhere(id)
 						}
@@ -57,9 +57,9 @@
 						s.queryEverywhere(id)
 						s.runRounds(t, 1)
 					}
-					s.world.Store.DeliverDelayed()
+					s.environment.Store.DeliverDelayed()
 					s.queryEverywhere(id)
-					if s.checkRecovery(t); s.world.Jobs[id].FinalPhase == "" {
+					if s.checkRecovery(t); s.environment.Jobs[id].FinalPhase == "" {
 						t.Errorf("node %d, fault %d, %s: job has no final phase", node, fault, kind)
 					}
 				})
@@ -80,7 +80,7 @@
 				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
 				if lastTaskEnded {
 					endedTasks := 0
-					s.world.OnTaskDone = func(uid string) {
+					s.environment.OnTaskDone = func(uid string) {
 						if uid == id {
 							endedTasks++
 						}
@@ -93,7 +93,7 @@
 						return
 					}
 					s.cancel((node+1)%3, id)
-					confirmedPhase = s.world.Jobs[id].FinalPhase
+					confirmedPhase = s.environment.Jobs[id].FinalPhase
 					s.queryEverywhere(id)
 				})
 				for range 12 {
@@ -106,9 +106,9 @@
 				}
 				s.cancel(0, idleArray)
 				s.checkRecovery(t)
-				if s.world.LateStarts > 0 {
+				if s.environment.LaunchesAfterCancel > 0 {
 					t.Errorf("%s, last task ended %t: %d tasks started after a confirmed cancellation, want 0",
-						kind, lastTaskEnded, s.world.LateStarts)
+						kind, lastTaskEnded, s.environment.LaunchesAfterCancel)
 				}
 			})
 		}
@@ -130,15 +130,15 @@
 		if round%3 == 0 {
 			s.cancel((round+1)%3, id)
 			s.queryEverywhere(id)
-			if s.world.Jobs[id].FinalPhase != api.JobCancelled {
-				t.Fatalf("job in phase %q after its cancellation, want %q", s.world.Jobs[id].FinalPhase, api.JobCancelled)
+			if s.environment.Jobs[id].FinalPhase != api.JobCancelled {
+				t.Fatalf("job in phase %q after its cancellation, want %q", s.environment.Jobs[id].FinalPhase, api.JobCancelled)
 			}
 		}
 		switch round {
 		case 6:
-			s.world.Store.Refused["n2"] = true // it redirects its users
+			s.environment.Store.RefusedNodes["n2"] = true // it redirects its users
 		case 12:
-			s.world.Store.Refused["n2"] = false
+			s.environment.Store.RefusedNodes["n2"] = false
 		case 15:
 			s.startNode(1)
 		}
@@ -150,7 +150,7 @@
 		}
 	}
 	s.checkRecovery(t)
-	if s.world.LateStarts > 0 {
-		t.Errorf("%d tasks started after a confirmed cancellation, want 0", s.world.LateStarts)
+	if s.environment.LaunchesAfterCancel > 0 {
+		t.Errorf("%d tasks started after a confirmed cancellation, want 0", s.environment.LaunchesAfterCancel)
 	}
 }
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -24,7 +24,7 @@
 }
 
 // zoneOf returns the zone of a node.
-func (s *clusterNodes) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
+func (s *clusterNodes) zoneOf(i int) string { return s.environment.Zones[i%len(s.environment.Zones)] }
 
 // partitionZone partitions a zone from all else, also from the state service and the cloud;
 // "" ends that.
@@ -32,7 +32,7 @@
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
-		s.world.Store.Unreachable[n.name], s.world.Cloud.Unreachable[n.name] = unreachable, unreachable
+		s.environment.Store.UnreachableNodes[n.name], s.environment.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
 	}
 }
 
@@ -45,8 +45,8 @@
 	from    int
 }
 
-// Ask sends a request to a peer, which serves it at once.
-func (l peerLink) Ask(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
+// Call sends a request to a peer, which serves it at once.
+func (l peerLink) Call(ctx context.Context, addr string, r *peer.Request, _ time.Duration) (*peer.Reply, error) {
 	to := slices.IndexFunc(l.cluster.nodes, func(n *testNode) bool { return n.name == addr })
 	n := l.cluster.nodes[to]
 	if !n.serves() || !l.cluster.connected(l.from, to) {
@@ -55,7 +55,7 @@
 	if !n.controller.members.ShouldServePeer(r) {
 		return n.controller.members.PeerStatus(r), nil
 	}
-	return frontend.PeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
+	return frontend.NewPeerReply(n.controller.frontend.ServeLocally(ctx, r)), nil
 }
 
 // connected reports whether two controllers can reach each other.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -82,7 +82,7 @@
 func responseLimits(settings *config.Settings) httpwire.Limits {
 	const memoryShare, leastBytes = 16, 1 << 20
 	limits := httpwire.ResponseLimits
-	limits.Body = max(leastBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare))
+	limits.BodyBytes = max(leastBytes, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryShare))
 	return limits
 }
 
@@ -90,19 +90,19 @@
 func (c *Controller) addServices(client *transport.Client) {
 	settings := c.node.Settings
 	now, lowest := settings.Facts.State, settings.LowestLimits()
-	c.services.Store = store.New(store.Options{
-		HTTP:        client,
-		Addr:        settings.External.State,
-		Deadline:    settings.ControllerLeaseTTL() / 3,
-		Limits:      store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
-		Next:        store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
-		Controllers: settings.Facts.Size,
-		OnAnswer:    c.sync.RecordStoreAnswer,
+	c.services.Store = store.NewClient(store.Options{
+		HTTP:            client,
+		Addr:            settings.External.State,
+		Timeout:         settings.ControllerLeaseTTL() / 3,
+		Limits:          store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
+		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
+		ControllerCount: settings.Facts.ControllerCount,
+		OnResponse:      c.sync.RecordStoreAnswer,
 	})
-	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
-	c.services.Cloud = cloud.New(client, settings.External.Cloud, cloudTimeout, cloudRPS)
-	c.services.Workers = worker.New(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
-	c.services.Peers = peer.New(client)
+	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
+	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
+	c.services.Workers = worker.NewClient(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
+	c.services.Peers = peer.NewClient(client)
 }
 
 // addServers adds the servers for users and workers, and for peers.
@@ -112,7 +112,7 @@
 	forUsers := sockets * serverSocketsNumerator / serverSocketsDenominator
 	c.server = transport.NewServer(c.frontend.Handle, httpwire.RequestLimits, forUsers, idle)
 	forPeers := httpwire.RequestLimits
-	forPeers.Body *= 2 // a peer's message holds a whole submission and a little more
+	forPeers.BodyBytes *= 2 // a peer's message holds a whole submission and a little more
 	c.cluster = transport.NewServer(c.frontend.HandlePeer, forPeers, sockets/clusterSocketsDenominator, idle)
 }
 
@@ -144,7 +144,7 @@
 
 // Available implements schema.WriteBudget. It does not wait.
 func (b writeBudget) Available() int {
-	return b.services.Store.AwaitWrites(context.Background(), 0, store.PriorityDecision)
+	return b.services.Store.AwaitWriteBudget(context.Background(), 0, store.PriorityDecision)
 }
 
 // Run serves until ctx ends, and then shuts down in order: loops first, then the lease, so
@@ -205,9 +205,9 @@
 	return c.http.Close()
 }
 
-// MeterLock records from now on how the state's lock is used. It is called before Run.
-func (c *Controller) MeterLock() { c.guard.StartMeter() }
+// StartLockMeter records from now on how the state's lock is used. It is called before Run.
+func (c *Controller) StartLockMeter() { c.guard.StartMeter() }
 
-// LockUses returns what was recorded since MeterLock or the last call, by function, the
+// LockUses returns what was recorded since StartLockMeter or the last call, by function, the
 // longest in all first.
 func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -18,14 +18,14 @@
 				id := s.submitService(3, nil)
 				s.submitArray(6, 10*time.Second, nil)
 				s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-				s.world.Store.Refused["n1"] = true // its shard gets another leader
+				s.environment.Store.RefusedNodes["n1"] = true // its shard gets another leader
 				s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
-				s.world.Store.Refused["n1"] = false // and returns to n1
+				s.environment.Store.RefusedNodes["n1"] = false // and returns to n1
 				s.runRounds(t, 3)
 				for _, n := range s.nodes {
 					n.running = false
 				}
-				s.world.Advance(downtime)
+				s.environment.Advance(downtime)
 				s.startNode(firstReturning)
 				s.runRounds(t, 20)
 				if leader := s.leaderOf("n1"); leader != s.nodes[firstReturning].name {
@@ -59,9 +59,9 @@
 		}
 	}
 	check(60)
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	check(26) // 13 s; the lease is 9 s
-	s.world.Store.Down = false
+	s.environment.Store.Down = false
 	check(60)
 }
 
@@ -75,13 +75,13 @@
 			s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
 			leader, _ := s.leaderOfJob(t, id)
 			for host := range s.runningTasksByHost(id) {
-				s.world.Cloud.Hosts[host].Partitioned, s.world.Cloud.Hosts[host].InboundLost = !inboundLost, inboundLost
+				s.environment.Cloud.WorkersByHost[host].Partitioned, s.environment.Cloud.WorkersByHost[host].InboundLost = !inboundLost, inboundLost
 			}
 			s.nodes[leader].running = false
 			s.runUntil(t, 200, "tasks run elsewhere", func() bool {
 				running := 0
 				for host, tasks := range s.runningTasksByHost(id) {
-					if worker := s.world.Cloud.Hosts[host]; !worker.Partitioned && !worker.InboundLost {
+					if worker := s.environment.Cloud.WorkersByHost[host]; !worker.Partitioned && !worker.InboundLost {
 						running += tasks
 					}
 				}
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -21,7 +21,7 @@
 	otherZoneService := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves free capacity when it is cancelled
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(otherZoneService) == 4 })
 	for host := range s.runningTasksByHost(cancelledService) {
-		s.world.Cloud.Hosts[host].Partitioned = true
+		s.environment.Cloud.WorkersByHost[host].Partitioned = true
 	}
 	s.runRounds(t, 1)
 	for i := range s.nodes {
@@ -62,7 +62,7 @@
 		if newLeader := s.leaderOf(s.nodes[leader].name); newLeader != "" {
 			break
 		}
-		s.world.Advance(100 * time.Millisecond)
+		s.environment.Advance(100 * time.Millisecond)
 	}
 	successor := s.leaderOf(s.nodes[leader].name)
 	if successor == "" {
@@ -78,8 +78,8 @@
 		if round == 8 { // the new leader has acted
 			s.deliverCopies(delayed)
 		}
-		if s.runningTasks(id) != 2 || len(s.world.Violations) > 0 {
-			t.Fatalf("round %d: %d replicas run, want 2; violations %v", round, s.runningTasks(id), s.world.Violations)
+		if s.runningTasks(id) != 2 || len(s.environment.Violations) > 0 {
+			t.Fatalf("round %d: %d replicas run, want 2; violations %v", round, s.runningTasks(id), s.environment.Violations)
 		}
 	}
 	s.cancel(other, id)
@@ -99,15 +99,15 @@
 	}
 	var copies [][]byte
 	for range 8 {
-		copies = append(copies, api.JSON(s.world.Cloud.Hosts[host].Heartbeat()))
-		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
+		copies = append(copies, api.MustMarshal(s.environment.Cloud.WorkersByHost[host].Heartbeat()))
+		s.deliverHeartbeat(s.preferredLeaderOf(host), copies[len(copies)-1])
 	}
-	s.world.Cloud.Terminate(host)
+	s.environment.Cloud.Terminate(host)
 	deliverCopiesAndRun := func() {
 		s.deliverCopies(copies)
 		s.runRound()
 	}
-	bound := rounds(s.world.Lease + 4*time.Second)
+	bound := rounds(s.environment.WorkerLease + 4*time.Second)
 	for round := 0; round < bound+40 && s.runningTasks(id) < 2; round++ {
 		deliverCopiesAndRun()
 	}
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -23,7 +23,7 @@
 	}
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
 	spec, runTime := drawJob(t, id, kind)
-	s.world.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, Done: map[int]bool{}}
+	s.environment.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(s.drawNode(t), id)
 }
@@ -52,15 +52,15 @@
 // cancelAtTaskEnd cancels a job at the very end of a task, and asks about it everywhere.
 func (s userActions) cancelAtTaskEnd(t *rapid.T) {
 	id := s.drawJobID(t)
-	s.world.OnTaskDone = func(ended string) {
+	s.environment.OnTaskDone = func(ended string) {
 		if ended == id {
-			s.world.OnTaskDone = nil
+			s.environment.OnTaskDone = nil
 			s.cancel(s.drawNode(t), id)
 			s.queryEverywhere(id)
 		}
 	}
 	s.runFewRounds(t)
-	s.world.OnTaskDone = nil
+	s.environment.OnTaskDone = nil
 }
 
 // drawJob draws a job of a kind and the run time of its tasks; "" draws the kind.
@@ -77,15 +77,15 @@
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "where") {
 	case 0:
-		j.Together = true
+		j.SingleZone = true
 	case 1:
 		j.Spread = true
 	case 2:
 		j.Zone = "x"
 	}
-	j.Spot = rapid.Bool().Draw(t, "spot")
+	j.AllowSpot = rapid.Bool().Draw(t, "spot")
 	if rapid.Bool().Draw(t, "saves") {
-		j.CheckpointS, j.SaveS = 5, 1
+		j.CheckpointIntervalS, j.SaveDurationS = 5, 1
 	}
 	switch j.Kind {
 	case api.Gang:
@@ -106,7 +106,7 @@
 	if rapid.IntRange(0, 7).Draw(t, "large") == 0 {
 		j.GPUs, j.CPUs, j.Tasks = 0, 0.5, drawManyTasks(t)
 	}
-	if j.CheckpointS > 0 {
-		j.CheckpointS = 2
+	if j.CheckpointIntervalS > 0 {
+		j.CheckpointIntervalS = 2
 	}
 }
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -16,10 +16,10 @@
 // It runs in simulated time in one goroutine, so it does not show whether real processes keep up.
 // Under the race detector it takes minutes, so test.sh runs it separately.
 func TestFourThousandMachines(t *testing.T) {
-	scenario := newLoadScenario(simulator.Huge())
+	scenario := newLoadScenario(simulator.Deployment4000())
 	scenario.phase = "fill"
-	for _, class := range []*simulator.Class{&scenario.deployment.Services, &scenario.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&scenario.deployment.ServiceJobs, &scenario.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			scenario.submitNewJob(class)
 		}
 	}
@@ -45,7 +45,7 @@
 		t.Errorf("%d tasks run after the restart, want at least 9/10 of the %d before", tasksAfter, tasksBefore)
 	}
 	scenario.checkAcceptedJobs(t)
-	for _, violation := range scenario.world.Violations {
+	for _, violation := range scenario.environment.Violations {
 		t.Error(violation)
 	}
 }
@@ -53,8 +53,8 @@
 // bootedMachines counts the machines that have booted.
 func (l *loadScenario) bootedMachines() int {
 	n := 0
-	for _, worker := range l.world.Cloud.Workers() {
-		if worker.Up() {
+	for _, worker := range l.environment.Cloud.Workers() {
+		if worker.Booted() {
 			n++
 		}
 	}
@@ -64,8 +64,8 @@
 // totalPresentTasks counts the tasks that are on machines.
 func (l *loadScenario) totalPresentTasks() int {
 	n := 0
-	for _, worker := range l.world.Cloud.Workers() {
-		n += len(worker.PresentJobs())
+	for _, worker := range l.environment.Cloud.Workers() {
+		n += len(worker.UnfinishedTaskJobs())
 	}
 	return n
 }
@@ -78,7 +78,7 @@
 		for _, uid := range l.jobIDs {
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
-			if job := l.world.Jobs[uid]; job.Accepted && status != 200 && job.FinalPhase != api.JobCancelled {
+			if job := l.environment.Jobs[uid]; job.Accepted && status != 200 && job.FinalPhase != api.JobCancelled {
 				t.Errorf("controller %d answers with status %d, want 200, for accepted job %s", i, status, uid)
 			}
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -45,16 +45,16 @@
 // the same attempt, which starts after the lost task has certainly ended.
 func TestGatheringGangGetsReplacement(t *testing.T) {
 	s := newReadyCluster()
-	s.world.GangWait = 25 * time.Second
+	s.environment.GangStartTimeout = 25 * time.Second
 	for _, n := range s.nodes {
-		n.controller.node.Settings.Facts.Workers.GangWaitS = 25
+		n.controller.node.Settings.Facts.Workers.GangGatherTimeoutS = 25
 	}
 	firstGang := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // leaves a booted machine for each task
 	s.runUntil(t, 300, "job done", s.isDone(firstGang))
-	s.world.MachineType.Fetch = 6 * time.Second
+	s.environment.MachineType.FetchTime = 6 * time.Second
 	id := s.submitGang(t, nil)
 	s.runUntil(t, 40, "tasks are launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
-	s.world.Cloud.Terminate(s.workerOf(id).Host)
+	s.environment.Cloud.Terminate(s.workerOf(id).Host)
 	s.runUntil(t, 100, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	if gang := s.nodes[0].state().Cache.Jobs[id].Record.Gang; gang.Attempt != 1 {
 		t.Fatalf("gang runs as attempt %d, want 1", gang.Attempt)
@@ -68,13 +68,13 @@
 	for _, failure := range []string{"terminated", "hung", "partitioned"} {
 		t.Run(failure, func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointS, r.SaveS, r.Together = 5, 1, true })
+			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointIntervalS, r.SaveDurationS, r.SingleZone = 5, 1, true })
 			s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
 			worker := s.workerOf(id)
 			switch failure {
 			case "terminated":
-				s.world.Cloud.Terminate(worker.Host)
+				s.environment.Cloud.Terminate(worker.Host)
 			case "hung":
 				worker.Hung = true
 			case "partitioned":
@@ -94,15 +94,15 @@
 func TestPreemptedGangSavesProgress(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
-		r.Priority, r.CheckpointS, r.SaveS, *d = "idle", 100, 1, 40*time.Second
+		r.Priority, r.CheckpointIntervalS, r.SaveDurationS, *d = "idle", 100, 1, 40*time.Second
 	})
 	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
 	saved := false
 	s.runUntil(t, 100, "gang is preempted", func() bool {
-		for _, worker := range s.world.Cloud.Hosts {
+		for _, worker := range s.environment.Cloud.WorkersByHost {
 			for _, taskState := range worker.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(taskState.Task)
 				saved = saved || uid == id && taskState.Phase == api.TaskEnded && taskState.Saved
@@ -113,7 +113,7 @@
 	if !saved {
 		t.Fatal("no task of the preempted gang reports saved progress")
 	}
-	s.world.Cloud.NoCapacity = false
+	s.environment.Cloud.NoCapacity = false
 	s.runUntil(t, 400, "job done", s.isDone(id))
 }
 
@@ -162,7 +162,7 @@
 		if !c.testState().Scheduler.HasReleasedClaims(id) {
 			t.Fatal("released claims of the gang are not recorded, so newer gangs may go first")
 		}
-		for _, worker := range s.world.Cloud.Hosts {
+		for _, worker := range s.environment.Cloud.WorkersByHost {
 			for _, taskState := range worker.Heartbeat().Tasks {
 				if uid, _, _ := api.SplitTaskName(taskState.Task); uid == id {
 					t.Fatalf("task %s was started without the rest of the gang", taskState.Task)
@@ -179,11 +179,11 @@
 // of the shard: no task is started again, and no controller reports another phase.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Together, *d = true, 8*time.Second })
+	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.SingleZone, *d = true, 8*time.Second })
 	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	worker := s.workerOf(id)
 	s.runUntil(t, 60, "no task runs any more", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
-	s.world.Cloud.Terminate(worker.Host)
+	s.environment.Cloud.Terminate(worker.Host)
 	s.nodes[0].running = false
 	s.runFor(6)
 	s.startNode(0)
@@ -219,15 +219,15 @@
 	secondGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
 	s.runUntil(t, 400, "first gang done", s.isDone(firstGang))
 	s.runUntil(t, 400, "second gang done", s.isDone(secondGang))
-	s.world.Cloud.NoCapacity = true // only the existing machines are available
+	s.environment.Cloud.NoCapacity = true // only the existing machines are available
 	largeGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
 	round := 0
 	s.runUntil(t, 480, "large gang done", func() bool {
 		if round++; round%6 == 0 {
 			id := fmt.Sprintf("run-%06d", 1000+round)
-			spec := s.world.Jobs[largeGang].Spec
+			spec := s.environment.Jobs[largeGang].Spec
 			spec.UID, spec.Tasks = id, 2
-			s.world.Jobs[id] = &simulator.Job{Spec: spec, RunTime: 6 * time.Second, Done: map[int]bool{}}
+			s.environment.Jobs[id] = &simulator.Job{Spec: spec, RunTime: 6 * time.Second, DoneTasks: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.isDone(largeGang)()
@@ -245,7 +245,7 @@
 		})
 	}
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
-	s.world.Cloud.NoCapacity = true
-	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Together, r.Tasks = true, 3 })
+	s.environment.Cloud.NoCapacity = true
+	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.SingleZone, r.Tasks = true, 3 })
 	s.runUntil(t, 80, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -13,11 +13,11 @@
 func TestHealthInOutage(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
-	if r := c.frontend.Health(); r.Status != 503 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
 		t.Errorf("before it has loaded: %d", r.Status)
 	}
 	c.sync.RecordStoreAnswer(false)
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("started in an outage: %d", r.Status)
 	}
 	if r := c.frontend.Submit(
@@ -28,7 +28,7 @@
 	}
 	s.stepNode(0)
 	c.sync.RecordStoreAnswer(true)
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("loaded: %d", r.Status)
 	}
 }
@@ -40,14 +40,14 @@
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	c.sync.RecordStoreAnswer(false)
-	s.world.Advance(c.node.Settings.ControllerLeaseTTL())
+	s.environment.Advance(c.node.Settings.ControllerLeaseTTL())
 	c.testState().Reachability.PeersQueried = true
 	c.testState().Reachability.StoreReachableByPeer["n1"] = false
-	if r := c.frontend.Health(); r.Status != 200 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("in an outage that a peer sees too: %d", r.Status)
 	}
 	delete(c.testState().Reachability.StoreReachableByPeer, "n1")
-	if r := c.frontend.Health(); r.Status != 503 {
+	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
 		t.Errorf("alone: %d", r.Status)
 	}
 }
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -76,7 +76,7 @@
 // apply applies a record to the cache of the controller.
 func (s *largeShard) apply(key string, record any) {
 	s.lastVersion++
-	s.testState().Cache.Apply(key, api.JSON(record), s.lastVersion)
+	s.testState().Cache.Apply(key, api.MustMarshal(record), s.lastVersion)
 }
 
 // addMachines adds machines, one page after the other.
@@ -100,18 +100,18 @@
 func (s *largeShard) newJobRecord(id int, priority api.Priority) *job.Record {
 	record := &job.Record{
 		Spec: api.Job{
-			UID:       fmt.Sprintf("run-%06d", id),
-			Class:     "l",
-			Team:      "b",
-			Kind:      api.Array,
-			Priority:  priority,
-			Tasks:     tasksPerJob,
-			CPUs:      5 + float64(id%10)/10,
-			GPUs:      1,
-			MemGB:     40,
-			Image:     fmt.Sprintf("img-%d", id%18),
-			ImageGB:   7,
-			EstimateS: 70,
+			UID:           fmt.Sprintf("run-%06d", id),
+			Class:         "l",
+			Team:          "b",
+			Kind:          api.Array,
+			Priority:      priority,
+			Tasks:         tasksPerJob,
+			CPUs:          5 + float64(id%10)/10,
+			GPUs:          1,
+			MemGB:         40,
+			Image:         fmt.Sprintf("img-%d", id%18),
+			ImageGB:       7,
+			EstimatedRunS: 70,
 		},
 		Shard:      "n0",
 		AcceptedMS: s.clock.UnixMilli(),
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -74,10 +74,10 @@
 		}
 	}
 	jobs := map[api.JobPhase]int{}
-	for _, j := range l.world.Jobs {
+	for _, j := range l.environment.Jobs {
 		jobs[j.FinalPhase]++
 	}
-	fmt.Printf("machines %d, jobs %v, violations %d\n", len(l.world.Cloud.Hosts), jobs, len(l.world.Violations))
+	fmt.Printf("machines %d, jobs %v, violations %d\n", len(l.environment.Cloud.WorkersByHost), jobs, len(l.environment.Violations))
 }
 
 // longestHeld returns the functions that held a lock longest in total, at most limit of them.
@@ -91,14 +91,14 @@
 // profile labels "phase" and "work" separate the phases and kinds of work (pprof -tagfocus,
 // -tagroot).
 func BenchmarkDeployment(b *testing.B) {
-	for _, deployment := range []*simulator.Deployment{simulator.Small(), simulator.Large(), simulator.Huge()} {
+	for _, deployment := range []*simulator.Deployment{simulator.Deployment300(), simulator.Deployment2000(), simulator.Deployment4000()} {
 		b.Run(deployment.Name, func(b *testing.B) {
 			for range b.N {
 				scenario := newLoadScenario(deployment)
 				scenario.runPhases()
 				scenario.printCosts()
-				if len(scenario.world.Violations) > 0 {
-					b.Fatal(scenario.world.Violations[0])
+				if len(scenario.environment.Violations) > 0 {
+					b.Fatal(scenario.environment.Violations[0])
 				}
 				runtime.GC()
 				runtime.KeepAlive(scenario)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -27,18 +27,18 @@
 	deployment    *simulator.Deployment
 	random        *rand.Rand
 	phase         string
-	nextHeartbeat map[string]time.Time         // by machine, the time of its next heartbeat
-	lastSummary   map[string]string            // by machine, the summary of its last heartbeat
-	pollAt        map[string]time.Time         // by unfinished job, the time of its next query
-	cancelAt      map[string]time.Time         // by service, the time at which its user cancels it
-	dueJobs       map[*simulator.Class]float64 // jobs of a class to submit, with the fraction carried over
-	resubmissions []string                     // refused submissions, to be sent again
+	nextHeartbeat map[string]time.Time            // by machine, the time of its next heartbeat
+	lastSummary   map[string]string               // by machine, the summary of its last heartbeat
+	pollAt        map[string]time.Time            // by unfinished job, the time of its next query
+	cancelAt      map[string]time.Time            // by service, the time at which its user cancels it
+	dueJobs       map[*simulator.JobClass]float64 // jobs of a class to submit, with the fraction carried over
+	resubmissions []string                        // refused submissions, to be sent again
 	costs         map[string]*phaseCost
 }
 
 // newLoadScenario returns a deployment whose controllers have just started.
 func newLoadScenario(deployment *simulator.Deployment) *loadScenario {
-	world := deployment.World(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	world := deployment.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	scenario := &loadScenario{
 		deployment:    deployment,
 		random:        rand.New(rand.NewPCG(1, 1)),
@@ -46,15 +46,15 @@
 		lastSummary:   map[string]string{},
 		pollAt:        map[string]time.Time{},
 		cancelAt:      map[string]time.Time{},
-		dueJobs:       map[*simulator.Class]float64{},
+		dueJobs:       map[*simulator.JobClass]float64{},
 		costs:         map[string]*phaseCost{},
 	}
 	scenario.testCluster = newClusterWithoutNodes(world, deployment.State, deployment.State)
 	scenario.adjustSettings = func(_ *testNode, cfg *config.Settings) {
-		cfg.Facts.Workers.ReportS = deployment.HeartbeatS
+		cfg.Facts.Workers.HeartbeatIntervalS = deployment.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
-			cfg.Facts.Teams[i].GPUs, cfg.Facts.Teams[i].GPUsMax = deployment.TeamGPUs/2, deployment.TeamGPUs
+			cfg.Facts.Teams[i].GuaranteedGPUs, cfg.Facts.Teams[i].MaxGPUs = deployment.TeamGPULimit/2, deployment.TeamGPULimit
 		}
 	}
 	scenario.onStart = func(n *testNode) {
@@ -62,7 +62,7 @@
 		n.controller.services.Store = &budgetedStore{
 			n.storeClient,
 			transport.NewTokenBucket(writeRPSPerNode, 0.6*deployment.State.WriteRPS),
-			func() time.Time { return scenario.world.Now },
+			func() time.Time { return scenario.environment.Now },
 		}
 		n.controller.guard.StartMeter()
 	}
@@ -92,11 +92,11 @@
 	})
 	l.measure("lease", func() { n.controller.election.MaintainLease(ctx) })
 	l.measure("decide", func() { n.controller.decisions.Decide(ctx) })
-	if l.world.Now.UnixMilli()%1000 == 0 {
+	if l.environment.Now.UnixMilli()%1000 == 0 {
 		l.measure("cloud", func() { n.controller.scaling.Autoscale(ctx) })
 	}
-	asyncCalls := n.async
-	n.async = nil
+	asyncCalls := n.asyncWork
+	n.asyncWork = nil
 	l.measure("commands", func() {
 		for _, call := range asyncCalls {
 			call()
@@ -129,41 +129,41 @@
 
 // sendHeartbeats has each worker send a heartbeat that is due or whose content has changed.
 func (l *loadScenario) sendHeartbeats() {
-	for _, host := range l.world.Cloud.HostNames() {
-		worker := l.world.Cloud.Hosts[host]
-		if !worker.Up() {
+	for _, host := range l.environment.Cloud.HostNames() {
+		worker := l.environment.Cloud.WorkersByHost[host]
+		if !worker.Booted() {
 			continue
 		}
-		summary := worker.Summary()
-		if l.world.Now.Before(l.nextHeartbeat[host]) && summary == l.lastSummary[host] {
+		summary := worker.StateSummary()
+		if l.environment.Now.Before(l.nextHeartbeat[host]) && summary == l.lastSummary[host] {
 			continue
 		}
 		l.lastSummary[host] = summary
 		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
-		l.nextHeartbeat[host] = l.world.Now.Add(time.Duration(interval * float64(time.Second)))
+		l.nextHeartbeat[host] = l.environment.Now.Add(time.Duration(interval * float64(time.Second)))
 		node := worker.Node
 		if !l.nodes[node].serves() {
 			worker.Node = (node + 1) % len(l.nodes)
-			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+			l.nextHeartbeat[host] = l.environment.Now.Add(time.Second)
 			continue
 		}
-		sent := sentHeartbeat{worker, node, l.world.Now, worker.AgentEpoch}
-		status, body := l.request("heartbeat", node, "POST", "/checkin", api.JSON(worker.Heartbeat()))
+		sent := sentHeartbeat{worker, node, l.environment.Now, worker.AgentEpoch}
+		status, body := l.request("heartbeat", node, "POST", "/checkin", api.MustMarshal(worker.Heartbeat()))
 		commands, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
 			panic(err)
 		}
 		l.handleHeartbeatResponse(sent, heartbeatResponse{status, commands, leader})
 		if status != 200 {
-			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+			l.nextHeartbeat[host] = l.environment.Now.Add(time.Second)
 		}
 	}
 }
 
 // runUsers has users submit jobs, query their state, and cancel the services whose time has come.
 func (l *loadScenario) runUsers() {
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		l.dueJobs[class] += class.PerSecond * stepInterval.Seconds()
+	for _, class := range []*simulator.JobClass{&l.deployment.ServiceJobs, &l.deployment.ArrayJobs} {
+		l.dueJobs[class] += class.JobsPerSecond * stepInterval.Seconds()
 		for ; l.dueJobs[class] >= 1; l.dueJobs[class]-- {
 			l.submitNewJob(class)
 		}
@@ -175,20 +175,20 @@
 	}
 	for _, uid := range l.jobIDs {
 		nextPoll, unfinished := l.pollAt[uid]
-		if !unfinished || l.world.Now.Before(nextPoll) {
+		if !unfinished || l.environment.Now.Before(nextPoll) {
 			continue
 		}
-		l.pollAt[uid] = l.world.Now.Add(pollInterval)
+		l.pollAt[uid] = l.environment.Now.Add(pollInterval)
 		node := l.randomServingNode()
-		if cancelTime, isService := l.cancelAt[uid]; isService && l.world.Now.After(cancelTime) {
-			l.world.Jobs[uid].CancelRequested = true
+		if cancelTime, isService := l.cancelAt[uid]; isService && l.environment.Now.After(cancelTime) {
+			l.environment.Jobs[uid].CancelRequested = true
 			status, body := l.request("user", node, "POST", "/v2/runs/"+uid+"/cancel", nil)
 			l.checkResponse(uid, status, body, false)
 		} else {
 			status, body := l.request("user", node, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
 		}
-		if l.world.Jobs[uid].FinalPhase != "" {
+		if l.environment.Jobs[uid].FinalPhase != "" {
 			delete(l.pollAt, uid)
 		}
 	}
@@ -204,12 +204,12 @@
 }
 
 // submitNewJob draws a job of a class and submits it.
-func (l *loadScenario) submitNewJob(class *simulator.Class) {
+func (l *loadScenario) submitNewJob(class *simulator.JobClass) {
 	spec, runTime := class.NewJob(len(l.jobIDs), l.random)
 	if class.Service {
-		l.cancelAt[spec.UID] = l.world.Now.Add(runTime)
+		l.cancelAt[spec.UID] = l.environment.Now.Add(runTime)
 	}
-	l.world.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: runTime, Done: map[int]bool{}}
+	l.environment.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: runTime, DoneTasks: map[int]bool{}}
 	l.jobIDs = append(l.jobIDs, spec.UID)
 	l.submitToRandomNode(spec.UID)
 }
@@ -217,10 +217,10 @@
 // submitToRandomNode submits a job to a drawn controller. A refused job is submitted again at the
 // next step.
 func (l *loadScenario) submitToRandomNode(uid string) {
-	status, body := l.request("user", l.randomServingNode(), "POST", "/v2/runs", simulator.Submission(&l.world.Jobs[uid].Spec))
+	status, body := l.request("user", l.randomServingNode(), "POST", "/v2/runs", simulator.Submission(&l.environment.Jobs[uid].Spec))
 	l.checkResponse(uid, status, body, true)
 	if status == 200 || status == 201 {
-		l.pollAt[uid] = l.world.Now.Add(pollInterval)
+		l.pollAt[uid] = l.environment.Now.Add(pollInterval)
 	} else {
 		l.resubmissions = append(l.resubmissions, uid)
 	}
@@ -230,13 +230,13 @@
 // phase.
 func (l *loadScenario) runPhase(phase string, duration time.Duration) {
 	l.phase = phase
-	for end := l.world.Now.Add(duration); l.world.Now.Before(end); {
+	for end := l.environment.Now.Add(duration); l.environment.Now.Before(end); {
 		for i := range l.nodes {
 			l.stepController(i)
 		}
 		l.sendHeartbeats()
 		l.runUsers()
-		l.world.Advance(stepInterval)
+		l.environment.Advance(stepInterval)
 	}
 	if cost := l.costs[phase]; cost != nil {
 		cost.simulated += duration
@@ -260,8 +260,8 @@
 // a single controller left.
 func (l *loadScenario) runPhases() {
 	l.phase = "fill"
-	for _, class := range []*simulator.Class{&l.deployment.Services, &l.deployment.Arrays} {
-		for range class.Initial {
+	for _, class := range []*simulator.JobClass{&l.deployment.ServiceJobs, &l.deployment.ArrayJobs} {
+		for range class.InitialJobs {
 			l.submitNewJob(class)
 		}
 	}
@@ -271,9 +271,9 @@
 	l.runPhase("takeover", 25*time.Second)
 	l.startNode(2)
 	l.runPhase("start", 25*time.Second)
-	l.world.Store.Down = true
+	l.environment.Store.Down = true
 	l.runPhase("outage", 15*time.Second)
-	l.world.Store.Down = false
+	l.environment.Store.Down = false
 	l.runPhase("return", 25*time.Second)
 	l.nodes[1].running, l.nodes[2].running = false, false
 	l.runPhase("last", 40*time.Second)
@@ -286,8 +286,8 @@
 	now    func() time.Time
 }
 
-// AwaitWrites returns how many of n writes the budget allows now.
-func (b *budgetedStore) AwaitWrites(_ context.Context, n int, _ store.Priority) int {
+// AwaitWriteBudget returns how many of n writes the budget allows now.
+func (b *budgetedStore) AwaitWriteBudget(_ context.Context, n int, _ store.Priority) int {
 	return min(n, int(b.budget.Available(b.now(), 0)))
 }
 
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -13,12 +13,12 @@
 	inZoneY := func(r *api.Job) { r.Zone = "y" }
 	s.submitService(3, inZoneY)
 	array := s.submitArray(8, 6*time.Second, inZoneY)
-	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.Together = true })
+	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.SingleZone = true })
 	s.runUntil(t, 80, "some tasks of the array run", func() bool { return s.runningTasks(array) > 0 })
 	for range 3 {
-		for i, host := range s.world.Cloud.HostNames() {
-			if worker := s.world.Cloud.Hosts[host]; worker.Zone == "y" && i%2 == 0 {
-				s.world.Cloud.Terminate(host)
+		for i, host := range s.environment.Cloud.HostNames() {
+			if worker := s.environment.Cloud.WorkersByHost[host]; worker.Zone == "y" && i%2 == 0 {
+				s.environment.Cloud.Terminate(host)
 			}
 		}
 		s.runRounds(t, 20)
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -44,7 +44,7 @@
 
 // lowerStateLimits has the state service enforce the announced lower limits.
 func (s *testCluster) lowerStateLimits() {
-	s.world.Store.MaxOps, s.world.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
+	s.environment.Store.MaxOps, s.environment.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
 }
 
 // Jobs with large records of the version in production keep running, are cancelled and finish
@@ -60,7 +60,7 @@
 		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
 	})
 	largeRecords := 0
-	for _, item := range s.world.Store.Items(statecache.LivePrefix) {
+	for _, item := range s.environment.Store.Items(statecache.LivePrefix) {
 		if len(item.Value) > int(s.nextStateLimits.ValueKB*1024) {
 			largeRecords++
 		}
@@ -72,18 +72,18 @@
 	s.lowerStateLimits()
 	s.runUntil(t, 60, "cancellation confirmed", func() bool {
 		s.cancel(1, cancelled)
-		return s.world.Jobs[cancelled].FinalPhase == api.JobCancelled
+		return s.environment.Jobs[cancelled].FinalPhase == api.JobCancelled
 	})
 	s.runUntil(t, 900, "job with inline range done", s.isDone(inline))
 	s.runUntil(t, 900, "job with several ranges done", s.isDone(inRanges))
 	s.runUntil(t, 400, "no large job record remains", func() bool {
-		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(item simulator.Item) bool {
+		return !slices.ContainsFunc(s.environment.Store.Items(statecache.LivePrefix), func(item simulator.Item) bool {
 			isLarge := len(item.Value) > int(s.nextStateLimits.ValueKB*1024)
 			return isLarge && item.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
-	if s.world.Store.TooLarge > 20 {
-		t.Fatalf("%d transactions were refused because of their size, want at most 20", s.world.Store.TooLarge)
+	if s.environment.Store.RefusedTooLarge > 20 {
+		t.Fatalf("%d transactions were refused because of their size, want at most 20", s.environment.Store.RefusedTooLarge)
 	}
 }
 
@@ -102,8 +102,8 @@
 			t.Fatalf("%d tasks run after the split, want 120", running)
 		}
 	}
-	if s.lowerStateLimits(); s.world.Store.TooLarge > 0 {
-		t.Fatalf("%d transactions were refused because of their size, want 0", s.world.Store.TooLarge)
+	if s.lowerStateLimits(); s.environment.Store.RefusedTooLarge > 0 {
+		t.Fatalf("%d transactions were refused because of their size, want 0", s.environment.Store.RefusedTooLarge)
 	}
 }
 
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -17,12 +17,12 @@
 	s := newReadyCluster()
 	id := s.submitJob(nil)
 	s.runUntil(t, 60, "array done", s.isDone(id))
-	host := s.world.Cloud.HostNames()[0]
-	lateHeartbeat := api.JSON(s.world.Cloud.Hosts[host].Heartbeat())
+	host := s.environment.Cloud.HostNames()[0]
+	lateHeartbeat := api.MustMarshal(s.environment.Cloud.WorkersByHost[host].Heartbeat())
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
-			return s.world.Cloud.Hosts[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
+			return s.environment.Cloud.WorkersByHost[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
 		},
 	)
 	for range 20 {
@@ -45,11 +45,11 @@
 	for i := range 60 {
 		c.testState().Agents.Unregistered().SetRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
-	before := s.world.Store.Writes
-	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.Writes < before+60 {
+	before := s.environment.Store.SentWrites
+	for c.testState().Agents.Unregistered().Count() > 0 && s.environment.Store.SentWrites < before+60 {
 		c.decisions.RegisterMachines(context.Background())
 	}
-	if writes := s.world.Store.Writes - before; writes > 6 || len(c.testState().Cache.Machines) < 60 {
+	if writes := s.environment.Store.SentWrites - before; writes > 6 || len(c.testState().Cache.Machines) < 60 {
 		t.Fatalf("%d writes for %d registered machines, want at most 6 for at least 60", writes, len(c.testState().Cache.Machines))
 	}
 }
@@ -84,13 +84,13 @@
 	s.lowerStateLimits()
 	s.cancel(0, id)
 	s.runUntil(t, 400, "all machines are terminated and deregistered", func() bool {
-		return len(s.world.Cloud.Hosts) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
+		return len(s.environment.Cloud.WorkersByHost) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
 	s.runUntil(t, 400, "machine pages are deleted", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
 	secondJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.runUntil(t, 400, "second job done", s.isDone(secondJob))
-	if s.world.Store.TooLarge > 3 {
-		t.Fatalf("%d transactions were refused because of their size, want at most 3", s.world.Store.TooLarge)
+	if s.environment.Store.RefusedTooLarge > 3 {
+		t.Fatalf("%d transactions were refused because of their size, want at most 3", s.environment.Store.RefusedTooLarge)
 	}
 }
 
@@ -104,7 +104,7 @@
 		for _, host := range hostNames {
 			page[host] = &shard.Machine{Shard: id, MachineType: "m"}
 		}
-		cache.Apply(statecache.MachinePageKey(id), api.JSON(page), version)
+		cache.Apply(statecache.MachinePageKey(id), api.MustMarshal(page), version)
 	}
 	applyPage("i-0002-", 1, "i-000231", "i-000232", "i-000247")
 	applyPage("i-00023-", 2, "i-000231")
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -17,14 +17,14 @@
 	s := newTestCluster()
 	s.runFor(60) // the terms are old by then
 	id := s.submitJob(nil)
-	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.Hosts) > 0 })
-	firstMachine := s.world.Cloud.HostNames()[0]
+	s.runUntil(t, 20, "machine rented", func() bool { return len(s.environment.Cloud.WorkersByHost) > 0 })
+	firstMachine := s.environment.Cloud.HostNames()[0]
 	for range 30 { // no heartbeats: the controllers only fence the machine
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		s.world.Advance(roundInterval)
-		if s.world.Cloud.Hosts[firstMachine] == nil {
+		s.environment.Advance(roundInterval)
+		if s.environment.Cloud.WorkersByHost[firstMachine] == nil {
 			t.Fatalf("machine %s was returned before its first heartbeat", firstMachine)
 		}
 	}
@@ -37,17 +37,17 @@
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
 		t.Run(fmt.Sprintf("boot in %v", boot), func(t *testing.T) {
 			s := newReadyCluster()
-			s.world.MachineType.Boot = boot
+			s.environment.MachineType.BootTime = boot
 			array := s.submitArray(12, 2*time.Second, nil)
 			// The controller that rents receives no response and is restarted: only the
 			// heartbeats of the machines show that they exist.
-			for round := 0; round < 20 && len(s.world.Cloud.Hosts) == 0; round++ {
+			for round := 0; round < 20 && len(s.environment.Cloud.WorkersByHost) == 0; round++ {
 				for _, n := range s.nodes {
-					s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
+					s.environment.Cloud.NextFault[n.name] = simulator.ResponseLost
 				}
 				s.runRounds(t, 1)
 			}
-			if len(s.world.Cloud.Hosts) == 0 {
+			if len(s.environment.Cloud.WorkersByHost) == 0 {
 				t.Error("no machine was rented in 20 rounds")
 			}
 			for i := range s.nodes {
@@ -55,10 +55,10 @@
 			}
 			s.submitService(3, nil)
 			for round := range 30 {
-				s.world.Store.NextFault[s.nodes[round%3].name] = simulator.Fault(round % 4)
-				s.world.Cloud.NextFault[s.nodes[(round+1)%3].name] = simulator.Fault(round % 3)
+				s.environment.Store.NextFault[s.nodes[round%3].name] = simulator.Fault(round % 4)
+				s.environment.Cloud.NextFault[s.nodes[(round+1)%3].name] = simulator.Fault(round % 3)
 				if round%5 == 4 {
-					s.world.Store.DeliverDelayed()
+					s.environment.Store.DeliverDelayed()
 				}
 				if round%10 == 9 {
 					s.startNode(round / 10)
@@ -67,7 +67,7 @@
 			}
 			s.runUntil(t, 200, "array done", s.isDone(array))
 			s.checkRecovery(t)
-			s.runUntil(t, 400, "at most 4 machines remain", func() bool { return len(s.world.Cloud.Hosts) <= 4 })
+			s.runUntil(t, 400, "at most 4 machines remain", func() bool { return len(s.environment.Cloud.WorkersByHost) <= 4 })
 		})
 	}
 }
@@ -77,15 +77,15 @@
 // were rented until these had booted.
 func TestLargeJobRentsAllMachinesWhileFirstBoot(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.Boot = 100 * time.Second
+	s.environment.MachineType.BootTime = 100 * time.Second
 	s.runFor(10)
 	s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 2000, time.Hour })
-	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.world.Cloud.Hosts) >= 1000 })
-	if machines := len(s.world.Cloud.Hosts); machines > 1100 {
+	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.environment.Cloud.WorkersByHost) >= 1000 })
+	if machines := len(s.environment.Cloud.WorkersByHost); machines > 1100 {
 		t.Errorf("%d machines are rented for 2000 tasks, two per machine; want at most 1100", machines)
 	}
-	for _, worker := range s.world.Cloud.Workers() {
-		if worker.Up() {
+	for _, worker := range s.environment.Cloud.Workers() {
+		if worker.Booted() {
 			t.Fatalf("machine %s has booted before the last machine was rented", worker.Host)
 		}
 	}
@@ -96,7 +96,7 @@
 // left too few machines in the first minutes.
 func TestHeadroomTakesSeveralRentals(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.Boot = time.Minute
+	s.environment.MachineType.BootTime = time.Minute
 	s.runFor(4)
 	c := s.nodes[0].controller
 	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "l", WithinS: 10}}
@@ -113,15 +113,15 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Note(&job.Record{Spec: *spec, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Capacity.Arrivals().Record(&job.Record{Spec: *spec, AcceptedMS: c.node.Now().UnixMilli()})
 	}
 	s.runFor(6) // a sixteenth of the boot time is eight rounds
-	if machines := len(s.world.Cloud.Hosts); machines < 150 {
+	if machines := len(s.environment.Cloud.WorkersByHost); machines < 150 {
 		t.Fatalf("%d machines after three seconds, want at least 150", machines)
 	}
-	rented := len(s.world.Cloud.Hosts)
+	rented := len(s.environment.Cloud.WorkersByHost)
 	s.runFor(6)
-	if machines := len(s.world.Cloud.Hosts); machines != rented {
+	if machines := len(s.environment.Cloud.WorkersByHost); machines != rented {
 		t.Fatalf("%d machines, and %d three seconds later: want no change, as there were enough", rented, machines)
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -16,7 +16,7 @@
 		*d = time.Hour
 	})
 	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleJob) == 4 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	productionJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Priority, r.Tasks = api.Service, "production", 1 })
 	s.runUntil(t, 20, "production task runs", func() bool { return s.runningTasks(productionJob) == 1 })
 	if running := s.runningTasks(idleJob); running != 3 {
@@ -30,7 +30,7 @@
 	s := newReadyCluster()
 	idleArray := s.submitArray(8, time.Hour, func(r *api.Job) { r.Priority = "idle" })
 	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleArray) > 0 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	var urgent []string
 	for range 3 {
 		urgent = append(urgent, s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "urgent" }))
@@ -40,14 +40,14 @@
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		for i, host := range s.world.Cloud.HostNames() { // some responses take more than a round
+		for i, host := range s.environment.Cloud.HostNames() { // some responses take more than a round
 			fault := heartbeatServed
 			if (round+i)%2 == 0 {
 				fault = responseDelayed
 			}
-			s.sendHeartbeat(s.world.Cloud.Hosts[host], fault)
+			s.sendHeartbeat(s.environment.Cloud.WorkersByHost[host], fault)
 		}
-		s.world.Advance(roundInterval)
+		s.environment.Advance(roundInterval)
 		s.checkViolations(t)
 	}
 	for _, id := range urgent {
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -80,7 +80,7 @@
 		if s[key] = record.Spec.Kind; record.Spec.Kind != api.Service {
 			record.Spec.Kind = api.Array
 		}
-		raw = api.JSON(record)
+		raw = api.MustMarshal(record)
 	}
 	return raw
 }
@@ -92,7 +92,7 @@
 		var record prodJobRecord
 		_ = json.Unmarshal(raw, &record) // asProduction encoded it
 		record.Spec.Kind = kind
-		raw = api.JSON(record)
+		raw = api.MustMarshal(record)
 	}
 	return raw
 }
@@ -122,7 +122,7 @@
 	if err := json.Unmarshal(raw, record); err != nil {
 		return nil, err
 	}
-	return api.JSON(record), nil
+	return api.MustMarshal(record), nil
 }
 
 // productionStore restricts a controller to what the version in production reads and writes:
@@ -149,8 +149,8 @@
 	changes, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, change := range changes {
-		if change.Drop == "" {
-			if change.Value = p.kinds.read(change.Write, change.Value); change.Value == nil {
+		if change.DeletedKey == "" {
+			if change.Value = p.kinds.read(change.WrittenKey, change.Value); change.Value == nil {
 				continue
 			}
 		}
@@ -163,15 +163,15 @@
 func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	rewritten := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
-		if op.Drop == "" {
-			value, err := asProduction(op.Write, op.Value)
+		if op.DeleteKey == "" {
+			value, err := asProduction(op.WriteKey, op.Value)
 			if err != nil {
 				panic(err)
 			}
 			if value == nil {
 				continue
 			}
-			op.Value = p.kinds.write(op.Write, value)
+			op.Value = p.kinds.write(op.WriteKey, value)
 		}
 		rewritten.Ops = append(rewritten.Ops, op)
 	}
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -55,8 +55,8 @@
 			t.Fatal(err)
 		}
 		record, err := read(raw)
-		if err != nil || !equalJSON(t, raw, api.JSON(record)) {
-			t.Errorf("%s is written back as %s, error %v; want it unchanged", name, api.JSON(record), err)
+		if err != nil || !equalJSON(t, raw, api.MustMarshal(record)) {
+			t.Errorf("%s is written back as %s, error %v; want it unchanged", name, api.MustMarshal(record), err)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	s.startNode(1)
 	s.runFor(20)
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.CPUs, r.MemGB = 40, 0, 0.1, 0.1 })
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.Together = 2, api.Service, true })
+	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.SingleZone = 2, api.Service, true })
 	s.runFor(20)
 	items, _, err := s.nodes[0].controller.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			nodeRecord.SchemaVersion = 0
-			item.Value = api.JSON(nodeRecord)
+			item.Value = api.MustMarshal(nodeRecord)
 		}
 		if !equalJSON(t, item.Value, rewritten) {
 			t.Errorf("%s: %s is written back as %s, want the same content", item.Key, item.Value, rewritten)
@@ -122,7 +122,7 @@
 			MemGB:    1,
 			Image:    "i",
 		}
-		s.world.Jobs[spec.UID] = &simulator.Job{Spec: *spec, RunTime: time.Second, Done: map[int]bool{}}
+		s.environment.Jobs[spec.UID] = &simulator.Job{Spec: *spec, RunTime: time.Second, DoneTasks: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.running && !n.inProduction {
 				return n.controller.frontend.Submit(context.Background(), simulator.Submission(spec)).Status
@@ -163,15 +163,15 @@
 	}
 	s.runFor(30)
 	spec := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.world.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: time.Second, Done: map[int]bool{}}
-	record := &job.Record{Spec: spec, Shard: "n1", AcceptedMS: s.world.Now.UnixMilli()}
+	s.environment.Jobs[spec.UID] = &simulator.Job{Spec: spec, RunTime: time.Second, DoneTasks: map[int]bool{}}
+	record := &job.Record{Spec: spec, Shard: "n1", AcceptedMS: s.environment.Now.UnixMilli()}
 	record.ChooseLayout(2, 300, false)
 	submission := &frontend.Submission{Ctx: context.Background(), Record: record, Response: make(chan transport.Response, 1)}
 	// AcceptBatch does not check that all controllers support gangs.
 	s.nodes[0].controller.frontend.AcceptBatch(context.Background(), []*frontend.Submission{submission})
 	s.runFor(200)
-	if !slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleAttempts }) {
+	if !slices.ContainsFunc(s.environment.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleGangAttempts }) {
 		t.Fatalf("violations %v, want one of rule %q, as the gang's tasks were placed one by one",
-			s.world.Violations, simulator.RuleAttempts)
+			s.environment.Violations, simulator.RuleGangAttempts)
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -65,7 +65,7 @@
 	if change.deleted {
 		m.replica.Apply(change.key, nil, change.version)
 	} else {
-		m.replica.Apply(change.key, api.JSON(shard.NodeRecord{Term: change.version}), change.version)
+		m.replica.Apply(change.key, api.MustMarshal(shard.NodeRecord{Term: change.version}), change.version)
 	}
 }
 
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -20,7 +20,7 @@
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(service) == 4 })
 	s.cancel(2, service)
 	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(service) == 0 })
-	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.Hosts) == 0 })
+	s.runUntil(t, 200, "machines returned", func() bool { return len(s.environment.Cloud.WorkersByHost) == 0 })
 }
 
 // Two task ranges of one job end in the same round. This once blocked all releases of their
@@ -46,14 +46,14 @@
 	}
 	s.runFor(10)
 	submitSmallArray := func() {
-		s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 1, 8, 8*time.Second })
+		s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimatedRunS, *d = 1, 8, 8*time.Second })
 	}
 	submitSmallArray()
 	s.runUntil(t, 60, "first small job runs", func() bool { return s.runningTasks("run-000000") == 1 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	submitSmallArray()
 	submitSmallArray()
-	largeArray := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimateS, *d = 12, 80, 80*time.Second })
+	largeArray := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimatedRunS, *d = 12, 80, 80*time.Second })
 	started := false
 	for round := 0; round < 480 && !started; round++ {
 		if round%6 == 0 { // more than the one machine can run
@@ -72,11 +72,11 @@
 // reached and nothing was rented for it.
 func TestMachinesAreRentedForStarvingJobOfLimitedTeam(t *testing.T) {
 	s := newReadyCluster()
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // the team's limit is 5
 	for range 2 * int(scheduler.MaxStartDelay/time.Second) {
 		s.runRound()
 	}
-	s.world.Cloud.NoCapacity = false
+	s.environment.Cloud.NoCapacity = false
 	s.runUntil(t, 200, "done", s.isDone(id))
 }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -21,7 +21,7 @@
 	every := summaryLeases * c.node.Settings.WorkerLease()
 	var requests, writes float64
 	for timing.Sleep(ctx, every) {
-		nowRequests, nowWrites := c.services.Store.Used()
+		nowRequests, nowWrites := c.services.Store.TokensUsed()
 		c.logSummary(rate(nowRequests-requests, every), rate(nowWrites-writes, every))
 		requests, writes = nowRequests, nowWrites
 	}
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -76,7 +76,7 @@
 	serviceMachines, otherMachines := z.zoneMachines()
 	setPartitioned(serviceMachines, true)
 	setPartitioned(otherMachines, true)
-	leaseRounds := rounds(z.world.Lease)
+	leaseRounds := rounds(z.environment.WorkerLease)
 	z.runChecked(leaseRounds/2 + rnd.IntN(2*leaseRounds))
 	if rnd.IntN(2) == 0 { // the zone returns and fails again
 		setPartitioned(otherMachines, false)
@@ -85,11 +85,11 @@
 		z.runChecked(4 + rnd.IntN(leaseRounds))
 	}
 	for _, worker := range serviceMachines {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
 	returning := otherMachines[:serviceReplicas/2+rnd.IntN(len(otherMachines)-serviceReplicas/2)]
 	for _, worker := range otherMachines[len(returning):] {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
 	setPartitioned(returning, false)
 	return z.measureRecovery(returning)
@@ -97,17 +97,17 @@
 
 // measureRecovery measures the recovery from the return of the given machines on.
 func (z *zoneScenario) measureRecovery(returning []*simulator.Worker) (outcome zoneOutcome, recovered bool) {
-	returnedAt, writesBefore, firstStart := z.world.Now, z.world.Store.Writes, len(z.taskStarts)
+	returnedAt, writesBefore, firstStart := z.environment.Now, z.environment.Store.SentWrites, len(z.taskStarts)
 	spareSlots := 2*len(returning) - serviceReplicas
 	const maxRounds = 600
 	for range maxRounds {
 		z.runRound()
-		for _, worker := range z.world.Cloud.Workers() {
+		for _, worker := range z.environment.Cloud.Workers() {
 			if worker.Zone == "x" {
 				outcome.machineSeconds += 0.5
 			}
 		}
-		elapsed := z.world.Now.Sub(returnedAt)
+		elapsed := z.environment.Now.Sub(returnedAt)
 		if outcome.serviceDelay == 0 && z.runningReplicas() == serviceReplicas {
 			outcome.serviceDelay = elapsed
 		}
@@ -124,8 +124,8 @@
 		}
 	}
 	outcome.stoppedTasks = max(0, outcome.stoppedTasks-z.runningArrayTasks())
-	outcome.writesPerSecond = float64(z.world.Store.Writes-writesBefore) / z.world.Now.Sub(returnedAt).Seconds()
-	return outcome, outcome.serviceDelay > 0 && outcome.arrayDelay > 0 && len(z.world.Violations) == 0
+	outcome.writesPerSecond = float64(z.environment.Store.SentWrites-writesBefore) / z.environment.Now.Sub(returnedAt).Seconds()
+	return outcome, outcome.serviceDelay > 0 && outcome.arrayDelay > 0 && len(z.environment.Violations) == 0
 }
 
 // BenchmarkZoneRecovery measures returns of a zone with and without zone recovery, each with the
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -27,9 +27,9 @@
 					t.Errorf("zone is %s as soon as its controller is back, want any other state", state)
 				}
 			}
-			returnedAt := z.world.Now
+			returnedAt := z.environment.Now
 			for _, worker := range serviceMachines {
-				z.world.Cloud.Terminate(worker.Host)
+				z.environment.Cloud.Terminate(worker.Host)
 			}
 			setPartitioned(otherMachines, false)
 			z.runUntil(t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
@@ -85,11 +85,11 @@
 // as down, and no placement is restricted.
 func TestSingleZoneIsNeverDown(t *testing.T) {
 	s := newTestCluster()
-	s.world.Zones = []string{"x"}
+	s.environment.Zones = []string{"x"}
 	s.restartNodes(enableZoneRecovery)
 	id := s.submitJob(func(r *api.Job, d *time.Duration) { r.Priority, r.Tasks, *d = "idle", 8, time.Hour })
 	s.runUntil(t, 100, "array runs", func() bool { return s.runningTasks(id) == 8 })
-	for _, worker := range s.world.Cloud.Workers() {
+	for _, worker := range s.environment.Cloud.Workers() {
 		worker.Partitioned = true
 	}
 	for range 60 {
@@ -100,7 +100,7 @@
 			}
 		}
 	}
-	for _, worker := range s.world.Cloud.Workers() {
+	for _, worker := range s.environment.Cloud.Workers() {
 		worker.Partitioned = false
 	}
 	s.runUntil(t, 200, "array runs again", func() bool { return s.runningTasks(id) == 8 })
@@ -134,7 +134,7 @@
 	z.runUntil(t, 40, "feature disabled again", func() bool {
 		return !z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 	})
-	if z.nodes[1].state().Zones.Admission(z.world.Now) != nil {
+	if z.nodes[1].state().Zones.Admission(z.environment.Now) != nil {
 		t.Error("zone recovery restricts placement though the feature is disabled")
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -27,7 +27,7 @@
 			spareSlots := 2*len(otherMachines) - serviceReplicas
 			returnedAt := z.returnMachinesWithoutServices(enabled)
 			z.runUntil(t, 200, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
-			elapsed := z.world.Now.Sub(returnedAt)
+			elapsed := z.environment.Now.Sub(returnedAt)
 			startedBefore := z.arrayStartsBeforeServices(returnedAt)
 			t.Logf("feature %t: all replicas run after %v, %d array tasks started before", enabled, elapsed, startedBefore)
 			if enabled && startedBefore > spareSlots {
@@ -66,9 +66,9 @@
 		)
 	}
 	for _, worker := range serviceMachines {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
-	returnedAt := z.world.Now
+	returnedAt := z.environment.Now
 	setPartitioned(otherMachines, false)
 	z.runUntil(t, 200, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
 	if started := z.arrayStartsBeforeServices(returnedAt); started > 2*len(otherMachines)-serviceReplicas {
@@ -117,7 +117,7 @@
 	z := newZoneScenario(t, enableZoneRecovery)
 	serviceMachines, otherMachines := z.partitionUntilDown()
 	for _, worker := range slices.Concat(serviceMachines, otherMachines[2:]) {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
 	smallArray := z.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.GPUs, *d = "idle", 4, "x", 0, 5*time.Second
@@ -133,14 +133,14 @@
 func TestZoneReturnsDuringStoreOutage(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	serviceMachines, otherMachines := z.partitionUntilDown()
-	z.world.Store.Down = true
+	z.environment.Store.Down = true
 	for _, worker := range serviceMachines {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
 	setPartitioned(otherMachines, false)
 	z.runChecked(20)
-	z.world.Store.Down = false
-	storeRecoveredAt := z.world.Now
+	z.environment.Store.Down = false
+	storeRecoveredAt := z.environment.Now
 	z.runUntil(t, 300, "all replicas run again", func() bool { return z.runningReplicas() == serviceReplicas })
 	if started := z.arrayStartsBeforeServices(storeRecoveredAt); started > 2*len(otherMachines)-serviceReplicas {
 		t.Errorf("%d array tasks started before all replicas ran again, want at most %d", started, 2*len(otherMachines)-serviceReplicas)
@@ -169,7 +169,7 @@
 func TestTwoZonesFailAtOnce(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	var partitioned []*simulator.Worker
-	for _, worker := range z.world.Cloud.Workers() {
+	for _, worker := range z.environment.Cloud.Workers() {
 		if worker.Zone != "z" {
 			partitioned = append(partitioned, worker)
 		}
@@ -190,7 +190,7 @@
 func TestZoneRecoveryWithGangsAndCancellations(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	gang := z.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Kind, r.Tasks, r.Zone, r.Together, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
+		r.Kind, r.Tasks, r.Zone, r.SingleZone, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
 	})
 	z.runUntil(t, 120, "gang runs", func() bool { return z.runningTasks(gang) == 4 })
 	_, otherMachines := z.partitionUntilDown()
@@ -211,12 +211,12 @@
 // that were placed elsewhere stay there.
 func TestSpreadServicesKeepReplicasInOtherZones(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	z.world.Cloud.NoCapacity = false
+	z.environment.Cloud.NoCapacity = false
 	spreadService := z.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Priority, r.Tasks, r.Spread, r.Image = api.Service, "production", 6, true, "spread"
 	})
 	z.runUntil(t, 200, "spread replicas run", func() bool { return z.runningTasks(spreadService) == 6 })
-	z.world.Cloud.NoCapacity = true
+	z.environment.Cloud.NoCapacity = true
 	serviceMachines, otherMachines := z.partitionUntilDown()
 	z.runChecked(40)
 	replicasElsewhere := z.runningTasksByHost(spreadService)
@@ -226,7 +226,7 @@
 	})
 	z.runChecked(40)
 	for host, before := range replicasElsewhere {
-		if worker := z.world.Cloud.Hosts[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < before {
+		if worker := z.environment.Cloud.WorkersByHost[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < before {
 			t.Errorf("%d replicas on %s in zone %s, want at least the %d before",
 				z.runningTasksByHost(spreadService)[host], host, worker.Zone, before)
 		}
@@ -244,7 +244,7 @@
 			writes++
 		}
 	}
-	startedAt := z.world.Now
+	startedAt := z.environment.Now
 	serviceMachines, otherMachines := z.zoneMachines()
 	setPartitioned(slices.Concat(serviceMachines, otherMachines), true)
 	for range 40 {
@@ -256,7 +256,7 @@
 		z.runRound()
 		countWrites()
 	}
-	elapsed := z.world.Now.Sub(startedAt)
+	elapsed := z.environment.Now.Sub(startedAt)
 	if maxWrites := int(elapsed / z.nodes[0].controller.node.Settings.HeartbeatInterval() / 4); writes > maxWrites || writes < 3 {
 		t.Errorf("%d writes of the zone record in %v, want 3 to %d", writes, elapsed, maxWrites)
 	}
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -42,18 +42,18 @@
 	tb.Helper()
 	const lease = 9 * time.Second
 	z := &zoneScenario{testCluster: newTestCluster(), t: tb}
-	z.world.Lease, z.world.CancelTimeout = lease, 4*lease
-	z.world.Zones = []string{"x", "y", "z"}
-	z.world.TeamGPULimits = map[string]float64{}
+	z.environment.WorkerLease, z.environment.CancelTimeout = lease, 4*lease
+	z.environment.Zones = []string{"x", "y", "z"}
+	z.environment.TeamGPULimits = map[string]float64{}
 	z.restartNodes(onStart)
 	z.submitInitialJobs()
-	z.world.Cloud.NoCapacity = true
+	z.environment.Cloud.NoCapacity = true
 	for range 3 { // these wait for the capacity that the first arrays use
 		z.arrays = append(z.arrays, z.submitIdleArray(arrayTasks, time.Hour))
 	}
-	z.world.OnTaskStarted = func(worker *simulator.Worker, uid string) {
+	z.environment.OnTaskStarted = func(worker *simulator.Worker, uid string) {
 		if worker.Zone == "x" {
-			z.taskStarts = append(z.taskStarts, zoneTaskStart{z.world.Now, uid, z.isService(uid), worker.Host})
+			z.taskStarts = append(z.taskStarts, zoneTaskStart{z.environment.Now, uid, z.isService(uid), worker.Host})
 		}
 	}
 	z.runFor(30)
@@ -92,12 +92,14 @@
 func (z *zoneScenario) submitIdleArray(tasks int, runTime time.Duration) string {
 	return z.submitJob(func(r *api.Job, jobRunTime *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.Image, *jobRunTime = "idle", tasks, "x", "array", runTime
-		r.CheckpointS, r.SaveS = 5, 4 // a stopped task saves its progress first
+		r.CheckpointIntervalS, r.SaveDurationS = 5, 4 // a stopped task saves its progress first
 	})
 }
 
 // isService reports whether a job is a service.
-func (z *zoneScenario) isService(uid string) bool { return z.world.Jobs[uid].Spec.Kind == api.Service }
+func (z *zoneScenario) isService(uid string) bool {
+	return z.environment.Jobs[uid].Spec.Kind == api.Service
+}
 
 // runningReplicas counts the running replicas of the services of zone x.
 func (z *zoneScenario) runningReplicas() (n int) {
@@ -118,10 +120,10 @@
 // zoneMachines returns the machines of zone x: those that run a replica of a service, and the
 // others.
 func (z *zoneScenario) zoneMachines() (serviceMachines, otherMachines []*simulator.Worker) {
-	for _, worker := range z.world.Cloud.Workers() {
+	for _, worker := range z.environment.Cloud.Workers() {
 		switch {
 		case worker.Zone != "x":
-		case len(worker.PresentJobs()) > 0 && z.isService(worker.PresentJobs()[0]):
+		case len(worker.UnfinishedTaskJobs()) > 0 && z.isService(worker.UnfinishedTaskJobs()[0]):
 			serviceMachines = append(serviceMachines, worker)
 		default:
 			otherMachines = append(otherMachines, worker)
@@ -206,8 +208,8 @@
 		z.runFor(20)
 	}
 	for _, worker := range serviceMachines {
-		z.world.Cloud.Terminate(worker.Host)
+		z.environment.Cloud.Terminate(worker.Host)
 	}
 	setPartitioned(otherMachines, false)
-	return z.world.Now
+	return z.environment.Now
 }
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -54,7 +54,7 @@
 // awaitWrites waits, for a bounded time, until the write budget holds the given number of writes.
 // It returns how many the budget holds.
 func (l *Loop) awaitWrites(ctx context.Context, writes int, priority store.Priority) int {
-	return l.services.Store.AwaitWrites(ctx, writes, priority)
+	return l.services.Store.AwaitWriteBudget(ctx, writes, priority)
 }
 
 // prepareCommit waits until the write budget holds the given number of writes and then brings the
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -44,16 +44,16 @@
 		Members: []config.Member{{HostName: "n1", Zone: "y"}, {HostName: "n2", Zone: "x"}},
 	}
 	facts := &settings.Facts
-	facts.Size, facts.Zones = 3, []string{"x", "y"}
-	facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	facts.ControllerCount, facts.Zones = 3, []string{"x", "y"}
+	facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	facts.Limits.MemoryMB = 100
-	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", GPUsMax: 8}}
+	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", MaxGPUs: 8}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
-	environment := simulator.New(time.Unix(1_800_000_000, 0))
+	environment := simulator.NewEnvironment(time.Unix(1_800_000_000, 0))
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return environment.Now }
-	info.SteppedClock = true
+	info.SimulatedClock = true
 	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
 	wake := notify.NewSignal()
 	s := state.New(info, wake, unlimitedWrites{})
@@ -71,7 +71,7 @@
 // apply applies a record to the cache and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.revision++
-	f.state.Cache.Apply(key, api.JSON(value), f.revision)
+	f.state.Cache.Apply(key, api.MustMarshal(value), f.revision)
 	return f.revision
 }
 
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -50,6 +50,6 @@
 	id := e.schema.PageIDFor(host)
 	if _, added := e.pages[id]; !added {
 		e.pages[id] = page
-		e.bytes += len(api.JSON(page))
+		e.bytes += len(api.MustMarshal(page))
 	}
 }
--- a/internal/decisions/registrations.go
+++ b/internal/decisions/registrations.go
@@ -75,7 +75,7 @@
 		m.Shard = chooseShard(info, m.Zone, machineCounts)
 		m.RegisteredMS = now.UnixMilli()
 		page[host] = &m
-		if bytes := len(api.JSON(page)); bytes > s.Schema.MaxPageBytes() {
+		if bytes := len(api.MustMarshal(page)); bytes > s.Schema.MaxPageBytes() {
 			plan.refused = append(plan.refused, refusedMachine{host: host, pageBytes: bytes})
 			delete(page, host)
 			s.Agents.Unregistered().Remove(host)
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -64,7 +64,7 @@
 	ttl := e.node.Settings.ControllerLeaseTTL()
 	sentAt := e.node.Now()
 	err := e.ensureLease(ctx, ttl)
-	if errors.Is(err, store.ErrNoLease) {
+	if errors.Is(err, store.ErrLeaseEnded) {
 		return 0
 	}
 	if err != nil {
@@ -77,7 +77,7 @@
 	return ttl / renewalsPerLease
 }
 
-// ensureLease renews the lease, or requests one if there is none. It returns store.ErrNoLease if
+// ensureLease renews the lease, or requests one if there is none. It returns store.ErrLeaseEnded if
 // the lease was lost.
 func (e *Elector) ensureLease(ctx context.Context, ttl time.Duration) error {
 	state := e.guard.Lock()
@@ -87,13 +87,13 @@
 		return e.grantLease(ctx, ttl)
 	}
 	err := e.services.Store.RenewLease(ctx, leaseID)
-	if errors.Is(err, store.ErrNoLease) {
+	if errors.Is(err, store.ErrLeaseEnded) {
 		e.handleLostLease(leaseID)
 	}
 	return err
 }
 
-// grantLease requests a lease. Its errors are never store.ErrNoLease.
+// grantLease requests a lease. Its errors are never store.ErrLeaseEnded.
 func (e *Elector) grantLease(ctx context.Context, ttl time.Duration) error {
 	leaseID, err := e.services.Store.GrantLease(ctx, ttl)
 	if err != nil {
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -27,12 +27,12 @@
 		return
 	}
 	if plan.controllerCountChanged {
-		e.services.Store.SetControllers(plan.controllerCount)
+		e.services.Store.SetControllerCount(plan.controllerCount)
 	}
 	e.commands.ProbeWorkers(ctx, plan.probes)
 	if plan.registration != nil {
 		_, _, err := e.sync.Commit(ctx, commitNode, plan.registration, store.PriorityLease)
-		if errors.Is(err, store.ErrNoLease) {
+		if errors.Is(err, store.ErrLeaseEnded) {
 			return
 		}
 	}
@@ -171,7 +171,7 @@
 		return
 	}
 	// If the outcome is unknown, workers stay unanswered until the replica shows the shard's leader.
-	if !errors.Is(err, store.ErrUnknown) {
+	if !errors.Is(err, store.ErrOutcomeUnknown) {
 		released.CancelRelease()
 	}
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -52,9 +52,9 @@
 // image.
 func (e *Estimates) EstimatedRuntime(spec *api.Job) float64 {
 	if bias, known := e.runtimeBias[spec.Class]; known {
-		return spec.EstimateS * bias
+		return spec.EstimatedRunS * bias
 	}
-	return spec.EstimateS
+	return spec.EstimatedRunS
 }
 
 // DeadlineSeconds returns when a job should be complete, in seconds from its submission;
@@ -78,7 +78,7 @@
 func (e *Estimates) WaitingSlack(class string, spec *api.Job, fetchSeconds float64) float64 {
 	slack := math.Inf(1)
 	if spec.DeadlineS != nil {
-		slack = *spec.DeadlineS - spec.EstimateS - fetchSeconds
+		slack = *spec.DeadlineS - spec.EstimatedRunS - fetchSeconds
 	}
 	for _, objective := range e.node.Settings.Facts.Objectives {
 		if objective.Class != class {
@@ -88,10 +88,10 @@
 		case config.ObjectiveWait:
 			slack = min(slack, objective.WithinS-fetchSeconds)
 		case config.ObjectiveFinished:
-			slack = min(slack, objective.WithinS-fetchSeconds-spec.EstimateS)
+			slack = min(slack, objective.WithinS-fetchSeconds-spec.EstimatedRunS)
 		}
 	}
-	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
+	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0) {
 		slack = min(slack, 2*e.node.Settings.HeartbeatInterval().Seconds()) // work within a guarantee need not wait
 	}
 	return slack
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -15,8 +15,8 @@
 func testEstimates(t *testing.T) *Estimates {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
-	settings.Facts.Teams = []config.Team{{Name: "guaranteed", CPUs: 8}, {Name: "free"}}
+	settings.Facts.Workers.HeartbeatIntervalS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.Teams = []config.Team{{Name: "guaranteed", GuaranteedCPUs: 8}, {Name: "free"}}
 	settings.Facts.Objectives = []config.Objective{
 		{Kind: config.ObjectiveWait, Class: "interactive", WithinS: 20},
 		{Kind: config.ObjectiveFinished, Class: "nightly", WithinS: 500},
@@ -55,11 +55,11 @@
 		spec api.Job
 		want float64
 	}{
-		"none":             {api.Job{Class: "other", EstimateS: 30}, math.Inf(1)},
-		"deadline":         {api.Job{Class: "other", EstimateS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
-		"wait":             {api.Job{Class: "interactive", EstimateS: 30}, 20 - fetch},
-		"finished":         {api.Job{Class: "nightly", EstimateS: 30}, 500 - 30 - fetch},
-		"least of several": {api.Job{Class: "nightly", EstimateS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
+		"none":             {api.Job{Class: "other", EstimatedRunS: 30}, math.Inf(1)},
+		"deadline":         {api.Job{Class: "other", EstimatedRunS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
+		"wait":             {api.Job{Class: "interactive", EstimatedRunS: 30}, 20 - fetch},
+		"finished":         {api.Job{Class: "nightly", EstimatedRunS: 30}, 500 - 30 - fetch},
+		"least of several": {api.Job{Class: "nightly", EstimatedRunS: 30, DeadlineS: &deadline}, 100 - 30 - fetch},
 		"guarantee":        {api.Job{Class: "other", Team: "guaranteed"}, 2},
 		"no guarantee":     {api.Job{Class: "other", Team: "free"}, math.Inf(1)},
 	} {
@@ -75,7 +75,7 @@
 // tenth each, and none by more than ten times.
 func TestEstimatedRuntime(t *testing.T) {
 	e := testEstimates(t)
-	spec := &api.Job{Class: "a", EstimateS: 100}
+	spec := &api.Job{Class: "a", EstimatedRunS: 100}
 	expect := func(want float64) {
 		t.Helper()
 		if got := e.EstimatedRuntime(spec); math.Abs(got-want) > 1e-9 {
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -32,16 +32,16 @@
 	RenewLease(ctx context.Context, leaseID uint64) error
 	RevokeLease(ctx context.Context, leaseID uint64) error
 
-	// AwaitWrites waits until some changes can be sent, n at best, and returns how many.
-	AwaitWrites(ctx context.Context, n int, p store.Priority) int
-	// SetControllers shares the rates among so many controllers.
-	SetControllers(controllers int)
+	// AwaitWriteBudget waits until some changes can be sent, n at best, and returns how many.
+	AwaitWriteBudget(ctx context.Context, n int, p store.Priority) int
+	// SetControllerCount shares the rates among so many controllers.
+	SetControllerCount(controllers int)
 	// ReserveForGangs has others than gangs leave so many changes besides.
 	ReserveForGangs(changes float64)
 	// LowerLimits goes over to the coming limits.
 	LowerLimits()
-	// Used returns how many requests and changes were sent in all.
-	Used() (requests, writes float64)
+	// TokensUsed returns how many requests and changes were sent in all.
+	TokensUsed() (requests, writes float64)
 }
 
 // Cloud rents machines. Its errors are those of package cloud.
@@ -49,7 +49,7 @@
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	Rent(ctx context.Context, request cloud.RentalRequest) (hosts []string, err error)
 	Return(ctx context.Context, hosts []string) error
-	Page(ctx context.Context, since string) (hosts []cloud.Host, truncated bool, err error)
+	ListPage(ctx context.Context, since string) (hosts []cloud.Machine, truncated bool, err error)
 }
 
 // Workers reaches workers at their addresses, beside their heartbeats.
@@ -57,11 +57,11 @@
 	// SendCommands returns the worker's heartbeat after the commands, and whether they were
 	// executed.
 	SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error)
-	// Status returns the worker's heartbeat.
-	Status(ctx context.Context, addr string) (*api.Heartbeat, error)
+	// FetchHeartbeat returns the worker's heartbeat.
+	FetchHeartbeat(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
 // Peers reaches the other controllers.
 type Peers interface {
-	Ask(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
+	Call(ctx context.Context, addr string, request *peer.Request, deadline time.Duration) (*peer.Reply, error)
 }
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -84,7 +84,7 @@
 	}
 	f.node.Log.Info("job cancelled", "job", uid)
 	f.wake.Notify()
-	if f.node.Settings.ConfirmsCancelWhenEmpty() {
+	if f.node.Settings.ConfirmsCancelAfterTasksEnd() {
 		return transport.Response{}, false // its tasks may be on machines still: the state tells
 	}
 	return phaseResponse(statusOK, uid, api.JobCancelled), true
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -5,8 +5,8 @@
 	"violetturn/internal/transport"
 )
 
-// Health tells the balancer whether users may be sent to this node.
-func (f *Frontend) Health() transport.Response {
+// HandleHealthCheck tells the balancer whether users may be sent to this node.
+func (f *Frontend) HandleHealthCheck() transport.Response {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	// A node that has just started is not ready before it has read all live records.
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -31,11 +31,11 @@
 	}
 	// A peer of the version before would refuse a new kind as malformed, and its user would not
 	// come back.
-	if r.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.KindOf(r.GetBody())) {
+	if r.GetKind() == peer.Request_KIND_SUBMIT && !f.acceptsKind(api.ExtractJobKind(r.GetBody())) {
 		return respond.Busy
 	}
 	r.From = f.node.Settings.HostName
-	reply, err := f.services.Peers.Ask(ctx, addr, r, forwardTimeout)
+	reply, err := f.services.Peers.Call(ctx, addr, r, forwardTimeout)
 	if err != nil || reply.GetStatus() == 0 {
 		return respond.Busy // it may have been carried out: the user asks again
 	}
@@ -66,9 +66,9 @@
 	if !f.members.ShouldServePeer(&r) {
 		return encodeReply(f.members.PeerStatus(&r)), true
 	}
-	serve := func(ctx context.Context) { later(encodeReply(PeerReply(f.ServeLocally(ctx, &r)))) }
+	serve := func(ctx context.Context) { later(encodeReply(NewPeerReply(f.ServeLocally(ctx, &r)))) }
 	if !f.startRequest(peerRequestTimeout, serve) {
-		return encodeReply(PeerReply(respond.Busy)), true
+		return encodeReply(NewPeerReply(respond.Busy)), true
 	}
 	return transport.Response{}, false
 }
@@ -82,8 +82,8 @@
 	return transport.Response{Status: statusOK, Body: body}
 }
 
-// PeerReply wraps what a user is to be told, by a node that reached the state
+// NewPeerReply wraps what a user is to be told, by a node that reached the state
 // service.
-func PeerReply(r transport.Response) *peer.Reply {
+func NewPeerReply(r transport.Response) *peer.Reply {
 	return &peer.Reply{StoreReached: true, Status: uint32(r.Status), Body: r.Body, RetryAfter: uint32(r.RetryAfter)}
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -33,10 +33,10 @@
 
 // Refusals whose reasons don't depend on the request.
 var (
-	errUnknownJob       = api.Refuse(api.StatusNotFound, "no such run")
-	errUnknownPath      = api.Refuse(api.StatusNotFound, "no such path")
-	errMethodNotAllowed = api.Refuse(api.StatusNotAllowed, "method not allowed")
-	errTooLong          = api.Refuse(api.StatusBadRequest, "submission too long")
+	errUnknownJob       = api.NewRequestError(api.StatusNotFound, "no such run")
+	errUnknownPath      = api.NewRequestError(api.StatusNotFound, "no such path")
+	errMethodNotAllowed = api.NewRequestError(api.StatusMethodNotAllowed, "method not allowed")
+	errTooLong          = api.NewRequestError(api.StatusBadRequest, "submission too long")
 )
 
 // errBusy refuses what can't be served now but may be later.
@@ -53,7 +53,7 @@
 }
 
 // stateResponse tells the state of a job, or why that can't be.
-func stateResponse(s api.State, err error) transport.Response {
+func stateResponse(s api.JobState, err error) transport.Response {
 	if err != nil {
 		return errorResponse(err)
 	}
--- a/internal/frontend/routing.go
+++ b/internal/frontend/routing.go
@@ -39,7 +39,7 @@
 		if req.Method != methodGet {
 			return errorResponse(errMethodNotAllowed), true
 		}
-		return f.Health(), true
+		return f.HandleHealthCheck(), true
 	}
 	method, request := userRequest(path, req.Body)
 	if request == nil {
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -15,7 +15,7 @@
 func (f *Frontend) Submit(ctx context.Context, body []byte) transport.Response {
 	spec, err := api.ParseJob(body)
 	if err != nil {
-		if uid, ok := api.UIDOf(body); ok {
+		if uid, ok := api.ExtractUID(body); ok {
 			return f.stateOrRefusal(ctx, uid, err)
 		}
 		return errorResponse(err)
@@ -54,7 +54,7 @@
 func (f *Frontend) checkSpec(spec *api.Job) (live bool, err error) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	if !state.Catalog.IsKnown() {
+	if !state.Catalog.IsLoaded() {
 		return false, errBusy
 	}
 	if reason := state.Catalog.RejectionReason(spec); reason != "" {
@@ -76,7 +76,7 @@
 // what is added later.
 func (f *Frontend) newRecord(spec *api.Job) (*job.Record, error) {
 	record := &job.Record{Spec: *spec, Shard: f.node.Settings.HostName, AcceptedMS: f.node.Now().UnixMilli()}
-	size := len(api.JSON(record))
+	size := len(api.MustMarshal(record))
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	if size > state.Schema.MaxGrowableBytes() {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -56,7 +56,7 @@
 		}
 		return hex.EncodeToString(b)
 	}
-	return string(api.JSON(v))
+	return string(api.MustMarshal(v))
 }
 
 // decode reads a form into a new value of the type of like.
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -27,28 +27,28 @@
 func apiMessages() []golden {
 	return []golden{
 		{"api.Run", &api.Job{
-			UID:          "run-1",
-			Class:        "l",
-			Team:         "o",
-			Kind:         api.Array,
-			Priority:     "idle",
-			Tasks:        3,
-			CPUs:         1.5,
-			GPUs:         1,
-			MemGB:        4,
-			Image:        "i",
-			ImageGB:      2.5,
-			MachineTypes: []string{"m"},
-			Zone:         "x",
-			Together:     true,
-			Spread:       true,
-			Spot:         true,
-			EstimateS:    60,
-			CheckpointS:  30,
-			SaveS:        2,
-			DeadlineS:    pointer(90.5),
+			UID:                 "run-1",
+			Class:               "l",
+			Team:                "o",
+			Kind:                api.Array,
+			Priority:            "idle",
+			Tasks:               3,
+			CPUs:                1.5,
+			GPUs:                1,
+			MemGB:               4,
+			Image:               "i",
+			ImageGB:             2.5,
+			MachineTypes:        []string{"m"},
+			Zone:                "x",
+			SingleZone:          true,
+			Spread:              true,
+			AllowSpot:           true,
+			EstimatedRunS:       60,
+			CheckpointIntervalS: 30,
+			SaveDurationS:       2,
+			DeadlineS:           pointer(90.5),
 		}},
-		{"api.State", &api.State{UID: "run-1", Phase: api.JobRunning, Done: 1, Running: 2}},
+		{"api.State", &api.JobState{UID: "run-1", Phase: api.JobRunning, Done: 1, Running: 2}},
 		{"api.Checkin", &api.Heartbeat{
 			Host:        "i-1",
 			Addr:        "10.0.0.1:9",
@@ -76,7 +76,7 @@
 func cloudMessages() []golden {
 	return []golden{
 		{"cloud.Rental", &cloud.RentalRequest{Name: "r-1", MachineType: "m", Zone: "x", Spot: true, Count: 3}},
-		{"cloud.Host", &cloud.Host{
+		{"cloud.Host", &cloud.Machine{
 			UID: "i-1", Addr: "10.0.0.1:9", MachineType: "m", Zone: "x", Spot: true, Phase: cloud.MachineRunning, AgeS: 1.5,
 		}},
 		{"cloud.Flavor", &cloud.MachineType{
@@ -99,10 +99,10 @@
 	return []golden{
 		{"store.Txn", &store.Txn{
 			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
-			Ops:           []store.Op{{Write: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {Drop: "b"}},
+			Ops:           []store.Op{{WriteKey: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {DeleteKey: "b"}},
 		}},
 		{"store.Item", &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2}},
-		{"store.Change", &store.Change{Write: "a", Value: json.RawMessage(`1`), Version: 2}},
+		{"store.Change", &store.Change{WrittenKey: "a", Value: json.RawMessage(`1`), Version: 2}},
 	}
 }
 
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -116,7 +116,7 @@
 	if err != nil || value[0] == '+' || p.length != lengthUnknown || p.chunked {
 		return malformed("Content-Length")
 	}
-	if n > uint64(p.limits.Body) {
+	if n > uint64(p.limits.BodyBytes) {
 		return ErrTooLarge
 	}
 	p.length = int(n)
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -7,17 +7,17 @@
 
 // Limits bound what the other side can make a parser hold.
 type Limits struct {
-	Line    int // bytes of one start or header line
-	Headers int // number of header lines
-	Body    int // bytes of a body
+	LineBytes   int // bytes of one start or header line
+	HeaderCount int // number of header lines
+	BodyBytes   int // bytes of a body
 }
 
 // RequestLimits are those of PROTOCOL for what others send to a controller.
-var RequestLimits = Limits{Line: 8 << 10, Headers: 64, Body: 64 << 10}
+var RequestLimits = Limits{LineBytes: 8 << 10, HeaderCount: 64, BodyBytes: 64 << 10}
 
 // ResponseLimits hold for answers of the outside systems. A watch of the state service has no
 // size limit of its own, so the one for bodies is wide.
-var ResponseLimits = Limits{Line: 8 << 10, Headers: 128, Body: 16 << 20}
+var ResponseLimits = Limits{LineBytes: 8 << 10, HeaderCount: 128, BodyBytes: 16 << 20}
 
 // Errors of the parser; they tell a server which status to refuse with.
 var (
--- a/internal/httpwire/parser.go
+++ b/internal/httpwire/parser.go
@@ -68,9 +68,9 @@
 	return nil, p.err
 }
 
-// End tells the parser that the stream has ended. It returns the response whose body runs
+// EndOfStream tells the parser that the stream has ended. It returns the response whose body runs
 // until then, nil if there is none.
-func (p *Parser) End() *Message {
+func (p *Parser) EndOfStream() *Message {
 	if p.err != nil || p.stage != untilClose {
 		return nil
 	}
@@ -131,7 +131,7 @@
 		p.err = p.endHeaders()
 		return p.err == nil && p.stage == atStart, p.err != nil
 	}
-	if p.headers++; p.headers > p.limits.Headers {
+	if p.headers++; p.headers > p.limits.HeaderCount {
 		p.err = malformed("too many headers")
 	} else {
 		p.err = p.parseHeader(s)
@@ -162,7 +162,7 @@
 		p.err = malformed("chunk size")
 		return true
 	}
-	if len(p.msg.Body)+int(n) > p.limits.Body {
+	if len(p.msg.Body)+int(n) > p.limits.BodyBytes {
 		p.err = ErrTooLarge
 		return true
 	}
@@ -197,7 +197,7 @@
 	if s == "" {
 		return true, false
 	}
-	if p.headers++; p.headers > p.limits.Headers {
+	if p.headers++; p.headers > p.limits.HeaderCount {
 		p.err = malformed("too many trailers")
 	}
 	return false, p.err != nil
@@ -205,7 +205,7 @@
 
 // readUntilClose checks the size of a body that runs until the stream ends, which End tells.
 func (p *Parser) readUntilClose() (whole, more bool) {
-	if len(p.buf) > p.limits.Body {
+	if len(p.buf) > p.limits.BodyBytes {
 		p.err = ErrTooLarge
 	}
 	return false, true
@@ -218,13 +218,13 @@
 	i := bytes.IndexByte(p.buf[p.scanned:], '\n')
 	if i < 0 {
 		p.scanned = len(p.buf)
-		if p.scanned > p.limits.Line {
+		if p.scanned > p.limits.LineBytes {
 			p.err = malformed("line too long")
 		}
 		return "", false
 	}
 	i += p.scanned
-	if i > p.limits.Line || i == 0 || p.buf[i-1] != '\r' {
+	if i > p.limits.LineBytes || i == 0 || p.buf[i-1] != '\r' {
 		p.err = malformed("bad line end")
 		return "", false
 	}
--- a/internal/httpwire/parser_test.go
+++ b/internal/httpwire/parser_test.go
@@ -115,7 +115,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, b []byte, response bool) {
-		lim := Limits{Line: 64, Headers: 4, Body: 100}
+		lim := Limits{LineBytes: 64, HeaderCount: 4, BodyBytes: 100}
 		p := NewParser(response, lim)
 		for i := range b {
 			p.Feed(b[i : i+1])
@@ -123,10 +123,10 @@
 			if err != nil {
 				return
 			}
-			if m != nil && len(m.Body) > lim.Body {
+			if m != nil && len(m.Body) > lim.BodyBytes {
 				t.Fatalf("body of %d bytes", len(m.Body))
 			}
-			if len(p.buf) > lim.Line+lim.Body+3 {
+			if len(p.buf) > lim.LineBytes+lim.BodyBytes+3 {
 				t.Fatalf("holds %d bytes", len(p.buf))
 			}
 		}
@@ -139,7 +139,7 @@
 	if got, err := parse(p, []string{"HTTP/1.0 200 OK\r\n\r\n", "ab"}); err != nil || len(got) > 0 {
 		t.Fatal(got, err)
 	}
-	if m := p.End(); m == nil || string(m.Body) != "ab" || !m.Close {
+	if m := p.EndOfStream(); m == nil || string(m.Body) != "ab" || !m.Close {
 		t.Fatalf("%+v", m)
 	}
 }
--- a/internal/job/finished_ranges_test.go
+++ b/internal/job/finished_ranges_test.go
@@ -27,7 +27,7 @@
 					order[:i+1], r.FinishedRanges, n, r.RangeFinished(n), r.FinishedTasks(), tasks, r.Complete())
 			}
 			var err error
-			if r, err = ParseRecord(api.JSON(r)); err != nil {
+			if r, err = ParseRecord(api.MustMarshal(r)); err != nil {
 				t.Fatalf("ParseRecord: %v", err)
 			}
 		}
--- a/internal/job/layout_test.go
+++ b/internal/job/layout_test.go
@@ -22,7 +22,7 @@
 			tasks := (*TaskRange)(nil).Copy()
 			tasks.LastAttempt = 1 << 30
 			placeAndStopAll(tasks, n)
-			raw := api.JSON(tasks)
+			raw := api.MustMarshal(tasks)
 			if len(raw) > int(kb*1024) {
 				t.Errorf("record of %d tasks has %d bytes, want at most %d", n, len(raw), int(kb*1024))
 			}
@@ -56,7 +56,7 @@
 			Shard:      "node-0",
 			AcceptedMS: 1 << 41,
 		}
-		r.ChooseLayout(kb, len(api.JSON(r)), false)
+		r.ChooseLayout(kb, len(api.MustMarshal(r)), false)
 		if !r.Inline {
 			return
 		}
@@ -64,7 +64,7 @@
 		r.InlineRange = (*TaskRange)(nil).Copy()
 		r.InlineRange.LastAttempt, r.InlineRange.ErrorStreak = 1<<40, 1<<20
 		placeAndStopAll(r.InlineRange, r.Spec.Tasks)
-		if raw := api.JSON(r); len(raw) > int(kb*1024) {
+		if raw := api.MustMarshal(r); len(raw) > int(kb*1024) {
 			t.Fatalf("record of %d tasks has %d bytes, want at most %g KiB", r.Spec.Tasks, len(raw), kb)
 		}
 	})
--- a/internal/job/task_range_test.go
+++ b/internal/job/task_range_test.go
@@ -46,7 +46,7 @@
 				}
 			},
 			"reparse": func(t *rapid.T) {
-				decoded, err := ParseTaskRange(api.JSON(r))
+				decoded, err := ParseTaskRange(api.MustMarshal(r))
 				if err != nil {
 					t.Fatalf("ParseTaskRange: %v", err)
 				}
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -70,7 +70,7 @@
 	c.hasContact = false
 	if countExpected() >= MinSilentCount {
 		c.unreachable = true
-		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastHeard(c.lastContactAt))
+		c.node.Log.Info("no heartbeat reaches this controller", logkey.LastContact(c.lastContactAt))
 	}
 }
 
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -23,7 +23,7 @@
 func newRateSharing(node *node.Info, cache *statecache.Cache) *RateSharing {
 	return &RateSharing{
 		node: node, cache: cache,
-		controllerCount: node.Settings.Facts.Size,
+		controllerCount: node.Settings.Facts.ControllerCount,
 		absentSince:     map[string]time.Time{},
 	}
 }
@@ -46,7 +46,7 @@
 	if controllerCount == r.controllerCount {
 		return false
 	}
-	r.node.Log.Info("rate share changed", logkey.Controllers(controllerCount), logkey.Before(r.controllerCount))
+	r.node.Log.Info("rate share changed", logkey.Controllers(controllerCount), logkey.PreviousCount(r.controllerCount))
 	r.controllerCount = controllerCount
 	return true
 }
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -34,14 +34,14 @@
 // Attempt is the attempt of a task.
 func Attempt(attempt uint64) slog.Attr { return slog.Uint64(keyAttempt, attempt) }
 
-// Before is a count as it was before it changed.
-func Before(count int) slog.Attr { return slog.Int(keyBefore, count) }
+// PreviousCount is a count as it was before it changed.
+func PreviousCount(count int) slog.Attr { return slog.Int(keyBefore, count) }
 
 // Cause is why a task ended, as its worker said.
 func Cause(cause string) slog.Attr { return slog.String(keyCause, cause) }
 
-// Clean tells whether no earlier leader can still be answering workers.
-func Clean(clean bool) slog.Attr { return slog.Bool(keyClean, clean) }
+// PredecessorsStopped tells whether no earlier leader can still be answering workers.
+func PredecessorsStopped(clean bool) slog.Attr { return slog.Bool(keyClean, clean) }
 
 // Controllers is a number of controllers.
 func Controllers(count int) slog.Attr { return slog.Int(keyControllers, count) }
@@ -55,8 +55,8 @@
 // Host is a machine by name.
 func Host(name string) slog.Attr { return slog.String(keyHost, name) }
 
-// LastHeard is when a heartbeat was last heard.
-func LastHeard(at time.Time) slog.Attr { return slog.Time(keyLastHeard, at) }
+// LastContact is when a heartbeat was last heard.
+func LastContact(at time.Time) slog.Attr { return slog.Time(keyLastHeard, at) }
 
 // Launches is how often a launch was sent.
 func Launches(count int) slog.Attr { return slog.Int(keyLaunches, count) }
@@ -88,5 +88,5 @@
 // Terminated tells whether the cloud has confirmed the end of a machine.
 func Terminated(terminated bool) slog.Attr { return slog.Bool(keyTerminated, terminated) }
 
-// Why is the reason of what was done, in words.
-func Why(reason string) slog.Attr { return slog.String(keyWhy, reason) }
+// Reason is the reason of what was done, in words.
+func Reason(reason string) slog.Attr { return slog.String(keyWhy, reason) }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -62,7 +62,7 @@
 	requestedAt := m.node.Now()
 	m.guard.Unlock()
 	deadline := m.node.Settings.ControllerLeaseTTL() / queryTimeoutsPerLease
-	reply, err := m.services.Peers.Ask(ctx, addr, request, deadline)
+	reply, err := m.services.Peers.Call(ctx, addr, request, deadline)
 	state = m.guard.Lock()
 	defer m.guard.Unlock()
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,8 +22,8 @@
 	Shards      []string // all shards, by the name of their home controller, sorted
 	Incarnation uint64   // this life of the process
 
-	RunAsync     func(func()) // runs work in a goroutine of its own
-	SteppedClock bool         // time is advanced from outside: nothing may wait for it
+	RunAsync       func(func()) // runs work in a goroutine of its own
+	SimulatedClock bool         // time is advanced from outside: nothing may wait for it
 }
 
 // New makes the info of a process that starts now, with a random incarnation.
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -36,16 +36,16 @@
 	http *transport.Client
 }
 
-// New makes a client.
-func New(h *transport.Client) *Client { return &Client{http: h} }
+// NewClient makes a client.
+func NewClient(h *transport.Client) *Client { return &Client{http: h} }
 
-// Ask sends a request to the controller at addr and returns its reply.
-func (c *Client) Ask(ctx context.Context, addr string, r *Request, deadline time.Duration) (*Reply, error) {
+// Call sends a request to the controller at addr and returns its reply.
+func (c *Client) Call(ctx context.Context, addr string, r *Request, deadline time.Duration) (*Reply, error) {
 	body, err := proto.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("request to peer %s: %w", addr, err)
 	}
-	m, err := c.http.Do(ctx, transport.Request{Addr: addr, Method: "POST", Target: Path, Body: body, Deadline: deadline})
+	m, err := c.http.Do(ctx, transport.Request{Addr: addr, Method: "POST", Target: Path, Body: body, Timeout: deadline})
 	if err != nil {
 		return nil, fmt.Errorf("ask peer %s: %w", addr, err)
 	}
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -70,7 +70,7 @@
 			t.Error(closeErr)
 		}
 	})
-	return New(h), server
+	return NewClient(h), server
 }
 
 // question is what the tests ask.
@@ -85,7 +85,7 @@
 	}
 	peer := &scriptedPeer{t: t, status: 200, body: encoded}
 	client, server := newClient(t, peer)
-	got, err := client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+	got, err := client.Call(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
 	if err != nil || !proto.Equal(want, got) {
 		t.Error(got, err)
 	}
@@ -99,7 +99,7 @@
 	peer := &scriptedPeer{t: t, status: 404}
 	client, server := newClient(t, peer)
 	ask := func() (*Reply, error) {
-		return client.Ask(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
+		return client.Call(context.Background(), server.Listener.Addr().String(), question(), time.Minute)
 	}
 	var refused *StatusError
 	if reply, err := ask(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -157,8 +157,8 @@
 		Reason:  agent.ExitReasonOf(reported.Cause),
 	})
 	firstRun := c.worker.FirstRuns[task.placementKey]
-	if done && firstRun.Attempt == attempt && spec.EstimateS > 0 {
-		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimateS)
+	if done && firstRun.Attempt == attempt && spec.EstimatedRunS > 0 {
+		c.reconciler.estimates.ObserveRuntime(spec.Class, c.now.Sub(firstRun.At).Seconds()/spec.EstimatedRunS)
 	}
 	c.reconciler.agents.HandleTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -40,8 +40,8 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0"}
-	settings.Facts.Size = 1
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 1
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	f := &fixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
@@ -67,7 +67,7 @@
 	f.apply(statecache.MachinePageKey(page), shard.MachinePage{host: {Shard: "n0", MachineType: "m", Zone: "x"}})
 	f.record = &job.Record{
 		Spec: api.Job{
-			UID: uid, Kind: api.Array, Priority: api.Standard, Tasks: 2, CPUs: 4, MemGB: 16, SaveS: 2, CheckpointS: 10,
+			UID: uid, Kind: api.Array, Priority: api.Standard, Tasks: 2, CPUs: 4, MemGB: 16, SaveDurationS: 2, CheckpointIntervalS: 10,
 		},
 		Shard: "n0",
 	}
@@ -82,7 +82,7 @@
 // apply applies a record and returns its version.
 func (f *fixture) apply(key string, value any) uint64 {
 	f.version++
-	f.cache.Apply(key, api.JSON(value), f.version)
+	f.cache.Apply(key, api.MustMarshal(value), f.version)
 	return f.version
 }
 
@@ -169,7 +169,7 @@
 				got[0], got[1] = got[1], got[0]
 			}
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got %s, want %s", api.JSON(got), api.JSON(c.want))
+				t.Errorf("got %s, want %s", api.MustMarshal(got), api.MustMarshal(c.want))
 			}
 		})
 	}
@@ -181,14 +181,14 @@
 	f := newFixture(t)
 	for sequence := range uint64(agent.MaxUnacknowledgedAnswers) {
 		if got := f.commandsForHeartbeat(sequence + 1); len(got) != 2 {
-			t.Fatalf("heartbeat %d got %d commands, want 2: %s", sequence+1, len(got), api.JSON(got))
+			t.Fatalf("heartbeat %d got %d commands, want 2: %s", sequence+1, len(got), api.MustMarshal(got))
 		}
 	}
 	got := f.commandsForHeartbeat(agent.MaxUnacknowledgedAnswers + 1)
 	worker := f.agents.Agent(host)
 	if len(got) != 0 || !worker.Unresponsive() || len(worker.EndedAttempts) != 2 {
 		t.Errorf("got commands %s, unresponsive %t, ended attempts %v; want no commands, true, 2 attempts",
-			api.JSON(got), worker.Unresponsive(), worker.EndedAttempts)
+			api.MustMarshal(got), worker.Unresponsive(), worker.EndedAttempts)
 	}
 }
 
--- a/internal/respond/respond.go
+++ b/internal/respond/respond.go
@@ -10,5 +10,5 @@
 
 // JSON returns an answer whose body is v as JSON.
 func JSON(status int, v any) transport.Response {
-	return transport.Response{Status: status, Body: api.JSON(v)}
+	return transport.Response{Status: status, Body: api.MustMarshal(v)}
 }
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -24,13 +24,13 @@
 	list := &l.list
 	lag := time.Duration(l.node.Settings.Facts.Cloud.ListLagS * float64(time.Second))
 	interval := max(lag, l.node.Settings.HeartbeatInterval())
-	if list.listing.Active() && now.Sub(list.listing.Began) > listTimeoutIntervals*interval {
+	if list.listing.Active() && now.Sub(list.listing.StartedAt) > listTimeoutIntervals*interval {
 		list.listing.Abandon() // the cloud did not answer meanwhile
 	}
 	if !list.listing.Active() && now.Sub(list.readAt) <= interval {
 		return
 	}
-	hosts, complete, err := list.listing.Read(ctx, l.services.Cloud, now, config.CloudCallsPerRound)
+	hosts, complete, err := list.listing.Read(ctx, l.services.Cloud, now, config.CloudCallsPerRun)
 	if err != nil {
 		l.node.Log.Debug("list of machines not read", "err", err)
 	}
@@ -40,5 +40,5 @@
 	list.readAt = now
 	state := l.guard.Lock()
 	defer l.guard.Unlock()
-	state.Agents.Listing().Update(hosts, list.listing.Began, lag)
+	state.Agents.Listing().Update(hosts, list.listing.StartedAt, lag)
 }
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -50,17 +50,17 @@
 }
 
 // rentMachines rents the machines of one order, in as many requests as a round may take: one
-// request returns cloud.MaxRental machines at most.
+// request returns cloud.MaxMachinesPerRental machines at most.
 func (l *Loop) rentMachines(ctx context.Context, order sched.RentalOrder, renting autoscaler.RentingShard) rentalOutcome {
 	wanted := order.Count
-	for calls := 0; wanted > 0 && calls < config.CloudCallsPerRound; calls++ {
+	for calls := 0; wanted > 0 && calls < config.CloudCallsPerRun; calls++ {
 		request, unanswered := l.rentals.unanswered[order.Offer]
 		if !unanswered {
-			request = l.newRequest(order.Offer, min(wanted, cloud.MaxRental), renting)
+			request = l.newRequest(order.Offer, min(wanted, cloud.MaxMachinesPerRental), renting)
 		}
 		hosts, err := l.services.Cloud.Rent(ctx, request)
 		state := l.guard.Lock()
-		refused := state.Autoscaler.NoteRental(request, hosts, err, renting)
+		refused := state.Autoscaler.RecordRental(request, hosts, err, renting)
 		l.guard.Unlock()
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			l.rentals.unanswered[order.Offer] = request
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -59,7 +59,7 @@
 
 func (c *scriptedCloud) Return(context.Context, []string) error { return nil }
 
-func (c *scriptedCloud) Page(context.Context, string) (hosts []cloud.Host, truncated bool, err error) {
+func (c *scriptedCloud) ListPage(context.Context, string) (hosts []cloud.Machine, truncated bool, err error) {
 	c.pages++
 	if c.failing {
 		return nil, false, cloud.ErrUnavailable
@@ -71,8 +71,8 @@
 func newLoop(t *testing.T, scripted *scriptedCloud) *Loop {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Size = 1
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 1
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	settings.Facts.Cloud.ListLagS = 2
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	wake := notify.NewSignal()
@@ -106,7 +106,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			scripted := &scriptedCloud{script: x.script}
 			l := newLoop(t, scripted)
-			renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
+			renting := autoscaler.RentingShard{Shard: "n0", Term: 7, DecidedAt: l.node.Now()}
 			got := l.rentMachines(t.Context(), sched.RentalOrder{Offer: offer, Count: x.count}, renting)
 			if got != x.want {
 				t.Errorf("outcome %d, want %d", got, x.want)
@@ -132,7 +132,7 @@
 func TestRentalInDoubtIsRepeated(t *testing.T) {
 	scripted := &scriptedCloud{script: []rentalAnswer{{err: cloud.ErrUnavailable}, {err: cloud.ErrUnavailable}, {hosts: 4}}}
 	l := newLoop(t, scripted)
-	renting := autoscaler.RentingShard{Shard: "n0", Term: 7, At: l.node.Now()}
+	renting := autoscaler.RentingShard{Shard: "n0", Term: 7, DecidedAt: l.node.Now()}
 	order := sched.RentalOrder{Offer: sched.Offer{MachineType: "m", Zone: "x"}, Count: 4}
 	for i, want := range []rentalOutcome{rentalInDoubt, rentalInDoubt, rentalServed} {
 		if got := l.rentMachines(t.Context(), order, renting); got != want {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -18,7 +18,7 @@
 // ChangesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
 // arrived lately, otherwise none.
 func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
-	if s.accounts.Arrivals().CameSince(api.Gang, now.Add(-MaxStartDelay)) {
+	if s.accounts.Arrivals().ArrivedSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
 	return 0
@@ -93,7 +93,7 @@
 	if len(t.placed) == 0 {
 		t.beginAttempt(record)
 	}
-	if t.job.Record.Spec.Together && record.Zone == "" {
+	if t.job.Record.Spec.SingleZone && record.Zone == "" {
 		record.Zone = placement.Host.Zone
 	}
 	if t.hasAttemptEnded(placement) {
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -96,7 +96,7 @@
 // choice: its only entry is "".
 func (p *planner) candidateZones(job *waitingJob) []string {
 	spec := &job.entry.job.Record.Spec
-	if !spec.Together || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
+	if !spec.SingleZone || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
 		return []string{""}
 	}
 	settings := p.scheduler.node.Settings
@@ -167,7 +167,7 @@
 func (g *gangSearch) sourceWhenShort(request *sched.TaskRequest) capacitySource {
 	s := g.planner.scheduler
 	size := len(g.job.tasks)
-	if sched.CountFits(s.freeCapacity.WithPreemptibleRoom(g.planner.hosts, g.job.entry.priority), request, size) >= size {
+	if sched.CountFits(s.freeCapacity.WithPreemptibleCapacity(g.planner.hosts, g.job.entry.priority), request, size) >= size {
 		return capacityByPreemption
 	}
 	for _, offer := range s.catalog.AvailableOffers(g.planner.now) {
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	if g.job.entry.job.Record.Spec.Together && g.job.zoneConstraint.boundZone == "" && !complete {
+	if g.job.entry.job.Record.Spec.SingleZone && g.job.zoneConstraint.boundZone == "" && !complete {
 		g.job.zoneConstraint.boundZone = g.best.zone
 	}
 }
