--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -107,7 +107,7 @@
 	}
 	job := pending.Job()
 	changes := pending.Changes() + t.editor.RangeCost(job, placement.RangeIndex)
-	if job.Record.Spec.Together && job.Record.Zone == "" {
+	if job.Record.Spec.SingleZone && job.Record.Zone == "" {
 		changes++
 	}
 	for _, victim := range placement.Victims {
@@ -141,7 +141,7 @@
 	t.scheduler.leadership.RequireLeadership(t.editor.Txn, job.Record.Shard)
 	t.editor.Txn.Require(statecache.JobKey(spec.UID), job.Version)
 	taskRange := t.editor.TaskRange(job, placement.RangeIndex)
-	if spec.Together && job.Record.Zone == "" {
+	if spec.SingleZone && job.Record.Zone == "" {
 		t.editor.Record(job).Zone = placement.Host.Zone
 	}
 	attempt := taskRange.Place(placement.Index, placement.Host.Name, secondsSinceAccepted(job, t.now))
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -83,7 +83,7 @@
 		plan:         &Plan{ReservedHosts: map[string]bool{}},
 		gangSearches: map[*waitingJob]*gangSearch{},
 	}
-	if !s.catalog.IsKnown() || !s.leadership.MayAct(now) {
+	if !s.catalog.IsLoaded() || !s.leadership.MayAct(now) {
 		return p.plan
 	}
 	p.selectJobs()
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -65,15 +65,15 @@
 func lostWorkSeconds(j *statecache.Job, placement *job.Placement, now time.Time) float64 {
 	spec := &j.Record.Spec
 	runSeconds := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(placement.PlacedS), 0)
-	hasCheckpoints := spec.CheckpointS > 0
+	hasCheckpoints := spec.CheckpointIntervalS > 0
 	if hasCheckpoints {
 		// The work saved before the task stops is not lost. The small share of the run time
 		// prefers victims that have run for less time, all else equal.
-		runSeconds = min(runSeconds, spec.SaveS) + runSeconds/1000
+		runSeconds = min(runSeconds, spec.SaveDurationS) + runSeconds/1000
 	}
 	switch {
 	case j.IsGang(): // all tasks of a gang stop and restart together
-		return float64(spec.Tasks) * (runSeconds + spec.SaveS + restartSeconds)
+		return float64(spec.Tasks) * (runSeconds + spec.SaveDurationS + restartSeconds)
 	case hasCheckpoints:
 		return runSeconds
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -25,10 +25,10 @@
 	leadership   *leadership.Table
 	catalog      *catalog.Catalog
 	agents       *agent.Registry
-	freeCapacity *capacity.Room
+	freeCapacity *capacity.Calculator
 	estimates    *estimate.Estimates
 	zones        *zonestate.Zones
-	accounts     *capacity.Accounts
+	accounts     *capacity.Accounting
 	wake         notify.Signal
 
 	gangs        gangTable
@@ -45,10 +45,10 @@
 	Leadership   *leadership.Table
 	Catalog      *catalog.Catalog
 	Agents       *agent.Registry
-	FreeCapacity *capacity.Room
+	FreeCapacity *capacity.Calculator
 	Estimates    *estimate.Estimates
 	Zones        *zonestate.Zones
-	Accounts     *capacity.Accounts
+	Accounts     *capacity.Accounting
 	Wake         notify.Signal
 }
 
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -40,7 +40,7 @@
 		}
 	}
 	team, _ := s.node.Settings.Team(job.Record.Spec.Team)
-	return team.Limited() && s.isNearLimit(team)
+	return team.HasLimit() && s.isNearLimit(team)
 }
 
 // countOnOwnMachines counts the tasks of a task range that are placed on machines of shards that
@@ -69,6 +69,6 @@
 // wait for quota.
 func (s *Scheduler) isNearLimit(team config.Team) bool {
 	shares := s.accounts.QuotaShares(team.Name, "")
-	limit, total := capacity.QuotaLimitOf(team), shares.Held.Add(shares.Others)
+	limit, total := capacity.QuotaLimitOf(team), shares.Held.Add(shares.HeldByOthers)
 	return limit.CPUs > 0 && total.CPUs > limit.CPUs*quotaPressureShare || limit.GPUs > 0 && total.GPUs > limit.GPUs*quotaPressureShare
 }
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -50,7 +50,7 @@
 
 // countTask counts a task of a task range in a zone.
 func (c *zoneConstraint) countTask(rangeIndex int, zone string) {
-	if c.job.Record.Spec.Together && c.boundZone == "" {
+	if c.job.Record.Spec.SingleZone && c.boundZone == "" {
 		c.boundZone = zone
 	}
 	group, _ := c.job.Record.SpreadGroup(rangeIndex)
@@ -66,7 +66,7 @@
 	if !c.admission.Admits(zone) {
 		return false
 	}
-	if spec.Together && c.boundZone != "" && c.boundZone != zone {
+	if spec.SingleZone && c.boundZone != "" && c.boundZone != zone {
 		return false
 	}
 	if !spec.Spread {
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -20,7 +20,7 @@
 }
 
 // available reports whether a request of the node is served.
-func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.Unreachable[c.Node] }
+func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.UnreachableNodes[c.Node] }
 
 // MachineTypes returns the machine types.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
@@ -36,7 +36,7 @@
 		FetchGBPerS: fetchGBPerS,
 		Price:       price,
 		SpotPrice:   spotPrice,
-		BootS:       m.Boot.Seconds(),
+		BootS:       m.BootTime.Seconds(),
 		Zones:       c.Cloud.w.Zones,
 	}}, nil
 }
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// Page returns a page of the list of machines, which lags behind what there is.
-func (c *CloudClient) Page(_ context.Context, since string) (hosts []cloud.Host, truncated bool, err error) {
+// ListPage returns a page of the list of machines, which lags behind what there is.
+func (c *CloudClient) ListPage(_ context.Context, since string) (hosts []cloud.Machine, truncated bool, err error) {
 	if !c.available() {
 		return nil, false, cloud.ErrUnavailable
 	}
-	c.Cloud.Pages++
-	hosts, truncated = c.Cloud.page(since, cloud.MaxPage)
+	c.Cloud.PagesRead++
+	hosts, truncated = c.Cloud.page(since, cloud.MaxMachinesPerPage)
 	return hosts, truncated, nil
 }
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -13,110 +13,110 @@
 type Deployment struct {
 	Name                        string
 	HeartbeatS, LeaseS, CancelS float64       // seconds
-	Boot, Fetch                 time.Duration // of a machine, of an image
+	BootTime, FetchTime         time.Duration // of a machine, of an image
 	MachineType                 MachineType
 	State                       config.StateLimits
-	TeamGPUs                    float64 // of each team at most; 0: no limit
-	Services, Arrays            Class
+	TeamGPULimit                float64 // of each team at most; 0: no limit
+	ServiceJobs, ArrayJobs      JobClass
 }
 
-// Class is a class of jobs that users submit.
-type Class struct {
-	Name      string
-	Service   bool
-	Initial   int     // jobs that are submitted at the start
-	PerSecond float64 // jobs that are submitted each second from then on
-	Tasks     int     // of a job, on the mean
-	CPUs      float64
-	MemGB     float64
-	RunTime   time.Duration // of a task, or until a service is cancelled
-	Images    int
+// JobClass is a class of jobs that users submit.
+type JobClass struct {
+	Name          string
+	Service       bool
+	InitialJobs   int     // jobs that are submitted at the start
+	JobsPerSecond float64 // jobs that are submitted each second from then on
+	MeanTasks     int     // of a job, on the mean
+	CPUs          float64
+	MemGB         float64
+	RunTime       time.Duration // of a task, or until a service is cancelled
+	ImageCount    int
 }
 
-// Large returns a deployment of the size of a grown deployment of some two thousand machines and three
+// Deployment2000 returns a deployment of the size of a grown deployment of some two thousand machines and three
 // controllers.
-func Large() *Deployment {
+func Deployment2000() *Deployment {
 	return &Deployment{
-		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
-		MachineType: MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
-		TeamGPUs:    4000,
-		Services: Class{
-			Name:      "service",
-			Service:   true,
-			Initial:   150,
-			PerSecond: 0.25,
-			Tasks:     6,
-			CPUs:      5,
-			MemGB:     38,
-			RunTime:   500 * time.Second,
-			Images:    6,
+		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
+		State:        config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		TeamGPULimit: 4000,
+		ServiceJobs: JobClass{
+			Name:          "service",
+			Service:       true,
+			InitialJobs:   150,
+			JobsPerSecond: 0.25,
+			MeanTasks:     6,
+			CPUs:          5,
+			MemGB:         38,
+			RunTime:       500 * time.Second,
+			ImageCount:    6,
 		},
-		Arrays: Class{Name: "array", Initial: 75, PerSecond: 1, Tasks: 15, CPUs: 6, MemGB: 48, RunTime: 80 * time.Second, Images: 18},
+		ArrayJobs: JobClass{Name: "array", InitialJobs: 75, JobsPerSecond: 1, MeanTasks: 15, CPUs: 6, MemGB: 48, RunTime: 80 * time.Second, ImageCount: 18},
 	}
 }
 
-// Huge returns a deployment of some four thousand machines and three controllers, on a state service of the
+// Deployment4000 returns a deployment of some four thousand machines and three controllers, on a state service of the
 // grown deployments' rates, with long tasks.
-func Huge() *Deployment {
+func Deployment4000() *Deployment {
 	return &Deployment{
-		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, Boot: 60 * time.Second, Fetch: 8 * time.Second,
-		MachineType: MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
-		TeamGPUs:    8000,
-		Services: Class{
-			Name:      "service",
-			Service:   true,
-			Initial:   240,
-			PerSecond: 0.1,
-			Tasks:     8,
-			CPUs:      5,
-			MemGB:     38,
-			RunTime:   2000 * time.Second,
-			Images:    6,
+		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
+		State:        config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		TeamGPULimit: 8000,
+		ServiceJobs: JobClass{
+			Name:          "service",
+			Service:       true,
+			InitialJobs:   240,
+			JobsPerSecond: 0.1,
+			MeanTasks:     8,
+			CPUs:          5,
+			MemGB:         38,
+			RunTime:       2000 * time.Second,
+			ImageCount:    6,
 		},
-		Arrays: Class{
-			Name:      "array",
-			Initial:   66,
-			PerSecond: 0.15,
-			Tasks:     60,
-			CPUs:      6,
-			MemGB:     48,
-			RunTime:   400 * time.Second,
-			Images:    18,
+		ArrayJobs: JobClass{
+			Name:          "array",
+			InitialJobs:   66,
+			JobsPerSecond: 0.15,
+			MeanTasks:     60,
+			CPUs:          6,
+			MemGB:         48,
+			RunTime:       400 * time.Second,
+			ImageCount:    18,
 		},
 	}
 }
 
-// Small returns a deployment of the size of a grown deployment of some three hundred machines, whose
+// Deployment300 returns a deployment of the size of a grown deployment of some three hundred machines, whose
 // workers report often.
-func Small() *Deployment {
+func Deployment300() *Deployment {
 	return &Deployment{
-		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, Boot: 40 * time.Second, Fetch: 8 * time.Second,
+		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, BootTime: 40 * time.Second, FetchTime: 8 * time.Second,
 		MachineType: MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
-		Services: Class{
-			Name:      "service",
-			Service:   true,
-			Initial:   18,
-			PerSecond: 0.05,
-			Tasks:     8,
-			CPUs:      4,
-			MemGB:     29,
-			RunTime:   500 * time.Second,
-			Images:    4,
+		ServiceJobs: JobClass{
+			Name:          "service",
+			Service:       true,
+			InitialJobs:   18,
+			JobsPerSecond: 0.05,
+			MeanTasks:     8,
+			CPUs:          4,
+			MemGB:         29,
+			RunTime:       500 * time.Second,
+			ImageCount:    4,
 		},
-		Arrays: Class{Name: "array", Initial: 11, PerSecond: 0.2, Tasks: 15, CPUs: 5, MemGB: 36, RunTime: 60 * time.Second, Images: 8},
+		ArrayJobs: JobClass{Name: "array", InitialJobs: 11, JobsPerSecond: 0.2, MeanTasks: 15, CPUs: 5, MemGB: 36, RunTime: 60 * time.Second, ImageCount: 8},
 	}
 }
 
-// World returns the world of the deployment.
-func (d *Deployment) World(start time.Time) *World {
-	w := New(start)
+// NewEnvironment returns the world of the deployment.
+func (d *Deployment) NewEnvironment(start time.Time) *Environment {
+	w := NewEnvironment(start)
 	w.MachineType = d.MachineType
-	w.MachineType.Boot, w.MachineType.Fetch = d.Boot, d.Fetch
+	w.MachineType.BootTime, w.MachineType.FetchTime = d.BootTime, d.FetchTime
 	w.Zones = []string{"x", "y", "z"}
-	w.Lease, w.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
+	w.WorkerLease, w.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
 	w.ListLag = listLag
 	return w
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -30,14 +30,14 @@
 
 // ServiceFaults are the faults of a service that controllers call.
 type ServiceFaults struct {
-	Down        bool             // it serves nobody
-	Unreachable map[string]bool  // nodes whose requests do not arrive
-	NextFault   map[string]Fault // what happens to a node's next change
+	Down             bool             // it serves nobody
+	UnreachableNodes map[string]bool  // nodes whose requests do not arrive
+	NextFault        map[string]Fault // what happens to a node's next change
 }
 
 // newServiceFaults returns no faults.
 func newServiceFaults() ServiceFaults {
-	return ServiceFaults{Unreachable: map[string]bool{}, NextFault: map[string]Fault{}}
+	return ServiceFaults{UnreachableNodes: map[string]bool{}, NextFault: map[string]Fault{}}
 }
 
 // takeNext returns the fault set for a node's next change, and clears it.
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -33,7 +33,7 @@
 }
 
 // gangTasks returns the tasks of an attempt that are on machines.
-func (w *World) gangTasks(uid string, attempt uint64) []placedTask {
+func (w *Environment) gangTasks(uid string, attempt uint64) []placedTask {
 	var tasks []placedTask
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
@@ -46,7 +46,7 @@
 }
 
 // tickGangs lets the tasks of gangs find each other, run, and notice who is lost.
-func (w *World) tickGangs() {
+func (w *Environment) tickGangs() {
 	for _, uid := range slices.Sorted(maps.Keys(w.Jobs)) {
 		j := w.Jobs[uid]
 		if j.Spec.Kind != api.Gang {
@@ -59,7 +59,7 @@
 }
 
 // tickGangAttempt advances one attempt of a gang.
-func (w *World) tickGangAttempt(j *Job, number uint64) {
+func (w *Environment) tickGangAttempt(j *Job, number uint64) {
 	tasks := w.gangTasks(j.Spec.UID, number)
 	if len(tasks) == 0 {
 		return
@@ -83,7 +83,7 @@
 
 // gather lets an attempt start when all its tasks have their images, and ends the tasks that
 // have waited too long for the others.
-func (w *World) gather(j *Job, number uint64, tasks []placedTask) {
+func (w *Environment) gather(j *Job, number uint64, tasks []placedTask) {
 	ready := map[int]bool{}
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering && !t.worker.Hung {
@@ -95,35 +95,35 @@
 		return
 	}
 	for _, t := range tasks {
-		if t.phase == api.TaskGathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangWait {
+		if t.phase == api.TaskGathering && !t.worker.Hung && w.Now.Sub(t.since) >= w.GangStartTimeout {
 			t.end(api.CauseGangIncomplete)
 		}
 	}
 }
 
 // startAttempt lets the gathered tasks of an attempt run, from the progress that is safe.
-func (w *World) startAttempt(j *Job, number uint64, tasks []placedTask) {
+func (w *Environment) startAttempt(j *Job, number uint64, tasks []placedTask) {
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering {
 			t.phase, t.since = api.TaskRunning, w.Now
 		}
 	}
 	progress := j.gang.saved
-	if len(j.Done) == j.Spec.Tasks { // the result is kept
+	if len(j.DoneTasks) == j.Spec.Tasks { // the result is kept
 		progress = j.RunTime
 	}
 	j.gang.attempts[number] = &gangAttempt{startedAt: w.Now, initialProgress: progress, stopping: map[int]bool{}}
 }
 
 // runAttempt advances an attempt that has started and not ended.
-func (w *World) runAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
+func (w *Environment) runAttempt(j *Job, attempt *gangAttempt, tasks []placedTask) {
 	progress := attempt.progress(w.Now)
 	if attempt.brokenAt.IsZero() && responsive(tasks) < j.Spec.Tasks {
 		attempt.brokenAt = w.Now
 	}
 	switch {
 	case !attempt.brokenAt.IsZero():
-		if w.Now.Sub(attempt.brokenAt) >= w.GangPeer {
+		if w.Now.Sub(attempt.brokenAt) >= w.PeerLossTimeout {
 			j.gang.saved = j.lastCheckpoint(progress)
 			attempt.end(tasks, api.CausePeerLost, false)
 		}
@@ -139,14 +139,14 @@
 
 // stopAttempt ends an attempt that was told to stop: with its progress saved once all tasks
 // were told and had their time, or as broken if some were not told in time.
-func (w *World) stopAttempt(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
+func (w *Environment) stopAttempt(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
 	stopping := w.Now.Sub(attempt.stopRequestedAt)
 	allTold := len(attempt.stopping) == j.Spec.Tasks
 	switch {
-	case allTold && stopping >= seconds(j.Spec.SaveS):
+	case allTold && stopping >= seconds(j.Spec.SaveDurationS):
 		j.gang.saved = max(j.gang.saved, progress)
 		attempt.end(tasks, api.CauseStopped, true)
-	case !allTold && stopping >= w.GangPeer:
+	case !allTold && stopping >= w.PeerLossTimeout:
 		j.gang.saved = j.lastCheckpoint(progress)
 		attempt.end(tasks, api.CausePeerLost, false)
 	}
@@ -198,10 +198,10 @@
 
 // lastCheckpoint returns the progress that a broken attempt leaves.
 func (j *Job) lastCheckpoint(progress time.Duration) time.Duration {
-	if j.Spec.CheckpointS <= 0 {
+	if j.Spec.CheckpointIntervalS <= 0 {
 		return j.gang.saved
 	}
-	interval := seconds(j.Spec.CheckpointS)
+	interval := seconds(j.Spec.CheckpointIntervalS)
 	return max(j.gang.saved, progress/interval*interval)
 }
 
@@ -214,7 +214,7 @@
 		t.end(api.CauseStopped)
 		return
 	}
-	canSave := j.Spec.CheckpointS > 0 && graceS != nil && *graceS >= j.Spec.SaveS && attempt.brokenAt.IsZero()
+	canSave := j.Spec.CheckpointIntervalS > 0 && graceS != nil && *graceS >= j.Spec.SaveDurationS && attempt.brokenAt.IsZero()
 	if !canSave {
 		t.end(api.CauseStopped)
 		return
@@ -222,22 +222,22 @@
 	if attempt.stopRequestedAt.IsZero() {
 		attempt.stopRequestedAt = x.w.Now
 	}
-	if x.w.Now.Sub(attempt.stopRequestedAt) <= x.w.GangPeer {
+	if x.w.Now.Sub(attempt.stopRequestedAt) <= x.w.PeerLossTimeout {
 		attempt.stopping[t.index] = true
 	}
 }
 
 // launchGangTask checks the launch of a task of a gang: a lower attempt than one that was
 // launched before, or one beside another that is still there, mixes two attempts up.
-func (w *World) launchGangTask(j *Job, index int, attempt uint64) {
+func (w *Environment) launchGangTask(j *Job, index int, attempt uint64) {
 	name := api.TaskName(j.Spec.UID, index)
 	if attempt < j.gang.lastAttempt {
-		w.Violate(RuleAttempts, "%s starts as attempt %d after %d", name, attempt, j.gang.lastAttempt)
+		w.RecordViolation(RuleGangAttempts, "%s starts as attempt %d after %d", name, attempt, j.gang.lastAttempt)
 	}
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
 			if t.uid == j.Spec.UID && t.attempt != attempt && t.phase != api.TaskEnded {
-				w.Violate(RuleAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s",
+				w.RecordViolation(RuleGangAttempts, "%s starts as attempt %d beside attempt %d of task %d on %s",
 					name, attempt, t.attempt, t.index, x.Host)
 			}
 		}
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -11,16 +11,16 @@
 
 // launchTestGang rents two machines and launches a gang of two tasks on them, whose
 // heartbeats a controller answers all the time.
-func launchTestGang(t *testing.T, w *World) (*Job, []*Worker) {
+func launchTestGang(t *testing.T, w *Environment) (*Job, []*Worker) {
 	t.Helper()
 	client := &CloudClient{Cloud: w.Cloud, Node: "n0"}
 	if _, err := client.Rent(context.Background(), cloud.RentalRequest{Name: "r", MachineType: "m", Zone: "x", Count: 2}); err != nil {
 		t.Fatal(err)
 	}
 	j := &Job{
-		Spec:    api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointS: 2, SaveS: 1},
-		RunTime: 10 * time.Second,
-		Done:    map[int]bool{},
+		Spec:      api.Job{UID: "run-000001", Kind: api.Gang, Team: "a", Tasks: 2, CPUs: 1, GPUs: 1, CheckpointIntervalS: 2, SaveDurationS: 1},
+		RunTime:   10 * time.Second,
+		DoneTasks: map[int]bool{},
 	}
 	w.Jobs[j.Spec.UID] = j
 	w.Advance(time.Second)
@@ -32,7 +32,7 @@
 }
 
 // pass lets time go by in which a controller answers the heartbeats of all but hung workers.
-func pass(w *World, d time.Duration) {
+func pass(w *Environment, d time.Duration) {
 	for end := w.Now.Add(d); w.Now.Before(end); {
 		for _, x := range w.Cloud.Workers() {
 			x.HandleResponse(api.CommandBatch{Token: 1}, w.Now, x.AgentEpoch)
@@ -44,26 +44,26 @@
 // A gang's tasks start and end together, and keep the progress that they have saved.
 func TestGangAttempts(t *testing.T) {
 	grace := 5.0
-	stopAll := func(w *World) {
+	stopAll := func(w *Environment) {
 		for i, x := range w.Cloud.Workers() {
 			x.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", i), Attempt: 1, GraceS: &grace}})
 		}
 	}
 	for _, x := range []struct {
 		name  string
-		fault func(w *World)
+		fault func(w *Environment)
 		after time.Duration // from the fault to the end
 		cause api.ExitCause
 		done  int
 		saved time.Duration
 	}{
-		{"done", func(*World) {}, 6 * time.Second, api.CauseDone, 2, 0},
+		{"done", func(*Environment) {}, 6 * time.Second, api.CauseDone, 2, 0},
 		{"stopped", stopAll, time.Second, api.CauseStopped, 0, 5 * time.Second},
-		{"one told to stop", func(w *World) {
+		{"one told to stop", func(w *Environment) {
 			x := w.Cloud.Workers()[0]
 			x.execute([]api.Command{{Action: api.Stop, Task: api.TaskName("run-000001", 0), Attempt: 1, GraceS: &grace}})
 		}, 2 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
-		{"one lost", func(w *World) { w.Cloud.Terminate(w.Cloud.HostNames()[0]) }, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
+		{"one lost", func(w *Environment) { w.Cloud.Terminate(w.Cloud.HostNames()[0]) }, 3 * time.Second, api.CausePeerLost, 0, 4 * time.Second},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newTestWorld()
@@ -76,8 +76,8 @@
 			}
 			x.fault(w)
 			pass(w, x.after)
-			if task.phase != api.TaskEnded || task.cause != x.cause || len(j.Done) != x.done {
-				t.Errorf("%s, cause %q, %d tasks done", task.phase, task.cause, len(j.Done))
+			if task.phase != api.TaskEnded || task.cause != x.cause || len(j.DoneTasks) != x.done {
+				t.Errorf("%s, cause %q, %d tasks done", task.phase, task.cause, len(j.DoneTasks))
 			}
 			if saved := j.gang.saved.Truncate(time.Second); saved != x.saved {
 				t.Errorf("%v are saved", j.gang.saved)
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -21,13 +21,13 @@
 
 // machinesResponse is a page of the list of machines.
 type machinesResponse struct {
-	Hosts     []cloud.Host `json:"hosts"`
-	Truncated bool         `json:"truncated"`
+	Hosts     []cloud.Machine `json:"hosts"`
+	Truncated bool            `json:"truncated"`
 }
 
-// Cloud returns the handler of requests to the cloud. Machines get addresses of the loopback
+// CloudHandler returns the handler of requests to the cloud. Machines get addresses of the loopback
 // network, one each, at the given port.
-func (s *Server) Cloud(port int) http.Handler {
+func (s *Server) CloudHandler(port int) http.Handler {
 	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.w.Cloud}, port: port}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", c.machineTypes)
@@ -59,7 +59,7 @@
 	c.s.mu.Lock()
 	hosts, err := c.client.Rent(in.Context(), r)
 	for _, host := range hosts {
-		c.s.w.Cloud.Hosts[host].Addr = loopbackAddr(host, c.port)
+		c.s.w.Cloud.WorkersByHost[host].Addr = loopbackAddr(host, c.port)
 	}
 	c.s.mu.Unlock()
 	if err != nil {
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -15,19 +15,19 @@
 // run as processes of their own. The world's clock follows the real one.
 type Server struct {
 	mu             sync.Mutex // guards the world
-	w              *World
+	w              *Environment
 	changed        chan struct{} // closed at the next change of the state service
 	openedRevision uint64        // of the state service, when changed was made
 }
 
 // NewServer returns a server of a world, whose clock begins now.
-func NewServer(w *World) *Server {
+func NewServer(w *Environment) *Server {
 	w.Now = time.Now()
 	return &Server{w: w, changed: make(chan struct{})}
 }
 
-// With lets f look at the world, or change it.
-func (s *Server) With(f func(w *World)) {
+// WithLock lets f look at the world, or change it.
+func (s *Server) WithLock(f func(w *Environment)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.w)
@@ -45,7 +45,7 @@
 
 // Tick brings the world's clock up to now.
 func (s *Server) Tick() {
-	s.With(func(w *World) {
+	s.WithLock(func(w *Environment) {
 		if late := time.Since(w.Now); late > 0 {
 			w.Advance(late)
 		}
@@ -62,7 +62,7 @@
 
 // writeJSON answers a request.
 func writeJSON(out http.ResponseWriter, status int, v any) {
-	body := api.JSON(v)
+	body := api.MustMarshal(v)
 	out.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	out.WriteHeader(status)
 	_, _ = out.Write(body) // a client that is gone needs no response
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -68,8 +68,8 @@
 	LeaseID uint64 `json:"permit"`
 }
 
-// State returns the handler of requests to the state service.
-func (s *Server) State() http.Handler {
+// StateHandler returns the handler of requests to the state service.
+func (s *Server) StateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys/{key...}", s.getKey)
 	mux.HandleFunc("GET /keys", s.listKeys)
@@ -127,7 +127,7 @@
 		log, revision, err := s.w.Store.changes(in.FormValue("prefix"), since)
 		changed := s.changed
 		s.mu.Unlock()
-		if errors.Is(err, store.ErrTooOld) { // no other error is returned
+		if errors.Is(err, store.ErrChangesUnavailable) { // no other error is returned
 			writeJSON(out, http.StatusGone, errorResponse{err.Error()})
 			return
 		}
@@ -149,10 +149,10 @@
 func logEntries(log []store.Change) []json.RawMessage {
 	out := make([]json.RawMessage, 0, len(log))
 	for _, c := range log {
-		if c.Drop != "" {
-			out = append(out, api.JSON(dropEntry{c.Drop, c.Version}))
+		if c.DeletedKey != "" {
+			out = append(out, api.MustMarshal(dropEntry{c.DeletedKey, c.Version}))
 		} else {
-			out = append(out, api.JSON(writeEntry{c.Write, c.Value, c.Version}))
+			out = append(out, api.MustMarshal(writeEntry{c.WrittenKey, c.Value, c.Version}))
 		}
 	}
 	return out
@@ -168,7 +168,7 @@
 	s.announce()
 	s.mu.Unlock()
 	switch {
-	case errors.Is(err, store.ErrNoLease):
+	case errors.Is(err, store.ErrLeaseEnded):
 		writeJSON(out, http.StatusBadRequest, errorResponse{"no such lease"})
 	case err != nil:
 		writeJSON(out, http.StatusBadRequest, errorResponse{err.Error()})
--- a/internal/simulator/http_test.go
+++ b/internal/simulator/http_test.go
@@ -23,7 +23,7 @@
 // The state service and the cloud answer in PROTOCOL's words.
 func TestServerResponses(t *testing.T) {
 	s := NewServer(newTestWorld())
-	state, machines := s.State(), s.Cloud(7000)
+	state, machines := s.StateHandler(), s.CloudHandler(7000)
 	for _, x := range []struct {
 		name                 string
 		handler              http.Handler
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	if n := len(s.w.Cloud.Hosts); n != 0 {
+	if n := len(s.w.Cloud.WorkersByHost); n != 0 {
 		t.Errorf("%d machines are left", n)
 	}
 }
@@ -67,7 +67,7 @@
 // A watch is answered as soon as there is a change.
 func TestWatchIsWoken(t *testing.T) {
 	s := NewServer(newTestWorld())
-	server := httptest.NewServer(s.State())
+	server := httptest.NewServer(s.StateHandler())
 	t.Cleanup(server.Close)
 	answered := make(chan string, 1)
 	go func() {
@@ -80,7 +80,7 @@
 		b, _ := io.ReadAll(in.Body)
 		answered <- string(b)
 	}()
-	if status, _ := request(t, s.State(), "POST", "/multi", `{"then":[{"write":"a","v":7}]}`); status != 200 {
+	if status, _ := request(t, s.StateHandler(), "POST", "/multi", `{"then":[{"write":"a","v":7}]}`); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	if got := <-answered; got != `{"epoch":1,"log":[{"write":"a","v":7,"stamp":1}]}` {
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -7,10 +7,10 @@
 	"violetturn/internal/api"
 )
 
-// Workers returns the handler of direct requests to workers. Which worker is meant shows in
+// WorkerHandler returns the handler of direct requests to workers. Which worker is meant shows in
 // the address that was connected to.
-func (s *Server) Workers() http.Handler {
-	h := &workersHandler{s: s, client: &CommandClient{World: s.w}}
+func (s *Server) WorkerHandler() http.Handler {
+	h := &workersHandler{s: s, client: &CommandClient{Environment: s.w}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", h.commands)
 	mux.HandleFunc("GET /show", h.status)
@@ -43,7 +43,7 @@
 
 func (h *workersHandler) status(out http.ResponseWriter, in *http.Request) {
 	h.s.mu.Lock()
-	heartbeat, err := h.client.Status(in.Context(), localAddr(in))
+	heartbeat, err := h.client.FetchHeartbeat(in.Context(), localAddr(in))
 	h.s.mu.Unlock()
 	if err != nil {
 		panic(http.ErrAbortHandler) // no response
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -15,18 +15,18 @@
 
 // Rules that are checked.
 const (
-	RuleRanTwice     Rule = "ran_twice"     // a task runs on one machine at a time
-	RuleRanCancelled Rule = "ran_cancelled" // no task runs for long after its user was told of the cancellation
-	RuleQuota        Rule = "quota"         // a team's tasks keep to its limit
-	RuleWrongPlace   Rule = "wrong_place"   // a task runs only where its job allows
-	RuleAttempts     Rule = "attempts"      // attempts of a gang do not overlap, and their numbers rise
-	RuleCommands     Rule = "orders"        // commands name tasks that there are
-	RuleLimits       Rule = "limits"        // transactions and values keep to the announced sizes
-	RuleInvented     Rule = "invented"      // a job that nobody submitted is not known
-	RuleWentBack     Rule = "went_back"     // a final phase does not change
-	RuleNotDone      Rule = "not_done"      // a job is done only when all its tasks are
-	RuleForgotten    Rule = "forgotten"     // an accepted job stays known
-	RuleWaiting      Rule = "waiting"       // nothing waits for long while there is room
+	RuleRanTwice          Rule = "ran_twice"     // a task runs on one machine at a time
+	RuleRanAfterCancel    Rule = "ran_cancelled" // no task runs for long after its user was told of the cancellation
+	RuleQuota             Rule = "quota"         // a team's tasks keep to its limit
+	RulePlacement         Rule = "wrong_place"   // a task runs only where its job allows
+	RuleGangAttempts      Rule = "attempts"      // attempts of a gang do not overlap, and their numbers rise
+	RuleCommands          Rule = "orders"        // commands name tasks that there are
+	RuleLimits            Rule = "limits"        // transactions and values keep to the announced sizes
+	RuleUnknownJob        Rule = "invented"      // a job that nobody submitted is not known
+	RuleFinalPhaseChanged Rule = "went_back"     // a final phase does not change
+	RuleNotDone           Rule = "not_done"      // a job is done only when all its tasks are
+	RuleAcceptedJobLost   Rule = "forgotten"     // an accepted job stays known
+	RuleWaitedTooLong     Rule = "waiting"       // nothing waits for long while there is room
 )
 
 // roundingError is by how much sums of resources may differ from what they stand for.
@@ -44,25 +44,25 @@
 	return fmt.Sprintf("%s at %s: %s", v.Rule, v.At.Format("15:04:05.000"), v.Detail)
 }
 
-// Violate records a broken rule.
-func (w *World) Violate(rule Rule, format string, args ...any) {
+// RecordViolation records a broken rule.
+func (w *Environment) RecordViolation(rule Rule, format string, args ...any) {
 	w.Violations = append(w.Violations, Violation{rule, w.Now, fmt.Sprintf(format, args...)})
 }
 
 // checkCancelled checks that no task is on a machine too long after its user was told that
 // its job is cancelled.
-func (w *World) checkCancelled() {
+func (w *Environment) checkCancelled() {
 	for _, x := range w.Cloud.Workers() {
 		for _, t := range x.Tasks {
 			if told := t.job.CancelConfirmed; !told.IsZero() && w.Now.Sub(told) > w.CancelTimeout && t.isOnMachine() {
-				w.Violate(RuleRanCancelled, "%s is on %s", t.name(), x.Host)
+				w.RecordViolation(RuleRanAfterCancel, "%s is on %s", t.name(), x.Host)
 			}
 		}
 	}
 }
 
 // taskStarted checks the rules at the moment when a task has its image.
-func (w *World) taskStarted(x *Worker, t *Task) {
+func (w *Environment) taskStarted(x *Worker, t *Task) {
 	if w.OnTaskStarted != nil {
 		w.OnTaskStarted(x, t.uid)
 	}
@@ -81,41 +81,41 @@
 				tasksByZone[other.Zone]++
 			}
 			if o.uid == t.uid && o.index == t.index && other != x {
-				w.Violate(RuleRanTwice, "%s starts on %s while on %s", t.name(), x.Host, other.Host)
+				w.RecordViolation(RuleRanTwice, "%s starts on %s while on %s", t.name(), x.Host, other.Host)
 			}
 		}
 	}
 	if limit := w.TeamGPULimits[spec.Team]; limit > 0 && teamGPUs > limit+roundingError {
-		w.Violate(RuleQuota, "%s uses %g of %g", spec.Team, teamGPUs, limit)
+		w.RecordViolation(RuleQuota, "%s uses %g of %g", spec.Team, teamGPUs, limit)
 	}
 	w.checkPlacement(x, t, tasksByZone)
 }
 
 // checkPlacement checks that a task that starts is where its job allows, given the zones of
 // the job's other tasks.
-func (w *World) checkPlacement(x *Worker, t *Task, tasksByZone map[string]int) {
+func (w *Environment) checkPlacement(x *Worker, t *Task, tasksByZone map[string]int) {
 	spec := &t.job.Spec
 	wrongZone := spec.Zone != "" && spec.Zone != x.Zone
 	wrongType := spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, x.MachineType)
-	if wrongZone || wrongType || x.Spot && !spec.Spot {
-		w.Violate(RuleWrongPlace, "%s on %s", t.name(), x.Host)
+	if wrongZone || wrongType || x.Spot && !spec.AllowSpot {
+		w.RecordViolation(RulePlacement, "%s on %s", t.name(), x.Host)
 	}
 	if here := tasksByZone[x.Zone] + 1; spec.Spread && here > int(math.Ceil(float64(spec.Tasks)/2)) {
-		w.Violate(RuleWrongPlace, "%s is number %d in %s of %d", t.name(), here, x.Zone, spec.Tasks)
+		w.RecordViolation(RulePlacement, "%s is number %d in %s of %d", t.name(), here, x.Zone, spec.Tasks)
 	}
-	if !spec.Together {
+	if !spec.SingleZone {
 		return
 	}
 	for zone := range tasksByZone {
 		if zone != x.Zone {
-			w.Violate(RuleWrongPlace, "%s in %s, others in %s", t.name(), x.Zone, zone)
+			w.RecordViolation(RulePlacement, "%s in %s, others in %s", t.name(), x.Zone, zone)
 		}
 	}
 }
 
-// CheckResponse checks what a user was told of a job; status is the HTTP status of the
+// CheckUserResponse checks what a user was told of a job; status is the HTTP status of the
 // response, and submission says that it answers a submission.
-func (w *World) CheckResponse(uid string, status int, phase api.JobPhase, submission bool) {
+func (w *Environment) CheckUserResponse(uid string, status int, phase api.JobPhase, submission bool) {
 	j := w.Jobs[uid]
 	if status == http.StatusOK || status == http.StatusCreated {
 		w.checkPhase(j, uid, phase)
@@ -123,29 +123,29 @@
 	}
 	refused := submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j != nil && j.Accepted && (status == http.StatusNotFound || refused) {
-		w.Violate(RuleForgotten, "%s answered %d", uid, status)
+		w.RecordViolation(RuleAcceptedJobLost, "%s answered %d", uid, status)
 	}
 }
 
 // checkPhase checks the phase that a user was told of a job, which is nil for one that
 // nobody submitted.
-func (w *World) checkPhase(j *Job, uid string, phase api.JobPhase) {
+func (w *Environment) checkPhase(j *Job, uid string, phase api.JobPhase) {
 	if j == nil {
-		w.Violate(RuleInvented, "%s is %s", uid, phase)
+		w.RecordViolation(RuleUnknownJob, "%s is %s", uid, phase)
 		return
 	}
 	if j.FinalPhase != "" && phase != j.FinalPhase {
-		w.Violate(RuleWentBack, "%s was %s and is %s", uid, j.FinalPhase, phase)
+		w.RecordViolation(RuleFinalPhaseChanged, "%s was %s and is %s", uid, j.FinalPhase, phase)
 	}
 	switch phase {
 	case api.JobDone:
-		if len(j.Done) < j.Spec.Tasks {
-			w.Violate(RuleNotDone, "%s with %d of %d tasks done", uid, len(j.Done), j.Spec.Tasks)
+		if len(j.DoneTasks) < j.Spec.Tasks {
+			w.RecordViolation(RuleNotDone, "%s with %d of %d tasks done", uid, len(j.DoneTasks), j.Spec.Tasks)
 		}
 		j.FinalPhase = phase
 	case api.JobCancelled:
 		if !j.CancelRequested {
-			w.Violate(RuleWentBack, "%s is cancelled without its user", uid)
+			w.RecordViolation(RuleFinalPhaseChanged, "%s is cancelled without its user", uid)
 		}
 		if j.CancelConfirmed.IsZero() {
 			j.CancelConfirmed = w.Now
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -18,16 +18,16 @@
 		rule       Rule // that is broken; "": none
 	}{
 		{"accepted", &Job{}, 201, "pending", true, ""},
-		{"unknown to its user", nil, 200, "pending", false, RuleInvented},
+		{"unknown to its user", nil, 200, "pending", false, RuleUnknownJob},
 		{"unknown", nil, 404, "", false, ""},
 		{"refused", &Job{}, 422, "", true, ""},
-		{"accepted and unknown", &Job{Accepted: true}, 404, "", false, RuleForgotten},
-		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleForgotten},
+		{"accepted and unknown", &Job{Accepted: true}, 404, "", false, RuleAcceptedJobLost},
+		{"accepted and refused", &Job{Accepted: true}, 422, "", true, RuleAcceptedJobLost},
 		{"accepted, the service is down", &Job{Accepted: true}, 503, "", true, ""},
-		{"done too early", &Job{Spec: api.Job{Tasks: 2}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
-		{"done", &Job{Spec: api.Job{Tasks: 1}, Done: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
-		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleWentBack},
-		{"cancelled by nobody", &Job{}, 200, api.JobCancelled, false, RuleWentBack},
+		{"done too early", &Job{Spec: api.Job{Tasks: 2}, DoneTasks: map[int]bool{0: true}}, 200, api.JobDone, false, RuleNotDone},
+		{"done", &Job{Spec: api.Job{Tasks: 1}, DoneTasks: map[int]bool{0: true}}, 200, api.JobDone, false, ""},
+		{"done and pending", &Job{FinalPhase: api.JobDone}, 200, "pending", false, RuleFinalPhaseChanged},
+		{"cancelled by nobody", &Job{}, 200, api.JobCancelled, false, RuleFinalPhaseChanged},
 		{"cancelled", &Job{CancelRequested: true}, 200, api.JobCancelled, false, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			if x.job != nil {
 				w.Jobs["run-000001"] = x.job
 			}
-			w.CheckResponse("run-000001", x.status, x.phase, x.submission)
+			w.CheckUserResponse("run-000001", x.status, x.phase, x.submission)
 			switch {
 			case x.rule == "" && len(w.Violations) > 0:
 				t.Error(w.Violations)
@@ -51,14 +51,14 @@
 func TestTaskRules(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		change func(w *World, j *Job)
+		change func(w *Environment, j *Job)
 		rule   Rule
 	}{
-		{"allowed", func(*World, *Job) {}, ""},
-		{"team at its limit", func(w *World, _ *Job) { w.TeamGPULimits["a"] = 1 }, RuleQuota},
-		{"another zone", func(_ *World, j *Job) { j.Spec.Zone = "y" }, RuleWrongPlace},
-		{"spread", func(_ *World, j *Job) { j.Spec.Spread = true }, RuleWrongPlace},
-		{"cancelled", func(w *World, j *Job) { j.CancelConfirmed = w.Now.Add(-w.CancelTimeout) }, RuleRanCancelled},
+		{"allowed", func(*Environment, *Job) {}, ""},
+		{"team at its limit", func(w *Environment, _ *Job) { w.TeamGPULimits["a"] = 1 }, RuleQuota},
+		{"another zone", func(_ *Environment, j *Job) { j.Spec.Zone = "y" }, RulePlacement},
+		{"spread", func(_ *Environment, j *Job) { j.Spec.Spread = true }, RulePlacement},
+		{"cancelled", func(w *Environment, j *Job) { j.CancelConfirmed = w.Now.Add(-w.CancelTimeout) }, RuleRanAfterCancel},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := newTestWorld()
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -19,13 +19,13 @@
 }
 
 // checkAvailable returns why a request is not served: store.ErrRefused for 503,
-// store.ErrUnknown for no response at all.
+// store.ErrOutcomeUnknown for no response at all.
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
-	case c.Store.Unreachable[c.Node]:
-		err = store.ErrUnknown
-	case c.Store.Down || c.Store.Refused[c.Node]:
+	case c.Store.UnreachableNodes[c.Node]:
+		err = store.ErrOutcomeUnknown
+	case c.Store.Down || c.Store.RefusedNodes[c.Node]:
 		err = store.ErrRefused
 	}
 	if c.OnServed != nil {
@@ -68,18 +68,18 @@
 	if err := c.checkAvailable(); err != nil {
 		return store.CommitResult{}, err
 	}
-	c.Store.Writes += len(t.Ops)
+	c.Store.SentWrites += len(t.Ops)
 	c.checkSize(t)
 	switch c.Store.takeNextFault(c.Node) {
 	case NoFault:
 	case RequestLost:
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	case Delayed:
 		c.Store.delayed = append(c.Store.delayed, t)
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	case ResponseLost:
 		_, _ = c.Store.apply(t) // the response is lost
-		return store.CommitResult{}, store.ErrUnknown
+		return store.CommitResult{}, store.ErrOutcomeUnknown
 	}
 	return c.Store.apply(t)
 }
@@ -87,20 +87,20 @@
 // checkSize checks that a transaction is within the limits that the node knows.
 func (c *StoreClient) checkSize(t *store.Txn) {
 	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > guardsPerOp*c.TxnOps {
-		c.Store.w.Violate(RuleLimits, "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
+		c.Store.w.RecordViolation(RuleLimits, "transaction of %d changes, %d guards", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
 		if len(op.Value) > c.MaxValueBytes {
-			c.Store.w.Violate(RuleLimits, "%s has %d bytes", op.Write, len(op.Value))
+			c.Store.w.RecordViolation(RuleLimits, "%s has %d bytes", op.WriteKey, len(op.Value))
 		}
 	}
 }
 
-// AwaitWrites returns n: any number of changes can be sent.
-func (c *StoreClient) AwaitWrites(_ context.Context, n int, _ store.Priority) int { return n }
+// AwaitWriteBudget returns n: any number of changes can be sent.
+func (c *StoreClient) AwaitWriteBudget(_ context.Context, n int, _ store.Priority) int { return n }
 
-// SetControllers does nothing: there is no budget to share.
-func (c *StoreClient) SetControllers(int) {}
+// SetControllerCount does nothing: there is no budget to share.
+func (c *StoreClient) SetControllerCount(int) {}
 
 // ReserveForGangs does nothing: there is no budget to reserve of.
 func (c *StoreClient) ReserveForGangs(float64) {}
@@ -108,8 +108,8 @@
 // LowerLimits does nothing: there is no budget to lower.
 func (c *StoreClient) LowerLimits() {}
 
-// Used returns the requests and changes that were sent: there is no budget, so none count.
-func (c *StoreClient) Used() (requests, writes float64) { return 0, 0 }
+// TokensUsed returns the requests and changes that were sent: there is no budget, so none count.
+func (c *StoreClient) TokensUsed() (requests, writes float64) { return 0, 0 }
 
 // GrantLease makes a lease.
 func (c *StoreClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -33,8 +33,8 @@
 
 // StoreCounters count what the state service was asked for.
 type StoreCounters struct {
-	Writes   int // changes in transactions, those of refused ones too
-	TooLarge int // transactions that were refused for their size
+	SentWrites      int // changes in transactions, those of refused ones too
+	RefusedTooLarge int // transactions that were refused for their size
 }
 
 // Store is the state service: versioned keys, transactions, leases and a log of changes.
@@ -42,9 +42,9 @@
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	Refused map[string]bool // nodes that get 503
+	RefusedNodes map[string]bool // nodes that get 503
 
-	w           *World
+	w           *Environment
 	revision    uint64
 	keys        map[string]storedValue
 	log         []store.Change
@@ -61,10 +61,10 @@
 }
 
 // newStore returns an empty state service.
-func newStore(w *World) *Store {
+func newStore(w *Environment) *Store {
 	return &Store{
 		ServiceFaults: newServiceFaults(),
-		Refused:       map[string]bool{},
+		RefusedNodes:  map[string]bool{},
 		w:             w,
 		keys:          map[string]storedValue{},
 		leases:        map[uint64]*lease{},
@@ -109,15 +109,15 @@
 
 // apply carries out a transaction and returns its outcome.
 //
-// It returns store.ErrTooLarge and store.ErrNoLease for transactions that are refused.
+// It returns store.ErrTooLarge and store.ErrLeaseEnded for transactions that are refused.
 func (s *Store) apply(t *store.Txn) (store.CommitResult, error) {
 	if !s.accept(t) {
-		s.TooLarge++
+		s.RefusedTooLarge++
 		return store.CommitResult{}, store.ErrTooLarge
 	}
 	for _, op := range t.Ops {
 		if op.Lease != nil && s.leases[*op.Lease] == nil {
-			return store.CommitResult{}, store.ErrNoLease
+			return store.CommitResult{}, store.ErrLeaseEnded
 		}
 	}
 	var conflicts []string
@@ -138,10 +138,10 @@
 
 // applyOp carries out one change of a transaction, at the current revision.
 func (s *Store) applyOp(op store.Op) {
-	if op.Drop != "" {
-		if _, ok := s.keys[op.Drop]; ok {
-			delete(s.keys, op.Drop)
-			s.note(store.Change{Drop: op.Drop, Version: s.revision})
+	if op.DeleteKey != "" {
+		if _, ok := s.keys[op.DeleteKey]; ok {
+			delete(s.keys, op.DeleteKey)
+			s.note(store.Change{DeletedKey: op.DeleteKey, Version: s.revision})
 		}
 		return
 	}
@@ -149,8 +149,8 @@
 	if op.Lease != nil {
 		it.leaseID = *op.Lease
 	}
-	s.keys[op.Write] = it
-	s.note(store.Change{Write: op.Write, Value: op.Value, Version: s.revision})
+	s.keys[op.WriteKey] = it
+	s.note(store.Change{WrittenKey: op.WriteKey, Value: op.Value, Version: s.revision})
 }
 
 // lease is a lease of the state service; the keys that were written with it end with it.
@@ -178,11 +178,11 @@
 	return s.lastLeaseID
 }
 
-// renewLease gives a lease its full time again, or returns store.ErrNoLease.
+// renewLease gives a lease its full time again, or returns store.ErrLeaseEnded.
 func (s *Store) renewLease(id uint64) error {
 	l := s.leases[id]
 	if l == nil {
-		return store.ErrNoLease
+		return store.ErrLeaseEnded
 	}
 	l.end = s.w.Now.Add(l.ttl)
 	return nil
@@ -204,6 +204,6 @@
 	s.revision++
 	for _, key := range drop {
 		delete(s.keys, key)
-		s.note(store.Change{Drop: key, Version: s.revision})
+		s.note(store.Change{DeletedKey: key, Version: s.revision})
 	}
 }
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -11,17 +11,17 @@
 )
 
 // newTestWorld returns a world with one machine type and short times.
-func newTestWorld() *World {
-	w := New(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, Boot: time.Second, Fetch: time.Second}
+func newTestWorld() *Environment {
+	w := NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	w.MachineType = MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: time.Second, FetchTime: time.Second}
 	w.Zones = []string{"x"}
-	w.Lease, w.CancelTimeout = 10*time.Second, 40*time.Second
-	w.GangWait, w.GangPeer = 5*time.Second, 2*time.Second
+	w.WorkerLease, w.CancelTimeout = 10*time.Second, 40*time.Second
+	w.GangStartTimeout, w.PeerLossTimeout = 5*time.Second, 2*time.Second
 	return w
 }
 
 // newTestClient returns a node's client of a world's state service.
-func newTestClient(w *World) *StoreClient {
+func newTestClient(w *Environment) *StoreClient {
 	return &StoreClient{Store: w.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
 }
 
@@ -29,7 +29,7 @@
 func write(keys ...string) *store.Txn {
 	t := &store.Txn{}
 	for _, key := range keys {
-		t.Ops = append(t.Ops, store.Op{Write: key, Value: json.RawMessage("1")})
+		t.Ops = append(t.Ops, store.Op{WriteKey: key, Value: json.RawMessage("1")})
 	}
 	return t
 }
@@ -42,9 +42,9 @@
 		atOnce, afterDeliveries int // keys that there are
 	}{
 		{NoFault, nil, 1, 1},
-		{RequestLost, store.ErrUnknown, 0, 0},
-		{ResponseLost, store.ErrUnknown, 1, 1},
-		{Delayed, store.ErrUnknown, 0, 1},
+		{RequestLost, store.ErrOutcomeUnknown, 0, 0},
+		{ResponseLost, store.ErrOutcomeUnknown, 1, 1},
+		{Delayed, store.ErrOutcomeUnknown, 0, 1},
 	} {
 		t.Run(x.fault.String(), func(t *testing.T) {
 			w := newTestWorld()
@@ -110,10 +110,10 @@
 	}
 	w.Advance(100 * time.Millisecond)
 	changes, _, err := c.Changes(context.Background(), "", since, 0)
-	if err != nil || len(changes) != 3 || changes[0].Drop != "c" || changes[1].Drop != "b" || changes[2].Drop != "a" {
+	if err != nil || len(changes) != 3 || changes[0].DeletedKey != "c" || changes[1].DeletedKey != "b" || changes[2].DeletedKey != "a" {
 		t.Errorf("%v, %v", changes, err)
 	}
-	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrNoLease) {
+	if err := c.RenewLease(context.Background(), 1); !errors.Is(err, store.ErrLeaseEnded) {
 		t.Errorf("an ended lease is renewed: %v", err)
 	}
 }
@@ -124,7 +124,7 @@
 	c := newTestClient(w)
 	result, _ := c.Commit(context.Background(), write("a"), 0) // a failure shows below
 	w.Store.ExpireHistory()
-	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrTooOld) {
+	if _, _, err := c.Changes(context.Background(), "", result.Revision, 0); !errors.Is(err, store.ErrChangesUnavailable) {
 		t.Errorf("changes since %d: %v", result.Revision, err)
 	}
 	if _, _, err := c.Changes(context.Background(), "", w.Store.revision-1, 0); err != nil {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,29 +13,29 @@
 
 // NewJob returns the n-th job of a class and how long each of its tasks runs. It draws from
 // rnd in a fixed order.
-func (c *Class) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
-	tasks := 1 + rnd.IntN(2*c.Tasks)
-	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.Images))
+func (c *JobClass) NewJob(n int, rnd *rand.Rand) (api.Job, time.Duration) {
+	tasks := 1 + rnd.IntN(2*c.MeanTasks)
+	image := fmt.Sprintf("%s-%d", c.Name, rnd.IntN(c.ImageCount))
 	j := api.Job{
-		UID:         fmt.Sprintf("run-%06d", n),
-		Class:       c.Name,
-		Team:        teams[n%len(teams)],
-		Kind:        api.Array,
-		Priority:    "standard",
-		Tasks:       tasks,
-		CPUs:        c.CPUs,
-		GPUs:        1,
-		MemGB:       c.MemGB,
-		Image:       image,
-		ImageGB:     4,
-		Spot:        true,
-		EstimateS:   c.RunTime.Seconds(),
-		CheckpointS: 30,
-		SaveS:       2,
+		UID:                 fmt.Sprintf("run-%06d", n),
+		Class:               c.Name,
+		Team:                teams[n%len(teams)],
+		Kind:                api.Array,
+		Priority:            "standard",
+		Tasks:               tasks,
+		CPUs:                c.CPUs,
+		GPUs:                1,
+		MemGB:               c.MemGB,
+		Image:               image,
+		ImageGB:             4,
+		AllowSpot:           true,
+		EstimatedRunS:       c.RunTime.Seconds(),
+		CheckpointIntervalS: 30,
+		SaveDurationS:       2,
 	}
 	if c.Service {
-		j.Kind, j.Priority, j.Spot, j.Spread = api.Service, "production", false, true
-		j.EstimateS, j.CheckpointS, j.SaveS = 0, 0, 0
+		j.Kind, j.Priority, j.AllowSpot, j.Spread = api.Service, "production", false, true
+		j.EstimatedRunS, j.CheckpointIntervalS, j.SaveDurationS = 0, 0, 0
 	}
 	return j, time.Duration(float64(c.RunTime) * (0.5 + rnd.Float64()))
 }
@@ -64,7 +64,7 @@
 
 // Submission returns the body with which a user submits a job.
 func Submission(j *api.Job) []byte {
-	return api.JSON(submissionBody{
+	return api.MustMarshal(submissionBody{
 		UID:         j.UID,
 		Class:       j.Class,
 		Team:        j.Team,
@@ -77,11 +77,11 @@
 		Image:       j.Image,
 		ImageGB:     j.ImageGB,
 		Zone:        j.Zone,
-		Together:    j.Together,
+		Together:    j.SingleZone,
 		Spread:      j.Spread,
-		Spot:        j.Spot,
-		EstimateS:   j.EstimateS,
-		CheckpointS: j.CheckpointS,
-		SaveS:       j.SaveS,
+		Spot:        j.AllowSpot,
+		EstimateS:   j.EstimatedRunS,
+		CheckpointS: j.CheckpointIntervalS,
+		SaveS:       j.SaveDurationS,
 	})
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -28,20 +28,20 @@
 	Tasks []*Task
 	Node  int // the controller that it reports to
 
-	w                            *World
+	w                            *Environment
 	rentedAt, upAt, terminatedAt time.Time
 	renewedAt                    time.Time // when the last heartbeat that was answered was sent
 	epochStartedAt               time.Time // when the agent epoch began
 }
 
 // newWorker returns the worker of a machine that is rented now.
-func newWorker(w *World, m Machine) *Worker {
+func newWorker(w *Environment, m Machine) *Worker {
 	return &Worker{
 		Machine:    m,
 		AgentState: AgentState{AgentEpoch: 1},
 		w:          w,
 		rentedAt:   w.Now,
-		upAt:       w.Now.Add(w.MachineType.Boot),
+		upAt:       w.Now.Add(w.MachineType.BootTime),
 	}
 }
 
@@ -69,12 +69,12 @@
 	return t.phase == api.TaskRunning || t.phase == api.TaskSaving || t.phase == api.TaskGathering
 }
 
-// Up reports whether the machine has booted.
-func (x *Worker) Up() bool { return !x.w.Now.Before(x.upAt) }
+// Booted reports whether the machine has booted.
+func (x *Worker) Booted() bool { return !x.w.Now.Before(x.upAt) }
 
 // tick ends the worker's lease if its time is over, and else advances its tasks.
 func (x *Worker) tick() {
-	if !x.Up() {
+	if !x.Booted() {
 		return
 	}
 	if x.epochStartedAt.IsZero() {
@@ -101,7 +101,7 @@
 	if x.renewedAt.After(last) {
 		last = x.renewedAt
 	}
-	return x.w.Now.Sub(last) > x.w.Lease
+	return x.w.Now.Sub(last) > x.w.WorkerLease
 }
 
 // tickTask advances a task. Gangs run in tickGangs.
@@ -109,7 +109,7 @@
 	inPhase := x.w.Now.Sub(t.since)
 	switch t.phase {
 	case api.TaskFetching:
-		if inPhase < x.w.MachineType.Fetch {
+		if inPhase < x.w.MachineType.FetchTime {
 			return
 		}
 		t.phase, t.since = api.TaskRunning, x.w.Now
@@ -130,8 +130,8 @@
 	}
 }
 
-// PresentJobs names the job of each task that takes room on the machine.
-func (x *Worker) PresentJobs() []string {
+// UnfinishedTaskJobs names the job of each task that takes room on the machine.
+func (x *Worker) UnfinishedTaskJobs() []string {
 	var out []string
 	for _, t := range x.Tasks {
 		if t.phase != api.TaskEnded {
@@ -141,8 +141,8 @@
 	return out
 }
 
-// Room returns what the machine's tasks leave of its CPUs and GPUs.
-func (x *Worker) Room() (cpus, gpus float64) {
+// FreeCapacity returns what the machine's tasks leave of its CPUs and GPUs.
+func (x *Worker) FreeCapacity() (cpus, gpus float64) {
 	cpus, gpus = x.w.MachineType.CPUs, x.w.MachineType.GPUs
 	for _, t := range x.Tasks {
 		if t.phase != api.TaskEnded {
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -11,7 +11,7 @@
 	for _, o := range commands {
 		uid, index, ok := api.SplitTaskName(o.Task)
 		if !ok {
-			x.w.Violate(RuleCommands, "task %q", o.Task)
+			x.w.RecordViolation(RuleCommands, "task %q", o.Task)
 			continue
 		}
 		at := slices.IndexFunc(x.Tasks, func(t *Task) bool { return t.uid == uid && t.index == index && t.attempt == o.Attempt })
@@ -34,8 +34,8 @@
 		x.stopGangTask(t, graceS)
 		return
 	}
-	if t.phase == api.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS {
-		t.phase, t.saveUntil = api.TaskSaving, x.w.Now.Add(seconds(spec.SaveS))
+	if t.phase == api.TaskRunning && spec.CheckpointIntervalS > 0 && graceS != nil && *graceS >= spec.SaveDurationS {
+		t.phase, t.saveUntil = api.TaskSaving, x.w.Now.Add(seconds(spec.SaveDurationS))
 	} else if t.phase != api.TaskSaving || graceS == nil || *graceS == 0 {
 		t.end(api.CauseStopped)
 	}
@@ -46,22 +46,22 @@
 func (x *Worker) launch(uid string, index int, attempt uint64) {
 	j := x.w.Jobs[uid]
 	if j == nil || index >= j.Spec.Tasks {
-		x.w.Violate(RuleCommands, "launch of unknown %s", uid)
+		x.w.RecordViolation(RuleCommands, "launch of unknown %s", uid)
 		return
 	}
 	if !j.CancelConfirmed.IsZero() {
-		x.w.LateStarts++
+		x.w.LaunchesAfterCancel++
 	}
 	if j.Spec.Kind == api.Gang {
 		x.w.launchGangTask(j, index, attempt)
 	}
 	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: x.w.Now}
-	cpus, gpus := x.Room()
+	cpus, gpus := x.FreeCapacity()
 	switch {
 	case slices.ContainsFunc(x.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
 		t.end(api.CauseBusy)
 	case j.Spec.GPUs > gpus+roundingError || j.Spec.CPUs > cpus+roundingError:
-		t.end(api.CauseNoRoom)
+		t.end(api.CauseInsufficientResources)
 	}
 	x.Tasks = append(x.Tasks, t)
 }
--- a/internal/simulator/worker_heartbeat.go
+++ b/internal/simulator/worker_heartbeat.go
@@ -30,8 +30,8 @@
 	return h
 }
 
-// Summary stands for all in a heartbeat whose change has the worker report at once.
-func (x *Worker) Summary() string {
+// StateSummary stands for all in a heartbeat whose change has the worker report at once.
+func (x *Worker) StateSummary() string {
 	var b strings.Builder
 	fmt.Fprint(&b, x.AgentEpoch, x.Token, x.SpotNoticeS != nil)
 	for _, t := range x.Tasks {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -28,9 +28,9 @@
 	Catalog        *catalog.Catalog       // machine types that the cloud offers
 	Agents         *agent.Registry        // workers of the shards that this controller leads
 	DirectCommands *agent.DirectCommands  // commands sent to workers outside of heartbeat responses
-	FreeCapacity   *capacity.Room         // free capacity of machines
+	FreeCapacity   *capacity.Calculator   // free capacity of machines
 	Zones          *zonestate.Zones       // health of zones
-	Capacity       *capacity.Accounts     // capacity records and quotas
+	Capacity       *capacity.Accounting   // capacity records and quotas
 	Scheduler      *scheduler.Scheduler   // placement of tasks
 	Autoscaler     *autoscaler.Autoscaler // rentals and returns of machines
 	Reconciler     *reconcile.Reconciler  // responses to heartbeats
@@ -66,14 +66,14 @@
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
 	})
 	s.DirectCommands = agent.NewDirectCommands(s.Agents)
-	s.FreeCapacity = capacity.NewRoom(capacity.RoomDeps{
+	s.FreeCapacity = capacity.NewCalculator(capacity.CalculatorDeps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
 	s.Zones = zonestate.New(zonestate.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
-	s.Capacity = capacity.NewAccounts(capacity.AccountDeps{
-		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Room: s.FreeCapacity,
+	s.Capacity = capacity.NewAccounting(capacity.AccountingDeps{
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, FreeCapacity: s.FreeCapacity,
 	})
 }
 
@@ -86,7 +86,7 @@
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Commands: s.DirectCommands, Room: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Capacity: s.Capacity,
+		Commands: s.DirectCommands, FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Capacity,
 		Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
@@ -97,7 +97,7 @@
 
 // JobAdded implements statecache.Observer. It records the arrival, from which future arrivals of
 // the job's class are estimated.
-func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Note(record) }
+func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Record(record) }
 
 // JobEnded implements statecache.Observer. It caches the final state of the job for users' queries.
 func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -230,10 +230,10 @@
 // ApplyChanges applies the changes up to a revision, which were requested at readAt.
 func (c *Cache) ApplyChanges(changes []store.Change, revision uint64, readAt time.Time) {
 	for _, change := range changes {
-		if change.Drop != "" {
-			c.Apply(change.Drop, nil, change.Version)
+		if change.DeletedKey != "" {
+			c.Apply(change.DeletedKey, nil, change.Version)
 		} else {
-			c.Apply(change.Write, change.Value, change.Version)
+			c.Apply(change.WrittenKey, change.Value, change.Version)
 		}
 	}
 	c.AdvanceRevision(revision)
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -58,7 +58,7 @@
 // gang do so only if all of them are commanded to stop, because the save fails if one is missing.
 func (j *Job) SavesOnStop() bool {
 	gang := j.Record.Gang
-	return !j.IsCancelled() && j.Record.Spec.CheckpointS > 0 && (!j.IsGang() || gang != nil && gang.Stopping)
+	return !j.IsCancelled() && j.Record.Spec.CheckpointIntervalS > 0 && (!j.IsGang() || gang != nil && gang.Stopping)
 }
 
 // PlacedAtMS returns when a task was placed, as Unix time in milliseconds.
@@ -87,13 +87,13 @@
 }
 
 // UserState returns the state of the job that is reported to users. A cancellation is reported at
-// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelWhenEmpty), when the job has no
+// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelAfterTasksEnd), when the job has no
 // task left on a machine.
-func (j *Job) UserState(confirmsEmpty bool) api.State {
-	state := api.State{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
+func (j *Job) UserState(confirmsEmpty bool) api.JobState {
+	state := api.JobState{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
 	gang := j.Record.Gang
 	if gang != nil && gang.Done { // committed, although not all records of the job are deleted yet
-		return api.State{UID: state.UID, Phase: api.JobDone, Done: j.Record.Spec.Tasks}
+		return api.JobState{UID: state.UID, Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 	}
 	for index, r := range j.Ranges {
 		if !j.Record.RangeFinished(index) {
@@ -131,7 +131,7 @@
 		Need:         ResourcesOf(spec),
 		MachineTypes: spec.MachineTypes,
 		Zone:         spec.Zone,
-		AllowSpot:    spec.Spot,
+		AllowSpot:    spec.AllowSpot,
 		Image:        spec.Image,
 		Service:      spec.Kind == api.Service,
 	}
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -46,7 +46,7 @@
 	if _, ok := t.writes[key]; !ok {
 		t.order = append(t.order, key)
 	}
-	t.writes[key] = api.JSON(record)
+	t.writes[key] = api.MustMarshal(record)
 }
 
 // PutWithLease adds a write of a record that the state service deletes when a lease ends.
@@ -109,13 +109,13 @@
 // operation returns the write or deletion of a key; ok is false if there is none.
 func (t *Transaction) operation(key string) (op store.Op, ok bool) {
 	if t.deletes[key] {
-		return store.Op{Drop: key}, true
+		return store.Op{DeleteKey: key}, true
 	}
 	value := t.writes[key]
 	if value == nil {
 		return store.Op{}, false
 	}
-	op = store.Op{Write: key, Value: value}
+	op = store.Op{WriteKey: key, Value: value}
 	if leaseID, ok := t.leases[key]; ok {
 		op.Lease = &leaseID
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -26,13 +26,13 @@
 
 // Options are what a client is made with.
 type Options struct {
-	HTTP        *transport.Client
-	Addr        string
-	Deadline    time.Duration // of an ordinary request, its wait for tokens aside
-	Limits      Limits        // those that hold now
-	Next        Limits        // what they become at some moment, which shows in refusals
-	Controllers int           // that share the limits
-	OnAnswer    func(ok bool) // called after each request: whether the service served it
+	HTTP            *transport.Client
+	Addr            string
+	Timeout         time.Duration // of an ordinary request, its wait for tokens aside
+	Limits          Limits        // those that hold now
+	AnnouncedLimits Limits        // what they become at some moment, which shows in refusals
+	ControllerCount int           // that share the limits
+	OnResponse      func(ok bool) // called after each request: whether the service served it
 }
 
 // Client talks to the state service within the controller's share of its rates.
@@ -52,19 +52,19 @@
 	writeRefusals []time.Time // of changes, the last ones
 }
 
-// New makes a client.
-func New(o Options) *Client {
-	requests, writes, burst := o.Limits.rateShare(o.Controllers)
+// NewClient makes a client.
+func NewClient(o Options) *Client {
+	requests, writes, burst := o.Limits.rateShare(o.ControllerCount)
 	return &Client{
 		http:        o.HTTP,
 		addr:        o.Addr,
-		deadline:    o.Deadline,
-		onAnswer:    o.OnAnswer,
+		deadline:    o.Timeout,
+		onAnswer:    o.OnResponse,
 		requests:    transport.NewTokenBucket(requests, requests),
 		writes:      transport.NewTokenBucket(writes, burst),
 		limits:      o.Limits,
-		next:        o.Next,
-		controllers: o.Controllers,
+		next:        o.AnnouncedLimits,
+		controllers: o.ControllerCount,
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // do sends a request once its tokens have come, and returns the answer. Its error is ErrRefused
-// or ErrUnknown, unless the body can't be encoded.
+// or ErrOutcomeUnknown, unless the body can't be encoded.
 func (c *Client) do(ctx context.Context, r call) (*httpwire.Message, error) {
 	if err := c.awaitBudget(ctx, r); err != nil {
 		return nil, err
@@ -91,11 +91,11 @@
 		}
 	}
 	m, err := c.http.Do(ctx, transport.Request{
-		Addr:     c.addr,
-		Method:   r.method,
-		Target:   r.target,
-		Body:     encoded,
-		Deadline: c.deadline + r.blocks,
+		Addr:    c.addr,
+		Method:  r.method,
+		Target:  r.target,
+		Body:    encoded,
+		Timeout: c.deadline + r.blocks,
 	})
 	if err != nil {
 		return nil, c.noteFailure(err)
@@ -126,11 +126,11 @@
 func (c *Client) noteFailure(err error) error {
 	if errors.Is(err, httpwire.ErrTooLarge) { // served, but more than we can hold
 		c.onAnswer(true)
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	c.onAnswer(false)
 	if errors.Is(err, transport.ErrNoResponse) {
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	return ErrRefused
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -33,7 +33,7 @@
 	}
 	f.service.set("/changes", 200, `{"epoch":433,"log":[{"write":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}`)
 	changes, revision, err := f.client.Changes(ctx, "c/", 431, 2*time.Second)
-	if err != nil || revision != 433 || len(changes) != 2 || changes[1].Drop != "c/d" {
+	if err != nil || revision != 433 || len(changes) != 2 || changes[1].DeletedKey != "c/d" {
 		t.Error(changes, revision, err)
 	}
 	want := []string{
@@ -68,7 +68,7 @@
 // list; the service counts as reached.
 func TestChangesTooOld(t *testing.T) {
 	f := newFixture(t)
-	large := strings.Repeat(" ", httpwire.ResponseLimits.Body+1)
+	large := strings.Repeat(" ", httpwire.ResponseLimits.BodyBytes+1)
 	for _, x := range []struct {
 		name   string
 		status int
@@ -79,7 +79,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f.service.set("/changes", x.status, x.body)
-			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrTooOld) || !f.served {
+			if _, _, err := f.client.Changes(context.Background(), "c/", 1, 0); !errors.Is(err, ErrChangesUnavailable) || !f.served {
 				t.Errorf("%v, served %t", err, f.served)
 			}
 			if d := cmp.Diff([]string{"GET /changes?prefix=c%2F&since=1&blockMs=0"}, f.service.asked()); d != "" {
@@ -102,7 +102,7 @@
 		t.Error(err)
 	}
 	f.service.set("/holds/7/touch", 404, `{}`)
-	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrNoLease) {
+	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrLeaseEnded) {
 		t.Error(err)
 	}
 	f.service.set("/holds/7", 200, `{}`)
@@ -120,7 +120,7 @@
 	leaseID := uint64(7)
 	return &Txn{
 		Preconditions: []Precondition{{"a/b", 0}},
-		Ops:           []Op{{Write: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {Drop: "c/d"}},
+		Ops:           []Op{{WriteKey: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {DeleteKey: "c/d"}},
 	}
 }
 
@@ -136,7 +136,7 @@
 	}{
 		{"committed", 200, `{"epoch":432}`, CommitResult{Committed: true, Revision: 432}, nil},
 		{"conflict", 409, `{"failed":["a/b"],"epoch":431}`, CommitResult{Revision: 431, Conflicts: []string{"a/b"}}, nil},
-		{"no lease", 400, `{"error":"no such lease"}`, CommitResult{}, ErrNoLease},
+		{"no lease", 400, `{"error":"no such lease"}`, CommitResult{}, ErrLeaseEnded},
 		{"too many changes", 400, `{"error":"too many changes"}`, CommitResult{}, ErrTooLarge},
 		{"too long", 413, `{"error":"no such lease"}`, CommitResult{}, ErrTooLarge},
 	} {
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -10,13 +10,13 @@
 // # Failures
 //
 // A request that fails with ErrRefused was surely not carried out. One that fails with
-// ErrUnknown may have been, or may still be; only reading settles it. The other errors of this
+// ErrOutcomeUnknown may have been, or may still be; only reading settles it. The other errors of this
 // package are answers of the service, and a StatusError is an answer that PROTOCOL does not
 // have.
 //
 // # Goroutines
 //
 // A Client's methods may be called from any goroutine, and block it until the answer or the
-// deadline. The mutex of a Client guards its rates and is never held during a request. OnAnswer
+// deadline. The mutex of a Client guards its rates and is never held during a request. OnResponse
 // of the Options is called from the goroutine that made the request.
 package store
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,14 +10,14 @@
 	// ErrRefused says that the request was surely not carried out: it was answered with 503 or
 	// 429, or never sent.
 	ErrRefused = errors.New("state service refused")
-	// ErrUnknown says that the request may have been carried out, or may still be later.
-	ErrUnknown = errors.New("state service did not answer")
-	// ErrNoLease says that the lease has ended.
-	ErrNoLease = errors.New("no such lease")
+	// ErrOutcomeUnknown says that the request may have been carried out, or may still be later.
+	ErrOutcomeUnknown = errors.New("state service did not answer")
+	// ErrLeaseEnded says that the lease has ended.
+	ErrLeaseEnded = errors.New("no such lease")
 	// ErrTooLarge says that a transaction or a value is larger than the service takes.
 	ErrTooLarge = errors.New("state service refused the size")
-	// ErrTooOld says that changes since that revision are no longer kept.
-	ErrTooOld = errors.New("changes no longer kept")
+	// ErrChangesUnavailable says that changes since that revision are no longer kept.
+	ErrChangesUnavailable = errors.New("changes no longer kept")
 )
 
 // errorTextLength bounds how much of an answer's body an error quotes.
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -67,7 +67,7 @@
 }
 
 // Changes waits up to block for changes after a revision to keys with a prefix. It returns
-// them and the revision up to which they are complete. ErrTooOld means that they have to be
+// them and the revision up to which they are complete. ErrChangesUnavailable means that they have to be
 // read from a list instead.
 func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]Change, uint64, error) {
 	target := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, block.Milliseconds())
@@ -77,11 +77,11 @@
 		// After a minute without the service a large fleet's changes can be more than a
 		// controller may hold. Asked for again they would only have grown; all records
 		// are read anew instead, in pages.
-		return nil, 0, fmt.Errorf("changes of %s: %w: %w", prefix, ErrTooOld, err)
+		return nil, 0, fmt.Errorf("changes of %s: %w: %w", prefix, ErrChangesUnavailable, err)
 	case err != nil:
 		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, err)
 	case m.Status == statusGone:
-		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, ErrTooOld)
+		return nil, 0, fmt.Errorf("changes of %s: %w", prefix, ErrChangesUnavailable)
 	}
 	var page changesPage
 	if err := decode(m, &page); err != nil {
@@ -108,7 +108,7 @@
 		return CommitResult{Revision: answer.Revision, Conflicts: answer.Conflicts}, nil
 	case statusBadRequest, statusContentTooLarge:
 		if m.Status == statusBadRequest && answer.Error == errorNoLease {
-			return CommitResult{}, fmt.Errorf("commit: %w", ErrNoLease)
+			return CommitResult{}, fmt.Errorf("commit: %w", ErrLeaseEnded)
 		}
 		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, errorText(m.Body)) // nothing we send is malformed otherwise
 	}
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -22,7 +22,7 @@
 	return answer.LeaseID, nil
 }
 
-// RenewLease renews a lease. ErrNoLease means that it has ended.
+// RenewLease renews a lease. ErrLeaseEnded means that it has ended.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	m, err := c.leaseCall(ctx, "POST", leaseTarget(leaseID)+"/touch", struct{}{})
 	if err != nil {
@@ -32,7 +32,7 @@
 	case statusOK:
 		return nil
 	case statusNotFound:
-		return fmt.Errorf("renew lease %d: %w", leaseID, ErrNoLease)
+		return fmt.Errorf("renew lease %d: %w", leaseID, ErrLeaseEnded)
 	}
 	return fmt.Errorf("renew lease %d: %w", leaseID, &StatusError{Status: m.Status, Body: errorText(m.Body)})
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -11,10 +11,10 @@
 
 // Change is one entry of the log of changes: the write of a value, or a deletion.
 type Change struct {
-	Write   string          `json:"write"` // the key that was written; "" for a deletion
-	Drop    string          `json:"drop"`  // the key that was deleted; "" for a write
-	Value   json.RawMessage `json:"v"`
-	Version uint64          `json:"stamp"`
+	WrittenKey string          `json:"write"` // the key that was written; "" for a deletion
+	DeletedKey string          `json:"drop"`  // the key that was deleted; "" for a write
+	Value      json.RawMessage `json:"v"`
+	Version    uint64          `json:"stamp"`
 }
 
 // Precondition is a condition of a transaction: the key has that version, or does not exist if
@@ -26,10 +26,10 @@
 
 // Op is a change of a transaction: the write of a value, or a deletion.
 type Op struct {
-	Write string          `json:"write,omitempty"` // the key to write; "" for a deletion
-	Value json.RawMessage `json:"v,omitempty"`
-	Lease *uint64         `json:"permit,omitempty"` // the key is deleted when that lease ends; nil: never
-	Drop  string          `json:"drop,omitempty"`   // the key to delete; "" for a write
+	WriteKey  string          `json:"write,omitempty"` // the key to write; "" for a deletion
+	Value     json.RawMessage `json:"v,omitempty"`
+	Lease     *uint64         `json:"permit,omitempty"` // the key is deleted when that lease ends; nil: never
+	DeleteKey string          `json:"drop,omitempty"`   // the key to delete; "" for a write
 }
 
 // Txn is a transaction: all of its changes are made if all preconditions hold, else none.
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -32,8 +32,8 @@
 	return l.RPS / n, l.WriteRPS / n, max(l.WriteRPS/n, writeBurstSeconds*l.WriteRPS)
 }
 
-// SetControllers sets the share of the rates to that of one of so many controllers.
-func (c *Client) SetControllers(controllers int) {
+// SetControllerCount sets the share of the rates to that of one of so many controllers.
+func (c *Client) SetControllerCount(controllers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.controllers = controllers
@@ -55,13 +55,15 @@
 	c.gangReserve = changes
 }
 
-// Used returns how many requests and changes were sent in all.
-func (c *Client) Used() (requests, writes float64) { return c.requests.Used(), c.writes.Used() }
+// TokensUsed returns how many requests and changes were sent in all.
+func (c *Client) TokensUsed() (requests, writes float64) {
+	return c.requests.TokensUsed(), c.writes.TokensUsed()
+}
 
-// AwaitWrites waits until some changes can be sent, n at best, for one deadline at most, and
+// AwaitWriteBudget waits until some changes can be sent, n at best, for one deadline at most, and
 // returns how many. What is put together only then rests on what is newest when it is sent: a
 // transaction that first waits for its budget is beaten by a conflicting write meanwhile.
-func (c *Client) AwaitWrites(ctx context.Context, n int, p Priority) int {
+func (c *Client) AwaitWriteBudget(ctx context.Context, n int, p Priority) int {
 	until := time.Now().Add(c.deadline)
 	reserve := c.reservedShare(p)
 	n = min(n, int(c.writes.Burst()*(1-reserve)))
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -52,7 +52,7 @@
 type fixture struct {
 	service *scriptedService
 	client  *Client
-	served  bool // what OnAnswer was told last
+	served  bool // what OnResponse was told last
 }
 
 // newFixture starts a scripted service and a client of it, both ended with the test. The rate
@@ -83,14 +83,14 @@
 			t.Error(err)
 		}
 	})
-	f.client = New(Options{
-		HTTP:        client,
-		Addr:        addr,
-		Deadline:    time.Minute,
-		Limits:      Limits{RPS: 1000, WriteRPS: 1000},
-		Next:        Limits{RPS: 1000, WriteRPS: 500},
-		Controllers: 1,
-		OnAnswer:    func(ok bool) { f.served = ok },
+	f.client = NewClient(Options{
+		HTTP:            client,
+		Addr:            addr,
+		Timeout:         time.Minute,
+		Limits:          Limits{RPS: 1000, WriteRPS: 1000},
+		AnnouncedLimits: Limits{RPS: 1000, WriteRPS: 500},
+		ControllerCount: 1,
+		OnResponse:      func(ok bool) { f.served = ok },
 	})
 	return f
 }
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -10,7 +10,7 @@
 
 // Commit sends a transaction and applies its outcome to the cache. purpose is the name under which
 // the log summary counts it. committed is false if the transaction did not commit, and also if its
-// outcome is unknown, in which case err is store.ErrUnknown. conflicts are the keys whose versions
+// outcome is unknown, in which case err is store.ErrOutcomeUnknown. conflicts are the keys whose versions
 // differed.
 func (s *Sync) Commit(
 	ctx context.Context, purpose string, txn *statecache.Transaction, priority store.Priority,
@@ -69,7 +69,7 @@
 		// and split the records of the jobs in it.
 		state.Schema.ReduceMaxChanges(len(request.Ops))
 		for _, op := range request.Ops {
-			if uid, ok := statecache.JobOfKey(op.Write); ok && state.Cache.Jobs[uid] != nil {
+			if uid, ok := statecache.JobOfKey(op.WriteKey); ok && state.Cache.Jobs[uid] != nil {
 				state.Schema.RequestSplit(state.Cache.Jobs[uid])
 			}
 		}
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -113,7 +113,7 @@
 func (s *Sync) ApplyChanges(ctx context.Context, since uint64, block time.Duration) error {
 	requestedAt := s.node.Now()
 	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
-	if errors.Is(err, store.ErrTooOld) {
+	if errors.Is(err, store.ErrChangesUnavailable) {
 		state := s.guard.Lock()
 		state.Cache.MarkNotLoaded()
 		s.guard.Unlock()
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -30,11 +30,11 @@
 
 // Request is one HTTP request.
 type Request struct {
-	Addr     string // host:port of the server
-	Method   string
-	Target   string        // path and query
-	Body     []byte        // nil: a request without a body
-	Deadline time.Duration // how long to wait for the answer, the connection's setup included
+	Addr    string // host:port of the server
+	Method  string
+	Target  string        // path and query
+	Body    []byte        // nil: a request without a body
+	Timeout time.Duration // how long to wait for the answer, the connection's setup included
 
 	// CloseAfter closes the connection after the answer. It is for addresses of which there
 	// are more than sockets to keep.
@@ -132,7 +132,7 @@
 	cc.mu.Lock()
 	cc.closed = true
 	cc.mu.Unlock()
-	if m := cc.parser.End(); m != nil {
+	if m := cc.parser.EndOfStream(); m != nil {
 		cc.deliver(response{message: m})
 	} else {
 		cc.deliver(response{err: ErrNoResponse})
@@ -144,7 +144,7 @@
 // ErrNoResponse leaves open whether the request was carried out; any other error means that
 // it was never sent.
 func (c *Client) Do(ctx context.Context, r Request) (*httpwire.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Deadline)
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	cc, err := c.connection(ctx, r.Addr)
 	if err != nil {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -58,7 +58,7 @@
 	ctx := context.Background()
 	for range 5 {
 		for _, target := range []string{"/now", "/later"} {
-			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Deadline: time.Minute})
+			m, doErr := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: target, Body: []byte("abc"), Timeout: time.Minute})
 			if doErr != nil || m.Status != 200 || string(m.Body) != "POST "+target+" abc" {
 				t.Fatalf("%s: %+v %v", target, m, doErr)
 			}
@@ -67,11 +67,11 @@
 	if len(c.idle[addr]) != 1 {
 		t.Errorf("%d kept connections after requests in turn", len(c.idle[addr]))
 	}
-	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Deadline: time.Minute})
+	m, err := c.Do(ctx, Request{Addr: addr, Method: "POST", Target: "/now", Body: make([]byte, 65<<10), Timeout: time.Minute})
 	if err != nil || m.Status != 413 || !m.Close {
 		t.Errorf("large body: %+v %v", m, err)
 	}
-	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Deadline: time.Minute})
+	m, err = c.Do(ctx, Request{Addr: addr, Method: "BAD METHOD", Target: "/now", Timeout: time.Minute})
 	if err != nil || m.Status != 400 {
 		t.Errorf("malformed: %+v %v", m, err)
 	}
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Deadline: time.Minute}
+	request := Request{Addr: l.Addr().String(), Method: "GET", Target: "/", Timeout: time.Minute}
 	if _, err := c.Do(context.Background(), request); !errors.Is(err, ErrNoResponse) {
 		t.Error(err)
 	}
@@ -129,8 +129,8 @@
 	if _, ok := b.Take(now, 1, 0.3); !ok || wait <= 0 {
 		t.Fatalf("refused after the wait it was told, %v", wait)
 	}
-	if b.Used() != 11 {
-		t.Fatal(b.Used())
+	if b.TokensUsed() != 11 {
+		t.Fatal(b.TokensUsed())
 	}
 }
 
--- a/internal/transport/token_bucket.go
+++ b/internal/transport/token_bucket.go
@@ -86,8 +86,8 @@
 	return time.Duration(n / b.rate * float64(time.Second))
 }
 
-// Used returns how many tokens were taken in all.
-func (b *TokenBucket) Used() float64 {
+// TokensUsed returns how many tokens were taken in all.
+func (b *TokenBucket) TokensUsed() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -19,8 +19,8 @@
 	"violetturn/internal/transport"
 )
 
-// ErrLaunch says that a launch was to be sent directly; nothing was sent.
-var ErrLaunch = errors.New("a launch is never sent directly")
+// ErrLaunchNotAllowed says that a launch was to be sent directly; nothing was sent.
+var ErrLaunchNotAllowed = errors.New("a launch is never sent directly")
 
 // StatusError is an answer with a status that PROTOCOL does not have for the request.
 type StatusError struct{ Status int }
@@ -40,13 +40,13 @@
 	deadline time.Duration // of one request
 }
 
-// New makes a client whose requests each have the deadline.
-func New(h *transport.Client, deadline time.Duration) *Client {
+// NewClient makes a client whose requests each have the deadline.
+func NewClient(h *transport.Client, deadline time.Duration) *Client {
 	return &Client{http: h, deadline: deadline}
 }
 
-// Status asks the worker at addr for its heartbeat.
-func (c *Client) Status(ctx context.Context, addr string) (*api.Heartbeat, error) {
+// FetchHeartbeat asks the worker at addr for its heartbeat.
+func (c *Client) FetchHeartbeat(ctx context.Context, addr string) (*api.Heartbeat, error) {
 	m, err := c.do(ctx, addr, "GET", "/show", nil)
 	if err != nil {
 		return nil, fmt.Errorf("ask worker %s: %w", addr, err)
@@ -63,11 +63,11 @@
 
 // SendCommands sends commands under a fencing token and an agent epoch to the worker at addr.
 // It returns the worker's heartbeat and whether the worker carried the commands out. After an
-// error, ErrLaunch aside, it may have or may still do so.
+// error, ErrLaunchNotAllowed aside, it may have or may still do so.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
 	for _, command := range batch.Commands {
 		if command.Action == api.Launch {
-			return nil, false, fmt.Errorf("command for %s: %w", command.Task, ErrLaunch)
+			return nil, false, fmt.Errorf("command for %s: %w", command.Task, ErrLaunchNotAllowed)
 		}
 	}
 	body, err := json.Marshal(batch)
@@ -95,7 +95,7 @@
 		Method:     method,
 		Target:     target,
 		Body:       body,
-		Deadline:   c.deadline,
+		Timeout:    c.deadline,
 		CloseAfter: true,
 	})
 }
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -63,7 +63,7 @@
 			t.Error(err)
 		}
 	})
-	return New(h, time.Minute), server.Listener.Addr().String()
+	return NewClient(h, time.Minute), server.Listener.Addr().String()
 }
 
 // heartbeat is the least heartbeat that is taken.
@@ -105,7 +105,7 @@
 	worker := &scriptedWorker{status: 200, body: heartbeat}
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, Commands: []api.Command{{Action: api.Stop}, {Action: api.Launch, Task: "run-1/0"}}}
-	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunch) || executed {
+	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunchNotAllowed) || executed {
 		t.Error(executed, err)
 	}
 	if asked := worker.asked(); len(asked) != 0 {
@@ -117,18 +117,18 @@
 func TestStatus(t *testing.T) {
 	worker := &scriptedWorker{status: 200, body: heartbeat}
 	client, addr := newClient(t, worker)
-	h, err := client.Status(context.Background(), addr)
+	h, err := client.FetchHeartbeat(context.Background(), addr)
 	if err != nil || h.Host != "i-1" || h.AgentEpoch != 2 {
 		t.Error(h, err)
 	}
 	worker.answerWith(500, heartbeat)
 	var status *StatusError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &status) || status.Status != 500 {
+	if _, err := client.FetchHeartbeat(context.Background(), addr); !errors.As(err, &status) || status.Status != 500 {
 		t.Error(err)
 	}
 	worker.answerWith(200, `{"host":""}`)
 	var refused *api.RequestError
-	if _, err := client.Status(context.Background(), addr); !errors.As(err, &refused) {
+	if _, err := client.FetchHeartbeat(context.Background(), addr); !errors.As(err, &refused) {
 		t.Error(err)
 	}
 }
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -64,7 +64,7 @@
 		observations[zone] = map[string]zonehealth.Observation{}
 		for _, name := range z.leadership.Shards() {
 			if z.leadership.Leads(name) {
-				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.CloudRefuses(zone, now)}
+				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.AllOffersRefused(zone, now)}
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 
 // demandOf returns the size of a job's tasks in the form of zone records.
 func demandOf(spec *api.Job) zonehealth.Demand {
-	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.Spot}
+	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.AllowSpot}
 }
 
 // Evaluate returns a zone's new record and whether it must be written.
