--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -217,7 +217,7 @@
 		return n.storeClient
 	}
 	n.storeClient.TxnOps = cfg.Facts.State.TxnOps
-	return &productionStore{n.storeClient, jobKinds{}}
+	return &productionVersionStore{n.storeClient, jobKinds{}}
 }
 
 // restartNodes restarts all controllers and calls onStart with each of them.
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -125,15 +125,15 @@
 	return api.MustMarshal(record), nil
 }
 
-// productionStore restricts a controller to what the version in production reads and writes:
+// productionVersionStore restricts a controller to what the version in production reads and writes:
 // fields and types of records that this version does not have are neither returned nor written.
-type productionStore struct {
+type productionVersionStore struct {
 	external.StateService
 	kinds jobKinds
 }
 
 // List returns the items under a prefix, as the version in production reads them.
-func (p *productionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
+func (p *productionVersionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
 	items, revision, err := p.StateService.List(ctx, prefix)
 	var out []store.Item
 	for _, item := range items {
@@ -145,7 +145,7 @@
 }
 
 // Changes returns the changes under a prefix, as the version in production reads them.
-func (p *productionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
+func (p *productionVersionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
 	changes, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, change := range changes {
@@ -160,7 +160,7 @@
 }
 
 // Commit commits a transaction, as the version in production writes its records.
-func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
+func (p *productionVersionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	rewritten := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
 		if op.DeleteKey == "" {
