--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -23,7 +23,8 @@
 	s.environment.Store.RefusedNodes[s.nodes[leader].name] = true
 	s.stepNode(leader) // it observes the refusal
 	if s.cancel(other, cancelled); s.environment.Jobs[cancelled].FinalPhase != api.JobCancelled {
-		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.environment.Jobs[cancelled].FinalPhase, api.JobCancelled)
+		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.environment.Jobs[cancelled].FinalPhase,
+			api.JobCancelled)
 	}
 	s.environment.Store.Down = true
 	fault(s, leader, other)
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -75,7 +75,8 @@
 			s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
 			leader, _ := s.leaderOfJob(t, id)
 			for host := range s.runningTasksByHost(id) {
-				s.environment.Cloud.WorkersByHost[host].Partitioned, s.environment.Cloud.WorkersByHost[host].InboundLost = !inboundLost, inboundLost
+				s.environment.Cloud.WorkersByHost[host].Partitioned,
+					s.environment.Cloud.WorkersByHost[host].InboundLost = !inboundLost, inboundLost
 			}
 			s.nodes[leader].running = false
 			s.runUntil(t, 200, "tasks run elsewhere", func() bool {
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -145,7 +145,9 @@
 }
 
 // Changes returns the changes under a prefix, as the version in production reads them.
-func (p *productionVersionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
+func (p *productionVersionStore) Changes(ctx context.Context, prefix string, since uint64,
+	block time.Duration,
+) ([]store.Change, uint64, error) {
 	changes, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, change := range changes {
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -226,7 +226,8 @@
 	})
 	z.runChecked(40)
 	for host, before := range replicasElsewhere {
-		if worker := z.environment.Cloud.WorkersByHost[host]; worker != nil && worker.Zone != "x" && z.runningTasksByHost(spreadService)[host] < before {
+		if worker := z.environment.Cloud.WorkersByHost[host]; worker != nil && worker.Zone != "x" &&
+			z.runningTasksByHost(spreadService)[host] < before {
 			t.Errorf("%d replicas on %s in zone %s, want at least the %d before",
 				z.runningTasksByHost(spreadService)[host], host, worker.Zone, before)
 		}
