--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,8 @@
 	CreatedAt time.Time // when this state was created under the current term
 }
 
-// New returns the state of a worker under a term. lastAnswered is the latest time at which an
-// earlier leader can have answered the worker.
+// New returns the initial state of a worker under a term. lastAnswered is the latest time at which
+// an earlier leader can have answered the worker.
 func New(term uint64, now, lastAnswered time.Time) *Agent {
 	return &Agent{
 		TokenState: TokenState{Term: term},
@@ -34,9 +34,9 @@
 	}
 }
 
-// LastTokenChange returns when the worker's token last changed as far as this leader can tell:
-// when the leader last raised it, or when the worker first showed the current term. Another raise
-// shortly afterwards does not make the worker send its heartbeat any sooner.
+// LastTokenChange returns the later of two times: when this leader last raised the worker's token,
+// and when the worker first showed the current term. Another raise shortly after either does not
+// make the worker send its heartbeat any sooner.
 func (a *Agent) LastTokenChange() time.Time {
 	if a.fencedAt.After(a.lastRaisedAt) {
 		return a.fencedAt
@@ -45,9 +45,9 @@
 }
 
 // IsStale reports whether a heartbeat is outdated and must be ignored: its sender no longer waits
-// for an answer, and it proves nothing about the present, not even that the machine is running. A
-// heartbeat is stale if it is no newer than an earlier one, which makes it a delayed copy. It is
-// also stale if it shows an earlier term although the worker showed the current one more than
+// for a response, and it proves nothing about the present, not even that the machine is running. A
+// heartbeat is stale if it is no newer than one received before, which makes it a delayed copy. It
+// is also stale if it shows an earlier term although the worker showed the current one more than
 // deliveryTimeout ago; within deliveryTimeout, such a heartbeat may still be in transit.
 func (a *Agent) IsStale(h *api.Heartbeat, now time.Time, deliveryTimeout time.Duration) bool {
 	if last := a.LastHeartbeat; last != (HeartbeatNumber{}) && !h.NewerThan(last.AgentEpoch, last.Sequence) {
@@ -56,7 +56,7 @@
 	return a.Fenced() && shard.TokenTerm(h.Token) < a.Term && now.Sub(a.fencedAt) > deliveryTimeout
 }
 
-// Accept processes a heartbeat, or the heartbeat in the answer to a direct command, and reports
+// Accept processes a heartbeat, or the heartbeat in the response to a direct command, and reports
 // whether it was accepted. Only a heartbeat that was made after the worker received the current
 // term is accepted. A heartbeat under an older term may have been delayed by a network partition
 // since before the previous leader's last commands, so it proves nothing about the present. The
@@ -71,7 +71,7 @@
 	case Responsive:
 		if h.AgentEpoch > a.Heartbeat.AgentEpoch {
 			// The worker's lease expired although this leader answered or could have
-			// answered, so the worker may receive no answers. Only a heartbeat with a
+			// answered, so the worker may receive no responses. Only a heartbeat with a
 			// token raised from now on proves that it does.
 			a.BecomeUnresponsive(now)
 		}
@@ -94,15 +94,16 @@
 	a.RaiseToken(now)
 }
 
-// MaxUnacknowledgedAnswers is the number of answers in a row that a worker may fail to receive before it
-// is assumed to receive none. Single answers are lost now and then.
+// MaxUnacknowledgedAnswers is the number of consecutive responses that may remain without effect
+// before a worker is assumed to receive none or to ignore them. Single responses are lost now and
+// then.
 const MaxUnacknowledgedAnswers = 3
 
 // MayAnswerOlderTerm reports whether to answer a worker that has not shown the current term yet, so
-// that the worker receives the term. It also counts the answer. A worker that keeps showing an
-// older term after several answers receives none of them: the answers do not renew its lease, and
-// counting them as renewals would delay the recovery of its tasks forever. leaseBound is the
-// bound of IsLeaseExpired, interval the time between heartbeats.
+// that the worker receives the term. It also counts the response. A worker that keeps showing an
+// older term after several responses receives none of them: they do not renew its lease, and
+// counting them as renewals would delay the recovery of its tasks forever. leaseBound is the bound
+// of IsLeaseExpired, interval the time between heartbeats.
 func (a *Agent) MayAnswerOlderTerm(now time.Time, leaseBound, interval time.Duration) bool {
 	if a.UnacknowledgedAnswers >= MaxUnacknowledgedAnswers {
 		if a.IsLeaseExpired(now, leaseBound) {
@@ -111,7 +112,7 @@
 		return false
 	}
 	// A worker sends one heartbeat per interval, but many delayed copies of old heartbeats may reach
-	// a new leader at once. If each copy counted as an answer that the worker did not receive, a
+	// a new leader at once. If each copy counted as a response that the worker did not receive, a
 	// running worker would be refused.
 	if now.Sub(a.UnacknowledgedCountedAt) >= interval/2 {
 		a.UnacknowledgedAnswers++
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,8 +11,8 @@
 )
 
 // A worker whose agent epoch increases although it was answered is unresponsive until it shows a
-// token raised since: heartbeats alone do not prove that it receives answers.
-func TestUnresponsive_UntilRaisedTokenIsShown(t *testing.T) {
+// token raised since: heartbeats alone do not prove that it receives responses.
+func TestWorkerIsUnresponsiveUntilRaisedTokenIsShown(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := New(7, now, now)
 	accept := func(agentEpoch, sequence uint64) {
@@ -36,7 +36,7 @@
 
 // Copies of heartbeats are stale, whenever and in whatever order they arrive; new heartbeats
 // never are. A heartbeat of an earlier term is not accepted.
-func TestHeartbeat_CopiesAreStale(t *testing.T) {
+func TestHeartbeatCopiesAreStale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		a := New(7, now, now)
@@ -46,7 +46,7 @@
 			now = now.Add(time.Second)
 			if len(accepted) > 0 && rapid.Bool().Draw(t, "copy") {
 				if h := rapid.SampledFrom(accepted).Draw(t, "which"); !a.IsStale(h, now, 0) {
-					t.Fatalf("a copy of heartbeat %d/%d is not stale", h.AgentEpoch, h.Sequence)
+					t.Fatalf("a copy of heartbeat %d/%d is not stale, want stale", h.AgentEpoch, h.Sequence)
 				}
 				continue
 			}
@@ -56,21 +56,21 @@
 			}
 			h := &api.Heartbeat{AgentEpoch: agentEpoch, Sequence: sequence, Token: shard.FencingToken(7, a.TokenSequence)}
 			if a.IsStale(h, now, 0) {
-				t.Fatalf("new heartbeat %d/%d is stale", h.AgentEpoch, h.Sequence)
+				t.Fatalf("new heartbeat %d/%d is stale, want not stale", h.AgentEpoch, h.Sequence)
 			}
 			a.LastHeartbeat = HeartbeatNumber{AgentEpoch: agentEpoch, Sequence: sequence}
 			if !a.Accept(h, now) {
-				t.Fatalf("new heartbeat %d/%d is not accepted", h.AgentEpoch, h.Sequence)
+				t.Fatalf("new heartbeat %d/%d is not accepted, want accepted", h.AgentEpoch, h.Sequence)
 			}
 			accepted = append(accepted, h)
 		}
 		if a.Accept(&api.Heartbeat{AgentEpoch: agentEpoch, Sequence: sequence + 1, Token: shard.FencingToken(6, 9)}, now) {
-			t.Fatal("a heartbeat of an earlier term is accepted")
+			t.Fatal("a heartbeat of an earlier term is accepted, want not accepted")
 		}
 	})
 }
 
-// stateModel models a worker's state as two flags that change independently.
+// stateModel models a worker's state as two independent flags.
 type stateModel struct {
 	fenced, unresponsive bool
 	newestEpoch          uint64
@@ -121,36 +121,36 @@
 				t.Fatalf("state %s with heartbeat %v, want a heartbeat exactly if fenced", a.State, a.Heartbeat)
 			}
 			if a.Token() < token || a.Unresponsive() && before != Unresponsive && a.Token() == token {
-				t.Fatalf("token changed from %d to %d, state from %s to %s; want no lower token, and a higher one when unresponsive",
+				t.Fatalf("token changed from %d to %d, state from %s to %s; want no lower token, and a higher one on becoming unresponsive",
 					token, a.Token(), before, a.State)
 			}
 		}
 	})
 }
 
-// The expiry of a lease is reported once, an answer renews the lease, and the lease of a
+// The expiry of a lease is reported once, a response renews the lease, and the lease of a
 // terminated machine stays expired.
-func TestUpdateLease_ReportsExpiryOnce(t *testing.T) {
+func TestUpdateLeaseReportsExpiryOnce(t *testing.T) {
 	const bound = 10 * time.Second
 	start := time.Unix(0, 0)
 	for _, test := range []struct {
-		name                   string
-		lease                  Lease
-		after                  time.Duration
-		wantExpired, wantNewly bool
+		name                          string
+		lease                         Lease
+		after                         time.Duration
+		wantExpired, wantNewlyExpired bool
 	}{
 		{"valid", Lease{LastAnswered: start}, bound, false, false},
 		{"expires", Lease{LastAnswered: start}, bound + 1, true, true},
 		{"stays expired", Lease{LastAnswered: start, LeaseExpired: true}, bound + 1, true, false},
-		{"renewed by an answer", Lease{LastAnswered: start.Add(bound), LeaseExpired: true}, bound + 1, false, false},
+		{"renewed by a response", Lease{LastAnswered: start.Add(bound), LeaseExpired: true}, bound + 1, false, false},
 		{"terminated", Lease{LastAnswered: start, Terminated: true}, 0, true, true},
 		{"terminated after it expired", Lease{LastAnswered: start, LeaseExpired: true, Terminated: true}, 0, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			expired, newly := test.lease.UpdateLease(start.Add(test.after), bound)
-			if expired != test.wantExpired || newly != test.wantNewly || test.lease.LeaseExpired != test.wantExpired {
-				t.Errorf("expired %t, newly %t, LeaseExpired %t; want %t, %t, %t",
-					expired, newly, test.lease.LeaseExpired, test.wantExpired, test.wantNewly, test.wantExpired)
+			expired, newlyExpired := test.lease.UpdateLease(start.Add(test.after), bound)
+			if expired != test.wantExpired || newlyExpired != test.wantNewlyExpired || test.lease.LeaseExpired != test.wantExpired {
+				t.Errorf("expired %t, newly expired %t, LeaseExpired %t; want %t, %t, %t",
+					expired, newlyExpired, test.lease.LeaseExpired, test.wantExpired, test.wantNewlyExpired, test.wantExpired)
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 
 // A worker that does not show the current term is answered for a few heartbeat intervals; copies
 // within an interval count once. After that it is not answered until its lease has expired.
-func TestMayAnswerOlderTerm_StopsWithoutAcknowledgement(t *testing.T) {
+func TestMayAnswerOlderTermStopsWithoutAcknowledgement(t *testing.T) {
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
@@ -166,26 +166,27 @@
 		now := start.Add(time.Duration(round) * interval)
 		for range 5 { // a heartbeat and its copies; only the first one is answered in the last round
 			if a.UnacknowledgedAnswers < MaxUnacknowledgedAnswers && !a.MayAnswerOlderTerm(now, bound, interval) {
-				t.Fatalf("the worker is not answered in round %d", round)
+				t.Fatalf("the worker is not answered in round %d, want an answer", round)
 			}
 		}
 		if a.UnacknowledgedAnswers != round+1 {
-			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnacknowledgedAnswers, round+1)
+			t.Fatalf("counted %d responses in %d rounds, want one per round", a.UnacknowledgedAnswers, round+1)
 		}
 	}
 	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedAnswers != MaxUnacknowledgedAnswers {
-		t.Errorf("within its lease the worker is answered once more or the count changed: %d answers counted, want %d",
+		t.Errorf("within its lease the worker is answered once more or the count changed: %d responses counted, want no answer and %d",
 			a.UnacknowledgedAnswers, MaxUnacknowledgedAnswers)
 	}
 	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedAnswers != 0 {
-		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnacknowledgedAnswers)
+		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d responses counted, want no answer and 0",
+			a.UnacknowledgedAnswers)
 	}
 	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
-		t.Error("the worker is not answered after its lease has expired")
+		t.Error("the worker is not answered after its lease has expired, want an answer")
 	}
 }
 
-func TestState_String(t *testing.T) {
+func TestStateString(t *testing.T) {
 	for state, name := range map[State]string{
 		Unfenced: "unfenced", Responsive: "responsive", Unresponsive: "unresponsive", Unresponsive + 1: "unknown",
 	} {
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -13,9 +13,9 @@
 	PendingLaunches map[string]PendingLaunch // launches that were sent and whose attempt is not reported yet
 }
 
-// EndedAttempt is the decision that an attempt has ended. It is never reversed: the attempt is
-// not launched again even if the transaction that records its end fails, since that transaction
-// may still be applied late.
+// EndedAttempt is the decision that an attempt has ended. It is never reversed: the attempt is not
+// launched again even if the transaction that records its end fails, since that transaction may
+// still be applied late.
 type EndedAttempt struct {
 	Attempt      uint64
 	Done, Failed bool
@@ -29,9 +29,9 @@
 	At      time.Time
 }
 
-// PendingLaunch counts the answers that carried the launch of an attempt.
+// PendingLaunch counts the responses that contained the launch of an attempt.
 type PendingLaunch struct {
 	Attempt           uint64
 	SentAnswers       int
-	BlockedHeartbeats int // consecutive heartbeats without capacity for the task, and with no stopping task about to free any
+	BlockedHeartbeats int // consecutive heartbeats without free capacity for the task while no task was stopping
 }
--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -15,8 +15,8 @@
 // with a record and not on the list, may just have been rented or returned.
 const mismatchDelayLags = 4
 
-// failedMachineMisses is the number of consecutive lists that a machine counts as missing from
-// once the cloud lists it as failed.
+// failedMachineMisses is the value that MissingFromLists gets once the cloud lists a machine as
+// failed: the machine counts as missing from that many consecutive lists.
 const failedMachineMisses = 2
 
 // CloudListing holds the cloud's newest list of machines. The lock of internal/state guards it.
@@ -38,12 +38,12 @@
 func (c *CloudListing) IsStarting(host string) bool { return c.starting[host] }
 
 // replace stores a new list in place of the previous one.
-func (c *CloudListing) replace(hosts []cloud.Machine) {
+func (c *CloudListing) replace(machines []cloud.Machine) {
 	c.listed, c.starting = map[string]bool{}, map[string]bool{}
-	for _, host := range hosts {
-		c.listed[host.UID] = host.Phase != cloud.MachineFailed
-		if host.Phase == cloud.MachineStarting {
-			c.starting[host.UID] = true
+	for _, machine := range machines {
+		c.listed[machine.UID] = machine.Phase != cloud.MachineFailed
+		if machine.Phase == cloud.MachineStarting {
+			c.starting[machine.UID] = true
 		}
 	}
 	maps.DeleteFunc(c.unregisteredSince, func(host string, _ time.Time) bool { return !c.isListed(host) })
@@ -66,23 +66,22 @@
 
 // Update stores the cloud's list, whose first page was read at readStartedAt, and compares it with
 // the machine records. The list lags by up to lag and may be older than the previous one, so a
-// difference is only a hint: a request to return the machine gets the definite answer from the
-// cloud.
-func (c *CloudListing) Update(hosts []cloud.Machine, readStartedAt time.Time, lag time.Duration) {
+// difference is only a hint: only the cloud's response to a request to return a machine is definite.
+func (c *CloudListing) Update(machines []cloud.Machine, readStartedAt time.Time, lag time.Duration) {
 	now, mismatchDelay := c.registry.node.Now(), mismatchDelayLags*lag
-	c.replace(hosts)
-	for _, host := range hosts {
-		machine := c.registry.cache.Machines[host.UID]
-		if machine == nil {
-			c.addUnregistered(host, now, mismatchDelay)
+	c.replace(machines)
+	for _, listed := range machines {
+		record := c.registry.cache.Machines[listed.UID]
+		if record == nil {
+			c.addUnregistered(listed, now, mismatchDelay)
 			continue
 		}
-		delete(c.unregisteredSince, host.UID)
-		if machine.Addr == "" {
-			c.registry.cache.SetAddress(host.UID, host.Addr)
+		delete(c.unregisteredSince, listed.UID)
+		if record.Addr == "" {
+			c.registry.cache.SetAddress(listed.UID, listed.Addr)
 		}
-		if leadership := c.registry.leadership.InForce(machine.Shard); leadership != nil {
-			c.updateListedAgent(host, leadership)
+		if leadership := c.registry.leadership.InForce(record.Shard); leadership != nil {
+			c.updateListedAgent(listed, leadership)
 		}
 	}
 	c.countMissing(readStartedAt, mismatchDelay)
@@ -91,29 +90,29 @@
 // addUnregistered adds a machine on the list that has no record to the unregistered machines,
 // once it has stayed on the list long enough. Before that, a peer may just have rented it, or it
 // may have been returned and still be listed.
-func (c *CloudListing) addUnregistered(host cloud.Machine, now time.Time, mismatchDelay time.Duration) {
-	if c.unregisteredDuration(host.UID, now) > mismatchDelay && host.Phase != cloud.MachineFailed {
-		c.registry.unregistered.Add(host.UID, shard.Machine{
-			MachineType: host.MachineType, Zone: host.Zone, Spot: host.Spot, Addr: host.Addr,
+func (c *CloudListing) addUnregistered(machine cloud.Machine, now time.Time, mismatchDelay time.Duration) {
+	if c.unregisteredDuration(machine.UID, now) > mismatchDelay && machine.Phase != cloud.MachineFailed {
+		c.registry.unregistered.Add(machine.UID, shard.Machine{
+			MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
 		})
 	}
 }
 
 // updateListedAgent updates the agent of a listed machine whose shard this node leads. A machine
 // that the cloud lists as failed is cordoned.
-func (c *CloudListing) updateListedAgent(host cloud.Machine, leadership *leadership.Leadership) {
-	agent := c.registry.Ensure(host.UID, leadership)
+func (c *CloudListing) updateListedAgent(machine cloud.Machine, leadership *leadership.Leadership) {
+	agent := c.registry.Ensure(machine.UID, leadership)
 	agent.MissingFromLists = 0
-	if host.Phase == cloud.MachineFailed && !agent.Cordoned {
-		c.registry.node.Log.Info("machine failed", logkey.Host(host.UID))
+	if machine.Phase == cloud.MachineFailed && !agent.Cordoned {
+		c.registry.node.Log.Info("machine failed", logkey.Host(machine.UID))
 		agent.Cordoned, agent.MissingFromLists = true, failedMachineMisses
 	}
 }
 
-// countMissing increments the count of lists that lack a machine for each machine with a record
-// that is not on the list, except for machines so new that the list may not include them yet. A
-// listed machine stays on the list until it is terminated. A machine that was registered from a
-// delayed copy of a heartbeat never appears on the list.
+// countMissing increments MissingFromLists for each machine that has a record and is not on the
+// list, except for machines so new that the list may not include them yet. A listed machine stays
+// on the list until it is terminated. A machine that was registered from a delayed copy of a
+// heartbeat never appears on the list.
 func (c *CloudListing) countMissing(readStartedAt time.Time, mismatchDelay time.Duration) {
 	for host, agent := range c.registry.agents {
 		machine := c.registry.cache.Machines[host]
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -21,8 +21,8 @@
 	return api.Command{Action: action, Task: a.Task, Attempt: a.Attempt}
 }
 
-// StopCommand returns the command that stops a task. Its grace period leaves time to save the
-// progress if the job saves on stop, and is zero otherwise.
+// StopCommand returns the command that stops an attempt of a task. Its grace period leaves time to
+// save the progress if the job saves on stop, and is zero otherwise.
 func (r *Registry) StopCommand(j *statecache.Job, attempt AttemptID) api.Command {
 	graceS := 0.0
 	if j.SavesOnStop() {
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -16,7 +16,7 @@
 // There are no other transitions. Three conditions are independent of this state and have fields
 // of their own (Lease, Cordon): whether the lease has expired, the machine is terminated, or the
 // machine is cordoned. A cordoned machine continues to run its tasks in any of these states, and
-// an answer renews an expired lease in any of them.
+// a response renews an expired lease in any of them.
 type State uint8
 
 // The states of a worker.
@@ -46,22 +46,23 @@
 	Sequence   uint64
 }
 
-// Contact records what a worker has reported and which commands and answers were sent to it.
+// Contact records what a worker has reported, and when or how often it was answered and sent
+// commands.
 type Contact struct {
 	State         State
 	Heartbeat     *api.Heartbeat  // the newest accepted heartbeat; nil exactly while the state is Unfenced
-	LastHeartbeat HeartbeatNumber // the newest heartbeat, accepted or not; excludes answers to direct commands
+	LastHeartbeat HeartbeatNumber // of the newest heartbeat, accepted or not; excludes responses to direct commands
 	LastSeen      time.Time       // when a heartbeat was last accepted
 	LastCommandAt time.Time       // when a direct command was last sent
 
-	UnacknowledgedAnswers   int       // heartbeat intervals in a row with an answer to a heartbeat that still showed an older term
+	UnacknowledgedAnswers   int       // consecutive heartbeat intervals with a response to a heartbeat that still showed an older term
 	UnacknowledgedCountedAt time.Time // when UnacknowledgedAnswers was last incremented
 
 	fencedAt time.Time // when the worker first showed this term
 }
 
-// Fenced reports whether the worker has shown that it received this term, so that it drops
-// answers of earlier leaders.
+// Fenced reports whether the worker has shown that it received this term, so that it drops responses
+// of earlier leaders.
 func (c *Contact) Fenced() bool { return c.State != Unfenced }
 
 // Unresponsive reports whether the worker has received this term but does not carry out commands.
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -8,15 +8,15 @@
 
 // Limits on the direct commands in flight, as fractions of the sockets that the process may open.
 // Fences and heartbeat requests have separate limits: fences to partitioned machines block until
-// their deadline and must not delay the requests.
+// their timeout and must not delay the requests.
 const (
 	minSlots              = 8
 	socketsPerFenceSlot   = 16
 	socketsPerRequestSlot = 32
-	initialAgentEpoch     = 1 // a worker with another agent epoch refuses the commands and answers with its own epoch
+	initialAgentEpoch     = 1 // a worker with another agent epoch rejects the commands and responds with its own epoch
 )
 
-// DirectCommands prepares what is sent to workers outside the answers to their heartbeats:
+// DirectCommands prepares what is sent to workers outside the responses to their heartbeats:
 // fences, commands that make a worker send a heartbeat at once, and probes of whether workers can
 // be reached. Each DirectCommand holds a slot from its preparation until Release. The lock of
 // internal/state guards DirectCommands.
@@ -38,7 +38,7 @@
 	}
 }
 
-// DirectCommand is a batch of commands for one worker, sent to its address outside the answers to
+// DirectCommand is a batch of commands for one worker, sent to its address outside the responses to
 // its heartbeats.
 type DirectCommand struct {
 	Host  string
@@ -49,14 +49,15 @@
 	slots chan struct{} // the command holds one of these slots
 }
 
-// Release releases the command's slot once the command was answered or abandoned. It may be
-// called without the lock.
+// Release releases the command's slot. The caller calls it once the command was answered or
+// abandoned, and need not hold the lock.
 func (c *DirectCommand) Release() { <-c.slots }
 
-// PrepareFence prepares the command that sends this leader's fencing token to a worker directly. From
-// then on the worker drops the answers of earlier leaders. The worker's answer lists the tasks
-// that run there. Fence returns nil if the worker has shown this term, was sent a command within
-// the last heartbeat interval, or no slot is free.
+// PrepareFence prepares the command that sends this leader's fencing token to a worker directly.
+// Once the worker has received it, it drops the responses of earlier leaders. Its response to the
+// command lists the tasks that run there. PrepareFence returns nil if the worker has shown this
+// term, was sent a command within the last heartbeat interval, or has no known address, or if no
+// slot is free.
 func (d *DirectCommands) PrepareFence(host string) *DirectCommand {
 	agent := d.registry.agents[host]
 	if agent == nil || agent.Fenced() {
@@ -83,7 +84,7 @@
 }
 
 // prepare prepares commands that are safe to carry out at any later time. It returns nil if the
-// worker has no known address or no slot is free; the next round tries again.
+// worker has no known address or no slot is free; callers retry later.
 func (d *DirectCommands) prepare(host string, slots chan struct{}, batch api.CommandBatch) *DirectCommand {
 	machine, agent := d.registry.cache.Machines[host], d.registry.agents[host]
 	if machine == nil || machine.Addr == "" || agent == nil {
@@ -104,7 +105,8 @@
 func (d *DirectCommands) RequestHeartbeat(host string) { d.requestedHosts[host] = true }
 
 // DueHeartbeatRequests prepares the commands that make workers send a heartbeat now, as many as
-// there are free slots. The others follow in the next round.
+// there are free slots. The next call prepares the others. There are none while this node may not
+// act as a leader.
 func (d *DirectCommands) DueHeartbeatRequests(now time.Time) []*DirectCommand {
 	if !d.registry.leadership.MayAct(now) {
 		return nil
@@ -135,7 +137,7 @@
 	immediate := d.immediateCommands(host, agent)
 	if !immediate.hasStops {
 		// The worker treats raises in quick succession as no change, so a raise is used
-		// only for launches, which no immediate command can announce.
+		// only for launches, which must not be sent directly.
 		if !immediate.hasLaunches || now.Sub(agent.LastTokenChange()) < d.registry.node.Settings.WorkerLease()/2 {
 			return batch, false
 		}
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -16,7 +16,7 @@
 }
 
 // IsCompleted reports whether a placed task has completed, even if its end is not committed yet.
-// Its capacity is free already; its end is recorded together with others to save changes.
+// Its capacity is free already; its end is committed together with others to save writes.
 func (r *Registry) IsCompleted(host, key string, task *statecache.PlacedTask) bool {
 	agent := r.agents[host]
 	if agent == nil {
@@ -26,7 +26,7 @@
 	return found && end.Done && end.Attempt == task.Placement.Attempt
 }
 
-// RecordAttemptEnd records that the attempt of the placement with the key has ended.
+// RecordAttemptEnd records that the attempt of the placement with the given key has ended.
 func (r *Registry) RecordAttemptEnd(host string, agent *Agent, key string, end EndedAttempt) {
 	agent.EndedAttempts[key] = end
 	r.cache.InvalidateLoad(host)
@@ -64,17 +64,17 @@
 
 // updateLease updates whether a worker's lease has certainly expired, and logs an expiry once if
 // the machine has tasks.
-func (r *Registry) updateLease(host string, agent *Agent, tasks int, now time.Time) (expired bool) {
+func (r *Registry) updateLease(host string, agent *Agent, taskCount int, now time.Time) (expired bool) {
 	expired, newlyExpired := agent.UpdateLease(now, r.node.Settings.WorkerLeaseBound())
-	if newlyExpired && tasks > 0 {
-		r.node.Log.Info("worker lease expired", logkey.Host(host), logkey.Tasks(tasks), logkey.Terminated(agent.Terminated))
+	if newlyExpired && taskCount > 0 {
+		r.node.Log.Info("worker lease expired", logkey.Host(host), logkey.Tasks(taskCount), logkey.Terminated(agent.Terminated))
 	}
 	return expired
 }
 
-// dropObsoleteAttempts removes an agent's entries of attempts that are no longer committed for
-// its machine. Obsolete first runs and pending launches are harmless, since a later attempt has
-// another number, so they are removed only once there are more of them than placed tasks.
+// dropObsoleteAttempts removes an agent's entries of attempts that are no longer committed for its
+// machine. Obsolete first runs and pending launches are harmless, since a later attempt has another
+// number, so they are removed only once there are more entries than placed tasks.
 func dropObsoleteAttempts(agent *Agent, placed map[string]*statecache.PlacedTask) {
 	if len(agent.FirstRuns) > len(placed) {
 		maps.DeleteFunc(agent.FirstRuns, func(key string, _ FirstRun) bool { return placed[key] == nil })
@@ -82,7 +82,7 @@
 	if len(agent.PendingLaunches) > len(placed) {
 		maps.DeleteFunc(agent.PendingLaunches, func(key string, _ PendingLaunch) bool { return placed[key] == nil })
 	}
-	maps.DeleteFunc(agent.EndedAttempts, func(key string, end EndedAttempt) bool { // the end is committed
+	maps.DeleteFunc(agent.EndedAttempts, func(key string, end EndedAttempt) bool { // true if the end is committed
 		return placed[key] == nil || placed[key].Placement.Attempt != end.Attempt
 	})
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -8,18 +8,18 @@
 	"violetturn/internal/logkey"
 )
 
-// HeartbeatTimeout is how long a worker waits for the answer to a heartbeat, as PROTOCOL
+// HeartbeatTimeout is how long a worker waits for the response to a heartbeat, as PROTOCOL
 // specifies.
 const HeartbeatTimeout = 4 * time.Second
 
 // MayAnswerOlderTerm reports whether to answer a worker that has not shown this term yet, and
-// counts the answer.
+// counts the response.
 func (r *Registry) MayAnswerOlderTerm(agent *Agent, now time.Time) bool {
 	return agent.MayAnswerOlderTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
-// AcceptCommandAnswer processes the heartbeat in a worker's answer to direct commands that were sent
-// under a term.
+// AcceptCommandAnswer processes the heartbeat in a worker's response to direct commands that were
+// sent under the given term.
 func (r *Registry) AcceptCommandAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
 	if agent := r.agents[host]; agent != nil && agent.Term == term && heartbeat.Host == host {
 		r.AcceptHeartbeat(host, agent, heartbeat)
@@ -47,7 +47,7 @@
 }
 
 // heartbeatChanged reports whether a heartbeat differs from the previous one in a way that
-// affects decisions. It also does if there is no previous heartbeat.
+// affects decisions, or is the first one.
 func heartbeatChanged(previous, heartbeat *api.Heartbeat) bool {
 	return previous == nil ||
 		previous.AgentEpoch != heartbeat.AgentEpoch ||
--- a/internal/agent/interruption.go
+++ b/internal/agent/interruption.go
@@ -10,7 +10,7 @@
 	}
 	neededS := 2*j.Record.Spec.SaveDurationS + 2*r.node.Settings.HeartbeatInterval().Seconds()
 	if j.IsGang() {
-		neededS += r.node.Settings.GangPeerTimeout().Seconds() // to send the stop to all tasks of the gang
+		neededS += r.node.Settings.GangPeerTimeout().Seconds() // time to send the stop commands to all tasks of the gang
 	}
 	return *agent.Heartbeat.SpotNoticeS <= neededS
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -4,19 +4,19 @@
 
 // Lease records when a worker's tasks have certainly ended, and whether its machine still exists.
 //
-// UpdateLease sets and clears LeaseExpired: an answer renews an expired lease unless the machine
+// UpdateLease sets and clears LeaseExpired: a response renews an expired lease unless the machine
 // is terminated. Terminated is set once and never cleared, whatever the state of the lease. The
-// lease of a terminated machine counts as expired from the next UpdateLease on, which reports
-// that once.
+// lease of a terminated machine counts as expired from the next UpdateLease on, which reports the
+// expiry once.
 type Lease struct {
-	LastAnswered     time.Time // latest time at which an answer of this or an earlier leader can have renewed the lease
+	LastAnswered     time.Time // latest time at which a response of this or an earlier leader can have renewed the lease
 	LeaseExpired     bool      // as of the last UpdateLease
 	Terminated       bool      // the cloud has confirmed that the machine is terminated
 	MissingFromLists int       // consecutive lists of the cloud without the machine
 }
 
 // IsLeaseExpired reports whether the worker's tasks have certainly ended: the machine is
-// terminated, or more than bound has passed since the last answer that can have renewed the
+// terminated, or more than bound has passed since the last response that can have renewed the
 // lease.
 func (l *Lease) IsLeaseExpired(now time.Time, bound time.Duration) bool {
 	return l.Terminated || now.Sub(l.LastAnswered) > bound
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -56,7 +56,7 @@
 // Listing returns the newest list of machines from the cloud.
 func (r *Registry) Listing() *CloudListing { return r.listing }
 
-// Gangs returns the record of the gangs that were reported as running.
+// Gangs returns which gangs were reported as running.
 func (r *Registry) Gangs() *RunningGangs { return r.gangs }
 
 // Agent returns the agent of a machine, of any term; nil if there is none.
@@ -104,8 +104,8 @@
 	HadLeader           bool // the shard had a leader until this acquisition
 }
 
-// BeginLeadership begins the leadership of a shard that was acquired, with an agent for each of
-// its machines. It returns false and does nothing if the shard or the lease has been lost since.
+// BeginLeadership begins the leadership of a shard that was acquired, with an agent for each of its
+// machines. It returns false and does nothing if the shard or the lease has been lost since.
 func (r *Registry) BeginLeadership(acquired AcquiredShard) bool {
 	shard, now := acquired.Shard, r.node.Now()
 	leader := r.cache.Leaders[shard]
@@ -135,8 +135,8 @@
 	r.dropAgentsOf(shard)
 }
 
-// DropLostLeaderships ends the leaderships of the shards that are led by another node according
-// to the replica, and removes the agents of these shards.
+// DropLostLeaderships ends the leaderships of the shards that are no longer led by this process
+// according to the cache, and removes the agents of these shards.
 func (r *Registry) DropLostLeaderships() {
 	for _, shard := range r.leadership.EndLost() {
 		r.dropAgentsOf(shard)
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -77,9 +77,9 @@
 }
 
 // A leadership begins with an agent for each machine. If an earlier leader may still answer, the
-// last answer counts as sent at the end of the grace period. The leadership does not begin if
+// last response counts as sent at the end of the grace period. The leadership does not begin if
 // another controller has acquired the shard since.
-func TestBeginLeadership_CreatesAgents(t *testing.T) {
+func TestBeginLeadershipCreatesAgents(t *testing.T) {
 	f := newRegistryFixture(t)
 	grace := f.node.Settings.LeadershipGrace()
 	for _, test := range []struct {
@@ -108,35 +108,35 @@
 
 // A worker is sent a fence until it has shown the term, at most once per heartbeat interval and
 // only if a slot is free.
-func TestPrepareFence_OncePerIntervalUntilTermIsShown(t *testing.T) {
+func TestPrepareFenceOncePerIntervalUntilTermIsShown(t *testing.T) {
 	f := newRegistryFixture(t)
 	fence := f.commands.PrepareFence(testHost)
 	if fence == nil || fence.Addr != "worker:1" || fence.Batch.Token != shard.FencingToken(testTerm, 0) {
 		t.Fatalf("fence %+v, want one to worker:1 with the first token of the term", fence)
 	}
 	if f.commands.PrepareFence(testHost) != nil {
-		t.Error("a second fence was prepared within a heartbeat interval")
+		t.Error("a second fence was prepared within a heartbeat interval, want none")
 	}
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	for range minSlots - 1 {
 		f.commands.fenceSlots <- struct{}{}
 	}
 	if f.commands.PrepareFence(testHost) != nil {
-		t.Error("a fence was prepared without a free slot")
+		t.Error("a fence was prepared without a free slot, want none")
 	}
 	fence.Release()
 	if f.commands.PrepareFence(testHost) == nil {
-		t.Error("no fence was prepared after a slot was released")
+		t.Error("no fence was prepared after a slot was released, want one")
 	}
 	f.receiveHeartbeat()
 	f.now = f.now.Add(f.node.Settings.HeartbeatInterval())
 	if f.commands.PrepareFence(testHost) != nil {
-		t.Error("a fence was prepared for a worker that has shown the term")
+		t.Error("a fence was prepared for a worker that has shown the term, want none")
 	}
 }
 
-// A heartbeat is requested by a stop command or, for a launch, by a raised token, and only from
-// workers that carry out commands.
+// A worker is made to send a heartbeat by a stop command or, for a launch, by a raised token, and
+// only if it carries out commands.
 func TestDueHeartbeatRequests(t *testing.T) {
 	running := api.TaskState{Task: api.TaskName(testUID, 0), Attempt: 1, Phase: api.TaskRunning}
 	cancelJob := func(f *registryFixture) {
@@ -163,7 +163,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
 			test.change(f)
-			f.now = f.now.Add(5 * time.Second) // until now the term itself counted as a token change
+			f.now = f.now.Add(5 * time.Second) // more than WorkerLease()/2, so that showing the term is no recent token change
 			f.commands.RequestHeartbeat(testHost)
 			due, worker := f.commands.DueHeartbeatRequests(f.now), f.Agent(testHost)
 			if (len(due) == 1) != test.wantDue || worker.TokenSequence != test.wantRaises {
@@ -176,7 +176,7 @@
 
 // A machine without a record is added to the unregistered ones only after it was listed for some
 // time, a machine listed as failed is cordoned, and lists without a machine are counted.
-func TestCloudListing_ComparesWithRecords(t *testing.T) {
+func TestCloudListingComparesWithRecords(t *testing.T) {
 	const lag = 2 * time.Second
 	f := newRegistryFixture(t)
 	listed := []cloud.Machine{{UID: testHost, Phase: cloud.MachineRunning}, {UID: "i-000002", Phase: cloud.MachineRunning}}
@@ -184,14 +184,14 @@
 	f.now = f.now.Add(mismatchDelayLags * lag)
 	f.Listing().Update(listed, f.now, lag)
 	if f.Unregistered().Count() != 0 || !f.Listing().HasOperational("i-000002") {
-		t.Fatalf("%d unregistered machines, i-000002 listed %t; want 0 and true",
+		t.Fatalf("%d unregistered machines, i-000002 operational %t; want 0, true",
 			f.Unregistered().Count(), f.Listing().HasOperational("i-000002"))
 	}
 	f.now = f.now.Add(1)
 	listed[0].Phase = cloud.MachineFailed
 	f.Listing().Update(listed, f.now, lag)
 	if f.Unregistered().Count() != 1 || !f.Agent(testHost).Cordoned || f.Listing().HasOperational(testHost) {
-		t.Errorf("%d unregistered machines, failed machine cordoned %t, has %t; want 1, true, false",
+		t.Errorf("%d unregistered machines, failed machine cordoned %t, operational %t; want 1, true, false",
 			f.Unregistered().Count(), f.Agent(testHost).Cordoned, f.Listing().HasOperational(testHost))
 	}
 	f.Listing().Update(listed[1:], f.now, lag)
--- a/internal/agent/running_gangs.go
+++ b/internal/agent/running_gangs.go
@@ -6,9 +6,9 @@
 	"violetturn/internal/statecache"
 )
 
-// RunningGangs records which gangs were reported as running by the workers of this controller. A
-// gang that fails without having been reported as running failed to gather. The lock of
-// internal/state guards it.
+// RunningGangs records which gangs were reported as running by workers of the shards that this
+// controller leads. A gang that fails without having been reported as running failed to gather.
+// The lock of internal/state guards it.
 type RunningGangs struct {
 	cache    *statecache.Cache
 	attempts map[string]uint64 // by gang, the attempt of the task most recently reported as running
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -11,7 +11,8 @@
 // task in between, at which the machine is assumed to be faulty and is cordoned.
 const failedJobsToCordon = 2
 
-// HandleTaskEnd logs the end of a task and records what it implies about the task's machine.
+// HandleTaskEnd logs the end of a task that a worker reported, and records what its cause implies
+// about the machine.
 func (r *Registry) HandleTaskEnd(host string, agent *Agent, j *statecache.Job, task *api.TaskState) {
 	if !task.Cause.Known() {
 		r.node.Log.Error("unknown exit cause reported", logkey.Host(host), logkey.Cause(task.Cause.String()))
--- a/internal/agent/unregistered.go
+++ b/internal/agent/unregistered.go
@@ -14,7 +14,7 @@
 type UnregisteredMachines struct {
 	cache    *statecache.Cache
 	wake     notify.Signal
-	machines map[string]shard.Machine // by name
+	machines map[string]shard.Machine // by host name
 }
 
 func newUnregisteredMachines(cache *statecache.Cache, wake notify.Signal) *UnregisteredMachines {
@@ -22,9 +22,9 @@
 }
 
 // Add adds a machine without a record, to be registered in a shard of its zone. A machine whose
-// record was removed is terminated and names are never reused, so it is ignored: a heartbeat
+// record was deleted is terminated and names are never reused, so it is ignored: a heartbeat
 // delayed by a network partition or a lagging list must not register it again as a machine that
-// counts as upcoming capacity. Callers add only machines that the cloud lists, which bounds their
+// counts as expected capacity. Callers add only machines that the cloud lists, which bounds their
 // number.
 func (u *UnregisteredMachines) Add(host string, machine shard.Machine) {
 	if u.cache.Terminated[host] {
@@ -45,7 +45,7 @@
 // Machine returns the entry of a machine; the zero value if there is none.
 func (u *UnregisteredMachines) Machine(host string) shard.Machine { return u.machines[host] }
 
-// Names returns the machines' names, sorted.
+// Names returns the machines' host names, sorted.
 func (u *UnregisteredMachines) Names() []string { return slices.Sorted(maps.Keys(u.machines)) }
 
 // Count returns the number of machines.
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -11,9 +11,10 @@
 const maxProbes = 4
 
 // CheckWorkerContact checks whether workers reach this node. releaseAll reports that this node
-// should release all its shards. That requires a peer that has contact with workers: otherwise
-// the workers themselves may have failed, and their shards would pass from controller to
-// controller. probes are the addresses of workers to be probed.
+// should release all its shards. That requires a peer that has contact with workers: otherwise the
+// workers themselves may have failed, and their shards would pass from controller to controller.
+// probes are the addresses of workers to be probed; they are returned only while no worker reaches
+// this node.
 func (d *DirectCommands) CheckWorkerContact(now time.Time) (releaseAll bool, probes []string) {
 	contact := d.registry.leadership.Contact()
 	if contact.Unreachable() {
@@ -24,9 +25,10 @@
 	return contact.Unreachable() && contact.PeerHasContact(), probes
 }
 
-// countExpectedAgents counts the machines of the shards that this node leads from which
-// heartbeats are expected: those that have sent one under this term, and those with tasks once
-// the leadership has lasted longer than a heartbeat interval.
+// countExpectedAgents counts the machines of the shards that this node leads from which heartbeats
+// are expected: those that have sent one under this term, and those with tasks once their agent has
+// existed for longer than a heartbeat interval. Machines that are terminated or whose worker lease
+// has expired are not expected to send any.
 func (r *Registry) countExpectedAgents(now time.Time) int {
 	expected := 0
 	for host, machine := range r.cache.Machines {
@@ -38,16 +40,16 @@
 		if agent.Terminated || agent.LeaseExpired {
 			continue
 		}
-		hadTasks := len(r.cache.Placements[host]) > 0 && now.Sub(agent.CreatedAt) > r.node.Settings.HeartbeatInterval()
-		if agent.Fenced() || hadTasks {
+		heartbeatDue := len(r.cache.Placements[host]) > 0 && now.Sub(agent.CreatedAt) > r.node.Settings.HeartbeatInterval()
+		if agent.Fenced() || heartbeatDue {
 			expected++
 		}
 	}
 	return expected
 }
 
-// probeTargets returns the addresses of some machines of the home shard, those with tasks first.
-// If there are none, no worker could respond, and the contact is reset.
+// probeTargets returns the addresses of up to maxProbes machines of the home shard, those with tasks
+// first. If there are none, no worker could respond, and the contact is reset.
 func (d *DirectCommands) probeTargets(contact *leadership.WorkerContact) []string {
 	var withTasks, idle []string
 	for host, machine := range d.registry.cache.Machines {
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -29,15 +29,15 @@
 	return &Sender{node: info, guard: guard, services: services}
 }
 
-// ProbeWorkers requests the status of workers, to find out whether they can be reached, each in a
-// goroutine of its own that ends with the response or at the client's deadline.
+// ProbeWorkers requests the heartbeats of workers, to find out whether they can be reached, each
+// in a goroutine of its own that ends with the response or at the client's timeout.
 func (s *Sender) ProbeWorkers(ctx context.Context, addresses []string) {
 	for _, addr := range addresses {
 		s.node.RunAsync(func() { s.probeWorker(ctx, addr) })
 	}
 }
 
-// probeWorker requests the status of a worker and records contact with workers if it responds.
+// probeWorker requests a worker's heartbeat and records contact with workers if it responds.
 func (s *Sender) probeWorker(ctx context.Context, addr string) {
 	if _, err := s.services.Workers.FetchHeartbeat(ctx, addr); err != nil {
 		return
@@ -48,7 +48,7 @@
 }
 
 // SendAll sends prepared commands, each in a goroutine of its own that ends with the response or at
-// the client's deadline.
+// the client's timeout.
 func (s *Sender) SendAll(ctx context.Context, commands []*agent.DirectCommand) {
 	for _, command := range commands {
 		s.node.RunAsync(func() { s.sendToWorker(ctx, command) })
@@ -67,7 +67,7 @@
 			s.node.Log.Debug("direct commands not answered", logkey.Host(command.Host), logkey.Err(err))
 			return
 		}
-		s.acceptAnswer(command, heartbeat)
+		s.acceptResponse(command, heartbeat)
 		if accepted || shard.TokenTerm(heartbeat.Token) >= command.Term {
 			return
 		}
@@ -75,8 +75,8 @@
 	}
 }
 
-// acceptAnswer applies the heartbeat that a worker returned in response to commands.
-func (s *Sender) acceptAnswer(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
+// acceptResponse applies the heartbeat that a worker returned in response to commands.
+func (s *Sender) acceptResponse(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	state.Agents.AcceptCommandAnswer(command.Host, command.Term, heartbeat)
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -31,15 +31,15 @@
 const (
 	committed      commitOutcome = iota
 	rejected                     // not committed: a conflicting write came first, or the transaction is too large
-	outcomeUnknown               // no answer, or refused: only a later read shows whether it was committed
+	outcomeUnknown               // no response, or refused: only a later read shows whether it was committed
 )
 
 // isKnown reports whether the outcome is known, so that another transaction may be planned on the
 // state that results from it.
 func (o commitOutcome) isKnown() bool { return o != outcomeUnknown }
 
-// commit sends a transaction and, if it is committed, applies it to the cache. The purpose is the
-// one that it is counted under.
+// commit sends a transaction and, if it is committed, applies it to the cache. It is counted under
+// the given purpose.
 func (l *Loop) commit(ctx context.Context, purpose string, transaction *statecache.Transaction, priority store.Priority) commitOutcome {
 	done, _, err := l.sync.Commit(ctx, purpose, transaction, priority)
 	switch {
@@ -58,9 +58,9 @@
 }
 
 // prepareCommit waits until the write budget holds the given number of writes and then brings the
-// cache up to date: reading the newest records costs one request, while a conflict wastes all
-// writes of a transaction. It returns how many writes the budget holds, and whether a plan may be
-// committed now, which takes at least the minimum.
+// cache up to date: reading the newest records costs one request, while a conflict wastes all writes
+// of a transaction. It returns how many writes the budget holds, and whether a plan may be committed
+// now, which requires at least the minimum.
 func (l *Loop) prepareCommit(ctx context.Context, writes, minimum int, priority store.Priority) (available int, ok bool) {
 	available = l.awaitWrites(ctx, writes, priority)
 	if available < minimum || !l.sync.MayActNow() || l.sync.RefreshCache(ctx) != nil {
@@ -72,7 +72,7 @@
 // recordsPlan is a planned transaction that changes job records.
 type recordsPlan struct {
 	transaction    *statecache.Transaction // nil if there is nothing to commit
-	recordTooLarge bool                    // a record exceeds the size limit: it is split, and the rest planned again
+	recordTooLarge bool                    // a record exceeds the size limit: it must be split, and the rest planned again
 }
 
 // newRecordsPlan returns the plan with the changes that an editor has collected.
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// idlePerPlanningTime is the minimum ratio of the pause after a run of Decide to the processor time
-// that its plans took, so that a slow processor spends most of its time on heartbeats.
+// idlePerPlanningTime is the minimum ratio of the pause after a call of Decide to the time that its
+// plans took, so that a slow processor spends most of its time on heartbeats.
 const idlePerPlanningTime = 3
 
-// Run calls Decide until ctx ends: when it is signaled that something has changed, and at
-// least twice per heartbeat interval. It pauses between two runs, so that changes that arrive close
+// Run calls Decide until ctx ends: when a signal shows that there may be something to decide, and at
+// least twice per heartbeat interval. It pauses between two calls, so that changes that arrive close
 // together are committed together.
 func (l *Loop) Run(ctx context.Context) {
 	for {
@@ -75,7 +75,7 @@
 // decisionStep is one kind of decision.
 type decisionStep struct {
 	name string
-	run  func(*Loop, context.Context) (more bool) // commits one transaction as a rule; reports whether there is more to commit
+	run  func(*Loop, context.Context) (more bool) // usually commits at most one transaction; reports whether there is more to commit
 }
 
 // decisionSteps are the kinds of decisions in the order in which they are made. Those that free
@@ -101,7 +101,7 @@
 	minDecisionWrites = 2
 )
 
-// Decide runs each step until it has nothing more to commit.
+// Decide runs each step, in order, until it has nothing more to commit or has run maxStepRuns times.
 func (l *Loop) Decide(ctx context.Context) {
 	// Under load the write budget limits the rate of transactions. What accumulates while the
 	// budget refills is committed in a few large transactions instead of many small ones.
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -142,7 +142,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := chooseShard(f.node, test.zone, test.machines); got != test.want {
-				t.Errorf("shard %s, want %s", got, test.want)
+				t.Errorf("chose shard %s, want %s", got, test.want)
 			}
 		})
 	}
@@ -189,35 +189,36 @@
 	}
 }
 
-// A page is opened once, and no further page is opened once the open pages fill a transaction.
+// A page that is already among the changed ones is returned again; no further page is opened once
+// the changed pages exceed the size limit.
 func TestPageEditsLimitOpenPages(t *testing.T) {
 	f := newFixture(t)
 	edits := newPageEdits(f.state, f.node)
 	page, ok := edits.openPage("i-0010")
 	if !ok {
-		t.Fatal("first page of the transaction was not opened")
+		t.Fatal("the first page of the transaction was not opened, want opened")
 	}
 	page["i-0010"] = &shard.Machine{Zone: "x"}
 	edits.add("i-0010", page)
 	reopened, ok := edits.openPage("i-0010")
 	if !ok || reopened["i-0010"] == nil {
-		t.Errorf("page reopened with %v, %t; want the added machine, true", reopened, ok)
+		t.Errorf("page opened again with %v, %t; want the added machine, true", reopened, ok)
 	}
 	edits.bytes = edits.maxBytesToOpen
 	if _, ok = edits.openPage("i-0020"); !ok {
-		t.Error("another page was not opened at the size limit")
+		t.Error("another page was not opened at the size limit, want opened")
 	}
 	edits.bytes++
 	if _, ok = edits.openPage("i-0020"); ok {
-		t.Error("another page was opened above the size limit")
+		t.Error("another page was opened above the size limit, want none")
 	}
 	if _, ok = edits.openPage("i-0010"); !ok {
-		t.Error("an open page was not returned above the size limit")
+		t.Error("a changed page was not returned above the size limit, want returned")
 	}
 }
 
-// A job is archived once it is finished and none of its tasks is on a machine; a done gang whose
-// tasks count against no quota is archived at once.
+// A job is ready to be archived once it is finished and none of its tasks is on a machine; a done
+// gang whose tasks count against no quota is ready at once.
 func TestFinalStateIsReadyOnceTasksHaveLeft(t *testing.T) {
 	placed := map[int]*job.Placement{1: {Host: "h", Attempt: 1}}
 	for _, test := range []struct {
@@ -275,7 +276,7 @@
 				t.Errorf("final state %+v, ready: %t; want %+v, %t", got, ready, test.want, test.ready)
 			}
 			if plan := planArchive(f.state); (plan.transaction != nil) != test.ready {
-				t.Errorf("planned transaction %v, want one: %t", plan.transaction, test.ready)
+				t.Errorf("planned archive transaction %v, want one: %t", plan.transaction, test.ready)
 			}
 		})
 	}
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -156,9 +156,9 @@
 	}
 }
 
-// RunGangPlacement places gangs as soon as they are accepted, until ctx ends. It runs concurrently with the
-// other decisions, which may be waiting for their write budget. The state service rejects one of
-// two conflicting writes.
+// RunGangPlacement places gangs as soon as they are accepted, until ctx ends. It runs concurrently
+// with the other decisions, which may be waiting for their write budget. The state service rejects
+// one of two conflicting writes.
 func (l *Loop) RunGangPlacement(ctx context.Context) {
 	for {
 		select {
@@ -172,8 +172,8 @@
 
 // placeWaitingGangs places gangs that were accepted while other decisions wait for their write
 // budget. All tasks of a gang start together with its last one, so a delay of one second costs one
-// second for each of its tasks. A gang that lacks capacity is not retried ahead of the regular
-// decisions until a pause has passed.
+// second for each of its tasks. A gang that lacks capacity is not planned again ahead of the regular
+// decisions until gangRetryIntervals have passed.
 func (l *Loop) placeWaitingGangs(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
--- a/internal/decisions/stops.go
+++ b/internal/decisions/stops.go
@@ -9,8 +9,8 @@
 	"violetturn/internal/store"
 )
 
-// Tasks are preempted after waiting for preemptionWrites in the write budget, or for a bounded time
-// if it then holds minPreemptionWrites.
+// preemptTasks waits, for a bounded time, until the write budget holds preemptionWrites; it
+// continues if the budget then holds at least minPreemptionWrites.
 const (
 	preemptionWrites    = 2
 	minPreemptionWrites = 1
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -41,8 +41,8 @@
 	return false
 }
 
-// planZones observes the zones and updates the records of those that have changed, as many as fit
-// into a transaction.
+// planZones evaluates the health of the zones and updates the records of those that have changed, as
+// many as fit into a transaction.
 func planZones(s *state.State, now time.Time) zonesPlan {
 	s.Zones.Update(now)
 	plan := zonesPlan{transaction: statecache.NewTransaction(), changedRecords: map[string]zonehealth.Record{}}
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -26,8 +26,8 @@
 // revokeTimeout limits how long a shutdown waits for the lease to be revoked.
 const revokeTimeout = time.Second
 
-// Elector maintains this controller's lease, and acquires and releases shards. One goroutine uses
-// it; its state is in the guarded state.
+// Elector maintains this controller's lease, and acquires and releases shards. Only one goroutine
+// uses it. It has no state of its own: the lease and the leaderships are in the guarded state.
 type Elector struct {
 	node     *node.Info
 	guard    *state.Guard
@@ -70,7 +70,7 @@
 	if err != nil {
 		return ttl / retriesPerLease
 	}
-	if e.extendLease(sentAt, ttl) { // once partitioned, this node may answer for a time that counts from the last read
+	if e.extendLease(sentAt, ttl) { // if the state service becomes unreachable, MaxStaleness counts from the last read
 		_ = e.sync.RefreshCache(ctx)
 	}
 	e.maintainLeaderships(ctx)
@@ -93,7 +93,7 @@
 	return err
 }
 
-// grantLease requests a lease. Its errors are never store.ErrLeaseEnded.
+// grantLease requests a new lease. Its errors are never store.ErrLeaseEnded.
 func (e *Elector) grantLease(ctx context.Context, ttl time.Duration) error {
 	leaseID, err := e.services.Store.GrantLease(ctx, ttl)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// handleLostLease drops all state that this node held under a lease that has ended, since others
-// may lead its shards already.
+// handleLostLease drops all state that this node held under a lease that has ended, since other
+// controllers may lead its shards already.
 func (e *Elector) handleLostLease(leaseID uint64) {
 	e.node.Log.Info("lease lost", logkey.Lease(leaseID))
 	state := e.guard.Lock()
@@ -116,9 +116,9 @@
 	e.guard.Unlock()
 }
 
-// extendLease records that the lease was granted or renewed by a request sent at sentAt. It
-// reports whether the replica needs to read the newest changes.
-func (e *Elector) extendLease(sentAt time.Time, ttl time.Duration) (replicaStale bool) {
+// extendLease records that the lease was granted or renewed by a request sent at sentAt. It reports
+// whether the cache was last brought up to date so long ago that it should be refreshed.
+func (e *Elector) extendLease(sentAt time.Time, ttl time.Duration) (cacheStale bool) {
 	state := e.guard.Lock()
 	defer e.guard.Unlock()
 	state.Leadership.ExtendLease(sentAt.Add(ttl - ttl/clockMarginDivisor))
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -53,7 +53,7 @@
 	changes                leadership.Changes
 }
 
-// planLeaderships decides under the lock what to do. ok is false while the replica is not fully
+// planLeaderships decides under the lock what to do. ok is false while the cache is not fully
 // loaded.
 func (e *Elector) planLeaderships() (plan leadershipPlan, ok bool) {
 	now := e.node.Now()
@@ -96,8 +96,8 @@
 		e.node.Log.Debug("shard not acquired", logkey.Shard(shard), logkey.Err(err))
 		if err == nil {
 			// A conflict, usually with an acquisition of another shard that raised the term.
-			// After all controllers have failed, acquisitions come all at once. Retry soon, since
-			// the workers' leases run meanwhile.
+			// After all controllers have failed, many shards are acquired at the same time.
+			// Retry soon, since the workers' leases expire meanwhile.
 			e.sync.NotifyLeaderlessShard()
 		}
 		return
@@ -143,9 +143,9 @@
 // treats a worker's lease as expired while an earlier leader still renews it.
 //
 // An earlier incarnation of this process has ended, and a leader that released the shard has
-// stopped answering. Any other leader may continue to answer for its grace period. A leader
-// before those may too, if its successors did not last until its grace period had ended. So the
-// uncertainty stays in the record; otherwise a quick restart of this process would lose it.
+// stopped answering. Any other leader may continue to answer for its grace period. So may a leader
+// before those, if its successors did not last until its grace period had ended. Therefore the
+// record keeps PredecessorMayAnswer; otherwise a quick restart of this process would lose it.
 func havePredecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
 	if capacity == nil {
 		return true // it was never led
@@ -153,7 +153,7 @@
 	return (capacity.Leader == self || capacity.Released) && !capacity.PredecessorMayAnswer
 }
 
-// releaseShard releases a shard in an orderly way: the answers to its workers stop first, then
+// releaseShard releases a shard in an orderly way: the responses to its workers stop first, then
 // the release is committed.
 func (e *Elector) releaseShard(ctx context.Context, shard string) {
 	state := e.guard.Lock()
@@ -170,13 +170,13 @@
 		state.Agents.DropLeadership(shard)
 		return
 	}
-	// If the outcome is unknown, workers stay unanswered until the replica shows the shard's leader.
+	// If the outcome is unknown, workers stay unanswered until the cache shows the shard's leader.
 	if !errors.Is(err, store.ErrOutcomeUnknown) {
 		released.CancelRelease()
 	}
 }
 
-// prepareRelease stops the answers to a shard's workers and builds the transaction that releases
+// prepareRelease stops the responses to a shard's workers and builds the transaction that releases
 // the shard. It returns nil if there is nothing to release.
 func prepareRelease(state *state.State, shard string) (*leadership.Leadership, *statecache.Transaction) {
 	leadership, capacity := state.Leadership.Lookup(shard), state.Cache.Capacities[shard]
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -20,7 +20,8 @@
 	return &Cache{node: node, byJob: map[string]job.FinalState{}}
 }
 
-// Get returns the final state of a job, and whether the cache holds it. A final state never changes.
+// Get returns the final state of a job, and whether the cache holds it. A final state never
+// changes.
 func (c *Cache) Get(uid string) (job.FinalState, bool) {
 	finalState, ok := c.byJob[uid]
 	return finalState, ok
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -11,7 +11,7 @@
 	"violetturn/internal/node"
 )
 
-// However many jobs end, the cache holds no more than its limit. It removes the oldest entries
+// However many jobs finish, the cache holds no more than its limit. It removes the oldest entries
 // first, and adding a job again takes no further entry.
 func TestCacheDropsOldestWhenFull(t *testing.T) {
 	settings := &config.Settings{HostName: "n0"}
@@ -24,11 +24,11 @@
 	}
 	cache.Add(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
 	if _, ok := cache.Get(uid(0)); !ok {
-		t.Errorf("the oldest entry was removed with %d entries, the limit", limit)
+		t.Errorf("the oldest entry was removed with %d entries, the limit; want it kept", limit)
 	}
 	cache.Add(uid(limit), job.FinalState{Phase: api.JobCancelled, Done: 7})
 	if _, ok := cache.Get(uid(0)); ok {
-		t.Error("the oldest entry was kept with one entry more than the limit")
+		t.Error("the oldest entry was kept with one entry more than the limit, want it removed")
 	}
 	if final, ok := cache.Get(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
 		t.Errorf("second entry: got %v, found %t; want done 1, true", final, ok)
@@ -37,7 +37,7 @@
 		t.Errorf("last entry: got %v, found %t; want cancelled with done 7, true", final, ok)
 	}
 	if len(cache.byJob) != limit || len(cache.insertionOrder) != limit {
-		t.Errorf("got %d states and %d job IDs, want %d of each", len(cache.byJob), len(cache.insertionOrder), limit)
+		t.Errorf("cache holds %d states and %d job IDs, want %d of each", len(cache.byJob), len(cache.insertionOrder), limit)
 	}
 }
 
@@ -55,7 +55,7 @@
 			settings := &config.Settings{}
 			settings.Facts.Limits.MemoryMB = test.memoryMB
 			if got := maxEntries(settings); got != test.want {
-				t.Errorf("max entries = %d, want %d", got, test.want)
+				t.Errorf("maxEntries returned %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -18,9 +18,9 @@
 // does not support the request. The time then runs out as it would without acknowledgements.
 // docs/design.md has the argument.
 
-// Acknowledgement returns what this node reports to a peer about the time after a revision: the
-// jobs that were cancelled and the newest leader of each shard. It is not complete if this node
-// has no complete record of the cancellations since that revision.
+// Acknowledgement returns what this node reports to a peer: the jobs that were cancelled since a
+// revision, and the newest leader of each shard. It is not complete if this node has no complete
+// record of the cancellations since that revision.
 func (t *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
 	cancelled, complete := t.cache.CancelledSince(since)
 	if !t.cache.Loaded || !complete {
@@ -50,7 +50,7 @@
 }
 
 // RecordAcknowledgement applies a peer's acknowledgement. It was requested at requestedAt, for the
-// time after the replica's revision at that moment. An acknowledgement that is not complete is
+// time after the cache's revision at that moment. An acknowledgement that is not complete is
 // ignored.
 func (t *Table) RecordAcknowledgement(node string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
 	if !acknowledgement.GetComplete() || !t.cache.Loaded {
@@ -67,8 +67,8 @@
 	}
 }
 
-// recordSuccessor records that a peer has acquired a shard of which this node holds the
-// leadership, if the reported term is higher.
+// recordSuccessor records that another controller has acquired a shard of which this node has the
+// leadership, if the reported term is higher than that of the leadership.
 func (t *Table) recordSuccessor(leader *peer.ShardLeader) {
 	shard := leader.GetShard()
 	leadership := t.byShard[shard]
@@ -82,7 +82,7 @@
 
 // AcknowledgedByAllUntil returns the time up to which all controllers that could have confirmed a
 // cancellation or acquired a shard have acknowledged their actions. It returns the zero time if a
-// controller has not, or cannot be queried.
+// controller has not acknowledged any, or cannot be queried.
 func (t *Table) AcknowledgedByAllUntil() time.Time {
 	settings := t.node.Settings
 	if len(settings.Members)+1 < settings.Facts.Size {
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -8,33 +8,34 @@
 	"violetturn/internal/statecache"
 )
 
-// WorkerContact records whether workers reach this node. It guards against a partition between a
-// node and its workers only: the node would keep its lease, and with it its shards, while the
-// leases of all its workers expire. Such a node records that workers do not reach it. If a peer
-// has contact with workers, the node also releases its shards in an orderly way, and acquires
-// none until a worker has responded to it. The lock of internal/state guards it.
+// WorkerContact records whether workers reach this node: contact is an accepted heartbeat, or a
+// response to a direct command or probe. It guards against a partition that separates a node from
+// its workers only: the node would keep its lease, and with it its shards, while the leases of all
+// its workers expire. Such a node writes to its node record that workers do not reach it. If a peer
+// has contact with workers, the node also releases its shards in an orderly way, and acquires none
+// until it has contact again. The lock of internal/state guards it.
 type WorkerContact struct {
 	node  *node.Info
 	cache *statecache.Cache
 	contactState
 }
 
-// contactState is the part of WorkerContact that is reset when a worker responds.
+// contactState is the part of WorkerContact that each contact with a worker resets.
 type contactState struct {
-	lastContactAt time.Time // when a worker last responded
-	silentChecks  int       // consecutive checks without a response of a worker
-	unreachable   bool      // enough workers that were expected to respond did not, for enough checks
-	hasContact    bool      // some worker responds
+	lastContactAt time.Time // when the last contact with a worker was
+	silentChecks  int       // consecutive checks without contact with a worker
+	unreachable   bool      // enough workers from which heartbeats were expected were silent, for enough checks
+	hasContact    bool      // there is contact with at least one worker
 }
 
 // MinSilentCount is a minimum for two counts. A node counts as unreachable only after this many
-// consecutive checks, one per renewal of its lease, without a response of a worker, so that a
-// node that was itself suspended can first receive heartbeats again. At least this many machines
-// must be silent: one or two silent machines are as likely to have failed themselves, and each
-// change of the leader restarts the wait for the end of their leases.
+// consecutive checks, one per renewal of its lease, without contact with a worker, so that a node
+// that was itself suspended can first receive heartbeats again. At least this many machines must be
+// silent: one or two silent machines are as likely to have failed themselves, and each change of
+// the leader restarts the wait for the end of their leases.
 const MinSilentCount = 3
 
-// RecordContact records that a worker reached this node.
+// RecordContact records that a worker reached this node, by a heartbeat or a response.
 func (c *WorkerContact) RecordContact(now time.Time) {
 	if c.unreachable {
 		c.node.Log.Info("heartbeats reach this controller again")
@@ -48,15 +49,15 @@
 // Unreachable reports whether no worker reaches this node although some are expected to.
 func (c *WorkerContact) Unreachable() bool { return c.unreachable }
 
-// HasContactSince reports whether workers reach this node and one responded at the given time or
-// later.
+// HasContactSince reports whether workers reach this node and the last contact was at the given
+// time or later.
 func (c *WorkerContact) HasContactSince(since time.Time) bool {
 	return !c.unreachable && !c.lastContactAt.Before(since)
 }
 
-// CheckSilence checks whether workers reach this node. It is called once per renewal of the
-// lease. countExpected returns how many workers are expected to send heartbeats; it is called
-// only when needed.
+// CheckSilence checks whether workers reach this node. It is called once per renewal of the lease.
+// countExpected returns how many workers are expected to send heartbeats; it is called only after
+// MinSilentCount checks without contact.
 func (c *WorkerContact) CheckSilence(now time.Time, countExpected func() int) {
 	maxHeartbeatGap := c.node.Settings.HeartbeatInterval() * 5 / 4 // every worker that sends heartbeats has sent one within this time
 	if now.Sub(c.lastContactAt) <= maxHeartbeatGap {
@@ -74,7 +75,8 @@
 	}
 }
 
-// PeerHasContact reports whether the record of another running controller shows contact with workers.
+// PeerHasContact reports whether the record of another running controller shows contact with
+// workers.
 func (c *WorkerContact) PeerHasContact() bool {
 	for _, controller := range c.node.Shards {
 		record := c.cache.Nodes[controller].Record
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -10,29 +10,29 @@
 // Leadership is this node's leadership of one shard under one term. The exported fields are set
 // when it begins and do not change.
 //
-// It is in force unless it is being released, a peer has acquired the shard, or the replica shows
-// another leader's key (see Table.InForce).
+// It is in force unless it is being released, a peer has acquired the shard, or the cache has
+// another version of the leader's key (see Table.InForce).
 type Leadership struct {
 	Term                    uint64    // fencing token of the shard, above all terms issued before
 	Version                 uint64    // of the leader's key; every commit for the shard requires this version
 	PredecessorAnswersUntil time.Time // latest time at which an earlier leader can have answered a worker
 
 	releasing          bool      // its release is in progress or has an unknown outcome; workers are not answered
-	successor          string    // the peer that has acquired the shard since, as reported by a peer; "" if none
-	needsNewTerm       bool      // a worker has received a higher term, so it drops the answers under this one
+	successor          string    // the controller that has acquired the shard since, as reported by a peer; "" if none
+	needsNewTerm       bool      // a worker has received a higher term, so it drops the responses under this one
 	capacityRecordedAt time.Time // when the shard's capacity record was last refreshed in a commit of its own
 }
 
-// Successor returns the peer that has acquired the shard since, as reported by a peer; "" if none
-// was reported.
+// Successor returns the controller that has acquired the shard since, as reported by a peer; "" if
+// none was reported.
 func (l *Leadership) Successor() string { return l.successor }
 
-// RequestNewTerm requests that the shard is acquired again, under a term above the one that a
-// worker has received.
+// RequestNewTerm requests that this node acquires the shard again, under a term above the one that
+// a worker has received.
 func (l *Leadership) RequestNewTerm() { l.needsNewTerm = true }
 
-// BeginRelease stops the answers to the shard's workers, so that none is sent after the release
-// is committed.
+// BeginRelease stops the responses to the shard's workers, so that none is sent after the release is
+// committed.
 func (l *Leadership) BeginRelease() { l.releasing = true }
 
 // CancelRelease puts the leadership in force again after its release has certainly not been
@@ -83,8 +83,8 @@
 // End ends the leadership of a shard.
 func (t *Table) End(shard string) { delete(t.byShard, shard) }
 
-// EndLost ends the leaderships of the shards that are led by another node according to the
-// replica, and returns these shards.
+// EndLost ends the leaderships of the shards that, according to the cache, are led by another
+// process or have no leader, and returns these shards.
 func (t *Table) EndLost() []string {
 	var lost []string
 	for shard, leadership := range t.byShard {
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -18,8 +18,8 @@
 // ExtendLease records the time until which the lease is certainly valid.
 func (t *Table) ExtendLease(until time.Time) { t.lease.validUntil = until }
 
-// ClearLease clears the lease, which the caller then revokes in an orderly way, and returns its
-// ID, 0 if there was none.
+// ClearLease clears the lease, which the caller then revokes in an orderly way. It returns the ID of
+// the lease, 0 if there was none.
 func (t *Table) ClearLease() uint64 {
 	id := t.lease.id
 	t.lease = lease{}
@@ -33,17 +33,17 @@
 }
 
 // MayAct reports whether this node may launch tasks and commit as a leader: its lease is
-// certainly valid and its replica is fully loaded.
+// certainly valid and its cache is fully loaded.
 func (t *Table) MayAct(now time.Time) bool {
 	return t.cache.Loaded && now.Before(t.lease.validUntil)
 }
 
 // MayAnswerHeartbeats reports whether this node may still answer heartbeats for the shards that
 // it led when it last reached the state service. It guards against two failures. First, a new
-// leader may launch the same tasks elsewhere, so after this node's lease ends, no answer may
+// leader may launch the same tasks elsewhere, so after this node's lease ends, no response may
 // renew a worker's lease for longer than the new leader waits. Second, a job may be cancelled
-// without this node receiving the cancellation. So answers must stop early enough after the last
-// moment at which all cancellations were known that a worker's lease still ends within cancel_s.
+// without this node receiving the cancellation. So responses must stop early enough after this node
+// last had all cancellations that the leases of its workers still end within cancel_s.
 func (t *Table) MayAnswerHeartbeats(now time.Time) bool {
 	if !t.cache.Loaded || t.lease.id == 0 {
 		return false
--- a/internal/leadership/planner.go
+++ b/internal/leadership/planner.go
@@ -19,8 +19,9 @@
 	Release []string
 }
 
-// Planner decides which shards this node acquires and releases, based on the table, the replica
-// and how long their present state has lasted. The lock of internal/state guards it.
+// Planner decides which shards this node acquires and releases, based on the table, the cache and
+// how long the present state of shards and controllers has lasted. The lock of internal/state
+// guards it.
 type Planner struct {
 	table *Table
 
@@ -96,8 +97,9 @@
 }
 
 // mustRelease reports whether this node must release a shard: any shard if releaseAll is set, a
-// shard whose earlier release has an unknown outcome, until the replica shows the outcome, and a
-// peer's home shard once workers have reached that peer for a while.
+// shard whose earlier release has an unknown outcome, until the cache shows the outcome, and a
+// peer's home shard once workers have reached that peer for a while, unless the peer was
+// downgraded.
 func (p *Planner) mustRelease(shard string, now time.Time, releaseAll bool) bool {
 	leadership := p.table.byShard[shard]
 	switch {
@@ -113,14 +115,14 @@
 }
 
 // takeoverDelay returns how long this node waits before it acquires a shard without a leader. The
-// home controller goes first, then the other running controllers in a ring order that spreads
-// several shards over several nodes.
+// home controller goes first, then the other controllers that are running and reached by workers, in
+// a ring order that spreads several shards over several nodes.
 func (p *Planner) takeoverDelay(shard string) time.Duration {
 	self := p.table.node.Settings.HostName
 	if shard == self {
 		return 0
 	}
-	const delayStepsPerLease = 8 // each running controller earlier in the ring adds one step, the home controller a whole lease time
+	const delayStepsPerLease = 8 // each such controller earlier in the ring adds one step, the home controller a whole lease time
 	delayStep := p.table.node.Settings.ControllerLeaseTTL() / delayStepsPerLease
 	delay := time.Duration(0)
 	if reachedByWorkers(p.table.cache, shard) || p.table.cache.Capacities[shard].Record == nil {
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -18,8 +18,8 @@
 	absentSince     map[string]time.Time // since when controllers have not been registered
 }
 
-// newRateSharing creates the count of a controller that has just started: all configured
-// controllers count until their absence shows.
+// newRateSharing creates the count of a controller that has just started: all configured controllers
+// count until they have been absent for the time of a lease.
 func newRateSharing(node *node.Info, cache *statecache.Cache) *RateSharing {
 	return &RateSharing{
 		node: node, cache: cache,
@@ -32,10 +32,10 @@
 func (r *RateSharing) ControllerCount() int { return r.controllerCount }
 
 // Update counts the controllers that share the rate limits and reports whether their number has
-// changed. A controller that runs alone may use the whole rate. An absent controller counts until
-// it has been absent for the time of a lease: at startup, and when all controllers restart, none
-// is registered yet, and a controller that used the whole rate would cause the requests of the
-// others to be refused.
+// changed. A controller that runs alone may use the whole rate. An absent controller counts until it
+// has been absent for the time of a lease: at startup, and when all controllers restart, none is
+// registered yet, and a controller that used the whole rate would cause the requests of the others
+// to be refused.
 func (r *RateSharing) Update(now time.Time) (changed bool) {
 	controllerCount := 0
 	for _, controller := range r.node.Shards {
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Registration returns the transaction that updates this node's record and its capabilities; nil
-// if both are up to date.
+// Registration returns the transaction that updates this node's record and its capability record;
+// nil if both are up to date.
 func (t *Table) Registration() *statecache.Transaction {
 	self := t.node.Settings.HostName
 	record, desired := t.cache.Nodes[self].Record, t.nodeRecord()
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -11,7 +11,7 @@
 )
 
 // Table holds the shards that this controller leads, the lease under which it leads them, and
-// what its peers have acknowledged. The lock of internal/state guards it.
+// up to when its peers have acknowledged their actions. The lock of internal/state guards it.
 //
 // There is at most one leadership per shard, and none before a lease was granted.
 type Table struct {
@@ -43,15 +43,15 @@
 // Contact returns the record of whether workers reach this node.
 func (t *Table) Contact() *WorkerContact { return t.contact }
 
-// Rates returns the count of the controllers that share the state service's rate limits.
+// Rates returns the count of controllers that share the state service's rate limits.
 func (t *Table) Rates() *RateSharing { return t.rates }
 
 // Planner returns the planner that decides which shards are acquired and released.
 func (t *Table) Planner() *Planner { return t.planner }
 
-// Redirect returns the answer to a worker of a shard for which this node may not answer. It
-// redirects the worker at once: after a 200, which the worker has to drop, the worker would stay
-// with this node while its lease expires.
+// Redirect returns the response to a worker of a shard for which this node may not answer. It names
+// the shard's leader if that is known. The worker is redirected at once: after a 200, which the
+// worker has to drop, the worker would stay with this node while its lease expires.
 func (t *Table) Redirect(shard string) transport.Response {
 	self := t.node.Settings.HostName
 	if held := t.byShard[shard]; held != nil && held.successor != "" && held.successor != self {
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -17,7 +17,7 @@
 )
 
 // tableFixture is the table of node n0 in a cluster of n0, n1 and n2. Its lease is valid, and its
-// replica is loaded and empty.
+// cache is loaded and empty.
 type tableFixture struct {
 	*Table
 	now     time.Time
@@ -47,7 +47,7 @@
 	return f.version
 }
 
-// setLeader makes a node the leader of a shard in the replica, and begins this node's leadership
+// setLeader makes a node the leader of a shard in the cache, and begins this node's leadership
 // if the leader is n0.
 func (f *tableFixture) setLeader(name, leader string) {
 	record := shard.LeaderRecord{Node: leader, Incarnation: 7, Term: 1}
@@ -90,7 +90,7 @@
 				return p.Key == statecache.LeaderKey("n1")
 			})
 			if got := f.Leads("n1"); got != test.want || required != test.want {
-				t.Errorf("leads %t, required by commits %t; want %t for both", got, required, test.want)
+				t.Errorf("leads %t, leader's key required %t; want %t for both", got, required, test.want)
 			}
 		})
 	}
@@ -108,9 +108,9 @@
 	}{
 		{"within the lease", 0, func(*tableFixture) {}, true},
 		{"without a lease", 0, func(f *tableFixture) { f.DropExpiredLease() }, false},
-		{"replica not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
-		{"within the grace", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
-		{"after the grace", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
+		{"cache not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
+		{"within the grace period", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
+		{"after the grace period", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
 		{"changes not read for too long", staleness, func(f *tableFixture) { f.ExtendLease(f.now) }, false},
 		{"one peer has not acknowledged", staleness, func(f *tableFixture) { f.acknowledgedUntil["n1"] = f.now }, false},
 		{"all peers have acknowledged", staleness, func(f *tableFixture) {
@@ -174,25 +174,25 @@
 
 // An absent controller counts among those that share the rate limits until it has been absent for
 // the time of a lease.
-func TestRateSharing_CountsAbsentControllersForLeaseTime(t *testing.T) {
+func TestRateSharingCountsAbsentControllersForLeaseTime(t *testing.T) {
 	f := newTableFixture(t)
 	f.registerNode("n1")
 	if f.Rates().Update(f.now) || f.Rates().ControllerCount() != 3 {
-		t.Fatalf("%d controllers share the rates at the start, want 3", f.Rates().ControllerCount())
+		t.Fatalf("%d controllers share the rates at the start, want 3 and no change", f.Rates().ControllerCount())
 	}
 	later := f.now.Add(f.node.Settings.ControllerLeaseTTL())
 	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 2 {
-		t.Fatalf("%d controllers share the rates without n2, want 2", f.Rates().ControllerCount())
+		t.Fatalf("%d controllers share the rates without n2, want 2 and a change", f.Rates().ControllerCount())
 	}
 	f.registerNode("n2")
 	if !f.Rates().Update(later) || f.Rates().ControllerCount() != 3 {
-		t.Fatalf("%d controllers share the rates after n2 has returned, want 3", f.Rates().ControllerCount())
+		t.Fatalf("%d controllers share the rates after n2 has returned, want 3 and a change", f.Rates().ControllerCount())
 	}
 }
 
-// A node is unreachable after MinSilentCount consecutive checks without contact if at least MinSilentCount
-// workers are expected to respond, until a worker responds.
-func TestCheckSilence_RequiresEnoughSilentWorkers(t *testing.T) {
+// A node is unreachable after MinSilentCount consecutive checks without contact if heartbeats are
+// expected from at least MinSilentCount workers, until there is contact again.
+func TestCheckSilenceRequiresEnoughSilentWorkers(t *testing.T) {
 	for _, expected := range []int{MinSilentCount - 1, MinSilentCount} {
 		f := newTableFixture(t)
 		f.Contact().RecordContact(f.now)
@@ -207,7 +207,7 @@
 		}
 		f.Contact().RecordContact(silent)
 		if f.Contact().Unreachable() || !f.Contact().HasContactSince(silent) || f.Contact().HasContactSince(silent.Add(1)) {
-			t.Errorf("%d silent workers, then a response at %s: contact %+v, want reachable since then",
+			t.Errorf("%d silent workers, then contact at %s: got %+v, want reachable and contact since then",
 				expected, silent, f.contact.contactState)
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,7 +12,7 @@
 
 // Intervals as fractions of the lease time.
 const (
-	queryRoundsPerLease   = 8 // interval between rounds of queries while the state service is unreachable
+	queryRoundsPerLease   = 8 // interval between queries of all peers while the state service is unreachable
 	queryTimeoutsPerLease = 4 // timeout for one peer's reply
 )
 
@@ -61,8 +61,8 @@
 	}
 	requestedAt := m.node.Now()
 	m.guard.Unlock()
-	deadline := m.node.Settings.ControllerLeaseTTL() / queryTimeoutsPerLease
-	reply, err := m.services.Peers.Call(ctx, addr, request, deadline)
+	timeout := m.node.Settings.ControllerLeaseTTL() / queryTimeoutsPerLease
+	reply, err := m.services.Peers.Call(ctx, addr, request, timeout)
 	state = m.guard.Lock()
 	defer m.guard.Unlock()
 	if err != nil {
@@ -114,14 +114,14 @@
 }
 
 // canServe reports whether this node can serve users, its own and those of peers: it reaches the
-// state service and its replica is fully loaded.
+// state service and its cache is fully loaded.
 func (m *Membership) canServe() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
 	return state.Cache.Loaded && state.Reachability.StoreReachable
 }
 
-// storeReachable reports whether the state service responded to this node's last request.
+// storeReachable reports whether the state service served this node's last request.
 func (m *Membership) storeReachable() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -19,7 +19,7 @@
 	placed       *statecache.PlacedTask
 	job          *statecache.Job
 	attempt      agent.AttemptID
-	mustStop     bool // it has to leave the machine
+	mustStop     bool // the task must be stopped
 }
 
 // resources returns the resources that the task uses.
@@ -30,8 +30,8 @@
 // heartbeats, so a lost response costs no more than one heartbeat interval.
 //
 // An attempt is considered ended only by the heartbeat itself, never by the response to a direct
-// command. A worker has one heartbeat in flight, so a heartbeat shows the effect of the responses to
-// all earlier ones; the response to a direct command does not.
+// command. A worker has only one heartbeat in flight, so a heartbeat shows the effect of the
+// responses to all earlier ones; the response to a direct command does not.
 type comparison struct {
 	reconciler *Reconciler
 	heartbeat  *api.Heartbeat
@@ -39,7 +39,7 @@
 	now        time.Time
 
 	reported      map[agent.AttemptID]*api.TaskState
-	desired       map[agent.AttemptID]bool // attempts that are committed for the machine
+	committed     map[agent.AttemptID]bool // attempts that are committed for the machine
 	launches      []committedTask          // committed tasks that are to be launched
 	tasksStopping bool                     // at least one task is being stopped
 	free          sched.Resources          // free capacity for launches in this response
@@ -58,7 +58,7 @@
 	c := &comparison{
 		reconciler: r, heartbeat: heartbeat, worker: worker, now: now,
 		reported:      map[agent.AttemptID]*api.TaskState{},
-		desired:       map[agent.AttemptID]bool{},
+		committed:     map[agent.AttemptID]bool{},
 		free:          machineCapacity,
 		capacityKnown: machineType != nil,
 		commands:      []api.Command{},
@@ -69,7 +69,7 @@
 			c.compareTask(placementKey, placed, j)
 		}
 	}
-	c.removeUndesired()
+	c.removeUncommitted()
 	c.launchTasks()
 	return c.commands
 }
@@ -92,7 +92,7 @@
 	if !j.IsGang() { // gangs are stopped as a whole or not at all
 		task.mustStop = task.mustStop || c.worker.Cordoned || c.reconciler.agents.IsInterruptionDue(c.worker, j)
 	}
-	c.desired[task.attempt] = true
+	c.committed[task.attempt] = true
 	if reported := c.reported[task.attempt]; reported != nil {
 		delete(c.worker.PendingLaunches, placementKey)
 		c.comparePresent(task, reported)
@@ -101,7 +101,7 @@
 	c.compareAbsent(task)
 }
 
-// comparePresent handles a committed task that the worker reports.
+// comparePresent handles a committed task whose attempt the worker reports.
 func (c *comparison) comparePresent(task committedTask, reported *api.TaskState) {
 	if reported.Phase == api.TaskRunning {
 		c.recordFirstRun(task)
@@ -133,7 +133,7 @@
 	}
 }
 
-// stopTask stops a task that is on the machine. A task that is saving already receives another stop
+// stopTask stops a task that is on the machine. A task that is saving already is sent another stop
 // command only if its job is cancelled, because that leaves it less time.
 func (c *comparison) stopTask(task committedTask, reported *api.TaskState) {
 	c.tasksStopping = true
@@ -163,7 +163,7 @@
 	c.reconciler.agents.HandleTaskEnd(c.heartbeat.Host, c.worker, task.job, reported)
 }
 
-// compareAbsent handles a committed task that the worker does not report.
+// compareAbsent handles a committed task whose attempt the worker does not report.
 func (c *comparison) compareAbsent(task committedTask) {
 	placement := task.placed.Placement
 	_, ended := c.worker.EndedAttempts[task.placementKey]
@@ -209,17 +209,18 @@
 		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].SentAnswers))
 }
 
-// endAttempt records that the attempt of the placement with the key has ended.
+// endAttempt records that the attempt of the placement with the given key has ended, and triggers
+// new decisions.
 func (c *comparison) endAttempt(placementKey string, end agent.EndedAttempt) {
 	end.EndedAt = c.now
 	c.reconciler.agents.RecordAttemptEnd(c.heartbeat.Host, c.worker, placementKey, end)
 	c.reconciler.wake.Notify()
 }
 
-// removeUndesired clears or stops reported attempts that are not committed for the machine.
-func (c *comparison) removeUndesired() {
+// removeUncommitted clears or stops reported attempts that are not committed for the machine.
+func (c *comparison) removeUncommitted() {
 	for attempt, reported := range c.reported {
-		if c.desired[attempt] {
+		if c.committed[attempt] {
 			continue
 		}
 		command := attempt.Command(api.Clear)
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -13,8 +13,9 @@
 
 const statusOK = 200
 
-// AnswerHeartbeat answers a parsed heartbeat. It redirects the worker if another controller leads
-// the machine's shard, and answers busy if the worker could not rely on a response.
+// AnswerHeartbeat answers a parsed heartbeat. It redirects the worker if this node may not answer
+// for the machine's shard, and answers busy if this node cannot give a response that the worker may
+// rely on.
 func (r *Reconciler) AnswerHeartbeat(heartbeat *api.Heartbeat, now time.Time) transport.Response {
 	if !r.cache.Loaded {
 		return respond.Busy
@@ -30,7 +31,7 @@
 	}
 	worker := r.agents.Ensure(heartbeat.Host, leadership)
 	if worker.IsStale(heartbeat, now, agent.HeartbeatTimeout) {
-		return respond.Busy // the sender no longer waits for it, and it does not show the worker's present state
+		return respond.Busy // the sender no longer waits for a response, and the heartbeat does not show its present state
 	}
 	if shard.TokenTerm(heartbeat.Token) > leadership.Term {
 		r.handleHigherTerm(heartbeat, leadership)
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -86,7 +86,7 @@
 	return f.version
 }
 
-// applyJob applies the job's record in its present state.
+// applyJob applies the job's record as it is now.
 func (f *fixture) applyJob() { f.apply(statecache.JobKey(uid), f.record) }
 
 // commandsForHeartbeat returns the commands for a heartbeat of the worker that reports the tasks.
@@ -122,8 +122,8 @@
 }
 
 // A committed attempt that is not reported is launched; a reported attempt that is not committed is
-// cleared or stopped; an attempt that has to leave the machine is stopped with the time that it
-// needs to save.
+// cleared or stopped; a committed attempt that must stop is stopped with the time that it needs to
+// save.
 func TestCommandsReconcileReportedTasksWithCommittedTasks(t *testing.T) {
 	running, ended := task(0, api.TaskRunning, ""), task(0, api.TaskEnded, api.CauseDone)
 	uncommitted := api.TaskState{Task: "other-1/0", Attempt: 7, Phase: api.TaskRunning}
@@ -175,13 +175,13 @@
 	}
 }
 
-// If launches are sent in several responses and never reported, the worker counts as ignoring them:
-// it becomes unresponsive, and its attempts end.
+// If several responses launch attempts that the worker never reports, the worker counts as ignoring
+// launches: it becomes unresponsive, and its attempts end.
 func TestWorkerThatIgnoresLaunchesBecomesUnresponsive(t *testing.T) {
 	f := newFixture(t)
 	for sequence := range uint64(agent.MaxUnacknowledgedAnswers) {
 		if got := f.commandsForHeartbeat(sequence + 1); len(got) != 2 {
-			t.Fatalf("heartbeat %d got %d commands, want 2: %s", sequence+1, len(got), api.MustMarshal(got))
+			t.Fatalf("heartbeat %d: got %d commands, want 2: %s", sequence+1, len(got), api.MustMarshal(got))
 		}
 	}
 	got := f.commandsForHeartbeat(agent.MaxUnacknowledgedAnswers + 1)
