--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -70,7 +70,7 @@
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
 		use := update.quotaUse[team.Name]
-		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
+		if !team.HasLimit() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
 			continue
 		}
 		if share, ok := sched.QuotaShare(QuotaLimitOf(team), held.HeldByOthers, use); ok {
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -13,7 +13,7 @@
 
 // maxRentalsAhead is how many machines a round of rentals may request. Beyond the tasks that fit
 // on the machines that are booting, this many deferred tasks count as unmet demand.
-const maxRentalsAhead = config.CloudCallsPerRound * cloud.MaxMachinesPerRental
+const maxRentalsAhead = config.CloudCallsPerRun * cloud.MaxMachinesPerRental
 
 // deferExcessTasks defers the unplaced tasks beyond maxReclaimTasks.
 func (w *waitingJob) deferExcessTasks() {
