--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -32,6 +32,6 @@
 // PendingLaunch counts the responses that contained the launch of an attempt.
 type PendingLaunch struct {
 	Attempt           uint64
-	SentAnswers       int
+	SentResponses     int
 	BlockedHeartbeats int // consecutive heartbeats without free capacity for the task while no task was stopping
 }
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -49,14 +49,14 @@
 // Contact records what a worker has reported, and when or how often it was answered and sent
 // commands.
 type Contact struct {
-	State         State
-	Heartbeat     *api.Heartbeat  // the newest accepted heartbeat; nil exactly while the state is Unfenced
-	LastHeartbeat HeartbeatNumber // of the newest heartbeat, accepted or not; excludes responses to direct commands
-	LastSeen      time.Time       // when a heartbeat was last accepted
-	LastCommandAt time.Time       // when a direct command was last sent
+	State               State
+	Heartbeat           *api.Heartbeat  // the newest accepted heartbeat; nil exactly while the state is Unfenced
+	LastHeartbeatNumber HeartbeatNumber // of the newest heartbeat, accepted or not; excludes responses to direct commands
+	LastSeen            time.Time       // when a heartbeat was last accepted
+	LastCommandAt       time.Time       // when a direct command was last sent
 
-	UnacknowledgedAnswers   int       // consecutive heartbeat intervals with a response to a heartbeat that still showed an older term
-	UnacknowledgedCountedAt time.Time // when UnacknowledgedAnswers was last incremented
+	UnacknowledgedResponses int       // consecutive heartbeat intervals with a response to a heartbeat that still showed an older term
+	UnacknowledgedCountedAt time.Time // when UnacknowledgedResponses was last incremented
 
 	fencedAt time.Time // when the worker first showed this term
 }
