--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -25,7 +25,7 @@
 	case api.CauseError:
 		agent.FailedJobs[j.Record.Spec.UID] = true
 		if len(agent.FailedJobs) >= failedJobsToCordon && !agent.Cordoned {
-			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Reason("tasks of several jobs failed on it"))
+			r.node.Log.Info("machine cordoned", logkey.Host(host), logkey.Reason("tasks of several jobs failed there"))
 			agent.Cordoned = true
 		}
 	case api.CauseInsufficientResources:
