--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -8,26 +8,27 @@
 	"violetturn/internal/node"
 )
 
-// UnlimitedSeconds is the deadline or slack of a job that has none.
+// UnlimitedSeconds stands for the deadline or the slack of a job without a deadline.
 const UnlimitedSeconds = 1e9
 
 // maxClasses bounds the number of classes with a recorded bias, because users can name classes
 // freely.
 const maxClasses = 64
 
-// Bounds of a single observed ratio, and the weights of a new ratio and of the previous bias.
+// Bounds of a single observed ratio of run time to estimate, and the weights of a new ratio and of the
+// past bias in the new bias.
 const (
-	minBias        = 0.1
-	maxBias        = 10
-	newBiasWeight  = 0.1
-	pastBiasWeight = 1 - newBiasWeight
+	minRatio       = 0.1
+	maxRatio       = 10
+	newRatioWeight = 0.1
+	pastBiasWeight = 1 - newRatioWeight
 )
 
 // Estimates estimates how long tasks run and how long jobs may wait and run. The lock of
 // internal/state guards it.
 type Estimates struct {
 	node        *node.Info
-	runtimeBias map[string]float64 // by class, average ratio of run time to the users' estimate
+	runtimeBias map[string]float64 // moving average of the ratio of run time to the users' estimate, by class
 }
 
 // New returns estimates without any observation.
@@ -36,15 +37,15 @@
 }
 
 // ObserveRuntime updates the bias of a class with the ratio of a task's run time to its user's
-// estimate. The estimates in one class are often mostly too high or mostly too low.
+// estimate. The estimates of a class are often mostly too high or mostly too low.
 func (e *Estimates) ObserveRuntime(class string, ratio float64) {
 	past, known := e.runtimeBias[class]
 	if !known && len(e.runtimeBias) >= maxClasses {
 		clear(e.runtimeBias)
 	}
-	ratio = min(max(ratio, minBias), maxBias)
+	ratio = min(max(ratio, minRatio), maxRatio)
 	if known {
-		ratio = math.Exp(pastBiasWeight*math.Log(past) + newBiasWeight*math.Log(ratio))
+		ratio = math.Exp(pastBiasWeight*math.Log(past) + newRatioWeight*math.Log(ratio))
 	}
 	e.runtimeBias[class] = ratio
 }
@@ -59,7 +60,8 @@
 }
 
 // DeadlineSeconds returns the time by which a job should be finished, in seconds from its
-// submission; UnlimitedSeconds if neither its deadline nor an objective sets one.
+// submission: the earlier of its own deadline and its class's objective, or UnlimitedSeconds if it has
+// neither.
 func (e *Estimates) DeadlineSeconds(spec *api.Job) float64 {
 	deadline := float64(UnlimitedSeconds)
 	if spec.DeadlineS != nil {
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -72,7 +72,7 @@
 }
 
 // The observed run times of a class correct its users' estimates: the first observation counts
-// fully, each later one a tenth, and no ratio counts as more than ten or less than a tenth.
+// fully, each later one with a weight of a tenth, and ratios are limited to between a tenth and ten.
 func TestEstimatedRuntimeCorrectsUserEstimate(t *testing.T) {
 	e := newTestEstimates(t)
 	spec := &api.Job{Class: "a", EstimatedRunS: 100}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,13 +1,12 @@
 // Package recovery decides how much of the capacity of a restricted zone (down or recovering) each
-// kind of work may use. Production work goes first: capacity is reserved for its tasks that wait for
-// lost machines. Other work is admitted by a slow start. The package is pure: the caller passes in the
-// state of the zones and a view of the machines.
+// kind of work may use. Production work goes first: capacity is reserved for production tasks that
+// wait for lost machines. Other work is admitted by a slow start. The package does no I/O: the caller
+// passes in the state of the zones and a view of the machines.
 //
 // Invariants:
 //   - work below production never uses more of a restricted zone than the slow start allows;
 //   - work that does not compete with production for machines is not restricted;
-//   - a zone reserves at most its ReservableShare of the free machines, so that no work waits
-//     forever.
+//   - reservations use at most ReservableShare of a zone's machines, so that no work waits forever.
 package recovery
 
 import (
@@ -17,23 +16,24 @@
 
 // Zone is the state of a zone that is down or recovering.
 type Zone struct {
-	SlowStartShare    float64             // share of its machines that work below production may have used since it returned
-	MachinesBefore    float64             // number of its machines before it went down
-	UsedMachines      float64             // machines used by work below production since it returned
-	WaitingProduction []zonehealth.Demand // production tasks that wait for its lost machines
-	ReservableShare   float64             // share of the free machines that may be reserved for those tasks
+	SlowStartShare    float64             // share of MachinesBefore that work below production may use
+	MachinesBefore    float64             // number of machines before the zone went down
+	UsedMachines      float64             // machines that work below production has used since the zone's state began
+	WaitingProduction []zonehealth.Demand // production tasks that wait for lost machines
+	ReservableShare   float64             // share of the usable machines that may be reserved for those tasks
 }
 
 // Admission tracks how much of the restricted zones work below production may still use. A nil
 // Admission restricts nothing.
 type Admission struct {
 	zones          map[string]*Zone
-	protectedNeeds []sched.Resources // resources that a production task needs, one entry per size
+	protectedNeeds []sched.Resources // sizes of production tasks, each once
 	machineSizes   []sched.Resources // capacities of the machine types
 }
 
 // NewAdmission returns an Admission, or nil if no zone is restricted or there is no production work
-// to protect. protectedNeeds are the sizes of production tasks, machineSizes those of machine types.
+// to protect. protectedNeeds are the sizes of production tasks, machineSizes the capacities of the
+// machine types.
 func NewAdmission(zones map[string]*Zone, protectedNeeds, machineSizes []sched.Resources) *Admission {
 	if len(zones) == 0 || len(protectedNeeds) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return &Admission{zones: zones, protectedNeeds: protectedNeeds, machineSizes: machineSizes}
 }
 
-// Copy returns an independent copy, on which admissions can be tried.
+// Copy returns an independent copy, so that a caller can try admissions without recording them in a.
 func (a *Admission) Copy() *Admission {
 	if a == nil {
 		return nil
@@ -55,9 +55,9 @@
 	return &clone
 }
 
-// CompetesWithProduction reports whether a task below production could use capacity that production needs, that is
-// whether a machine type that is allowed for the task fits both it and a production task. allowed
-// reports, by the index of a machine type, whether the task may run on it.
+// CompetesWithProduction reports whether a task below production could use capacity that production
+// needs, that is whether a machine type that is allowed for the task fits both it and a production
+// task. allowed reports, by the index of a machine type, whether the task may run on it.
 func (a *Admission) CompetesWithProduction(need sched.Resources, allowed func(machineType int) bool) bool {
 	if a == nil {
 		return false
@@ -86,10 +86,10 @@
 	return z == nil || z.SlowStartShare >= 1 || z.UsedMachines+machines <= z.SlowStartShare*z.MachinesBefore+epsilon
 }
 
-// epsilon absorbs the rounding errors in sums of fractions.
+// epsilon absorbs rounding errors in sums of fractions.
 const epsilon = 1e-9
 
-// RecordAdmitted adds to the number of machines that work below production uses in a zone.
+// RecordAdmitted records that work below production uses the given number of machines of a zone.
 func (a *Admission) RecordAdmitted(zone string, machines float64) {
 	if z := a.zone(zone); z != nil {
 		z.UsedMachines += machines
@@ -130,8 +130,8 @@
 }
 
 // Reserve reserves capacity for production tasks that wait for lost machines. It subtracts their
-// needs from the free capacity of the hosts in their zones, in placement order, and skips tasks that
-// do not fit. It returns the number of tasks with a reservation.
+// needs from the free capacity of the hosts in their zones, best fit first, and skips tasks that do
+// not fit. It returns the number of tasks with a reservation.
 func (a *Admission) Reserve(hosts []*sched.Host) (reserved int) {
 	if a == nil {
 		return 0
@@ -142,6 +142,7 @@
 	return reserved
 }
 
+// reserve is Reserve for one zone. It uses the first hosts of the zone, up to ReservableShare.
 func (z *Zone) reserve(name string, hosts []*sched.Host) (reserved int) {
 	if len(z.WaitingProduction) == 0 {
 		return 0
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,9 +12,9 @@
 
 var machine = sched.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
 
-// Work below production never uses more of a zone than the slow start allows, and admissions tried on a
-// copy do not count.
-func TestAdmit_NeverExceedsSlowStartShare(t *testing.T) {
+// Work below production never uses more of a zone than the slow start allows, and admissions
+// recorded in a copy do not count.
+func TestAdmissionNeverExceedsSlowStartShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := &Zone{
 			SlowStartShare: rapid.Float64Range(0, 1.2).Draw(t, "share"),
@@ -27,8 +27,8 @@
 				GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
 			}
 			share := MachineShare(need, []sched.Resources{machine})
-			if trial := admission.Copy(); trial.Admits("x", share) {
-				trial.RecordAdmitted("x", share)
+			if admissionCopy := admission.Copy(); admissionCopy.Admits("x", share) {
+				admissionCopy.RecordAdmitted("x", share)
 			}
 			if !admission.Admits("y", share) {
 				t.Fatal("Admits() = false for an unrestricted zone, want true")
@@ -38,15 +38,15 @@
 			}
 		}
 		if zone.SlowStartShare < 1 && zone.UsedMachines > zone.SlowStartShare*zone.MachinesBefore+1e-6 {
-			t.Fatalf("work uses %g of %g machines with a slow start share of %g", zone.UsedMachines, zone.MachinesBefore,
+			t.Fatalf("work below production uses %g of %g machines, want at most a share of %g", zone.UsedMachines, zone.MachinesBefore,
 				zone.SlowStartShare)
 		}
 	})
 }
 
-// Reserve reserves capacity for as many production tasks as fit, takes no more from a machine than it
-// has free, and leaves the machines outside the reservable share and outside the zone alone.
-func TestReserve_LimitsToFreeCapacity(t *testing.T) {
+// Reserve reserves capacity for as many production tasks as fit, no more on a machine than it has
+// free, and nothing on machines of other zones.
+func TestReserveStaysWithinFreeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []*sched.Host
 		slots := 0
@@ -80,25 +80,27 @@
 			left += int(h.Free.GPUs)
 		}
 		if left != slots-reserved || other.Free != machine {
-			t.Fatalf("%d of %d GPUs left with %d reserved; machine of another zone has %v free", left, slots, reserved, other.Free)
+			t.Fatalf("%d of %d GPUs left with %d reserved, want %d; machine of another zone has %v free, want %v", left, slots, reserved,
+				slots-reserved, other.Free, machine)
 		}
 	})
 }
 
-// Work that can only run on machines too small for production tasks does not compete with production.
-func TestCompetes_OnlyWhereProductionFits(t *testing.T) {
+// Work that can only run on machines too small for production tasks does not compete with
+// production. A nil Admission restricts nothing.
+func TestCompetesWithProductionOnlyWhereProductionFits(t *testing.T) {
 	small := sched.Resources{CPUs: 8, MemGB: 32}
 	types := []sched.Resources{machine, small}
 	admission := NewAdmission(map[string]*Zone{"x": {}}, []sched.Resources{{CPUs: 4, GPUs: 1, MemGB: 29}}, types)
 	need := sched.Resources{CPUs: 2, MemGB: 12}
 	if !admission.CompetesWithProduction(need, func(int) bool { return true }) {
-		t.Error("work does not compete with production on a machine type that fits production")
+		t.Error("CompetesWithProduction() = false on a machine type that fits production tasks, want true")
 	}
 	if admission.CompetesWithProduction(need, func(i int) bool { return i == 1 }) {
-		t.Error("work competes with production on a machine type that does not fit production")
+		t.Error("CompetesWithProduction() = true on a machine type that fits no production task, want false")
 	}
 	if NewAdmission(map[string]*Zone{"x": {}}, nil, types) != nil || NewAdmission(nil, []sched.Resources{need}, types) != nil {
-		t.Error("NewAdmission() is not nil without protected sizes or without restricted zones")
+		t.Error("NewAdmission() is not nil without production task sizes or without restricted zones, want nil")
 	}
 	var nilAdmission *Admission
 	if !nilAdmission.Admits("x", 1) || nilAdmission.CompetesWithProduction(need, nil) || nilAdmission.Reserve(nil) != 0 {
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -22,8 +22,8 @@
 // comes first. Ties go to a machine without tasks of the other kind, then to one that has the
 // image, then to a spot machine, which leaves on-demand machines to tasks that require them. The
 // image outranks fullness only for a task that would miss its start objective by fetching it. ok is
-// false if the machine lacks capacity or a required image, or is not allowed. Zones excluded
-// because of the job's other tasks (ZoneAllowed) are not checked.
+// false if the machine lacks capacity or a required image, or is not allowed. fitKeyOf does not
+// check ZoneAllowed, the zones left by the job's other tasks.
 func fitKeyOf(h *Host, request *TaskRequest) (key fitKey, ok bool) {
 	if !h.Free.Fits(request.Need) || !request.allowsMachine(h.MachineType, h.Zone, h.Spot) {
 		return 0, false
@@ -64,9 +64,9 @@
 	host *Host
 }
 
-// before reports whether x fits better than y. Ties are ordered by machine name.
-func (x candidate) before(y candidate) bool {
-	return x.key < y.key || x.key == y.key && x.host.Name < y.host.Name
+// before reports whether c fits better than other. Ties are ordered by machine name.
+func (c candidate) before(other candidate) bool {
+	return c.key < other.key || c.key == other.key && c.host.Name < other.host.Name
 }
 
 // FullestFit returns the machine with the lowest fitKey for the task, or nil if none fits.
@@ -77,8 +77,9 @@
 			continue
 		}
 		key := freeShareKey(h, request)
-		// A machine that would be left emptier than the best so far is worse whatever its other
-		// bits. Skipping it avoids the image lookup, the most expensive step.
+		// Unless the image outranks fullness, a machine that would be left emptier than the best so
+		// far is worse whatever its other bits. Skipping it avoids the image lookup, the most
+		// expensive step.
 		if best.host != nil && !request.PreferImage && key > best.key {
 			continue
 		}
--- a/internal/sched/fit_test.go
+++ b/internal/sched/fit_test.go
@@ -14,7 +14,7 @@
 		request := &TaskRequest{
 			Need:      drawResources(t, "need", 6),
 			AllowSpot: rapid.Bool().Draw(t, "spot"),
-			Zone:      rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Zone:      rapid.SampledFrom([]string{"", "x"}).Draw(t, "zone"),
 		}
 		got := FullestFit(hosts, request)
 		for _, h := range hosts {
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -32,8 +32,8 @@
 // The shards are in search order, the job's own shard first, so that few records change. Within a
 // shard, machines that can start a task soonest come first, since the gang runs only once its last
 // task has started. Ties go to machines that already have a task of this gang (fewer machines whose
-// loss ends the gang, and one image fetch for all their tasks), then to the machine that would be left
-// fullest, which keeps free capacity beside GPUs for the tasks that need them.
+// loss ends the gang, and one image fetch for all their tasks), then to the machine that would be
+// left fullest, so that machines with free GPUs keep free CPUs for the tasks that need GPUs.
 func AssignGang(shards [][]*Host, request *TaskRequest, tasks []GangTask) []*Host {
 	assigned := make([]*Host, len(tasks))
 	gangHosts := map[*Host]bool{}
--- a/internal/sched/gang_assign_test.go
+++ b/internal/sched/gang_assign_test.go
@@ -9,7 +9,7 @@
 
 // AssignGang assigns no more than the free capacity, uses all of it if tasks remain, and Unassign
 // restores it.
-func TestAssignGang_UsesAllFittingCapacity(t *testing.T) {
+func TestAssignGangUsesAllFittingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := &TaskRequest{Need: Resources{CPUs: 2, MemGB: 4}, Image: "i", ImageFetchS: 3}
 		shards := [][]*Host{nil, nil}
@@ -55,7 +55,7 @@
 
 // A gang task is assigned to the machine where it starts soonest; ties go to a machine with another
 // task of the gang, then to the fullest machine.
-func TestAssignGang_PrefersSoonestStart(t *testing.T) {
+func TestAssignGangPrefersSoonestStart(t *testing.T) {
 	capacity, need := Resources{CPUs: 8, MemGB: 64}, Resources{CPUs: 2, MemGB: 4}
 	host := func(name string, freeCPUs, startDelayS float64, images ...string) *Host {
 		h := &Host{Name: name, Capacity: capacity, Free: Resources{CPUs: freeCPUs, MemGB: 64}, StartDelayS: startDelayS}
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// GangRetry is the retry state of a gang that waits for capacity, after Algorithm 2 of the paper. The
-// gang claims free capacity in the shards, up to what it still lacks, and delays its next attempt
-// when it found none. After too many misses in a row it releases all its claims and starts over,
-// ahead of newer gangs. None of its tasks starts until capacity for all of them is claimed.
+// GangRetry is the retry state of a gang that waits for capacity, after Algorithm 2 of the paper on
+// which docs/design.md builds. A gang may hold claims on capacity for some of its tasks; none of its
+// tasks starts until capacity for all of them is claimed. A miss is a search that finds too little
+// capacity for the rest. After too many misses in a row the gang releases all its claims and starts
+// over, ahead of newer gangs.
 type GangRetry struct {
 	MaxMisses         int           // misses in a row that are allowed before the claims are released
-	RetryDelay        time.Duration // delay after each miss
-	HasReleasedClaims bool          // the gang has released its claims and started over, so it precedes newer gangs
+	RetryDelay        time.Duration // time after a miss during which further misses do not count
+	HasReleasedClaims bool          // the gang has released its claims and precedes newer gangs
 
-	consecutiveMisses int
-	delayedUntil      time.Time
+	consecutiveMisses  int
+	ignoreMissesBefore time.Time
 }
 
-// The initial values, as docs/design.md gives them.
+// The initial values of MaxMisses and RetryDelay, from docs/design.md.
 const (
 	InitialRetryDelay = time.Second
 	InitialMaxMisses  = 3
@@ -26,17 +27,17 @@
 	return &GangRetry{MaxMisses: InitialMaxMisses, RetryDelay: InitialRetryDelay}
 }
 
-// RecordClaim records that the gang claimed capacity: it resets the misses and the delay.
-func (g *GangRetry) RecordClaim() { g.consecutiveMisses, g.delayedUntil = 0, time.Time{} }
+// RecordClaim records that the gang claimed capacity, which ends the row of misses.
+func (g *GangRetry) RecordClaim() { g.consecutiveMisses, g.ignoreMissesBefore = 0, time.Time{} }
 
 // RecordMiss records that a gang that holds claims found too little capacity. It reports whether the
-// gang must release all its claims. Misses during the delay after a miss do not count.
+// gang must release all its claims. Misses within RetryDelay after a counted one are ignored.
 func (g *GangRetry) RecordMiss(now time.Time) (release bool) {
-	if now.Before(g.delayedUntil) {
+	if now.Before(g.ignoreMissesBefore) {
 		return false
 	}
 	g.consecutiveMisses++
-	g.delayedUntil = now.Add(g.RetryDelay)
+	g.ignoreMissesBefore = now.Add(g.RetryDelay)
 	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// After a miss the gang delays its next attempt, as in Algorithm 2 of the paper. Misses during the delay
-// do not count, and the gang releases all its claims after more consecutive misses than the limit.
-func TestGangRetry_ReleasesAfterTooManyMisses(t *testing.T) {
+// The gang releases all its claims after more consecutive misses than the limit, as in Algorithm 2 of
+// the paper. Misses within the delay after a counted miss are ignored, and a claim resets the count.
+func TestGangRetryReleasesAfterTooManyMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		retry := NewGangRetry()
@@ -28,12 +28,12 @@
 				}
 				release := retry.RecordMiss(now)
 				if release != (!delayed && misses > InitialMaxMisses) {
-					t.Fatalf("claims must be released: %t, want %t; misses %d, delayed %t", release, !release, misses, delayed)
+					t.Fatalf("RecordMiss() = %t, want %t; misses %d, within the delay after a miss: %t", release, !release, misses, delayed)
 				}
 				if release {
 					misses = 0
 					if !retry.HasReleasedClaims {
-						t.Fatal("gang not marked as having released its claims")
+						t.Fatal("HasReleasedClaims = false after RecordMiss() returned true, want true")
 					}
 				}
 			},
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -49,8 +49,8 @@
 }
 
 // otherKindTasks returns the number of a machine's tasks that are of the other job kind. Replicas of
-// services stay and tasks of arrays end. When the kinds are kept apart, machines with array tasks
-// become empty and can be returned.
+// services run on and tasks of arrays end, so if the two are kept on separate machines, those with
+// array tasks become empty and can be returned.
 func otherKindTasks(h *Host, request *TaskRequest) int {
 	if request.Service {
 		return h.ArrayTasks
@@ -58,8 +58,8 @@
 	return h.ServiceTasks
 }
 
-// freeShareAfter returns how empty a machine would be after it takes the task: the larger of the
-// shares of its CPUs and its GPUs that would stay free.
+// freeShareAfter returns how empty a machine would be with the task on it: the larger of the shares
+// of its CPUs and its GPUs that would stay free.
 func freeShareAfter(h *Host, need Resources) float64 {
 	remaining := h.Free.Sub(need)
 	share := 0.0
--- a/internal/sched/host_selector_test.go
+++ b/internal/sched/host_selector_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// A machine of the job's own shard is preferred, and a machine that fits is found in any peer's shard,
-// also for a second job.
-func TestHostSelector_PrefersOwnShard(t *testing.T) {
+// A machine of the job's own shard is preferred, and if none fits, one in any peer's shard is found.
+// This also holds for a second job.
+func TestHostSelectorPrefersOwnShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := map[string][]*Host{"own": drawHosts(t), "p": drawHosts(t), "q": drawHosts(t)}
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -21,10 +21,10 @@
 				got := selector.NextHost(nil)
 				ownFit := FullestFit(shards["own"], request)
 				if ownFit != nil && got != ownFit {
-					t.Fatalf("selected %v, want %s of the own shard", got, ownFit.Name)
+					t.Fatalf("NextHost() = %v, want %s of the job's own shard", got, ownFit.Name)
 				}
 				if got == nil && (FullestFit(shards["p"], request) != nil || FullestFit(shards["q"], request) != nil) {
-					t.Fatal("no machine selected, want a machine of a peer's shard that fits")
+					t.Fatal("NextHost() = nil, want a machine of a peer's shard that fits")
 				}
 				if got == nil {
 					break
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -7,15 +7,15 @@
 
 // Victim is a task that could be preempted for another task.
 type Victim struct {
-	Task           string
+	Task           string    // key of the task's placement; it orders victims of equal cost
 	FreedResources Resources // resources that stopping it frees
-	Cost           float64   // work that is lost by stopping it
-	Index          int       // index by which the caller identifies it
+	Cost           float64   // work lost by stopping it
+	Index          int       // index by which the caller identifies the task
 }
 
-// SelectVictims returns the tasks on one machine to stop so that a task fits there, choosing those that lose
-// the least work, and the amount of work lost. It returns none if stopping all of them would not free
-// enough: capacity that does not make the task fit is not freed. It sorts victims.
+// SelectVictims returns the tasks on one machine to stop so that a task with the given need fits
+// there, and the work lost. Tasks that lose less work are selected first. It returns none if the
+// task fits already, or would not fit even with all victims stopped. It sorts victims.
 func SelectVictims(free, need Resources, victims []Victim) ([]Victim, float64) {
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Task, b.Task))
--- a/internal/sched/quota.go
+++ b/internal/sched/quota.go
@@ -2,21 +2,23 @@
 
 import "math"
 
-// quotaSteps is the number of steps into which a limit is divided. A shard reserves a team's limit in
-// whole steps, so that most placements in the shard change no record but the shard's own.
+// quotaSteps is the number of steps into which a limit is divided. A shard reserves its share of a
+// team's limit in whole steps, so that most placements in the shard change no record but the
+// shard's own.
 const quotaSteps = 32
 
-// nearLimitShare is the share of a limit from which usage counts as near the limit.
+// nearLimitShare is the share of a limit above which the shares held by all shards together count
+// as near the limit.
 const nearLimitShare = 3. / 4
 
 // maxUnusedSteps is the number of unused steps above which a shard releases some of its share.
 const maxUnusedSteps = 3
 
 // QuotaShare returns the share of a team's limit that a shard should hold for what the team's tasks
-// use there, given the shares that the other shards hold. Far from the limit it is the usage
-// rounded up plus one step. Near the limit it is exactly the usage, so that no shard withholds from
-// others what it does not use. ok is false if the limit leaves less than the usage. A limit of 0
-// means that the resource is not limited.
+// use there, given the shares that the other shards hold. Far from the limit it is the usage rounded
+// up to a whole step, plus one step. Near the limit it is exactly the usage, so that no shard
+// withholds from others what it does not use. ok is false if the other shards leave less than the
+// usage. A limit of 0 means that the resource is not limited.
 func QuotaShare(limit, heldByOthers, used Resources) (share Resources, ok bool) {
 	cpus, cpusOK := quotaShareOfResource(limit.CPUs, heldByOthers.CPUs, used.CPUs)
 	gpus, gpusOK := quotaShareOfResource(limit.GPUs, heldByOthers.GPUs, used.GPUs)
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -8,7 +8,7 @@
 
 // The shares that shards acquire and release in any order never exceed the limit in total, cover the
 // usage, and withhold little from other shards near the limit.
-func TestQuotaShare_SumNeverExceedsLimit(t *testing.T) {
+func TestQuotaShareSumNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Resources{GPUs: float64(rapid.IntRange(1, 200).Draw(t, "limit"))}
 		held, used := [3]Resources{}, [3]Resources{}
@@ -26,7 +26,7 @@
 			if HoldsExcessQuota(limit, heldByOthers, held[shard], used[shard]) {
 				share, ok := QuotaShare(limit, heldByOthers, used[shard])
 				if !ok {
-					t.Fatal("QuotaShare() = not ok for a shard that holds excess quota")
+					t.Fatal("QuotaShare() is not ok for a shard that holds excess quota, want ok")
 				}
 				if held[shard] = share; HoldsExcessQuota(limit, heldByOthers, share, used[shard]) {
 					t.Fatal("HoldsExcessQuota() = true after the excess was released, want false")
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -11,7 +11,7 @@
 
 // Push implements heap.Interface.
 func (c *candidates) Push(value any) {
-	*c = append(*c, value.(candidate)) //nolint:errcheck // container/heap only pushes what Ranking passes, a candidate
+	*c = append(*c, value.(candidate)) //nolint:errcheck // Ranking passes only candidates to heap.Push
 }
 
 // Pop implements heap.Interface.
@@ -23,8 +23,8 @@
 }
 
 // Ranking selects machines for the tasks of one job, which all have the same requirements, one after
-// another. It evaluates each machine once instead of once per task: a machine that gets a task becomes
-// fuller, and so stays the best until it is full.
+// another. It evaluates each machine once instead of once per task: a machine that gets a task
+// becomes fuller, and so stays the best until it is full.
 //
 // While a Ranking is in use, only its own tasks may reduce the machines' free capacity.
 type Ranking struct {
--- a/internal/sched/ranking_test.go
+++ b/internal/sched/ranking_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Ranking assigns the tasks of a job to the same machines as a separate FullestFit per task, also if the
-// zones that the job's other tasks leave differ from task to task.
-func TestRanking_MatchesRepeatedFullestFit(t *testing.T) {
+// Ranking assigns the tasks of a job to the same machines as a separate FullestFit per task, also if
+// the allowed zones differ from task to task.
+func TestRankingMatchesRepeatedFullestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		for _, h := range hosts {
@@ -25,7 +25,7 @@
 		request := &TaskRequest{
 			Need:         drawResources(t, "need", 6),
 			AllowSpot:    rapid.Bool().Draw(t, "spot"),
-			Zone:         rapid.SampledFrom([]string{"", "x"}).Draw(t, "asked"),
+			Zone:         rapid.SampledFrom([]string{"", "x"}).Draw(t, "zone"),
 			Image:        "i",
 			PreferImage:  rapid.Bool().Draw(t, "prefers its image"),
 			RequireImage: rapid.Bool().Draw(t, "requires its image"),
@@ -37,12 +37,12 @@
 			ranking.Add(h)
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "tasks") {
-			excludedZone := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "barred")
+			excludedZone := rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "excluded zone")
 			taskRequest := *request
 			taskRequest.ZoneAllowed = func(zone string) bool { return zone != excludedZone }
 			got, want := ranking.Best(taskRequest.ZoneAllowed), FullestFit(copies, &taskRequest)
 			if (got == nil) != (want == nil) || got != nil && got.Name != want.Name {
-				t.Fatalf("Best() = %v, want %v as from FullestFit()", got, want)
+				t.Fatalf("Best() = %v, want %v as FullestFit() returns", got, want)
 			}
 			if got == nil {
 				continue
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -14,7 +14,7 @@
 type UnmetDemand struct {
 	Request  TaskRequest
 	Count    int
-	Assigned func(zone string) // called with the zone of each task, for Request.ZoneAllowed; may be nil
+	Assigned func(zone string) // called with each assigned task's zone, which Request.ZoneAllowed may depend on; may be nil
 }
 
 // RentalOrder is an offer and the number of machines to rent of it.
@@ -24,20 +24,20 @@
 }
 
 // PlanRentals returns what to rent for the unmet tasks. It first assigns tasks to the machines that
-// are being provisioned, and subtracts from their free capacity. Of the offers that fit, it takes
+// are being provisioned, subtracting from their free capacity. Of the offers that fit, it selects
 // the one with the lowest price per task; ties go to preferredZone.
 func PlanRentals(unmet []UnmetDemand, provisioning []*Host, offers []Offer, preferredZone string) []RentalOrder {
-	plan := &rentPlan{hosts: hostsWithCapacity(provisioning, unmet), offers: offers, preferredZone: preferredZone}
+	plan := &rentalPlan{hosts: hostsWithCapacity(provisioning, unmet), offers: offers, preferredZone: preferredZone}
 	for i := range unmet {
 		plan.placeDemand(&unmet[i])
 	}
 	return plan.orders
 }
 
-// rentPlan is the working state of PlanRentals.
-type rentPlan struct {
+// rentalPlan is the working state of PlanRentals.
+type rentalPlan struct {
 	hosts         []*Host // provisioning and ordered machines with free capacity
-	fullHosts     []*Host // no CPUs or no GPUs left: searched only for tasks without GPUs
+	fullHosts     []*Host // machines with no CPUs or no GPUs left, searched only for tasks without GPUs
 	offers        []Offer
 	preferredZone string
 	orders        []RentalOrder
@@ -46,7 +46,7 @@
 }
 
 // placeDemand assigns the tasks of one job to machines, and orders machines for those that do not fit.
-func (p *rentPlan) placeDemand(demand *UnmetDemand) {
+func (p *rentalPlan) placeDemand(demand *UnmetDemand) {
 	p.ranking = NewRanking(p.ranking, p.hosts, &demand.Request)
 	if demand.Request.Need.GPUs == 0 {
 		p.fullRanking = NewRanking(p.fullRanking, p.fullHosts, &demand.Request)
@@ -79,7 +79,7 @@
 }
 
 // orderMachine adds a machine of an offer to the orders and returns it.
-func (p *rentPlan) orderMachine(offer *Offer) *Host {
+func (p *rentalPlan) orderMachine(offer *Offer) *Host {
 	h := &Host{
 		Name: "new", MachineType: offer.MachineType, Zone: offer.Zone, Spot: offer.Spot, Capacity: offer.Capacity,
 		Free: offer.Capacity,
--- a/internal/sched/rental_test.go
+++ b/internal/sched/rental_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// The rented and provisioning machines hold all unmet tasks that fit an offer, and no rented machine
-// stays empty.
-func TestPlanRentals_CoversUnmetDemand(t *testing.T) {
+// The rented and provisioning machines have capacity for all unmet tasks that fit an offer, and no
+// rented machine stays empty.
+func TestPlanRentalsCoversUnmetDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := Resources{4, 2, 8}
 		offers := []Offer{{"m", "x", false, capacity, 3}, {"m", "x", true, capacity, 1}, {"m", "y", false, capacity, 3}}
@@ -17,7 +17,7 @@
 			Count:   rapid.IntRange(0, 9).Draw(t, "count"),
 		}}
 		provisioning := []*Host{}
-		for range rapid.IntRange(0, 2).Draw(t, "coming") {
+		for range rapid.IntRange(0, 2).Draw(t, "provisioning") {
 			provisioning = append(provisioning, &Host{Name: "c", MachineType: "m", Zone: "x", Capacity: capacity, Free: capacity})
 		}
 		slots := 2 * len(provisioning)
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -38,8 +38,9 @@
 	return cmp.Or(cmp.Compare(r.CPUs, o.CPUs), cmp.Compare(r.GPUs, o.GPUs), cmp.Compare(r.MemGB, o.MemGB))
 }
 
-// Rounded returns r rounded to six decimals, as it is recorded. Without it, sums of decimal fractions
-// would collect more and more digits in the records. Negative amounts are not rounded evenly.
+// Rounded returns r rounded to six decimals, as it is recorded. Without rounding, sums of decimal
+// fractions would collect more and more digits in the records. Negative amounts are truncated after
+// half a step is added, so they are not always rounded to the nearest step.
 func (r Resources) Rounded() Resources {
 	return Resources{round(r.CPUs), round(r.GPUs), round(r.MemGB)}
 }
@@ -49,7 +50,7 @@
 
 func round(amount float64) float64 { return float64(int64(amount*roundingSteps+0.5)) / roundingSteps }
 
-// recordedResources is the recorded form: CPUs, GPUs, memory.
+// recordedResources is the JSON encoding of Resources: CPUs, GPUs, memory.
 type recordedResources [3]float64
 
 // MarshalJSON implements json.Marshaler. It does not round.
--- a/internal/sched/resources_test.go
+++ b/internal/sched/resources_test.go
@@ -6,7 +6,7 @@
 )
 
 // Resources are encoded as three numbers without rounding, and decoded to the same value.
-func TestResources_JSONRoundTrip(t *testing.T) {
+func TestResourcesJSONRoundTrip(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		amount Resources
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -10,8 +10,8 @@
 // entry. The lock of internal/state guards it.
 type backoffTable map[string]backoff
 
-// backoff is the number of failures of a job's tasks at the last check, and the time of the next
-// attempt.
+// backoff holds the number of failures of a job's tasks at the last check, and the time before which
+// the job is not tried again.
 type backoff struct {
 	failures int
 	retryAt  time.Time
@@ -20,8 +20,9 @@
 // maxBackoffDoublings bounds how often the delay before the next attempt is doubled.
 const maxBackoffDoublings = 10
 
-// isWaiting reports whether a job with this number of failures waits before its next attempt. The
-// delay starts at initialDelay, doubles with each failure and is at most maxDelay.
+// isWaiting updates the entry of a job with this number of failures, and reports whether the job
+// waits before its next attempt. The delay starts at initialDelay, doubles with each failure and is
+// at most maxDelay.
 func (t backoffTable) isWaiting(uid string, failures int, now time.Time, initialDelay, maxDelay time.Duration) bool {
 	if failures == 0 {
 		delete(t, uid)
@@ -47,8 +48,8 @@
 }
 
 // isBackingOff reports whether a job whose tasks failed waits before its next attempt. The delay
-// grows, so that a job that fails everywhere does no harm, but only up to a worker's lease, so
-// that the job does not count as starving.
+// grows, so that a job that fails everywhere does not use capacity again and again, but only up to
+// a worker's lease, so that the job does not count as starving.
 func (s *Scheduler) isBackingOff(entry *queueEntry, now time.Time) bool {
 	settings := s.node.Settings
 	return s.backoffs.isWaiting(entry.uid, failuresOf(entry.job), now, settings.HeartbeatInterval(), settings.WorkerLease())
@@ -61,7 +62,7 @@
 		failures += taskRange.Record.ErrorStreak
 	}
 	if gang := job.Record.Gang; gang != nil {
-		// A single attempt may fail by chance, so the first failure causes no delay.
+		// A single attempt of a gang may fail by chance, so the first failure causes no delay.
 		failures += max(gang.ErrorStreak, gang.FailureStreak-1)
 	}
 	return failures
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -21,7 +21,7 @@
 			Record: &job.TaskRange{ErrorStreak: failures, Placements: map[int]*job.Placement{}},
 		}
 		if !s.isBackingOff(&queueEntry{job: j, uid: uid}, now) {
-			t.Fatalf("job is not backing off after %d failures, want it to wait", failures)
+			t.Fatalf("isBackingOff() = false after %d failures, want true", failures)
 		}
 		if wait := s.backoffs[uid].retryAt.Sub(now); wait > info.Settings.WorkerLease() || wait <= 0 {
 			t.Fatalf("delay after %d failures is %v, want above 0 and at most %v", failures, wait, info.Settings.WorkerLease())
@@ -38,14 +38,14 @@
 	for i, want := range []time.Duration{initialDelay, 2 * initialDelay, 4 * initialDelay, 8 * initialDelay, maxDelay, maxDelay} {
 		failures := i + 1
 		if !table.isWaiting("a", failures, now, initialDelay, maxDelay) {
-			t.Errorf("%d failures: job does not wait before its next attempt", failures)
+			t.Errorf("%d failures: isWaiting() = false, want true", failures)
 		}
 		if got := table["a"].retryAt.Sub(now); got != want {
 			t.Errorf("%d failures: delay is %v, want %v", failures, got, want)
 		}
 		later := now.Add(want)
 		if table.isWaiting("a", failures, later, initialDelay, maxDelay) {
-			t.Errorf("%d failures: job still waits after its delay of %v", failures, want)
+			t.Errorf("%d failures: isWaiting() = true after the delay of %v, want false", failures, want)
 		}
 	}
 	if table.isWaiting("a", 0, now, initialDelay, maxDelay) || len(table) != 0 {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -10,21 +10,21 @@
 	"violetturn/internal/statecache"
 )
 
-// GangClaimChanges is the usual number of changes in a gang's claim: its main record and the
-// capacity records of the shards that it is placed in. Other decisions leave this many changes to
-// gangs while there are any.
+// GangClaimChanges is the usual number of changes in the transaction of a gang's claim: the job's
+// main record and the capacity records of the shards in which it is placed. Other decisions leave
+// this many changes of the write budget to gangs while gangs arrive.
 const GangClaimChanges = 3
 
-// ChangesReservedForGangs returns how many changes other decisions leave to gangs: some if a gang
-// arrived lately, otherwise none.
+// ChangesReservedForGangs returns how many changes of the write budget other decisions leave to
+// gangs: GangClaimChanges if a gang arrived within MaxStartDelay, otherwise none.
 func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
-	if s.accounts.Arrivals().ArrivedSince(api.Gang, now.Add(-MaxStartDelay)) {
+	if s.accounting.Arrivals().ArrivedSince(api.Gang, now.Add(-MaxStartDelay)) {
 		return GangClaimChanges
 	}
 	return 0
 }
 
-// GangClaim is the placements of all tasks of a gang that have none yet.
+// GangClaim is planned placements for all unplaced tasks of a gang.
 type GangClaim struct {
 	UID        string
 	Placements []capacity.Placement
@@ -39,14 +39,14 @@
 	claims       *capacity.Claims
 	zones        *zoneConstraint
 	placedBefore int
-	attempt      uint64 // of all tasks that this transaction places
+	attempt      uint64 // attempt number of all tasks that this transaction places
 	placed       []PlacementLog
 }
 
-// GangTransaction claims capacity for as many tasks of a gang as fit into one transaction. If all
-// tasks of the gang have a placement then, the same write lets the workers start them; otherwise
-// the capacity is only claimed. It returns no transaction if the capacity is no longer available;
-// the gang is then planned again.
+// GangTransaction prepares a transaction that claims capacity for as many tasks of a gang as fit into
+// it. If all tasks of the gang have a placement then, the transaction also lets the workers start
+// them; otherwise the capacity is only claimed. It returns no transaction if the capacity is no
+// longer available; the gang is then planned again.
 func (s *Scheduler) GangTransaction(claim *GangClaim, now time.Time) PlacementResult {
 	gangJob := s.cache.Jobs[claim.UID]
 	if gangJob == nil || !gangJob.Record.Gang.AcceptsPlacements() && gangJob.CountPlaced() > 0 {
@@ -57,7 +57,7 @@
 		now:          now,
 		job:          gangJob,
 		editor:       s.schema.NewRecordEditor(),
-		claims:       s.accounts.NewClaims(),
+		claims:       s.accounting.NewClaims(),
 		zones:        s.zoneConstraintOf(gangJob, s.zones.Admission(now)),
 		placedBefore: gangJob.CountPlaced(),
 	}
@@ -76,7 +76,7 @@
 	return t.finish(remaining)
 }
 
-// add claims capacity for one task. A task that is refused refuses the whole claim.
+// add claims capacity for one task. If one task is refused, the whole claim is abandoned.
 func (t *gangTransaction) add(placement capacity.Placement) placementOutcome {
 	pending := t.claims.Check(placement, t.now)
 	if pending == nil || !t.zones.allows(placement.RangeIndex, placement.Host.Zone) {
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -9,22 +9,22 @@
 )
 
 // capacitySource is how a gang can get its capacity in a zone; lower values are better. Machines
-// are rented and tasks preempted only in the chosen zone. A zone must therefore not be chosen just
-// because it has the most free capacity if it can't provide the rest.
+// are rented and tasks preempted only in the chosen zone, so a zone that can't provide all the
+// capacity must not be chosen just because it has the most free capacity.
 type capacitySource int
 
 const (
 	capacityFree         capacitySource = iota
-	capacityExpected                    // sufficient once tasks have stopped and machines have booted
-	capacityByPreemption                // sufficient with the capacity of tasks of lower priorities
-	capacityByRental                    // machines can be rented
+	capacityExpected                    // sufficient once stopping tasks have stopped and provisioning machines have booted
+	capacityByPreemption                // sufficient if tasks of lower priorities are preempted
+	capacityByRental                    // machines can be rented, or there is no other zone
 	capacityUnavailable                 // none of these at present
 )
 
 // gangAssignment is the machines that a gang's tasks would be placed on in a zone.
 type gangAssignment struct {
 	hosts  []*sched.Host // by task; nil: the task does not fit
-	zone   string        // of a gang whose tasks go to one zone; "": any
+	zone   string        // zone of all machines; "" if the search was not limited to one
 	source capacitySource
 }
 
@@ -55,12 +55,12 @@
 	allHosts         []*sched.Host   // the same machines in one list
 	best             gangAssignment
 	expectedSuffices bool // in some zone the free and expected capacity suffices
-	reserved         bool // capacity of the machines found is held back from other jobs
+	reserved         bool // the capacity found is held back from other jobs
 }
 
 // searchGangCapacity finds machines for all unplaced tasks of a gang, in the zone where they start
-// soonest. The machines found for a gang that does not fit are held back from other jobs only if
-// the expected capacity completes it.
+// soonest. If not all of them fit, the capacity found is held back from other jobs only if the
+// expected capacity suffices for the rest.
 func (p *planner) searchGangCapacity(job *waitingJob) *gangSearch {
 	byShard := p.hostsInSearchOrder(job.entry.job.Record.Shard)
 	search := &gangSearch{planner: p, job: job, hostsByShard: byShard, allHosts: slices.Concat(byShard...)}
@@ -91,9 +91,9 @@
 	return hostsByShard
 }
 
-// candidateZones lists the zones that a gang whose tasks go to one zone may choose from, this
-// controller's first. A gang that is bound to a zone, or whose tasks may go anywhere, has no
-// choice: its only entry is "".
+// candidateZones lists the zones to search for a gang whose tasks all go to one zone, this
+// controller's first. For a gang that is bound to a zone already, or whose tasks may go to several,
+// the only entry is "".
 func (p *planner) candidateZones(job *waitingJob) []string {
 	spec := &job.entry.job.Record.Spec
 	if !spec.SingleZone || job.zoneConstraint.boundZone != "" || spec.Zone != "" {
@@ -109,9 +109,10 @@
 	return zones
 }
 
-// searchZone searches a zone ("": all zones), and keeps the assignment found if the gang starts
-// sooner with it than with the best so far. If no capacity is free, or the expected capacity is
-// too small, it assigns no machines.
+// searchZone searches a zone ("": all zones that the gang may use), and keeps the assignment found if
+// the gang starts sooner with it than with the best so far. If no capacity is free, or the expected
+// capacity is too small, the assignment has no machines. hasAlternatives reports whether other zones
+// are searched too.
 func (g *gangSearch) searchZone(zone string, hasAlternatives bool) {
 	request := g.job.request
 	if zone != "" {
@@ -136,8 +137,9 @@
 		g.consider(&gangAssignment{hosts: make([]*sched.Host, size), zone: zone, source: source})
 		return
 	}
-	// Try shard by shard, and all shards as one: a fetch takes longer than the change of another
-	// shard's capacity record, and the last task determines when all start.
+	// Try shard by shard, and all shards as one. The latter may need more capacity records but fewer
+	// image fetches: a fetch takes longer than the change of another capacity record, and the last
+	// task determines when all start.
 	for _, hostGroups := range [][][]*sched.Host{g.hostsByShard, {g.allHosts}} {
 		hosts := g.assign(hostGroups, &request)
 		g.consider(&gangAssignment{hosts: hosts, zone: zone, source: source})
@@ -147,8 +149,8 @@
 	}
 }
 
-// countExpected counts the tasks, at most all of the gang, that fit on the free capacity, on
-// machines that are booting, and on the capacity of tasks that are stopping.
+// countExpected counts the gang's tasks that fit on the free capacity, on provisioning machines, and
+// on the capacity of stopping tasks.
 func (g *gangSearch) countExpected(request *sched.TaskRequest, free int) int {
 	size := len(g.job.tasks)
 	expected := free + sched.CountFits(g.planner.placement.provisioning, request, size-free)
@@ -204,9 +206,9 @@
 // isComplete reports whether all tasks have a machine.
 func (g *gangSearch) isComplete() bool { return sched.CountUnassigned(g.best.hosts) == 0 }
 
-// reserve holds back the capacity of the machines found from other jobs, if every task has a
-// machine or the expected capacity completes the gang. It binds an incomplete gang to the zone of
-// the best assignment, so that the missing capacity is reclaimed and rented there.
+// reserve holds back the capacity found from other jobs, if every task has a machine or the expected
+// capacity suffices for the rest. It binds a gang that needs one zone and is incomplete to the zone
+// of the best assignment, so that the missing capacity is reclaimed and rented there.
 func (g *gangSearch) reserve() {
 	complete := g.isComplete()
 	g.reserved = complete || g.expectedSuffices
--- a/internal/scheduler/gang_search_state.go
+++ b/internal/scheduler/gang_search_state.go
@@ -7,8 +7,8 @@
 )
 
 // gangTable is the state that this controller keeps for gangs in addition to their records. A gang
-// that is marked for release of its claims has a search state too; its next update clears the
-// mark. The lock of internal/state guards it.
+// that is marked for release of its claims also has a search state; its next update clears the mark.
+// The lock of internal/state guards it.
 type gangTable struct {
 	searchStates map[string]*gangSearchState
 	toRelease    map[string]bool // gangs whose claims are to be released
@@ -17,15 +17,14 @@
 // gangSearchState is the state of a gang's search for capacity from one plan to the next.
 type gangSearchState struct {
 	retry               *sched.GangRetry
-	lastImmediateSearch time.Time // when the gang was last planned between regular decisions
+	lastImmediateSearch time.Time // time of the last plan for the gang between regular decisions
 }
 
 func newGangTable() gangTable {
 	return gangTable{searchStates: map[string]*gangSearchState{}, toRelease: map[string]bool{}}
 }
 
-// searchState returns the state of a gang's search for capacity, and adds a new one if it has
-// none.
+// searchState returns the state of a gang's search for capacity, which it creates at the first call.
 func (t *gangTable) searchState(uid string) *gangSearchState {
 	state := t.searchStates[uid]
 	if state == nil {
--- a/internal/scheduler/gang_search_test.go
+++ b/internal/scheduler/gang_search_test.go
@@ -47,6 +47,6 @@
 	host := &sched.Host{Shard: "n0"}
 	a := &gangAssignment{hosts: []*sched.Host{host}, source: capacityFree}
 	if a.startsSooner(&gangAssignment{hosts: []*sched.Host{host}, source: capacityFree}, &sched.TaskRequest{}) {
-		t.Error("startsSooner is true for an equal assignment, want false")
+		t.Error("startsSooner() = true for an equal assignment, want false")
 	}
 }
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// EndedGangAttempts returns the ends of gangs' tasks on machines of shards that this controller
-// leads.
+// EndedGangAttempts returns the ended attempts of gangs' tasks on machines of shards that this
+// controller leads, by task range.
 func (s *Scheduler) EndedGangAttempts(now time.Time) map[schema.RangeID][]agent.EndedTask {
 	ends := s.agents.EndedTasks(now)
 	maps.DeleteFunc(ends, func(id schema.RangeID, _ []agent.EndedTask) bool {
@@ -33,8 +33,8 @@
 	release   bool     // its claims are released; none of their tasks was ever started
 }
 
-// UpdateGang adds to a transaction the changes of a gang that follow from the ends of its tasks,
-// the gang's phase and a cancellation. It reports whether there is anything to write.
+// UpdateGang adds to a transaction the changes of a gang's records that follow from the ends of its
+// tasks, the gang's phase and a cancellation. It reports whether there is anything to write.
 func (s *Scheduler) UpdateGang(editor *schema.Editor, j *statecache.Job, ends []agent.EndedTask, now time.Time) bool {
 	u := &gangUpdate{scheduler: s, editor: editor, now: now, job: j, ends: ends, gang: *j.Record.Gang}
 	u.applyEnds()
@@ -43,8 +43,7 @@
 		if u.archive() {
 			return true
 		}
-		// The gang counts as done from now on, although not all of its records can be deleted
-		// yet.
+		// The gang counts as done from now on, although its records can't be deleted yet.
 	}
 	u.applyPhase()
 	if len(ends) == 0 && !u.release && u.gang == *j.Record.Gang {
@@ -58,13 +57,13 @@
 	return true
 }
 
-// launchedAt returns when the workers were allowed to start the gang.
+// launchedAt returns the time from which the workers may start the gang's tasks.
 func (u *gangUpdate) launchedAt() time.Time {
 	return time.UnixMilli(u.job.Record.AcceptedMS).Add(time.Duration(u.gang.LaunchedS) * time.Second)
 }
 
-// isGathering reports whether the workers may still wait for all tasks of the attempt: none was
-// reported running, and the launch was less than half of the gather timeout ago.
+// isGathering reports whether the workers may still wait for all tasks of the attempt to start: no
+// task was reported running, and the launch was less than half of the gather timeout ago.
 func (u *gangUpdate) isGathering() bool {
 	s := u.scheduler
 	if s.agents.Gangs().WasRunning(u.job.Record.Spec.UID, u.gang.Attempt) {
@@ -86,11 +85,11 @@
 }
 
 // archive replaces the records of a gang that is done by its final state, and reports whether it
-// did. If the gang's tasks count against a quota, the ends of all of them must be known first.
+// did. If the gang's tasks count against a quota, all of them must have ended first.
 func (u *gangUpdate) archive() bool {
 	record := u.job.Record
-	allEndsKnown := len(u.ends) == u.job.CountPlaced() || !u.scheduler.accounts.CountsAgainstQuota(u.job)
-	if !record.Inline || !allEndsKnown {
+	allEnded := len(u.ends) == u.job.CountPlaced() || !u.scheduler.accounting.CountsAgainstQuota(u.job)
+	if !record.Inline || !allEnded {
 		return false
 	}
 	u.editor.Archive(u.job, job.FinalState{Phase: api.JobDone, Done: record.Spec.Tasks})
@@ -101,28 +100,27 @@
 // stopped or its attempt abandoned.
 func (u *gangUpdate) applyPhase() {
 	s, record := u.scheduler, u.job.Record
-	led := s.leadership.Leads(record.Shard)
+	ledLocally := s.leadership.Leads(record.Shard)
 	switch record.Gang.Phase(u.job.CountPlaced()) {
 	case job.GangIdle, job.GangStopping, job.GangEnding, job.GangDone: // nothing to decide; only ends are recorded
 	case job.GangReserving:
 		marked := s.gangs.consumeRelease(record.Spec.UID)
-		u.release = led && (record.Cancelled || marked)
+		u.release = ledLocally && (record.Cancelled || marked)
 	case job.GangLaunched:
 		if !record.Cancelled && s.agents.IsGangInterruptionDue(u.job) {
 			u.gang.Stopping = true
 		}
 		// The other tasks wait for the replacement of one that was lost before they ran. If the
-		// attempt is still incomplete after three quarters of the gather timeout, it is
-		// abandoned.
+		// attempt is still incomplete after three quarters of the gather timeout, it is abandoned.
 		incomplete := u.job.CountPlaced() < record.Spec.Tasks
-		if led && incomplete && u.now.Sub(u.launchedAt()) > s.node.Settings.GangGatherTimeout()*3/4 {
+		if ledLocally && incomplete && u.now.Sub(u.launchedAt()) > s.node.Settings.GangGatherTimeout()*3/4 {
 			u.gang.Abandon()
 		}
 	}
 }
 
 // releaseClaims removes the placements of a gang that was never launched, as many as fit into the
-// transaction; the next round removes the rest.
+// transaction; the next update removes the rest.
 func (u *gangUpdate) releaseClaims() {
 	for _, index := range slices.Sorted(maps.Keys(u.job.Ranges)) {
 		if u.isFullFor(index) {
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -10,10 +10,10 @@
 	"violetturn/internal/statecache"
 )
 
-// shardView says where a plan reads the free capacity of a shard's machines.
+// shardView is the source from which a plan takes the free capacity of a shard's machines.
 type shardView struct {
-	ledLocally bool               // capacity is computed from the placements
-	offered    shard.FreeCapacity // free capacity in the capacity record of a peer's shard
+	ledLocally bool               // free capacity is computed from the placements
+	offered    shard.FreeCapacity // from the capacity record of a peer's shard
 }
 
 // shardViews returns the shards whose machines can take tasks. It leaves out shards without a
@@ -79,8 +79,8 @@
 	return hosts
 }
 
-// smallestRequest returns the least amount of each resource that any waiting task requests. A
-// machine with less free capacity fits no task.
+// smallestRequest returns the least amount of each resource that any task to be placed requests. No
+// task fits on a machine with less free capacity.
 func smallestRequest(queue []*queueEntry) sched.Resources {
 	smallest := sched.Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemGB: math.Inf(1)}
 	for _, entry := range queue {
@@ -97,7 +97,7 @@
 	return smallest
 }
 
-// hostsWithCapacity returns the machines where the need fits, by shard.
+// hostsWithCapacity returns the machines with free capacity for the need, by shard.
 func hostsWithCapacity(hosts []*sched.Host, need sched.Resources) map[string][]*sched.Host {
 	byShard := map[string][]*sched.Host{}
 	for _, host := range hosts {
--- a/internal/scheduler/placement_log.go
+++ b/internal/scheduler/placement_log.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// secondsSinceAccepted converts a time to the form in job records: seconds since the job was
+// secondsSinceAccepted converts a time to its encoding in job records: seconds since the job was
 // accepted, at least 0.
 func secondsSinceAccepted(job *statecache.Job, now time.Time) int64 {
 	return max(0, (now.UnixMilli()-job.Record.AcceptedMS)/1000)
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -14,7 +14,7 @@
 	Transaction    *statecache.Transaction  // nil: nothing to commit now
 	Remaining      []capacity.Placement     // placements that do not fit into the transaction
 	Placed         []PlacementLog           // to be logged once the transaction is committed
-	StopSeparately []*statecache.PlacedTask // victims to stop first: they do not fit into one transaction with their placement
+	StopSeparately []*statecache.PlacedTask // victims that do not fit into one transaction with their placement; to be stopped first
 }
 
 // placementOutcome is the result of adding a placement to a transaction.
@@ -23,8 +23,8 @@
 const (
 	placementAdded    placementOutcome = iota
 	placementRefused                   // the state has changed since the plan; the task is planned again
-	placementTooLarge                  // it exceeds the limits of a transaction by itself
-	transactionFull
+	placementTooLarge                  // with its victims it exceeds the limit of a transaction
+	transactionFull                    // it does not fit into this transaction
 )
 
 // CanStop reports whether a task can still be stopped: its job is not blocked, and the attempt is
@@ -60,17 +60,17 @@
 	placed     []PlacementLog
 }
 
-// PlacementTransaction commits as many placements as fit into a transaction and the budget of
-// changes. The plan may be older than the state, so each placement is checked again. A placement
-// with victims is committed together with the marks that stop them: the leader's next response
-// then stops the victims and starts the task, instead of a round of commits and heartbeats for
+// PlacementTransaction prepares a transaction with as many placements as fit into it and into the
+// write budget. The plan may be older than the state, so each placement is checked again. A placement
+// with victims is committed together with the marks that stop them: the leader's next heartbeat
+// response then stops the victims and starts the task, without a separate commit and heartbeat for
 // each.
 func (s *Scheduler) PlacementTransaction(placements []capacity.Placement, budget int, now time.Time) PlacementResult {
 	t := &placementTransaction{
 		scheduler:  s,
 		now:        now,
 		editor:     s.schema.NewRecordEditor(),
-		claims:     s.accounts.NewClaims(),
+		claims:     s.accounting.NewClaims(),
 		admission:  s.zones.Admission(now),
 		zonesByJob: map[string]*zoneConstraint{},
 	}
@@ -113,7 +113,7 @@
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
 		if !t.scheduler.CanStop(victimJob, victim) {
-			return placementRefused // its capacity may be free by now
+			return placementRefused // the victim's capacity may be free by now
 		}
 		changes += t.editor.StopCost(victimJob, victim)
 	}
@@ -148,7 +148,7 @@
 	return newPlacementLog(job, placement, attempt)
 }
 
-// zonesOf returns the zone constraint of a job, including the placements of the transaction.
+// zonesOf returns the zone constraint of a job, which includes the placements in the transaction.
 func (t *placementTransaction) zonesOf(job *statecache.Job) *zoneConstraint {
 	uid := job.Record.Spec.UID
 	constraint := t.zonesByJob[uid]
--- a/internal/scheduler/plan_cache.go
+++ b/internal/scheduler/plan_cache.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// cachedPlan is the newest plan of a decision round and the time when it was made.
+// cachedPlan is the plan of the latest decision step and the time when it was made.
 type cachedPlan struct {
 	plan      *Plan
 	createdAt time.Time
 }
 
-// CachePlan stores a plan for the next round of rentals.
+// CachePlan stores a plan for the next run of the autoscaler.
 func (s *Scheduler) CachePlan(plan *Plan, createdAt time.Time) {
 	s.cachedPlan = cachedPlan{plan: plan, createdAt: createdAt}
 }
 
-// RecentPlan returns the stored plan if it was made within the last autoscaling interval, or else a
-// new one. A plan is the most expensive computation of a controller, and the demand that was unmet
-// for a decision is unmet for rentals too. Each plan is returned once only, because rentals assign
-// tasks to its machines.
+// RecentPlan returns the cached plan if it was made within the last autoscaling interval, or else a
+// new one. A plan is the most expensive computation of a controller, and the unmet demand of a
+// decision step is also the demand for which machines are rented. Each plan is returned only once,
+// because the planning of rentals assigns tasks to its machines.
 func (s *Scheduler) RecentPlan(now time.Time) *Plan {
 	cached := s.cachedPlan
 	s.cachedPlan = cachedPlan{}
--- a/internal/scheduler/plan_cache_test.go
+++ b/internal/scheduler/plan_cache_test.go
@@ -11,8 +11,8 @@
 	"violetturn/internal/node"
 )
 
-// testNode returns a controller process for tests. Workers send a heartbeat every second and have
-// a lease of nine seconds.
+// testNode returns the node information of a controller for tests. Workers send a heartbeat every
+// second and have a lease of nine seconds.
 func testNode(t *testing.T) *node.Info {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
@@ -22,8 +22,8 @@
 	return node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// Rentals reuse the plan of the last decision only once, because they assign tasks to its
-// machines, and not if it is older than the autoscaling interval.
+// The planning of rentals reuses the plan of the last decision step only once, because it assigns
+// tasks to the plan's machines, and not if the plan is older than the autoscaling interval.
 func TestCachedPlanIsReturnedOnce(t *testing.T) {
 	info := testNode(t)
 	s := New(Deps{Node: info, Catalog: catalog.New(info)})
@@ -31,13 +31,13 @@
 	first := &Plan{}
 	s.CachePlan(first, now)
 	if s.RecentPlan(now) != first {
-		t.Fatal("first call returned a new plan, want the plan of the last decision")
+		t.Fatal("first call of RecentPlan() returned a new plan, want the cached one")
 	}
 	if s.RecentPlan(now) == first {
-		t.Fatal("second call returned the same plan, want a new plan")
+		t.Fatal("second call of RecentPlan() returned the same plan, want a new one")
 	}
 	s.CachePlan(first, now)
 	if s.RecentPlan(now.Add(info.Settings.AutoscaleInterval()+1)) == first {
-		t.Fatal("call returned a plan older than the autoscaling interval, want a new plan")
+		t.Fatal("RecentPlan() returned a plan older than the autoscaling interval, want a new one")
 	}
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -13,10 +13,10 @@
 // Plan is what this controller would do, computed from the state at one moment.
 type Plan struct {
 	Placements     []capacity.Placement
-	Gangs          []*GangClaim             // claims for all unplaced tasks of a gang each
+	Gangs          []*GangClaim             // each for all unplaced tasks of a gang
 	GangVictims    []*statecache.PlacedTask // tasks to stop for gangs
 	UnmetDemand    []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
-	AllUnmetDemand []sched.UnmetDemand      // the same, and the unplaced tasks of peers' jobs
+	AllUnmetDemand []sched.UnmetDemand      // UnmetDemand and the unplaced tasks of peers' jobs
 	ReservedHosts  map[string]bool          // machines reserved for gangs that do not have all their capacity yet
 	RemainingHosts []*sched.Host            // all machines, with the capacity left after the plan
 }
@@ -39,28 +39,27 @@
 	return capacity.Placement{UID: w.entry.uid, RangeIndex: task.RangeIndex, Index: task.Index, Host: host}
 }
 
-// coldStart is a placement on a machine that does not have the image, so that the start misses its
-// objective.
+// coldStart is a placement on a machine that does not have the image, so that the task misses its
+// start objective.
 type coldStart struct {
 	job   *waitingJob
 	index int // in the plan's placements
 }
 
 // planner computes a plan in stages: it selects the waiting jobs, places tasks on free capacity,
-// and reclaims capacity for the rest: that of tasks that are stopping, and that of tasks that may
-// be preempted. Machines are to be rented for tasks that are unplaced after that. A planner is
-// used for one plan.
+// and reclaims the capacity of stopping tasks, or of tasks that may be preempted, for the rest.
+// Machines are to be rented for tasks that are unplaced after that. A planner is used for one plan.
 type planner struct {
 	scheduler *Scheduler
 	now       time.Time
 	plan      *Plan
 
 	// Set by selectJobs.
-	hosts     []*sched.Host // machines that can take tasks
-	queue     []*queueEntry
-	smallest  sched.Resources     // least amount of each resource that any waiting task requests
-	admission *recovery.Admission // limits placement in zones that are down or recovering
-	jobs      []*waitingJob       // in scheduling order
+	hosts           []*sched.Host // machines that can take tasks
+	queue           []*queueEntry
+	smallestRequest sched.Resources     // least amount of each resource that any waiting task requests
+	admission       *recovery.Admission // limits placement in zones that are down or recovering
+	jobs            []*waitingJob       // in scheduling order
 
 	placement placementStage
 
@@ -102,7 +101,7 @@
 	p.hosts = s.SchedulableHosts(p.now)
 	p.admission = s.zones.Admission(p.now)
 	p.queue = s.queue(p.now)
-	p.smallest = smallestRequest(p.queue)
+	p.smallestRequest = smallestRequest(p.queue)
 	p.placement = p.newPlacementStage()
 	for _, entry := range p.queue {
 		isBackingOff := entry.ledLocally && s.isBackingOff(entry, p.now)
@@ -118,8 +117,8 @@
 	}
 }
 
-// fetchMargin is the factor applied to the estimated time to fetch an image: fetches may be a
-// third slower than the catalog says.
+// fetchMargin is the factor applied to the estimated time to fetch an image: the rate of a fetch may
+// be a third lower than the catalog states.
 const fetchMargin = 1.5
 
 // requestOf returns what a task of a job requests of a machine.
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -13,25 +13,25 @@
 // placementStage is the working data of the stage that places tasks on free capacity.
 type placementStage struct {
 	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
-	chooser            *sched.HostSelector
+	hostSelector       *sched.HostSelector
 	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
-	provisioning       []*sched.Host              // machines that are booting; nil until the first gang needs them
+	provisioning       []*sched.Host              // provisioning machines; nil until the first gang needs them
 	productionReserved bool                       // whether capacity is reserved for waiting production tasks
 }
 
-// newPlacementStage initializes the stage. Only machines with free capacity are considered, so
-// that the work for each task is bounded by their number.
+// newPlacementStage initializes the stage. Only machines with capacity for the smallest request are
+// considered, so that the work for each task is bounded by their number.
 func (p *planner) newPlacementStage() placementStage {
 	s := p.scheduler
-	hostsByShard := hostsWithCapacity(p.hosts, p.smallest)
+	hostsByShard := hostsWithCapacity(p.hosts, p.smallestRequest)
 	stage := placementStage{
 		hostsByShard: hostsByShard,
-		chooser:      sched.NewHostSelector(hostsByShard, s.node.Random),
+		hostSelector: sched.NewHostSelector(hostsByShard, s.node.Random),
 		teamUsage:    map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
 		if team.Limited() {
-			stage.teamUsage[team.Name] = s.accounts.TeamUsage(team.Name)
+			stage.teamUsage[team.Name] = s.accounting.TeamUsage(team.Name)
 		}
 	}
 	return stage
@@ -68,8 +68,8 @@
 
 // placeSameWeight places jobs of one weight. Gangs come first, because a single task could take
 // the capacity that a whole gang waits for. Then each free machine is offered first to jobs whose
-// image it has, since image fetches take a considerable share of the machines' time. A starving
-// job accepts any machine at once.
+// image it has, since image fetches take a considerable share of the machines' time. The tasks of a
+// starving job are placed on any machine at once.
 func (p *planner) placeSameWeight(jobs []*waitingJob) {
 	for _, job := range jobs {
 		if job.entry.job.IsGang() {
@@ -83,9 +83,9 @@
 	}
 	for _, job := range jobs {
 		if !job.entry.job.IsGang() {
-			// A job gets only one pass over all machines. That pass counts the tasks of a team
-			// with a limit as used even if they are not placed, so a second pass would find the
-			// limit exceeded and no machine would be rented.
+			// A job gets only one pass over all machines. That pass adds unplaced tasks to the usage
+			// of their team too, so a second pass would find the team's limit exceeded and no machine
+			// would be rented.
 			if !job.entry.starving {
 				p.placeTasks(job, false)
 			}
@@ -97,15 +97,15 @@
 	}
 }
 
-// placeTasks places as many of a job's tasks as it can, either only on machines that have its
-// image or on any, and leaves the rest in the job's list. Tasks beyond the team's limit are no
-// unmet demand: the pass over all machines drops them.
+// placeTasks places as many of a job's tasks as fit, either only on machines that have its image or on
+// any, and leaves the rest in the job's list. Tasks beyond the team's limit are no unmet demand: the
+// pass over all machines removes them from the list.
 func (p *planner) placeTasks(job *waitingJob, withImageOnly bool) {
 	spec := &job.entry.job.Record.Spec
 	team, _ := p.scheduler.node.Settings.Team(spec.Team)
 	request := job.request
 	request.RequireImage = withImageOnly
-	p.placement.chooser.BeginJob(job.entry.job.Record.Shard, &request)
+	p.placement.hostSelector.BeginJob(job.entry.job.Record.Shard, &request)
 	anyUnplaced := false
 	unplacedRanges := map[int]bool{} // task ranges with a task that did not fit
 	remaining := job.tasks[:0]
@@ -119,7 +119,7 @@
 		}
 		var host *sched.Host
 		if !unplacedRanges[task.RangeIndex] || !spec.Spread && !anyUnplaced {
-			host = p.placement.chooser.NextHost(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
+			host = p.placement.hostSelector.NextHost(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
 		}
 		if host != nil {
 			p.placement.teamUsage[team.Name] = usage
@@ -136,10 +136,10 @@
 }
 
 // assign places a task on a machine with capacity for it. For a task of a peer's job it only holds
-// the capacity back, since the leader of the job's shard places it.
+// back the capacity, since the leader of the job's shard places the task.
 func (p *planner) assign(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
 	host.Free = host.Free.Sub(job.request.Need)
-	if !host.Free.Fits(p.smallest) {
+	if !host.Free.Fits(p.smallestRequest) {
 		byShard := p.placement.hostsByShard
 		byShard[host.Shard] = removeHost(byShard[host.Shard], host)
 	}
@@ -158,9 +158,8 @@
 	p.plan.Placements = append(p.plan.Placements, job.placementOf(task, host))
 }
 
-// placeGang finds machines for all unplaced tasks of a gang. If they do not all fit, the search is
-// kept for the reclaim stage. Tasks of a peer's gang are not placed; their capacity is only held
-// back.
+// placeGang finds machines for all unplaced tasks of a gang. If they do not all fit, it keeps the
+// search for the reclaim stage. For a peer's gang it only holds back the capacity.
 func (p *planner) placeGang(job *waitingJob) {
 	if p.gangExceedsQuota(job) {
 		job.tasks = nil // tasks beyond the limit are no unmet demand
@@ -191,7 +190,7 @@
 }
 
 // gangExceedsQuota reports whether the unplaced tasks of a gang together would exceed its team's
-// limit, and counts them as used if not.
+// limit. If not, it adds them to the team's usage.
 func (p *planner) gangExceedsQuota(job *waitingJob) bool {
 	team, _ := p.scheduler.node.Settings.Team(job.entry.job.Record.Spec.Team)
 	if !team.Limited() {
@@ -205,8 +204,8 @@
 	return false
 }
 
-// recordGangMiss records that a gang did not fit. A gang that holds claims releases them after too
-// many misses in a row, as in the paper's Algorithm 2.
+// recordGangMiss records that a gang that holds claims did not fit. After too many misses in a row it
+// marks the gang's claims for release, as in the paper's Algorithm 2.
 func (p *planner) recordGangMiss(waitingGang *waitingJob) {
 	s, uid := p.scheduler, waitingGang.entry.uid
 	if waitingGang.entry.job.GangPhase() == job.GangReserving && s.gangs.searchState(uid).retry.RecordMiss(p.now) {
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -10,10 +10,10 @@
 	"violetturn/internal/statecache"
 )
 
-// reclaimStage is the working data of the stage that finds capacity for unplaced tasks: that of
-// tasks that are stopping, and that of tasks that may be preempted.
+// reclaimStage is the working data of the stage that finds capacity for unplaced tasks: the capacity
+// of stopping tasks, and that of tasks that may be preempted.
 type reclaimStage struct {
-	candidateHosts       []*sched.Host // machines with free capacity once all stopping tasks have left
+	candidateHosts       []*sched.Host // machines with free capacity once all stopping tasks have ended
 	ranking              *sched.Ranking
 	preemption           *preemption
 	preemptingPlacements []capacity.Placement // placements with victims
@@ -21,7 +21,7 @@
 
 // reclaimCapacity finds capacity for unplaced tasks, and better machines for cold starts.
 func (p *planner) reclaimCapacity() {
-	for _, hosts := range hostsWithCapacity(p.hosts, p.smallest) {
+	for _, hosts := range hostsWithCapacity(p.hosts, p.smallestRequest) {
 		p.reclaim.candidateHosts = append(p.reclaim.candidateHosts, hosts...)
 	}
 	slices.SortFunc(p.reclaim.candidateHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
@@ -42,7 +42,7 @@
 	return job.preemptOptions
 }
 
-// assignInPlaceOfVictims assigns a task of the job to the capacity that its victims free.
+// assignInPlaceOfVictims assigns a task of the job to the machine on which its victims free capacity.
 func (p *planner) assignInPlaceOfVictims(job *waitingJob, rangeIndex int, choice victimChoice) {
 	host := choice.host
 	for _, victim := range choice.tasks {
@@ -53,8 +53,8 @@
 }
 
 // preemptForColdStarts moves each cold start to a machine that has the image and preempts tasks
-// there, if that costs no more than two fetches. The victims can restart on the capacity that was
-// free.
+// there, if that costs no more than two image fetches. The victims can restart on the capacity that
+// the cold start leaves free.
 func (p *planner) preemptForColdStarts() {
 	for _, start := range p.coldStarts {
 		placement := &p.plan.Placements[start.index]
@@ -71,8 +71,8 @@
 	}
 }
 
-// unassignedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks
-// without a machine, or all its unplaced tasks if the machines found are not reserved.
+// unassignedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks for
+// which no machine was found, or all its unplaced tasks if the machines found are not reserved.
 func (p *planner) unassignedTasks(job *waitingJob) []statecache.TaskIndex {
 	search := p.gangSearches[job]
 	if search == nil {
@@ -87,8 +87,8 @@
 	return tasks
 }
 
-// reclaimCapacityFor finds capacity for the unplaced tasks of a job: that of stopping tasks, or
-// else by preemption. The tasks that remain become unmet demand, for which machines are rented.
+// reclaimCapacityFor finds capacity for the unplaced tasks of a job: that of stopping tasks, or else
+// by preemption. The tasks that remain become unmet demand, for which machines are rented.
 func (p *planner) reclaimCapacityFor(job *waitingJob) {
 	tasks := p.unassignedTasks(job)
 	if !job.entry.ledLocally {
@@ -120,7 +120,7 @@
 			p.reclaim.preemptingPlacements = append(p.reclaim.preemptingPlacements, placement)
 		}
 		p.assignInPlaceOfVictims(job, task.RangeIndex, choice)
-		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task takes
+		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task needs
 	}
 	p.dropFullHosts()
 	if len(unmetTasks) == 0 {
@@ -134,15 +134,15 @@
 	p.recordUnmetDemand(job, append(unmetTasks[:len(unmetTasks):len(unmetTasks)], p.deferredTasksToRentFor(job)...))
 }
 
-// preemptFor selects the tasks that lose the least work when stopped for a task of the job.
+// preemptFor selects the tasks whose stop for a task of the job loses the least work.
 func (p *planner) preemptFor(job *waitingJob, zoneAllowed func(zone string) bool) victimChoice {
 	request := job.request
 	request.ZoneAllowed = zoneAllowed
 	return p.reclaim.preemption.choose(p.preemptOptions(job), &request, math.Inf(1))
 }
 
-// dropFullHosts removes the machines that no longer have capacity for any task.
+// dropFullHosts removes the machines that no longer have capacity for any task from candidateHosts.
 func (p *planner) dropFullHosts() {
-	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallest) }
+	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallestRequest) }
 	p.reclaim.candidateHosts = slices.DeleteFunc(p.reclaim.candidateHosts, isFull)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,10 +11,10 @@
 )
 
 // mayPreempt reports whether a job may preempt tasks of another. PROTOCOL allows this both by a
-// higher priority and by a guarantee. Between teams the guarantee decides first: a job within its
-// team's guarantee does not yield to any priority of another team that is beyond its own
-// guarantee. Otherwise the one job would reclaim by its guarantee what the other took by its
-// priority, again and again.
+// higher priority and by a team's guarantee. Between teams the guarantee decides first: a job within
+// its team's guarantee is not preempted by a job of another team that is beyond its own guarantee,
+// whatever the priorities. Otherwise the two would preempt each other again and again, one by its
+// guarantee and the other by its priority.
 func mayPreempt(preemptor *queueEntry, victim *api.Job, victimBeyondGuarantee bool) bool {
 	priority := victim.Priority.Level()
 	sameTeam := victim.Team == preemptor.job.Record.Spec.Team
@@ -31,10 +31,10 @@
 	scheduler         *Scheduler
 	now               time.Time
 	hosts             []*sched.Host
-	beyondGuarantee   map[string]bool // by job: it exceeds its team's guarantee
+	beyondGuarantee   map[string]bool // by job: whether it exceeds its team's guarantee
 	chosen            map[*statecache.PlacedTask]bool
 	hostsByKind       map[preemptorKind]*victimHosts
-	victimHostsByHost map[*sched.Host][]*victimHost // for all kinds of jobs
+	victimHostsByHost map[*sched.Host][]*victimHost // for all kinds of preempting jobs
 }
 
 // preemptorKind is the properties of a job that determine which tasks it may stop.
@@ -54,14 +54,14 @@
 type victimHost struct {
 	host       *sched.Host
 	candidates []sched.Victim
-	tasks      []*statecache.PlacedTask // indexed by Ref of the candidates
+	tasks      []*statecache.PlacedTask // indexed by Index of the candidates
 }
 
 // preemptOption is a victimHost with the victims that one job would stop there. They are selected
 // again only when the machine has changed.
 type preemptOption struct {
 	*victimHost
-	hasImage bool // of the job
+	hasImage bool // the machine has the job's image
 	selected []sched.Victim
 	cost     float64 // seconds of work lost
 
@@ -126,8 +126,9 @@
 	return found
 }
 
-// mayHoldVictims reports, from the sums by priority alone, whether a machine may hold tasks that
-// the job can stop. A job within its team's guarantee may stop tasks of any priority.
+// mayHoldVictims reports whether a machine may hold tasks that the job can stop. It checks only the
+// machine's load by priority, which is cheap. A job within its team's guarantee may stop tasks of any
+// priority.
 func (p *preemption) mayHoldVictims(entry *queueEntry, host *sched.Host) bool {
 	if entry.withinGuarantee {
 		return true
@@ -174,7 +175,7 @@
 }
 
 // search returns at most maxOptions machines where stopping tasks would free capacity for a task
-// of the job: first those that have its image, then any, each time from a random position on.
+// of the job: first those that have its image, then others, each from a random position on.
 func (p *preemption) search(entry *queueEntry, request *sched.TaskRequest, maxOptions int) []*preemptOption {
 	hosts := p.victimHostsFor(entry)
 	var found []*preemptOption
@@ -204,8 +205,8 @@
 	return found
 }
 
-// allowedByPolicy restricts a machine's candidates to those that the operators' policy lets the
-// job stop.
+// allowedByPolicy restricts a machine's candidates to those that the operators' policy allows the
+// job to stop.
 func (p *preemption) allowedByPolicy(entry *queueEntry, victims *victimHost) *victimHost {
 	if !p.scheduler.node.Policy.RestrictsPreemption() {
 		return victims
@@ -238,9 +239,9 @@
 		}
 		selected, cost := option.selectVictims(request.Need)
 		if !option.hasImage {
-			cost += request.ImageFetchS // the task would wait for its image there
+			cost += request.ImageFetchS // the task would wait for the fetch of its image
 			if request.PreferImage {
-				cost += estimate.UnlimitedSeconds // and miss its objective: any machine with the image is better
+				cost += estimate.UnlimitedSeconds // it would miss its objective: any machine with the image is better
 			}
 		}
 		if selected != nil && cost <= maxCost && (best == nil || cost < bestCost) {
--- a/internal/scheduler/preemption_cost.go
+++ b/internal/scheduler/preemption_cost.go
@@ -11,10 +11,10 @@
 )
 
 // newestOnOvercommittedHost returns the newest task placed on a peer's machine whose placements
-// exceed its capacity. Some of its tasks have completed and others have taken their capacity, but
-// the ends are not committed yet, and only the leader knows which tasks those are. Only the newest
-// task is certain to be there still. It returns nil if all tasks on the machine are possible
-// victims.
+// exceed its capacity. Some of the placed tasks have completed and others use their capacity, but
+// the ends are not committed yet, and only the shard's leader has received them. Only the newest task
+// is certain to be on the machine still. It returns nil if all tasks placed on the machine are
+// possible victims.
 func (p *preemption) newestOnOvercommittedHost(host *sched.Host) *statecache.PlacedTask {
 	s := p.scheduler
 	if s.leadership.Leads(host.Shard) {
@@ -41,7 +41,7 @@
 }
 
 // preemptionCost estimates the work lost by stopping a task on a machine, in seconds. It is 0 if
-// the task was lost with its zone and has not started again.
+// the task was lost with its zone and has not restarted.
 func (p *preemption) preemptionCost(host string, job *statecache.Job, task *statecache.PlacedTask) float64 {
 	s := p.scheduler
 	worker := s.agents.Agent(host)
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// restartSeconds is the cost of starting a task again besides the lost work.
+// restartSeconds is the cost of a restart in addition to the lost work.
 const restartSeconds = 1
 
 // lostWorkSeconds estimates the work lost by stopping a task, in seconds.
@@ -67,8 +67,9 @@
 	runSeconds := max(float64(now.UnixMilli()-j.Record.AcceptedMS)/1000-float64(placement.PlacedS), 0)
 	hasCheckpoints := spec.CheckpointIntervalS > 0
 	if hasCheckpoints {
-		// The work saved before the task stops is not lost. The small share of the run time
-		// prefers victims that have run for less time, all else equal.
+		// The work saved before the task stops is not lost, so that the stop costs at most the
+		// duration of the save. The small share of the run time makes the task that has run for
+		// less time the cheaper victim, all else equal.
 		runSeconds = min(runSeconds, spec.SaveDurationS) + runSeconds/1000
 	}
 	switch {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -27,26 +27,28 @@
 }
 
 // Jobs never preempt each other in turn, neither two jobs nor jobs of three teams in a chain. A
-// production job beyond its team's guarantee and a standard job within its own once took the same
-// capacity from each other twenty times in half a minute. Without guarantees the priority decides.
+// production job beyond its team's guarantee and a standard job within its own once preempted each
+// other twenty times in half a minute. Without guarantees the priority decides.
 func TestMayPreemptHasNoCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		preempts := func(a, b preemptionParty) bool { return mayPreempt(a.entry, b.spec, b.beyondGuarantee) }
 		x, y, z := drawParty(t, "x"), drawParty(t, "y"), drawParty(t, "z")
 		if preempts(x, y) && preempts(y, x) {
-			t.Fatalf("jobs %+v and %+v preempt each other", x, y)
+			t.Fatalf("jobs %+v and %+v preempt each other, want at most one to", x, y)
 		}
 		if preempts(x, y) && preempts(y, z) && preempts(z, x) {
-			t.Fatalf("jobs %+v, %+v and %+v preempt each other in a cycle", x, y, z)
+			t.Fatalf("jobs %+v, %+v and %+v preempt each other in a cycle, want none", x, y, z)
 		}
 		if x.beyondGuarantee && y.beyondGuarantee && x.entry.priority < y.entry.priority != preempts(x, y) {
-			t.Fatalf("jobs %+v and %+v beyond their guarantees: mayPreempt does not follow the priority", x, y)
+			t.Fatalf("jobs %+v and %+v beyond their guarantees: mayPreempt() = %t, want %t by priority", x, y,
+				preempts(x, y), !preempts(x, y))
 		}
 		if !x.beyondGuarantee && y.beyondGuarantee && !preempts(x, y) {
-			t.Fatalf("job %+v within its guarantee may not preempt %+v beyond its own", x, y)
+			t.Fatalf("job %+v within its guarantee, %+v beyond its own: mayPreempt() = false, want true", x, y)
 		}
-		if own := drawParty(t, "x"); x.entry.priority < own.entry.priority != preempts(x, own) {
-			t.Fatalf("jobs %+v and %+v of one team: mayPreempt does not follow the priority", x, own)
+		if sameTeam := drawParty(t, "x"); x.entry.priority < sameTeam.entry.priority != preempts(x, sameTeam) {
+			t.Fatalf("jobs %+v and %+v of one team: mayPreempt() = %t, want %t by priority", x, sameTeam, preempts(x, sameTeam),
+				!preempts(x, sameTeam))
 		}
 	})
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,22 +11,22 @@
 	"violetturn/internal/statecache"
 )
 
-// MaxStartDelay is the time within which even the largest job has to start (PROTOCOL).
+// MaxStartDelay is the time within which PROTOCOL requires even the largest job to start.
 const MaxStartDelay = 4 * time.Minute
 
 // quotaTolerance is how far a sum may exceed a limit, because sums of decimal fractions are not
 // exact.
 const quotaTolerance = 1e-6
 
-// queueEntry is a job with the properties that determine its place in the scheduling order.
+// queueEntry is a job with the properties that determine its position in the scheduling order.
 type queueEntry struct {
 	job             *statecache.Job
 	uid             string
-	priority        int
+	priority        int // level; 0 is the highest priority
 	withinGuarantee bool
 	ledLocally      bool // this controller leads the job's shard and places its tasks
 	starving        bool
-	releasedClaims  bool // a gang that has released its claims and restarted its search
+	releasedClaims  bool // the job is a gang that has released its claims and restarted its search
 	variables       config.JobVariables
 	weight          float64
 }
@@ -35,10 +35,10 @@
 // the job is within its team's guarantee), then jobs of shards that this controller leads, then
 // starving jobs, then gangs that have released their claims, then slack, then age.
 //
-// Jobs of peers' shards come after this controller's jobs of the same weight, because their leaders
-// place them and a plan only holds capacity back for them from the jobs after them. Without that, a
-// job of this controller could take the capacity of a peer's job, which would then preempt it to
-// get the capacity back.
+// Jobs of peers' shards come after this controller's jobs of the same weight, because the leaders of
+// their shards place them. They are in the queue so that a plan holds back capacity for them from
+// the jobs after them: otherwise a job of this controller could take the capacity of a peer's job,
+// which would then preempt it to get the capacity back.
 func compareEntries(a, b *queueEntry) int {
 	return cmp.Or(
 		-cmp.Compare(a.weight, b.weight),
@@ -50,7 +50,7 @@
 	)
 }
 
-// compareSlack puts the job with less slack first, but late jobs after all that can still meet
+// compareSlack orders jobs by slack, the least first, but late jobs after all that can still meet
 // their deadlines.
 func compareSlack(a, b config.JobVariables) int {
 	return cmp.Or(-sched.CompareBool(a.Slack >= 0, b.Slack >= 0), cmp.Compare(max(a.Slack, 0), max(b.Slack, 0)))
@@ -73,8 +73,8 @@
 	return queue
 }
 
-// appendTeamJobs adds the jobs of a team to the queue. They count against the team's guarantee
-// from the oldest on, with their unfinished tasks.
+// appendTeamJobs adds the jobs of a team to the queue. The unfinished tasks of the jobs count against
+// the team's guarantee, those of the oldest job first.
 func (s *Scheduler) appendTeamJobs(queue []*queueEntry, team config.Team, jobs []*statecache.Job, now time.Time) []*queueEntry {
 	slices.SortFunc(jobs, statecache.CompareAge)
 	cpus, gpus := 0.0, 0.0
@@ -130,10 +130,9 @@
 	return variables
 }
 
-// isStarving reports whether a job has not started although its own objective, or half of the
-// start delay that PROTOCOL allows the largest jobs, has passed. A starving job goes first within
-// its weight: late jobs otherwise go last, and a large one would never start under a stream of
-// small jobs that can still be in time.
+// isStarving reports whether a job has not started although its deadline, or half of MaxStartDelay,
+// has passed. A starving job is scheduled before others of its weight. Late jobs otherwise come last,
+// and a large one would never start under a stream of small jobs that can still meet their deadlines.
 func (s *Scheduler) isStarving(job *statecache.Job, ageSeconds float64) bool {
 	maxWaitSeconds := min(s.estimates.DeadlineSeconds(&job.Record.Spec), (MaxStartDelay / 2).Seconds())
 	if ageSeconds < maxWaitSeconds || len(job.Record.FinishedRanges) > 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,9 +15,9 @@
 	"violetturn/internal/zonestate"
 )
 
-// Scheduler plans the placement of tasks and prepares the transactions that commit it. Between
-// plans it keeps the state of each gang's search for capacity, the backoff of jobs whose tasks
-// fail, and the newest plan. The lock of internal/state guards it.
+// Scheduler plans the placement of tasks and prepares the transactions that commit the placements.
+// Between plans it keeps the state of each gang's search for capacity, the backoff of jobs whose
+// tasks fail, and the newest plan. The lock of internal/state guards it.
 type Scheduler struct {
 	node         *node.Info
 	cache        *statecache.Cache
@@ -28,8 +28,8 @@
 	freeCapacity *capacity.Calculator
 	estimates    *estimate.Estimates
 	zones        *zonestate.Zones
-	accounts     *capacity.Accounting
-	wake         notify.Signal
+	accounting   *capacity.Accounting
+	wake         notify.Signal // triggers a decision step
 
 	gangs        gangTable
 	backoffs     backoffTable
@@ -49,7 +49,7 @@
 	Estimates    *estimate.Estimates
 	Zones        *zonestate.Zones
 	Accounts     *capacity.Accounting
-	Wake         notify.Signal
+	Wake         notify.Signal // triggers a decision step
 }
 
 // New returns a scheduler that has not made a plan yet.
@@ -64,7 +64,7 @@
 		freeCapacity: d.FreeCapacity,
 		estimates:    d.Estimates,
 		zones:        d.Zones,
-		accounts:     d.Accounts,
+		accounting:   d.Accounts,
 		wake:         d.Wake,
 		gangs:        newGangTable(),
 		backoffs:     backoffTable{},
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -10,12 +10,12 @@
 	"violetturn/internal/statecache"
 )
 
-// quotaPressureShare is the share of a team's limit above which the capacity of completed tasks is
-// released at once.
+// quotaPressureShare is the share of a team's limit above which the ends of its completed tasks are
+// committed at once, so that their quota is released.
 const quotaPressureShare = 3. / 4
 
-// ShouldCommitEnds reports whether the ends of tasks of a task range are to be committed now. The end of
-// a completed task can wait for those of other tasks of its range, unless its machine is to be
+// ShouldCommitEnds reports whether the ends of tasks of a task range are to be committed now. The end
+// of a completed task can wait for those of other tasks of its range, unless its machine is to be
 // returned or its team is near its limit. The end of a task that has to run again cannot wait, nor
 // can the last one of a task range.
 func (s *Scheduler) ShouldCommitEnds(id schema.RangeID, ends []agent.EndedTask, now time.Time) bool {
@@ -56,7 +56,7 @@
 }
 
 // mustCommitNow reports whether an end is to be committed without waiting for others: the task has
-// to run again, its machine is to be returned or is gone, or the end has waited for two leases.
+// to run again, its machine is to be returned or is gone, or two worker leases have passed since.
 func (s *Scheduler) mustCommitNow(ended agent.EndedTask, now time.Time) bool {
 	worker := s.agents.Agent(ended.Task.Placement.Host)
 	if !ended.Attempt.Done || worker == nil || worker.Cordoned || worker.Terminated {
@@ -68,7 +68,7 @@
 // isNearLimit reports whether the shards hold so much of a team's limit that its tasks may soon
 // wait for quota.
 func (s *Scheduler) isNearLimit(team config.Team) bool {
-	shares := s.accounts.QuotaShares(team.Name, "")
+	shares := s.accounting.QuotaShares(team.Name, "")
 	limit, total := capacity.QuotaLimitOf(team), shares.Held.Add(shares.HeldByOthers)
 	return limit.CPUs > 0 && total.CPUs > limit.CPUs*quotaPressureShare || limit.GPUs > 0 && total.GPUs > limit.GPUs*quotaPressureShare
 }
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -8,11 +8,12 @@
 )
 
 // maxReclaimTasks bounds the tasks of one job for which a plan tries to reclaim capacity, since
-// each is compared with many machines. Machines are rented for the tasks beyond that too.
+// each is compared with many machines. Machines are rented for deferred tasks, those beyond the
+// bound, as well.
 const maxReclaimTasks = 256
 
-// maxRentalsAhead is how many machines a round of rentals may request. Beyond the tasks that fit
-// on the machines that are booting, this many deferred tasks count as unmet demand.
+// maxRentalsAhead is how many machines one run of the autoscaler may rent. Beyond the deferred tasks
+// that fit on the provisioning machines, this many count as unmet demand.
 const maxRentalsAhead = config.CloudCallsPerRound * cloud.MaxMachinesPerRental
 
 // deferExcessTasks defers the unplaced tasks beyond maxReclaimTasks.
@@ -22,9 +23,9 @@
 	}
 }
 
-// deferredTasksToRentFor returns as many deferred tasks as fit on the machines that are booting,
-// and up to maxRentalsAhead more. Without the latter, the first tasks of a large job on an empty
-// fleet would fill the booting machines, and no more would be rented until those are up.
+// deferredTasksToRentFor returns as many deferred tasks as fit on the provisioning machines, and up
+// to maxRentalsAhead more. Without the latter, the first tasks of a large job in an empty cluster
+// would fill the provisioning machines, and no more would be rented until those have booted.
 func (p *planner) deferredTasksToRentFor(job *waitingJob) []statecache.TaskIndex {
 	if len(job.deferred) <= maxRentalsAhead {
 		return job.deferred
@@ -33,8 +34,9 @@
 	return job.deferred[:min(len(job.deferred), expected+maxRentalsAhead)]
 }
 
-// recordUnmetDemand adds tasks without capacity to the plan. The demand is assigned to zones task
-// by task: ZoneAllowed returns which zones the tasks before leave to the next one.
+// recordUnmetDemand adds tasks without capacity to the plan's unmet demand. The caller that rents
+// machines assigns the tasks to zones one by one: ZoneAllowed reports whether the next task may go to
+// a zone, given the zones of those before it.
 func (p *planner) recordUnmetDemand(job *waitingJob, tasks []statecache.TaskIndex) {
 	demand := sched.UnmetDemand{Request: job.request, Count: len(tasks)}
 	p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand, demand)
--- a/internal/scheduler/zone_constraint.go
+++ b/internal/scheduler/zone_constraint.go
@@ -7,17 +7,18 @@
 )
 
 // zoneConstraint tracks the zones of the placed and planned tasks of a job, and determines which
-// zones its other tasks may use. It applies to jobs whose tasks go to one zone together and to
-// jobs spread over zones. A job of several task ranges is spread range by range: they have even
-// sizes, so that half of each makes half of all.
+// zones its other tasks may use. It keeps the tasks of a single-zone job in one zone, limits how many
+// tasks of a spread job are in one zone, and limits the use of zones that are down or recovering. A
+// job of several task ranges is spread range by range: the ranges have even sizes, so that half of
+// each makes half of all.
 type zoneConstraint struct {
 	job         *statecache.Job
 	boundZone   string                  // of a job whose tasks go to one zone; "": not chosen yet
 	tasksByZone map[int]map[string]int  // placed and planned tasks, by spread group and zone
-	admission   *zonestate.JobAdmission // limits zones that are down or recovering; nil: no limits
+	admission   *zonestate.JobAdmission // limits use of zones that are down or recovering; nil: no limits
 }
 
-// zoneConstraintOf returns the constraint of a job with its present placements. The admission
+// zoneConstraintOf returns the constraint of a job with its current placements. The admission
 // limits what work below production may use in zones that are down or recovering.
 func (s *Scheduler) zoneConstraintOf(job *statecache.Job, admission *recovery.Admission) *zoneConstraint {
 	constraint := &zoneConstraint{
@@ -42,13 +43,13 @@
 	return constraint
 }
 
-// addTask counts a planned task in a zone and admits it there.
+// addTask counts a planned task in a zone and records it as admitted there.
 func (c *zoneConstraint) addTask(rangeIndex int, zone string) {
 	c.countTask(rangeIndex, zone)
 	c.admission.RecordAdmitted(zone)
 }
 
-// countTask counts a task of a task range in a zone.
+// countTask counts a task of a task range in a zone, and binds a job whose tasks go to one zone to it.
 func (c *zoneConstraint) countTask(rangeIndex int, zone string) {
 	if c.job.Record.Spec.SingleZone && c.boundZone == "" {
 		c.boundZone = zone
--- a/internal/scheduler/zone_constraint_test.go
+++ b/internal/scheduler/zone_constraint_test.go
@@ -8,8 +8,8 @@
 )
 
 // A spread job whose records were split still has at most half of its tasks in a zone. The smaller
-// task ranges may each have all their tasks in one zone, so they are counted together; counted
-// separately they let too many tasks into a zone.
+// task ranges must be counted together, since one of them may have all its tasks in one zone; counted
+// separately, they would let too many tasks into a zone.
 func TestZoneConstraintKeepsSplitJobSpread(t *testing.T) {
 	record := &job.Record{RangeSize: 8}
 	record.Spec.Tasks, record.Spec.Spread = 8, true
@@ -33,6 +33,6 @@
 		}
 	}
 	if !j.RecordCoversTasks() {
-		t.Fatal("main record is not written with each change of a split spread job: a late transaction could use outdated counts")
+		t.Fatal("RecordCoversTasks() = false for a split spread job, want true: a late transaction could use outdated counts")
 	}
 }
--- a/internal/zonehealth/evaluation.go
+++ b/internal/zonehealth/evaluation.go
@@ -1,38 +1,39 @@
-// Package zonehealth evaluates whether a zone is up, down or recovering. It is a pure state machine
-// over one record of the state service that all controllers share. The record holds what the leaders
-// of shards observe of the zone's machines, and the state that results. A change is committed by a
-// conditional write on the record: if several controllers write, one succeeds and the writes based on
-// an older version are refused. Record.Transitions increases with each change of the set of work that
-// may be placed in the zone.
+// Package zonehealth evaluates whether a zone is healthy, suspect, down or recovering. It is a pure
+// state machine over one record of the state service that all controllers share. The record holds
+// what the leaders of shards observe of the zone's machines, and the state that results. A change is
+// committed by a conditional write on the record: if several controllers write, one succeeds and the
+// writes based on an older version are refused. Record.Transitions increases whenever the zone goes
+// down or starts to recover.
 //
 // Invariants:
 //   - a zone enters Down only if the evaluating controller has an observer, that is, contact with
 //     machines of another zone (its own or a peer's), so that a partitioned controller never
 //     declares a zone down;
-//   - neither Down nor Recovering lasts longer than Limits.MaxStateDuration while controllers can write;
+//   - neither Down nor Recovering lasts longer than Limits.MaxStateDuration while controllers can
+//     write;
 //   - Record.Transitions never decreases, and a failure soon after another halves
 //     Record.SlowStartShare.
 package zonehealth
 
 import "time"
 
-// minZoneMachines is the number of machines that a zone must have to be evaluated: the loss of one or
-// two machines is as likely to have a cause of its own.
+// minZoneMachines is the number of machines that a zone must have before it can become suspect: the
+// loss of one or two machines is as likely to have a cause other than the zone.
 const minZoneMachines = 3
 
-// returnedShare is the share of the machines before the failure that must have returned for a zone to
-// be recovering.
+// returnedShare is the share of the machines before the failure that must have returned for a zone
+// to be recovering.
 const returnedShare = 1. / 16
 
-// Evaluate returns the record with the state that follows from its observations. hasObserver tells
+// Evaluate returns the record with the state that follows from its observations. hasObserver is
 // whether machines of another zone are in contact with the evaluating controller or a peer.
 func (r *Record) Evaluate(now time.Time, hasObserver bool, limits *Limits) Record {
 	next := *r
 	stateAge := now.Sub(time.UnixMilli(r.SinceMS))
 	e := evaluation{next: &next, total: r.TotalObservation(), stateAge: stateAge, now: now, hasObserver: hasObserver, limits: limits}
 	if e.mostUnclear() && stateAge < limits.MaxStateDuration && !e.machinesReturned() {
-		// A shard has just changed its leader. Machines from which the new leader has not received a
-		// heartbeat yet count neither as lost nor as returned; the others do count.
+		// The leader of a shard has just changed. Machines from which the new leader has not received
+		// a heartbeat yet count neither as lost nor as returned; the others do count.
 		return next
 	}
 	switch r.State {
@@ -44,7 +45,7 @@
 		e.evaluateRecovering()
 	case Healthy:
 		e.evaluateHealthy()
-	default: // a state that this version does not know
+	default: // the zero value, or a state that this version does not define
 		e.evaluateHealthy()
 	}
 	return next
@@ -60,7 +61,7 @@
 	limits      *Limits
 }
 
-// mostUnclear reports whether the state of at least half of the machines is not known yet.
+// mostUnclear reports whether at least half of the machines are unclear.
 func (e *evaluation) mostUnclear() bool {
 	return e.total.Unclear > 0 && 2*e.total.Unclear >= e.total.Healthy+e.total.Lost+e.total.Unclear
 }
@@ -108,7 +109,7 @@
 		e.next.enterDown(e.total, e.now, e.limits) // it failed again during the recovery
 		return
 	}
-	fullyOpen := e.next.productionServed(e.limits) && e.next.AdmissionShare(e.now, e.limits) >= 1
+	fullyOpen := e.next.isNearlyRecovered(e.limits) && e.next.AdmissionShare(e.now, e.limits) >= 1
 	if fullyOpen || e.stateAge >= e.limits.MaxStateDuration {
 		e.next.enterState(Healthy, e.now)
 	}
--- a/internal/zonehealth/evaluation_test.go
+++ b/internal/zonehealth/evaluation_test.go
@@ -25,8 +25,8 @@
 	version int
 }
 
-// testController observes some machines of the zone. It caches the record, evaluates the cached copy and
-// writes the result on the condition that the version has not changed.
+// testController observes some machines of the zone. It caches the record, evaluates the cached copy
+// and writes the result on the condition that the version has not changed.
 type testController struct {
 	shard         string
 	observation   Observation
@@ -58,11 +58,11 @@
 		t.Fatalf("Transitions decreased from %d to %d", before.Transitions, after.Transitions)
 	}
 	if after.State == Down && before.State != Down && !hasObserver {
-		t.Fatal("zone entered Down without an observer")
+		t.Fatalf("zone entered Down from %s without an observer, want no such change", before.State)
 	}
 	placementChanged := after.State != before.State && (after.RestrictsPlacement() || before.State == Down)
 	if placementChanged && after.Transitions == before.Transitions {
-		t.Fatalf("state changed from %s to %s without an increase of Transitions", before.State, after.State)
+		t.Fatalf("state changed from %s to %s with Transitions = %d, want an increase", before.State, after.State, after.Transitions)
 	}
 	if after.RestrictsPlacement() && after.SlowStartShare > testLimits().InitialShare {
 		t.Fatalf("SlowStartShare = %g, want at most %g", after.SlowStartShare, testLimits().InitialShare)
@@ -70,10 +70,10 @@
 }
 
 // Three controllers observe machines lost and returned in any order, read late, write from old copies
-// and lose their observer. Transitions never decreases, no controller without an observer declares the
-// zone down, each failure soon after another halves the slow start, and once nothing changes any more
-// the zone is open to all work within three times the maximum duration of a state.
-func TestEvaluate_InAnyOrderReopensZone(t *testing.T) {
+// and lose their observer. Transitions never decreases, no controller without an observer declares
+// the zone down, the slow start share never exceeds its initial value, and once nothing changes any
+// more the zone is open to all work within 300 seconds (the maximum duration of a state is 80).
+func TestEvaluateInAnyOrderReopensZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &recordStore{}
 		now := time.Unix(1_800_000_000, 0)
@@ -87,10 +87,12 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				machines := rapid.IntRange(0, 40).Draw(t, "machines")
-				up := rapid.IntRange(0, machines).Draw(t, "up")
-				c.observation = Observation{Healthy: up, Lost: machines - up, RentalsRefused: rapid.Bool().Draw(t, "refused")}
-				if up < machines && rapid.Bool().Draw(t, "waiting") {
-					c.observation.WaitingProduction = []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: machines - up}}
+				healthy := rapid.IntRange(0, machines).Draw(t, "up")
+				c.observation = Observation{Healthy: healthy, Lost: machines - healthy, RentalsRefused: rapid.Bool().Draw(t, "refused")}
+				if healthy < machines && rapid.Bool().Draw(t, "waiting") {
+					c.observation.WaitingProduction = []Demand{
+						{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: machines - healthy},
+					}
 				}
 			case 1:
 				c.hasObserver = rapid.Bool().Draw(t, "observer")
@@ -100,7 +102,7 @@
 				before := store.record
 				stale := c.cachedVersion != store.version
 				if c.evaluateAndWrite(store, now) == stale {
-					t.Fatal("a write on an old version was accepted, or one on the newest was refused")
+					t.Fatalf("write from a cached copy accepted: %t, want %t; copy outdated: %t", stale, !stale, stale)
 				}
 				checkStep(t, &before, &store.record, c.hasObserver)
 			}
@@ -117,12 +119,13 @@
 			opened = opened || store.record.AdmissionShare(now, testLimits()) >= 1
 		}
 		if !opened {
-			t.Fatalf("work below production stays restricted with no further changes: %+v", store.record)
+			t.Fatalf("work below production is still restricted after 300 seconds without changes, want no restriction: %+v", store.record)
 		}
 	})
 }
 
-// evaluateSequence returns the record after the observations of one leader, and the state after each.
+// evaluateSequence returns the record after a sequence of observations of one leader, six seconds
+// apart, and the state after each of them.
 func evaluateSequence(hasObserver bool, observations ...Observation) (r Record, states []State) {
 	now := time.Unix(1_800_000_000, 0)
 	for _, observation := range observations {
@@ -134,11 +137,11 @@
 	return r, states
 }
 
-// The sequences of states of a zone: failure and return, return of half of the machines, and a second
-// failure during the recovery.
-func TestEvaluate_StateSequences(t *testing.T) {
-	allUp, allLost, halfUp := Observation{Healthy: 20}, Observation{Lost: 20}, Observation{Healthy: 10, Lost: 10}
-	fourUp := Observation{Healthy: 4, Lost: 16}
+// The sequences of states of a zone: failure and return, return of half of the machines, a second
+// failure during the recovery, and losses after which the zone must not go down.
+func TestEvaluateStateSequences(t *testing.T) {
+	allHealthy, allLost, halfHealthy := Observation{Healthy: 20}, Observation{Lost: 20}, Observation{Healthy: 10, Lost: 10}
+	fourHealthy := Observation{Healthy: 4, Lost: 16}
 	for _, test := range []struct {
 		name           string
 		hasObserver    bool
@@ -147,20 +150,20 @@
 		transitions    uint64
 		slowStartShare float64
 	}{
-		{"down and back", true, []Observation{allUp, allLost, allLost, allUp}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
+		{"down and up", true, []Observation{allHealthy, allLost, allLost, allHealthy}, []State{"", Suspect, Down, Recovering}, 2, 1. / 16},
 		{
 			"half returns", true,
-			[]Observation{allUp, allLost, allLost, halfUp, halfUp},
+			[]Observation{allHealthy, allLost, allLost, halfHealthy, halfHealthy},
 			[]State{"", Suspect, Down, Recovering, Recovering},
 			2, 1. / 16,
 		},
 		{
 			"down again in the recovery", true,
-			[]Observation{allLost, allLost, fourUp, halfUp, allLost},
+			[]Observation{allLost, allLost, fourHealthy, halfHealthy, allLost},
 			[]State{Suspect, Down, Recovering, Recovering, Down},
 			3, 1. / 32,
 		},
-		{"short loss", true, []Observation{allUp, allLost, allUp}, []State{"", Suspect, Healthy}, 0, 0},
+		{"short loss", true, []Observation{allHealthy, allLost, allHealthy}, []State{"", Suspect, Healthy}, 0, 0},
 		{
 			"only one zone, or controller partitioned", false,
 			[]Observation{allLost, allLost, allLost, allLost},
@@ -185,7 +188,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			r, states := evaluateSequence(test.hasObserver, test.observations...)
 			if diff := cmp.Diff(test.states, states); diff != "" {
-				t.Error(diff)
+				t.Errorf("states differ (-want +got):\n%s", diff)
 			}
 			if r.Transitions != test.transitions || r.SlowStartShare != test.slowStartShare {
 				t.Errorf(
@@ -198,25 +201,25 @@
 }
 
 // A slow start opens the zone in steps, and every reader of the record computes the same share.
-func TestAdmissionShare_DoublesUntilOpen(t *testing.T) {
+func TestAdmissionShareDoublesUntilOpen(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	recovering := Record{State: Recovering, SinceMS: start.UnixMilli(), SlowStartShare: 1. / 16}
 	waiting := Observation{Lost: 1, WaitingProduction: []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Tasks: 1}}}
-	served := recovering.WithObservation("n0", Observation{Healthy: 9, Lost: 1})
-	unserved := recovering.WithObservation("n0", waiting)
+	nearlyRecovered := recovering.WithObservation("n0", Observation{Healthy: 9, Lost: 1})
+	withWaitingProduction := recovering.WithObservation("n0", waiting)
 	for _, test := range []struct {
 		name   string
 		record Record
 		after  time.Duration
 		share  float64
 	}{
-		{"nearly all returned, nothing waits", served, 4 * time.Second, 1. / 2},
-		{"before the start because of clock skew", unserved, -time.Second, 1. / 16},
-		{"at the start", unserved, 0, 1. / 16},
-		{"doubled once", unserved, 5 * time.Second, 1. / 8},
-		{"doubled twice", unserved, 11 * time.Second, 1. / 4},
-		{"open", unserved, 20 * time.Second, 1},
-		{"long open", unserved, time.Hour, 1},
+		{"nearly all returned, nothing waits", nearlyRecovered, 4 * time.Second, 1. / 2},
+		{"before the start because of clock skew", withWaitingProduction, -time.Second, 1. / 16},
+		{"at the start", withWaitingProduction, 0, 1. / 16},
+		{"doubled once", withWaitingProduction, 5 * time.Second, 1. / 8},
+		{"doubled twice", withWaitingProduction, 11 * time.Second, 1. / 4},
+		{"open", withWaitingProduction, 20 * time.Second, 1},
+		{"long open", withWaitingProduction, time.Hour, 1},
 		{"down", Record{State: Down}, 0, 0},
 		{"healthy", Record{}, 0, 1},
 	} {
@@ -229,7 +232,7 @@
 }
 
 // A record has a fixed JSON form, and is decoded to the same value.
-func TestRecord_JSONRoundTrip(t *testing.T) {
+func TestRecordJSONRoundTrip(t *testing.T) {
 	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
 		State: Down, Transitions: 7, SinceMS: 3, LastFailedMS: 2, SlowStartShare: 0.25, MachinesBeforeFailure: 9, HealthyWatermark: 1,
@@ -237,11 +240,11 @@
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Marshal() = %v, want no error", err)
 	}
 	var decoded Record
 	if err := json.Unmarshal(raw, &decoded); err != nil || cmp.Diff(r, decoded) != "" {
-		t.Error(err, cmp.Diff(r, decoded))
+		t.Errorf("Unmarshal() = %v, want no error; record differs (-want +got):\n%s", err, cmp.Diff(r, decoded))
 	}
 	const form = `{"s":"down","n":7,"at":3,"f":2,"w":0.25,"b":9,"m":1,` +
 		`"p":{"n0":{"u":1,"x":8,"f":true,"w":[{"r":[4,1,29],"l":true,"n":3}]}}}`
--- a/internal/zonehealth/record.go
+++ b/internal/zonehealth/record.go
@@ -16,19 +16,19 @@
 // Record is the record of a zone. The zero value is that of a healthy zone without observations.
 type Record struct {
 	State                 State                  `json:"s"`
-	Transitions           uint64                 `json:"n"`           // increases whenever the zone goes down or starts to recover
+	Transitions           uint64                 `json:"n"`           // number of times that the zone went down or started to recover
 	SinceMS               int64                  `json:"at"`          // when the state began, Unix time in milliseconds
 	LastFailedMS          int64                  `json:"f,omitempty"` // when the zone last went down, Unix time in milliseconds
 	SlowStartShare        float64                `json:"w,omitempty"` // share of the zone that work below production may use at first
 	MachinesBeforeFailure int                    `json:"b,omitempty"` // number of machines when it went down
-	HealthyWatermark      int                    `json:"m,omitempty"` // fewest machines up while down, most machines up while recovering
+	HealthyWatermark      int                    `json:"m,omitempty"` // fewest healthy machines while down, most while recovering
 	Observations          map[string]Observation `json:"p,omitempty"` // by shard
 }
 
 // Limits are the thresholds and durations that govern state changes and the slow start.
 type Limits struct {
-	SuspectShare, DownShare       float64       // shares of the machines that are lost
-	ConfirmAfter                  time.Duration // how long most machines must be lost before the zone is down
+	SuspectShare, DownShare       float64       // shares of lost machines from which a zone is suspect or can be down
+	ConfirmAfter                  time.Duration // how long a zone must be suspect before it can be down
 	InitialShare, MinInitialShare float64       // initial shares of a slow start: normal value, and minimum after repeated failures
 	DoublingInterval              time.Duration // interval at which the share of the slow start doubles
 	MaxStateDuration              time.Duration // maximum duration of Down and of Recovering
@@ -52,7 +52,7 @@
 	return next
 }
 
-// TotalObservation returns the number of machines that are up, lost and unclear over all shards.
+// TotalObservation returns the numbers of healthy, lost and unclear machines of all shards.
 func (r *Record) TotalObservation() Observation {
 	var total Observation
 	for _, o := range r.Observations {
@@ -83,7 +83,8 @@
 	return false
 }
 
-// enterState starts a state. A healthy zone keeps only the facts of its last failure.
+// enterState starts a state. In a healthy zone's record only LastFailedMS, SlowStartShare and
+// Transitions remain.
 func (r *Record) enterState(state State, now time.Time) {
 	r.State, r.SinceMS = state, now.UnixMilli()
 	if state == Healthy {
@@ -91,7 +92,8 @@
 	}
 }
 
-// enterDown enters Down. A failure soon after another halves the initial share of the slow start.
+// enterDown enters Down. A failure soon after another halves the initial share of the slow start, but
+// not below Limits.MinInitialShare.
 func (r *Record) enterDown(total Observation, now time.Time, limits *Limits) {
 	soonAfterAnother := r.LastFailedMS > 0 && now.Sub(time.UnixMilli(r.LastFailedMS)) < 2*limits.MaxStateDuration
 	if soonAfterAnother && r.SlowStartShare > 0 {
--- a/internal/zonehealth/slow_start.go
+++ b/internal/zonehealth/slow_start.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// fastStartFactor is the factor by which a slow start is faster while nearly all machines have returned
-// and no production work waits for the others.
+// fastStartFactor is the factor by which a slow start is faster while the zone has nearly recovered.
 const fastStartFactor = 4
 
 // AdmissionShare returns the share of the zone's machines that work below production may have used
 // since the zone returned: 0 while the zone is down, then a share that doubles at intervals; 1 or more
-// means no restriction. It depends only on the record and the time of day, so that all controllers
+// means no restriction. It depends only on the record and the current time, so that all controllers
 // compute the same share without a write.
 func (r *Record) AdmissionShare(now time.Time, limits *Limits) float64 {
 	switch r.State {
@@ -28,8 +27,8 @@
 		share = limits.InitialShare
 	}
 	interval := limits.DoublingInterval
-	if r.productionServed(limits) {
-		interval /= fastStartFactor // no capacity to keep for production: only image fetches and starts are spread out
+	if r.isNearlyRecovered(limits) {
+		interval /= fastStartFactor // no capacity is kept for production; only image fetches and starts are spread out
 	}
 	elapsed := max(now.Sub(time.UnixMilli(r.SinceMS)), 0)
 	for ; elapsed >= interval && share < 1; elapsed -= interval {
@@ -38,10 +37,10 @@
 	return share
 }
 
-// productionServed reports whether nearly all machines have returned and no production work waits for
+// isNearlyRecovered reports whether nearly all machines are healthy and no production work waits for
 // the others.
-func (r *Record) productionServed(limits *Limits) bool {
+func (r *Record) isNearlyRecovered(limits *Limits) bool {
 	total := r.TotalObservation()
-	notUp := float64(total.Lost + total.Unclear)
-	return !r.HasWaitingProduction() && notUp <= limits.SuspectShare*float64(total.Healthy+total.Lost+total.Unclear)
+	notHealthy := float64(total.Lost + total.Unclear)
+	return !r.HasWaitingProduction() && notHealthy <= limits.SuspectShare*float64(total.Healthy+total.Lost+total.Unclear)
 }
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// CopyAdmission returns a copy of the admission on which placements can be tried.
+// CopyAdmission returns a copy of the admission, so that a caller can try placements.
 func (a *JobAdmission) CopyAdmission() *recovery.Admission {
 	if a == nil {
 		return nil
@@ -61,7 +61,7 @@
 }
 
 // Admission returns what work below production may use of zones that are down or recovering. It is
-// nil if no zone is, or if the feature is off.
+// nil if no zone is, if there is no production work, or if the feature is off.
 func (z *Zones) Admission(now time.Time) *recovery.Admission {
 	if len(z.cache.Zones) == 0 || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
 		return nil
@@ -96,8 +96,9 @@
 	return zone
 }
 
-// waitingProduction returns the production tasks that wait for lost machines of a zone: for shards that
-// this controller leads as it last observed them, for peers' shards as the record has them.
+// waitingProduction returns the production tasks that wait for lost machines of a zone. Those of
+// shards that this controller leads come from its last observation, those of peers' shards from the
+// record.
 func (z *Zones) waitingProduction(zone string, record *zonehealth.Record) []zonehealth.Demand {
 	var waiting []zonehealth.Demand
 	ownObservations := z.observations[zone]
--- a/internal/zonestate/doc.go
+++ b/internal/zonestate/doc.go
@@ -1,6 +1,7 @@
-// Package zonestate observes the zones of the shards that this controller leads, evaluates their
-// health, and decides which work may use the capacity of zones that are down or recovering (only if
-// the feature is on). Admission depends only on state that all controllers replicate, so that all of
-// them reach the same decision, whichever of them leads the machines' shards. The lock of
-// internal/state protects it.
+// Package zonestate observes, for each zone, the machines of the shards that this controller leads,
+// evaluates the zone's health, and decides which work may use the capacity of zones that are down or
+// recovering. It restricts work only if the zone recovery feature is on. Admission depends on records
+// that all controllers replicate, so that they decide alike, whichever of them leads the machines'
+// shards; only the production work that waits in a controller's own shards is taken from its last
+// observation. The lock of internal/state guards the package's state.
 package zonestate
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -11,13 +11,13 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Observations are the observations of this controller, by zone and by shard that it leads.
+// Observations holds this controller's observations, by zone and by shard that it leads.
 type Observations map[string]map[string]zonehealth.Observation
 
-// ObservationResult is the result of a scan of all machines in the shards that this controller leads.
+// ObservationResult is the result of a scan of the machines in the shards that this controller leads.
 type ObservationResult struct {
 	Observations Observations
-	HealthyHosts map[string][]string // names of machines that are up, by zone
+	HealthyHosts map[string][]string // names of healthy machines, by zone
 }
 
 // Observe scans the machines of the shards that this controller leads. It changes no state.
@@ -42,9 +42,9 @@
 			observation.Lost++
 		}
 		byShard[machine.Shard] = observation
-		// Until the end of a task is committed it counts as placed and is in no queue. Capacity for
-		// it is reserved even if a new leader has not received a heartbeat from its machine yet, or
-		// if the machine is lost.
+		// Until the end of a task is committed, the task counts as placed and is in no queue. Its
+		// demand is recorded, so that capacity is reserved for it, both if its machine is lost and if
+		// a new leader has not received a heartbeat from the machine yet.
 		if state != agent.MachineHealthy {
 			z.countWaitingTasks(waitingCounts, host, machine)
 		}
@@ -74,10 +74,10 @@
 // zoneShard identifies a shard that this controller leads, within a zone.
 type zoneShard struct{ zone, shard string }
 
-// waitingTaskCounts counts the production tasks on machines that are not up, by size.
+// waitingTaskCounts counts the production tasks on machines that are not healthy, by size.
 type waitingTaskCounts map[zoneShard]map[zonehealth.Demand]int
 
-// countWaitingTasks adds the production tasks of a machine that is not up to counts.
+// countWaitingTasks adds to counts the production tasks of a machine that is not healthy.
 func (z *Zones) countWaitingTasks(counts waitingTaskCounts, host string, machine *shard.Machine) {
 	key := zoneShard{zone: machine.Zone, shard: machine.Shard}
 	for _, task := range z.cache.Placements[host] {
@@ -92,7 +92,7 @@
 	}
 }
 
-// maxDemandSizes limits the number of task sizes in a zone's record. Few sizes occur.
+// maxDemandSizes limits the number of task sizes per shard in a zone's record. Few sizes occur.
 const maxDemandSizes = 8
 
 // sortedDemand lists the task sizes, the most frequent first.
@@ -130,7 +130,7 @@
 	for shardName, observation := range z.observations[zone] {
 		recorded, isRecorded := current.Observations[shardName]
 		if !current.RestrictsPlacement() && current.State != zonehealth.Suspect && observation.LostShare() < limits.SuspectShare/2 {
-			observation = zonehealth.Observation{} // a healthy zone needs no record
+			observation = zonehealth.Observation{} // the observations of a healthy zone are not recorded
 		}
 		if isRecorded != !observation.IsEmpty() || !observation.Equal(recorded) {
 			updated, changed = updated.WithObservation(shardName, observation), true
@@ -142,13 +142,13 @@
 
 // hasOutsideObserver reports whether this controller may declare a zone down because it is not
 // partitioned itself: it has just received heartbeats from workers, and either most machines of
-// another zone are up in its shards or a controller located in another zone receives heartbeats.
+// another zone are healthy in its shards or a controller located in another zone receives heartbeats.
 func (z *Zones) hasOutsideObserver(zone string, now time.Time) bool {
 	if !z.leadership.Contact().HasContactSince(now.Add(-2 * z.node.Settings.HeartbeatInterval())) {
 		return false
 	}
 	for other, byShard := range z.observations {
-		if other != zone && z.isMostlyUp(byShard) {
+		if other != zone && z.isMostlyHealthy(byShard) {
 			return true
 		}
 	}
@@ -160,8 +160,8 @@
 	return false
 }
 
-// isMostlyUp reports whether all but a few machines of a zone are up.
-func (z *Zones) isMostlyUp(byShard map[string]zonehealth.Observation) bool {
+// isMostlyHealthy reports whether all but a few machines of a zone are healthy.
+func (z *Zones) isMostlyHealthy(byShard map[string]zonehealth.Observation) bool {
 	var total zonehealth.Observation
 	for _, observation := range byShard {
 		total.Healthy += observation.Healthy
--- a/internal/zonestate/observation_test.go
+++ b/internal/zonestate/observation_test.go
@@ -9,8 +9,9 @@
 )
 
 // A zone's record is written only when it changes. The demand list must therefore not depend on map
-// order: the most frequent sizes come first, and ties have a fixed order. It is limited to a few sizes.
-func TestSortedDemand_IsDeterministicAndBounded(t *testing.T) {
+// order: the most frequent sizes come first, and ties have a fixed order. It is limited to a few
+// sizes.
+func TestSortedDemandIsDeterministicAndBounded(t *testing.T) {
 	size := func(cpus float64) zonehealth.Demand {
 		return zonehealth.Demand{Need: sched.Resources{CPUs: cpus, MemGB: 1}}
 	}
@@ -33,13 +34,13 @@
 }
 
 // A nil JobAdmission restricts nothing.
-func TestNilJobAdmission_AdmitsAll(t *testing.T) {
+func TestNilJobAdmissionAdmitsAll(t *testing.T) {
 	var nilAdmission *JobAdmission
 	nilAdmission.RecordAdmitted("x")
 	if !nilAdmission.Admits("x") {
 		t.Error("nil JobAdmission.Admits() = false, want true")
 	}
 	if nilAdmission.CopyAdmission() != nil {
-		t.Error("copy of a nil JobAdmission is not nil")
+		t.Error("nil JobAdmission.CopyAdmission() is not nil, want nil")
 	}
 }
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -19,7 +19,7 @@
 // ProductionPriority is the priority level of production work.
 const ProductionPriority = 0
 
-// Zones holds this controller's observations of zones. The lock of internal/state protects it.
+// Zones holds this controller's observations of zones. The lock of internal/state guards it.
 type Zones struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -56,7 +56,7 @@
 }
 
 // IsObservationDue reports whether the zones must be observed again: once per heartbeat interval, if
-// the feature is on.
+// the zone recovery feature is on.
 func (z *Zones) IsObservationDue(now time.Time) bool {
 	return now.Sub(z.lastObservedAt) >= z.node.Settings.HeartbeatInterval() && z.schema.FeatureEnabled(features.ZoneRecoveryName)
 }
@@ -71,9 +71,9 @@
 // ObservedZones returns the names of the observed zones in sorted order.
 func (z *Zones) ObservedZones() []string { return slices.Sorted(maps.Keys(z.observations)) }
 
-// RestrictedZoneRecord returns the record of a zone that is down or recovering, or nil if the zone is neither
-// or the feature is off. The restriction also ends after the maximum duration of the state, even if no
-// controller can write that.
+// RestrictedZoneRecord returns the record of a zone that is down or recovering, or nil if the zone is
+// neither or the feature is off. The restriction also ends after the maximum duration of the state,
+// even if no controller can write the next state.
 func (z *Zones) RestrictedZoneRecord(zone string, now time.Time) *zonehealth.Record {
 	record := z.cache.Zones[statecache.ZoneID(zone)].Record
 	if record == nil || !record.RestrictsPlacement() || !z.schema.FeatureEnabled(features.ZoneRecoveryName) {
@@ -85,7 +85,7 @@
 	return record
 }
 
-// limits returns the limits for evaluating zones, as configured.
+// limits returns the configured limits for the evaluation of zones.
 func (z *Zones) limits() *zonehealth.Limits {
 	settings := &z.node.Features.ZoneRecovery
 	leaseMultiple := func(n float64) time.Duration { return time.Duration(n * float64(z.node.Settings.WorkerLease())) }
