--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -26,19 +26,19 @@
 // Admission tracks how much of the restricted zones work below production may still use. A nil
 // Admission restricts nothing.
 type Admission struct {
-	zones          map[string]*Zone
-	protectedNeeds []sched.Resources // sizes of production tasks, each once
-	machineSizes   []sched.Resources // capacities of the machine types
+	zones           map[string]*Zone
+	productionNeeds []sched.Resources // sizes of production tasks, each once
+	machineSizes    []sched.Resources // capacities of the machine types
 }
 
 // NewAdmission returns an Admission, or nil if no zone is restricted or there is no production work
-// to protect. protectedNeeds are the sizes of production tasks, machineSizes the capacities of the
+// to protect. productionNeeds are the sizes of production tasks, machineSizes the capacities of the
 // machine types.
-func NewAdmission(zones map[string]*Zone, protectedNeeds, machineSizes []sched.Resources) *Admission {
-	if len(zones) == 0 || len(protectedNeeds) == 0 {
+func NewAdmission(zones map[string]*Zone, productionNeeds, machineSizes []sched.Resources) *Admission {
+	if len(zones) == 0 || len(productionNeeds) == 0 {
 		return nil
 	}
-	return &Admission{zones: zones, protectedNeeds: protectedNeeds, machineSizes: machineSizes}
+	return &Admission{zones: zones, productionNeeds: productionNeeds, machineSizes: machineSizes}
 }
 
 // Copy returns an independent copy, so that a caller can try admissions without recording them in a.
@@ -63,16 +63,16 @@
 		return false
 	}
 	for i, machine := range a.machineSizes {
-		if machine.Fits(need) && allowed(i) && a.fitsProtected(machine) {
+		if machine.Fits(need) && allowed(i) && a.fitsProductionTask(machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// fitsProtected reports whether a machine fits a production task of any size.
-func (a *Admission) fitsProtected(machine sched.Resources) bool {
-	for _, need := range a.protectedNeeds {
+// fitsProductionTask reports whether a machine fits a production task of any size.
+func (a *Admission) fitsProductionTask(machine sched.Resources) bool {
+	for _, need := range a.productionNeeds {
 		if machine.Fits(need) {
 			return true
 		}
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -8,27 +8,27 @@
 )
 
 // The gang releases all its claims after more consecutive misses than the limit, as in Algorithm 2 of
-// the paper. Misses within the delay after a counted miss are ignored, and a claim resets the count.
+// the paper. Misses soon after a counted miss are ignored, and a claim resets the count.
 func TestGangRetryReleasesAfterTooManyMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		retry := NewGangRetry()
 		misses := 0
-		var delayedUntil time.Time
+		var ignoreMissesBefore time.Time
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(_ *rapid.T) {
 				retry.RecordClaim()
-				misses, delayedUntil = 0, time.Time{}
+				misses, ignoreMissesBefore = 0, time.Time{}
 			},
 			"miss": func(t *rapid.T) {
-				delayed := now.Before(delayedUntil)
-				if !delayed {
+				ignored := now.Before(ignoreMissesBefore)
+				if !ignored {
 					misses++
-					delayedUntil = now.Add(InitialRetryDelay)
+					ignoreMissesBefore = now.Add(InitialRetryDelay)
 				}
 				release := retry.RecordMiss(now)
-				if release != (!delayed && misses > InitialMaxMisses) {
-					t.Fatalf("RecordMiss() = %t, want %t; misses %d, within the delay after a miss: %t", release, !release, misses, delayed)
+				if release != (!ignored && misses > InitialMaxMisses) {
+					t.Fatalf("RecordMiss() = %t, want %t; misses %d, soon after a counted miss: %t", release, !release, misses, ignored)
 				}
 				if release {
 					misses = 0
--- a/internal/sched/host_test.go
+++ b/internal/sched/host_test.go
@@ -6,12 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-func drawResources(t *rapid.T, name string, most int) Resources {
+// drawResources draws an amount of each resource, in steps of a half up to maxHalves steps.
+func drawResources(t *rapid.T, name string, maxHalves int) Resources {
 	t.Helper()
-	amount := func(kind string) float64 { return float64(rapid.IntRange(0, most).Draw(t, name+kind)) / 2 }
+	amount := func(kind string) float64 { return float64(rapid.IntRange(0, maxHalves).Draw(t, name+kind)) / 2 }
 	return Resources{amount("cpus"), amount("gpus"), amount("mem")}
 }
 
+// drawHosts draws up to six machines of the same size in two zones, with random free capacity.
 func drawHosts(t *rapid.T) []*Host {
 	t.Helper()
 	var hosts []*Host
--- a/internal/sched/resources_test.go
+++ b/internal/sched/resources_test.go
@@ -8,9 +8,9 @@
 // Resources are encoded as three numbers without rounding, and decoded to the same value.
 func TestResourcesJSONRoundTrip(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		amount Resources
-		form   string
+		name    string
+		amount  Resources
+		encoded string
 	}{
 		{"none", Resources{}, `[0,0,0]`},
 		{"whole", Resources{CPUs: 8, GPUs: 2, MemGB: 64}, `[8,2,64]`},
@@ -20,11 +20,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			raw, err := json.Marshal(test.amount)
-			if err != nil || string(raw) != test.form {
-				t.Errorf("Marshal() = %s, %v; want %s", raw, err, test.form)
+			if err != nil || string(raw) != test.encoded {
+				t.Errorf("Marshal() = %s, %v; want %s", raw, err, test.encoded)
 			}
 			var decoded Resources
-			if err := json.Unmarshal([]byte(test.form), &decoded); err != nil || decoded != test.amount {
+			if err := json.Unmarshal([]byte(test.encoded), &decoded); err != nil || decoded != test.amount {
 				t.Errorf("Unmarshal() = %v, %v; want %v", decoded, err, test.amount)
 			}
 		})
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -37,7 +37,7 @@
 func (p *planner) preemptOptions(job *waitingJob) []*preemptOption {
 	if !job.preemptOptionsKnown {
 		job.preemptOptionsKnown = true
-		job.preemptOptions = p.reclaim.preemption.search(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
+		job.preemptOptions = p.reclaim.preemption.findOptions(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
 	}
 	return job.preemptOptions
 }
@@ -63,7 +63,7 @@
 		request.ZoneAllowed = func(zone string) bool {
 			return zone == placement.Host.Zone || start.job.zoneConstraint.allows(placement.RangeIndex, zone)
 		}
-		choice := p.reclaim.preemption.choose(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
+		choice := p.reclaim.preemption.chooseVictims(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
 		if choice.found() {
 			p.assignInPlaceOfVictims(start.job, placement.RangeIndex, choice)
 			placement.Host, placement.Victims = choice.host, choice.tasks
@@ -138,7 +138,7 @@
 func (p *planner) preemptFor(job *waitingJob, zoneAllowed func(zone string) bool) victimChoice {
 	request := job.request
 	request.ZoneAllowed = zoneAllowed
-	return p.reclaim.preemption.choose(p.preemptOptions(job), &request, math.Inf(1))
+	return p.reclaim.preemption.chooseVictims(p.preemptOptions(job), &request, math.Inf(1))
 }
 
 // dropFullHosts removes the machines that no longer have capacity for any task from candidateHosts.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -174,9 +174,9 @@
 	return hosts
 }
 
-// search returns at most maxOptions machines where stopping tasks would free capacity for a task
+// findOptions returns at most maxOptions machines where stopping tasks would free capacity for a task
 // of the job: first those that have its image, then others, each from a random position on.
-func (p *preemption) search(entry *queueEntry, request *sched.TaskRequest, maxOptions int) []*preemptOption {
+func (p *preemption) findOptions(entry *queueEntry, request *sched.TaskRequest, maxOptions int) []*preemptOption {
 	hosts := p.victimHostsFor(entry)
 	var found []*preemptOption
 	for _, machines := range [][]*victimHost{hosts.withImage(request.Image), hosts.all} {
@@ -227,9 +227,9 @@
 	return allowed
 }
 
-// choose selects the victims for a task: on one machine, with the lowest cost, and at most
+// chooseVictims selects the victims for a task: on one machine, with the lowest cost, and at most
 // maxCost.
-func (p *preemption) choose(options []*preemptOption, request *sched.TaskRequest, maxCost float64) victimChoice {
+func (p *preemption) chooseVictims(options []*preemptOption, request *sched.TaskRequest, maxCost float64) victimChoice {
 	var best *preemptOption
 	bestCost := 0.0
 	for _, option := range options {
--- a/internal/zonehealth/evaluation_test.go
+++ b/internal/zonehealth/evaluation_test.go
@@ -246,9 +246,9 @@
 	if err := json.Unmarshal(raw, &decoded); err != nil || cmp.Diff(r, decoded) != "" {
 		t.Errorf("Unmarshal() = %v, want no error; record differs (-want +got):\n%s", err, cmp.Diff(r, decoded))
 	}
-	const form = `{"s":"down","n":7,"at":3,"f":2,"w":0.25,"b":9,"m":1,` +
+	const encoded = `{"s":"down","n":7,"at":3,"f":2,"w":0.25,"b":9,"m":1,` +
 		`"p":{"n0":{"u":1,"x":8,"f":true,"w":[{"r":[4,1,29],"l":true,"n":3}]}}}`
-	if string(raw) != form {
-		t.Errorf("Marshal() = %s, want %s", raw, form)
+	if string(raw) != encoded {
+		t.Errorf("Marshal() = %s, want %s", raw, encoded)
 	}
 }
--- a/internal/zonestate/admission.go
+++ b/internal/zonestate/admission.go
@@ -77,7 +77,7 @@
 		return nil
 	}
 	z.countUsedMachines(zones)
-	return recovery.NewAdmission(zones, z.protectedSizes(zones), z.catalog.MachineSizes())
+	return recovery.NewAdmission(zones, z.productionTaskSizes(zones), z.catalog.MachineSizes())
 }
 
 // recoveryZone returns the state of a restricted zone as package recovery requires it.
@@ -137,8 +137,8 @@
 	}
 }
 
-// protectedSizes returns the distinct sizes of production tasks.
-func (z *Zones) protectedSizes(zones map[string]*recovery.Zone) []sched.Resources {
+// productionTaskSizes returns the distinct sizes of production tasks.
+func (z *Zones) productionTaskSizes(zones map[string]*recovery.Zone) []sched.Resources {
 	var sizes []sched.Resources
 	addSize := func(size sched.Resources) {
 		if !slices.Contains(sizes, size) {
