--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -98,7 +98,7 @@
 // as it has processors, and a collector that works harder before the memory limit instead of a
 // process that is killed at it.
 func limitResources(s *config.Settings) {
-	runtime.GOMAXPROCS(s.Processors(runtime.NumCPU()))
+	runtime.GOMAXPROCS(s.MaxProcs(runtime.NumCPU()))
 	debug.SetMemoryLimit(s.MemoryTarget())
 	debug.SetGCPercent(collectorPercent)
 }
--- a/cmd/violetturn/profile_test.go
+++ b/cmd/violetturn/profile_test.go
@@ -15,7 +15,7 @@
 // A profile is three files in the folder; a folder that isn't there is an error.
 func TestProfile(t *testing.T) {
 	cfg := &config.Settings{HostName: "n0", Zone: "x"}
-	cfg.Facts.Size, cfg.Facts.Limits.MaxSockets = 1, 100
+	cfg.Facts.ControllerCount, cfg.Facts.Limits.MaxSockets = 1, 100
 	cfg.Facts.State.WriteRPS, cfg.Facts.State.RPS, cfg.Facts.Cloud.RPS = 10, 10, 10
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, err := controller.New(cfg, config.DefaultPolicy(), features.Default(), log)
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -37,8 +37,8 @@
 func newRegistryFixture(t *testing.T) *registryFixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Members: []config.Member{{HostName: "n1"}}}
-	settings.Facts.Size = 2
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 2
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	f := &registryFixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -122,7 +122,7 @@
 		return
 	}
 	price := catalog.PriceOf(machineType, machine.Spot)
-	idleLimitSeconds := r.autoscaler.node.Policy.Idle(machineType.BootS, price, machine.Spot)
+	idleLimitSeconds := r.autoscaler.node.Policy.IdleSeconds(machineType.BootS, price, machine.Spot)
 	if r.now.Sub(worker.IdleSince).Seconds() > idleLimitSeconds && !r.isNeededWhileIdle(host) {
 		r.cordon(host, worker, "idle")
 	}
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -37,7 +37,7 @@
 
 // QuotaLimitOf returns a team's limit; a resource of 0 is unlimited.
 func QuotaLimitOf(team config.Team) sched.Resources {
-	return sched.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+	return sched.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 }
 
 // quotaGrant is the decision whether a team may use an amount of resources in a shard.
@@ -54,7 +54,7 @@
 func (c *Claims) quotaGrantFor(teamName, shardName string, quotaUse sched.Resources, changedShares map[string]sched.Resources) quotaGrant {
 	a := c.accounting
 	team, _ := a.node.Settings.Team(teamName)
-	if !team.Limited() {
+	if !team.HasLimit() {
 		return quotaGrant{granted: true}
 	}
 	quota := a.QuotaShares(teamName, shardName)
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, team := range a.node.Settings.Facts.Teams {
-		if used, ok := sum[team.Name]; ok && team.Limited() {
+		if used, ok := sum[team.Name]; ok && team.HasLimit() {
 			use[team.Name] = used.Rounded()
 		}
 	}
@@ -170,7 +170,7 @@
 // the gang's record is kept until the ends of all its tasks have been received.
 func (a *Accounting) CountsAgainstQuota(job *statecache.Job) bool {
 	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
-	return team.Limited()
+	return team.HasLimit()
 }
 
 // TeamUsage returns the total usage of a team according to the shards' capacity records.
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -31,7 +31,7 @@
 // anyway, so refreshes are only made at intervals. tasksWait reports whether tasks of this
 // controller's jobs wait for capacity.
 func (a *Accounting) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
-	for _, name := range a.leadership.Shards() {
+	for _, name := range a.leadership.HeldShards() {
 		record := a.cache.Capacities[name].Record
 		inForce := a.leadership.InForce(name)
 		if inForce == nil || record == nil || !a.catalog.IsLoaded() {
@@ -70,7 +70,7 @@
 	for _, team := range a.node.Settings.Facts.Teams {
 		held := a.QuotaShares(team.Name, shardName)
 		use := update.quotaUse[team.Name]
-		if !team.Limited() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
+		if !team.HasLimit() || !sched.HoldsExcessQuota(QuotaLimitOf(team), held.HeldByOthers, held.Held, use) {
 			continue
 		}
 		if share, ok := sched.QuotaShare(QuotaLimitOf(team), held.HeldByOthers, use); ok {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -18,8 +18,8 @@
 func newTestCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
-	settings.Facts.Teams = []config.Team{{Name: "limited", GPUsMax: 4}, {Name: "free"}}
+	settings.Facts.Workers.HeartbeatIntervalS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.Teams = []config.Team{{Name: "limited", MaxGPUs: 4}, {Name: "free"}}
 	c := New(node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil))))
 	c.SetMachineTypes([]cloud.MachineType{
 		{Name: "small", CPUs: 4, MemGB: 16, Price: 1, SpotPrice: 0.5, BootS: 40, FetchGBPerS: 1, Zones: []string{"x"}},
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -28,7 +28,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	if exceedsLimit(spec, team.CPUsMax, team.GPUsMax) {
+	if exceedsLimit(spec, team.MaxCPUs, team.MaxGPUs) {
 		return "more than the team's limit"
 	}
 	zones := c.zonesFor(spec)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -60,7 +60,7 @@
 	if err := s.checkAddresses(); err != nil {
 		return err
 	}
-	if n := s.Facts.Size; n != len(s.Members)+1 {
+	if n := s.Facts.ControllerCount; n != len(s.Members)+1 {
 		return refuse("facts.size", "%d, but members name %d controllers with this one", n, len(s.Members)+1)
 	}
 	if len(s.Facts.Zones) == 0 {
@@ -105,9 +105,9 @@
 func (s *Settings) checkAmounts() error {
 	f := &s.Facts
 	for _, a := range []amount{
-		{"facts.workers.report_s", f.Workers.ReportS},
+		{"facts.workers.report_s", f.Workers.HeartbeatIntervalS},
 		{"facts.workers.lease_s", f.Workers.LeaseS},
-		{"facts.workers.cancel_s", f.Workers.CancelS},
+		{"facts.workers.cancel_s", f.Workers.CancelTimeoutS},
 		{"facts.state.rps", f.State.RPS},
 		{"facts.state.write_rps", f.State.WriteRPS},
 		{"facts.state.value_kb", f.State.ValueKB},
@@ -163,7 +163,7 @@
 // as it is; one that is named has to be one that the service can work under.
 func (s *Settings) checkNextLimits() error {
 	const field = "facts.state.next"
-	now, next := &s.Facts.State.StateLimits, s.Facts.State.Next
+	now, next := &s.Facts.State.StateLimits, s.Facts.State.NextLimits
 	if next == nil {
 		return nil
 	}
@@ -192,14 +192,14 @@
 func (s *Settings) checkWorkers() error {
 	w := &s.Facts.Workers
 	for _, a := range []amount{
-		{"facts.workers.gang_wait_s", w.GangWaitS},
-		{"facts.workers.gang_peer_s", w.GangPeerS},
+		{"facts.workers.gang_wait_s", w.GangGatherTimeoutS},
+		{"facts.workers.gang_peer_s", w.GangPeerTimeoutS},
 	} {
 		if !nonNegative(a.value) {
 			return refuse(a.field, reasonNegative)
 		}
 	}
-	if w.ReportS >= w.LeaseS {
+	if w.HeartbeatIntervalS >= w.LeaseS {
 		return refuse("facts.workers.lease_s", "must be longer than report_s")
 	}
 	return nil
@@ -214,7 +214,7 @@
 			return refuse(field+".name", reasonNotUnique)
 		}
 		seen[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		for _, v := range []float64{t.GuaranteedCPUs, t.MaxCPUs, t.GuaranteedGPUs, t.MaxGPUs} {
 			if !nonNegative(v) {
 				return refuse(field, "amounts must be numbers of at least 0")
 			}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -44,7 +44,7 @@
 			return
 		}
 		checkDerivedLimits(t, s)
-		if w := s.Facts.Workers; w.LeaseS < longestTime && w.CancelS < longestTime {
+		if w := s.Facts.Workers; w.LeaseS < longestTime && w.CancelTimeoutS < longestTime {
 			checkDerivedTimes(t, s)
 		}
 	})
@@ -60,7 +60,7 @@
 	if lowest.TxnOps > now.TxnOps || lowest.ValueKB > now.ValueKB || lowest.RPS > now.RPS || lowest.WriteRPS > now.WriteRPS {
 		t.Fatalf("%+v is above %+v", lowest, now)
 	}
-	if n := s.Processors(8); n < 1 || n > 8 {
+	if n := s.MaxProcs(8); n < 1 || n > 8 {
 		t.Fatalf("%d of 8 processors", n)
 	}
 	if m := s.MemoryTarget(); m <= 0 || float64(m) > s.Facts.Limits.MemoryMB*bytesPerMB {
@@ -78,13 +78,13 @@
 		t.Fatalf("lease of %v, staleness of %v", s.ControllerLeaseTTL(), s.MaxStaleness())
 	}
 	grace := s.LeadershipGrace()
-	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelS) {
+	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelTimeoutS) {
 		t.Fatalf("a cancellation that a leader can't see takes %v", total)
 	}
 	if grace < 0 || s.DecisionInterval() < 0 || s.DecisionInterval() > s.HeartbeatInterval() {
 		t.Fatalf("grace of %v, decision interval of %v", grace, s.DecisionInterval())
 	}
-	if s.ConfirmsCancelWhenEmpty() && grace > 0 {
+	if s.ConfirmsCancelAfterTasksEnd() && grace > 0 {
 		t.Fatalf("grace of %v where a cancellation leaves no time for it", grace)
 	}
 }
@@ -113,10 +113,10 @@
 		if h := p.Headroom(job, 2.5, 40, slack); !(h >= 0 && h <= maxHeadroom) {
 			t.Fatalf("headroom for %g tasks", h)
 		}
-		if s := p.Idle(40, 3, true); !(s >= 0) || math.IsInf(s, 0) {
+		if s := p.IdleSeconds(40, 3, true); !(s >= 0) || math.IsInf(s, 0) {
 			t.Fatalf("idle machines are kept for %g s", s)
 		}
-		if !p.RestrictsPreemption() && !p.Preempt(job, JobVariables{Priority: 3}, age) {
+		if !p.RestrictsPreemption() && !p.AllowsPreemption(job, JobVariables{Priority: 3}, age) {
 			t.Fatal("forbids a preemption though it restricts none")
 		}
 		if d := time.Since(began); d > 10*time.Second {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -91,12 +91,12 @@
 		{"gang gather timeout", s.GangGatherTimeout()},
 		{"gang peer timeout", s.GangPeerTimeout()},
 		{"decision interval", s.DecisionInterval()},
-		{"read interval", s.ReadInterval()},
+		{"read interval", s.QueryReadInterval()},
 		{"controller lease", s.ControllerLeaseTTL()},
 		{"leadership grace", s.LeadershipGrace()},
 		{"staleness", s.MaxStaleness()},
-		{"confirms a cancellation when empty", s.ConfirmsCancelWhenEmpty()},
-		{"processors of 8", s.Processors(8)},
+		{"confirms a cancellation when empty", s.ConfirmsCancelAfterTasksEnd()},
+		{"processors of 8", s.MaxProcs(8)},
 		{"memory target", s.MemoryTarget()},
 		{"lowest limits", s.LowestLimits()},
 		{"teams with limits", s.HasTeamLimits()},
@@ -139,11 +139,11 @@
 		for i, job := range jobs {
 			fmt.Fprintf(&got, "job %d: weight %g, headroom %g", i, p.Weight(job), p.Headroom(job, 2.5, 40, 45))
 			for k, victim := range jobs {
-				fmt.Fprintf(&got, ", preempts %d %t and %t", k, p.Preempt(job, victim, 10), p.Preempt(job, victim, 1000))
+				fmt.Fprintf(&got, ", preempts %d %t and %t", k, p.AllowsPreemption(job, victim, 10), p.AllowsPreemption(job, victim, 1000))
 			}
 			fmt.Fprintln(&got)
 		}
-		fmt.Fprintf(&got, "idle %g, spot %g, at once %g\n\n", p.Idle(40, 3, false), p.Idle(40, 3, true), p.Idle(0, 3, false))
+		fmt.Fprintf(&got, "idle %g, spot %g, at once %g\n\n", p.IdleSeconds(40, 3, false), p.IdleSeconds(40, 3, true), p.IdleSeconds(0, 3, false))
 	}
 	compareGolden(t, "policy.golden", got.String())
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -27,9 +27,9 @@
 	maxMemoryTarget = 1 << 40
 )
 
-// Processors returns how many processors the process uses at once: the cores that the settings
+// MaxProcs returns how many processors the process uses at once: the cores that the settings
 // name, rounded, but at least one and at most those there are.
-func (s *Settings) Processors(available int) int {
+func (s *Settings) MaxProcs(available int) int {
 	return max(1, int(min(s.Facts.Limits.Cores+0.5, float64(available))))
 }
 
@@ -43,7 +43,7 @@
 // today's and the coming ones. Nothing new is made larger than they allow.
 func (s *Settings) LowestLimits() StateLimits {
 	lowest := s.Facts.State.StateLimits
-	if next := s.Facts.State.Next; next != nil {
+	if next := s.Facts.State.NextLimits; next != nil {
 		lowest.RPS = min(lowest.RPS, next.RPS)
 		lowest.WriteRPS = min(lowest.WriteRPS, next.WriteRPS)
 		lowest.ValueKB = min(lowest.ValueKB, next.ValueKB)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -110,9 +110,9 @@
 // that could be stopped, so the built-in one is not evaluated.
 func (p *Policy) RestrictsPreemption() bool { return p.restrictsPreemption }
 
-// Preempt reports whether the job may stop the victim, where PROTOCOL allows it. lost is how many
+// AllowsPreemption reports whether the job may stop the victim, where PROTOCOL allows it. lost is how many
 // seconds of the victim's work that would lose. The fallback is false.
-func (p *Policy) Preempt(job, victim JobVariables, lost float64) bool {
+func (p *Policy) AllowsPreemption(job, victim JobVariables, lost float64) bool {
 	return evaluate(p.preempt, preemptVariables{Job: job, Victim: victim, Lost: lost}, false)
 }
 
@@ -124,8 +124,8 @@
 	return min(max(evaluate(p.headroom, variables, 0.0), 0), maxHeadroom)
 }
 
-// Idle returns for how many seconds a machine without tasks is kept, one that boots for startup
+// IdleSeconds returns for how many seconds a machine without tasks is kept, one that boots for startup
 // seconds and costs price an hour. The fallback is startup.
-func (p *Policy) Idle(startup, price float64, spot bool) float64 {
+func (p *Policy) IdleSeconds(startup, price float64, spot bool) float64 {
 	return max(evaluate(p.idle, idleVariables{Startup: startup, Price: price, Spot: spot}, startup), 0)
 }
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, w := range []JobVariables{{Class: "a", Team: "b", Kind: "sweep", Tasks: 9, Priority: 2}, {Class: "c", Priority: 1}} {
 		for _, v := range []JobVariables{{Class: "a", Priority: 3}, {Class: "c", Priority: 3}} {
-			if a.Weight(w) != b.Weight(w) || a.Preempt(w, v, 1) != b.Preempt(w, v, 1) || a.Idle(1, 1, true) != b.Idle(1, 1, true) {
+			if a.Weight(w) != b.Weight(w) || a.AllowsPreemption(w, v, 1) != b.AllowsPreemption(w, v, 1) || a.IdleSeconds(1, 1, true) != b.IdleSeconds(1, 1, true) {
 				t.Errorf("%+v, %+v: the names decide", w, v)
 			}
 		}
@@ -41,7 +41,7 @@
 		Kind:     "sweep",
 		Tasks:    9,
 		Priority: 2,
-	}) != 7 || a.Preempt(JobVariables{}, JobVariables{Class: "c", Priority: 3}, 1) != true {
+	}) != 7 || a.AllowsPreemption(JobVariables{}, JobVariables{Class: "c", Priority: 3}, 1) != true {
 		t.Error("other values than written")
 	}
 	for _, src := range []string{`weight = "job.lanes"`, `idle_s = "loaner ? 1 : 2"`} {
@@ -59,11 +59,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.Idle(40, 3, false) != 80 ||
-		p.Idle(40, 3, true) != 5 {
+	if p.Weight(JobVariables{Class: "x"}) != 10 || p.Weight(JobVariables{Priority: 2}) != -2 || p.IdleSeconds(40, 3, false) != 80 ||
+		p.IdleSeconds(40, 3, true) != 5 {
 		t.Error("expressions give other values")
 	}
-	if !p.Preempt(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
+	if !p.AllowsPreemption(JobVariables{}, JobVariables{Priority: 3}, 100) || p.Headroom(JobVariables{Priority: 3}, 4, 40, 10) != 0 ||
 		p.Headroom(JobVariables{Priority: 1}, 4, 40, 10) != 10 {
 		t.Error("what is left out is not as built in")
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,28 +36,28 @@
 
 // Facts is what the platform says of the deployment.
 type Facts struct {
-	Size        int           `toml:"size"` // number of controllers, this one included
-	Zones       []string      `toml:"zones"`
-	TimeBoundMS float64       `toml:"time_bound_ms"`
-	Teams       []Team        `toml:"teams"`
-	Objectives  []Objective   `toml:"objectives"`
-	Workers     WorkerTimes   `toml:"workers"`
-	State       StateFacts    `toml:"state"`
-	Cloud       CloudFacts    `toml:"cloud"`
-	Limits      MachineLimits `toml:"machine_limits"`
+	ControllerCount int           `toml:"size"` // number of controllers, this one included
+	Zones           []string      `toml:"zones"`
+	TimeBoundMS     float64       `toml:"time_bound_ms"`
+	Teams           []Team        `toml:"teams"`
+	Objectives      []Objective   `toml:"objectives"`
+	Workers         WorkerTimes   `toml:"workers"`
+	State           StateFacts    `toml:"state"`
+	Cloud           CloudFacts    `toml:"cloud"`
+	Limits          MachineLimits `toml:"machine_limits"`
 }
 
 // Team is a team with its guarantee and its limit; 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"` // guaranteed
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"` // guaranteed
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"` // guaranteed
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"` // guaranteed
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Limited reports whether the team has a limit.
-func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+// HasLimit reports whether the team has a limit.
+func (t Team) HasLimit() bool { return t.MaxCPUs > 0 || t.MaxGPUs > 0 }
 
 // ObjectiveKind says what an objective is about. Its value is the word of the settings.
 type ObjectiveKind string
@@ -81,12 +81,12 @@
 
 // WorkerTimes are the times that workers keep, in seconds.
 type WorkerTimes struct {
-	ReportS float64 `toml:"report_s"` // between two heartbeats
-	LeaseS  float64 `toml:"lease_s"`  // after which a worker that is not answered kills its tasks
-	CancelS float64 `toml:"cancel_s"` // within which the tasks of a cancelled job have to be gone
+	HeartbeatIntervalS float64 `toml:"report_s"` // between two heartbeats
+	LeaseS             float64 `toml:"lease_s"`  // after which a worker that is not answered kills its tasks
+	CancelTimeoutS     float64 `toml:"cancel_s"` // within which the tasks of a cancelled job have to be gone
 
-	GangWaitS float64 `toml:"gang_wait_s"` // for which a gang's task waits for the others
-	GangPeerS float64 `toml:"gang_peer_s"` // within which it notices that one of them has ended
+	GangGatherTimeoutS float64 `toml:"gang_wait_s"` // for which a gang's task waits for the others
+	GangPeerTimeoutS   float64 `toml:"gang_peer_s"` // within which it notices that one of them has ended
 }
 
 // StateLimits are the limits of the state service, for all controllers together.
@@ -100,7 +100,7 @@
 // StateFacts is what the platform says of the state service.
 type StateFacts struct {
 	StateLimits
-	Next *StateLimits `toml:"next"` // what the limits will be from some moment on; nil: they stay
+	NextLimits *StateLimits `toml:"next"` // what the limits will be from some moment on; nil: they stay
 }
 
 // CloudFacts is what the platform says of the cloud.
@@ -159,7 +159,7 @@
 }
 
 // HasTeamLimits reports whether any team has a limit.
-func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.Limited) }
+func (s *Settings) HasTeamLimits() bool { return slices.ContainsFunc(s.Facts.Teams, Team.HasLimit) }
 
 // Team finds a team by name; it reports whether there is one.
 func (s *Settings) Team(name string) (Team, bool) {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if team, ok := s.Team("a"); !ok || !team.Limited() {
+	if team, ok := s.Team("a"); !ok || !team.HasLimit() {
 		t.Error("team a")
 	}
 	for field, change := range map[string][2]string{
@@ -97,7 +97,7 @@
 			t.Errorf("%s: %v", x.to, err)
 			continue
 		}
-		if got := s.Processors(8); got != x.cpus {
+		if got := s.MaxProcs(8); got != x.cpus {
 			t.Errorf("%s: %d processors", x.to, got)
 		}
 		if m := s.MemoryTarget(); m <= 0 || m > 1<<40 || float64(m) > s.Facts.Limits.MemoryMB*(1<<20) {
@@ -137,7 +137,7 @@
 			t.Errorf("%q: %v, %v", next, s, err)
 		}
 	}
-	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.Next != nil || s.LowestLimits() != (StateLimits{120, 25, 4, 8}) {
+	if s, err := Parse([]byte(validSettings)); err != nil || s.Facts.State.NextLimits != nil || s.LowestLimits() != (StateLimits{120, 25, 4, 8}) {
 		t.Error("no change is coming", err)
 	}
 }
@@ -151,11 +151,11 @@
 	}
 	for _, w := range [][3]float64{{1.5, 10, 40}, {3, 45, 75}, {1, 30, 31}, {0.5, 2, 100}} {
 		f := &s.Facts.Workers
-		f.ReportS, f.LeaseS, f.CancelS = w[0], w[1], w[2]
+		f.HeartbeatIntervalS, f.LeaseS, f.CancelTimeoutS = w[0], w[1], w[2]
 		if s.ControllerLeaseTTL() > s.WorkerLease()/3+500e6 {
 			t.Errorf("%v: hold of %v", w, s.ControllerLeaseTTL())
 		}
-		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelS) {
+		if g := s.LeadershipGrace(); g > 0 && s.ControllerLeaseTTL()+g+s.WorkerLeaseBound() > seconds(f.CancelTimeoutS) {
 			t.Errorf("%v: grace of %v", w, g)
 		}
 	}
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -16,7 +16,9 @@
 func (s *Settings) WorkerLease() time.Duration { return seconds(s.Facts.Workers.LeaseS) }
 
 // HeartbeatInterval returns how often a worker sends a heartbeat.
-func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Facts.Workers.ReportS) }
+func (s *Settings) HeartbeatInterval() time.Duration {
+	return seconds(s.Facts.Workers.HeartbeatIntervalS)
+}
 
 // WorkerLeaseBound returns when a worker's tasks are surely dead, counted on our clock from the
 // last answer that it can have accepted.
@@ -25,33 +27,35 @@
 }
 
 // GangGatherTimeout returns how long a task of a gang waits on its machine for the others.
-func (s *Settings) GangGatherTimeout() time.Duration { return seconds(s.Facts.Workers.GangWaitS) }
+func (s *Settings) GangGatherTimeout() time.Duration {
+	return seconds(s.Facts.Workers.GangGatherTimeoutS)
+}
 
 // GangPeerTimeout returns how soon tasks of a gang notice that one of them has ended, and within
 // what time all have to be told to stop for their progress to be saved.
-func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerS) }
+func (s *Settings) GangPeerTimeout() time.Duration { return seconds(s.Facts.Workers.GangPeerTimeoutS) }
 
 // DecisionInterval returns how long a controller lets things come together before it commits
 // again: the time of one change at its share of the write rate, but short against a heartbeat
 // interval.
 func (s *Settings) DecisionInterval() time.Duration {
-	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.Size)/s.Facts.State.WriteRPS))
+	return min(s.HeartbeatInterval()/12, seconds(float64(s.Facts.ControllerCount)/s.Facts.State.WriteRPS))
 }
 
-// CloudCallsPerRound is how many calls of the cloud one round of scaling takes of each kind as a rule.
-const CloudCallsPerRound = 2
+// CloudCallsPerRun is how many calls of the cloud one round of scaling takes of each kind as a rule.
+const CloudCallsPerRun = 2
 
 // AutoscaleInterval returns the time between two rounds of scaling: a few calls of this
 // controller's share of the cloud's rate, and short against a heartbeat interval.
 func (s *Settings) AutoscaleInterval() time.Duration {
-	share := s.Facts.Cloud.RPS / float64(s.Facts.Size)
-	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRound/share))
+	share := s.Facts.Cloud.RPS / float64(s.Facts.ControllerCount)
+	return min(s.HeartbeatInterval()/3, seconds(CloudCallsPerRun/share))
 }
 
-// ReadInterval returns how far apart reads for users' questions are at least: about a quarter of
+// QueryReadInterval returns how far apart reads for users' questions are at least: about a quarter of
 // this controller's share of the request rate.
-func (s *Settings) ReadInterval() time.Duration {
-	return seconds(4 * float64(s.Facts.Size) / s.Facts.State.RPS)
+func (s *Settings) QueryReadInterval() time.Duration {
+	return seconds(4 * float64(s.Facts.ControllerCount) / s.Facts.State.RPS)
 }
 
 // ControllerLeaseTTL returns the time to live of a controller's lease: two heartbeat intervals,
@@ -74,12 +78,14 @@
 	return max(s.ControllerLeaseTTL(), s.cancelMargin())
 }
 
-// ConfirmsCancelWhenEmpty reports whether a cancellation is confirmed only when the last task of
+// ConfirmsCancelAfterTasksEnd reports whether a cancellation is confirmed only when the last task of
 // the job is off its machine. It has to be where cancel_s leaves a leader less time besides a
 // worker's lease than it needs to renew its own: no answer of it would be safe then.
-func (s *Settings) ConfirmsCancelWhenEmpty() bool { return s.cancelMargin() < s.ControllerLeaseTTL() }
+func (s *Settings) ConfirmsCancelAfterTasksEnd() bool {
+	return s.cancelMargin() < s.ControllerLeaseTTL()
+}
 
 // cancelMargin returns what cancel_s leaves besides a worker's lease; it may be below zero.
 func (s *Settings) cancelMargin() time.Duration {
-	return seconds(s.Facts.Workers.CancelS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
+	return seconds(s.Facts.Workers.CancelTimeoutS/clockDriftFactor) - s.WorkerLeaseBound() - s.HeartbeatInterval()/4
 }
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -15,8 +15,8 @@
 // lease, or a higher limit, than the world has. Unchanged, the same events break nothing.
 func TestCheckersCatch(t *testing.T) {
 	shorterLease := func(s *config.Settings) { s.Facts.Workers.LeaseS = 4 }
-	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelS = 30 }
-	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].GPUsMax = 9 }
+	shorterCancelTimeout := func(s *config.Settings) { s.Facts.Workers.CancelTimeoutS = 30 }
+	higherLimit := func(s *config.Settings) { s.Facts.Teams[0].MaxGPUs = 9 }
 	for _, x := range []struct {
 		name   string
 		rule   simulator.Rule
@@ -41,9 +41,9 @@
 					}
 				}
 				x.play(s)
-				caught := slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == x.rule })
+				caught := slices.ContainsFunc(s.environment.Violations, func(v simulator.Violation) bool { return v.Rule == x.rule })
 				if caught != mutated {
-					t.Errorf("%s, mutated %t: %v", x.rule, mutated, s.world.Violations)
+					t.Errorf("%s, mutated %t: %v", x.rule, mutated, s.environment.Violations)
 				}
 			})
 		}
@@ -54,7 +54,7 @@
 func partitionServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		if len(x.Tasks) == 2 {
 			x.Partitioned = true
 		}
@@ -66,7 +66,7 @@
 func hangServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		if len(x.Tasks) == 2 {
 			x.Hung = true
 			defer func() { x.Hung = false }()
@@ -97,11 +97,11 @@
 // setCancelTimeout sets in which time cancelled tasks have to end. A controller that believes
 // in another time than the world has keeps it.
 func (s *testCluster) setCancelTimeout(d time.Duration) {
-	before := s.world.CancelTimeout.Seconds()
-	s.world.CancelTimeout = d
+	before := s.environment.CancelTimeout.Seconds()
+	s.environment.CancelTimeout = d
 	for _, n := range s.nodes {
-		if f := &n.controller.node.Settings.Facts.Workers; f.CancelS == before {
-			f.CancelS = d.Seconds()
+		if f := &n.controller.node.Settings.Facts.Workers; f.CancelTimeoutS == before {
+			f.CancelTimeoutS = d.Seconds()
 		}
 	}
 }
@@ -115,13 +115,13 @@
 // partitionGangMachine partitions a machine with tasks of a gang, which go on where they can't
 // be seen, while there is room to be taken.
 func partitionGangMachine(s *testCluster) {
-	s.world.PeerLossTimeout = 20 * time.Second
+	s.environment.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind = api.Gang })
 	s.submitArray(2, 5*time.Minute, func(j *api.Job) { j.Priority = "idle" })
 	s.runFor(60)
-	for _, h := range s.world.Cloud.HostNames() {
+	for _, h := range s.environment.Cloud.HostNames() {
 		if s.runningTasksByHost(id)[h] == 2 {
-			s.world.Cloud.WorkersByHost[h].Partitioned = true
+			s.environment.Cloud.WorkersByHost[h].Partitioned = true
 		}
 	}
 	s.runFor(60)
@@ -130,14 +130,14 @@
 // partitionGangZone partitions all machines in the zone of a gang that goes together, while
 // the other zone has room to be taken.
 func partitionGangZone(s *testCluster) {
-	s.world.PeerLossTimeout = 20 * time.Second
+	s.environment.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.SingleZone = api.Gang, true })
-	for _, zone := range s.world.Zones {
+	for _, zone := range s.environment.Zones {
 		s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Priority, j.Zone = "idle", zone })
 	}
 	s.runFor(60)
 	zone := s.workerOf(id).Zone
-	for _, x := range s.world.Cloud.WorkersByHost {
+	for _, x := range s.environment.Cloud.WorkersByHost {
 		x.Partitioned = x.Zone == zone
 	}
 	s.runFor(60)
@@ -165,17 +165,17 @@
 	for _, mutated := range []bool{false, true} {
 		t.Run(fmt.Sprintf("mutated %t", mutated), func(t *testing.T) {
 			s := newTestCluster()
-			s.world.TeamGPULimits["b"] = 8
+			s.environment.TeamGPULimits["b"] = 8
 			for i := range s.nodes {
 				s.startNode(i)
 			}
 			s.runRounds(t, 10)
 			id := s.submitService(3, nil) // leaves room on one of two machines
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-			s.world.Cloud.NoCapacity = true
+			s.environment.Cloud.NoCapacity = true
 			if mutated {
 				for _, n := range s.nodes {
-					n.controller.node.Settings.Facts.Teams[1].GPUsMax = 3
+					n.controller.node.Settings.Facts.Teams[1].MaxGPUs = 3
 				}
 			}
 			s.submitArray(1, time.Second, nil)
@@ -184,8 +184,8 @@
 				s.runRound()
 				s.checkWaiting(since)
 			}
-			if caught := len(s.world.Violations) > 0; caught != mutated {
-				t.Errorf("mutated %t: %v", mutated, s.world.Violations)
+			if caught := len(s.environment.Violations) > 0; caught != mutated {
+				t.Errorf("mutated %t: %v", mutated, s.environment.Violations)
 			}
 		})
 	}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -26,8 +26,8 @@
 // checkViolations fails if a rule is broken.
 func (s *testCluster) checkViolations(t fataler) {
 	t.Helper()
-	if len(s.world.Violations) > 0 {
-		t.Fatalf("%v", s.world.Violations)
+	if len(s.environment.Violations) > 0 {
+		t.Fatalf("%v", s.environment.Violations)
 	}
 }
 
@@ -53,7 +53,7 @@
 // service that runs as a whole.
 func (s *testCluster) recovered(t *testing.T, id string) bool {
 	t.Helper()
-	j := s.world.Jobs[id]
+	j := s.environment.Jobs[id]
 	if !j.Accepted {
 		return s.presentTasks(id) == 0
 	}
@@ -73,24 +73,24 @@
 // the time from which each job has waited.
 func (s *testCluster) checkWaiting(since map[string]time.Time) {
 	teamGPUs := map[string]float64{}
-	for _, x := range s.world.Cloud.WorkersByHost {
+	for _, x := range s.environment.Cloud.WorkersByHost {
 		for _, uid := range x.UnfinishedTaskJobs() {
-			spec := &s.world.Jobs[uid].Spec
+			spec := &s.environment.Jobs[uid].Spec
 			teamGPUs[spec.Team] += spec.GPUs
 		}
 	}
 	for _, uid := range s.jobIDs {
-		j := s.world.Jobs[uid]
-		limit := s.world.TeamGPULimits[j.Spec.Team]
+		j := s.environment.Jobs[uid]
+		limit := s.environment.TeamGPULimits[j.Spec.Team]
 		beyondQuota := limit > 0 && teamGPUs[j.Spec.Team]+j.Spec.GPUs > limit
 		if !s.lacksTasks(j) || beyondQuota || !s.hasRoom(&j.Spec) {
 			delete(since, uid)
 			continue
 		}
 		if at, ok := since[uid]; !ok {
-			since[uid] = s.world.Now
-		} else if s.world.Now.Sub(at) > maxWait {
-			s.world.RecordViolation(simulator.RuleWaitedTooLong, "%s for %v with room", uid, maxWait)
+			since[uid] = s.environment.Now
+		} else if s.environment.Now.Sub(at) > maxWait {
+			s.environment.RecordViolation(simulator.RuleWaitedTooLong, "%s for %v with room", uid, maxWait)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 
 // hasRoom reports whether a machine that fits has room for a task.
 func (s *testCluster) hasRoom(spec *api.Job) bool {
-	for _, x := range s.world.Cloud.WorkersByHost {
+	for _, x := range s.environment.Cloud.WorkersByHost {
 		if !x.Booted() || x.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != x.Zone || x.Spot && !spec.AllowSpot {
 			continue
 		}
@@ -121,7 +121,7 @@
 // arraysDone reports whether every accepted job but services is over and known to be.
 func (s *testCluster) arraysDone() bool {
 	for _, id := range s.jobIDs {
-		j := s.world.Jobs[id]
+		j := s.environment.Jobs[id]
 		if j.FinalPhase != "" || j.Spec.Kind == api.Service {
 			continue
 		}
@@ -137,7 +137,7 @@
 // it does not read back when it wrote them itself, with what the state service has of that
 // version.
 func (s *testCluster) checkCapacityRecords(t *rapid.T, n *testNode) {
-	store := simulator.StoreClient{Store: s.world.Store}
+	store := simulator.StoreClient{Store: s.environment.Store}
 	for id, cached := range n.state().Cache.Capacities {
 		it, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
 		if err != nil || !found || it.Version != cached.Version {
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -80,7 +80,7 @@
 	if len(s.heartbeatCopies) < maxHeartbeatCopies {
 		s.heartbeatCopies = append(s.heartbeatCopies, heartbeatCopy{to, body})
 	}
-	sent := sentHeartbeat{x, to, s.world.Now, x.AgentEpoch}
+	sent := sentHeartbeat{x, to, s.environment.Now, x.AgentEpoch}
 	response := s.deliverHeartbeat(to, body)
 	switch {
 	case f == responseLost || x.InboundLost:
@@ -100,7 +100,7 @@
 		return false
 	}
 	delete(s.pendingResponses, x.Host)
-	if s.world.Now.Sub(p.sent.at) < responseTimeout {
+	if s.environment.Now.Sub(p.sent.at) < responseTimeout {
 		x.HandleResponse(p.commands, p.sent.at, p.sent.agentEpoch)
 	}
 	return true
@@ -153,8 +153,8 @@
 // heartbeats returns a heartbeat of each machine, as it was sent now.
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
-	for _, h := range s.world.Cloud.HostNames() {
-		out = append(out, api.MustMarshal(s.world.Cloud.WorkersByHost[h].Heartbeat()))
+	for _, h := range s.environment.Cloud.HostNames() {
+		out = append(out, api.MustMarshal(s.environment.Cloud.WorkersByHost[h].Heartbeat()))
 	}
 	return out
 }
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -12,14 +12,14 @@
 func (s *testCluster) isDone(id string) func() bool {
 	return func() bool {
 		s.poll(1, id)
-		return s.world.Jobs[id].FinalPhase == api.JobDone
+		return s.environment.Jobs[id].FinalPhase == api.JobDone
 	}
 }
 
 // tasksInPhaseByHost counts the tasks of a job in a phase, as their workers say, by machine.
 func (s *testCluster) tasksInPhaseByHost(id string, phase api.TaskPhase) map[string]int {
 	on := map[string]int{}
-	for h, x := range s.world.Cloud.WorkersByHost {
+	for h, x := range s.environment.Cloud.WorkersByHost {
 		for _, t := range x.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id && t.Phase == phase {
 				on[h]++
@@ -49,7 +49,7 @@
 // presentTasks counts the tasks of a job that take room on machines.
 func (s *testCluster) presentTasks(id string) int {
 	n := 0
-	for _, x := range s.world.Cloud.WorkersByHost {
+	for _, x := range s.environment.Cloud.WorkersByHost {
 		for _, uid := range x.UnfinishedTaskJobs() {
 			if uid == id {
 				n++
@@ -61,7 +61,7 @@
 
 // workerOf returns a machine that has a task of the job, or nil.
 func (s *testCluster) workerOf(id string) *simulator.Worker {
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		for _, t := range x.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id {
 				return x
@@ -86,8 +86,8 @@
 	return slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == name })
 }
 
-// homeOf returns the node after which a machine's shard is named.
-func (s *testCluster) homeOf(host string) int {
+// preferredLeaderOf returns the node after which a machine's shard is named.
+func (s *testCluster) preferredLeaderOf(host string) int {
 	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
 
@@ -125,7 +125,7 @@
 			api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for h, m := range cache.Machines {
-		x := s.world.Cloud.WorkersByHost[h]
+		x := s.environment.Cloud.WorkersByHost[h]
 		out += fmt.Sprintf(" host %s %s there %t up %t", h, api.MustMarshal(m), x != nil, x != nil && x.Booted())
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -35,9 +35,9 @@
 // them.
 type clusterNodes struct {
 	networkFaults
-	world *simulator.Environment
-	nodes []*testNode
-	log   *slog.Logger
+	environment *simulator.Environment
+	nodes       []*testNode
+	log         *slog.Logger
 
 	delayedHeartbeats []func()                    // that a partition delays
 	heartbeatCopies   []heartbeatCopy             // that arrived, to arrive once more, late
@@ -71,7 +71,7 @@
 	controller   *Controller
 	storeClient  *simulator.StoreClient
 	commands     *simulator.CommandClient
-	async        []func() // work that the controller runs asynchronously, until its next step
+	asyncWork    []func() // work that the controller runs asynchronously, until its next step
 	running      bool
 	inProduction bool // it behaves as the version in production
 	paused       bool // it does nothing, while its clock runs on
@@ -96,13 +96,13 @@
 		}
 	}
 	f := &s.Facts
-	f.Size, f.Zones = len(names), zones
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 1, 9, 40
-	f.Workers.GangWaitS, f.Workers.GangPeerS = 12, 3
+	f.ControllerCount, f.Zones = len(names), zones
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelTimeoutS = 1, 9, 40
+	f.Workers.GangGatherTimeoutS, f.Workers.GangPeerTimeoutS = 12, 3
 	f.Cloud.RPS, f.Cloud.ListLagS = 8, 2
 	f.Limits.MemoryMB, f.Limits.MaxSockets = 100, 900
 	for _, t := range []string{"a", "b"} {
-		f.Teams = append(f.Teams, config.Team{Name: t, GPUs: limits[t] / 2, GPUsMax: limits[t]})
+		f.Teams = append(f.Teams, config.Team{Name: t, GuaranteedGPUs: limits[t] / 2, MaxGPUs: limits[t]})
 	}
 	return s
 }
@@ -134,7 +134,7 @@
 func newClusterWithoutNodes(w *simulator.Environment, limits, nextLimits config.StateLimits) *testCluster {
 	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
 		networkFaults:    networkFaults{isolated: map[int]bool{}},
-		world:            w,
+		environment:      w,
 		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		pendingResponses: map[string]*pendingResponse{},
 		stateLimits:      limits,
@@ -157,26 +157,26 @@
 	c := newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
 	n.controller = c
 	c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
-	begin := s.world.Now
+	begin := s.environment.Now
 	drift := float64(i) * clockDrift
 	c.node.Now = func() time.Time {
-		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(begin)) * drift))
+		return s.environment.Now.Add(time.Duration(float64(s.environment.Now.Sub(begin)) * drift))
 	}
-	n.async = nil
+	n.asyncWork = nil
 	c.node.SimulatedClock = true
 	c.node.RunAsync = func(f func()) {
 		if n.controller == c {
-			n.async = append(n.async, f)
+			n.asyncWork = append(n.asyncWork, f)
 		}
 	}
 	n.commands = &simulator.CommandClient{
-		Environment:     s.world,
+		Environment:     s.environment,
 		Node:            n.name,
 		PartitionedFrom: func(x *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), x.Zone) },
 	}
 	c.services.Peers = peerLink{s, i}
 	c.services.Store = s.storeOf(n, cfg)
-	c.services.Cloud = &simulator.CloudClient{Cloud: s.world.Cloud, Node: n.name}
+	c.services.Cloud = &simulator.CloudClient{Cloud: s.environment.Cloud, Node: n.name}
 	c.services.Workers = n.commands
 	n.running, n.paused = true, false
 	if s.onStart != nil {
@@ -188,12 +188,12 @@
 func (s *clusterNodes) settingsOf(i int) *config.Settings {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
-	cfg := testSettings(i, names, s.world.Zones, s.world.TeamGPULimits)
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = s.world.WorkerLease.Seconds(), s.world.CancelTimeout.Seconds()
+	cfg := testSettings(i, names, s.environment.Zones, s.environment.TeamGPULimits)
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.environment.WorkerLease.Seconds(), s.environment.CancelTimeout.Seconds()
 	next := s.nextStateLimits
-	cfg.Facts.State.StateLimits, cfg.Facts.State.Next = s.stateLimits, &next
+	cfg.Facts.State.StateLimits, cfg.Facts.State.NextLimits = s.stateLimits, &next
 	if n.inProduction {
-		cfg.Facts.State.Next = nil
+		cfg.Facts.State.NextLimits = nil
 	}
 	if s.adjustSettings != nil {
 		s.adjustSettings(n, cfg)
@@ -205,7 +205,7 @@
 // the next limits, unless it behaves as the version in production.
 func (s *clusterNodes) storeOf(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
-		Store:         s.world.Store,
+		Store:         s.environment.Store,
 		Node:          n.name,
 		OnServed:      n.controller.sync.RecordStoreAnswer,
 		TxnOps:        cfg.LowestLimits().TxnOps,
@@ -215,7 +215,7 @@
 		return n.storeClient
 	}
 	n.storeClient.TxnOps = cfg.Facts.State.TxnOps
-	return &productionStore{n.storeClient, jobKinds{}}
+	return &productionVersionStore{n.storeClient, jobKinds{}}
 }
 
 // restartNodes restarts all controllers, with a function that hears of each.
@@ -245,8 +245,8 @@
 	n.controller.election.MaintainLease(ctx)
 	n.controller.decisions.Decide(ctx)
 	n.controller.scaling.Autoscale(ctx)
-	async := n.async
-	n.async = nil
+	async := n.asyncWork
+	n.asyncWork = nil
 	for _, f := range async {
 		f()
 	}
@@ -257,10 +257,10 @@
 	for i := range s.nodes {
 		s.stepNode(i)
 	}
-	for _, h := range s.world.Cloud.HostNames() {
-		s.sendHeartbeat(s.world.Cloud.WorkersByHost[h], heartbeatServed)
+	for _, h := range s.environment.Cloud.HostNames() {
+		s.sendHeartbeat(s.environment.Cloud.WorkersByHost[h], heartbeatServed)
 	}
-	s.world.Advance(roundInterval)
+	s.environment.Advance(roundInterval)
 }
 
 // runFor runs some rounds. Whether a rule was broken is checked later.
@@ -294,19 +294,19 @@
 // endFaults ends all faults, and restarts the controllers that are down or behave as the
 // version in production.
 func (s *clusterNodes) endFaults() {
-	s.world.Store.Down, s.world.Cloud.Down, s.world.Cloud.NoCapacity = false, false, false
-	clear(s.world.Store.RefusedNodes)
-	clear(s.world.Store.UnreachableNodes)
-	clear(s.world.Cloud.UnreachableNodes)
+	s.environment.Store.Down, s.environment.Cloud.Down, s.environment.Cloud.NoCapacity = false, false, false
+	clear(s.environment.Store.RefusedNodes)
+	clear(s.environment.Store.UnreachableNodes)
+	clear(s.environment.Cloud.UnreachableNodes)
 	s.networkFaults = networkFaults{isolated: map[int]bool{}}
-	s.world.MachineType.BootTime = bootTime
+	s.environment.MachineType.BootTime = bootTime
 	for i, n := range s.nodes {
 		if !n.running || n.inProduction {
 			n.inProduction = false
 			s.startNode(i)
 		}
 	}
-	for _, x := range s.world.Cloud.WorkersByHost {
+	for _, x := range s.environment.Cloud.WorkersByHost {
 		x.WorkerFaults = simulator.WorkerFaults{}
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -20,12 +20,12 @@
 
 // submit submits a job, again perhaps, through a node.
 func (s *clusterUsers) submit(i int, uid string) {
-	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.world.Jobs[uid].Spec.Kind == api.Gang {
+	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.environment.Jobs[uid].Spec.Kind == api.Gang {
 		return // the version in production does not know gangs
 	}
 	r := s.nodes[i].controller.frontend.ServeOrForward(
 		context.Background(),
-		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.world.Jobs[uid].Spec)},
+		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.environment.Jobs[uid].Spec)},
 	)
 	s.checkResponse(uid, r.Status, r.Body, true)
 }
@@ -43,7 +43,7 @@
 	if !s.nodes[i].serves() {
 		return
 	}
-	s.world.Jobs[uid].CancelRequested = true
+	s.environment.Jobs[uid].CancelRequested = true
 	r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 	s.checkResponse(uid, r.Status, r.Body, false)
 }
@@ -54,7 +54,7 @@
 		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &state) // a response without a phase has none
-	s.world.CheckUserResponse(uid, status, state.Phase, submission)
+	s.environment.CheckUserResponse(uid, status, state.Phase, submission)
 }
 
 // queryEverywhere asks all nodes about a job, and repeats its submission, within one moment.
@@ -124,7 +124,7 @@
 	change(fields)
 	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.MustMarshal(fields)}
 	r := n.controller.frontend.ServeOrForward(context.Background(), request)
-	if s.world.Jobs[uid] != nil {
+	if s.environment.Jobs[uid] != nil {
 		s.checkResponse(uid, r.Status, r.Body, true)
 	}
 	return r.Status
@@ -142,7 +142,7 @@
 	if change != nil {
 		change(r, &d)
 	}
-	s.world.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
+	s.environment.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(0, id)
 	return id
@@ -178,7 +178,7 @@
 			change(r, d)
 		}
 	})
-	if !s.world.Jobs[id].Accepted {
+	if !s.environment.Jobs[id].Accepted {
 		t.Fatal("not accepted")
 	}
 	return id
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,10 +96,10 @@
 		Timeout:         settings.ControllerLeaseTTL() / 3,
 		Limits:          store.Limits{RPS: now.RPS, WriteRPS: now.WriteRPS},
 		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
-		ControllerCount: settings.Facts.Size,
+		ControllerCount: settings.Facts.ControllerCount,
 		OnResponse:      c.sync.RecordStoreAnswer,
 	})
-	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.Size)
+	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
 	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
 	c.services.Workers = worker.NewClient(client, min(settings.HeartbeatInterval(), agent.HeartbeatTimeout/2))
 	c.services.Peers = peer.NewClient(client)
@@ -205,9 +205,9 @@
 	return c.http.Close()
 }
 
-// MeterLock records from now on how the state's lock is used. It is called before Run.
-func (c *Controller) MeterLock() { c.guard.StartMeter() }
+// StartLockMeter records from now on how the state's lock is used. It is called before Run.
+func (c *Controller) StartLockMeter() { c.guard.StartMeter() }
 
-// LockUses returns what was recorded since MeterLock or the last call, by function, the
+// LockUses returns what was recorded since StartLockMeter or the last call, by function, the
 // longest in all first.
 func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -16,11 +16,11 @@
 	off, on := s.submitService(3, nil), s.submitService(2, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 3 && s.runningTasks(on) == 2 })
 	leader, other := s.leaderOfJob(t, off)
-	s.world.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
+	s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
 	for i, n := range s.nodes { // nor do the others reach its workers, which stay with it
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
-	s.world.Cloud.Down = true // or the machines, silent to the new leader, go back
+	s.environment.Cloud.Down = true // or the machines, silent to the new leader, go back
 	s.cancel(other, off)
 	for range 100 {
 		s.poll(leader, off)
@@ -44,7 +44,7 @@
 	home := "n1" // the only one in its zone
 	n := s.nodes[1]
 	n.commands.Partitioned = true
-	for range 4 * rounds(s.world.WorkerLease) {
+	for range 4 * rounds(s.environment.WorkerLease) {
 		s.runRound()
 		if s.runningTasks(id) != 8 || s.runningTasks(near) != 4 {
 			t.Fatal("a replica was lost")
@@ -62,7 +62,7 @@
 	for _, n := range s.nodes {
 		n.commands.Partitioned = true
 	}
-	for range 4 * rounds(s.world.WorkerLease) {
+	for range 4 * rounds(s.environment.WorkerLease) {
 		s.runRound()
 	}
 	for _, n := range s.nodes {
@@ -79,8 +79,8 @@
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	home := s.nodes[0].state().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
-	s.world.Store.UnreachableNodes[home] = true
+	home := s.nodes[0].state().Cache.Machines[s.environment.Cloud.HostNames()[0]].Shard
+	s.environment.Store.UnreachableNodes[home] = true
 	cfg := s.nodes[0].controller.node.Settings
 	s.runUntil(
 		t,
@@ -92,7 +92,7 @@
 				return false
 			}
 			for h, m := range s.nodes[s.nodeOf(o)].state().Cache.Machines {
-				if x := s.world.Cloud.WorkersByHost[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
+				if x := s.environment.Cloud.WorkersByHost[h]; m.Shard == home && (x == nil || s.nodes[x.Node].name != o) {
 					return false
 				}
 			}
@@ -103,7 +103,7 @@
 	for range rounds(cfg.ControllerLeaseTTL() + cfg.LeadershipGrace()) {
 		s.runRound()
 	}
-	for _, x := range s.world.Cloud.WorkersByHost { // a worker that the new leader's fence has not reached must not be held
+	for _, x := range s.environment.Cloud.WorkersByHost { // a worker that the new leader's fence has not reached must not be held
 		r := x.Heartbeat()
 		r.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(home).Term, 0)
 		if s.deliverHeartbeat(partitioned, api.MustMarshal(r)).status == 200 {
@@ -113,6 +113,6 @@
 	low := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
 	s.submit(1, low)
 	s.runUntil(t, 120, "replicas and new work run", func() bool { return s.isDone(low)() && s.runningTasks(id) == 4 })
-	s.world.Store.UnreachableNodes[home] = false
+	s.environment.Store.UnreachableNodes[home] = false
 	s.runUntil(t, 60, "shard led at home again", func() bool { return s.leaderOf(home) == home })
 }
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -103,11 +103,11 @@
 
 // drawWorker draws a machine.
 func (s drawnCluster) drawWorker(t *rapid.T) *simulator.Worker {
-	names := s.world.Cloud.HostNames()
+	names := s.environment.Cloud.HostNames()
 	if len(names) == 0 {
 		t.Skip("no machine")
 	}
-	return s.world.Cloud.WorkersByHost[rapid.SampledFrom(names).Draw(t, "host")]
+	return s.environment.Cloud.WorkersByHost[rapid.SampledFrom(names).Draw(t, "host")]
 }
 
 // drawJobID draws a submitted job.
@@ -137,4 +137,4 @@
 func (s drawnCluster) runManyRounds(t *rapid.T) { s.runDrawnRounds(t, 8, 40) }
 
 // advanceClock lets time pass in which nobody does anything.
-func (s drawnCluster) advanceClock(t *rapid.T) { s.world.Advance(drawTenths(t, 1, 60)) }
+func (s drawnCluster) advanceClock(t *rapid.T) { s.environment.Advance(drawTenths(t, 1, 60)) }
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -71,7 +71,7 @@
 // cancelServices cancels the services, which would use their teams' limits for ever.
 func (s drawnCluster) cancelServices() {
 	for _, id := range s.jobIDs {
-		if j := s.world.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
+		if j := s.environment.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
 			s.cancel(0, id)
 		}
 	}
@@ -80,7 +80,7 @@
 // checkOutcome checks that a job is known at every node, has no tasks if it was cancelled,
 // and is done if it was accepted and is no service.
 func (s drawnCluster) checkOutcome(t *rapid.T, id string) {
-	j := s.world.Jobs[id]
+	j := s.environment.Jobs[id]
 	for i, n := range s.nodes {
 		r := n.controller.frontend.Query(context.Background(), id)
 		if s.checkResponse(id, r.Status, r.Body, false); j.Accepted && r.Status != 200 {
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -17,10 +17,10 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	for k := range 10 {
 		leader, _ := s.leaderOfJob(t, id)
-		s.world.Store.Down = k == 4 || k == 5
+		s.environment.Store.Down = k == 4 || k == 5
 		s.startNode(leader) // ends, and is back within one step
 		s.runRounds(t, 4)
-		s.world.Store.Down = false
+		s.environment.Store.Down = false
 		if s.runRounds(t, 20); s.runningTasks(id) != 4 {
 			t.Fatalf("%d of 4 replicas after %d changes", s.runningTasks(id), k+1)
 		}
@@ -50,7 +50,7 @@
 			s.cancel(leader, ids[2])
 			s.runUntil(t, 80, "cancelled ones gone", func() bool {
 				for _, id := range ids[:3] {
-					if s.world.Jobs[id].FinalPhase == "" { // their users ask again
+					if s.environment.Jobs[id].FinalPhase == "" { // their users ask again
 						s.cancel(other, id)
 					}
 				}
@@ -70,20 +70,20 @@
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitArray(tasks, 3*time.Second, nil)
-			s.world.Jobs[id].RunTimeStep = 12 * time.Second
-			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 1 })
+			s.environment.Jobs[id].RunTimeStep = 12 * time.Second
+			s.runUntil(t, 80, "the first has ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == 1 })
 			leader, _ := s.leaderOfJob(t, id)
 			s.startNode(leader) // its release of the first is lost
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
-			s.runUntil(t, 80, "all have ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == tasks })
+			s.runUntil(t, 80, "all have ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == tasks })
 			s.runUntil(t, 8, "known to be done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
 						s.poll(i, id)
 					}
 				}
-				return s.world.Jobs[id].FinalPhase == api.JobDone
+				return s.environment.Jobs[id].FinalPhase == api.JobDone
 			})
 			s.checkRecovery(t)
 		})
@@ -100,8 +100,8 @@
 	id := s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
 	})
-	s.world.Jobs[id].RunTimeStep = time.Second
-	s.runUntil(t, 120, "tasks done", func() bool { return len(s.world.Jobs[id].DoneTasks) == 4 })
+	s.environment.Jobs[id].RunTimeStep = time.Second
+	s.runUntil(t, 120, "tasks done", func() bool { return len(s.environment.Jobs[id].DoneTasks) == 4 })
 	s.runUntil(t, 6, "known to be done", s.isDone(id))
 }
 
@@ -119,8 +119,8 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			s := newTestCluster()
-			s.world.TeamGPULimits["b"] = 5
-			s.world.WorkerLease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
+			s.environment.TeamGPULimits["b"] = 5
+			s.environment.WorkerLease, s.environment.CancelTimeout = 18*time.Second, 60*time.Second
 			for i := range s.nodes {
 				s.startNode(i)
 			}
@@ -133,9 +133,9 @@
 			for _, team := range []string{"a", "b"} {
 				s.submitArray(4, 3*time.Second, func(r *api.Job) { r.Team = team })
 			}
-			for k, h := range s.world.Cloud.HostNames() {
+			for k, h := range s.environment.Cloud.HostNames() {
 				if k%2 == 0 {
-					s.world.Cloud.WorkersByHost[h].WorkerFaults = fault.WorkerFaults
+					s.environment.Cloud.WorkersByHost[h].WorkerFaults = fault.WorkerFaults
 				}
 			}
 			leader, other := s.leaderOfJob(t, off[0])
@@ -148,7 +148,7 @@
 			s.runRounds(t, 20)
 			s.nodes[other].running = false
 			s.runRounds(t, 14) // just less than the lease since it began
-			for _, x := range s.world.Cloud.WorkersByHost {
+			for _, x := range s.environment.Cloud.WorkersByHost {
 				x.Hung = false
 			}
 			s.runRounds(t, 30)
@@ -165,12 +165,12 @@
 	s.runUntil(t, 20, "machine known", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
 	home := 0
 	for host := range s.nodes[0].state().Cache.Machines {
-		home = s.homeOf(host)
+		home = s.preferredLeaderOf(host)
 	}
-	s.world.Store.RefusedNodes[s.nodes[home].name] = true // before the machine is up
+	s.environment.Store.RefusedNodes[s.nodes[home].name] = true // before the machine is up
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.world.Store.RefusedNodes[s.nodes[home].name] = false
+	s.environment.Store.RefusedNodes[s.nodes[home].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
@@ -184,13 +184,13 @@
 func TestLostMachineIsGivenUpByNextLeader(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
-	s.runUntil(t, 60, "machine up", func() bool { return len(s.world.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1 })
-	host := s.world.Cloud.HostNames()[0]
+	s.runUntil(t, 60, "machine up", func() bool { return len(s.environment.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1 })
+	host := s.environment.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
-	home := s.homeOf(host)
-	s.world.Cloud.WorkersByHost[host].Partitioned = true
-	s.world.Store.RefusedNodes[s.nodes[home].name] = true
+	home := s.preferredLeaderOf(host)
+	s.environment.Cloud.WorkersByHost[host].Partitioned = true
+	s.environment.Store.RefusedNodes[s.nodes[home].name] = true
 	cfg := s.nodes[0].controller.node.Settings
 	bound := cfg.LeadershipGrace() + cfg.WorkerLeaseBound() + 2*cfg.ControllerLeaseTTL() + 2*time.Second // its task is surely dead then
-	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.WorkersByHost[host] == nil })
+	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.environment.Cloud.WorkersByHost[host] == nil })
 }
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -78,7 +78,7 @@
 	if got := c.testState().Leadership.AcknowledgedByAllUntil(); !got.Equal(now.Add(-time.Second)) {
 		t.Errorf("acknowledged until %v, not the oldest response's %v", got, now.Add(-time.Second))
 	}
-	c.node.Settings.Facts.Size = 4
+	c.node.Settings.Facts.ControllerCount = 4
 	if !c.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("a controller that can't be asked acknowledges")
 	}
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -16,7 +16,7 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
 	home := s.nodes[leader].name
-	s.world.Store.RefusedNodes[home] = true
+	s.environment.Store.RefusedNodes[home] = true
 	s.runUntil(t, 40, "acquired", func() bool { o := s.leaderOf(home); return o != "" && o != home })
 	c := s.nodes[leader].controller
 	c.members.QueryPeers(context.Background())
@@ -24,7 +24,7 @@
 		t.Fatalf("it does not know: %+v", o)
 	}
 	for h, m := range c.testState().Cache.Machines {
-		if x := s.world.Cloud.WorkersByHost[h]; m.Shard == home && x != nil && x.Booted() {
+		if x := s.environment.Cloud.WorkersByHost[h]; m.Shard == home && x != nil && x.Booted() {
 			r := x.Heartbeat()
 			r.Token = 0
 			if got := s.deliverHeartbeat(leader, api.MustMarshal(r)); got.status != 421 || got.leader != s.leaderOf(home) {
@@ -34,8 +34,8 @@
 	}
 	for range 60 {
 		s.runRound()
-		if len(s.world.Violations) > 0 || s.runningTasks(id) != 3 {
-			t.Fatalf("%d replicas, %v", s.runningTasks(id), s.world.Violations)
+		if len(s.environment.Violations) > 0 || s.runningTasks(id) != 3 {
+			t.Fatalf("%d replicas, %v", s.runningTasks(id), s.environment.Violations)
 		}
 	}
 }
@@ -46,10 +46,10 @@
 	s := newReadyCluster()
 	s.submitJob(nil)
 	s.runUntil(t, 40, "machine known", func() bool {
-		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.world.Cloud.WorkersByHost) > 0
+		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.environment.Cloud.WorkersByHost) > 0
 	})
 	for h, m := range s.nodes[0].state().Cache.Machines {
-		x := s.world.Cloud.WorkersByHost[h]
+		x := s.environment.Cloud.WorkersByHost[h]
 		for i, n := range s.nodes {
 			got := s.deliverHeartbeat(i, api.MustMarshal(x.Heartbeat()))
 			switch own := n.name == m.Shard; {
@@ -59,11 +59,11 @@
 		}
 	}
 	for range 100 { // a node refused by the state service alone
-		s.world.Store.RefusedNodes["n0"] = true
+		s.environment.Store.RefusedNodes["n0"] = true
 		s.runRound()
 	}
 	for h := range s.nodes[1].state().Cache.Machines {
-		if x := s.world.Cloud.WorkersByHost[h]; x != nil {
+		if x := s.environment.Cloud.WorkersByHost[h]; x != nil {
 			if s.deliverHeartbeat(0, api.MustMarshal(x.Heartbeat())).status == 200 {
 				t.Error("answers 200 long after its lease has ended")
 			}
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -15,7 +15,7 @@
 	s := newTestCluster()
 	for i, n := range s.nodes { // the first transaction registers, the next acquires the shard
 		s.stepNode(i)
-		s.world.Store.NextFault[n.name] = simulator.ResponseLost
+		s.environment.Store.NextFault[n.name] = simulator.ResponseLost
 	}
 	s.runUntil(t, 40, "shards led", func() bool {
 		return s.leaderOf("n0") != "" && s.leaderOf("n1") != "" && s.leaderOf("n2") != ""
@@ -27,7 +27,7 @@
 func TestPredecessorDoubtSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.world.Store.RefusedNodes["n1"] = true // n1 lives on, partitioned from the state service
+	s.environment.Store.RefusedNodes["n1"] = true // n1 lives on, partitioned from the state service
 	s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
@@ -69,7 +69,7 @@
 	s.nodes[1].running = false
 	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].state().Cache.Leaders["n1"].Record == nil })
 	for _, n := range s.nodes {
-		s.world.Store.NextFault[n.name] = simulator.Delayed // the acquisition is on its way when its sender ends
+		s.environment.Store.NextFault[n.name] = simulator.Delayed // the acquisition is on its way when its sender ends
 	}
 	for i := range s.nodes {
 		s.stepNode(i)
@@ -79,7 +79,7 @@
 	}
 	for i := range s.nodes {
 		s.stepNode(i)
-		s.world.Store.DeliverDelayed()
+		s.environment.Store.DeliverDelayed()
 	}
 	// Sooner than the leases of the earlier lives end: those are over.
 	s.runUntil(t, 5, "shards led at home", func() bool {
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -13,17 +13,17 @@
 	s := newReadyCluster()
 	warm := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "a machine is up", func() bool { return s.runningTasks(warm) == 1 })
-	before := s.world.Store.SentWrites
+	before := s.environment.Store.SentWrites
 	jobs := []string{}
 	for range 4 {
 		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.CPUs, r.GPUs, r.MemGB = 12, 0.1, 0, 0.1 })
-		s.world.Jobs[id].RunTimeStep = time.Second
+		s.environment.Jobs[id].RunTimeStep = time.Second
 		jobs = append(jobs, id)
 	}
 	for _, id := range jobs {
 		s.runUntil(t, 400, "done", s.isDone(id))
 	}
-	if n := s.world.Store.SentWrites - before; n > 10*len(jobs) {
+	if n := s.environment.Store.SentWrites - before; n > 10*len(jobs) {
 		t.Fatalf("%d changes for %d jobs of 12 tasks", n, len(jobs))
 	} else {
 		t.Logf("%d changes for %d jobs", n, len(jobs))
@@ -57,7 +57,7 @@
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	s.nodes[2].paused = true
-	s.world.Store.ExpireHistory()
+	s.environment.Store.ExpireHistory()
 	s.nodes[2].paused = false
 	terminated := s.submitJob(nil)
 	s.runUntil(t, 80, "the controller that fell behind knows what came meanwhile", func() bool {
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -18,9 +18,9 @@
 	for h := range s.runningTasksByHost(id) {
 		host = h
 	}
-	home := s.homeOf(host)
+	home := s.preferredLeaderOf(host)
 	c := s.nodes[home].controller
-	for range 2 * int(s.world.WorkerLease/time.Second) { // raises count again
+	for range 2 * int(s.environment.WorkerLease/time.Second) { // raises count again
 		s.runRound()
 	}
 	raises := c.testState().Agents.Agent(host).TokenSequence
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -17,12 +17,12 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	low := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
 	s.runUntil(t, 80, "as many machines have room to be taken", func() bool { return s.runningTasks(low) == 4 })
-	s.world.Cloud.Down = true // nothing is rented or returned
+	s.environment.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
 	for h := range s.runningTasksByHost(id) {
-		s.world.Cloud.WorkersByHost[h].OutboundLost, unreachable[h] = true, true
+		s.environment.Cloud.WorkersByHost[h].OutboundLost, unreachable[h] = true, true
 	}
-	s.runUntil(t, 3*rounds(s.world.WorkerLease), "replicas run elsewhere", func() bool {
+	s.runUntil(t, 3*rounds(s.environment.WorkerLease), "replicas run elsewhere", func() bool {
 		on := s.runningTasksByHost(id)
 		for h := range unreachable {
 			if on[h] > 0 {
@@ -47,19 +47,19 @@
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 			var worker *simulator.Worker
 			for h := range s.runningTasksByHost(id) {
-				worker = s.world.Cloud.WorkersByHost[h]
+				worker = s.environment.Cloud.WorkersByHost[h]
 			}
 			worker.InboundLost = true
 			if handover {
-				s.startNode(s.homeOf(worker.Host))
+				s.startNode(s.preferredLeaderOf(worker.Host))
 			}
 			elsewhere := func() bool {
 				on := s.runningTasksByHost(id)
 				return on[worker.Host] == 0 && s.runningTasks(id) == 2
 			}
-			lease := rounds(s.world.WorkerLease)
+			lease := rounds(s.environment.WorkerLease)
 			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
-			if s.world.Cloud.WorkersByHost[worker.Host] == nil {
+			if s.environment.Cloud.WorkersByHost[worker.Host] == nil {
 				return // it was returned as idle, which is as good
 			}
 			more := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
@@ -92,7 +92,7 @@
 	}
 	s.cancel(1, off)
 	s.runUntil(t, 20, "it is gone", func() bool { return s.presentTasks(off) == 0 })
-	s.runRounds(t, rounds(s.world.CancelTimeout))
+	s.runRounds(t, rounds(s.environment.CancelTimeout))
 	for _, f := range early {
 		f()
 	}
@@ -106,8 +106,8 @@
 	s.deliverDelayedCommands()
 	setDelayed(false)
 	s.runUntil(t, 40, "it is gone", func() bool { return s.presentTasks(next) == 0 })
-	if s.runningTasks(on) != 3 || s.world.LaunchesAfterCancel > 0 {
-		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.runningTasks(on), s.world.LaunchesAfterCancel)
+	if s.runningTasks(on) != 3 || s.environment.LaunchesAfterCancel > 0 {
+		t.Errorf("%d of 3 replicas, %d starts after a confirmed cancellation", s.runningTasks(on), s.environment.LaunchesAfterCancel)
 	}
 	s.checkRecovery(t)
 }
@@ -118,14 +118,14 @@
 	for _, count := range []int{16, 18, 20, 60, 120} {
 		t.Run(fmt.Sprintf("%d rounds", count), func(t *testing.T) {
 			s := newReadyCluster()
-			for _, z := range s.world.Zones {
+			for _, z := range s.environment.Zones {
 				s.submitService(2, func(r *api.Job) { r.Zone = z })
 			}
 			off := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(off) == 2 })
 			s.partitionZone("y")
 			s.runRounds(t, 1)
-			s.world.Cloud.Down = count > 100 // or the machines, silent to the others, go back
+			s.environment.Cloud.Down = count > 100 // or the machines, silent to the others, go back
 			s.cancel(0, off)
 			s.runRounds(t, count)
 			s.checkRecovery(t)
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -44,10 +44,10 @@
 		Members: []config.Member{{HostName: "n1", Zone: "y"}, {HostName: "n2", Zone: "x"}},
 	}
 	facts := &settings.Facts
-	facts.Size, facts.Zones = 3, []string{"x", "y"}
-	facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	facts.ControllerCount, facts.Zones = 3, []string{"x", "y"}
+	facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	facts.Limits.MemoryMB = 100
-	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", GPUsMax: 8}}
+	facts.Teams = []config.Team{{Name: "a"}, {Name: "limited", MaxGPUs: 8}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 
 	environment := simulator.NewEnvironment(time.Unix(1_800_000_000, 0))
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -93,7 +93,7 @@
 			slack = min(slack, objective.WithinS-fetchSeconds-spec.EstimatedRunS)
 		}
 	}
-	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.CPUs > 0 || team.GPUs > 0) {
+	if team, ok := e.node.Settings.Team(spec.Team); ok && (team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0) {
 		slack = min(slack, 2*e.node.Settings.HeartbeatInterval().Seconds()) // tasks within a team's guarantee need not wait
 	}
 	return slack
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -15,8 +15,8 @@
 func newTestEstimates(t *testing.T) *Estimates {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
-	settings.Facts.Teams = []config.Team{{Name: "guaranteed", CPUs: 8}, {Name: "free"}}
+	settings.Facts.Workers.HeartbeatIntervalS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.Teams = []config.Team{{Name: "guaranteed", GuaranteedCPUs: 8}, {Name: "free"}}
 	settings.Facts.Objectives = []config.Objective{
 		{Kind: config.ObjectiveWait, Class: "interactive", WithinS: 20},
 		{Kind: config.ObjectiveFinished, Class: "nightly", WithinS: 500},
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -25,16 +25,16 @@
 // ZoneRecovery makes production work run again first when a zone returns. Shares are from 0 to 1,
 // and times are in leases of the workers.
 type ZoneRecovery struct {
-	Enabled       bool    `toml:"enabled"`
-	SuspectShare  float64 `toml:"suspect_share"`  // of a zone's machines lost: it is suspected
-	DownShare     float64 `toml:"down_share"`     // of them lost: it is down, once confirmed
-	Confirm       float64 `toml:"confirm"`        // time for which that has to last
-	FirstShare    float64 `toml:"first_share"`    // of the zone that work of lower priority may take when it returns
-	LeastShare    float64 `toml:"least_share"`    // the same after failures in a row, each of which halves it
-	DoubleEvery   float64 `toml:"double_every"`   // time after which the share doubles
-	ProgressAfter float64 `toml:"progress_after"` // time after which some machines are reserved no longer
-	ProgressShare float64 `toml:"progress_share"` // of the zone's machines, for which that holds
-	Longest       float64 `toml:"longest"`        // time that a state lasts at most
+	Enabled          bool    `toml:"enabled"`
+	SuspectShare     float64 `toml:"suspect_share"`  // of a zone's machines lost: it is suspected
+	DownShare        float64 `toml:"down_share"`     // of them lost: it is down, once confirmed
+	ConfirmAfter     float64 `toml:"confirm"`        // time for which that has to last
+	InitialShare     float64 `toml:"first_share"`    // of the zone that work of lower priority may take when it returns
+	MinInitialShare  float64 `toml:"least_share"`    // the same after failures in a row, each of which halves it
+	DoublingInterval float64 `toml:"double_every"`   // time after which the share doubles
+	ProgressAfter    float64 `toml:"progress_after"` // time after which some machines are reserved no longer
+	ProgressShare    float64 `toml:"progress_share"` // of the zone's machines, for which that holds
+	MaxStateDuration float64 `toml:"longest"`        // time that a state lasts at most
 }
 
 // Features is what is switched on.
@@ -45,15 +45,15 @@
 // Default returns all features off, with the settings that hold where a file names none.
 func Default() *Features {
 	return &Features{ZoneRecovery: ZoneRecovery{
-		SuspectShare:  0.25,
-		DownShare:     0.5,
-		Confirm:       0.25,
-		FirstShare:    1. / 16,
-		LeastShare:    1. / 64,
-		DoubleEvery:   0.25,
-		ProgressAfter: 2,
-		ProgressShare: 0.125,
-		Longest:       4,
+		SuspectShare:     0.25,
+		DownShare:        0.5,
+		ConfirmAfter:     0.25,
+		InitialShare:     1. / 16,
+		MinInitialShare:  1. / 64,
+		DoublingInterval: 0.25,
+		ProgressAfter:    2,
+		ProgressShare:    0.125,
+		MaxStateDuration: 4,
 	}}
 }
 
@@ -128,13 +128,13 @@
 	}{
 		{"suspect_share", z.SuspectShare, share},
 		{"down_share", z.DownShare, share},
-		{"confirm", z.Confirm, unbounded},
-		{"first_share", z.FirstShare, share},
-		{"least_share", z.LeastShare, share},
-		{"double_every", z.DoubleEvery, unbounded},
+		{"confirm", z.ConfirmAfter, unbounded},
+		{"first_share", z.InitialShare, share},
+		{"least_share", z.MinInitialShare, share},
+		{"double_every", z.DoublingInterval, unbounded},
 		{"progress_after", z.ProgressAfter, unbounded},
 		{"progress_share", z.ProgressShare, share},
-		{"longest", z.Longest, unbounded},
+		{"longest", z.MaxStateDuration, unbounded},
 	} {
 		if !(x.value > 0 && x.value <= x.largest) { // in this form NaN is refused too
 			return refuse(x.name, fmt.Sprintf("%g is out of range", x.value))
@@ -143,9 +143,9 @@
 	switch {
 	case z.SuspectShare > z.DownShare:
 		return refuse("suspect_share", "more than down_share")
-	case z.LeastShare > z.FirstShare:
+	case z.MinInitialShare > z.InitialShare:
 		return refuse("least_share", "more than first_share")
-	case z.ProgressAfter > z.Longest:
+	case z.ProgressAfter > z.MaxStateDuration:
 		return refuse("progress_after", "more than longest")
 	}
 	return nil
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -86,7 +86,7 @@
 	}
 	f.node.Log.Info("job cancelled", "job", uid)
 	f.wake.Notify()
-	if f.node.Settings.ConfirmsCancelWhenEmpty() {
+	if f.node.Settings.ConfirmsCancelAfterTasksEnd() {
 		return transport.Response{}, false // confirmed once the state shows that no task is left on a machine
 	}
 	return phaseResponse(statusOK, uid, api.JobCancelled), true
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -35,7 +35,7 @@
 	}
 	state = f.guard.Lock()
 	if cachedJob := state.Cache.Jobs[uid]; cachedJob != nil {
-		current := cachedJob.UserState(f.node.Settings.ConfirmsCancelWhenEmpty())
+		current := cachedJob.UserState(f.node.Settings.ConfirmsCancelAfterTasksEnd())
 		f.guard.Unlock()
 		return current, nil
 	}
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -39,9 +39,9 @@
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	facts := &settings.Facts
-	facts.Size, facts.Zones = 1, []string{"x", "y"}
-	facts.Workers.ReportS, facts.Workers.LeaseS, facts.Workers.CancelS = 1, 9, 40
-	facts.Workers.GangWaitS, facts.Workers.GangPeerS = 12, 3
+	facts.ControllerCount, facts.Zones = 1, []string{"x", "y"}
+	facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelTimeoutS = 1, 9, 40
+	facts.Workers.GangGatherTimeoutS, facts.Workers.GangPeerTimeoutS = 12, 3
 	facts.Limits.MemoryMB = 100
 	facts.Teams = []config.Team{{Name: "a"}}
 	facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -85,7 +85,7 @@
 // controller has not, or cannot be queried.
 func (t *Table) AcknowledgedByAllUntil() time.Time {
 	settings := t.node.Settings
-	if len(settings.Members)+1 < settings.Facts.Size {
+	if len(settings.Members)+1 < settings.Facts.ControllerCount {
 		return time.Time{} // some controllers are not configured as peers and cannot be queried
 	}
 	until := t.node.Now()
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -23,7 +23,7 @@
 func newRateSharing(node *node.Info, cache *statecache.Cache) *RateSharing {
 	return &RateSharing{
 		node: node, cache: cache,
-		controllerCount: node.Settings.Facts.Size,
+		controllerCount: node.Settings.Facts.ControllerCount,
 		absentSince:     map[string]time.Time{},
 	}
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -27,8 +27,8 @@
 func newTableFixture(t *testing.T) *tableFixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Members: []config.Member{{HostName: "n1"}, {HostName: "n2"}}}
-	settings.Facts.Size = 3
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 3
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	f := &tableFixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return f.now }
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -18,7 +18,7 @@
 // listing is abandoned.
 const listTimeoutIntervals = 4
 
-// readMachineList reads up to config.CloudCallsPerRound pages of the cloud's list, if a listing is
+// readMachineList reads up to config.CloudCallsPerRun pages of the cloud's list, if a listing is
 // due or unfinished. Listing a few thousand machines takes several runs.
 func (l *Loop) readMachineList(ctx context.Context, now time.Time) {
 	list := &l.list
@@ -30,7 +30,7 @@
 	if !list.listing.Active() && now.Sub(list.readAt) <= interval {
 		return
 	}
-	hosts, complete, err := list.listing.Read(ctx, l.services.Cloud, now, config.CloudCallsPerRound)
+	hosts, complete, err := list.listing.Read(ctx, l.services.Cloud, now, config.CloudCallsPerRun)
 	if err != nil {
 		l.node.Log.Debug("list of machines not read", "err", err)
 	}
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -50,11 +50,11 @@
 	return retry
 }
 
-// rentMachines rents the machines of one order, in up to config.CloudCallsPerRound requests of at
+// rentMachines rents the machines of one order, in up to config.CloudCallsPerRun requests of at
 // most cloud.MaxMachinesPerRental machines each.
 func (l *Loop) rentMachines(ctx context.Context, order sched.RentalOrder, renting autoscaler.RentingShard) rentalOutcome {
 	remaining := order.Count
-	for calls := 0; remaining > 0 && calls < config.CloudCallsPerRound; calls++ {
+	for calls := 0; remaining > 0 && calls < config.CloudCallsPerRun; calls++ {
 		request, unresolved := l.rentals.unresolved[order.Offer]
 		if !unresolved {
 			request = l.newRentalRequest(order.Offer, min(remaining, cloud.MaxMachinesPerRental), renting)
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -72,8 +72,8 @@
 func newLoop(t *testing.T, scripted *scriptedCloud) *Loop {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Size = 1
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 1
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	settings.Facts.Cloud.ListLagS = 2
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	wake := notify.NewSignal()
--- a/internal/scheduler/plan_cache_test.go
+++ b/internal/scheduler/plan_cache_test.go
@@ -16,8 +16,8 @@
 func testNode(t *testing.T) *node.Info {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
-	settings.Facts.Size, settings.Facts.Zones = 1, []string{"x", "y"}
-	settings.Facts.Workers.ReportS, settings.Facts.Workers.LeaseS = 1, 9
+	settings.Facts.ControllerCount, settings.Facts.Zones = 1, []string{"x", "y"}
+	settings.Facts.Workers.HeartbeatIntervalS, settings.Facts.Workers.LeaseS = 1, 9
 	settings.Facts.Cloud.RPS, settings.Facts.Cloud.ListLagS = 8, 2
 	return node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -30,7 +30,7 @@
 		teamUsage:    map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
-		if team.Limited() {
+		if team.HasLimit() {
 			stage.teamUsage[team.Name] = s.accounting.TeamUsage(team.Name)
 		}
 	}
@@ -39,7 +39,7 @@
 
 // exceedsQuota reports whether a usage exceeds the team's limit.
 func exceedsQuota(team config.Team, usage sched.Resources) bool {
-	return team.CPUsMax > 0 && usage.CPUs > team.CPUsMax+quotaTolerance || team.GPUsMax > 0 && usage.GPUs > team.GPUsMax+quotaTolerance
+	return team.MaxCPUs > 0 && usage.CPUs > team.MaxCPUs+quotaTolerance || team.MaxGPUs > 0 && usage.GPUs > team.MaxGPUs+quotaTolerance
 }
 
 // placeJobs places the jobs, one weight after the other.
@@ -193,7 +193,7 @@
 // limit. If not, it adds them to the team's usage.
 func (p *planner) gangExceedsQuota(job *waitingJob) bool {
 	team, _ := p.scheduler.node.Settings.Team(job.entry.job.Record.Spec.Team)
-	if !team.Limited() {
+	if !team.HasLimit() {
 		return false
 	}
 	usage := p.placement.teamUsage[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -216,7 +216,7 @@
 		priority := job.Record.Spec.Priority.Level()
 		guaranteed := !p.beyondGuarantee[job.Record.Spec.UID]
 		variables := p.scheduler.policyVariables(job, priority, guaranteed, p.now)
-		return !p.scheduler.node.Policy.Preempt(entry.variables, variables, victim.Cost)
+		return !p.scheduler.node.Policy.AllowsPreemption(entry.variables, variables, victim.Cost)
 	}
 	allowed := &victimHost{
 		host:       victims.host,
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -103,10 +103,10 @@
 
 // fitsGuarantee reports whether these amounts are within a team's guarantee.
 func fitsGuarantee(team config.Team, cpus, gpus float64) bool {
-	if team.CPUs == 0 && team.GPUs == 0 {
+	if team.GuaranteedCPUs == 0 && team.GuaranteedGPUs == 0 {
 		return false
 	}
-	return (team.CPUs == 0 || cpus <= team.CPUs+quotaTolerance) && (team.GPUs == 0 || gpus <= team.GPUs+quotaTolerance)
+	return (team.GuaranteedCPUs == 0 || cpus <= team.GuaranteedCPUs+quotaTolerance) && (team.GuaranteedGPUs == 0 || gpus <= team.GuaranteedGPUs+quotaTolerance)
 }
 
 // policyVariables returns the variables of a job that the policy's expressions can use.
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -40,7 +40,7 @@
 		}
 	}
 	team, _ := s.node.Settings.Team(job.Record.Spec.Team)
-	return team.Limited() && s.isNearLimit(team)
+	return team.HasLimit() && s.isNearLimit(team)
 }
 
 // countOnOwnMachines counts the tasks of a task range that are placed on machines of shards that
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -14,7 +14,7 @@
 
 // maxRentalsAhead is how many machines one run of the autoscaler may rent. Beyond the deferred tasks
 // that fit on the provisioning machines, this many count as unmet demand.
-const maxRentalsAhead = config.CloudCallsPerRound * cloud.MaxMachinesPerRental
+const maxRentalsAhead = config.CloudCallsPerRun * cloud.MaxMachinesPerRental
 
 // deferExcessTasks defers the unplaced tasks beyond maxReclaimTasks.
 func (w *waitingJob) deferExcessTasks() {
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -32,8 +32,8 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0"}
-	settings.Facts.Size = 1
-	settings.Facts.Workers = config.WorkerTimes{ReportS: 1, LeaseS: 9, CancelS: 40}
+	settings.Facts.ControllerCount = 1
+	settings.Facts.Workers = config.WorkerTimes{HeartbeatIntervalS: 1, LeaseS: 9, CancelTimeoutS: 40}
 	settings.Facts.State.StateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 	f := &fixture{now: time.Unix(1_800_000_000, 0)}
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -87,7 +87,7 @@
 }
 
 // UserState returns the state of the job that is reported to users. A cancellation is reported at
-// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelWhenEmpty), when the job has no
+// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelAfterTasksEnd), when the job has no
 // task left on a machine.
 func (j *Job) UserState(confirmsEmpty bool) api.JobState {
 	state := api.JobState{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
--- a/internal/zonestate/zones.go
+++ b/internal/zonestate/zones.go
@@ -92,11 +92,11 @@
 	return &zonehealth.Limits{
 		SuspectShare:     settings.SuspectShare,
 		DownShare:        settings.DownShare,
-		ConfirmAfter:     leaseMultiple(settings.Confirm),
-		InitialShare:     settings.FirstShare,
-		MinInitialShare:  settings.LeastShare,
-		DoublingInterval: leaseMultiple(settings.DoubleEvery),
-		MaxStateDuration: leaseMultiple(settings.Longest),
+		ConfirmAfter:     leaseMultiple(settings.ConfirmAfter),
+		InitialShare:     settings.InitialShare,
+		MinInitialShare:  settings.MinInitialShare,
+		DoublingInterval: leaseMultiple(settings.DoublingInterval),
+		MaxStateDuration: leaseMultiple(settings.MaxStateDuration),
 	}
 }
 
