--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -9,35 +9,35 @@
 // over, ahead of newer gangs.
 type GangRetry struct {
 	MaxMisses         int           // misses in a row that are allowed before the claims are released
-	RetryDelay        time.Duration // time after a miss during which further misses do not count
+	MissInterval      time.Duration // time after a miss during which further misses do not count
 	HasReleasedClaims bool          // the gang has released its claims and precedes newer gangs
 
 	consecutiveMisses  int
 	ignoreMissesBefore time.Time
 }
 
-// The initial values of MaxMisses and RetryDelay, from docs/design.md.
+// The initial values of MaxMisses and MissInterval, from docs/design.md.
 const (
-	InitialRetryDelay = time.Second
-	InitialMaxMisses  = 3
+	InitialMissInterval = time.Second
+	InitialMaxMisses    = 3
 )
 
 // NewGangRetry returns the state of a gang that has not searched for capacity yet.
 func NewGangRetry() *GangRetry {
-	return &GangRetry{MaxMisses: InitialMaxMisses, RetryDelay: InitialRetryDelay}
+	return &GangRetry{MaxMisses: InitialMaxMisses, MissInterval: InitialMissInterval}
 }
 
 // RecordClaim records that the gang claimed capacity, which ends the row of misses.
 func (g *GangRetry) RecordClaim() { g.consecutiveMisses, g.ignoreMissesBefore = 0, time.Time{} }
 
 // RecordMiss records that a gang that holds claims found too little capacity. It reports whether the
-// gang must release all its claims. Misses within RetryDelay after a counted one are ignored.
+// gang must release all its claims. Misses within MissInterval after a counted one are ignored.
 func (g *GangRetry) RecordMiss(now time.Time) (release bool) {
 	if now.Before(g.ignoreMissesBefore) {
 		return false
 	}
 	g.consecutiveMisses++
-	g.ignoreMissesBefore = now.Add(g.RetryDelay)
+	g.ignoreMissesBefore = now.Add(g.MissInterval)
 	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -24,7 +24,7 @@
 				ignored := now.Before(ignoreMissesBefore)
 				if !ignored {
 					misses++
-					ignoreMissesBefore = now.Add(InitialRetryDelay)
+					ignoreMissesBefore = now.Add(InitialMissInterval)
 				}
 				release := retry.RecordMiss(now)
 				if release != (!ignored && misses > InitialMaxMisses) {
