--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -106,7 +106,8 @@
 	if team.GuaranteedCPUs == 0 && team.GuaranteedGPUs == 0 {
 		return false
 	}
-	return (team.GuaranteedCPUs == 0 || cpus <= team.GuaranteedCPUs+quotaTolerance) && (team.GuaranteedGPUs == 0 || gpus <= team.GuaranteedGPUs+quotaTolerance)
+	return (team.GuaranteedCPUs == 0 || cpus <= team.GuaranteedCPUs+quotaTolerance) &&
+		(team.GuaranteedGPUs == 0 || gpus <= team.GuaranteedGPUs+quotaTolerance)
 }
 
 // policyVariables returns the variables of a job that the policy's expressions can use.
