--- a/internal/job/finished_ranges.go
+++ b/internal/job/finished_ranges.go
@@ -40,7 +40,8 @@
 	return len(r.FinishedRanges) == 2 && r.FinishedRanges[0] == 0 && r.FinishedRanges[1] == r.RangeCount()
 }
 
-// FinishedTasks returns the number of tasks in finished task ranges. Done tasks of other ranges aren't counted.
+// FinishedTasks returns the number of tasks in finished task ranges. Done tasks of other ranges
+// aren't counted.
 func (r *Record) FinishedTasks() int {
 	n := 0
 	for i := 0; i+1 < len(r.FinishedRanges); i += 2 {
--- a/internal/job/finished_ranges_test.go
+++ b/internal/job/finished_ranges_test.go
@@ -10,7 +10,7 @@
 
 // Finished task ranges are counted correctly in whatever order they finish, also after the record
 // was encoded and decoded.
-func TestFinishRange_CountsTasksInAnyOrder(t *testing.T) {
+func TestFinishRangeCountsTasksInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &Record{Spec: api.Job{Tasks: rapid.IntRange(1, 300).Draw(t, "tasks")}, RangeSize: rapid.IntRange(1, 40).Draw(t, "range size")}
 		order := rapid.Permutation(numbersBelow(r.RangeCount())).Draw(t, "order")
@@ -23,8 +23,8 @@
 			r.FinishRange(n)
 			tasks += r.RangeLen(n)
 			if !r.RangeFinished(n) || r.FinishedTasks() != tasks || r.Complete() != (i == len(order)-1) {
-				t.Fatalf("after FinishRange of %v: ranges %v, RangeFinished(%d) = %t, FinishedTasks() = %d, want %d, Complete() = %t",
-					order[:i+1], r.FinishedRanges, n, r.RangeFinished(n), r.FinishedTasks(), tasks, r.Complete())
+				t.Fatalf("after FinishRange of %v: %v, RangeFinished(%d) = %t, FinishedTasks() = %d, Complete() = %t, want true, %d, %t",
+					order[:i+1], r.FinishedRanges, n, r.RangeFinished(n), r.FinishedTasks(), r.Complete(), tasks, i == len(order)-1)
 			}
 			var err error
 			if r, err = ParseRecord(api.MustMarshal(r)); err != nil {
@@ -36,9 +36,9 @@
 
 // numbersBelow returns the numbers from 0 to n-1.
 func numbersBelow(n int) []int {
-	out := make([]int, n)
-	for i := range out {
-		out[i] = i
+	numbers := make([]int, n)
+	for i := range numbers {
+		numbers[i] = i
 	}
-	return out
+	return numbers
 }
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -90,7 +90,8 @@
 	return "unknown"
 }
 
-// Phase returns the phase of an attempt that has the given number of placed tasks. A nil gang is idle.
+// Phase returns the phase of an attempt that has the given number of placed tasks. A nil gang is
+// idle.
 func (g *Gang) Phase(placed int) GangPhase {
 	switch {
 	case g == nil:
@@ -119,7 +120,8 @@
 	return g != nil && (g.Stopping || g.Ended || g.Done || attempt != g.Attempt)
 }
 
-// AcceptsPlacements reports whether tasks may be placed under the current attempt. It is true for a nil gang.
+// AcceptsPlacements reports whether tasks may be placed under the current attempt. It is true for a
+// nil gang.
 func (g *Gang) AcceptsPlacements() bool {
 	return g == nil || !g.Stopping && !g.Ended && !g.Done
 }
--- a/internal/job/gang_test.go
+++ b/internal/job/gang_test.go
@@ -31,7 +31,7 @@
 	firstPlacement := len(m.placed) == 0
 	attempt := m.gang.EnsureAttempt(len(m.placed))
 	if firstPlacement && attempt <= m.lastAttempt || !firstPlacement && attempt != m.lastAttempt {
-		t.Fatalf("placement under attempt %d after attempt %d; want a higher number: %t (else the same)",
+		t.Fatalf("EnsureAttempt() = %d after attempt %d (first placement: %t), want a higher number for the first placement, else the same",
 			attempt, m.lastAttempt, firstPlacement)
 	}
 	m.lastAttempt, m.placed[task] = attempt, attempt
@@ -49,7 +49,7 @@
 	if !placed {
 		t.Skip("the task is not placed")
 	}
-	reason := ExitReason(rapid.IntRange(0, int(ExitDone)).Draw(t, "how"))
+	reason := ExitReason(rapid.IntRange(0, int(ExitDone)).Draw(t, "reason"))
 	if reason == ExitDone && !m.gang.Launched {
 		t.Skip("a task that was never started can't complete")
 	}
@@ -66,11 +66,11 @@
 	continues := before.Launched && !after.Ended && !after.Done
 	switch {
 	case reason == ExitDone && !after.Done:
-		t.Fatal("the gang is not done after one of its tasks is done")
+		t.Fatalf("state after a task was done: %+v, want the gang done", *after)
 	case reason == ExitPeerLost && continues:
-		t.Fatal("the attempt continues after a task exited because of another task")
+		t.Fatalf("state after a task exited because of another task: %+v, want the attempt ended", *after)
 	case !gathering && continues:
-		t.Fatal("a running attempt continues without one of its tasks")
+		t.Fatalf("state after a running attempt lost a task: %+v, want the attempt ended", *after)
 	case after.ErrorStreak > before.ErrorStreak+1 || before.Ended && after.ErrorStreak > before.ErrorStreak:
 		t.Fatalf("ErrorStreak rose from %d to %d, want errors of one attempt to count once", before.ErrorStreak, after.ErrorStreak)
 	}
@@ -114,7 +114,7 @@
 // Random changes of a gang keep its invariants: no task may be launched before all are placed, an
 // attempt never returns to an earlier phase, attempt numbers only rise, and an ended attempt stays
 // ended until the next one begins.
-func TestGang_KeepsInvariantsOfPhasesAndAttempts(t *testing.T) {
+func TestGangKeepsInvariantsOfPhasesAndAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &gangModel{gang: &Gang{}, placed: map[int]uint64{}}
 		t.Repeat(map[string]func(*rapid.T){
@@ -131,7 +131,7 @@
 
 // The values of the phases are in the order in which an attempt passes through them, and each phase
 // and exit reason has its own name in the log.
-func TestGangPhaseAndExitReason_NamesAndOrder(t *testing.T) {
+func TestGangPhaseAndExitReasonNamesAndOrder(t *testing.T) {
 	phases := map[GangPhase]string{
 		GangIdle: "idle", GangReserving: "reserving", GangLaunched: "launched",
 		GangStopping: "stopping", GangEnding: "ending", GangDone: "done", GangDone + 1: "unknown",
--- a/internal/job/layout.go
+++ b/internal/job/layout.go
@@ -16,21 +16,22 @@
 )
 
 // ChooseLayout sets the size of the job's task ranges, and whether its tasks are recorded in the
-// main record, for values of at most valueKB KiB and a main record of size bytes. A job whose
-// tasks all fit into its main record needs no other record, which halves its writes.
+// main record, for values of at most valueKB KiB and a main record that has recordBytes bytes without
+// tasks. A job whose tasks all fit into its main record needs no other record, which halves its
+// writes.
 //
 // dense selects the lower estimate per placement, for host names of usual length. A record that
 // exceeds the limit nevertheless is split, which the version in production can't do.
-func (r *Record) ChooseLayout(valueKB float64, size int, dense bool) {
+func (r *Record) ChooseLayout(valueKB float64, recordBytes int, dense bool) {
 	bytesPerTask := placementBytes
 	if dense {
 		bytesPerTask = densePlacementBytes
 	}
 	r.RangeSize = rangeSizeFor(valueKB, bytesPerTask)
 	if r.Spec.Kind == api.Gang {
-		size += gangGrowthBytes
+		recordBytes += gangGrowthBytes
 	}
-	if r.Spec.Tasks <= r.RangeSize && size+r.Spec.Tasks*bytesPerTask+recordGrowthBytes <= int(valueKB*bytesPerKB) {
+	if r.Spec.Tasks <= r.RangeSize && recordBytes+r.Spec.Tasks*bytesPerTask+recordGrowthBytes <= int(valueKB*bytesPerKB) {
 		r.Inline = true
 	}
 }
--- a/internal/job/layout_test.go
+++ b/internal/job/layout_test.go
@@ -12,7 +12,7 @@
 
 // The record of a task range fits into a value of the state service even with every task placed
 // and large attempt numbers, and decodes to the same task range.
-func TestTaskRangeRecord_FitsValueWhenAllPlaced(t *testing.T) {
+func TestTaskRangeRecordFitsValueWhenAllPlaced(t *testing.T) {
 	for _, kb := range []float64{1, 4, 16, 64} {
 		t.Run(fmt.Sprintf("%g KiB", kb), func(t *testing.T) {
 			n := TaskRangeSize(kb)
@@ -44,7 +44,7 @@
 
 // The main record of a job that holds the job's tasks never exceeds the size limit of a value,
 // however the tasks are placed.
-func TestInlineRecord_FitsValueWhenAllPlaced(t *testing.T) {
+func TestInlineRecordFitsValueWhenAllPlaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := float64(rapid.IntRange(1, 16).Draw(t, "kb"))
 		r := &Record{
--- a/internal/job/seed_test.go
+++ b/internal/job/seed_test.go
@@ -2,7 +2,8 @@
 
 import "flag"
 
-// init fixes the seed of generated inputs, so that every run has the same ones; -rapid.seed overrides it.
+// init fixes the seed of generated inputs, so that every run has the same ones; -rapid.seed
+// overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
--- a/internal/job/split.go
+++ b/internal/job/split.go
@@ -25,7 +25,7 @@
 	}
 	r.RangeSize, r.Inline, r.InlineRange, r.Frozen = size, false, nil, false
 	r.Generation++
-	if n := len(r.FinishedRanges); n > 0 { // the last task range may have had fewer tasks than the others
+	if n := len(r.FinishedRanges); n > 0 { // the last task range may have had fewer tasks, and is split into fewer ranges
 		r.FinishedRanges[n-1] = min(r.FinishedRanges[n-1], r.RangeCount())
 	}
 }
--- a/internal/job/split_test.go
+++ b/internal/job/split_test.go
@@ -35,7 +35,7 @@
 
 // A split into smaller task ranges preserves the state of each task, and the last attempt number of
 // a smaller range isn't below that of the range before.
-func TestSplit_PreservesTaskStates(t *testing.T) {
+func TestSplitPreservesTaskStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, ranges := drawTaskRanges(t)
 		old := r.Copy()
@@ -45,8 +45,9 @@
 		}
 		r.Split(size)
 		if r.Complete() != old.Complete() || r.FinishedTasks() != old.FinishedTasks() {
-			t.Fatalf("finished ranges after the split: %v of size %d; before: %v of size %d",
-				r.FinishedRanges, r.RangeSize, old.FinishedRanges, old.RangeSize)
+			t.Fatalf("after the split: Complete() = %t, FinishedTasks() = %d, ranges %v of size %d; want %t and %d, as for %v of size %d",
+				r.Complete(), r.FinishedTasks(), r.FinishedRanges, r.RangeSize,
+				old.Complete(), old.FinishedTasks(), old.FinishedRanges, old.RangeSize)
 		}
 		for task := range r.Spec.Tasks {
 			n, oldRange := task/size, task/old.RangeSize
@@ -57,7 +58,7 @@
 			after := before.Slice(n*size-oldRange*old.RangeSize, r.RangeLen(n))
 			i, j := task%size, task%old.RangeSize
 			if after.Done(i) != before.Done(j) || (after.PlacementOf(i) == nil) != (before.PlacementOf(j) == nil) {
-				t.Fatalf("task %d after the split: done %t, placement %v; before: done %t, placement %v",
+				t.Fatalf("task %d after the split: done %t, placement %v; want as before: done %t, placement %v",
 					task, after.Done(i), after.PlacementOf(i), before.Done(j), before.PlacementOf(j))
 			}
 			if after != nil && after.LastAttempt < before.LastAttempt {
@@ -69,7 +70,7 @@
 
 // After a split, the groups of a spread job of which at most half may be in one zone are those of
 // before the split.
-func TestSpreadGroup_UnchangedBySplit(t *testing.T) {
+func TestSpreadGroupUnchangedBySplit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		record       Record
--- a/internal/job/task_range_test.go
+++ b/internal/job/task_range_test.go
@@ -13,7 +13,7 @@
 
 // A task range has the same done and placed tasks as a simple model after random placements, ends of
 // attempts and decodings. Attempt numbers rise, and only the end of a task's current attempt counts.
-func TestTaskRange_MatchesModel(t *testing.T) {
+func TestTaskRangeMatchesModel(t *testing.T) {
 	const tasks = 41
 	rapid.Check(t, func(t *rapid.T) {
 		r := (*TaskRange)(nil).Copy()
@@ -77,7 +77,7 @@
 }
 
 // A malformed record is rejected with an error that wraps its cause.
-func TestParse_RejectsMalformedRecords(t *testing.T) {
+func TestParseRejectsMalformedRecords(t *testing.T) {
 	parseRecord := func(raw []byte) error { _, err := ParseRecord(raw); return err }
 	parseRange := func(raw []byte) error { _, err := ParseTaskRange(raw); return err }
 	var syntax *json.SyntaxError
@@ -100,7 +100,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := test.parse([]byte(test.raw)); !test.is(err) {
-				t.Errorf("parsing %s: error %v, want another one", test.raw, err)
+				t.Errorf("parsing %s: error %v, want one that wraps the cause in the subtest's name", test.raw, err)
 			}
 		})
 	}
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -13,7 +13,7 @@
 	maxTransactionBytes    = 48 << 10
 )
 
-// Estimated sizes of the parts of a transaction, rounded up.
+// Estimated sizes in bytes of the parts of a transaction, rounded up.
 const (
 	changeBytes    = 512 // a change with its precondition, without the record
 	inlineJobBytes = 768 // a main record that contains its task range
@@ -27,7 +27,8 @@
 }
 
 // Editor collects changes to job records for one transaction. It copies a record on first access;
-// callers change the copies, and Transaction writes them. Create it with State.NewRecordEditor.
+// callers change the copies, and Editor.Transaction writes them. Create it with
+// State.NewRecordEditor.
 type Editor struct {
 	Txn                *statecache.Transaction
 	Records            map[string]*job.Record // copies of main records, by job; nil if the job is archived
@@ -172,8 +173,8 @@
 	return size
 }
 
-// Transaction adds the edited records to the transaction and returns it. If a record exceeds the
-// maximum size, it sets Outgrown and requests that the job's records be split.
+// Transaction adds the edited records to the transaction and returns it. If a record exceeds
+// the maximum size, it sets HasOversizedRecord and requests that the job's records be split.
 func (e *Editor) Transaction() *statecache.Transaction {
 	e.putRanges()
 	for uid, record := range e.Records {
--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -51,7 +51,7 @@
 // value.
 func (s *State) MaxGrowableBytes() int { return growableBytes(s.node.Settings.LowestLimits().ValueKB) }
 
-// MaxPageBytes is the equivalent of MaxValueBytes for machine pages. The previous version sizes
+// MaxPageBytes is the equivalent of MaxGrowableBytes for machine pages. The previous version sizes
 // pages by the current limits.
 func (s *State) MaxPageBytes() int {
 	if s.usesLowestLimits() {
@@ -64,11 +64,11 @@
 func growableBytes(valueKB float64) int { return int(valueKB * bytesPerKB * 7 / 8) }
 
 // usesLowestLimits reports whether machine pages are sized by the lowest limits: either no
-// controller of the previous version has to derive their names, or the lower limits are in force.
+// controller of the previous version has to derive their IDs, or the lower limits are in force.
 func (s *State) usesLowestLimits() bool { return s.AllUpgraded() || s.limitsLowered }
 
 // LowerLimits records that the announced lower limits of the state service are in force, because it
-// refused a transaction as too large. It reports whether they were not yet recorded as in force.
+// refused a transaction as too large. It returns false if that was recorded before.
 func (s *State) LowerLimits() bool {
 	if s.limitsLowered {
 		return false
@@ -77,9 +77,9 @@
 	return true
 }
 
-// ReduceMaxChanges records that the state service refused a transaction with this many changes although
-// it was within the announced limits. It lowers the maximum to one change less, but not below what
-// the largest step needs.
+// ReduceMaxChanges records that the state service refused a transaction with this many changes
+// although it was within the announced limits. It lowers the maximum to one change less, but not
+// below what the largest step needs.
 func (s *State) ReduceMaxChanges(changes int) { s.reducedTxnOps = max(changes-1, minTxnOps) }
 
 // RequestSplit requests that a job's records be split before its tasks change again.
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -34,13 +34,13 @@
 	return &State{node: info, cache: cache, budget: budget, splitRequests: map[string]int{}}
 }
 
-// AllUpgraded reports whether every configured controller, running or not, has recorded that it reads
-// the formats of this version. The capability record of a controller remains when the controller
-// ends, so that a single controller can decide this after all others have stopped. A controller
-// whose node record shows an older version (it was rolled back) counts as not upgraded, whatever
-// its capability record contains.
+// AllUpgraded reports whether every configured controller, running or not, has recorded that it
+// reads the formats of this version. The capability record of a controller remains when the
+// controller ends, so that a single controller can decide this after all others have stopped. A
+// controller whose node record shows an older version (it was rolled back) counts as not upgraded,
+// whatever its capability record contains.
 func (s *State) AllUpgraded() bool {
-	for _, name := range s.node.Shards {
+	for _, name := range s.node.Shards { // shards have the names of controllers
 		node := s.cache.Nodes[name].Record
 		if !s.supportsCurrentVersion(name) || node != nil && node.SchemaVersion < Version {
 			return false
--- a/internal/shard/capacity_trim.go
+++ b/internal/shard/capacity_trim.go
@@ -28,39 +28,39 @@
 // maxTasksPerMachine is the highest number of tasks of a size that is counted for one machine.
 const maxTasksPerMachine = 1000
 
-// FitsIn reports whether the encoding certainly has at most size bytes. It uses upper bounds, so it
-// may report false for an encoding that just fits.
-func (f FreeCapacity) FitsIn(size int) bool {
+// FitsIn reports whether the encoding certainly has at most maxBytes bytes. It uses upper bounds, so
+// it may report false for an encoding that just fits.
+func (f FreeCapacity) FitsIn(maxBytes int) bool {
 	bytes := emptyRecordBytes
 	for name := range f {
 		bytes += len(name) + nameOverheadBytes
 	}
-	if bytes > size {
+	if bytes > maxBytes {
 		return false
 	}
 	amounts := map[sched.Resources]bool{}
 	for _, amount := range f {
 		amounts[amount] = true
 	}
-	return bytes+len(amounts)*groupOverheadBytes <= size
+	return bytes+len(amounts)*groupOverheadBytes <= maxBytes
 }
 
-// TrimTo removes machines until the encoding certainly has at most size bytes, and returns the
+// TrimTo removes machines until the encoding certainly has at most maxBytes bytes, and returns the
 // number of machines removed. It keeps the machines that peers are most likely to use: first
-// machines that fit the demand, then those with the most accelerators and processors.
+// machines that fit the demand, then those with the most GPUs and CPUs.
 //
-// Without a demand, or if the machines with the most accelerators and processors alone fit at
-// least as many tasks of it, TrimTo keeps just those.
-func (f FreeCapacity) TrimTo(size int, demand []PeerDemand) (removed int) {
-	if f.FitsIn(size) {
+// Without a demand, or if the machines with the most GPUs and CPUs alone fit at least as many tasks
+// of it, TrimTo keeps just those.
+func (f FreeCapacity) TrimTo(maxBytes int, demand []PeerDemand) (removed int) {
+	if f.FitsIn(maxBytes) {
 		return 0
 	}
 	order := sortedByCapacity(f)
-	byCapacity := newSelection(f, size)
+	byCapacity := newSelection(f, maxBytes)
 	byCapacity.fill(order)
 	best := byCapacity
 	if len(demand) > 0 {
-		byDemand := newDemandSelection(f, order, size, demand)
+		byDemand := newDemandSelection(f, order, maxBytes, demand)
 		if byDemand.tasksServed(byDemand.demand) > byCapacity.tasksServed(byDemand.demand) {
 			best = byDemand
 		}
@@ -70,10 +70,10 @@
 	return removed
 }
 
-// machineSelection is a set of machines whose encoded free capacity has at most size bytes.
+// machineSelection is a set of machines whose encoded free capacity has at most maxBytes bytes.
 type machineSelection struct {
 	capacity FreeCapacity
-	size     int
+	maxBytes int
 	demand   []PeerDemand // the task sizes with the most tasks
 	selected map[string]bool
 	amounts  map[sched.Resources]bool // the distinct free resources of the selected machines
@@ -81,18 +81,18 @@
 }
 
 // newSelection returns a selection without machines.
-func newSelection(capacity FreeCapacity, size int) *machineSelection {
-	maxMachines := min(len(capacity), size/nameOverheadBytes)
+func newSelection(capacity FreeCapacity, maxBytes int) *machineSelection {
+	maxMachines := min(len(capacity), maxBytes/nameOverheadBytes)
 	return &machineSelection{
-		capacity: capacity, size: size, selected: make(map[string]bool, maxMachines),
+		capacity: capacity, maxBytes: maxBytes, selected: make(map[string]bool, maxMachines),
 		amounts: map[sched.Resources]bool{}, bytes: emptyRecordBytes,
 	}
 }
 
 // newDemandSelection selects machines for the demand, for each task size in proportion to its
 // number of tasks, and then adds other machines in the given order.
-func newDemandSelection(capacity FreeCapacity, order []machineCapacity, size int, demand []PeerDemand) *machineSelection {
-	s := newSelection(capacity, size)
+func newDemandSelection(capacity FreeCapacity, order []machineCapacity, maxBytes int, demand []PeerDemand) *machineSelection {
+	s := newSelection(capacity, maxBytes)
 	s.demand = highestDemands(demand)
 	queues := make([]demandQueue, len(s.demand))
 	for i, d := range s.demand {
@@ -135,7 +135,7 @@
 	return least
 }
 
-// highestDemands returns the maxDemands task sizes with the most tasks, in descending order.
+// highestDemands returns the task sizes with the most tasks, at most maxDemands, in descending order.
 func highestDemands(demand []PeerDemand) []PeerDemand {
 	positive := slices.DeleteFunc(slices.Clone(demand), func(d PeerDemand) bool { return d.Tasks <= 0 })
 	slices.SortStableFunc(positive, func(a, b PeerDemand) int { return cmp.Compare(b.Tasks, a.Tasks) })
@@ -172,7 +172,7 @@
 	return n
 }
 
-// add selects a machine if the encoding still fits into size bytes, and reports whether it does.
+// add selects a machine if the encoding still fits into maxBytes bytes, and reports whether it does.
 func (s *machineSelection) add(name string) bool {
 	amount := s.capacity[name]
 	cost := 0
@@ -182,7 +182,7 @@
 	if !s.amounts[amount] {
 		cost += groupOverheadBytes
 	}
-	if s.bytes+cost > s.size {
+	if s.bytes+cost > s.maxBytes {
 		return false
 	}
 	s.bytes += cost
@@ -225,8 +225,8 @@
 	free sched.Resources
 }
 
-// sortedByCapacity returns the machines, those with the most accelerators first, then those with the
-// most processors.
+// sortedByCapacity returns the machines in descending order of free GPUs, and of free CPUs if those
+// are equal.
 func sortedByCapacity(capacity FreeCapacity) []machineCapacity {
 	order := make([]machineCapacity, 0, len(capacity))
 	for name, amount := range capacity {
--- a/internal/shard/capacity_trim_test.go
+++ b/internal/shard/capacity_trim_test.go
@@ -52,7 +52,7 @@
 
 // A free capacity trimmed for a demand fits into the given size, has the right resources for each
 // machine kept, and fits at least as many tasks of the demand as one trimmed without a demand.
-func TestTrimTo_ServesDemandAtLeastAsWellAsCapacityOrder(t *testing.T) {
+func TestTrimToServesDemandAtLeastAsWellAsCapacityOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := FreeCapacity{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "machines") {
@@ -85,13 +85,13 @@
 	})
 }
 
-// If the demand is for tasks with and without accelerators, machines of both kinds are kept, even
-// where the free machines with accelerators alone exceed the size limit. Otherwise a peer finds
-// no machines for a gang that needs only processors.
-func TestTrimTo_KeepsMachinesForEachDemandedSize(t *testing.T) {
+// If the demand is for tasks with and without GPUs, machines of both kinds are kept, even if the free
+// machines with GPUs alone exceed the size limit. Otherwise a peer finds no machines for a gang that
+// needs only CPUs.
+func TestTrimToKeepsMachinesForEachDemandedSize(t *testing.T) {
 	capacity := FreeCapacity{}
 	for i := range 1300 {
-		capacity[fmt.Sprintf("i-%06d", i)] = sched.Resources{CPUs: 1, GPUs: 2, MemGB: 64} // two accelerators, but only one processor
+		capacity[fmt.Sprintf("i-%06d", i)] = sched.Resources{CPUs: 1, GPUs: 2, MemGB: 64} // two GPUs, but only one CPU
 	}
 	for i := range 100 {
 		capacity[fmt.Sprintf("i-1%05d", i)] = sched.Resources{CPUs: 12, MemGB: 96}
--- a/internal/shard/free_capacity_test.go
+++ b/internal/shard/free_capacity_test.go
@@ -12,9 +12,9 @@
 )
 
 // An encoded free capacity decodes to the same value. After trimming, the encoding of hundreds of
-// machines is within the size limit of a value, and no removed machine has more free accelerators
-// than one that is kept.
-func TestFreeCapacity_RoundTripsAndFitsAfterTrim(t *testing.T) {
+// machines is within the size limit, and no removed machine has more free GPUs than one that is
+// kept.
+func TestFreeCapacityRoundTripsAndFitsAfterTrim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := FreeCapacity{}
 		for i := range rapid.IntRange(0, 400).Draw(t, "machines") {
@@ -48,7 +48,7 @@
 		}
 		for machine, free := range decoded {
 			if free.GPUs < maxRemovedGPUs {
-				t.Fatalf("machine %s is kept with %v free accelerators, one with %v is removed", machine, free.GPUs, maxRemovedGPUs)
+				t.Fatalf("machine %s is kept with %v free GPUs, want at least %v as on a removed one", machine, free.GPUs, maxRemovedGPUs)
 			}
 		}
 	})
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -28,9 +28,9 @@
 	Term                 uint64                     `json:"term"`
 	Leader               string                     `json:"by"`            // the leader in that term
 	Released             bool                       `json:"rel,omitempty"` // the leader released the shard and no longer answers workers
-	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the previous leader may answer workers until its grace ends
-	Free                 FreeCapacity               `json:"free"`          // of the machines that can run further tasks
-	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by team with a limit, the use by its tasks in this shard
+	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the previous leader may answer workers within its grace period
+	Free                 FreeCapacity               `json:"free"`          // free resources of the machines that can run further tasks
+	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team: resources that its tasks use in this shard
 }
 
 // Machine is the record of a machine: its shard and its properties.
@@ -44,9 +44,8 @@
 	RegisteredMS int64  `json:"at"`          // when the machine was registered, Unix time in milliseconds
 }
 
-// MachinePage is the record of the machines whose names differ only in their last characters, by name.
-// Machines come in groups with consecutive names, so that a group is recorded with few
-// writes.
+// MachinePage is the record of the machines whose names differ only in their last characters, by
+// name. Machines come in groups with consecutive names, so that a group is recorded with few writes.
 type MachinePage map[string]*Machine
 
 // QuotaRecord is the record of a team's quota: the share of its limit that each shard may use. The
--- a/internal/splitter/doc.go
+++ b/internal/splitter/doc.go
@@ -15,6 +15,7 @@
 //     whose version is higher than both of theirs has the current contents and is not written again.
 //  3. A single write of the main record makes the copies the job's task ranges.
 //
-// A late transaction that is committed after the first step can only change records that are no
-// longer in use. The old records are deleted later, as garbage.
+// A delayed transaction that places or ends a task of the job was built before one of these writes
+// of the main record, so its precondition on that record fails. The old task ranges are no longer
+// in use after the last step, and are deleted later, as garbage.
 package splitter
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -6,8 +6,8 @@
 	"violetturn/internal/statecache"
 )
 
-// IsGarbageCollectionDue reports whether garbage is to be collected: a quarter of a worker lease after the
-// last collection. Nothing waits for a collection, so it need not run more often.
+// IsGarbageCollectionDue reports whether garbage is to be collected: a quarter of a worker lease
+// after the last collection. Nothing waits for a collection, so it need not run more often.
 func (s *Splitter) IsGarbageCollectionDue(now time.Time) bool {
 	return now.Sub(s.lastGarbageCollection) >= s.node.Settings.WorkerLease()/4
 }
@@ -15,8 +15,8 @@
 // RecordGarbageCollection records that garbage was collected, in a run that started at the given time.
 func (s *Splitter) RecordGarbageCollection(startedAt time.Time) { s.lastGarbageCollection = startedAt }
 
-// GarbageTransaction returns a transaction that deletes unused records of task ranges, as many as fit
-// into it, or nil if there are none. A record is unused if its job is finished, has a later
+// GarbageTransaction returns a transaction that deletes unused records of task ranges, as many as
+// fit into it, or nil if there are none. A record is unused if its job is finished, has a later
 // generation of task ranges, or keeps the tasks of this generation in its main record.
 func (s *Splitter) GarbageTransaction() *statecache.Transaction {
 	t := statecache.NewTransaction()
@@ -37,13 +37,14 @@
 	return t
 }
 
-// maxPreconditionsPerDelete is the highest number of preconditions that the deletion of a task range adds.
+// maxPreconditionsPerDelete is the highest number of preconditions that the deletion of a task range
+// adds.
 const maxPreconditionsPerDelete = 2
 
 // isFull reports whether no other deletion fits into a transaction.
 func (s *Splitter) isFull(t *statecache.Transaction) bool {
 	limits := s.schema.TransactionLimits()
-	return t.Changes() >= limits.TxnOps || t.Preconditions()+maxPreconditionsPerDelete > preconditionsPerWrite*limits.TxnOps
+	return t.Changes() >= limits.TxnOps || t.Preconditions()+maxPreconditionsPerDelete > preconditionsPerChange*limits.TxnOps
 }
 
 // isGarbageCollectorOf reports whether this node deletes the garbage of a job: whether it leads the
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -10,16 +10,17 @@
 	"violetturn/internal/statecache"
 )
 
-// preconditionsPerWrite is the state service's limit on the preconditions of a transaction, as a
-// multiple of its limit on writes (PROTOCOL).
-const preconditionsPerWrite = 4
+// preconditionsPerChange is the state service's limit on the preconditions of a transaction, as a
+// multiple of its limit on the number of changes (PROTOCOL).
+const preconditionsPerChange = 4
 
 // backgroundSplitIntervals is the minimum number of decision intervals between the starts of two
 // splits that were not requested. No other write waits for these splits, so they may use only a
 // fraction of the write budget.
 const backgroundSplitIntervals = 8
 
-// Splitter splits records that exceed the size limits and deletes the records that a split replaces.
+// Splitter splits records that exceed the size limits and deletes the records that a split
+// replaces.
 type Splitter struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -107,7 +108,8 @@
 	return oldest
 }
 
-// needsSplit reports whether a record of the job has more than maxBytes bytes and can be made smaller.
+// needsSplit reports whether a record of the job has more than maxBytes bytes and can be made
+// smaller.
 func (s *Splitter) needsSplit(j *statecache.Job, maxBytes int) bool {
 	if j.Record.Inline {
 		return j.Size > maxBytes
@@ -146,7 +148,7 @@
 		if existing.Record != nil && existing.Version > max(version, j.Version) {
 			continue // it has the current contents
 		}
-		if t.Changes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerWrite*limits.TxnOps-1 {
+		if t.Changes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerChange*limits.TxnOps-1 {
 			return false
 		}
 		t.Require(key, version)
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -83,14 +83,14 @@
 			t.Fatalf("step %d: NextStep() = %+v, want a transaction", steps, step)
 		}
 		if step.UID != uid || step.RangeSize != size {
-			t.Fatalf("step %d: job %s, ranges of %d, want %d", steps, step.UID, step.RangeSize, size)
+			t.Fatalf("step %d: job %s, ranges of %d tasks, want job %s, ranges of %d", steps, step.UID, step.RangeSize, uid, size)
 		}
 		if n := step.Transaction.Changes(); n == 0 || n > f.schema.TransactionLimits().TxnOps {
-			t.Fatalf("step %d: transaction of %d writes, want 1 to %d", steps, n, f.schema.TransactionLimits().TxnOps)
+			t.Fatalf("step %d: transaction of %d changes, want 1 to %d", steps, n, f.schema.TransactionLimits().TxnOps)
 		}
 		f.commit(step.Transaction)
 		if steps == 0 && !f.cache.Jobs[uid].Record.Frozen {
-			t.Fatal("the first step did not freeze the job")
+			t.Fatal("after the first step the job is not frozen, want it frozen")
 		}
 		steps++
 		if step.Last {
@@ -101,7 +101,7 @@
 
 // A split freezes the job, copies its task ranges in several transactions and then replaces them.
 // Every task keeps its placement.
-func TestSplit_PreservesPlacementsOverSteps(t *testing.T) {
+func TestSplitPreservesPlacementsOverSteps(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.addJob(uid)
@@ -110,7 +110,8 @@
 	steps := f.split(t, uid, size)
 	j := f.cache.Jobs[uid]
 	if j.Record.Frozen || j.Record.Generation != 1 || j.Record.RangeSize != size || len(j.Ranges) != 64/size {
-		t.Fatalf("after %d steps: %+v with %d task ranges, want %d ranges of %d tasks", steps, j.Record, len(j.Ranges), 64/size, size)
+		t.Fatalf("after %d steps: %+v with %d task ranges, want generation 1, not frozen, with %d ranges of %d tasks",
+			steps, j.Record, len(j.Ranges), 64/size, size)
 	}
 	for index, host := range map[int]string{0: "h0", 32 / size: "h1"} {
 		if p := j.Ranges[index].Record.PlacementOf(0); p == nil || p.Host != host {
@@ -118,12 +119,12 @@
 		}
 	}
 	if f.NextStep() != nil {
-		t.Error("NextStep() after the split is not nil, want nothing left to split")
+		t.Error("NextStep() after the split is not nil, want nil")
 	}
 }
 
 // After a split the records of the old task ranges, and no others, are deleted as garbage.
-func TestGarbageTransaction_DeletesOnlyReplacedRecords(t *testing.T) {
+func TestGarbageTransactionDeletesOnlyReplacedRecords(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.addJob(uid)
@@ -143,8 +144,9 @@
 	}
 }
 
-// A job whose task ranges already have the smallest size is not split, and the request is withdrawn.
-func TestNextStep_WithdrawsRequestForSmallestRanges(t *testing.T) {
+// A job whose task ranges already have the smallest size is not split, and the split request is
+// cancelled.
+func TestNextStepCancelsSplitRequestForSmallestRanges(t *testing.T) {
 	const uid = "run-000001"
 	f := newFixture(t)
 	f.apply(statecache.JobKey(uid), &job.Record{
@@ -156,13 +158,13 @@
 		t.Fatalf("NextStep() = %+v, want job %s without a transaction", step, uid)
 	}
 	if next := f.NextStep(); next != nil {
-		t.Errorf("NextStep() after the request was withdrawn = %+v, want nil", next)
+		t.Errorf("NextStep() after the split request was cancelled = %+v, want nil", next)
 	}
 }
 
 // Records of a finished job or of an unused generation are garbage; those of a split in progress are
 // not.
-func TestGarbageTransaction_ByJobState(t *testing.T) {
+func TestGarbageTransactionByJobState(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		record     *job.Record // nil if the job is finished
@@ -192,17 +194,17 @@
 }
 
 // Garbage is collected at intervals of a quarter of a worker lease.
-func TestGarbageCollection_DueEveryQuarterLease(t *testing.T) {
+func TestGarbageCollectionDueEveryQuarterLease(t *testing.T) {
 	f := newFixture(t)
 	if !f.IsGarbageCollectionDue(f.now) {
-		t.Error("garbage collection is not due although there was none before")
+		t.Error("IsGarbageCollectionDue() = false before the first collection, want true")
 	}
 	f.RecordGarbageCollection(f.now)
 	quarter := f.node.Settings.WorkerLease() / 4
 	if f.IsGarbageCollectionDue(f.now.Add(quarter - 1)) {
-		t.Error("garbage collection is due before a quarter of a lease has passed")
+		t.Error("IsGarbageCollectionDue() = true before a quarter of a lease has passed, want false")
 	}
 	if !f.IsGarbageCollectionDue(f.now.Add(quarter)) {
-		t.Error("garbage collection is not due after a quarter of a lease")
+		t.Error("IsGarbageCollectionDue() = false after a quarter of a lease, want true")
 	}
 }
--- a/internal/state/guard.go
+++ b/internal/state/guard.go
@@ -56,7 +56,8 @@
 	g.mutex.Unlock()
 }
 
-// returnAddress returns the return address that is the given number of frames above its caller.
+// returnAddress returns the return address in the function that is the given number of stack frames
+// above returnAddress: 1 is its caller.
 func returnAddress(frames int) uintptr {
 	var returnAddresses [1]uintptr
 	runtime.Callers(frames+1, returnAddresses[:])
@@ -72,7 +73,7 @@
 type LockUse struct {
 	Function    string
 	Holds       int
-	TotalHeld   time.Duration // total
+	TotalHeld   time.Duration // total time that the lock was held
 	LongestHold time.Duration // the longest single hold
 	TotalWaited time.Duration // total time spent waiting for the lock
 }
--- a/internal/state/guard_test.go
+++ b/internal/state/guard_test.go
@@ -11,7 +11,7 @@
 func TestLockMeterCountsHoldsByFunction(t *testing.T) {
 	var guard Guard
 	if !lockAndUnlock(&guard) {
-		t.Fatal("Lock did not acquire the mutex")
+		t.Fatal("the mutex is free after Lock, want it held")
 	}
 	guard.meter = newLockMeter()
 	for range 3 {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,8 +19,8 @@
 	"violetturn/internal/zonestate"
 )
 
-// State is all the state that the controller's lock guards, in order of its layers, the lowest
-// first: each component depends only on those above it in this list. Create it with New.
+// State is all the state that the controller's lock guards. Each component depends only on those
+// that are listed before it. Create it with New.
 type State struct {
 	Cache          *statecache.Cache      // live records of the state service
 	Schema         *schema.State          // permitted formats and sizes of records
--- a/internal/state/stats.go
+++ b/internal/state/stats.go
@@ -5,9 +5,9 @@
 // CommitStats counts the transactions of one purpose.
 type CommitStats struct {
 	Transactions     int
-	Writes           int // changes in these transactions
+	Writes           int // records written or deleted by these transactions
 	Conflicts        int // transactions whose preconditions did not hold
-	ConflictedWrites int // changes in transactions whose preconditions did not hold
+	ConflictedWrites int // records in transactions whose preconditions did not hold
 	Failed           int // transactions that were refused or whose outcome is unknown
 }
 
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -88,15 +88,16 @@
 func (c *Cache) SetObserver(o Observer) { c.observer = o }
 
 // Apply applies one change; value is nil if the key was deleted. Changes come from this
-// controller's commits, from the watch and from read barriers, without a common order, so the
-// version of a key may only increase. A change at or below Revision comes from a late response and
-// is ignored: its key may have been deleted meanwhile. Applying it would restore the key, no later
-// change would ever remove it, and every transaction based on it would fail.
+// controller's commits, from the watch and from read barriers, without a common order, so a
+// change that is not newer than the cached version of its key is ignored. A change at or below
+// Revision comes from a late response and is ignored too: its key may have been deleted meanwhile.
+// Applying it would restore the key, no later change would ever remove it, and every transaction
+// based on it would fail.
 func (c *Cache) Apply(key string, value json.RawMessage, version uint64) {
 	c.applyRecord(key, value, version, nil)
 }
 
-// ApplyCommitted applies a transaction that was committed at a revision.
+// ApplyCommitted applies the changes of a transaction that was committed at the given revision.
 func (c *Cache) ApplyCommitted(t *Transaction, revision uint64) {
 	for key, value := range t.writes {
 		c.applyRecord(key, value, revision, t.capacities[key])
@@ -107,7 +108,7 @@
 }
 
 // applyRecord is Apply with an already decoded capacity record, so that this largest kind of record
-// need not be parsed again. capacity is non-nil only for this controller's own commits.
+// need not be parsed again. capacity is nil unless this controller has just committed the record.
 func (c *Cache) applyRecord(key string, value json.RawMessage, version uint64, capacity *shard.CapacityRecord) {
 	if !c.isNewer(key, version) {
 		return
@@ -115,7 +116,7 @@
 	c.recordVersion(key, value != nil, version)
 	if key == TermKey {
 		c.HighestTerm = 0
-		_ = json.Unmarshal(value, &c.HighestTerm) // if the term is malformed, the precondition of its next use fails
+		_ = json.Unmarshal(value, &c.HighestTerm) // a malformed term counts as 0
 		return
 	}
 	if len(key) < len(jobPrefix) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// isNewer reports whether a change of a live record is newer than the cache.
+// isNewer reports whether a key is that of a live record, and a change of it is newer than the cache.
 func (c *Cache) isNewer(key string, version uint64) bool {
 	if version <= c.Revision && !c.loading {
 		return false
@@ -160,7 +161,7 @@
 	case taskRangePrefix:
 		return c.applyTaskRange(id, value, version)
 	case machinePagePrefix:
-		return c.applyPage(id, value, version)
+		return c.applyMachinePage(id, value, version)
 	case capacityPrefix:
 		return applyToMap(c.Capacities, id, value, version)
 	case leaderPrefix:
@@ -174,7 +175,7 @@
 	case zonePrefix:
 		return applyToMap(c.Zones, id, value, version)
 	}
-	return nil // a kind of record of a later version
+	return nil // a kind of record that a later version of the program writes
 }
 
 // applyToMap applies a change of a record to a map of records. If the new record is malformed, the
@@ -205,9 +206,9 @@
 	}
 }
 
-// Reload applies a full list of the live records, which was requested at readAt and whose first page
-// was of the given revision. Since earlier changes may have been missed, the final states of jobs
-// that are no longer listed are unknown and the observer is not notified of them.
+// Reload applies a full list of the live records, which was requested at readAt and whose first
+// page was read at the given revision. Since earlier changes may have been missed, the final states
+// of jobs that are no longer listed are unknown and the observer is not notified of them.
 func (c *Cache) Reload(items []store.Item, revision uint64, readAt time.Time) {
 	c.loading = true
 	defer func() { c.loading = false }()
@@ -242,5 +243,6 @@
 	}
 }
 
-// MarkNotLoaded marks the cache as not loaded because changes were missed: all records must be read again.
+// MarkNotLoaded marks the cache as not loaded because changes were missed: all records must be read
+// again.
 func (c *Cache) MarkNotLoaded() { c.Loaded = false }
--- a/internal/statecache/cancellations.go
+++ b/internal/statecache/cancellations.go
@@ -7,8 +7,8 @@
 }
 
 // MaxCancellations bounds the cancellations that are kept to be reported to peers: entries of some
-// tens of bytes each, a quarter of the maximum message size. A request about a revision before the
-// kept ones is answered as incomplete.
+// tens of bytes each, a quarter of the maximum message size. If a peer requests the cancellations
+// since an earlier revision than that of the kept ones, the response is marked as incomplete.
 const MaxCancellations = 1024
 
 // RecordCancellation records that a job was cancelled at a revision.
@@ -24,14 +24,14 @@
 	x.cancellations = append(x.cancellations[:0], x.cancellations[excess:]...)
 }
 
-// resetCancellations clears the cancellations because changes up to a revision may have been missed:
-// jobs that were cancelled and have ended meanwhile are unknown.
+// resetCancellations clears the cancellations because changes up to a revision may have been
+// missed: jobs that were cancelled and have ended meanwhile are unknown.
 func (x *JobIndex) resetCancellations(revision uint64) {
 	x.cancellations, x.cancellationsCompleteFrom = nil, revision
 }
 
-// CancelledSince returns the jobs that were cancelled after a revision. complete is false if some of
-// them may be missing.
+// CancelledSince returns the jobs that were cancelled after a revision. complete is false if some
+// of them may be missing; then it returns none.
 func (x *JobIndex) CancelledSince(revision uint64) (uids []string, complete bool) {
 	if revision < x.cancellationsCompleteFrom {
 		return nil, false
@@ -44,8 +44,8 @@
 	return uids, true
 }
 
-// MarkCancelledByPeer marks a job as cancelled that a peer reported as cancelled, before its cached
-// record shows it.
+// MarkCancelledByPeer marks a job as cancelled because a peer reported its cancellation, which the
+// cached record may not show yet.
 func (c *Cache) MarkCancelledByPeer(uid string) {
 	j := c.Jobs[uid]
 	if j == nil || j.cancelledByPeer {
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -22,10 +22,10 @@
 // IsGang reports whether the job's tasks start together.
 func (j *Job) IsGang() bool { return j.Record.Spec.Kind == api.Gang }
 
-// RecordCoversTasks reports whether the main record is written with every change of the job's tasks,
-// so that its version covers all of them. This holds for a gang, and for a spread job whose records
-// were split: its tasks per zone are counted over several task ranges, and a delayed transaction
-// would otherwise place a task by an outdated count.
+// RecordCoversTasks reports whether the main record is written with every change of the job's
+// tasks, so that its version covers all of them. This holds for a gang, and for a spread job whose
+// records were split: its tasks per zone are counted over several task ranges, and a delayed
+// transaction would otherwise place a task based on an outdated count.
 func (j *Job) RecordCoversTasks() bool { return j.IsGang() || j.Record.SpreadRangeSize > 0 }
 
 // CountPlaced returns the number of tasks that have a placement.
@@ -43,7 +43,7 @@
 // IsCancelled reports whether the job was cancelled, according to its record or to a peer.
 func (j *Job) IsCancelled() bool { return j.Record.Cancelled || j.cancelledByPeer }
 
-// MustStop reports whether a placed task has to leave its machine.
+// MustStop reports whether a placed task has to be stopped.
 func (j *Job) MustStop(p *job.Placement) bool {
 	return p.Stopping || j.IsCancelled() || j.IsGang() && j.Record.Gang.MustStop(p.Attempt)
 }
@@ -55,7 +55,7 @@
 }
 
 // SavesOnStop reports whether tasks of the job save their progress before they stop. The tasks of a
-// gang do so only if all of them are commanded to stop, because the save fails if one is missing.
+// gang do so only if all of them are to be stopped, because the save fails if one is missing.
 func (j *Job) SavesOnStop() bool {
 	gang := j.Record.Gang
 	return !j.IsCancelled() && j.Record.Spec.CheckpointIntervalS > 0 && (!j.IsGang() || gang != nil && gang.Stopping)
@@ -87,12 +87,12 @@
 }
 
 // UserState returns the state of the job that is reported to users. A cancellation is reported at
-// once or, if confirmsEmpty is set (config.Settings.ConfirmsCancelAfterTasksEnd), when the job has no
-// task left on a machine.
-func (j *Job) UserState(confirmsEmpty bool) api.JobState {
+// once or, if confirmsAfterTasksEnd is set (config.Settings.ConfirmsCancelAfterTasksEnd), when the
+// job has no task left on a machine.
+func (j *Job) UserState(confirmsAfterTasksEnd bool) api.JobState {
 	state := api.JobState{UID: j.Record.Spec.UID, Phase: api.JobPending, Done: j.Record.FinishedTasks()}
 	gang := j.Record.Gang
-	if gang != nil && gang.Done { // committed, although not all records of the job are deleted yet
+	if gang != nil && gang.Done { // the end is committed, although not all records of the job are deleted yet
 		return api.JobState{UID: state.UID, Phase: api.JobDone, Done: j.Record.Spec.Tasks}
 	}
 	for index, r := range j.Ranges {
@@ -102,7 +102,7 @@
 		state.Running += len(r.Record.Placements)
 	}
 	switch {
-	case j.Record.Cancelled && (state.Running == 0 || !confirmsEmpty):
+	case j.Record.Cancelled && (state.Running == 0 || !confirmsAfterTasksEnd):
 		state.Phase = api.JobCancelled
 	case j.IsGang() && (gang == nil || !gang.Launched):
 		state.Running = 0 // tasks with reserved placements are not running yet
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -34,8 +34,8 @@
 // JobOfKey returns the job whose main record has the given key; ok is false for other keys.
 func JobOfKey(key string) (uid string, ok bool) { return strings.CutPrefix(key, jobPrefix) }
 
-// TaskRangeKey returns the key of the record of a job's task range. generation is the number of
-// times that the job's records were split.
+// TaskRangeKey returns the key of the record of a job's task range. generation counts the splits of
+// the job's records, from 0 before the first one.
 func TaskRangeKey(uid string, generation, index int) string {
 	if generation == 0 {
 		return taskRangePrefix + uid + "/" + strconv.Itoa(index)
@@ -71,12 +71,12 @@
 // NodeKey returns the key of the record of a running controller, which is attached to its lease.
 func NodeKey(node string) string { return nodePrefix + node }
 
-// CapabilityKey returns the key of the record of the formats that a controller reads, which remains
-// when the controller ends.
+// CapabilityKey returns the key of the record of the record formats that a controller reads, which
+// remains when the controller ends.
 func CapabilityKey(node string) string { return capabilityPrefix + node }
 
-// MachinePageKey returns the key of a machine page (see PageID).
-func MachinePageKey(page string) string { return machinePagePrefix + page }
+// MachinePageKey returns the key of the machine page with the given ID (see PageID).
+func MachinePageKey(pageID string) string { return machinePagePrefix + pageID }
 
 // QuotaKey returns the key of the record that divides a team's quota among shards.
 func QuotaKey(team string) string { return quotaPrefix + QuotaID(team) }
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// The ID of a machine's page is a prefix of the machine's name. Machines are rented in groups with
-// consecutive names, so that few changes record a whole group. The prefix lacks one character of the
-// name, or two if a value can hold a hundred machines.
+// Number of characters at the end of a machine's name that the ID of its page lacks: one, or two if
+// a value can hold a hundred machines. Machines are rented in groups with consecutive names, so that
+// a group is recorded in few pages and with few writes.
 const (
 	FinestPageSuffixLen   = 1
 	CoarsestPageSuffixLen = 2
 )
 
-// PageID returns the ID of a machine's page: its name without the last suffixLen characters, and a
-// dash.
+// PageID returns the ID of a machine's page: the machine's name without the last suffixLen
+// characters, followed by a dash.
 func PageID(host string, suffixLen int) string { return host[:max(len(host)-suffixLen, 0)] + "-" }
 
 // CoarserPageID returns the ID of the page whose machine name prefix is one character shorter; ok is
@@ -49,9 +49,9 @@
 	return id[:len(id)-2] + "-", true
 }
 
-// applyPage applies a change of a machine page. A finer page takes precedence over a coarser one
-// that still has entries for its machines.
-func (c *Cache) applyPage(id string, value json.RawMessage, version uint64) error {
+// applyMachinePage applies a change of a machine page. A finer page takes precedence over a coarser
+// one that still has entries for its machines.
+func (c *Cache) applyMachinePage(id string, value json.RawMessage, version uint64) error {
 	old := c.Pages[id]
 	if err := applyToMap(c.Pages, id, value, version); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	affected := map[string]bool{}
 	addNames(affected, old.Record)
 	addNames(affected, c.Pages[id].Record)
-	if coarser, ok := CoarserPageID(id); ok { // this page may now supersede entries there, or no longer do so
+	if coarser, ok := CoarserPageID(id); ok { // this page now supersedes its entries, or no longer does
 		addNames(affected, c.Pages[coarser].Record)
 	}
 	for host := range affected {
@@ -110,13 +110,14 @@
 // SetAddress sets the address of a machine whose record was written before the address was known.
 func (x *MachineIndex) SetAddress(host, address string) { x.Machines[host].Addr = address }
 
-// MinTerminated is the minimum number of terminated machines that are kept before old ones are
-// removed: names of some ten bytes each.
+// MinTerminated is the lowest limit on the number of recorded terminated machines: names
+// of some ten bytes each.
 const MinTerminated = 8192
 
-// RecordTerminated records that a machine was terminated, so that a delayed heartbeat does not register
-// it again. If the terminated machines exceed several times the number of machines, the older half
-// is removed: delayed heartbeats are from recently terminated machines.
+// RecordTerminated records that a machine was terminated, so that a delayed heartbeat does not
+// register it again. If the terminated machines reach the limit, which is MinTerminated or
+// four times the number of machines if that is more, the older half is removed: delayed heartbeats
+// are from recently terminated machines.
 func (x *MachineIndex) RecordTerminated(host string) {
 	if limit := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= limit {
 		names := slices.Sorted(maps.Keys(x.Terminated)) // names sort by time of creation
--- a/internal/statecache/pending.go
+++ b/internal/statecache/pending.go
@@ -4,13 +4,13 @@
 type TaskIndex struct{ RangeIndex, Index int }
 
 // maxPendingTasks bounds the tasks of one job that are considered at once: as many as some sixteen
-// thousand machines with two accelerators each can run. A job may have more (api.MaxTasks); they are
+// thousand machines with two GPUs each can run. A job may have more (api.MaxTasks); they are
 // considered once some of these are placed.
 const maxPendingTasks = 1 << 15
 
-// PendingTasks returns the job's tasks that are neither done nor placed: all of a gang, otherwise at
-// most maxPendingTasks. The result is cached until the job changes, because each plan requests it
-// for all jobs. The caller must not change the slice.
+// PendingTasks returns the job's tasks that are neither done nor placed and may be placed now: all
+// of a gang, otherwise at most maxPendingTasks. The result is cached until the job changes, because
+// each plan requests it for all jobs. The caller must not change the slice.
 func (j *Job) PendingTasks() []TaskIndex {
 	if j.pending == nil {
 		j.pending = j.ComputePendingTasks()
--- a/internal/statecache/placements.go
+++ b/internal/statecache/placements.go
@@ -27,14 +27,13 @@
 	Placement  *job.Placement
 }
 
-// TaskName returns the task's name on the wire.
+// TaskName returns the name by which workers identify the task (see api.TaskName).
 func (p *PlacedTask) TaskName(j *Job) string {
 	return api.TaskName(p.UID, p.RangeIndex*j.Record.RangeSize+p.Index)
 }
 
 // PlacementKey returns the key of a placement within this process. It is not the task's name, which
-// can't be computed from a task range without the job's main record: it depends on the size of the
-// job's task ranges.
+// can't be computed without the job's main record: it depends on the size of the job's task ranges.
 func PlacementKey(uid string, rangeIndex, index int) string {
 	return uid + "/" + strconv.Itoa(rangeIndex) + "/" + strconv.Itoa(index)
 }
@@ -62,13 +61,13 @@
 // NumPriorities is the number of job priorities.
 const NumPriorities = 4
 
-// MachineLoad is the load of a machine. It is computed by internal/capacity, which has the ended
-// tasks, and cached here, where placements change.
+// MachineLoad is the load of a machine. It is computed by internal/capacity, which has access to the
+// reports of ended tasks, and cached here, where placements change.
 type MachineLoad struct {
 	Used              sched.Resources                // resources of the unfinished tasks
 	Stopping          sched.Resources                // resources of the unfinished tasks that have to stop
 	RunningByPriority [NumPriorities]sched.Resources // resources of the other unfinished tasks
-	Services, Arrays  int                            // number of unfinished tasks: of services, and of all other kinds of jobs
+	Services, Arrays  int                            // number of unfinished tasks: of services, and of arrays and gangs
 	LastPlacedMS      int64                          // when the most recent of the tasks was placed, Unix time in milliseconds
 }
 
@@ -78,8 +77,8 @@
 // CacheLoad caches the load of a machine until its placements change.
 func (x *PlacementIndex) CacheLoad(host string, load *MachineLoad) { x.loads[host] = load }
 
-// InvalidateLoad removes the cached load of a machine. It must be called after changes that affect
-// the load without Apply: the end of an attempt, or the removal of an agent.
+// InvalidateLoad removes the cached load of a machine. It must be called after a change that affects
+// the load but is not made by Apply: the end of an attempt, or the removal of an agent.
 func (x *PlacementIndex) InvalidateLoad(host string) { delete(x.loads, host) }
 
 // InvalidateLoads removes the cached loads of all machines.
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -15,7 +15,7 @@
 	writes        map[string]json.RawMessage
 	leases        map[string]uint64 // leases to which writes are attached, by key
 	deletes       map[string]bool
-	order         []string // keys of writes and deletes
+	changedKeys   []string // keys of writes and deletions, in the order in which they were added
 
 	capacities map[string]*shard.CapacityRecord // written capacity records in decoded form, by key
 }
@@ -41,10 +41,10 @@
 // ClearPreconditions removes all preconditions.
 func (t *Transaction) ClearPreconditions() { clear(t.preconditions) }
 
-// Put adds a write of a record.
+// Put adds a write of a record. It must not follow a Delete of the same record.
 func (t *Transaction) Put(key string, record any) {
 	if _, ok := t.writes[key]; !ok {
-		t.order = append(t.order, key)
+		t.changedKeys = append(t.changedKeys, key)
 	}
 	t.writes[key] = api.MustMarshal(record)
 }
@@ -64,16 +64,17 @@
 // Delete adds the deletion of a record. It replaces a write of the record in this transaction.
 func (t *Transaction) Delete(key string) {
 	if !t.deletes[key] {
-		t.order = append(t.order, key)
+		t.changedKeys = append(t.changedKeys, key)
 	}
 	t.deletes[key] = true
 	delete(t.writes, key)
 }
 
-// Changes returns the number of writes and deletes.
+// Changes returns the number of writes and deletions. A record that is both written and deleted in
+// this transaction counts twice.
 func (t *Transaction) Changes() int {
 	n := 0
-	for _, key := range t.order {
+	for _, key := range t.changedKeys {
 		if t.deletes[key] || t.writes[key] != nil {
 			n++
 		}
@@ -85,7 +86,7 @@
 func (t *Transaction) Size(key string) int { return len(t.writes[key]) }
 
 // Keys returns the keys of the changes, in order. A key may occur twice.
-func (t *Transaction) Keys() []string { return t.order }
+func (t *Transaction) Keys() []string { return t.changedKeys }
 
 // Request returns the transaction as a request to the state service.
 func (t *Transaction) Request() *store.Txn {
@@ -94,7 +95,7 @@
 		request.Preconditions = append(request.Preconditions, store.Precondition{Key: key, Version: version})
 	}
 	seen := map[string]bool{}
-	for _, key := range t.order {
+	for _, key := range t.changedKeys {
 		if seen[key] {
 			continue
 		}
--- a/internal/storesync/barrier.go
+++ b/internal/storesync/barrier.go
@@ -81,8 +81,8 @@
 // runReadBarrier reads the changes for the waiting callers. For callers that joined meanwhile it
 // starts the next read in a goroutine bounded by the timeout of a user request.
 //
-// Reads are sent at least QueryReadInterval apart, so that the queries of hundreds of polling users use a
-// bounded part of the request rate. A single query is not delayed.
+// Reads are sent at least QueryReadInterval apart, so that the queries of hundreds of polling users
+// use a bounded part of the request rate. A single query is not delayed.
 func (s *Sync) runReadBarrier(ctx context.Context, barrier *readBarrier) {
 	wait := s.node.Settings.QueryReadInterval() - s.barriers.sinceLastRead(s.node.Now())
 	if wait > 0 && !s.node.SimulatedClock {
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -10,8 +10,9 @@
 
 // Commit sends a transaction and applies its outcome to the cache. purpose is the name under which
 // the log summary counts it. committed is false if the transaction did not commit, and also if its
-// outcome is unknown, in which case err is store.ErrOutcomeUnknown. conflicts are the keys whose versions
-// differed.
+// outcome is unknown, in which case err is store.ErrOutcomeUnknown. conflicts are the keys whose
+// versions differed. For a transaction that was refused as too large, err and conflicts are nil, and
+// the caller builds a new, smaller one.
 func (s *Sync) Commit(
 	ctx context.Context, purpose string, txn *statecache.Transaction, priority store.Priority,
 ) (committed bool, conflicts []string, err error) {
@@ -27,10 +28,10 @@
 	} else {
 		s.node.Log.Debug("commit failed", "err", err)
 		if s.handleTooLarge(err, request) {
-			return false, nil, nil // the caller builds a new, smaller transaction
+			return false, nil, nil
 		}
 	}
-	// After a refusal, a conflict or an unknown outcome, the changes show what was written.
+	// After a refusal, a conflict or an unknown outcome, a read of the changes shows what was written.
 	_ = s.AwaitReadBarrier(ctx)
 	return false, result.Conflicts, err
 }
@@ -54,10 +55,10 @@
 	state.Stats.CountConflict(purpose, changes)
 }
 
-// handleTooLarge handles a refusal of a transaction for its size or number of changes. It means
-// that the limits of the state service were lowered, and below the announced ones if the transaction
-// was within those. Later transactions are made smaller. It reports whether err is such a refusal,
-// so that a smaller transaction may succeed.
+// handleTooLarge handles a refusal of a transaction for its size or number of changes. Such a refusal
+// means that the limits of the state service were lowered, and below the announced ones if the
+// transaction was within those. Later transactions are made smaller. handleTooLarge reports whether
+// err is such a refusal, so that a smaller transaction may succeed.
 func (s *Sync) handleTooLarge(err error, request *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -17,30 +17,31 @@
 // Sync keeps the cache up to date with the state service and commits transactions. Create it with
 // New. Its methods may be called from any goroutine.
 type Sync struct {
-	node       *node.Info
-	guard      *state.Guard
-	services   *external.Services
-	wake       notify.Signal
-	leaderless notify.Signal
-	barriers   readBarriers
+	node            *node.Info
+	guard           *state.Guard
+	services        *external.Services
+	wake            notify.Signal
+	leaderlessShard notify.Signal
+	barriers        readBarriers
 }
 
 // New returns a Sync that notifies wake when the cache has changed.
 func New(info *node.Info, guard *state.Guard, services *external.Services, wake notify.Signal) *Sync {
-	return &Sync{node: info, guard: guard, services: services, wake: wake, leaderless: notify.NewSignal()}
+	return &Sync{node: info, guard: guard, services: services, wake: wake, leaderlessShard: notify.NewSignal()}
 }
 
-// LeaderlessShardSignal returns the signal that a shard may have no leader, so that its acquisition is
-// checked now instead of with the next lease renewal.
-func (s *Sync) LeaderlessShardSignal() notify.Signal { return s.leaderless }
+// LeaderlessShardSignal returns the signal that a shard may have no leader. Its receiver checks
+// immediately, instead of with the next lease renewal, whether to acquire the shard.
+func (s *Sync) LeaderlessShardSignal() notify.Signal { return s.leaderlessShard }
 
 // NotifyLeaderlessShard notifies the signal that LeaderlessShardSignal returns.
-func (s *Sync) NotifyLeaderlessShard() { s.leaderless.Notify() }
+func (s *Sync) NotifyLeaderlessShard() { s.leaderlessShard.Notify() }
 
 // minWritesPerSecond is the lower bound of WritesPerSecond, however small the controller's share is.
 const minWritesPerSecond = 2
 
-// WritesPerSecond returns this controller's share of the state service's changes per second.
+// WritesPerSecond returns this controller's share of the writes per second that the state service
+// accepts.
 func (s *Sync) WritesPerSecond() int {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
@@ -55,8 +56,8 @@
 	return state.Leadership.MayAct(s.node.Now())
 }
 
-// Watch keeps the cache up to date until ctx is done: the state change callback of the paper. It
-// calls changed after each round of changes.
+// Watch keeps the cache up to date until ctx is done. After each successful read of changes it calls
+// changed, which corresponds to the state change callback of the paper.
 func (s *Sync) Watch(ctx context.Context, changed func(context.Context)) {
 	for ctx.Err() == nil {
 		s.watchOnce(ctx, changed)
@@ -68,17 +69,17 @@
 
 // watchOnce loads the cache if it is not loaded, and otherwise waits for changes and applies them.
 func (s *Sync) watchOnce(ctx context.Context, changed func(context.Context)) {
-	retry := s.node.Settings.ControllerLeaseTTL() / retriesPerLease
+	retryDelay := s.node.Settings.ControllerLeaseTTL() / retriesPerLease
 	loaded, since := s.progress()
 	if !loaded {
 		if err := s.Load(ctx); err != nil {
 			s.node.Log.Debug("replica not loaded", "err", err)
-			timing.Sleep(ctx, retry)
+			timing.Sleep(ctx, retryDelay)
 		}
 		return
 	}
 	if err := s.ApplyChanges(ctx, since, s.node.Settings.WorkerLease()/2); err != nil {
-		timing.Sleep(ctx, retry)
+		timing.Sleep(ctx, retryDelay)
 		return
 	}
 	changed(ctx)
@@ -104,15 +105,16 @@
 	s.guard.Unlock()
 	s.node.Log.Info("replica loaded", "keys", len(items), "revision", revision)
 	s.wake.Notify()
-	s.NotifyLeaderlessShard() // after a restart, its shards must be acquired before the workers' leases expire
+	s.NotifyLeaderlessShard() // after a restart, this controller's shards must be acquired before the workers' leases expire
 	return nil
 }
 
 // ApplyChanges reads the changes after a revision and applies them to the cache. If there are none,
-// it waits for some, up to block.
-func (s *Sync) ApplyChanges(ctx context.Context, since uint64, block time.Duration) error {
+// it waits for some, up to maxWait. If the state service no longer has all of these changes, it marks
+// the cache as not loaded and returns store.ErrChangesUnavailable.
+func (s *Sync) ApplyChanges(ctx context.Context, since uint64, maxWait time.Duration) error {
 	requestedAt := s.node.Now()
-	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, block)
+	changes, revision, err := s.services.Store.Changes(ctx, statecache.LivePrefix, since, maxWait)
 	if errors.Is(err, store.ErrChangesUnavailable) {
 		state := s.guard.Lock()
 		state.Cache.MarkNotLoaded()
