--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -40,7 +40,7 @@
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	c.sync.RecordStoreAnswer(false)
-	s.world.Advance(c.node.Settings.ControllerLeaseTTL())
+	s.environment.Advance(c.node.Settings.ControllerLeaseTTL())
 	c.testState().Reachability.PeersQueried = true
 	c.testState().Reachability.StoreReachableByPeer["n1"] = false
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -82,7 +82,7 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounts: s.Capacity, Wake: wake,
+		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Capacity, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
