--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -27,7 +27,7 @@
 }
 
 // Editor collects changes to job records for one transaction. It copies a record on first access;
-// callers change the copies, and Editor.Transaction writes them. Create it with
+// callers change the copies, and Editor.BuildTransaction writes them. Create it with
 // State.NewRecordEditor.
 type Editor struct {
 	Txn                *statecache.Transaction
@@ -173,9 +173,9 @@
 	return size
 }
 
-// Transaction adds the edited records to the transaction and returns it. If a record exceeds
+// BuildTransaction adds the edited records to the transaction and returns it. If a record exceeds
 // the maximum size, it sets HasOversizedRecord and requests that the job's records be split.
-func (e *Editor) Transaction() *statecache.Transaction {
+func (e *Editor) BuildTransaction() *statecache.Transaction {
 	e.putRanges()
 	for uid, record := range e.Records {
 		if record != nil {
