--- a/internal/api/enums_test.go
+++ b/internal/api/enums_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Each enumeration value is encoded as its protocol word in JSON and by String, and Known distinguishes
-// supported values from others.
-func TestEnums_EncodeAsProtocolWords(t *testing.T) {
+// Each enumeration value is encoded as its protocol word in JSON and by String, and Known
+// distinguishes supported values from others.
+func TestEnumsEncodeAsProtocolWords(t *testing.T) {
 	type word interface {
 		fmt.Stringer
 		Known() bool
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLevel_OrdersPriorities(t *testing.T) {
+func TestLevelOrdersPriorities(t *testing.T) {
 	for level, p := range []Priority{Production, Urgent, Standard, Idle} {
 		if p.Level() != level {
 			t.Errorf("%s has level %d, want %d", p, p.Level(), level)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFinal_HoldsForDoneAndCancelled(t *testing.T) {
+func TestFinalHoldsForDoneAndCancelled(t *testing.T) {
 	for p, final := range map[JobPhase]bool{JobPending: false, JobRunning: false, JobDone: true, JobCancelled: true} {
 		if p.Final() != final {
 			t.Errorf("%s is final: got %t, want %t", p, p.Final(), final)
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -20,7 +20,7 @@
 // Error implements error.
 func (e *RequestError) Error() string { return e.Reason }
 
-// NewRequestError returns a RequestError with a status and a formatted reason.
-func NewRequestError(status int, reason string, args ...any) *RequestError {
-	return &RequestError{Status: status, Reason: fmt.Sprintf(reason, args...)}
+// NewRequestError returns a RequestError with a status and a reason formatted as by fmt.Sprintf.
+func NewRequestError(status int, format string, args ...any) *RequestError {
+	return &RequestError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/api/fields.go
+++ b/internal/api/fields.go
@@ -12,7 +12,7 @@
 	err    *RequestError
 }
 
-// newFieldReader returns a reader for the JSON object in body. ok is false if body is not an object.
+// newFieldReader returns a reader for the JSON object in body. ok is false if body is none.
 func newFieldReader(body []byte) (r *fieldReader, ok bool) {
 	r = &fieldReader{}
 	if err := json.Unmarshal(body, &r.values); err != nil || r.values == nil {
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// For any body, ParseJob returns either a bad request or a job that is within all bounds and does not
-// change when it is recorded and read back.
+// For any body, ParseJob returns either a bad request or a job that is within all bounds and does
+// not change when it is recorded and read back.
 func FuzzParseJob(f *testing.F) {
 	f.Add(MustMarshal(validFields()))
 	f.Add([]byte(`{"uid":"run-1"}`))
@@ -60,8 +60,8 @@
 	}
 }
 
-// For any body, ParseHeartbeat returns either a bad request or a heartbeat that does not change when it
-// is encoded and parsed again, from a machine whose name is valid in keys and paths.
+// For any body, ParseHeartbeat returns either a bad request or a heartbeat that does not change
+// when it is encoded and parsed again, from a machine whose name is valid in keys and paths.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"host":"i-1","addr":"10.0.0.1:9","build":"g8","site":"a","loaners":true,"tenure":1,"tick":88,"baton":41,` +
 		`"recallS":1.5,"pieces":[{"piece":"run-1/3","try":2,"phase":"running"},{"piece":"run-2/0","phase":"ended","cause":"done"}]}`))
@@ -84,13 +84,14 @@
 			t.Fatalf("heartbeat parsed from its encoding is %+v, error %v, want %+v", decoded, err, h)
 		}
 		if h.NewerThan(h.AgentEpoch, h.Sequence) || !h.NewerThan(h.AgentEpoch-1, h.Sequence) {
-			t.Fatal("heartbeat counts as newer than itself, or as not newer than one of an earlier agent epoch")
+			t.Fatalf("heartbeat counts as newer than itself: %t, than one of the previous agent epoch: %t, want false and true",
+				h.NewerThan(h.AgentEpoch, h.Sequence), h.NewerThan(h.AgentEpoch-1, h.Sequence))
 		}
 	})
 }
 
-// Any string that SplitTaskName accepts has a valid task number, and the name that TaskName builds from
-// the result is split into the same job and number.
+// Any string that SplitTaskName accepts has a valid task number, and the name that TaskName builds
+// from the result is split into the same job and number.
 func FuzzSplitTaskName(f *testing.F) {
 	for _, s := range []string{"run-1/0", "run-1/007", "run-1/+7", "run-1/99999", "run-1/100000", "/", "a/b/1"} {
 		f.Add(s)
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -14,7 +14,7 @@
 	Saved   bool      `json:"saved"` // whether the progress was saved when the task was stopped
 }
 
-// Heartbeat is the message with which a worker regularly reports its state to the leader of its shard.
+// Heartbeat is the message with which a worker regularly reports its state to its shard's leader.
 type Heartbeat struct {
 	Host        string      `json:"host"`
 	Addr        string      `json:"addr"` // host:port that accepts direct commands
@@ -28,15 +28,15 @@
 	Tasks       []TaskState `json:"pieces"`  // all tasks on the machine; ended tasks until they are cleared
 }
 
-// NewerThan reports whether the worker made the heartbeat after the one with the given agent epoch and
-// sequence number.
+// NewerThan reports whether the worker sent the heartbeat after the one with the given agent epoch
+// and sequence number.
 func (h *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
 	return h.AgentEpoch > agentEpoch || h.AgentEpoch == agentEpoch && h.Sequence > sequence
 }
 
 const (
 	maxHostLength = 100
-	// forbiddenHostCharacters may not occur in a machine's name, because names are part of keys and paths.
+	// forbiddenHostCharacters may not occur in a machine's name, which is part of keys and paths.
 	forbiddenHostCharacters = " /?&#%"
 )
 
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestParseHeartbeat_RequiresHostAndAgentEpoch(t *testing.T) {
+func TestParseHeartbeatRequiresHostAndAgentEpoch(t *testing.T) {
 	for _, test := range []struct {
 		name, body string
 		valid      bool
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestNewer_ComparesAgentEpochThenSequence(t *testing.T) {
+func TestNewerThanComparesAgentEpochThenSequence(t *testing.T) {
 	for _, test := range []struct {
 		epoch, sequence uint64
 		newer           bool
--- a/internal/api/job.go
+++ b/internal/api/job.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks in a job.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
 
-// Job is a job as submitted by a user. The job's record in the state service has the same JSON names.
+// Job is a job as submitted by a user. Its record in the state service has the same JSON names.
 type Job struct {
 	UID                 string   `json:"uid"`
 	Class               string   `json:"lane"` // job class, the unit for which objectives are configured
@@ -125,8 +125,9 @@
 	return true
 }
 
-// ExtractUID reads only the job ID of a submission and reports whether it is valid. A repeated submission
-// of an accepted job is answered with the job's state even if its other fields are invalid.
+// ExtractUID reads only the job ID of a submission and reports whether it is valid. A repeated
+// submission of an accepted job is answered with the job's state even if its other fields are
+// invalid.
 func ExtractUID(body []byte) (string, bool) {
 	var values map[string]json.RawMessage
 	var uid string
--- a/internal/api/job_test.go
+++ b/internal/api/job_test.go
@@ -42,13 +42,13 @@
 
 // isBadRequest reports whether an error is a RequestError with StatusBadRequest and a reason.
 func isBadRequest(err error) bool {
-	var refused *RequestError
-	return errors.As(err, &refused) && refused.Status == StatusBadRequest && refused.Reason != ""
+	var requestError *RequestError
+	return errors.As(err, &requestError) && requestError.Status == StatusBadRequest && requestError.Reason != ""
 }
 
-// Each field must be present with its type and its exact name, except for those that may be missing or
-// null.
-func TestParseJob_RequiresFieldsAndTypes(t *testing.T) {
+// Each field must be present with its type and its exact name, except for those that may be missing
+// or null.
+func TestParseJobRequiresFieldsAndTypes(t *testing.T) {
 	nullable := map[string]bool{"builds": true, "site": true, "dueS": true}
 	if _, err := parseFields(validFields()); err != nil {
 		t.Fatalf("valid submission rejected: %v", err)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestParseJob_RejectsInvalidValues(t *testing.T) {
+func TestParseJobRejectsInvalidValues(t *testing.T) {
 	for name, values := range map[string][]any{
 		"uid":       {"", "run-", "run-x", "job-000001", "run-000001/2", "run-0000000000000000000000"},
 		"shape":     {"gang", "Sweep", ""},
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestParseJob_RejectsBodyThatIsNoObject(t *testing.T) {
+func TestParseJobRejectsBodyThatIsNoObject(t *testing.T) {
 	for _, body := range []string{"", "null", "[]", "3", `{"uid":`, `"x"`} {
 		if _, err := ParseJob([]byte(body)); !isBadRequest(err) {
 			t.Errorf("body %q: got error %v, want a bad request", body, err)
@@ -112,7 +112,7 @@
 }
 
 // Unknown fields are ignored, whatever their names and values are.
-func TestParseJob_IgnoresUnknownFields(t *testing.T) {
+func TestParseJobIgnoresUnknownFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := validFields()
 		for range rapid.IntRange(1, 5).Draw(t, "n") {
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -9,7 +9,7 @@
 func MustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("api: %v", err)) // a programming error: all types passed to this function can be encoded
+		panic(fmt.Sprintf("api: %v", err)) // a programming error: v cannot be encoded
 	}
 	return b
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -29,7 +29,7 @@
 	zones        *zonestate.Zones
 	accounting   *capacity.Accounting
 	scheduler    *scheduler.Scheduler
-	wake         notify.Signal
+	wake         notify.Signal // wakes the decision loop
 
 	lastSufficient sufficientHeadroom
 	reviewedAt     time.Time // when machines were last reviewed for scale-in
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -34,12 +34,12 @@
 type classDemand struct {
 	class             string
 	arrivals          []capacity.Arrival // all recorded arrivals, oldest first
-	newestSpec        *api.Job           // of the newest recent arrival; nil: no recent arrival
-	sumOfSquaredTasks float64            // of the task counts of recent arrivals
+	newestSpec        *api.Job           // specification of the newest recent arrival; nil: no recent arrival
+	sumOfSquaredTasks float64            // sum of the squared task counts of the recent arrivals
 }
 
-// newClassDemand summarizes the arrivals of a class during the last capacity.ArrivalWindowBoots boot
-// times.
+// newClassDemand summarizes the arrivals of a class during the last capacity.ArrivalWindowBoots
+// boot times.
 func newClassDemand(class string, arrivals []capacity.Arrival, boot time.Duration, now time.Time) classDemand {
 	demand := classDemand{class: class, arrivals: arrivals}
 	for _, arrival := range arrivals {
@@ -59,8 +59,8 @@
 
 // headroomRequests returns the capacity to keep free for tasks that have not arrived yet. Classes
 // whose jobs cannot wait for a machine to boot get capacity for the deviation of arrivals during
-// one boot time, by the policy, or for their expected growth if that is larger. No capacity is kept
-// for the average number of arrivals, because tasks that end in the same time free it.
+// one boot time, as the policy specifies, or for their expected growth if that is larger. No
+// capacity is kept for the average number of arrivals, because tasks that end in that time free it.
 func (a *Autoscaler) headroomRequests(now time.Time) []HeadroomRequest {
 	boot := a.catalog.ShortestBoot()
 	if boot == 0 {
@@ -176,9 +176,10 @@
 	return ending
 }
 
-// headroomMachines returns the idle machines that the headroom needs: those that its tasks would be
-// assigned to after the capacity of machines in use is exhausted. It subtracts the capacity that it
-// assigns from the hosts.
+// headroomMachines returns the idle machines that the headroom needs: those to which its tasks
+// would be assigned once the capacity of machines in use is exhausted. The tasks of each class are
+// assigned to copies of the hosts, so the hosts do not change, and the same capacity may be
+// assigned to several classes.
 func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
 	machines := map[string]bool{}
 	for _, headroom := range a.headroomRequests(now) {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -14,8 +14,8 @@
 	Fences []*agent.DirectCommand // to workers that have not shown this leader's term yet
 }
 
-// missesUntilTerminated is the number of the cloud's consecutive lists without a machine after
-// which it counts as terminated.
+// missesUntilTerminated is the number of consecutive lists of the cloud that lack a machine after
+// which the machine counts as terminated.
 const missesUntilTerminated = 2
 
 // ScaleIn returns the machines of the shards that this controller leads that are to be returned. It
@@ -41,9 +41,9 @@
 		if worker.Terminated {
 			continue
 		}
-		// A starting machine answers nothing and a command to it blocks its connection, so it is
-		// not fenced. Every worker is fenced once when the shard is acquired, because the list
-		// lags.
+		// A machine that the cloud lists as starting does not respond, and a command to it blocks
+		// its connection, so it is not fenced here. Because the list may be outdated, every worker
+		// is fenced once when the shard is acquired.
 		if !worker.Fenced() && !a.agents.Listing().IsStarting(host) {
 			if command := a.commands.PrepareFence(host); command != nil {
 				decision.Fences = append(decision.Fences, command)
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -13,9 +13,10 @@
 	"violetturn/internal/statecache"
 )
 
-// ScaleInReview is one run of the check which machines to cordon. Idle and underused machines are
-// evaluated against a plan of all machines, which is the most expensive computation of a
-// controller. The plan is therefore made at most once, and only if a machine requires it.
+// ScaleInReview is one run of the check that determines which machines to cordon. Idle and
+// underused machines are evaluated against a plan of all machines, which is the most expensive
+// computation of a controller. The plan is therefore made at most once, and only if a machine
+// requires it.
 type ScaleInReview struct {
 	autoscaler         *Autoscaler
 	now                time.Time
@@ -69,7 +70,7 @@
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
 	termAge := r.now.Sub(worker.CreatedAt)
 	if age > 4*bootDuration(machineType)+settings.WorkerLease() && termAge > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
+		r.cordon(host, worker, "no heartbeat under this term: never started, or stopped responding before the shard was acquired")
 	}
 }
 
@@ -79,7 +80,7 @@
 func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
 	silenceLimit := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
 	if r.now.Sub(worker.LastAnswered) > silenceLimit && r.now.Sub(worker.LastSeen) > silenceLimit {
-		r.cordon(host, worker, "silent for long")
+		r.cordon(host, worker, "no heartbeat for more than twice the worker lease bound")
 	}
 }
 
@@ -107,13 +108,14 @@
 	}
 	if r.now.Sub(worker.UnderusedSince) > 2*boot && r.now.Sub(r.autoscaler.migratedAt) > boot {
 		r.autoscaler.migratedAt = r.now
-		r.cordon(host, worker, "its replicas fit elsewhere")
+		r.cordon(host, worker, "its service replicas fit on other machines")
 	}
 }
 
 // evaluateIdle cordons a machine that has been idle for longer than the policy keeps it, unless the
-// headroom or a gang needs it. In a zone that is down or recovering, machines are idle because
-// their capacity is reserved or jobs are held back, and they will be needed soon.
+// headroom or a gang needs it. It does not cordon machines in a zone that is down or recovering:
+// they are idle because their capacity is reserved or the zone does not admit all jobs yet, and
+// will be needed soon.
 func (r *ScaleInReview) evaluateIdle(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
 	if worker.IdleSince.IsZero() {
 		worker.IdleSince = r.now
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -11,7 +11,7 @@
 )
 
 // sufficientHeadroom records when the headroom was last compared with the capacity, and for how
-// many tasks of each class it sufficed.
+// many tasks of each class the capacity sufficed.
 type sufficientHeadroom struct {
 	checkedAt    time.Time
 	tasksByClass map[string]int
@@ -19,8 +19,8 @@
 
 // DueHeadroom returns the headroom to check and rent for now, or nil if no check is due. One
 // controller, the leader of the first shard, does this for all. A new check may be delayed by a
-// time that is short compared with a boot, unless a class needs headroom for more tasks than last
-// sufficed.
+// time that is short compared with the boot time of a machine, unless a class needs headroom for
+// more tasks than the last check found sufficient capacity for.
 func (a *Autoscaler) DueHeadroom(now time.Time) []HeadroomRequest {
 	if !a.leadership.Leads(a.node.Shards[0]) {
 		return nil
@@ -40,8 +40,9 @@
 		return nil
 	}
 	plan := a.scheduler.RecentPlan(now)
-	homeZone := a.node.Settings.Zone
-	orders := sched.PlanRentals(plan.UnmetDemand, a.freeCapacity.ProvisioningHosts(now, false), a.catalog.AvailableOffers(now), homeZone)
+	preferredZone := a.node.Settings.Zone
+	orders := sched.PlanRentals(plan.UnmetDemand, a.freeCapacity.ProvisioningHosts(now, false),
+		a.catalog.AvailableOffers(now), preferredZone)
 	if len(headroom) == 0 {
 		return orders
 	}
@@ -52,7 +53,7 @@
 	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
 	for _, request := range headroom {
 		candidates := a.freeCapacity.WithPreemptibleCapacity(hosts, request.priority)
-		additional := sched.PlanRentals(request.demands, candidates, a.catalog.AvailableOffers(now), homeZone)
+		additional := sched.PlanRentals(request.demands, candidates, a.catalog.AvailableOffers(now), preferredZone)
 		if len(additional) == 0 { // otherwise the next run rents the rest, as one run's rentals are limited
 			sufficient.tasksByClass[request.class] = request.taskCount()
 		}
@@ -62,15 +63,15 @@
 	return orders
 }
 
-// RentingShard is the shard that machines are rented for, and the time of that decision.
+// RentingShard is the shard for which machines are rented, and the time of that decision.
 type RentingShard struct {
 	Shard     string // "": this controller leads no shard
 	Term      uint64
 	DecidedAt time.Time
 }
 
-// RentingShard returns the shard that machines are rented for: this controller's home shard if it
-// leads that, otherwise the first shard that it leads.
+// RentingShard returns the shard for which machines are rented: the shard named after this
+// controller if it leads that, otherwise the first shard that it leads.
 func (a *Autoscaler) RentingShard(now time.Time) RentingShard {
 	renting := RentingShard{DecidedAt: now}
 	for _, name := range a.node.Shards {
@@ -82,8 +83,8 @@
 	return renting
 }
 
-// RecordRental records the cloud's response to a rental request, and reports whether the cloud rented
-// fewer machines than requested. After an error other than cloud.ErrNoCapacity it is unknown
+// RecordRental records the cloud's response to a rental request, and reports whether the cloud
+// rented fewer machines than requested. After an error other than cloud.ErrNoCapacity it is unknown
 // whether machines were rented.
 func (a *Autoscaler) RecordRental(request cloud.RentalRequest, hosts []string, err error, renting RentingShard) (refused bool) {
 	offer := sched.Offer{MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot}
--- a/internal/capacity/accounting.go
+++ b/internal/capacity/accounting.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Accounting computes and writes what shards offer to peers and what teams use of their quotas. The
-// lock of internal/state guards it.
+// Accounting computes what shards offer to peers and what teams use of their quotas, and adds the
+// writes of these records to transactions. The lock of internal/state guards it.
 type Accounting struct {
 	node         *node.Info
 	cache        *statecache.Cache
@@ -51,7 +51,7 @@
 	}
 }
 
-// Arrivals returns the recent arrivals of jobs.
+// Arrivals returns the recently accepted jobs.
 func (a *Accounting) Arrivals() *Arrivals { return a.arrivals }
 
 // putCapacityRecord adds the write of a shard's capacity record to a transaction, conditional on
@@ -83,7 +83,7 @@
 const maxQuotaUseBytes = 128
 
 // trimCapacity removes machines from a shard's free capacity until it fits in the capacity record
-// together with the teams' usage, and returns how many it removed.
+// together with the teams' usage. It returns the number of machines that it removed.
 func (a *Accounting) trimCapacity(free shard.FreeCapacity, quotaUse map[string]sched.Resources, now time.Time) (omitted int) {
 	maxBytes := a.schema.MaxGrowableBytes() - maxQuotaUseBytes*len(quotaUse)
 	if free.FitsIn(maxBytes) {
--- a/internal/capacity/arrivals.go
+++ b/internal/capacity/arrivals.go
@@ -11,14 +11,14 @@
 	"violetturn/internal/node"
 )
 
-// MinArrivalsPerClass is the minimum of the limit on arrivals that are kept per class.
+// MinArrivalsPerClass is the lower bound of the limit on the number of arrivals kept per class.
 const MinArrivalsPerClass = 1024
 
 // ArrivalWindowBoots is the number of boot times during which an arrival counts as recent.
 const ArrivalWindowBoots = 4
 
 // maxClasses bounds the number of classes whose arrivals are recorded, because users can name
-// classes freely.
+// classes freely. An arrival of a class beyond it replaces all recorded arrivals.
 const maxClasses = 64
 
 // Arrival is an accepted job.
@@ -29,8 +29,8 @@
 }
 
 // Arrivals records recently accepted jobs by class, oldest first. The number of entries per class
-// is limited to the number of jobs that can be accepted within ArrivalWindowBoots boot times, but at
-// least MinArrivalsPerClass. The lock of internal/state guards it.
+// is limited to the number of jobs that can be accepted within ArrivalWindowBoots boot times, but
+// at least MinArrivalsPerClass. The lock of internal/state guards it.
 type Arrivals struct {
 	node    *node.Info
 	catalog *catalog.Catalog
@@ -41,7 +41,7 @@
 	return &Arrivals{node: node, catalog: catalog, byClass: map[string][]Arrival{}}
 }
 
-// Record records an accepted job.
+// Record adds an accepted job.
 func (a *Arrivals) Record(record *job.Record) {
 	class := record.Spec.Class
 	if a.byClass[class] == nil && len(a.byClass) >= maxClasses {
@@ -69,8 +69,8 @@
 // ByClass iterates over the classes and their arrivals, oldest first.
 func (a *Arrivals) ByClass() iter.Seq2[string, []Arrival] { return maps.All(a.byClass) }
 
-// ArrivedSince reports whether, in any class, the newest arrival is a job of the given kind that was
-// accepted after since.
+// ArrivedSince reports whether, in any class, the newest arrival is a job of the given kind that
+// was accepted after since.
 func (a *Arrivals) ArrivedSince(kind api.JobKind, since time.Time) bool {
 	for _, arrivals := range a.byClass {
 		if len(arrivals) == 0 {
--- a/internal/capacity/arrivals_test.go
+++ b/internal/capacity/arrivals_test.go
@@ -60,18 +60,18 @@
 	a := newTestArrivals(t)
 	now := time.Unix(1_800_000_000, 0)
 	if a.ArrivedSince(api.Gang, now) {
-		t.Error("a gang arrival is reported before any arrival")
+		t.Error("before any arrival: a gang is reported, want none")
 	}
 	a.Record(arrivalRecord("a", api.Gang, now, 1))
 	a.Record(arrivalRecord("b", api.Array, now.Add(time.Minute), 1))
 	if !a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("a gang that arrived after the given time is not reported")
+		t.Error("a gang that arrived after the given time is not reported, want it reported")
 	}
 	if a.ArrivedSince(api.Gang, now) {
-		t.Error("a gang that arrived exactly at the given time is reported")
+		t.Error("a gang that arrived exactly at the given time is reported, want none")
 	}
 	a.Record(arrivalRecord("a", api.Array, now.Add(time.Minute), 1))
 	if a.ArrivedSince(api.Gang, now.Add(-time.Millisecond)) {
-		t.Error("a gang that is not the newest arrival of its class is reported")
+		t.Error("a gang that is not the newest arrival of its class is reported, want none")
 	}
 }
--- a/internal/capacity/calculator.go
+++ b/internal/capacity/calculator.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Calculator computes what is placed on machines and what capacity they have free. It has no state of its
-// own: computed loads are cached in internal/statecache. The lock of internal/state guards it.
+// Calculator computes the load and the free capacity of machines. It has no state of its own:
+// computed loads are cached in internal/statecache. The lock of internal/state guards it.
 type Calculator struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -39,18 +39,18 @@
 // LoadOf returns the load of a machine. A plan reads the loads of all machines, so a load is cached
 // until something that it depends on changes (placements, the jobs' records, ended attempts); the
 // code that makes such a change removes the cached load.
-func (r *Calculator) LoadOf(host string) *statecache.MachineLoad {
-	load := r.cache.CachedLoad(host)
+func (c *Calculator) LoadOf(host string) *statecache.MachineLoad {
+	load := c.cache.CachedLoad(host)
 	if load != nil {
 		return load
 	}
 	load = &statecache.MachineLoad{}
-	for id, task := range r.cache.Placements[host] {
-		job := r.cache.Jobs[task.UID]
+	for id, task := range c.cache.Placements[host] {
+		job := c.cache.Jobs[task.UID]
 		if job != nil {
 			load.LastPlacedMS = max(load.LastPlacedMS, job.Record.AcceptedMS+task.Placement.PlacedS*1000)
 		}
-		if r.agents.IsCompleted(host, id, task) {
+		if c.agents.IsCompleted(host, id, task) {
 			continue
 		}
 		if job == nil {
@@ -70,40 +70,40 @@
 			load.RunningByPriority[priority] = load.RunningByPriority[priority].Add(need)
 		}
 	}
-	r.cache.CacheLoad(host, load)
+	c.cache.CacheLoad(host, load)
 	return load
 }
 
 // UnfinishedTasks returns the number of unfinished tasks on a machine.
-func (r *Calculator) UnfinishedTasks(host string) int {
-	load := r.LoadOf(host)
+func (c *Calculator) UnfinishedTasks(host string) int {
+	load := c.LoadOf(host)
 	return load.Services + load.Arrays
 }
 
-// StartDelay estimates the seconds until a machine's worker sends the heartbeat whose answer can
+// StartDelay estimates the seconds until a machine's worker sends the heartbeat whose response can
 // start a task. A raised token makes a worker send a heartbeat early, but another raise shortly
-// afterwards does not. For a peer's machine, the time of the last placement on it stands for the
-// last raise.
-func (r *Calculator) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
+// afterwards does not. For a peer's machine, whose raises are unknown here, the time of the last
+// placement on it is used instead.
+func (c *Calculator) StartDelay(host string, load *statecache.MachineLoad, now time.Time) float64 {
 	tokenChangedAt := time.UnixMilli(load.LastPlacedMS)
-	if worker := r.agents.Agent(host); worker != nil {
+	if worker := c.agents.Agent(host); worker != nil {
 		tokenChangedAt = worker.LastTokenChange()
 	}
-	if now.Sub(tokenChangedAt) < r.node.Settings.WorkerLease()/2 {
-		return r.node.Settings.HeartbeatInterval().Seconds() / 2
+	if now.Sub(tokenChangedAt) < c.node.Settings.WorkerLease()/2 {
+		return c.node.Settings.HeartbeatInterval().Seconds() / 2
 	}
 	return 0
 }
 
-// WithPreemptibleCapacity returns copies of the machines whose free capacity includes that of tasks of
-// lower priority: headroom need not be kept there, because those tasks can be preempted when it is
-// needed.
-func (r *Calculator) WithPreemptibleCapacity(hosts []*sched.Host, priority int) []*sched.Host {
+// WithPreemptibleCapacity returns copies of the machines, in whose free capacity the resources of
+// tasks of lower priority than the given one are included. These count as free for headroom,
+// because the tasks can be preempted when the headroom is needed.
+func (c *Calculator) WithPreemptibleCapacity(hosts []*sched.Host, priority int) []*sched.Host {
 	copies := make([]sched.Host, len(hosts)) // one allocation for all
 	pointers := make([]*sched.Host, len(hosts))
 	for i, host := range hosts {
 		copies[i] = *host
-		load := r.LoadOf(host.Name)
+		load := c.LoadOf(host.Name)
 		for lower := priority + 1; lower < len(load.RunningByPriority); lower++ {
 			copies[i].Free = copies[i].Free.Add(load.RunningByPriority[lower])
 		}
@@ -118,25 +118,25 @@
 
 // isSchedulable reports whether tasks may be placed on a machine of a shard that this controller
 // leads.
-func (r *Calculator) isSchedulable(host string, now time.Time) bool {
-	worker := r.agents.Agent(host)
+func (c *Calculator) isSchedulable(host string, now time.Time) bool {
+	worker := c.agents.Agent(host)
 	if worker == nil || !worker.Fenced() || worker.Terminated || worker.LeaseExpired || worker.Cordoned || worker.Unresponsive() {
 		return false
 	}
 	return worker.Heartbeat.SpotNoticeS == nil && !now.Before(worker.AvoidUntil) &&
-		now.Sub(worker.LastSeen) < maxMissedHeartbeats*r.node.Settings.HeartbeatInterval()
+		now.Sub(worker.LastSeen) < maxMissedHeartbeats*c.node.Settings.HeartbeatInterval()
 }
 
 // freeInShard returns the free capacity of the schedulable machines of a shard that this controller
 // leads, computed from the committed placements without those whose tasks have ended. Machines
 // without free capacity are omitted.
-func (r *Calculator) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
+func (c *Calculator) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
-	for _, host := range r.cache.MachineNames() {
-		if r.cache.Machines[host].Shard != shardName {
+	for _, host := range c.cache.MachineNames() {
+		if c.cache.Machines[host].Shard != shardName {
 			continue
 		}
-		if amount, _, ok := r.FreeOnMachine(host, now); ok {
+		if amount, _, ok := c.FreeOnMachine(host, now); ok {
 			free[host] = amount
 		}
 	}
@@ -148,36 +148,36 @@
 const minFree = 1e-6
 
 // FreeOnMachine returns the free capacity and the size of a machine of a shard that this controller
-// leads; ok is false if the machine has no free capacity or cannot take tasks.
-func (r *Calculator) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
-	if !r.isSchedulable(host, now) {
+// leads. ok is false if the machine has no free capacity or no tasks may be placed on it.
+func (c *Calculator) FreeOnMachine(host string, now time.Time) (free, size sched.Resources, ok bool) {
+	if !c.isSchedulable(host, now) {
 		return sched.Resources{}, sched.Resources{}, false
 	}
-	size, machineType := r.catalog.MachineCapacity(r.cache.Machines[host].MachineType)
+	size, machineType := c.catalog.MachineCapacity(c.cache.Machines[host].MachineType)
 	if machineType == nil {
 		return sched.Resources{}, size, false
 	}
-	free = size.Sub(r.LoadOf(host).Used)
+	free = size.Sub(c.LoadOf(host).Used)
 	return free, size, free.CPUs > minFree && free.MemGB > minFree
 }
 
-// ProvisioningHosts returns the machines that are still booting: all, or those rented for this
-// controller's shards.
-func (r *Calculator) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
+// ProvisioningHosts returns the machines that are still booting, with their whole capacity free:
+// all of them, or only those that were rented for shards that this controller leads.
+func (c *Calculator) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var hosts []*sched.Host
-	for name, machine := range r.cache.Machines {
-		if !all && !r.leadership.Leads(machine.RentedFor) || len(r.cache.Placements[name]) > 0 {
+	for name, machine := range c.cache.Machines {
+		if !all && !c.leadership.Leads(machine.RentedFor) || len(c.cache.Placements[name]) > 0 {
 			continue
 		}
-		size, machineType := r.catalog.MachineCapacity(machine.MachineType)
-		record := r.cache.Capacities[machine.Shard].Record
+		size, machineType := c.catalog.MachineCapacity(machine.MachineType)
+		record := c.cache.Capacities[machine.Shard].Record
 		if machineType == nil || record == nil {
 			continue
 		}
 		if _, offered := record.Free[name]; offered {
 			continue
 		}
-		if worker := r.agents.Agent(name); worker != nil && worker.Fenced() {
+		if worker := c.agents.Agent(name); worker != nil && worker.Fenced() {
 			continue
 		}
 		if float64(now.UnixMilli()-machine.RegisteredMS)/1000 > 2*machineType.BootS {
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -9,14 +9,14 @@
 	"violetturn/internal/statecache"
 )
 
-// Placement is a task and the machine to place it on.
+// Placement is a task and the machine on which to place it.
 type Placement struct {
 	UID        string
 	RangeIndex int
 	Index      int // within the task range
 	Host       *sched.Host
 
-	Victims []*statecache.PlacedTask // tasks on the machine to be preempted for it
+	Victims []*statecache.PlacedTask // tasks on the machine that are to be preempted for the task
 }
 
 // shardClaim is a shard's free capacity and quota usage after a transaction.
@@ -47,8 +47,7 @@
 	return claim
 }
 
-// Claims are the capacity claims of one transaction, by shard. They are used for one transaction
-// only.
+// Claims contains the claims that one transaction makes on the free capacity and quotas of shards.
 type Claims struct {
 	accounting *Accounting
 	byShard    map[string]*shardClaim
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -17,9 +17,9 @@
 }
 
 // expectedPeerDemand returns the capacity that peers are likely to claim in the shards of this
-// controller, from the pending tasks of their jobs and from recent arrivals. It decides which
-// machines a capacity record names if it cannot name all. The result is computed at most once per
-// heartbeat interval.
+// controller, estimated from the pending tasks of their jobs and from recent arrivals. It
+// determines which machines a capacity record contains if it cannot contain all. The result is
+// computed at most once per heartbeat interval.
 func (a *Accounting) expectedPeerDemand(now time.Time) []shard.PeerDemand {
 	if !a.peerDemand.computedAt.IsZero() && now.Sub(a.peerDemand.computedAt) < a.node.Settings.HeartbeatInterval() {
 		return a.peerDemand.demands
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -11,7 +11,7 @@
 	"violetturn/internal/statecache"
 )
 
-// HeldQuota is how a team's quota is divided between one shard and all others.
+// HeldQuota contains the shares of a team's quota that one shard and all other shards hold.
 type HeldQuota struct {
 	Held         sched.Resources // by the shard
 	HeldByOthers sched.Resources // sum over all other shards
@@ -43,8 +43,8 @@
 // quotaGrant is the decision whether a team may use an amount of resources in a shard.
 type quotaGrant struct {
 	granted    bool
-	growsShare bool            // granted only if the shard gets a larger share than it holds
-	share      sched.Resources // the larger share
+	growsShare bool            // the shard needs a larger share than it holds
+	share      sched.Resources // the larger share, if granted
 }
 
 // quotaGrantFor decides whether a team's usage in a shard may be quotaUse. It is granted if the
@@ -125,11 +125,11 @@
 	}
 }
 
-// ReclaimTransaction returns a transaction that takes back the unused quota shares of a team whose
-// quota did not suffice for a placement; nil if there is nothing to take back. A gang may need its
-// team's whole limit at once, although each shard's unused share is too small for the shard to
-// return it on its own. The transaction writes each shard's capacity record together with
-// its share, so that no concurrent placement there relies on the old share.
+// ReclaimTransaction returns a transaction that reduces the quota shares of shards to what is used
+// there, for a team whose quota did not suffice for a placement; nil if there is no unused share. It
+// is needed because a gang may need its team's whole limit at once, while each shard's unused share
+// is too small for the shard to return it on its own. The transaction writes each shard's capacity
+// record together with its share, so that no concurrent placement there relies on the old share.
 func (a *Accounting) ReclaimTransaction(now time.Time) *statecache.Transaction {
 	claims := a.NewClaims()
 	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
@@ -165,9 +165,9 @@
 	}
 }
 
-// CountsAgainstQuota reports whether the tasks of a gang count against a quota. Even after the gang
-// has finished, a task on a machine whose worker does not respond may still use its capacity, so
-// the gang's record is kept until the ends of all its tasks have been received.
+// CountsAgainstQuota reports whether the tasks of a gang count against a quota. If so, the gang's
+// record is kept until the ends of all its tasks have been received, because even after the gang
+// has finished, a task on a machine whose worker does not respond may still use its resources.
 func (a *Accounting) CountsAgainstQuota(job *statecache.Job) bool {
 	team, _ := a.node.Settings.Team(job.Record.Spec.Team)
 	return team.HasLimit()
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -33,27 +33,27 @@
 func (a *Accounting) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
 	for _, name := range a.leadership.Shards() {
 		record := a.cache.Capacities[name].Record
-		inForce := a.leadership.InForce(name)
-		if inForce == nil || record == nil || !a.catalog.IsLoaded() {
+		shardLeadership := a.leadership.InForce(name)
+		if shardLeadership == nil || record == nil || !a.catalog.IsLoaded() {
 			continue
 		}
-		sinceLast := inForce.CapacityRecordAge(now)
+		sinceLast := shardLeadership.CapacityRecordAge(now)
 		if sinceLast < refreshIntervals*a.node.Settings.DecisionInterval() {
 			continue
 		}
 		update := a.newCapacityUpdate(name, now)
-		if a.isUpToDate(update, record, inForce, now) {
+		if a.isUpToDate(update, record, shardLeadership, now) {
 			continue
 		}
 		// Additional free capacity matters to peers only, and waiting tasks of this controller's
 		// jobs use it first. It is therefore offered less often while tasks wait, as is a different
-		// selection of machines where the record cannot name all. A decrease of capacity is
+		// selection of machines where the record cannot contain all. A decrease of capacity is
 		// recorded without that delay.
 		recent := sinceLast < refreshIntervalsWhileTasksWait*a.node.Settings.DecisionInterval()
 		if len(update.reducedShares) == 0 && recent && tasksWait() && offersRemainValid(update.free, record.Free) {
 			continue
 		}
-		inForce.MarkCapacityRecorded(now)
+		shardLeadership.MarkCapacityRecorded(now)
 		return a.updateTransaction(name, update)
 	}
 	return nil
@@ -82,7 +82,9 @@
 
 // isUpToDate reports whether a shard's capacity record already contains all that an update would
 // write.
-func (a *Accounting) isUpToDate(update capacityUpdate, record *shard.CapacityRecord, inForce *leadership.Leadership, now time.Time) bool {
+func (a *Accounting) isUpToDate(update capacityUpdate, record *shard.CapacityRecord,
+	shardLeadership *leadership.Leadership, now time.Time,
+) bool {
 	free := update.free
 	if len(record.Free) < len(free) { // compare with what would be recorded
 		free = maps.Clone(free)
@@ -91,7 +93,7 @@
 	if !maps.Equal(free, record.Free) || !maps.Equal(update.quotaUse, record.QuotaUse) || len(update.reducedShares) > 0 {
 		return false
 	}
-	return !record.PredecessorMayAnswer || !now.After(inForce.PredecessorAnswersUntil)
+	return !record.PredecessorMayAnswer || !now.After(shardLeadership.PredecessorAnswersUntil)
 }
 
 // updateTransaction returns a transaction that writes a shard's capacity record and as many of the
@@ -111,7 +113,7 @@
 }
 
 // offeredCapacity returns the free capacity of the machines of a shard that this controller leads,
-// rounded as in its capacity record.
+// rounded as in the shard's capacity record.
 func (a *Accounting) offeredCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
 	for host, amount := range a.freeCapacity.freeInShard(shardName, now) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -78,13 +78,14 @@
 		return false
 	}
 	if got := len(c.AvailableOffers(now)); got != 6 || !available(now) {
-		t.Fatalf("%d offers, want 6 with %+v available", got, refused)
+		t.Fatalf("%d offers, with %+v available: %t, want 6, true", got, refused, available(now))
 	}
 	for i, delay := range []time.Duration{15, 30, 60, 120, 120} {
 		delay *= time.Second
 		c.BackOff(&refused, now)
 		if available(now) || available(now.Add(delay)) || !available(now.Add(delay+1)) {
-			t.Errorf("refusal %d: offer is not unavailable for exactly %v", i+1, delay)
+			t.Errorf("refusal %d: offer is available at once: %t, after %v: %t, 1 ns later: %t, want false, false and true",
+				i+1, available(now), delay, available(now.Add(delay)), available(now.Add(delay+1)))
 		}
 	}
 	if got := len(c.AvailableOffers(now)); got != 5 {
@@ -92,7 +93,7 @@
 	}
 	c.ClearBackoff(&refused)
 	if !available(now) {
-		t.Error("offer is not available after ClearBackoff")
+		t.Errorf("offer %+v is not available after ClearBackoff, want it available", refused)
 	}
 }
 
@@ -101,7 +102,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	for _, spot := range []bool{false, true} {
 		if c.AllOffersRefused("y", now) {
-			t.Errorf("zone y counts as refused although one of its offers was not refused")
+			t.Errorf("zone y counts as refused before its offer with spot %t was refused, want not refused", spot)
 		}
 		c.BackOff(&sched.Offer{MachineType: "large", Zone: "y", Spot: spot}, now)
 	}
@@ -109,7 +110,7 @@
 		t.Errorf("refused: zone x %t, zone y %t, want false and true", c.AllOffersRefused("x", now), c.AllOffersRefused("y", now))
 	}
 	if New(c.node).AllOffersRefused("y", now) {
-		t.Error("zone y counts as refused before the machine types are read")
+		t.Error("zone y counts as refused before the machine types are read, want not refused")
 	}
 }
 
--- a/internal/catalog/jobs.go
+++ b/internal/catalog/jobs.go
@@ -9,8 +9,8 @@
 // are not exact.
 const quotaTolerance = 1e-6
 
-// FetchSeconds returns the minimum number of seconds that fetching a job's image takes; 0 if no
-// fetch rate is known.
+// FetchSeconds returns the number of seconds that fetching a job's image takes on the machine type
+// that fetches fastest; 0 if the catalog contains no fetch rate.
 func (c *Catalog) FetchSeconds(spec *api.Job) float64 {
 	fastestGBPerS := 0.0
 	for i := range c.machineTypes {
@@ -43,13 +43,13 @@
 
 // exceedsLimit reports whether the part of a job that must run at the same time exceeds its team's
 // limits: one task of an array, all tasks of any other job. A limit of 0 means unlimited.
-func exceedsLimit(spec *api.Job, cpusMax, gpusMax float64) bool {
+func exceedsLimit(spec *api.Job, maxCPUs, maxGPUs float64) bool {
 	concurrentTasks := 1.0
 	if spec.Kind != api.Array {
 		concurrentTasks = float64(spec.Tasks)
 	}
-	return cpusMax > 0 && spec.CPUs*concurrentTasks > cpusMax+quotaTolerance ||
-		gpusMax > 0 && spec.GPUs*concurrentTasks > gpusMax+quotaTolerance
+	return maxCPUs > 0 && spec.CPUs*concurrentTasks > maxCPUs+quotaTolerance ||
+		maxGPUs > 0 && spec.GPUs*concurrentTasks > maxGPUs+quotaTolerance
 }
 
 // zonesFor returns the zones that have a machine type on which a task of the job may run.
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -23,7 +23,7 @@
 	delay time.Duration
 }
 
-// AvailableOffers returns all offers except those that were refused recently.
+// AvailableOffers returns all offers except refused ones whose backoff has not ended.
 func (c *Catalog) AvailableOffers(now time.Time) []sched.Offer {
 	var offers []sched.Offer
 	for i := range c.machineTypes {
@@ -51,7 +51,7 @@
 // quarter of the boot time up to two boot times, because a refused offer seldom becomes available
 // sooner than a machine would boot.
 func (c *Catalog) BackOff(offer *sched.Offer, now time.Time) {
-	boot := c.node.Settings.WorkerLease()
+	boot := c.node.Settings.WorkerLease() // substitute for the boot time if the machine type is unknown
 	if _, machineType := c.MachineCapacity(offer.MachineType); machineType != nil {
 		boot = durationOfSeconds(machineType.BootS)
 	}
@@ -65,8 +65,8 @@
 // one back.
 func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, offerKeyOf(offer)) }
 
-// AllOffersRefused reports whether the cloud recently refused every offer of a zone. It is false before
-// the machine types are read.
+// AllOffersRefused reports whether a zone has no available offer, because the cloud refused all of
+// them recently. It returns false before the machine types have been read.
 func (c *Catalog) AllOffersRefused(zone string, now time.Time) bool {
 	available := false
 	for _, offer := range c.AvailableOffers(now) {
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -29,8 +29,8 @@
 	return respond.Busy
 }
 
-// tryCancel reads a job's state and makes one attempt to cancel the job. settled is false if another
-// attempt is needed.
+// tryCancel reads a job's state and makes one attempt to cancel the job. settled is false if
+// another attempt is needed.
 func (f *Frontend) tryCancel(ctx context.Context, uid string) (response transport.Response, settled bool) {
 	current, err := f.jobState(ctx, uid)
 	if err != nil {
@@ -50,9 +50,9 @@
 	return f.commitCancellation(ctx, uid, txn)
 }
 
-// planCancellation returns the transaction that cancels a job. It returns nil if the job is finished,
-// unknown or already cancelled. It also returns nil, and mustSplit is true, if the job's record must
-// be split before it can grow.
+// planCancellation returns the transaction that cancels a job. It returns nil if the job is
+// finished, unknown or already cancelled. It also returns nil, and mustSplit is true, if the job's
+// record must be split before it can grow.
 func (f *Frontend) planCancellation(uid string) (txn *statecache.Transaction, mustSplit bool) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
@@ -87,7 +87,7 @@
 	f.node.Log.Info("job cancelled", "job", uid)
 	f.wake.Notify()
 	if f.node.Settings.ConfirmsCancelAfterTasksEnd() {
-		return transport.Response{}, false // confirmed once the state shows that no task is left on a machine
+		return transport.Response{}, false // confirmed once the job's state shows that no task is left on a machine
 	}
 	return phaseResponse(statusOK, uid, api.JobCancelled), true
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -9,15 +9,16 @@
 	"violetturn/internal/storesync"
 )
 
-// Frontend serves the requests of users, workers and peers. Its methods may be called from any goroutine.
+// Frontend serves the requests of users, workers and peers. Its methods may be called from any
+// goroutine.
 type Frontend struct {
 	node         *node.Info
 	guard        *state.Guard
 	services     *external.Services
 	sync         *storesync.Sync
 	members      *membership.Membership
-	wake         notify.Signal // triggers a decision step
-	gangAccepted notify.Signal // triggered when a gang has been accepted
+	wake         notify.Signal // wakes the decision loop
+	gangAccepted notify.Signal // notified when a gang has been accepted
 
 	requestSlots chan struct{} // one element for each user request in progress, forwarded ones included
 	submissions  submissionQueue
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -5,14 +5,15 @@
 	"violetturn/internal/transport"
 )
 
-// HandleHealthCheck answers the load balancer's health check: whether it may send users to this node.
+// HandleHealthCheck returns the response to the load balancer's health check, which states whether
+// users may be sent to this node.
 func (f *Frontend) HandleHealthCheck() transport.Response {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	// A node that has just started is not ready until it has loaded all live records. A node that
-	// cannot reach the state service stays in rotation: a peer may serve its users, and in an outage
-	// for all controllers, the nodes removed from rotation would stay removed long after its end,
-	// because the load balancer doubles its retry interval.
+	// cannot reach the state service stays in rotation: a peer may serve its users, and if the state
+	// service fails for all controllers, nodes removed from rotation would stay removed long after
+	// the end of the outage, because the load balancer doubles its retry interval.
 	if !state.Cache.Loaded && state.Reachability.StoreReachable {
 		return respond.Busy
 	}
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -82,8 +82,8 @@
 	return transport.Response{Status: statusOK, Body: body}
 }
 
-// NewPeerReply returns the reply to a peer that contains the response for its user. It states that this
-// node reaches the state service.
+// NewPeerReply returns the reply to a peer that contains the response for its user. It states that
+// this node reaches the state service.
 func NewPeerReply(response transport.Response) *peer.Reply {
 	return &peer.Reply{StoreReached: true, Status: uint32(response.Status), Body: response.Body, RetryAfter: uint32(response.RetryAfter)}
 }
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// A peer is sent whether this node can serve users. Its users' requests are executed only if this node
-// can serve them, and the reply contains the exact response for the user.
-func TestHandlePeer_ReturnsExactReplies(t *testing.T) {
+// A peer is sent whether this node can serve users. Its users' requests are executed only if this
+// node can serve them, and the reply contains the exact response for the user.
+func TestHandlePeerReturnsExactReplies(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range []struct {
 		name    string
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestHandlePeer_RejectsMalformedRequests(t *testing.T) {
+func TestHandlePeerRejectsMalformedRequests(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range []struct {
 		name, method, target string
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -20,9 +20,10 @@
 	return stateResponse(f.jobState(ctx, uid))
 }
 
-// jobState returns the committed state of a job, or errUnknownJob if the job was never accepted. Any
-// other error implies nothing about the job. It refreshes the cache before it reads an unfinished
-// job, so that the state is not older than one that another node reported before the call.
+// jobState returns the committed state of a job, or errUnknownJob if the job was never accepted.
+// Any other error implies nothing about the job. It refreshes the cache before it reads an
+// unfinished job, so that the state is not older than one that another node reported before the
+// call.
 func (f *Frontend) jobState(ctx context.Context, uid string) (api.JobState, error) {
 	state := f.guard.Lock()
 	final, finished := state.FinalStates.Get(uid)
@@ -43,8 +44,8 @@
 	return f.readFinalState(ctx, uid)
 }
 
-// readFinalState reads the final state of a job from the state service, for a job whose final state is
-// not cached, and caches it.
+// readFinalState reads the final state of a job from the state service, for a job whose final state
+// is not cached, and caches it.
 func (f *Frontend) readFinalState(ctx context.Context, uid string) (api.JobState, error) {
 	item, found, err := f.services.Store.Get(ctx, statecache.FinalStateKey(uid), store.PrioritySubmission)
 	if err != nil {
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/transport"
 )
 
-// HTTP statuses of served requests and internal errors. Those of rejected requests are in package api.
+// HTTP statuses of served requests and internal errors. Package api has those of rejections.
 const (
 	statusOK            = 200
 	statusCreated       = 201
@@ -45,14 +45,14 @@
 // errorResponse returns the response to a failed request: the status and reason of an
 // api.RequestError, or a request to retry later for any other error.
 func errorResponse(err error) transport.Response {
-	var refusal *api.RequestError
-	if errors.As(err, &refusal) {
-		return respond.JSON(refusal.Status, errorBody{Error: refusal.Reason})
+	var requestError *api.RequestError
+	if errors.As(err, &requestError) {
+		return respond.JSON(requestError.Status, errorBody{Error: requestError.Reason})
 	}
 	return respond.Busy
 }
 
-// stateResponse returns the response with the state of a job, or the response to err if it is not nil.
+// stateResponse returns the response with the state of a job, or the response to err unless nil.
 func stateResponse(state api.JobState, err error) transport.Response {
 	if err != nil {
 		return errorResponse(err)
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -110,7 +110,7 @@
 	unknownJobBody       = `{"error":"no such run"}`
 )
 
-// responseCases are requests and the expected responses of one node, in the order in which they are sent.
+// responseCases are requests to one node and their expected responses, in the order of sending.
 var responseCases = []struct {
 	name           string
 	before         func(*testing.T, *testNode) // called before the request unless nil
@@ -172,9 +172,9 @@
 	{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 }
 
-// The response bodies are the same byte for byte, because users' programs parse them, whatever types
-// they are encoded from.
-func TestHandle_ReturnsExactResponses(t *testing.T) {
+// The response bodies are the same byte for byte, because users' programs parse them, whatever
+// types they are encoded from.
+func TestHandleReturnsExactResponses(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range responseCases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/frontend/routing.go
+++ b/internal/frontend/routing.go
@@ -26,8 +26,8 @@
 )
 
 // Handle routes a request of a worker, a user or the load balancer. It is a transport.Handler and
-// runs in the event loop: it responds at once to requests that only need state in memory, and starts
-// a goroutine for each other request.
+// runs in the event loop: it responds at once to requests that only need state in memory, and
+// starts a goroutine for each other request.
 func (f *Frontend) Handle(message *httpwire.Message, send func(transport.Response)) (response transport.Response, answered bool) {
 	path, _, _ := strings.Cut(message.Target, "?")
 	switch path {
@@ -75,10 +75,10 @@
 	return methodGet, &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: id}
 }
 
-// startRequest runs serve in a goroutine, with a context that ends after timeout. If maxUserRequests
-// are in progress, it does not run serve and returns false; the caller then answers at once that the
-// user should retry. The goroutine ends when serve returns; a stopping controller does not wait for
-// it.
+// startRequest runs serve in a goroutine, with a context that ends after timeout. If
+// maxUserRequests are in progress, it returns false without running serve; the caller then responds
+// at once that the user should retry. The goroutine ends when serve returns; a stopping controller
+// does not wait for it.
 func (f *Frontend) startRequest(timeout time.Duration, serve func(context.Context)) bool {
 	select {
 	case f.requestSlots <- struct{}{}:
@@ -96,8 +96,8 @@
 
 // HandleHeartbeat returns the response to a worker's heartbeat. It runs in the event loop and only
 // uses state in memory, because heartbeats take precedence over all other work.
-func (f *Frontend) HandleHeartbeat(req *httpwire.Message) transport.Response {
-	heartbeat, err := api.ParseHeartbeat(req.Body)
+func (f *Frontend) HandleHeartbeat(message *httpwire.Message) transport.Response {
+	heartbeat, err := api.ParseHeartbeat(message.Body)
 	if err != nil {
 		return errorResponse(err)
 	}
--- a/internal/frontend/submission_queue.go
+++ b/internal/frontend/submission_queue.go
@@ -29,8 +29,8 @@
 	committing bool
 }
 
-// maxWaitingSubmissions bounds the queue. Submissions beyond it are answered at once with a request to
-// retry.
+// maxWaitingSubmissions bounds the queue. Submissions beyond it are answered at once with a request
+// to retry.
 const maxWaitingSubmissions = 64
 
 // add appends a submission to the queue. added is false if the queue is full. mustCommit is true if
@@ -77,8 +77,8 @@
 	return q.committing
 }
 
-// commitSubmission queues a submission and waits for its response. It commits the next batch itself if
-// no other goroutine does.
+// commitSubmission queues a submission and waits for its response. It commits the next batch itself
+// if no other goroutine does.
 func (f *Frontend) commitSubmission(s *Submission) transport.Response {
 	added, mustCommit := f.submissions.add(s)
 	if !added {
@@ -95,9 +95,9 @@
 	}
 }
 
-// commitNextBatch commits the next batch of the queue. Another goroutine commits the batch after it,
-// so that the caller's user does not wait for later submissions. The goroutines end when the queue
-// is empty; each batch takes timing.UserRequestTimeout at most.
+// commitNextBatch commits the next batch of the queue. Another goroutine commits the batch after
+// it, so that the caller's user does not wait for later submissions. The goroutines end when the
+// queue is empty; each batch takes timing.UserRequestTimeout at most.
 func (f *Frontend) commitNextBatch() {
 	if batch := f.submissions.nextBatch(f.maxBatchSize()); len(batch) > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), timing.UserRequestTimeout)
@@ -109,15 +109,16 @@
 	}
 }
 
-// maxBatchSize returns the maximum number of submissions in one transaction. It is half of the
-// changes that a transaction may have or, if fewer, that this controller may write in a second, so
-// that a batch does not use up the write budget of decisions.
+// maxBatchSize returns the maximum number of submissions in one transaction, each of which is one
+// write. It is half of the writes that a transaction may contain or, if fewer, that this controller
+// may make in a second, so that a batch does not use up the write budget of decisions.
 func (f *Frontend) maxBatchSize() int {
 	return max(1, min(f.node.Settings.LowestLimits().TxnOps, f.sync.WritesPerSecond())/2)
 }
 
-// AcceptBatch commits submissions of different jobs in one transaction and sends each its response.
-// If the transaction conflicts because some of the jobs already exist, it retries without these.
+// AcceptBatch commits submissions of different jobs in one transaction and sends each submission
+// its response. If the transaction conflicts because some of the jobs already exist, it retries
+// without these.
 func (f *Frontend) AcceptBatch(ctx context.Context, batch []*Submission) {
 	for len(batch) > 0 {
 		priority := batchPriority(batch)
@@ -159,7 +160,7 @@
 	return txn
 }
 
-// batchPriority returns the priority of a batch's transaction: that of gangs if the batch contains one.
+// batchPriority returns the priority of a batch's transaction: that of gangs if it contains a gang.
 func batchPriority(batch []*Submission) store.Priority {
 	if slices.ContainsFunc(batch, func(s *Submission) bool { return s.Record.Spec.Kind == api.Gang }) {
 		return store.PriorityGang
@@ -167,9 +168,9 @@
 	return store.PrioritySubmission
 }
 
-// splitByConflicts splits a batch whose transaction conflicted into submissions of jobs that have no
-// record yet and can be retried, and those of jobs that exist. The keys in conflicts are those with
-// a version other than the required 0.
+// splitByConflicts splits a batch whose transaction conflicted into submissions of jobs that have
+// no record yet and can be retried, and those of jobs that exist. The keys in conflicts are those
+// with a version other than the required 0.
 func splitByConflicts(batch []*Submission, conflicts []string) (unrecorded, existing []*Submission) {
 	for _, s := range batch {
 		uid := s.Record.Spec.UID
--- a/internal/frontend/submission_queue_test.go
+++ b/internal/frontend/submission_queue_test.go
@@ -25,7 +25,7 @@
 
 // A batch contains at most one submission of each job, none whose user no longer waits, and no more
 // than the maximum size. The next batch contains the others in order.
-func TestNextBatch_TakesEachJobOnceUpToMaxSize(t *testing.T) {
+func TestNextBatchTakesEachJobOnceUpToMaxSize(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	var q submissionQueue
@@ -51,7 +51,7 @@
 
 // Exactly one caller of add has to commit until the queue is empty. A full queue accepts no more
 // submissions.
-func TestAdd_SelectsOneCommitterAndRejectsWhenFull(t *testing.T) {
+func TestAddSelectsOneCommitterAndRejectsWhenFull(t *testing.T) {
 	var q submissionQueue
 	for i := range maxWaitingSubmissions {
 		added, mustCommit := q.add(newSubmission(t.Context(), "a", api.Array))
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestBatchPriority_IsGangWhenBatchContainsGang(t *testing.T) {
+func TestBatchPriorityIsGangWhenBatchContainsGang(t *testing.T) {
 	arrays := []*Submission{newSubmission(t.Context(), "a", api.Array), newSubmission(t.Context(), "b", api.Service)}
 	if got := batchPriority(arrays); got != store.PrioritySubmission {
 		t.Errorf("batch without gangs: got priority %v, want %v", got, store.PrioritySubmission)
@@ -81,16 +81,16 @@
 }
 
 // The conflicting keys show which jobs exist: those with a record, and those with a final state.
-func TestSplitByConflicts_SeparatesExistingJobs(t *testing.T) {
+func TestSplitByConflictsSeparatesExistingJobs(t *testing.T) {
 	var batch []*Submission
 	for _, uid := range []string{"a", "b", "c", "d"} {
 		batch = append(batch, newSubmission(t.Context(), uid, api.Array))
 	}
-	rest, known := splitByConflicts(batch, []string{statecache.JobKey("b"), statecache.FinalStateKey("d"), statecache.JobKey("z")})
-	if got := jobIDs(rest); !slices.Equal(got, []string{"a", "c"}) {
+	unrecorded, existing := splitByConflicts(batch, []string{statecache.JobKey("b"), statecache.FinalStateKey("d"), statecache.JobKey("z")})
+	if got := jobIDs(unrecorded); !slices.Equal(got, []string{"a", "c"}) {
 		t.Errorf("to be retried: got jobs %v, want [a c]", got)
 	}
-	if got := jobIDs(known); !slices.Equal(got, []string{"b", "d"}) {
+	if got := jobIDs(existing); !slices.Equal(got, []string{"b", "d"}) {
 		t.Errorf("existing: got jobs %v, want [b d]", got)
 	}
 }
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -40,18 +40,19 @@
 	return f.commitSubmission(&Submission{Ctx: ctx, Record: record, Response: make(chan transport.Response, 1)})
 }
 
-// stateOrError returns the response with the state of a job, or with the refusal if the job was never
-// accepted.
-func (f *Frontend) stateOrError(ctx context.Context, uid string, refusal error) transport.Response {
+// stateOrError returns the response with the state of a job, or the response to rejection if the
+// job was never accepted.
+func (f *Frontend) stateOrError(ctx context.Context, uid string, rejection error) transport.Response {
 	current, err := f.jobState(ctx, uid)
 	if errors.Is(err, errUnknownJob) {
-		return errorResponse(refusal)
+		return errorResponse(rejection)
 	}
 	return stateResponse(current, err)
 }
 
-// checkSpec returns an error if a job can never run, or errBusy while the machine types are not loaded
-// and this cannot be determined. unfinished reports whether the job exists and is not finished.
+// checkSpec returns an error if a job can never run, or errBusy while the machine types are not
+// loaded and this cannot be determined. unfinished reports whether the job exists and is not
+// finished.
 func (f *Frontend) checkSpec(spec *api.Job) (unfinished bool, err error) {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
@@ -65,16 +66,17 @@
 	return unfinished, nil
 }
 
-// acceptsKind reports whether a job of this kind can be accepted now. Gangs are accepted only once all
-// controllers are upgraded, because the previous version would place the tasks of a gang one by one.
+// acceptsKind reports whether a job of this kind can be accepted now. Gangs are accepted only once
+// all controllers are upgraded, because the previous version would place the tasks of a gang one by
+// one.
 func (f *Frontend) acceptsKind(kind api.JobKind) bool {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
 	return kind != api.Gang || state.Schema.AllUpgraded()
 }
 
-// newRecord returns the record of a job that is accepted now. It returns errSubmissionTooLong if the
-// record is too large to grow later.
+// newRecord returns the record of a job that is accepted now. It returns errSubmissionTooLong if
+// the record is too large to grow later.
 func (f *Frontend) newRecord(spec *api.Job) (*job.Record, error) {
 	record := &job.Record{Spec: *spec, Shard: f.node.Settings.HostName, AcceptedMS: f.node.Now().UnixMilli()}
 	size := len(api.MustMarshal(record))
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -76,7 +76,7 @@
 // testRequest returns the request that the tests send.
 func testRequest() *Request { return &Request{Kind: Request_KIND_QUERY, From: "n0", Uid: "run-1"} }
 
-func TestClient_SendsRequestAndReturnsReply(t *testing.T) {
+func TestClientSendsRequestAndReturnsReply(t *testing.T) {
 	want := &Reply{StoreReached: true, Status: 200, Body: []byte("b"), RetryAfter: 3}
 	encoded, err := proto.Marshal(want)
 	if err != nil {
@@ -95,14 +95,14 @@
 
 // A request fails if the response has another status than 200 or its body is not a reply, or if the
 // peer cannot be reached.
-func TestClient_FailsWithoutReply(t *testing.T) {
+func TestClientFailsWithoutReply(t *testing.T) {
 	peer := &fakePeer{t: t, status: 404}
 	client, server := newClient(t, peer)
 	send := func() (*Reply, error) {
 		return client.Call(context.Background(), server.Listener.Addr().String(), testRequest(), time.Minute)
 	}
-	var refused *StatusError
-	if reply, err := send(); !errors.As(err, &refused) || refused.Status != 404 || reply != nil {
+	var statusError *StatusError
+	if reply, err := send(); !errors.As(err, &statusError) || statusError.Status != 404 || reply != nil {
 		t.Errorf("status 404: got reply %v and error %v, want a StatusError with status 404", reply, err)
 	}
 	peer.setResponse(200, []byte{0xff})
--- a/internal/scaling/list.go
+++ b/internal/scaling/list.go
@@ -14,8 +14,8 @@
 	readAt  time.Time     // when the list was last read completely
 }
 
-// listTimeoutIntervals is the number of intervals between two listings after which an unfinished
-// listing is abandoned.
+// listTimeoutIntervals is the time after which an unfinished listing is abandoned, as a multiple of
+// the interval between two listings.
 const listTimeoutIntervals = 4
 
 // readMachineList reads up to config.CloudCallsPerRun pages of the cloud's list, if a listing is
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -23,7 +23,7 @@
 const (
 	rentalFulfilled      rentalOutcome = iota // all machines were rented, or as many as one run may request
 	rentalRefused                             // the cloud rented fewer machines than requested
-	rentalOutcomeUnknown                      // a request got no response
+	rentalOutcomeUnknown                      // a request failed, but the cloud may have carried it out
 )
 
 // scaleOut rents machines for tasks that lack capacity and for the headroom. It reports whether an
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -8,7 +8,7 @@
 )
 
 // scaleIn fences workers that have not shown this leader's term, and returns machines that are not
-// needed. After a failed return, the next run decides anew.
+// needed. If a return fails, the next run decides again which machines to return.
 func (l *Loop) scaleIn(ctx context.Context) {
 	state := l.guard.Lock()
 	decision := state.Autoscaler.ScaleIn(l.node.Now())
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -15,7 +15,7 @@
 	"violetturn/internal/timing"
 )
 
-// Loop rents, lists and returns machines.
+// Loop is the autoscaling loop: it rents, lists and returns machines.
 type Loop struct {
 	node      *node.Info
 	guard     *state.Guard
@@ -59,8 +59,8 @@
 	// maxRentalAttempts is the maximum number of rental decisions in one run. After a refusal, the
 	// next best offer is tried at once.
 	maxRentalAttempts = 6
-	// machineTypesMaxAgeLeases is the number of worker leases after which the machine types are
-	// read again.
+	// machineTypesMaxAgeLeases is the age, in worker lease durations, above which the machine types
+	// are read again.
 	machineTypesMaxAgeLeases = 2
 )
 
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -190,10 +190,10 @@
 	readAt := l.machineTypesReadAt
 	now = readAt.Add(machineTypesMaxAgeLeases * l.node.Settings.WorkerLease())
 	if readCloud(); !l.machineTypesReadAt.Equal(readAt) {
-		t.Errorf("machine types read again before they were too old")
+		t.Errorf("machine types last read at %v although not too old, want %v", l.machineTypesReadAt, readAt)
 	}
 	now = now.Add(1)
 	if readCloud(); !l.machineTypesReadAt.Equal(now) {
-		t.Errorf("machine types not read again although they were too old")
+		t.Errorf("machine types last read at %v although too old, want %v", l.machineTypesReadAt, now)
 	}
 }
