--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -9,7 +9,7 @@
 }
 
 // CommandBatch is a list of commands for one worker. It is sent in the response to a heartbeat, or
-// directly to /commands and then with the agent epoch for which it is meant.
+// directly to the worker's /commands path and then states the agent epoch for which it is meant.
 type CommandBatch struct {
 	Token      uint64    `json:"baton"` // fencing token of the shard's leader
 	AgentEpoch uint64    `json:"tenure,omitempty"`
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -11,7 +11,7 @@
 // ScaleIn is the result of one scale-in decision.
 type ScaleIn struct {
 	Return []string               // names of the machines to return to the cloud
-	Fences []*agent.DirectCommand // to workers that have not shown this leader's term yet
+	Fences []*agent.DirectCommand // send this leader's fencing token to workers that have not shown its term yet
 }
 
 // missesUntilTerminated is the number of consecutive lists of the cloud that lack a machine after
--- a/internal/capacity/quota.go
+++ b/internal/capacity/quota.go
@@ -126,10 +126,11 @@
 }
 
 // ReclaimTransaction returns a transaction that reduces the quota shares of shards to what is used
-// there, for a team whose quota did not suffice for a placement; nil if there is no unused share. It
-// is needed because a gang may need its team's whole limit at once, while each shard's unused share
-// is too small for the shard to return it on its own. The transaction writes each shard's capacity
-// record together with its share, so that no concurrent placement there relies on the old share.
+// there, for a team whose quota did not suffice for a placement; nil if there is no unused share.
+// It is needed because a gang may need its team's whole limit at once, while each shard's unused
+// share is too small for the shard to return it on its own. The transaction writes each shard's
+// capacity record together with its share, so that no concurrent placement there relies on the old
+// share.
 func (a *Accounting) ReclaimTransaction(now time.Time) *statecache.Transaction {
 	claims := a.NewClaims()
 	for _, team := range slices.Sorted(maps.Keys(a.quotaShortages)) {
--- a/internal/frontend/cancellations.go
+++ b/internal/frontend/cancellations.go
@@ -14,9 +14,9 @@
 // job's record.
 const maxCancelAttempts = 4
 
-// cancel commits a cancellation and then confirms it. Any node can do this, because the start of a
-// task is committed with a precondition on the same record: a start that was planned before the
-// cancellation was committed fails with a conflict.
+// cancel commits a cancellation and then confirms it. Any controller can do this, because the start
+// of a task is committed with a precondition on the same record: a start that was planned before
+// the cancellation was committed fails with a conflict.
 func (f *Frontend) cancel(ctx context.Context, uid string) transport.Response {
 	if !api.ValidUID(uid) {
 		return errorResponse(errUnknownJob)
--- a/internal/frontend/health.go
+++ b/internal/frontend/health.go
@@ -6,19 +6,21 @@
 )
 
 // HandleHealthCheck returns the response to the load balancer's health check, which states whether
-// users may be sent to this node.
+// users may be sent to this controller.
 func (f *Frontend) HandleHealthCheck() transport.Response {
 	state := f.guard.Lock()
 	defer f.guard.Unlock()
-	// A node that has just started is not ready until it has loaded all live records. A node that
-	// cannot reach the state service stays in rotation: a peer may serve its users, and if the state
-	// service fails for all controllers, nodes removed from rotation would stay removed long after
-	// the end of the outage, because the load balancer doubles its retry interval.
+	// A controller that has just started is not ready until its replica of the live records is
+	// loaded. A controller that cannot reach the state service stays in rotation: a peer may serve
+	// its users, and if the state service fails for all controllers, controllers removed from
+	// rotation would stay removed long after the end of the outage, because the load balancer
+	// doubles its retry interval.
 	if !state.Cache.Loaded && state.Reachability.StoreReachable {
 		return respond.Busy
 	}
-	// A node that reaches neither the state service nor any peer is itself isolated. It cannot serve
-	// its users and reports itself as unhealthy, so that they are sent to other nodes.
+	// A controller that reaches neither the state service nor any peer is itself isolated. It
+	// cannot serve its users and reports itself as unhealthy, so that they are sent to other
+	// controllers.
 	if state.Reachability.IsolatedFor(f.node.Settings.ControllerLeaseTTL()/2, f.node.Now()) {
 		return respond.Busy
 	}
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -22,8 +22,8 @@
 	peerRequestTimeout = timing.UserRequestTimeout / 2
 )
 
-// ServeOrForward serves a user's request on this node, or forwards it to a peer if this node cannot
-// reach the state service and the peer can.
+// ServeOrForward serves a user's request on this controller, or forwards it to a peer if this
+// controller cannot reach the state service and the peer can.
 func (f *Frontend) ServeOrForward(ctx context.Context, request *peer.Request) transport.Response {
 	addr := f.members.ForwardingPeer()
 	if addr == "" {
@@ -42,7 +42,7 @@
 	return transport.Response{Status: int(reply.GetStatus()), Body: reply.GetBody(), RetryAfter: int(reply.GetRetryAfter())}
 }
 
-// ServeLocally serves a user's request on this node.
+// ServeLocally serves a user's request on this controller.
 func (f *Frontend) ServeLocally(ctx context.Context, request *peer.Request) transport.Response {
 	switch request.GetKind() {
 	case peer.Request_KIND_SUBMIT:
@@ -83,7 +83,7 @@
 }
 
 // NewPeerReply returns the reply to a peer that contains the response for its user. It states that
-// this node reaches the state service.
+// this controller reaches the state service.
 func NewPeerReply(response transport.Response) *peer.Reply {
 	return &peer.Reply{StoreReached: true, Status: uint32(response.Status), Body: response.Body, RetryAfter: uint32(response.RetryAfter)}
 }
--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A peer is sent whether this node can serve users. Its users' requests are executed only if this
-// node can serve them, and the reply contains the exact response for the user.
+// A reply states whether this controller can serve users. A request that a peer forwards for its
+// user is executed only if it can, and the reply then contains the exact response for the user.
 func TestHandlePeerReturnsExactReplies(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range []struct {
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -26,7 +26,7 @@
 	UID   string       `json:"uid"`
 }
 
-// healthBody is the response body of a health check; it names the node.
+// healthBody is the response body of a health check; it contains the host name of the controller.
 type healthBody struct {
 	Node string `json:"node"`
 }
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -27,7 +27,7 @@
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// testNode is a frontend that uses a simulated state service.
+// testNode is the frontend of a controller with a simulated state service.
 type testNode struct {
 	store    *simulator.Store
 	guard    *state.Guard
@@ -63,7 +63,7 @@
 	}
 }
 
-// load loads the node's replica from the state service and sets the cloud's machine types.
+// load loads the controller's replica from the state service and sets the cloud's machine types.
 func (n *testNode) load(t *testing.T) {
 	t.Helper()
 	if err := n.sync.Load(t.Context()); err != nil {
@@ -110,7 +110,8 @@
 	unknownJobBody       = `{"error":"no such run"}`
 )
 
-// responseCases are requests to one node and their expected responses, in the order of sending.
+// responseCases are requests to one controller and their expected responses, in the order of
+// sending.
 var responseCases = []struct {
 	name           string
 	before         func(*testing.T, *testNode) // called before the request unless nil
@@ -172,8 +173,8 @@
 	{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 }
 
-// The response bodies are the same byte for byte, because users' programs parse them, whatever
-// types they are encoded from.
+// Response bodies must not change by a byte, whatever types they are encoded from, because users'
+// programs parse them.
 func TestHandleReturnsExactResponses(t *testing.T) {
 	n := newTestNode(t)
 	for _, test := range responseCases {
--- a/internal/frontend/submission_queue.go
+++ b/internal/frontend/submission_queue.go
@@ -55,7 +55,7 @@
 	var batch, remaining []*Submission
 	for _, s := range q.waiting {
 		if s.Ctx.Err() != nil {
-			continue // the user was asked to retry and may already do so on another node
+			continue // the user was asked to retry and may already do so on another controller
 		}
 		sameJob := func(other *Submission) bool { return other.Record.Spec.UID == s.Record.Spec.UID }
 		if len(batch) < maxSize && !slices.ContainsFunc(batch, sameJob) {
--- a/internal/frontend/submissions.go
+++ b/internal/frontend/submissions.go
@@ -10,8 +10,9 @@
 	"violetturn/internal/transport"
 )
 
-// Submit accepts a job, or returns the reason why it does not. The response for a job that was
-// accepted before is its state, even if the repeated submission is invalid.
+// Submit accepts the job of a submission, or returns a response with the reason why it does not. If
+// the job was accepted before, the response is the job's state, even if the repeated submission is
+// invalid.
 func (f *Frontend) Submit(ctx context.Context, body []byte) transport.Response {
 	spec, err := api.ParseJob(body)
 	if err != nil {
--- a/internal/respond/misdirected.go
+++ b/internal/respond/misdirected.go
@@ -10,8 +10,8 @@
 	Leader string `json:"steward,omitempty"`
 }
 
-// Misdirected returns the response to a worker whose heartbeats this node may not answer. leader is
-// the controller that leads the worker's shard, "" if it is unknown.
+// Misdirected returns the response to a worker whose heartbeats this controller may not answer.
+// leader is the controller that leads the worker's shard, "" if it is unknown.
 func Misdirected(leader string) transport.Response {
 	return JSON(statusMisdirected, redirection{Leader: leader})
 }
