--- a/cmd/violetturn/profile.go
+++ b/cmd/violetturn/profile.go
@@ -29,7 +29,7 @@
 	if err := pprof.StartCPUProfile(cpu); err != nil {
 		return nil, errors.Join(err, cpu.Close())
 	}
-	c.MeterLock()
+	c.StartLockMeter()
 	return func(log *slog.Logger) {
 		pprof.StopCPUProfile()
 		if err := errors.Join(cpu.Close(), writeHeapProfile(dir), writeLockProfile(dir, c)); err != nil {
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -19,14 +19,14 @@
 	kept = s.submitJob(zone)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(kept) == 3 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.world.Store.RefusedNodes[s.nodes[leader].name] = true
+	s.environment.Store.RefusedNodes[s.nodes[leader].name] = true
 	s.stepNode(leader) // it notices
-	if s.cancel(other, cancelled); s.world.Jobs[cancelled].FinalPhase != api.JobCancelled {
+	if s.cancel(other, cancelled); s.environment.Jobs[cancelled].FinalPhase != api.JobCancelled {
 		t.Fatal("not confirmed")
 	}
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	fault(s, leader, other)
-	for range rounds(s.world.CancelTimeout) + 20 {
+	for range rounds(s.environment.CancelTimeout) + 20 {
 		s.runRound()
 		s.checkViolations(t)
 	}
@@ -52,16 +52,16 @@
 		"the leader is back":      func(s *testCluster, leader, _ int) { s.startNode(leader) },
 		"the confirmer is paused": func(s *testCluster, _, other int) { s.nodes[other].paused = true },
 		"machines hang within their leases": func(s *testCluster, _, _ int) {
-			for _, x := range s.world.Cloud.WorkersByHost {
+			for _, x := range s.environment.Cloud.WorkersByHost {
 				x.Hung = true
 			}
 			s.runFor(14)
-			for _, x := range s.world.Cloud.WorkersByHost {
+			for _, x := range s.environment.Cloud.WorkersByHost {
 				x.Hung = false
 			}
 		},
 		"the leader can't reach the others, its workers can": func(s *testCluster, leader, _ int) {
-			s.world.Store.UnreachableNodes[s.nodes[leader].name], s.peersRefused = true, true
+			s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.peersRefused = true, true
 		},
 	} {
 		t.Run(name, func(t *testing.T) { playStoreOutage(t, fault) })
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -44,9 +44,9 @@
 // newOutageSchedule returns a cluster with a drawn lease and cancellation timeout.
 func newOutageSchedule(t *rapid.T) *outageSchedule {
 	o := &outageSchedule{testCluster: newTestCluster(), t: t, other: 1}
-	o.world.WorkerLease = o.drawSeconds("lease", 4, 20)
-	timeout := float64(o.world.WorkerLease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
-	o.world.CancelTimeout = time.Duration(timeout).Round(100 * time.Millisecond)
+	o.environment.WorkerLease = o.drawSeconds("lease", 4, 20)
+	timeout := float64(o.environment.WorkerLease) * rapid.Float64Range(0.4, 4).Draw(t, "cancel_s/lease_s")
+	o.environment.CancelTimeout = time.Duration(timeout).Round(100 * time.Millisecond)
 	for i := range o.nodes {
 		o.startNode(i)
 	}
@@ -78,12 +78,12 @@
 
 // drawTime draws a time within so many seconds.
 func (o *outageSchedule) drawTime(name string, most int) time.Time {
-	return o.world.Now.Add(o.drawSeconds(name, 0, most))
+	return o.environment.Now.Add(o.drawSeconds(name, 0, most))
 }
 
 // span returns the longest time that a fault lasts, in whole seconds.
 func (o *outageSchedule) span() int {
-	return int(2 * (o.world.CancelTimeout + o.world.WorkerLease) / time.Second)
+	return int(2 * (o.environment.CancelTimeout + o.environment.WorkerLease) / time.Second)
 }
 
 // at schedules an event within so many seconds.
@@ -104,8 +104,8 @@
 // else may happen to the controllers.
 func (o *outageSchedule) scheduleFaults() {
 	name := o.nodes[o.leader].name
-	o.during("refused", 4, func(on bool) { o.world.Store.RefusedNodes[name] = on })
-	o.during("outage", 8, func(on bool) { o.world.Store.Down = on })
+	o.during("refused", 4, func(on bool) { o.environment.Store.RefusedNodes[name] = on })
+	o.during("outage", 8, func(on bool) { o.environment.Store.Down = on })
 	o.at("cancel", 8, func() { o.cancel(o.other, o.job) })
 	if rapid.Bool().Draw(o.t, "peers refused") {
 		o.during("peers refused", 12, func(on bool) { o.peersRefused = on })
@@ -138,30 +138,30 @@
 	const drawnFaults = 40
 	step := rapid.SampledFrom([]time.Duration{200, 300, 500}).Draw(o.t, "step") * time.Millisecond
 	faults := rapid.SliceOfN(rapid.IntRange(0, 11), drawnFaults, drawnFaults).Draw(o.t, "faults")
-	end := o.world.Now.Add(time.Duration(o.span()) * time.Second)
-	for k := 0; o.world.Now.Before(end) || len(o.events) > 0; k++ {
+	end := o.environment.Now.Add(time.Duration(o.span()) * time.Second)
+	for k := 0; o.environment.Now.Before(end) || len(o.events) > 0; k++ {
 		o.runDueEvents()
 		for i := range o.nodes {
 			o.stepNode(i)
 		}
-		for i, h := range o.world.Cloud.HostNames() {
+		for i, h := range o.environment.Cloud.HostNames() {
 			fault := heartbeatFault(faults[(k+i)%drawnFaults])
 			if fault > responseDelayed {
 				fault = heartbeatServed
 			}
-			o.sendHeartbeat(o.world.Cloud.WorkersByHost[h], fault)
+			o.sendHeartbeat(o.environment.Cloud.WorkersByHost[h], fault)
 		}
-		if o.world.Jobs[o.job].CancelRequested { // any node may be the one that tells
+		if o.environment.Jobs[o.job].CancelRequested { // any node may be the one that tells
 			o.poll(k%len(o.nodes), o.job)
 		}
-		o.world.Advance(step)
+		o.environment.Advance(step)
 		o.checkBounds()
 	}
 }
 
 // runDueEvents runs the events whose time has come.
 func (o *outageSchedule) runDueEvents() {
-	for len(o.events) > 0 && !o.world.Now.Before(o.events[0].at) {
+	for len(o.events) > 0 && !o.environment.Now.Before(o.events[0].at) {
 		o.events[0].do()
 		o.events = o.events[1:]
 	}
@@ -169,10 +169,10 @@
 
 // checkBounds fails if a rule is broken, and tells the bounds on time.
 func (o *outageSchedule) checkBounds() {
-	if len(o.world.Violations) > 0 {
+	if len(o.environment.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
 		o.t.Fatalf("lease %v, cancellation timeout %v, grace %v, staleness %v: %v",
-			o.world.WorkerLease, o.world.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.world.Violations)
+			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.environment.Violations)
 	}
 }
 
@@ -180,16 +180,16 @@
 // its tasks are gone in time.
 func (o *outageSchedule) confirmAfterFaults() {
 	o.endFaults()
-	j := o.world.Jobs[o.job]
+	j := o.environment.Jobs[o.job]
 	for k := 0; k < 300 && j.FinalPhase == ""; k++ {
 		o.runRound()
 		o.cancel(o.other, o.job)
 		o.checkBounds()
 	}
 	if j.FinalPhase != api.JobCancelled {
-		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.world.WorkerLease, o.world.CancelTimeout)
+		o.t.Fatalf("lease %v, cancellation timeout %v: never confirmed", o.environment.WorkerLease, o.environment.CancelTimeout)
 	}
-	for range rounds(o.world.CancelTimeout) + 2 {
+	for range rounds(o.environment.CancelTimeout) + 2 {
 		o.runRound()
 		o.checkBounds()
 	}
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -17,7 +17,7 @@
 		for i := range 2 {
 			id := s.submitArray(1, 2*time.Second, func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.5, 1 })
 			if n := 2*k + i; n%4 == 0 {
-				s.world.Jobs[id].RunTime = time.Minute
+				s.environment.Jobs[id].RunTime = time.Minute
 				s.cancel(n%3, s.jobIDs[max(0, len(s.jobIDs)-1-n%7)])
 			}
 		}
@@ -25,9 +25,9 @@
 		case 40:
 			s.startNode(0)
 		case 80:
-			s.world.Store.NextFault["n1"] = simulator.Delayed
+			s.environment.Store.NextFault["n1"] = simulator.Delayed
 		case 90:
-			s.world.Store.DeliverDelayed()
+			s.environment.Store.DeliverDelayed()
 		}
 		s.runRounds(t, 1)
 	}
@@ -44,9 +44,9 @@
 					s := newReadyCluster()
 					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
 					ends := 0
-					s.world.OnTaskDone = func(uid string) {
+					s.environment.OnTaskDone = func(uid string) {
 						if ends++; uid == id && ends == 2 {
-							s.world.Store.NextFault[s.nodes[node].name] = f
+							s.environment.Store.NextFault[s.nodes[node].name] = f
 							s.cancel(node, id)
 							s.queryEverywhere(id)
 						}
@@ -56,9 +56,9 @@
 						s.queryEverywhere(id)
 						s.runRounds(t, 1)
 					}
-					s.world.Store.DeliverDelayed()
+					s.environment.Store.DeliverDelayed()
 					s.queryEverywhere(id)
-					if s.checkRecovery(t); s.world.Jobs[id].FinalPhase == "" {
+					if s.checkRecovery(t); s.environment.Jobs[id].FinalPhase == "" {
 						t.Errorf("node %d, fault %d, %s: never over", node, f, kind)
 					}
 				})
@@ -80,7 +80,7 @@
 				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
 				if last {
 					ends := 0
-					s.world.OnTaskDone = func(uid string) {
+					s.environment.OnTaskDone = func(uid string) {
 						if uid == id {
 							ends++
 						}
@@ -93,7 +93,7 @@
 						return
 					}
 					s.cancel((node+1)%3, id)
-					told = s.world.Jobs[id].FinalPhase
+					told = s.environment.Jobs[id].FinalPhase
 					s.queryEverywhere(id)
 				})
 				for range 12 {
@@ -105,8 +105,8 @@
 				}
 				s.cancel(0, low)
 				s.checkRecovery(t)
-				if s.world.LaunchesAfterCancel > 0 {
-					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.world.LaunchesAfterCancel)
+				if s.environment.LaunchesAfterCancel > 0 {
+					t.Errorf("%s, last %t: %d starts after a confirmed cancellation", kind, last, s.environment.LaunchesAfterCancel)
 				}
 			})
 		}
@@ -128,15 +128,15 @@
 		if k%3 == 0 {
 			s.cancel((k+1)%3, id)
 			s.queryEverywhere(id)
-			if s.world.Jobs[id].FinalPhase != api.JobCancelled {
+			if s.environment.Jobs[id].FinalPhase != api.JobCancelled {
 				t.Fatal("not confirmed")
 			}
 		}
 		switch k {
 		case 6:
-			s.world.Store.RefusedNodes["n2"] = true // it passes its users on
+			s.environment.Store.RefusedNodes["n2"] = true // it passes its users on
 		case 12:
-			s.world.Store.RefusedNodes["n2"] = false
+			s.environment.Store.RefusedNodes["n2"] = false
 		case 15:
 			s.startNode(1)
 		}
@@ -148,7 +148,7 @@
 		}
 	}
 	s.checkRecovery(t)
-	if s.world.LaunchesAfterCancel > 0 {
-		t.Errorf("%d starts were sent after a confirmed cancellation", s.world.LaunchesAfterCancel)
+	if s.environment.LaunchesAfterCancel > 0 {
+		t.Errorf("%d starts were sent after a confirmed cancellation", s.environment.LaunchesAfterCancel)
 	}
 }
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -42,9 +42,9 @@
 					}
 				}
 				test.scenario(s)
-				detected := slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == test.rule })
+				detected := slices.ContainsFunc(s.environment.Violations, func(v simulator.Violation) bool { return v.Rule == test.rule })
 				if detected != mutated {
-					t.Errorf("violation of %s: got %t, want %t; violations: %v", test.rule, detected, mutated, s.world.Violations)
+					t.Errorf("violation of %s: got %t, want %t; violations: %v", test.rule, detected, mutated, s.environment.Violations)
 				}
 			})
 		}
@@ -56,7 +56,7 @@
 func partitionServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, worker := range s.world.Cloud.Workers() {
+	for _, worker := range s.environment.Cloud.Workers() {
 		if len(worker.Tasks) == 2 {
 			worker.Partitioned = true
 		}
@@ -68,7 +68,7 @@
 func hangServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
-	for _, worker := range s.world.Cloud.Workers() {
+	for _, worker := range s.environment.Cloud.Workers() {
 		if len(worker.Tasks) == 2 {
 			worker.Hung = true
 			defer func() { worker.Hung = false }()
@@ -99,8 +99,8 @@
 // setCancelTimeout sets the time within which cancelled tasks must end. A controller whose settings
 // differ from the environment keeps its own timeout.
 func (s *testCluster) setCancelTimeout(d time.Duration) {
-	before := s.world.CancelTimeout.Seconds()
-	s.world.CancelTimeout = d
+	before := s.environment.CancelTimeout.Seconds()
+	s.environment.CancelTimeout = d
 	for _, n := range s.nodes {
 		if f := &n.controller.node.Settings.Facts.Workers; f.CancelTimeoutS == before {
 			f.CancelTimeoutS = d.Seconds()
@@ -117,13 +117,13 @@
 // partitionGangMachine partitions a machine with tasks of a gang, which continue to run there,
 // while other machines have capacity that can be gained by preemption.
 func partitionGangMachine(s *testCluster) {
-	s.world.PeerLossTimeout = 20 * time.Second
+	s.environment.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind = api.Gang })
 	s.submitArray(2, 5*time.Minute, func(j *api.Job) { j.Priority = "idle" })
 	s.runFor(60)
-	for _, h := range s.world.Cloud.HostNames() {
+	for _, h := range s.environment.Cloud.HostNames() {
 		if s.runningTasksByHost(id)[h] == 2 {
-			s.world.Cloud.WorkersByHost[h].Partitioned = true
+			s.environment.Cloud.WorkersByHost[h].Partitioned = true
 		}
 	}
 	s.runFor(60)
@@ -132,14 +132,14 @@
 // partitionGangZone partitions all machines in the zone of a single-zone gang, while the other
 // zone has capacity that can be gained by preemption.
 func partitionGangZone(s *testCluster) {
-	s.world.PeerLossTimeout = 20 * time.Second
+	s.environment.PeerLossTimeout = 20 * time.Second
 	id := s.submitArray(3, 5*time.Minute, func(j *api.Job) { j.Kind, j.SingleZone = api.Gang, true })
-	for _, zone := range s.world.Zones {
+	for _, zone := range s.environment.Zones {
 		s.submitArray(4, 5*time.Minute, func(j *api.Job) { j.Priority, j.Zone = "idle", zone })
 	}
 	s.runFor(60)
 	zone := s.workerOf(id).Zone
-	for _, worker := range s.world.Cloud.WorkersByHost {
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		worker.Partitioned = worker.Zone == zone
 	}
 	s.runFor(60)
@@ -167,14 +167,14 @@
 	for _, mutated := range []bool{false, true} {
 		t.Run(fmt.Sprintf("mutated %t", mutated), func(t *testing.T) {
 			s := newTestCluster()
-			s.world.TeamGPULimits["b"] = 8
+			s.environment.TeamGPULimits["b"] = 8
 			for i := range s.nodes {
 				s.startNode(i)
 			}
 			s.runRounds(t, 10)
 			id := s.submitService(3, nil) // leaves free capacity on one of two machines
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-			s.world.Cloud.NoCapacity = true
+			s.environment.Cloud.NoCapacity = true
 			if mutated {
 				for _, n := range s.nodes {
 					n.controller.node.Settings.Facts.Teams[1].MaxGPUs = 3
@@ -186,8 +186,8 @@
 				s.runRound()
 				s.checkWaiting(waitingSince)
 			}
-			if detected := len(s.world.Violations) > 0; detected != mutated {
-				t.Errorf("violation by a waiting job: got %t, want %t; violations: %v", detected, mutated, s.world.Violations)
+			if detected := len(s.environment.Violations) > 0; detected != mutated {
+				t.Errorf("violation by a waiting job: got %t, want %t; violations: %v", detected, mutated, s.environment.Violations)
 			}
 		})
 	}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -26,8 +26,8 @@
 // checkViolations fails the test if a rule was violated.
 func (s *testCluster) checkViolations(t fataler) {
 	t.Helper()
-	if len(s.world.Violations) > 0 {
-		t.Fatalf("got violations %v, want none", s.world.Violations)
+	if len(s.environment.Violations) > 0 {
+		t.Fatalf("got violations %v, want none", s.environment.Violations)
 	}
 }
 
@@ -55,7 +55,7 @@
 // accepted must have no tasks.
 func (s *testCluster) recovered(t *testing.T, id string) bool {
 	t.Helper()
-	j := s.world.Jobs[id]
+	j := s.environment.Jobs[id]
 	if !j.Accepted {
 		return s.presentTasks(id) == 0
 	}
@@ -75,24 +75,24 @@
 // waitingSince contains the time since which each job has waited.
 func (s *testCluster) checkWaiting(waitingSince map[string]time.Time) {
 	teamGPUs := map[string]float64{}
-	for _, worker := range s.world.Cloud.WorkersByHost {
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		for _, uid := range worker.UnfinishedTaskJobs() {
-			spec := &s.world.Jobs[uid].Spec
+			spec := &s.environment.Jobs[uid].Spec
 			teamGPUs[spec.Team] += spec.GPUs
 		}
 	}
 	for _, uid := range s.jobIDs {
-		j := s.world.Jobs[uid]
-		limit := s.world.TeamGPULimits[j.Spec.Team]
+		j := s.environment.Jobs[uid]
+		limit := s.environment.TeamGPULimits[j.Spec.Team]
 		exceedsQuota := limit > 0 && teamGPUs[j.Spec.Team]+j.Spec.GPUs > limit
 		if !s.hasPendingTasks(j) || exceedsQuota || !s.hasFreeCapacity(&j.Spec) {
 			delete(waitingSince, uid)
 			continue
 		}
 		if start, ok := waitingSince[uid]; !ok {
-			waitingSince[uid] = s.world.Now
-		} else if s.world.Now.Sub(start) > maxWait {
-			s.world.RecordViolation(simulator.RuleWaitedTooLong, "%s waited for over %v despite free capacity", uid, maxWait)
+			waitingSince[uid] = s.environment.Now
+		} else if s.environment.Now.Sub(start) > maxWait {
+			s.environment.RecordViolation(simulator.RuleWaitedTooLong, "%s waited for over %v despite free capacity", uid, maxWait)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 
 // hasFreeCapacity reports whether a suitable machine has free capacity for one task.
 func (s *testCluster) hasFreeCapacity(spec *api.Job) bool {
-	for _, worker := range s.world.Cloud.WorkersByHost {
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		if !worker.Booted() || worker.SpotNoticeS != nil || spec.Zone != "" && spec.Zone != worker.Zone || worker.Spot && !spec.AllowSpot {
 			continue
 		}
@@ -124,7 +124,7 @@
 // returned so.
 func (s *testCluster) arraysDone() bool {
 	for _, id := range s.jobIDs {
-		j := s.world.Jobs[id]
+		j := s.environment.Jobs[id]
 		if j.FinalPhase != "" || j.Spec.Kind == api.Service {
 			continue
 		}
@@ -140,7 +140,7 @@
 // records of the same version in the state service. A controller does not read back the records
 // that it wrote itself.
 func (s *testCluster) checkCapacityRecords(t *rapid.T, n *testNode) {
-	store := simulator.StoreClient{Store: s.world.Store}
+	store := simulator.StoreClient{Store: s.environment.Store}
 	for id, cached := range n.state().Cache.Capacities {
 		item, found, err := store.Get(context.Background(), statecache.CapacityKey(id), 0)
 		if err != nil || !found || item.Version != cached.Version {
@@ -170,8 +170,8 @@
 			c.testState().Cache.InvalidateLoad(host)
 			if computed := c.testState().FreeCapacity.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
 				!computed.Stopping.ApproxEqual(cached.Stopping) ||
-				computed.Services != cached.Services ||
-				computed.Arrays != cached.Arrays ||
+				computed.ServiceTasks != cached.ServiceTasks ||
+				computed.OtherTasks != cached.OtherTasks ||
 				!slices.EqualFunc(computed.RunningByPriority[:], cached.RunningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("load of %s cached by %s: got %+v, want %+v", host, n.name, cached, computed)
 			}
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -80,7 +80,7 @@
 	if len(s.heartbeatCopies) < maxHeartbeatCopies {
 		s.heartbeatCopies = append(s.heartbeatCopies, heartbeatCopy{to, body})
 	}
-	sent := sentHeartbeat{worker, to, s.world.Now, worker.AgentEpoch}
+	sent := sentHeartbeat{worker, to, s.environment.Now, worker.AgentEpoch}
 	response := s.deliverHeartbeat(to, body)
 	switch {
 	case fault == responseLost || worker.InboundLost:
@@ -100,7 +100,7 @@
 		return false
 	}
 	delete(s.pendingResponses, worker.Host)
-	if s.world.Now.Sub(pending.sent.at) < responseTimeout {
+	if s.environment.Now.Sub(pending.sent.at) < responseTimeout {
 		worker.HandleResponse(pending.commands, pending.sent.at, pending.sent.agentEpoch)
 	}
 	return true
@@ -156,8 +156,8 @@
 // heartbeats returns the current heartbeat of each worker.
 func (s *clusterNodes) heartbeats() [][]byte {
 	var out [][]byte
-	for _, h := range s.world.Cloud.HostNames() {
-		out = append(out, api.MustMarshal(s.world.Cloud.WorkersByHost[h].Heartbeat()))
+	for _, h := range s.environment.Cloud.HostNames() {
+		out = append(out, api.MustMarshal(s.environment.Cloud.WorkersByHost[h].Heartbeat()))
 	}
 	return out
 }
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -24,7 +24,7 @@
 }
 
 // zoneOf returns the zone of a node.
-func (s *clusterNodes) zoneOf(i int) string { return s.world.Zones[i%len(s.world.Zones)] }
+func (s *clusterNodes) zoneOf(i int) string { return s.environment.Zones[i%len(s.environment.Zones)] }
 
 // partitionZone partitions a zone from everything outside it, including the state service and the
 // cloud. "" ends the partition.
@@ -32,7 +32,7 @@
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
-		s.world.Store.UnreachableNodes[n.name], s.world.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
+		s.environment.Store.UnreachableNodes[n.name], s.environment.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
 	}
 }
 
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -13,14 +13,14 @@
 func (s *testCluster) isDone(id string) func() bool {
 	return func() bool {
 		s.poll(1, id)
-		return s.world.Jobs[id].FinalPhase == api.JobDone
+		return s.environment.Jobs[id].FinalPhase == api.JobDone
 	}
 }
 
 // tasksInPhaseByHost counts the tasks of a job in a phase by machine, as workers report them.
 func (s *testCluster) tasksInPhaseByHost(id string, phase api.TaskPhase) map[string]int {
 	counts := map[string]int{}
-	for host, worker := range s.world.Cloud.WorkersByHost {
+	for host, worker := range s.environment.Cloud.WorkersByHost {
 		for _, t := range worker.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id && t.Phase == phase {
 				counts[host]++
@@ -50,7 +50,7 @@
 // presentTasks counts the tasks of a job that use capacity of machines.
 func (s *testCluster) presentTasks(id string) int {
 	n := 0
-	for _, worker := range s.world.Cloud.WorkersByHost {
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		for _, uid := range worker.UnfinishedTaskJobs() {
 			if uid == id {
 				n++
@@ -62,7 +62,7 @@
 
 // workerOf returns a worker that has a task of the job, or nil.
 func (s *testCluster) workerOf(id string) *simulator.Worker {
-	for _, worker := range s.world.Cloud.Workers() {
+	for _, worker := range s.environment.Cloud.Workers() {
 		for _, t := range worker.Heartbeat().Tasks {
 			if uid, _, _ := api.SplitTaskName(t.Task); uid == id {
 				return worker
@@ -88,9 +88,9 @@
 	return slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == name })
 }
 
-// homeOf returns the index of the preferred leader of a machine's shard: the node after which
+// preferredLeaderOf returns the index of the preferred leader of a machine's shard: the node after which
 // the shard is named.
-func (s *testCluster) homeOf(host string) int {
+func (s *testCluster) preferredLeaderOf(host string) int {
 	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
 
@@ -128,7 +128,7 @@
 		description += fmt.Sprintf(" shard %s %s leader %s", id, api.MustMarshal(cache.Capacities[id].Record), api.MustMarshal(cache.Leaders[id].Record))
 	}
 	for host, machine := range cache.Machines {
-		worker := s.world.Cloud.WorkersByHost[host]
+		worker := s.environment.Cloud.WorkersByHost[host]
 		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.MustMarshal(machine), worker != nil, worker != nil && worker.Booted())
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -36,9 +36,9 @@
 // between them.
 type clusterNodes struct {
 	networkFaults
-	world *simulator.Environment
-	nodes []*testNode
-	log   *slog.Logger
+	environment *simulator.Environment
+	nodes       []*testNode
+	log         *slog.Logger
 
 	delayedHeartbeats []func()                    // deliver heartbeats that a partition delays
 	heartbeatCopies   []heartbeatCopy             // of heartbeats that arrived, for a second and late delivery
@@ -72,7 +72,7 @@
 	controller   *Controller
 	storeClient  *simulator.StoreClient
 	commands     *simulator.CommandClient
-	async        []func() // asynchronous work of the controller, which runs at the end of its next step
+	asyncWork    []func() // asynchronous work of the controller, which runs at the end of its next step
 	running      bool
 	inProduction bool // it behaves like the version in production
 	paused       bool // it does nothing, but its clock advances
@@ -135,7 +135,7 @@
 func newClusterWithoutNodes(w *simulator.Environment, limits, nextLimits config.StateLimits) *testCluster {
 	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
 		networkFaults:    networkFaults{isolated: map[int]bool{}},
-		world:            w,
+		environment:      w,
 		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		pendingResponses: map[string]*pendingResponse{},
 		stateLimits:      limits,
@@ -158,26 +158,26 @@
 	c := newController(cfg, config.DefaultPolicy(), s.log.With("node", n.name))
 	n.controller = c
 	c.node.Random = rand.New(rand.NewPCG(uint64(i), 1))
-	startTime := s.world.Now
+	startTime := s.environment.Now
 	drift := float64(i) * clockDrift
 	c.node.Now = func() time.Time {
-		return s.world.Now.Add(time.Duration(float64(s.world.Now.Sub(startTime)) * drift))
+		return s.environment.Now.Add(time.Duration(float64(s.environment.Now.Sub(startTime)) * drift))
 	}
-	n.async = nil
+	n.asyncWork = nil
 	c.node.SimulatedClock = true
 	c.node.RunAsync = func(f func()) {
 		if n.controller == c {
-			n.async = append(n.async, f)
+			n.asyncWork = append(n.asyncWork, f)
 		}
 	}
 	n.commands = &simulator.CommandClient{
-		Environment:     s.world,
+		Environment:     s.environment,
 		Node:            n.name,
 		PartitionedFrom: func(w *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), w.Zone) },
 	}
 	c.services.Peers = peerLink{s, i}
 	c.services.Store = s.newStateService(n, cfg)
-	c.services.Cloud = &simulator.CloudClient{Cloud: s.world.Cloud, Node: n.name}
+	c.services.Cloud = &simulator.CloudClient{Cloud: s.environment.Cloud, Node: n.name}
 	c.services.Workers = n.commands
 	n.running, n.paused = true, false
 	if s.onStart != nil {
@@ -189,8 +189,8 @@
 func (s *clusterNodes) settingsOf(i int) *config.Settings {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
-	cfg := testSettings(i, names, s.world.Zones, s.world.TeamGPULimits)
-	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.world.WorkerLease.Seconds(), s.world.CancelTimeout.Seconds()
+	cfg := testSettings(i, names, s.environment.Zones, s.environment.TeamGPULimits)
+	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.environment.WorkerLease.Seconds(), s.environment.CancelTimeout.Seconds()
 	next := s.nextStateLimits
 	cfg.Facts.State.StateLimits, cfg.Facts.State.NextLimits = s.stateLimits, &next
 	if n.inProduction {
@@ -207,9 +207,9 @@
 // production, the current limit.
 func (s *clusterNodes) newStateService(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
-		Store:         s.world.Store,
+		Store:         s.environment.Store,
 		Node:          n.name,
-		OnServed:      n.controller.sync.RecordStoreAnswer,
+		OnServed:      n.controller.sync.RecordStoreResponse,
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
@@ -217,7 +217,7 @@
 		return n.storeClient
 	}
 	n.storeClient.TxnOps = cfg.Facts.State.TxnOps
-	return &productionStore{n.storeClient, jobKinds{}}
+	return &productionVersionStore{n.storeClient, jobKinds{}}
 }
 
 // restartNodes restarts all controllers and calls onStart with each of them.
@@ -247,8 +247,8 @@
 	n.controller.election.MaintainLease(ctx)
 	n.controller.decisions.Decide(ctx)
 	n.controller.scaling.Autoscale(ctx)
-	async := n.async
-	n.async = nil
+	async := n.asyncWork
+	n.asyncWork = nil
 	for _, f := range async {
 		f()
 	}
@@ -260,10 +260,10 @@
 	for i := range s.nodes {
 		s.stepNode(i)
 	}
-	for _, host := range s.world.Cloud.HostNames() {
-		s.sendHeartbeat(s.world.Cloud.WorkersByHost[host], heartbeatServed)
+	for _, host := range s.environment.Cloud.HostNames() {
+		s.sendHeartbeat(s.environment.Cloud.WorkersByHost[host], heartbeatServed)
 	}
-	s.world.Advance(roundInterval)
+	s.environment.Advance(roundInterval)
 }
 
 // runFor runs a number of rounds. It does not check for violations.
@@ -298,19 +298,19 @@
 // endFaults ends all faults, and restarts the controllers that are stopped or behave like the
 // version in production.
 func (s *clusterNodes) endFaults() {
-	s.world.Store.Down, s.world.Cloud.Down, s.world.Cloud.NoCapacity = false, false, false
-	clear(s.world.Store.RefusedNodes)
-	clear(s.world.Store.UnreachableNodes)
-	clear(s.world.Cloud.UnreachableNodes)
+	s.environment.Store.Down, s.environment.Cloud.Down, s.environment.Cloud.NoCapacity = false, false, false
+	clear(s.environment.Store.RefusedNodes)
+	clear(s.environment.Store.UnreachableNodes)
+	clear(s.environment.Cloud.UnreachableNodes)
 	s.networkFaults = networkFaults{isolated: map[int]bool{}}
-	s.world.MachineType.BootTime = bootTime
+	s.environment.MachineType.BootTime = bootTime
 	for i, n := range s.nodes {
 		if !n.running || n.inProduction {
 			n.inProduction = false
 			s.startNode(i)
 		}
 	}
-	for _, worker := range s.world.Cloud.WorkersByHost {
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		worker.WorkerFaults = simulator.WorkerFaults{}
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -20,12 +20,12 @@
 
 // submit submits a job through a node, possibly again.
 func (s *clusterUsers) submit(i int, uid string) {
-	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.world.Jobs[uid].Spec.Kind == api.Gang {
+	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.environment.Jobs[uid].Spec.Kind == api.Gang {
 		return // the version in production does not support gangs
 	}
 	r := s.nodes[i].controller.frontend.ServeOrForward(
 		context.Background(),
-		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.world.Jobs[uid].Spec)},
+		&peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: simulator.Submission(&s.environment.Jobs[uid].Spec)},
 	)
 	s.checkResponse(uid, r.Status, r.Body, true)
 }
@@ -43,7 +43,7 @@
 	if !s.nodes[i].serves() {
 		return
 	}
-	s.world.Jobs[uid].CancelRequested = true
+	s.environment.Jobs[uid].CancelRequested = true
 	r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_CANCEL, Uid: uid})
 	s.checkResponse(uid, r.Status, r.Body, false)
 }
@@ -54,7 +54,7 @@
 		Phase api.JobPhase `json:"phase"`
 	}
 	_ = json.Unmarshal(body, &state) // without a phase in the body the phase stays empty
-	s.world.CheckUserResponse(uid, status, state.Phase, submission)
+	s.environment.CheckUserResponse(uid, status, state.Phase, submission)
 }
 
 // queryEverywhere queries all nodes for a job and submits it to each of them again, without
@@ -126,7 +126,7 @@
 	change(fields)
 	request := &peer.Request{Kind: peer.Request_KIND_SUBMIT, Body: api.MustMarshal(fields)}
 	r := n.controller.frontend.ServeOrForward(context.Background(), request)
-	if s.world.Jobs[uid] != nil {
+	if s.environment.Jobs[uid] != nil {
 		s.checkResponse(uid, r.Status, r.Body, true)
 	}
 	return r.Status
@@ -144,7 +144,7 @@
 	if change != nil {
 		change(r, &d)
 	}
-	s.world.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
+	s.environment.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(0, id)
 	return id
@@ -180,7 +180,7 @@
 			change(r, d)
 		}
 	})
-	if !s.world.Jobs[id].Accepted {
+	if !s.environment.Jobs[id].Accepted {
 		t.Fatal("gang was not accepted")
 	}
 	return id
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -99,7 +99,7 @@
 		Limits:          store.Limits{RPS: current.RPS, WriteRPS: current.WriteRPS},
 		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
 		ControllerCount: settings.Facts.ControllerCount,
-		OnResponse:      c.sync.RecordStoreAnswer,
+		OnResponse:      c.sync.RecordStoreResponse,
 	})
 	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
 	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
@@ -210,10 +210,10 @@
 	return c.http.Close()
 }
 
-// MeterLock starts recording the use of the state's lock. Call it before Run.
-func (c *Controller) MeterLock() { c.guard.StartMeter() }
+// StartLockMeter starts recording the use of the state's lock. Call it before Run.
+func (c *Controller) StartLockMeter() { c.guard.StartMeter() }
 
-// LockUses returns the uses of the state's lock, by function, that were recorded since MeterLock
+// LockUses returns the uses of the state's lock, by function, that were recorded since StartLockMeter
 // or since the last call of LockUses. The function that used the lock longest in total comes
 // first.
 func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -17,11 +17,11 @@
 	cancelled, service := s.submitService(3, nil), s.submitService(2, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(service) == 2 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.world.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
+	s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
 	for i, n := range s.nodes { // the others can't reach its workers, which keep reporting to it
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
-	s.world.Cloud.Down = true // else the new leader would return the machines, from which it receives no heartbeat
+	s.environment.Cloud.Down = true // else the new leader would return the machines, from which it receives no heartbeat
 	s.cancel(other, cancelled)
 	for range 100 {
 		s.poll(leader, cancelled)
@@ -45,7 +45,7 @@
 	preferred := "n1" // the only controller in its zone
 	n := s.nodes[1]
 	n.commands.Partitioned = true
-	for range 4 * rounds(s.world.WorkerLease) {
+	for range 4 * rounds(s.environment.WorkerLease) {
 		s.runRound()
 		if s.runningTasks(id) != 8 || s.runningTasks(otherService) != 4 {
 			t.Fatalf("running replicas by zone: got y %d, x %d, want 8 and 4", s.runningTasks(id), s.runningTasks(otherService))
@@ -64,7 +64,7 @@
 	for _, n := range s.nodes {
 		n.commands.Partitioned = true
 	}
-	for range 4 * rounds(s.world.WorkerLease) {
+	for range 4 * rounds(s.environment.WorkerLease) {
 		s.runRound()
 	}
 	for _, n := range s.nodes {
@@ -81,8 +81,8 @@
 	s := newReadyCluster()
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	shardID := s.nodes[0].state().Cache.Machines[s.world.Cloud.HostNames()[0]].Shard
-	s.world.Store.UnreachableNodes[shardID] = true
+	shardID := s.nodes[0].state().Cache.Machines[s.environment.Cloud.HostNames()[0]].Shard
+	s.environment.Store.UnreachableNodes[shardID] = true
 	settings := s.nodes[0].controller.node.Settings
 	s.runUntil(
 		t,
@@ -94,7 +94,7 @@
 				return false
 			}
 			for host, machine := range s.nodes[s.nodeOf(leader)].state().Cache.Machines {
-				if worker := s.world.Cloud.WorkersByHost[host]; machine.Shard == shardID && (worker == nil || s.nodes[worker.Node].name != leader) {
+				if worker := s.environment.Cloud.WorkersByHost[host]; machine.Shard == shardID && (worker == nil || s.nodes[worker.Node].name != leader) {
 					return false
 				}
 			}
@@ -105,7 +105,7 @@
 	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGrace()) {
 		s.runRound()
 	}
-	for _, worker := range s.world.Cloud.WorkersByHost { // a worker that has not got the new leader's token must not be kept
+	for _, worker := range s.environment.Cloud.WorkersByHost { // a worker that has not got the new leader's token must not be kept
 		heartbeat := worker.Heartbeat()
 		heartbeat.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(shardID).Term, 0)
 		if s.deliverHeartbeat(partitioned, api.MustMarshal(heartbeat)).status == 200 {
@@ -115,6 +115,6 @@
 	array := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
 	s.submit(1, array)
 	s.runUntil(t, 120, "new job done and replicas run", func() bool { return s.isDone(array)() && s.runningTasks(id) == 4 })
-	s.world.Store.UnreachableNodes[shardID] = false
+	s.environment.Store.UnreachableNodes[shardID] = false
 	s.runUntil(t, 60, "shard led by its preferred leader again", func() bool { return s.leaderOf(shardID) == shardID })
 }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -18,14 +18,14 @@
 				id := s.submitService(3, nil)
 				s.submitArray(6, 10*time.Second, nil)
 				s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-				s.world.Store.RefusedNodes["n1"] = true // its shard changes its leader
+				s.environment.Store.RefusedNodes["n1"] = true // its shard changes its leader
 				s.runUntil(t, 40, "shard of n1 acquired", func() bool { o := s.leaderOf("n1"); return o != "" && o != "n1" })
-				s.world.Store.RefusedNodes["n1"] = false // and back
+				s.environment.Store.RefusedNodes["n1"] = false // and back
 				s.runRounds(t, 3)
 				for _, n := range s.nodes {
 					n.running = false
 				}
-				s.world.Advance(away)
+				s.environment.Advance(away)
 				s.startNode(first)
 				s.runRounds(t, 20)
 				if o := s.leaderOf("n1"); o != s.nodes[first].name {
@@ -59,9 +59,9 @@
 		}
 	}
 	check(60)
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	check(26) // 13 s, the lease is 9 s
-	s.world.Store.Down = false
+	s.environment.Store.Down = false
 	check(60)
 }
 
@@ -75,13 +75,13 @@
 			s.runUntil(t, 80, "tasks run", func() bool { return s.runningTasks(id) == 4 })
 			leader, _ := s.leaderOfJob(t, id)
 			for h := range s.runningTasksByHost(id) {
-				s.world.Cloud.WorkersByHost[h].Partitioned, s.world.Cloud.WorkersByHost[h].InboundLost = !inboundLost, inboundLost
+				s.environment.Cloud.WorkersByHost[h].Partitioned, s.environment.Cloud.WorkersByHost[h].InboundLost = !inboundLost, inboundLost
 			}
 			s.nodes[leader].running = false
 			s.runUntil(t, 200, "tasks run elsewhere", func() bool {
 				n := 0
 				for h, k := range s.runningTasksByHost(id) {
-					if x := s.world.Cloud.WorkersByHost[h]; !x.Partitioned && !x.InboundLost {
+					if x := s.environment.Cloud.WorkersByHost[h]; !x.Partitioned && !x.InboundLost {
 						n += k
 					}
 				}
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -21,7 +21,7 @@
 	spare := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves machines with room when it goes
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(spare) == 4 })
 	for h := range s.runningTasksByHost(off) {
-		s.world.Cloud.WorkersByHost[h].Partitioned = true
+		s.environment.Cloud.WorkersByHost[h].Partitioned = true
 	}
 	s.runRounds(t, 1)
 	for i := range s.nodes {
@@ -62,7 +62,7 @@
 		if o := s.leaderOf(s.nodes[leader].name); o != "" {
 			break
 		}
-		s.world.Advance(100 * time.Millisecond)
+		s.environment.Advance(100 * time.Millisecond)
 	}
 	successor := s.leaderOf(s.nodes[leader].name)
 	if successor == "" {
@@ -78,8 +78,8 @@
 		if k == 8 { // the new leader has acted
 			s.deliverCopies(delayed)
 		}
-		if s.runningTasks(id) != 2 || len(s.world.Violations) > 0 {
-			t.Fatalf("round %d: %d of 2 replicas, %v", k, s.runningTasks(id), s.world.Violations)
+		if s.runningTasks(id) != 2 || len(s.environment.Violations) > 0 {
+			t.Fatalf("round %d: %d of 2 replicas, %v", k, s.runningTasks(id), s.environment.Violations)
 		}
 	}
 	s.cancel(other, id)
@@ -99,15 +99,15 @@
 	}
 	var copies [][]byte
 	for range 8 {
-		copies = append(copies, api.MustMarshal(s.world.Cloud.WorkersByHost[host].Heartbeat()))
-		s.deliverHeartbeat(s.homeOf(host), copies[len(copies)-1])
+		copies = append(copies, api.MustMarshal(s.environment.Cloud.WorkersByHost[host].Heartbeat()))
+		s.deliverHeartbeat(s.preferredLeaderOf(host), copies[len(copies)-1])
 	}
-	s.world.Cloud.Terminate(host)
+	s.environment.Cloud.Terminate(host)
 	again := func() {
 		s.deliverCopies(copies)
 		s.runRound()
 	}
-	bound := rounds(s.world.WorkerLease + 4*time.Second)
+	bound := rounds(s.environment.WorkerLease + 4*time.Second)
 	for k := 0; k < bound+40 && s.runningTasks(id) < 2; k++ {
 		again()
 	}
--- a/internal/controller/fault_actions_controllers_test.go
+++ b/internal/controller/fault_actions_controllers_test.go
@@ -44,7 +44,7 @@
 	for _, n := range s.nodes {
 		n.running = false
 	}
-	s.world.Advance(s.world.WorkerLease + drawTenths(t, -20, 20))
+	s.environment.Advance(s.environment.WorkerLease + drawTenths(t, -20, 20))
 	s.startNode(s.drawNode(t))
 	s.runDrawnRounds(t, 0, 8)
 }
@@ -54,7 +54,7 @@
 	i := s.drawNode(t)
 	for range rapid.IntRange(10, 40).Draw(t, "rounds") {
 		s.stepNode(i)
-		s.world.Advance(roundInterval)
+		s.environment.Advance(roundInterval)
 	}
 }
 
@@ -63,7 +63,7 @@
 func (s controllerFaults) isolateController(t *rapid.T) {
 	i := s.drawNode(t)
 	s.isolated[i] = !s.isolated[i]
-	s.world.Store.UnreachableNodes[s.nodes[i].name] = s.isolated[i]
+	s.environment.Store.UnreachableNodes[s.nodes[i].name] = s.isolated[i]
 }
 
 // makeWorkersUnreachable partitions a controller from its workers only, or ends that partition.
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -12,47 +12,51 @@
 type serviceFaults struct{ drawnCluster }
 
 // toggleStoreOutage begins or ends an outage of the state service.
-func (s serviceFaults) toggleStoreOutage(_ *rapid.T) { s.world.Store.Down = !s.world.Store.Down }
+func (s serviceFaults) toggleStoreOutage(_ *rapid.T) {
+	s.environment.Store.Down = !s.environment.Store.Down
+}
 
 // toggleCloudOutage begins or ends an outage of the cloud.
-func (s serviceFaults) toggleCloudOutage(_ *rapid.T) { s.world.Cloud.Down = !s.world.Cloud.Down }
+func (s serviceFaults) toggleCloudOutage(_ *rapid.T) {
+	s.environment.Cloud.Down = !s.environment.Cloud.Down
+}
 
 // toggleCapacity makes the cloud run out of capacity, or have capacity again.
 func (s serviceFaults) toggleCapacity(_ *rapid.T) {
-	s.world.Cloud.NoCapacity = !s.world.Cloud.NoCapacity
+	s.environment.Cloud.NoCapacity = !s.environment.Cloud.NoCapacity
 }
 
 // refuseController makes the state service refuse one controller only, or serve it again.
 func (s serviceFaults) refuseController(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Store.RefusedNodes[name] = !s.world.Store.RefusedNodes[name]
+	s.environment.Store.RefusedNodes[name] = !s.environment.Store.RefusedNodes[name]
 }
 
 // makeStoreUnreachable partitions a controller from the state service but not from its workers, or
 // ends that partition.
 func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Store.UnreachableNodes[name] = !s.world.Store.UnreachableNodes[name]
+	s.environment.Store.UnreachableNodes[name] = !s.environment.Store.UnreachableNodes[name]
 }
 
 // failNextTransaction injects a fault into the next transaction of a controller.
 func (s serviceFaults) failNextTransaction(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Store.NextFault[name] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
+	s.environment.Store.NextFault[name] = simulator.Fault(rapid.IntRange(1, 3).Draw(t, "fault"))
 }
 
 // failNextCloudRequest injects a fault into the next rental or return request of a controller.
 func (s serviceFaults) failNextCloudRequest(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.world.Cloud.NextFault[name] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
+	s.environment.Cloud.NextFault[name] = simulator.Fault(rapid.IntRange(1, 2).Draw(t, "fault"))
 }
 
 // deliverDelayedTransactions makes the state service carry out the delayed transactions.
-func (s serviceFaults) deliverDelayedTransactions(_ *rapid.T) { s.world.Store.DeliverDelayed() }
+func (s serviceFaults) deliverDelayedTransactions(_ *rapid.T) { s.environment.Store.DeliverDelayed() }
 
 // changeBootTime draws the boot time of machines, from none to 12 seconds.
 func (s serviceFaults) changeBootTime(t *rapid.T) {
-	s.world.MachineType.BootTime = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
+	s.environment.MachineType.BootTime = time.Duration(rapid.IntRange(0, 12).Draw(t, "boot")) * time.Second
 }
 
 // lowerLimitsWhenUpgraded lowers the limits of the state service if all controllers run the new
@@ -80,9 +84,9 @@
 // cancel a job, and then the state service refuse all controllers.
 func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
-	s.world.Store.RefusedNodes[s.nodes[i].name] = true
+	s.environment.Store.RefusedNodes[s.nodes[i].name] = true
 	s.stepNode(i)
 	s.cancel((i+1)%len(s.nodes), id)
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	s.runDrawnRounds(t, 1, 100)
 }
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -105,11 +105,11 @@
 
 // drawWorker draws a worker, and skips the action if there is none.
 func (s drawnCluster) drawWorker(t *rapid.T) *simulator.Worker {
-	names := s.world.Cloud.HostNames()
+	names := s.environment.Cloud.HostNames()
 	if len(names) == 0 {
 		t.Skip("no machine")
 	}
-	return s.world.Cloud.WorkersByHost[rapid.SampledFrom(names).Draw(t, "host")]
+	return s.environment.Cloud.WorkersByHost[rapid.SampledFrom(names).Draw(t, "host")]
 }
 
 // drawJobID draws the ID of a submitted job, and skips the action if there is none.
@@ -139,4 +139,4 @@
 func (s drawnCluster) runManyRounds(t *rapid.T) { s.runDrawnRounds(t, 8, 40) }
 
 // advanceClock advances the time without a step of any controller or worker.
-func (s drawnCluster) advanceClock(t *rapid.T) { s.world.Advance(drawTenths(t, 1, 60)) }
+func (s drawnCluster) advanceClock(t *rapid.T) { s.environment.Advance(drawTenths(t, 1, 60)) }
--- a/internal/controller/fault_actions_users_test.go
+++ b/internal/controller/fault_actions_users_test.go
@@ -24,7 +24,7 @@
 	}
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
 	spec, runTime := drawJob(t, id, kind)
-	s.world.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, DoneTasks: map[int]bool{}}
+	s.environment.Jobs[id] = &simulator.Job{Spec: *spec, RunTime: runTime, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(s.drawNode(t), id)
 }
@@ -54,15 +54,15 @@
 // controllers for it.
 func (s userActions) cancelAtTaskEnd(t *rapid.T) {
 	id := s.drawJobID(t)
-	s.world.OnTaskDone = func(ended string) {
+	s.environment.OnTaskDone = func(ended string) {
 		if ended == id {
-			s.world.OnTaskDone = nil
+			s.environment.OnTaskDone = nil
 			s.cancel(s.drawNode(t), id)
 			s.queryEverywhere(id)
 		}
 	}
 	s.runFewRounds(t)
-	s.world.OnTaskDone = nil
+	s.environment.OnTaskDone = nil
 }
 
 // drawJob draws a job of a kind and the run time of its tasks. If kind is empty, it is drawn too.
--- a/internal/controller/fault_actions_workers_test.go
+++ b/internal/controller/fault_actions_workers_test.go
@@ -38,19 +38,21 @@
 // or for more than their leases.
 func (s workerFaults) hangManyWorkers(t *rapid.T) {
 	hung := rapid.Bool().Draw(t, "hung")
-	for i, h := range s.world.Cloud.HostNames() {
-		s.world.Cloud.WorkersByHost[h].Hung = hung && i%3 > 0
+	for i, h := range s.environment.Cloud.HostNames() {
+		s.environment.Cloud.WorkersByHost[h].Hung = hung && i%3 > 0
 	}
 }
 
 // terminateMachine terminates a machine without notice.
-func (s workerFaults) terminateMachine(t *rapid.T) { s.world.Cloud.Terminate(s.drawWorker(t).Host) }
+func (s workerFaults) terminateMachine(t *rapid.T) {
+	s.environment.Cloud.Terminate(s.drawWorker(t).Host)
+}
 
 // terminateManyMachines terminates every other machine without notice.
 func (s workerFaults) terminateManyMachines(_ *rapid.T) {
-	for i, h := range s.world.Cloud.HostNames() {
+	for i, h := range s.environment.Cloud.HostNames() {
 		if i%2 == 0 {
-			s.world.Cloud.Terminate(h)
+			s.environment.Cloud.Terminate(h)
 		}
 	}
 }
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("%d tasks run after the restart, %d before", after, before)
 	}
 	l.checkAccepted(t)
-	for _, broken := range l.world.Violations {
+	for _, broken := range l.environment.Violations {
 		t.Error(broken)
 	}
 }
@@ -53,7 +53,7 @@
 // machinesUp counts the machines that have booted.
 func (l *loadScenario) machinesUp() int {
 	n := 0
-	for _, x := range l.world.Cloud.Workers() {
+	for _, x := range l.environment.Cloud.Workers() {
 		if x.Booted() {
 			n++
 		}
@@ -64,7 +64,7 @@
 // tasksRunning counts the tasks on machines.
 func (l *loadScenario) tasksRunning() int {
 	n := 0
-	for _, x := range l.world.Cloud.Workers() {
+	for _, x := range l.environment.Cloud.Workers() {
 		n += len(x.UnfinishedTaskJobs())
 	}
 	return n
@@ -78,7 +78,7 @@
 		for _, uid := range l.jobIDs {
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
-			if j := l.world.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.JobCancelled {
+			if j := l.environment.Jobs[uid]; j.Accepted && status != 200 && j.FinalPhase != api.JobCancelled {
 				t.Errorf("controller %d answers %d for %s", i, status, uid)
 			}
 		}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -45,16 +45,16 @@
 // under the same number, and the lost task is surely dead before that starts.
 func TestGatheringGangGetsReplacement(t *testing.T) {
 	s := newReadyCluster()
-	s.world.GangStartTimeout = 25 * time.Second
+	s.environment.GangStartTimeout = 25 * time.Second
 	for _, n := range s.nodes {
 		n.controller.node.Settings.Facts.Workers.GangGatherTimeoutS = 25
 	}
 	other := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // machines for all are up
 	s.runUntil(t, 300, "done", s.isDone(other))
-	s.world.MachineType.FetchTime = 6 * time.Second
+	s.environment.MachineType.FetchTime = 6 * time.Second
 	id := s.submitGang(t, nil)
 	s.runUntil(t, 40, "some have been launched", func() bool { return s.tasksInPhase(id, api.TaskFetching) == 4 })
-	s.world.Cloud.Terminate(s.workerOf(id).Host)
+	s.environment.Cloud.Terminate(s.workerOf(id).Host)
 	s.runUntil(t, 100, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	if g := s.nodes[0].state().Cache.Jobs[id].Record.Gang; g.Attempt != 1 {
 		t.Fatalf("runs as attempt %d", g.Attempt)
@@ -74,7 +74,7 @@
 			x := s.workerOf(id)
 			switch how {
 			case "terminated":
-				s.world.Cloud.Terminate(x.Host)
+				s.environment.Cloud.Terminate(x.Host)
 			case "hung":
 				x.Hung = true
 			case "partitioned":
@@ -98,11 +98,11 @@
 	})
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
 	saved := false
 	s.runUntil(t, 100, "the gang has left", func() bool {
-		for _, x := range s.world.Cloud.WorkersByHost {
+		for _, x := range s.environment.Cloud.WorkersByHost {
 			for _, p := range x.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(p.Task)
 				saved = saved || uid == id && p.Phase == api.TaskEnded && p.Saved
@@ -113,7 +113,7 @@
 	if !saved {
 		t.Fatal("its progress was lost")
 	}
-	s.world.Cloud.NoCapacity = false
+	s.environment.Cloud.NoCapacity = false
 	s.runUntil(t, 400, "done", s.isDone(id))
 }
 
@@ -161,7 +161,7 @@
 		if !c.testState().Scheduler.HasReleasedClaims(id) {
 			t.Fatal("does not go before newer ones")
 		}
-		for _, x := range s.world.Cloud.WorkersByHost {
+		for _, x := range s.environment.Cloud.WorkersByHost {
 			for _, p := range x.Heartbeat().Tasks {
 				if uid, _, _ := api.SplitTaskName(p.Task); uid == id {
 					t.Fatal("a task was started without the others")
@@ -182,7 +182,7 @@
 	s.runUntil(t, 300, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	x := s.workerOf(id)
 	s.runUntil(t, 60, "its tasks are done", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
-	s.world.Cloud.Terminate(x.Host)
+	s.environment.Cloud.Terminate(x.Host)
 	s.nodes[0].running = false
 	s.runFor(6)
 	s.startNode(0)
@@ -217,15 +217,15 @@
 	second := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
 	s.runUntil(t, 400, "the first", s.isDone(first))
 	s.runUntil(t, 400, "the second", s.isDone(second))
-	s.world.Cloud.NoCapacity = true // what there is has to do
+	s.environment.Cloud.NoCapacity = true // what there is has to do
 	large := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
 	k := 0
 	s.runUntil(t, 480, "the large one", func() bool {
 		if k++; k%6 == 0 {
 			id := fmt.Sprintf("run-%06d", 1000+k)
-			r := s.world.Jobs[large].Spec
+			r := s.environment.Jobs[large].Spec
 			r.UID, r.Tasks = id, 2
-			s.world.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, DoneTasks: map[int]bool{}}
+			s.environment.Jobs[id] = &simulator.Job{Spec: r, RunTime: 6 * time.Second, DoneTasks: map[int]bool{}}
 			s.submit(0, id)
 		}
 		return s.isDone(large)()
@@ -243,7 +243,7 @@
 		})
 	}
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.SingleZone, r.Tasks = true, 3 })
 	s.runUntil(t, 80, "all run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -72,7 +72,7 @@
 // cancelServices cancels the services, which would otherwise use up their teams' limits forever.
 func (s drawnCluster) cancelServices() {
 	for _, id := range s.jobIDs {
-		if j := s.world.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
+		if j := s.environment.Jobs[id]; j.Spec.Kind == api.Service && j.FinalPhase == "" {
 			s.cancel(0, id)
 		}
 	}
@@ -81,7 +81,7 @@
 // checkOutcome checks that every node can answer queries about an accepted job, that the job has no
 // running tasks if it was cancelled, and that it is done if it was accepted and is not a service.
 func (s drawnCluster) checkOutcome(t *rapid.T, id string) {
-	j := s.world.Jobs[id]
+	j := s.environment.Jobs[id]
 	for i, n := range s.nodes {
 		r := n.controller.frontend.Query(context.Background(), id)
 		if s.checkResponse(id, r.Status, r.Body, false); j.Accepted && r.Status != 200 {
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -17,10 +17,10 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	for change := range 10 {
 		leader, _ := s.leaderOfJob(t, id)
-		s.world.Store.Down = change == 4 || change == 5
+		s.environment.Store.Down = change == 4 || change == 5
 		s.startNode(leader) // it stops and restarts within one step
 		s.runRounds(t, 4)
-		s.world.Store.Down = false
+		s.environment.Store.Down = false
 		if s.runRounds(t, 20); s.runningTasks(id) != 4 {
 			t.Fatalf("running replicas after %d leader changes: got %d, want 4", change+1, s.runningTasks(id))
 		}
@@ -51,7 +51,7 @@
 			s.cancel(leader, ids[2])
 			s.runUntil(t, 80, "tasks of the cancelled services gone", func() bool {
 				for _, id := range ids[:3] {
-					if s.world.Jobs[id].FinalPhase == "" { // the users repeat the request
+					if s.environment.Jobs[id].FinalPhase == "" { // the users repeat the request
 						s.cancel(other, id)
 					}
 				}
@@ -71,20 +71,20 @@
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
 			s := newReadyCluster()
 			id := s.submitArray(tasks, 3*time.Second, nil)
-			s.world.Jobs[id].RunTimeStep = 12 * time.Second
-			s.runUntil(t, 80, "first task ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 1 })
+			s.environment.Jobs[id].RunTimeStep = 12 * time.Second
+			s.runUntil(t, 80, "first task ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == 1 })
 			leader, _ := s.leaderOfJob(t, id)
 			s.startNode(leader) // the uncommitted release of the first task is lost
 			s.runRounds(t, 8)
 			s.nodes[leader].running = false
-			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == tasks })
+			s.runUntil(t, 80, "all tasks ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == tasks })
 			s.runUntil(t, 8, "job reported as done", func() bool {
 				for i, n := range s.nodes {
 					if n.running {
 						s.poll(i, id)
 					}
 				}
-				return s.world.Jobs[id].FinalPhase == api.JobDone
+				return s.environment.Jobs[id].FinalPhase == api.JobDone
 			})
 			s.checkRecovery(t)
 		})
@@ -101,8 +101,8 @@
 	id := s.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
 	})
-	s.world.Jobs[id].RunTimeStep = time.Second
-	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.world.Jobs[id].DoneTasks) == 4 })
+	s.environment.Jobs[id].RunTimeStep = time.Second
+	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == 4 })
 	s.runUntil(t, 6, "job reported as done", s.isDone(id))
 }
 
@@ -120,8 +120,8 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			s := newTestCluster()
-			s.world.TeamGPULimits["b"] = 5
-			s.world.WorkerLease, s.world.CancelTimeout = 18*time.Second, 60*time.Second
+			s.environment.TeamGPULimits["b"] = 5
+			s.environment.WorkerLease, s.environment.CancelTimeout = 18*time.Second, 60*time.Second
 			for i := range s.nodes {
 				s.startNode(i)
 			}
@@ -136,9 +136,9 @@
 			for _, team := range []string{"a", "b"} {
 				s.submitArray(4, 3*time.Second, func(r *api.Job) { r.Team = team })
 			}
-			for i, host := range s.world.Cloud.HostNames() {
+			for i, host := range s.environment.Cloud.HostNames() {
 				if i%2 == 0 {
-					s.world.Cloud.WorkersByHost[host].WorkerFaults = fault.WorkerFaults
+					s.environment.Cloud.WorkersByHost[host].WorkerFaults = fault.WorkerFaults
 				}
 			}
 			leader, other := s.leaderOfJob(t, services[0])
@@ -151,7 +151,7 @@
 			s.runRounds(t, 20)
 			s.nodes[other].running = false
 			s.runRounds(t, 14) // slightly less than the lease since the fault began
-			for _, worker := range s.world.Cloud.WorkersByHost {
+			for _, worker := range s.environment.Cloud.WorkersByHost {
 				worker.Hung = false
 			}
 			s.runRounds(t, 30)
@@ -168,12 +168,12 @@
 	s.runUntil(t, 20, "machine registered", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
 	preferred := 0
 	for host := range s.nodes[0].state().Cache.Machines {
-		preferred = s.homeOf(host)
+		preferred = s.preferredLeaderOf(host)
 	}
-	s.world.Store.RefusedNodes[s.nodes[preferred].name] = true // before the machine has booted
+	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = true // before the machine has booted
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.world.Store.RefusedNodes[s.nodes[preferred].name] = false
+	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
@@ -188,15 +188,15 @@
 	s := newReadyCluster()
 	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "replica runs on a machine", func() bool {
-		return len(s.world.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1
+		return len(s.environment.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1
 	})
-	host := s.world.Cloud.HostNames()[0]
+	host := s.environment.Cloud.HostNames()[0]
 	s.runFor(90) // long enough for any boot
-	preferred := s.homeOf(host)
-	s.world.Cloud.WorkersByHost[host].Partitioned = true
-	s.world.Store.RefusedNodes[s.nodes[preferred].name] = true
+	preferred := s.preferredLeaderOf(host)
+	s.environment.Cloud.WorkersByHost[host].Partitioned = true
+	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = true
 	settings := s.nodes[0].controller.node.Settings
 	// By the end of this time its task has certainly ended.
 	bound := settings.LeadershipGrace() + settings.WorkerLeaseBound() + 2*settings.ControllerLeaseTTL() + 2*time.Second
-	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.world.Cloud.WorkersByHost[host] == nil })
+	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.environment.Cloud.WorkersByHost[host] == nil })
 }
--- a/internal/controller/load_costs_test.go
+++ b/internal/controller/load_costs_test.go
@@ -73,10 +73,10 @@
 		}
 	}
 	jobs := map[api.JobPhase]int{}
-	for _, j := range l.world.Jobs {
+	for _, j := range l.environment.Jobs {
 		jobs[j.FinalPhase]++
 	}
-	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.world.Cloud.WorkersByHost), jobs, len(l.world.Violations))
+	fmt.Printf("machines %d, jobs %v, broken rules %d\n", len(l.environment.Cloud.WorkersByHost), jobs, len(l.environment.Violations))
 }
 
 // mostHeld returns the functions that held a lock longest in all.
@@ -95,8 +95,8 @@
 				l := newLoadScenario(d)
 				l.playPhases()
 				l.print()
-				if len(l.world.Violations) > 0 {
-					b.Fatal(l.world.Violations[0])
+				if len(l.environment.Violations) > 0 {
+					b.Fatal(l.environment.Violations[0])
 				}
 				runtime.GC()
 				runtime.KeepAlive(l)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -62,7 +62,7 @@
 		n.controller.services.Store = &budgetedStore{
 			n.storeClient,
 			transport.NewTokenBucket(perNode, 0.6*d.State.WriteRPS),
-			func() time.Time { return l.world.Now },
+			func() time.Time { return l.environment.Now },
 		}
 		n.controller.guard.StartMeter()
 	}
@@ -92,11 +92,11 @@
 	})
 	l.measure("lease", func() { n.controller.election.MaintainLease(ctx) })
 	l.measure("decide", func() { n.controller.decisions.Decide(ctx) })
-	if l.world.Now.UnixMilli()%1000 == 0 {
+	if l.environment.Now.UnixMilli()%1000 == 0 {
 		l.measure("cloud", func() { n.controller.scaling.Autoscale(ctx) })
 	}
-	aside := n.async
-	n.async = nil
+	aside := n.asyncWork
+	n.asyncWork = nil
 	l.measure("commands", func() {
 		for _, f := range aside {
 			f()
@@ -128,25 +128,25 @@
 
 // sendHeartbeats has each worker send a heartbeat that is due or has something new.
 func (l *loadScenario) sendHeartbeats() {
-	for _, host := range l.world.Cloud.HostNames() {
-		x := l.world.Cloud.WorkersByHost[host]
+	for _, host := range l.environment.Cloud.HostNames() {
+		x := l.environment.Cloud.WorkersByHost[host]
 		if !x.Booted() {
 			continue
 		}
 		state := x.StateSummary()
-		if l.world.Now.Before(l.nextHeartbeat[host]) && state == l.lastSummary[host] {
+		if l.environment.Now.Before(l.nextHeartbeat[host]) && state == l.lastSummary[host] {
 			continue
 		}
 		l.lastSummary[host] = state
 		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
-		l.nextHeartbeat[host] = l.world.Now.Add(time.Duration(interval * float64(time.Second)))
+		l.nextHeartbeat[host] = l.environment.Now.Add(time.Duration(interval * float64(time.Second)))
 		to := x.Node
 		if !l.nodes[to].serves() {
 			x.Node = (to + 1) % len(l.nodes)
-			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+			l.nextHeartbeat[host] = l.environment.Now.Add(time.Second)
 			continue
 		}
-		sent := sentHeartbeat{x, to, l.world.Now, x.AgentEpoch}
+		sent := sentHeartbeat{x, to, l.environment.Now, x.AgentEpoch}
 		status, body := l.request("heartbeat", to, "POST", "/checkin", api.MustMarshal(x.Heartbeat()))
 		commands, leader, err := simulator.ParseHeartbeatResponse(body)
 		if err != nil {
@@ -154,7 +154,7 @@
 		}
 		l.handleHeartbeatResponse(sent, heartbeatResponse{status, commands, leader})
 		if status != 200 {
-			l.nextHeartbeat[host] = l.world.Now.Add(time.Second)
+			l.nextHeartbeat[host] = l.environment.Now.Add(time.Second)
 		}
 	}
 }
@@ -174,20 +174,20 @@
 	}
 	for _, uid := range l.jobIDs {
 		at, unfinished := l.pollAt[uid]
-		if !unfinished || l.world.Now.Before(at) {
+		if !unfinished || l.environment.Now.Before(at) {
 			continue
 		}
-		l.pollAt[uid] = l.world.Now.Add(pollEvery)
+		l.pollAt[uid] = l.environment.Now.Add(pollEvery)
 		to := l.anyNode()
-		if end, service := l.endAt[uid]; service && l.world.Now.After(end) {
-			l.world.Jobs[uid].CancelRequested = true
+		if end, service := l.endAt[uid]; service && l.environment.Now.After(end) {
+			l.environment.Jobs[uid].CancelRequested = true
 			status, body := l.request("user", to, "POST", "/v2/runs/"+uid+"/cancel", nil)
 			l.checkResponse(uid, status, body, false)
 		} else {
 			status, body := l.request("user", to, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
 		}
-		if l.world.Jobs[uid].FinalPhase != "" {
+		if l.environment.Jobs[uid].FinalPhase != "" {
 			delete(l.pollAt, uid)
 		}
 	}
@@ -206,19 +206,19 @@
 func (l *loadScenario) newJob(class *simulator.JobClass) {
 	run, runTime := class.NewJob(len(l.jobIDs), l.random)
 	if class.Service {
-		l.endAt[run.UID] = l.world.Now.Add(runTime)
+		l.endAt[run.UID] = l.environment.Now.Add(runTime)
 	}
-	l.world.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, DoneTasks: map[int]bool{}}
+	l.environment.Jobs[run.UID] = &simulator.Job{Spec: run, RunTime: runTime, DoneTasks: map[int]bool{}}
 	l.jobIDs = append(l.jobIDs, run.UID)
 	l.submitFrom(run.UID)
 }
 
 // submitFrom submits a job through any controller. One that is refused is submitted again.
 func (l *loadScenario) submitFrom(uid string) {
-	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.world.Jobs[uid].Spec))
+	status, body := l.request("user", l.anyNode(), "POST", "/v2/runs", simulator.Submission(&l.environment.Jobs[uid].Spec))
 	l.checkResponse(uid, status, body, true)
 	if status == 200 || status == 201 {
-		l.pollAt[uid] = l.world.Now.Add(pollEvery)
+		l.pollAt[uid] = l.environment.Now.Add(pollEvery)
 	} else {
 		l.resubmissions = append(l.resubmissions, uid)
 	}
@@ -227,13 +227,13 @@
 // play lets everybody go on for a while.
 func (l *loadScenario) play(phase string, d time.Duration) {
 	l.phase = phase
-	for end := l.world.Now.Add(d); l.world.Now.Before(end); {
+	for end := l.environment.Now.Add(d); l.environment.Now.Before(end); {
 		for i := range l.nodes {
 			l.measureStep(i)
 		}
 		l.sendHeartbeats()
 		l.runUsers()
-		l.world.Advance(loadStep)
+		l.environment.Advance(loadStep)
 	}
 	if cost := l.costs[phase]; cost != nil {
 		cost.simulated += d
@@ -267,9 +267,9 @@
 	l.play("takeover", 25*time.Second)
 	l.startNode(2)
 	l.play("start", 25*time.Second)
-	l.world.Store.Down = true
+	l.environment.Store.Down = true
 	l.play("outage", 15*time.Second)
-	l.world.Store.Down = false
+	l.environment.Store.Down = false
 	l.play("return", 25*time.Second)
 	l.nodes[1].running, l.nodes[2].running = false, false
 	l.play("last", 40*time.Second)
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -16,9 +16,9 @@
 	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.SingleZone = true })
 	s.runUntil(t, 80, "some run", func() bool { return s.runningTasks(a) > 0 })
 	for range 3 {
-		for k, h := range s.world.Cloud.HostNames() {
-			if x := s.world.Cloud.WorkersByHost[h]; x.Zone == "y" && k%2 == 0 {
-				s.world.Cloud.Terminate(h)
+		for k, h := range s.environment.Cloud.HostNames() {
+			if x := s.environment.Cloud.WorkersByHost[h]; x.Zone == "y" && k%2 == 0 {
+				s.environment.Cloud.Terminate(h)
 			}
 		}
 		s.runRounds(t, 20)
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -44,7 +44,7 @@
 
 // lowerStateLimits has the state service keep to its next limits.
 func (s *testCluster) lowerStateLimits() {
-	s.world.Store.MaxOps, s.world.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
+	s.environment.Store.MaxOps, s.environment.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
 }
 
 // Jobs that the version in production recorded for large values run on, are cancelled
@@ -60,7 +60,7 @@
 		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
 	})
 	large := 0
-	for _, it := range s.world.Store.Items(statecache.LivePrefix) {
+	for _, it := range s.environment.Store.Items(statecache.LivePrefix) {
 		if len(it.Value) > int(s.nextStateLimits.ValueKB*1024) {
 			large++
 		}
@@ -72,18 +72,18 @@
 	s.lowerStateLimits()
 	s.runUntil(t, 60, "cancelled", func() bool {
 		s.cancel(1, cancelled)
-		return s.world.Jobs[cancelled].FinalPhase == api.JobCancelled
+		return s.environment.Jobs[cancelled].FinalPhase == api.JobCancelled
 	})
 	s.runUntil(t, 900, "done", s.isDone(inline))
 	s.runUntil(t, 900, "done", s.isDone(inRanges))
 	s.runUntil(t, 400, "no large record of a job is left", func() bool {
-		return !slices.ContainsFunc(s.world.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
+		return !slices.ContainsFunc(s.environment.Store.Items(statecache.LivePrefix), func(it simulator.Item) bool {
 			large := len(it.Value) > int(s.nextStateLimits.ValueKB*1024)
 			return large && it.Key[:len(statecache.JobKey(""))] != statecache.MachinePageKey("")
 		})
 	})
-	if s.world.Store.RefusedTooLarge > 20 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.RefusedTooLarge)
+	if s.environment.Store.RefusedTooLarge > 20 {
+		t.Fatalf("%d transactions were refused for their size", s.environment.Store.RefusedTooLarge)
 	}
 }
 
@@ -102,7 +102,7 @@
 			t.Fatalf("%d of its tasks run", n)
 		}
 	}
-	if s.lowerStateLimits(); s.world.Store.RefusedTooLarge > 0 {
+	if s.lowerStateLimits(); s.environment.Store.RefusedTooLarge > 0 {
 		t.Fatal("something was refused for its size")
 	}
 }
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -17,12 +17,12 @@
 	s := newReadyCluster()
 	id := s.submitJob(nil)
 	s.runUntil(t, 60, "array done", s.isDone(id))
-	host := s.world.Cloud.HostNames()[0]
-	late := api.MustMarshal(s.world.Cloud.WorkersByHost[host].Heartbeat())
+	host := s.environment.Cloud.HostNames()[0]
+	late := api.MustMarshal(s.environment.Cloud.WorkersByHost[host].Heartbeat())
 	s.runUntil(
 		t, 60, "machine returned and deregistered",
 		func() bool {
-			return s.world.Cloud.WorkersByHost[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
+			return s.environment.Cloud.WorkersByHost[host] == nil && s.nodes[0].state().Cache.Machines[host] == nil
 		},
 	)
 	for range 20 {
@@ -46,11 +46,11 @@
 	for i := range 60 {
 		c.testState().Agents.Unregistered().SetRented(fmt.Sprintf("i-9%05d", i), shard.Machine{MachineType: "m", Zone: "x"})
 	}
-	before := s.world.Store.SentWrites
-	for c.testState().Agents.Unregistered().Count() > 0 && s.world.Store.SentWrites < before+60 {
+	before := s.environment.Store.SentWrites
+	for c.testState().Agents.Unregistered().Count() > 0 && s.environment.Store.SentWrites < before+60 {
 		c.decisions.RegisterMachines(context.Background())
 	}
-	if n := s.world.Store.SentWrites - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
+	if n := s.environment.Store.SentWrites - before; n > 6 || len(c.testState().Cache.Machines) < 60 {
 		t.Fatalf("%d changes for %d machines", n, len(c.testState().Cache.Machines))
 	}
 }
@@ -60,16 +60,16 @@
 func TestTerminatedMachinesAreRemembered(t *testing.T) {
 	m := statecache.New(nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
-	const machines = 3 * statecache.MinTerminated
+	const machines = 3 * statecache.MinTerminatedLimit
 	for i := range machines {
 		m.RecordTerminated(name(i))
-		for back := range min(i, statecache.MinTerminated/2) {
+		for back := range min(i, statecache.MinTerminatedLimit/2) {
 			if back%97 == 0 && !m.Terminated[name(i-back)] {
 				t.Fatalf("of %d that went the %dth last is not remembered", i+1, back+1)
 			}
 		}
 	}
-	if len(m.Terminated) > statecache.MinTerminated {
+	if len(m.Terminated) > statecache.MinTerminatedLimit {
 		t.Errorf("%d are remembered", len(m.Terminated))
 	}
 }
@@ -84,13 +84,13 @@
 	s.lowerStateLimits()
 	s.cancel(0, id)
 	s.runUntil(t, 400, "all machines are terminated and deregistered", func() bool {
-		return len(s.world.Cloud.WorkersByHost) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
+		return len(s.environment.Cloud.WorkersByHost) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
 	s.runUntil(t, 400, "their pages are gone", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
 	again := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
 	s.runUntil(t, 400, "done", s.isDone(again))
-	if s.world.Store.RefusedTooLarge > 3 {
-		t.Fatalf("%d transactions were refused for their size", s.world.Store.RefusedTooLarge)
+	if s.environment.Store.RefusedTooLarge > 3 {
+		t.Fatalf("%d transactions were refused for their size", s.environment.Store.RefusedTooLarge)
 	}
 }
 
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -17,14 +17,14 @@
 	s := newTestCluster()
 	s.runFor(60) // terms grow old
 	id := s.submitJob(nil)
-	s.runUntil(t, 20, "machine rented", func() bool { return len(s.world.Cloud.WorkersByHost) > 0 })
-	first := s.world.Cloud.HostNames()[0]
+	s.runUntil(t, 20, "machine rented", func() bool { return len(s.environment.Cloud.WorkersByHost) > 0 })
+	first := s.environment.Cloud.HostNames()[0]
 	for range 30 { // the controllers hear of it only by their own fences
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		s.world.Advance(roundInterval)
-		if s.world.Cloud.WorkersByHost[first] == nil {
+		s.environment.Advance(roundInterval)
+		if s.environment.Cloud.WorkersByHost[first] == nil {
 			t.Fatal("the machine went back")
 		}
 	}
@@ -37,16 +37,16 @@
 	for _, boot := range []time.Duration{0, time.Second, 2 * time.Second} {
 		t.Run(fmt.Sprintf("boot in %v", boot), func(t *testing.T) {
 			s := newReadyCluster()
-			s.world.MachineType.BootTime = boot
+			s.environment.MachineType.BootTime = boot
 			a := s.submitArray(12, 2*time.Second, nil)
 			// Who rents hears no response and ends: only the machines tell that they are there.
-			for k := 0; k < 20 && len(s.world.Cloud.WorkersByHost) == 0; k++ {
+			for k := 0; k < 20 && len(s.environment.Cloud.WorkersByHost) == 0; k++ {
 				for _, n := range s.nodes {
-					s.world.Cloud.NextFault[n.name] = simulator.ResponseLost
+					s.environment.Cloud.NextFault[n.name] = simulator.ResponseLost
 				}
 				s.runRounds(t, 1)
 			}
-			if len(s.world.Cloud.WorkersByHost) == 0 {
+			if len(s.environment.Cloud.WorkersByHost) == 0 {
 				t.Error("nothing was rented")
 			}
 			for i := range s.nodes {
@@ -54,10 +54,10 @@
 			}
 			s.submitService(3, nil)
 			for k := range 30 {
-				s.world.Store.NextFault[s.nodes[k%3].name] = simulator.Fault(k % 4)
-				s.world.Cloud.NextFault[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
+				s.environment.Store.NextFault[s.nodes[k%3].name] = simulator.Fault(k % 4)
+				s.environment.Cloud.NextFault[s.nodes[(k+1)%3].name] = simulator.Fault(k % 3)
 				if k%5 == 4 {
-					s.world.Store.DeliverDelayed()
+					s.environment.Store.DeliverDelayed()
 				}
 				if k%10 == 9 {
 					s.startNode(k / 10)
@@ -66,7 +66,7 @@
 			}
 			s.runUntil(t, 200, "array done", s.isDone(a))
 			s.checkRecovery(t)
-			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.world.Cloud.WorkersByHost) <= 4 })
+			s.runUntil(t, 400, "no machine is left over", func() bool { return len(s.environment.Cloud.WorkersByHost) <= 4 })
 		})
 	}
 }
@@ -76,14 +76,14 @@
 // and nothing more was rented before they were up.
 func TestLargeJobRentsAllItNeeds(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.BootTime = 100 * time.Second
+	s.environment.MachineType.BootTime = 100 * time.Second
 	s.runFor(10)
 	s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 2000, time.Hour })
-	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.world.Cloud.WorkersByHost) >= 1000 })
-	if n := len(s.world.Cloud.WorkersByHost); n > 1100 {
+	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.environment.Cloud.WorkersByHost) >= 1000 })
+	if n := len(s.environment.Cloud.WorkersByHost); n > 1100 {
 		t.Errorf("%d machines are rented for 2000 tasks, two a machine", n)
 	}
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		if x.Booted() {
 			t.Fatal("the first machines are up before the last are rented")
 		}
@@ -95,7 +95,7 @@
 // the first minutes with too few machines.
 func TestHeadroomBeyondOneRental(t *testing.T) {
 	s := newTestCluster()
-	s.world.MachineType.BootTime = time.Minute
+	s.environment.MachineType.BootTime = time.Minute
 	s.runFor(4)
 	c := s.nodes[0].controller
 	c.node.Settings.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "l", WithinS: 10}}
@@ -112,15 +112,15 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Record(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Accounting.Arrivals().Record(&job.Record{Spec: *run, AcceptedMS: c.node.Now().UnixMilli()})
 	}
 	s.runFor(6) // a sixteenth of a boot is eight rounds
-	if n := len(s.world.Cloud.WorkersByHost); n < 150 {
+	if n := len(s.environment.Cloud.WorkersByHost); n < 150 {
 		t.Fatalf("%d machines after three seconds", n)
 	}
-	rented := len(s.world.Cloud.WorkersByHost)
+	rented := len(s.environment.Cloud.WorkersByHost)
 	s.runFor(6)
-	if n := len(s.world.Cloud.WorkersByHost); n != rented {
+	if n := len(s.environment.Cloud.WorkersByHost); n != rented {
 		t.Fatalf("%d machines, then %d, though there was enough", rented, n)
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -17,7 +17,7 @@
 		*d = time.Hour
 	})
 	s.runUntil(t, 80, "idle work runs", func() bool { return s.runningTasks(low) == 4 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	high := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Priority, r.Tasks = api.Service, "production", 1 })
 	s.runUntil(t, 20, "production runs", func() bool { return s.runningTasks(high) == 1 })
 	if n := s.runningTasks(low); n != 3 {
@@ -31,7 +31,7 @@
 	s := newReadyCluster()
 	low := s.submitArray(8, time.Hour, func(r *api.Job) { r.Priority = "idle" })
 	s.runUntil(t, 80, "idle work runs", func() bool { return s.runningTasks(low) > 0 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	var urgent []string
 	for range 3 {
 		urgent = append(urgent, s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "urgent" }))
@@ -41,14 +41,14 @@
 		for i := range s.nodes {
 			s.stepNode(i)
 		}
-		for i, h := range s.world.Cloud.HostNames() { // responses take more than a round
+		for i, h := range s.environment.Cloud.HostNames() { // responses take more than a round
 			f := heartbeatServed
 			if (k+i)%2 == 0 {
 				f = responseDelayed
 			}
-			s.sendHeartbeat(s.world.Cloud.WorkersByHost[h], f)
+			s.sendHeartbeat(s.environment.Cloud.WorkersByHost[h], f)
 		}
-		s.world.Advance(roundInterval)
+		s.environment.Advance(roundInterval)
 		s.checkViolations(t)
 	}
 	for _, id := range urgent {
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -124,16 +124,16 @@
 	return api.MustMarshal(v), nil
 }
 
-// productionStore makes a controller's view of the state service that of the version
+// productionVersionStore makes a controller's view of the state service that of the version
 // in production: it sees no fields, and no kinds of records, that this doesn't know,
 // and writes none.
-type productionStore struct {
+type productionVersionStore struct {
 	external.StateService
 	kinds jobKinds
 }
 
 // List reads the keys with a prefix, as the version in production does.
-func (p *productionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
+func (p *productionVersionStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
 	items, revision, err := p.StateService.List(ctx, prefix)
 	var out []store.Item
 	for _, it := range items {
@@ -145,7 +145,7 @@
 }
 
 // Changes reads changes, as the version in production does.
-func (p *productionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
+func (p *productionVersionStore) Changes(ctx context.Context, prefix string, since uint64, block time.Duration) ([]store.Change, uint64, error) {
 	log, revision, err := p.StateService.Changes(ctx, prefix, since, block)
 	var out []store.Change
 	for _, e := range log {
@@ -160,7 +160,7 @@
 }
 
 // Commit commits a transaction, as the version in production does.
-func (p *productionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
+func (p *productionVersionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
 	u := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
 	for _, op := range t.Ops {
 		if op.DeleteKey == "" {
--- a/internal/controller/production_test.go
+++ b/internal/controller/production_test.go
@@ -121,7 +121,7 @@
 			MemGB:    1,
 			Image:    "i",
 		}
-		s.world.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, DoneTasks: map[int]bool{}}
+		s.environment.Jobs[r.UID] = &simulator.Job{Spec: *r, RunTime: time.Second, DoneTasks: map[int]bool{}}
 		for _, n := range s.nodes {
 			if n.running && !n.inProduction {
 				return n.controller.frontend.Submit(context.Background(), simulator.Submission(r)).Status
@@ -162,13 +162,13 @@
 	}
 	s.runFor(30)
 	r := api.Job{UID: "run-000001", Class: "l", Team: "b", Kind: api.Gang, Priority: "standard", Tasks: 4, CPUs: 4, MemGB: 1, Image: "i"}
-	s.world.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, DoneTasks: map[int]bool{}}
-	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.world.Now.UnixMilli()}
+	s.environment.Jobs[r.UID] = &simulator.Job{Spec: r, RunTime: time.Second, DoneTasks: map[int]bool{}}
+	m := &job.Record{Spec: r, Shard: "n1", AcceptedMS: s.environment.Now.UnixMilli()}
 	m.ChooseLayout(2, 300, false)
 	a := &frontend.Submission{Ctx: context.Background(), Record: m, Response: make(chan transport.Response, 1)}
 	s.nodes[0].controller.frontend.AcceptBatch(context.Background(), []*frontend.Submission{a}) // without asking who may read it
 	s.runFor(200)
-	if !slices.ContainsFunc(s.world.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleGangAttempts }) {
-		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.world.Violations)
+	if !slices.ContainsFunc(s.environment.Violations, func(v simulator.Violation) bool { return v.Rule == simulator.RuleGangAttempts }) {
+		t.Fatalf("nobody sees that its tasks were placed one by one: %v", s.environment.Violations)
 	}
 }
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -17,7 +17,7 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
 	shard := s.nodes[leader].name
-	s.world.Store.RefusedNodes[shard] = true
+	s.environment.Store.RefusedNodes[shard] = true
 	s.runUntil(t, 40, "shard acquired by a peer", func() bool {
 		newLeader := s.leaderOf(shard)
 		return newLeader != "" && newLeader != shard
@@ -28,7 +28,7 @@
 		t.Fatalf("leadership of shard %s at its former leader: got %+v, want successor %q", shard, leadership, s.leaderOf(shard))
 	}
 	for host, m := range c.testState().Cache.Machines {
-		if worker := s.world.Cloud.WorkersByHost[host]; m.Shard == shard && worker != nil && worker.Booted() {
+		if worker := s.environment.Cloud.WorkersByHost[host]; m.Shard == shard && worker != nil && worker.Booted() {
 			r := worker.Heartbeat()
 			r.Token = 0
 			if got := s.deliverHeartbeat(leader, api.MustMarshal(r)); got.status != 421 || got.leader != s.leaderOf(shard) {
@@ -38,8 +38,8 @@
 	}
 	for range 60 {
 		s.runRound()
-		if len(s.world.Violations) > 0 || s.runningTasks(id) != 3 {
-			t.Fatalf("got %d running replicas, violations %v, want 3 and none", s.runningTasks(id), s.world.Violations)
+		if len(s.environment.Violations) > 0 || s.runningTasks(id) != 3 {
+			t.Fatalf("got %d running replicas, violations %v, want 3 and none", s.runningTasks(id), s.environment.Violations)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	s := newReadyCluster()
 	s.submitJob(nil)
 	s.runUntil(t, 40, "machine registered and running", func() bool {
-		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.world.Cloud.WorkersByHost) > 0
+		return len(s.nodes[0].state().Cache.Machines) > 0 && len(s.environment.Cloud.WorkersByHost) > 0
 	})
 	for host, m := range s.nodes[0].state().Cache.Machines {
-		worker := s.world.Cloud.WorkersByHost[host]
+		worker := s.environment.Cloud.WorkersByHost[host]
 		for i, n := range s.nodes {
 			got := s.deliverHeartbeat(i, api.MustMarshal(worker.Heartbeat()))
 			switch leads := n.name == m.Shard; {
@@ -66,11 +66,11 @@
 		}
 	}
 	for range 100 { // the state service refuses only this node
-		s.world.Store.RefusedNodes["n0"] = true
+		s.environment.Store.RefusedNodes["n0"] = true
 		s.runRound()
 	}
 	for host := range s.nodes[1].state().Cache.Machines {
-		if worker := s.world.Cloud.WorkersByHost[host]; worker != nil {
+		if worker := s.environment.Cloud.WorkersByHost[host]; worker != nil {
 			if s.deliverHeartbeat(0, api.MustMarshal(worker.Heartbeat())).status == 200 {
 				t.Error("heartbeat long after the end of the node's lease: got status 200, want another")
 			}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -20,7 +20,7 @@
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(b) == 4 })
 	s.cancel(2, b)
 	s.runUntil(t, 20, "replicas gone", func() bool { return s.runningTasks(b) == 0 })
-	s.runUntil(t, 200, "machines returned", func() bool { return len(s.world.Cloud.WorkersByHost) == 0 })
+	s.runUntil(t, 200, "machines returned", func() bool { return len(s.environment.Cloud.WorkersByHost) == 0 })
 }
 
 // Two task ranges of one job that ended in the same round once stopped all releases
@@ -50,7 +50,7 @@
 	}
 	small()
 	s.runUntil(t, 60, "one machine", func() bool { return s.runningTasks("run-000000") == 1 })
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	small()
 	small()
 	large := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, r.EstimatedRunS, *d = 12, 80, 80*time.Second })
@@ -72,11 +72,11 @@
 // limit seemed reached, and nothing was ever rented for it.
 func TestStarvingJobOfLimitedTeamIsRentedFor(t *testing.T) {
 	s := newReadyCluster()
-	s.world.Cloud.NoCapacity = true
+	s.environment.Cloud.NoCapacity = true
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Team, r.Tasks = "a", 12 }) // its limit is 5
 	for range 2 * int(scheduler.MaxStartDelay/time.Second) {
 		s.runRound()
 	}
-	s.world.Cloud.NoCapacity = false
+	s.environment.Cloud.NoCapacity = false
 	s.runUntil(t, 200, "done", s.isDone(id))
 }
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -16,7 +16,7 @@
 	s := newTestCluster()
 	for i, n := range s.nodes { // the first transaction registers, the next acquires the shard
 		s.stepNode(i)
-		s.world.Store.NextFault[n.name] = simulator.ResponseLost
+		s.environment.Store.NextFault[n.name] = simulator.ResponseLost
 	}
 	s.runUntil(t, 40, "shards led", func() bool {
 		return s.leaderOf("n0") != "" && s.leaderOf("n1") != "" && s.leaderOf("n2") != ""
@@ -28,7 +28,7 @@
 func TestPredecessorMayAnswerSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.world.Store.RefusedNodes["n1"] = true // n1 continues to run, partitioned from the state service
+	s.environment.Store.RefusedNodes["n1"] = true // n1 continues to run, partitioned from the state service
 	s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
@@ -74,7 +74,7 @@
 	s.nodes[1].running = false
 	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].state().Cache.Leaders["n1"].Record == nil })
 	for _, n := range s.nodes {
-		s.world.Store.NextFault[n.name] = simulator.Delayed // the acquisition is in transit when its sender stops
+		s.environment.Store.NextFault[n.name] = simulator.Delayed // the acquisition is in transit when its sender stops
 	}
 	for i := range s.nodes {
 		s.stepNode(i)
@@ -84,7 +84,7 @@
 	}
 	for i := range s.nodes {
 		s.stepNode(i)
-		s.world.Store.DeliverDelayed()
+		s.environment.Store.DeliverDelayed()
 	}
 	// This must not take until the leases of the previous incarnations expire, as those have ended.
 	s.runUntil(t, 5, "each shard led by its preferred leader", func() bool {
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -13,17 +13,17 @@
 	s := newReadyCluster()
 	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "a replica runs on a machine", func() bool { return s.runningTasks(service) == 1 })
-	before := s.world.Store.SentWrites
+	before := s.environment.Store.SentWrites
 	jobs := []string{}
 	for range 4 {
 		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.CPUs, r.GPUs, r.MemGB = 12, 0.1, 0, 0.1 })
-		s.world.Jobs[id].RunTimeStep = time.Second
+		s.environment.Jobs[id].RunTimeStep = time.Second
 		jobs = append(jobs, id)
 	}
 	for _, id := range jobs {
 		s.runUntil(t, 400, "array done", s.isDone(id))
 	}
-	if n := s.world.Store.SentWrites - before; n > 10*len(jobs) {
+	if n := s.environment.Store.SentWrites - before; n > 10*len(jobs) {
 		t.Fatalf("writes for %d jobs of 12 tasks: got %d, want at most %d", len(jobs), n, 10*len(jobs))
 	} else {
 		t.Logf("%d writes for %d jobs", n, len(jobs))
@@ -60,7 +60,7 @@
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	s.nodes[2].paused = true
-	s.world.Store.ExpireHistory()
+	s.environment.Store.ExpireHistory()
 	s.nodes[2].paused = false
 	array := s.submitJob(nil)
 	s.runUntil(t, 80, "the controller that fell behind has caught up", func() bool {
--- a/internal/controller/submissions_test.go
+++ b/internal/controller/submissions_test.go
@@ -60,7 +60,7 @@
 	if r := s.nodes[1].controller.frontend.Query(ctx, "run-000999"); r.Status != 404 {
 		t.Errorf("query of an unknown job: got status %d, want 404", r.Status)
 	}
-	s.world.Store.Down = true
+	s.environment.Store.Down = true
 	if r := s.nodes[1].controller.frontend.Query(ctx, "run-000999"); r.Status != 503 {
 		t.Errorf("query of an unknown job in an outage of the state service: got status %d, want 503", r.Status)
 	}
@@ -74,7 +74,7 @@
 	s.runUntil(t, 80, "array done", s.isDone(id))
 	s.startNode(1)
 	s.runRounds(t, 6)
-	r := s.world.Jobs[id].Spec
+	r := s.environment.Jobs[id].Spec
 	r.Image = strings.Repeat("x", 4000)
 	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
 		t.Errorf("repeated submission of a finished job: got status %d, want 200", got.Status)
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -19,9 +19,9 @@
 	for h := range s.runningTasksByHost(id) {
 		host = h
 	}
-	leader := s.homeOf(host)
+	leader := s.preferredLeaderOf(host)
 	c := s.nodes[leader].controller
-	for range 2 * int(s.world.WorkerLease/time.Second) { // wait until the worker reacts to raises again
+	for range 2 * int(s.environment.WorkerLease/time.Second) { // wait until the worker reacts to raises again
 		s.runRound()
 	}
 	raises := c.testState().Agents.Agent(host).TokenSequence
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -13,16 +13,16 @@
 // the job has ended, and the acquisition of a shard after it was acquired again and released.
 func TestDelayedTransactions(t *testing.T) {
 	s := newReadyCluster()
-	s.world.Store.NextFault["n0"] = simulator.Delayed
+	s.environment.Store.NextFault["n0"] = simulator.Delayed
 	first := s.submitArray(2, time.Second, nil)
 	s.submit(1, first)
 	second := s.submitArray(2, 4*time.Second, nil)
 	s.runUntil(t, 80, "second array runs", func() bool { return s.runningTasks(second) == 2 })
-	s.world.Store.NextFault["n2"] = simulator.Delayed
+	s.environment.Store.NextFault["n2"] = simulator.Delayed
 	s.cancel(2, second)
 	s.runUntil(t, 80, "both arrays done", func() bool { return s.isDone(first)() && s.isDone(second)() })
 	s.startNode(1) // it loses its state in memory
-	s.world.Store.DeliverDelayed()
+	s.environment.Store.DeliverDelayed()
 	for range 8 {
 		s.queryEverywhere(first)
 		s.queryEverywhere(second)
@@ -34,13 +34,13 @@
 	s.nodes[leader].running = false
 	for range 12 { // acquisitions of the shard and all other transactions get no response
 		for _, n := range s.nodes {
-			s.world.Store.NextFault[n.name] = simulator.Delayed
+			s.environment.Store.NextFault[n.name] = simulator.Delayed
 		}
 		s.runRounds(t, 1)
 	}
 	s.startNode(leader)
 	s.runRounds(t, 10)
-	s.world.Store.DeliverDelayed()
+	s.environment.Store.DeliverDelayed()
 	s.runRounds(t, 40)
 	if s.runningTasks(id) != 3 {
 		t.Errorf("running replicas: got %d, want 3", s.runningTasks(id))
@@ -52,29 +52,29 @@
 // it wrote and report it to users: the acceptance, the end and the cancellation of a job.
 func TestLostCommitResponseWhileOthersRead(t *testing.T) {
 	s := newReadyCluster()
-	s.world.Store.NextFault["n0"] = simulator.ResponseLost
+	s.environment.Store.NextFault["n0"] = simulator.ResponseLost
 	array := s.submitArray(2, 4*time.Second, nil) // its user may not have got the acceptance
-	if !s.world.Jobs[array].Accepted {
+	if !s.environment.Jobs[array].Accepted {
 		t.Error("acceptance whose commit response was lost: not confirmed to the user by a read, want it confirmed")
 	}
 	s.queryEverywhere(array)
 	service := s.submitService(2, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(service) == 2 })
-	s.world.Store.NextFault["n1"] = simulator.ResponseLost
+	s.environment.Store.NextFault["n1"] = simulator.ResponseLost
 	s.cancel(1, service)
 	s.queryEverywhere(service)
-	if s.world.Jobs[service].FinalPhase != api.JobCancelled {
-		t.Errorf("phase of the service after its cancellation: got %q, want %q", s.world.Jobs[service].FinalPhase, api.JobCancelled)
+	if s.environment.Jobs[service].FinalPhase != api.JobCancelled {
+		t.Errorf("phase of the service after its cancellation: got %q, want %q", s.environment.Jobs[service].FinalPhase, api.JobCancelled)
 	}
 	for range 60 { // the response to the commit of each task's end is lost too
 		for _, n := range s.nodes {
-			s.world.Store.NextFault[n.name] = simulator.ResponseLost
+			s.environment.Store.NextFault[n.name] = simulator.ResponseLost
 		}
 		s.runRounds(t, 1)
 		s.queryEverywhere(array)
 	}
-	if s.world.Jobs[array].FinalPhase != api.JobDone {
-		t.Errorf("phase of the array after all responses were lost: got %q, want %q", s.world.Jobs[array].FinalPhase, api.JobDone)
+	if s.environment.Jobs[array].FinalPhase != api.JobDone {
+		t.Errorf("phase of the array after all responses were lost: got %q, want %q", s.environment.Jobs[array].FinalPhase, api.JobDone)
 	}
 	s.checkRecovery(t)
 }
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -17,12 +17,12 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	idle := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
 	s.runUntil(t, 80, "idle tasks that can be preempted run", func() bool { return s.runningTasks(idle) == 4 })
-	s.world.Cloud.Down = true // nothing is rented or returned
+	s.environment.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
 	for host := range s.runningTasksByHost(id) {
-		s.world.Cloud.WorkersByHost[host].OutboundLost, unreachable[host] = true, true
+		s.environment.Cloud.WorkersByHost[host].OutboundLost, unreachable[host] = true, true
 	}
-	s.runUntil(t, 3*rounds(s.world.WorkerLease), "replicas run elsewhere", func() bool {
+	s.runUntil(t, 3*rounds(s.environment.WorkerLease), "replicas run elsewhere", func() bool {
 		counts := s.runningTasksByHost(id)
 		for host := range unreachable {
 			if counts[host] > 0 {
@@ -48,19 +48,19 @@
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 			var worker *simulator.Worker
 			for h := range s.runningTasksByHost(id) {
-				worker = s.world.Cloud.WorkersByHost[h]
+				worker = s.environment.Cloud.WorkersByHost[h]
 			}
 			worker.InboundLost = true
 			if leaderChanges {
-				s.startNode(s.homeOf(worker.Host))
+				s.startNode(s.preferredLeaderOf(worker.Host))
 			}
 			elsewhere := func() bool {
 				counts := s.runningTasksByHost(id)
 				return counts[worker.Host] == 0 && s.runningTasks(id) == 2
 			}
-			lease := rounds(s.world.WorkerLease)
+			lease := rounds(s.environment.WorkerLease)
 			s.runUntil(t, 4*lease, "replicas run elsewhere", elsewhere)
-			if s.world.Cloud.WorkersByHost[worker.Host] == nil {
+			if s.environment.Cloud.WorkersByHost[worker.Host] == nil {
 				return // it was returned as idle, which is correct too
 			}
 			array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
@@ -94,7 +94,7 @@
 	}
 	s.cancel(1, cancelled)
 	s.runUntil(t, 20, "first array's task gone", func() bool { return s.presentTasks(cancelled) == 0 })
-	s.runRounds(t, rounds(s.world.CancelTimeout))
+	s.runRounds(t, rounds(s.environment.CancelTimeout))
 	for _, deliver := range delayedCommands {
 		deliver()
 	}
@@ -108,10 +108,10 @@
 	s.deliverDelayedCommands()
 	setDelayed(false)
 	s.runUntil(t, 40, "second array's task gone", func() bool { return s.presentTasks(next) == 0 })
-	if s.runningTasks(service) != 3 || s.world.LaunchesAfterCancel > 0 {
+	if s.runningTasks(service) != 3 || s.environment.LaunchesAfterCancel > 0 {
 		t.Errorf(
 			"got %d running replicas, %d launches after a confirmed cancellation, want 3 and 0",
-			s.runningTasks(service), s.world.LaunchesAfterCancel,
+			s.runningTasks(service), s.environment.LaunchesAfterCancel,
 		)
 	}
 	s.checkRecovery(t)
@@ -123,14 +123,14 @@
 	for _, count := range []int{16, 18, 20, 60, 120} {
 		t.Run(fmt.Sprintf("%d rounds", count), func(t *testing.T) {
 			s := newReadyCluster()
-			for _, zone := range s.world.Zones {
+			for _, zone := range s.environment.Zones {
 				s.submitService(2, func(r *api.Job) { r.Zone = zone })
 			}
 			cancelled := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 2 })
 			s.partitionZone("y")
 			s.runRounds(t, 1)
-			s.world.Cloud.Down = count > 100 // else the other controllers would return the machines, from which no heartbeat arrives
+			s.environment.Cloud.Down = count > 100 // else the other controllers would return the machines, from which no heartbeat arrives
 			s.cancel(0, cancelled)
 			s.runRounds(t, count)
 			s.checkRecovery(t)
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -74,7 +74,7 @@
 	withReaders, others := z.machines()
 	setPartitioned(withReaders, true)
 	setPartitioned(others, true)
-	lease := rounds(z.world.WorkerLease)
+	lease := rounds(z.environment.WorkerLease)
 	z.runChecked(lease/2 + rnd.IntN(2*lease))
 	if rnd.IntN(2) == 0 { // it flaps
 		setPartitioned(others, false)
@@ -83,11 +83,11 @@
 		z.runChecked(4 + rnd.IntN(lease))
 	}
 	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
 	staying := others[:readerTasks/2+rnd.IntN(len(others)-readerTasks/2)]
 	for _, x := range others[len(staying):] {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
 	setPartitioned(staying, false)
 	return z.follow(staying)
@@ -95,17 +95,17 @@
 
 // follow measures from the return of machines on.
 func (z *zoneScenario) follow(staying []*simulator.Worker) (o zoneOutcome, runs bool) {
-	returned, writes, from := z.world.Now, z.world.Store.SentWrites, len(z.starts)
+	returned, writes, from := z.environment.Now, z.environment.Store.SentWrites, len(z.starts)
 	room := 2*len(staying) - readerTasks
 	const most = 600
 	for range most {
 		z.runRound()
-		for _, x := range z.world.Cloud.Workers() {
+		for _, x := range z.environment.Cloud.Workers() {
 			if x.Zone == "x" {
 				o.machines += 0.5
 			}
 		}
-		past := z.world.Now.Sub(returned)
+		past := z.environment.Now.Sub(returned)
 		if o.readers == 0 && z.runningReaders() == readerTasks {
 			o.readers = past
 		}
@@ -122,8 +122,8 @@
 		}
 	}
 	o.wasted = max(0, o.wasted-z.runningArrays())
-	o.changes = float64(z.world.Store.SentWrites-writes) / z.world.Now.Sub(returned).Seconds()
-	return o, o.readers > 0 && o.arrays > 0 && len(z.world.Violations) == 0
+	o.changes = float64(z.environment.Store.SentWrites-writes) / z.environment.Now.Sub(returned).Seconds()
+	return o, o.readers > 0 && o.arrays > 0 && len(z.environment.Violations) == 0
 }
 
 // BenchmarkZoneRecovery measures returns of a zone with and without the feature, each over
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -27,9 +27,9 @@
 					t.Error("the zone is healthy as soon as its controller is back")
 				}
 			}
-			returned := z.world.Now
+			returned := z.environment.Now
 			for _, x := range withReaders {
-				z.world.Cloud.Terminate(x.Host)
+				z.environment.Cloud.Terminate(x.Host)
 			}
 			setPartitioned(others, false)
 			z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
@@ -81,11 +81,11 @@
 // nothing is held back.
 func TestOneZoneOnly(t *testing.T) {
 	s := newTestCluster()
-	s.world.Zones = []string{"x"}
+	s.environment.Zones = []string{"x"}
 	s.restartNodes(enableZoneRecovery)
 	id := s.submitJob(func(r *api.Job, d *time.Duration) { r.Priority, r.Tasks, *d = "idle", 8, time.Hour })
 	s.runUntil(t, 100, "array runs", func() bool { return s.runningTasks(id) == 8 })
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		x.Partitioned = true
 	}
 	for range 60 {
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	for _, x := range s.world.Cloud.Workers() {
+	for _, x := range s.environment.Cloud.Workers() {
 		x.Partitioned = false
 	}
 	s.runUntil(t, 200, "array runs again", func() bool { return s.runningTasks(id) == 8 })
@@ -129,7 +129,7 @@
 	z.runUntil(t, 40, "it is off again", func() bool {
 		return !z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 	})
-	if z.nodes[1].state().Zones.Admission(z.world.Now) != nil {
+	if z.nodes[1].state().Zones.Admission(z.environment.Now) != nil {
 		t.Error("work is held back though the feature is off")
 	}
 }
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -26,7 +26,7 @@
 			beside := 2*len(others) - readerTasks
 			returned := z.returnHalf(on)
 			z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
-			after := z.world.Now.Sub(returned)
+			after := z.environment.Now.Sub(returned)
 			before := z.arrayStartsBeforeReaders(returned)
 			t.Logf("feature %t: readers run after %v, %d tasks of arrays started before", on, after, before)
 			if on && before > beside {
@@ -63,9 +63,9 @@
 		)
 	}
 	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
-	returned := z.world.Now
+	returned := z.environment.Now
 	setPartitioned(others, false)
 	z.runUntil(t, 200, "readers run again", func() bool { return z.runningReaders() == readerTasks })
 	if n := z.arrayStartsBeforeReaders(returned); n > 2*len(others)-readerTasks {
@@ -114,7 +114,7 @@
 	z := newZoneScenario(t, enableZoneRecovery)
 	withReaders, others := z.loseZone()
 	for _, x := range slices.Concat(withReaders, others[2:]) {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
 	small := z.submitJob(func(r *api.Job, d *time.Duration) {
 		r.Priority, r.Tasks, r.Zone, r.GPUs, *d = "idle", 4, "x", 0, 5*time.Second
@@ -130,14 +130,14 @@
 func TestZoneReturnsInOutage(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	withReaders, others := z.loseZone()
-	z.world.Store.Down = true
+	z.environment.Store.Down = true
 	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
 	setPartitioned(others, false)
 	z.runChecked(20)
-	z.world.Store.Down = false
-	back := z.world.Now
+	z.environment.Store.Down = false
+	back := z.environment.Now
 	z.runUntil(t, 300, "readers run again", func() bool { return z.runningReaders() == readerTasks })
 	if n := z.arrayStartsBeforeReaders(back); n > 2*len(others)-readerTasks {
 		t.Errorf("%d tasks of arrays started before the readers", n)
@@ -165,7 +165,7 @@
 func TestTwoZonesAtOnce(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	var lost []*simulator.Worker
-	for _, x := range z.world.Cloud.Workers() {
+	for _, x := range z.environment.Cloud.Workers() {
 		if x.Zone != "z" {
 			lost = append(lost, x)
 		}
@@ -207,12 +207,12 @@
 // those that found room elsewhere stay there.
 func TestSpreadServices(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	z.world.Cloud.NoCapacity = false
+	z.environment.Cloud.NoCapacity = false
 	spread := z.submitJob(func(r *api.Job, _ *time.Duration) {
 		r.Kind, r.Priority, r.Tasks, r.Spread, r.Image = api.Service, "production", 6, true, "spread"
 	})
 	z.runUntil(t, 200, "spread replicas run", func() bool { return z.runningTasks(spread) == 6 })
-	z.world.Cloud.NoCapacity = true
+	z.environment.Cloud.NoCapacity = true
 	withReaders, others := z.loseZone()
 	z.runChecked(40)
 	stays := z.runningTasksByHost(spread)
@@ -220,7 +220,7 @@
 	z.runUntil(t, 300, "all replicas run", func() bool { return z.runningTasks(spread) == 6 && z.runningReaders() == readerTasks })
 	z.runChecked(40)
 	for host, n := range stays {
-		if x := z.world.Cloud.WorkersByHost[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
+		if x := z.environment.Cloud.WorkersByHost[host]; x != nil && x.Zone != "x" && z.runningTasksByHost(spread)[host] < n {
 			t.Errorf("a replica on %s in %s was moved", host, x.Zone)
 		}
 	}
@@ -237,7 +237,7 @@
 			writes++
 		}
 	}
-	began := z.world.Now
+	began := z.environment.Now
 	withReaders, others := z.machines()
 	setPartitioned(slices.Concat(withReaders, others), true)
 	for range 40 {
@@ -249,7 +249,7 @@
 		z.runRound()
 		watch()
 	}
-	took := z.world.Now.Sub(began)
+	took := z.environment.Now.Sub(began)
 	if most := int(took / z.nodes[0].controller.node.Settings.HeartbeatInterval() / 4); writes > most || writes < 3 {
 		t.Errorf("%d writes in %v, at most %d", writes, took, most)
 	}
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -41,18 +41,18 @@
 	tb.Helper()
 	const lease = 9 * time.Second
 	z := &zoneScenario{testCluster: newTestCluster(), t: tb}
-	z.world.WorkerLease, z.world.CancelTimeout = lease, 4*lease
-	z.world.Zones = []string{"x", "y", "z"}
-	z.world.TeamGPULimits = map[string]float64{}
+	z.environment.WorkerLease, z.environment.CancelTimeout = lease, 4*lease
+	z.environment.Zones = []string{"x", "y", "z"}
+	z.environment.TeamGPULimits = map[string]float64{}
 	z.restartNodes(started)
 	z.fill()
-	z.world.Cloud.NoCapacity = true
+	z.environment.Cloud.NoCapacity = true
 	for range 3 { // they wait for the room of the others
 		z.arrays = append(z.arrays, z.submitIdleArray(arrayTasks, time.Hour))
 	}
-	z.world.OnTaskStarted = func(x *simulator.Worker, uid string) {
+	z.environment.OnTaskStarted = func(x *simulator.Worker, uid string) {
 		if x.Zone == "x" {
-			z.starts = append(z.starts, zoneStart{z.world.Now, uid, z.isReader(uid), x.Host})
+			z.starts = append(z.starts, zoneStart{z.environment.Now, uid, z.isReader(uid), x.Host})
 		}
 	}
 	z.runFor(30)
@@ -93,7 +93,9 @@
 }
 
 // isReader reports whether a job is a service of readers.
-func (z *zoneScenario) isReader(uid string) bool { return z.world.Jobs[uid].Spec.Kind == api.Service }
+func (z *zoneScenario) isReader(uid string) bool {
+	return z.environment.Jobs[uid].Spec.Kind == api.Service
+}
 
 // runningReaders counts the readers that run.
 func (z *zoneScenario) runningReaders() (n int) {
@@ -113,7 +115,7 @@
 
 // machines returns the machines of zone x, those with readers first.
 func (z *zoneScenario) machines() (withReaders, others []*simulator.Worker) {
-	for _, x := range z.world.Cloud.Workers() {
+	for _, x := range z.environment.Cloud.Workers() {
 		switch {
 		case x.Zone != "x":
 		case len(x.UnfinishedTaskJobs()) > 0 && z.isReader(x.UnfinishedTaskJobs()[0]):
@@ -198,8 +200,8 @@
 		z.runFor(20)
 	}
 	for _, x := range withReaders {
-		z.world.Cloud.Terminate(x.Host)
+		z.environment.Cloud.Terminate(x.Host)
 	}
 	setPartitioned(others, false)
-	return z.world.Now
+	return z.environment.Now
 }
