--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -183,7 +183,7 @@
 		c.watchLoop,
 		c.decisions.Run,
 		c.decisions.RunGangPlacement,
-		c.scaling.AutoscaleLoop,
+		c.scaling.Run,
 		c.members.PeerLoop,
 		c.summaryLoop,
 	}
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -153,7 +153,7 @@
 	c.endAttempt(task.placementKey, agent.EndedAttempt{
 		Attempt: attempt,
 		Done:    done && spec.Kind != api.Service,
-		Failed:  reported.Cause == api.CauseError || reported.Cause == api.CauseUnknown,
+		Failed:  reported.Cause == api.CauseError || reported.Cause == api.CauseUnknownTask,
 		Reason:  agent.ExitReasonOf(reported.Cause),
 	})
 	firstRun := c.worker.FirstRuns[task.placementKey]
