--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -47,7 +47,8 @@
 	budget  *transport.TokenBucket
 }
 
-// NewClient makes a client that sends at most rps requests per second to addr, each with the timeout.
+// NewClient makes a client that sends at most rps requests per second on average to addr, each
+// with the timeout.
 func NewClient(h *transport.Client, addr string, timeout time.Duration, rps float64) *Client {
 	return &Client{http: h, addr: addr, timeout: timeout, budget: transport.NewTokenBucket(rps, burstSeconds*rps)}
 }
@@ -74,7 +75,8 @@
 	return response.Hosts, nil
 }
 
-// Return returns at most MaxMachinesPerReturn machines to the cloud. If it succeeds, they are terminated.
+// Return returns at most MaxMachinesPerReturn machines to the cloud. If it succeeds, the machines
+// are terminated.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.do(ctx, "POST", "/rentals/return", returnRequest{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return machines: %w", err)
@@ -82,18 +84,18 @@
 	return nil
 }
 
-// ListPage lists at most MaxMachinesPerPage machines, starting after the name since. truncated reports whether
-// there are more.
+// ListPage lists at most MaxMachinesPerPage machines, starting after the machine named since.
+// truncated reports whether there are more.
 func (c *Client) ListPage(ctx context.Context, since string) (machines []Machine, truncated bool, err error) {
 	var response struct {
-		Hosts     []Machine `json:"hosts"`
+		Machines  []Machine `json:"hosts"`
 		Truncated bool      `json:"truncated"`
 	}
 	target := fmt.Sprintf("/rentals?since=%s&limit=%d", url.QueryEscape(since), MaxMachinesPerPage)
 	if err := c.do(ctx, "GET", target, nil, &response); err != nil {
 		return nil, false, fmt.Errorf("list machines: %w", err)
 	}
-	return response.Hosts, response.Truncated, nil
+	return response.Machines, response.Truncated, nil
 }
 
 // do sends a request with a JSON body, or without one if body is nil, and decodes the response
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -74,7 +74,7 @@
 	for _, test := range []struct {
 		name, response string
 		call           func() (any, error)
-		request        string
+		wantRequest    string
 		want           any
 	}{
 		{
@@ -101,7 +101,7 @@
 			func() (any, error) {
 				machines, truncated, err := client.ListPage(ctx, "i 2")
 				if truncated {
-					t.Error("Page reports the last page as truncated")
+					t.Error("ListPage of the last page: got truncated, want not truncated")
 				}
 				return machines, err
 			},
@@ -113,20 +113,20 @@
 			cloud.setResponse(200, test.response)
 			got, err := test.call()
 			if err != nil {
-				t.Fatalf("call failed: %v", err)
+				t.Fatalf("got error %v, want none", err)
 			}
 			if d := cmp.Diff(test.want, got); d != "" {
 				t.Errorf("response differs (-want +got):\n%s", d)
 			}
-			if gotRequest := cloud.lastRequest(); gotRequest != test.request {
-				t.Errorf("got request %q, want %q", gotRequest, test.request)
+			if gotRequest := cloud.lastRequest(); gotRequest != test.wantRequest {
+				t.Errorf("got request %q, want %q", gotRequest, test.wantRequest)
 			}
 		})
 	}
 }
 
-// Only a response with status 503 and the error text for it returns ErrNoCapacity. Every other
-// failure returns ErrUnavailable.
+// Only a response with status 503 and the error text "no capacity" returns ErrNoCapacity. Every
+// other failure returns ErrUnavailable.
 func TestOnlyNoCapacityTextReturnsErrNoCapacity(t *testing.T) {
 	cloud := &scriptedCloud{}
 	client := newClient(t, cloud)
@@ -157,7 +157,7 @@
 	client := newClient(t, &scriptedCloud{status: 200, body: `{}`})
 	client.budget = transport.NewTokenBucket(1e-9, 1)
 	if _, err := client.MachineTypes(context.Background()); err != nil {
-		t.Fatalf("request within the rate limit: %v", err)
+		t.Fatalf("request within the rate limit: got error %v, want none", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -18,8 +18,8 @@
 // them all at once would delay rentals and returns by seconds.
 //
 // The cloud lists machines in the order of their creation. A machine that is created during a
-// listing is therefore on a later page, or is missing as it would be from a list read at once.
-// Conclusions from the absence of a machine are valid as of Began.
+// listing is therefore on a later page, or missing as it would be from a list that was read at
+// once. Conclusions from the absence of a machine are valid as of StartedAt.
 //
 // The zero value is a listing that has not started. It is not safe for concurrent use.
 type Listing struct {
@@ -27,7 +27,7 @@
 	StartedAt time.Time
 
 	machines []Machine // the machines read so far
-	lastName string    // name of the last machine read
+	lastUID  string    // UID of the last machine read
 	active   bool      // the listing has started and is not complete
 }
 
@@ -42,7 +42,7 @@
 		*l = Listing{StartedAt: now, active: true}
 	}
 	for range max(maxPages, 1) {
-		page, truncated, err := reader.ListPage(ctx, l.lastName)
+		page, truncated, err := reader.ListPage(ctx, l.lastUID)
 		if err != nil {
 			return nil, false, err
 		}
@@ -51,7 +51,7 @@
 			l.active = false
 			return l.machines, true, nil
 		}
-		l.lastName = page[len(page)-1].UID
+		l.lastUID = page[len(page)-1].UID
 	}
 	return nil, false, nil
 }
--- a/internal/cloud/listing_test.go
+++ b/internal/cloud/listing_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// pagedList is a pageReader over a list of machine names. The test changes the list between
-// pages and makes some calls fail.
+// pagedList is a pageReader over a list of machine names. The test changes the list between reads
+// and makes some reads fail.
 type pagedList struct {
 	names   []string
 	failing bool
@@ -58,14 +58,14 @@
 		now := time.Unix(0, 0)
 		for step := 0; ; step++ {
 			if step > 200 {
-				t.Fatalf("listing not complete after %d steps", step)
+				t.Fatalf("listing not complete after %d steps, want at most 200", step)
 			}
 			source.failing = step < 150 && rapid.IntRange(0, 3).Draw(t, "fails") == 0
 			maxPages := rapid.IntRange(1, 3).Draw(t, "pages")
 			pagesBefore := source.pages
 			machines, complete, err := listing.Read(context.Background(), source, now, maxPages)
 			if (err != nil) != source.failing || source.pages-pagesBefore > maxPages {
-				t.Fatalf("got %d pages, error %v; want at most %d, error: %t", source.pages-pagesBefore, err, maxPages, source.failing)
+				t.Fatalf("read %d pages, error %v; want at most %d, error: %t", source.pages-pagesBefore, err, maxPages, source.failing)
 			}
 			if complete {
 				checkListing(t, machines, remaining, created)
@@ -79,7 +79,7 @@
 			}
 		}
 		if minPages := (len(remaining) + MaxMachinesPerPage - 1) / MaxMachinesPerPage; source.pages-initialPages < minPages {
-			t.Fatalf("got %d pages for %d machines, want at least %d", source.pages-initialPages, len(remaining), minPages)
+			t.Fatalf("read %d pages for %d machines, want at least %d", source.pages-initialPages, len(remaining), minPages)
 		}
 	})
 }
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -29,7 +29,7 @@
 
 // Machine is a rented machine as the cloud lists it.
 type Machine struct {
-	UID         string       `json:"uid"`
+	UID         string       `json:"uid"`  // the host name
 	Addr        string       `json:"addr"` // host:port of its worker
 	MachineType string       `json:"build"`
 	Zone        string       `json:"site"`
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -24,7 +24,7 @@
 	Get(ctx context.Context, key string, p store.Priority) (item store.Item, found bool, err error)
 	List(ctx context.Context, prefix string) (items []store.Item, revision uint64, err error)
 	Changes(
-		ctx context.Context, prefix string, since uint64, block time.Duration,
+		ctx context.Context, prefix string, since uint64, maxBlock time.Duration,
 	) (changes []store.Change, revision uint64, err error)
 	Commit(ctx context.Context, txn *store.Txn, p store.Priority) (store.CommitResult, error)
 
@@ -35,13 +35,13 @@
 	// AwaitWriteBudget waits for the budget of n writes and returns how many writes can be sent now.
 	AwaitWriteBudget(ctx context.Context, n int, p store.Priority) int
 	// SetControllerCount sets the number of controllers that share the rates.
-	SetControllerCount(controllers int)
-	// ReserveForGangs sets a number of writes that is reserved for gangs besides their regular
-	// reserve.
-	ReserveForGangs(changes float64)
-	// LowerLimits applies the announced lower limits.
+	SetControllerCount(controllerCount int)
+	// ReserveForGangs sets the number of writes that requests below store.PriorityGang leave to
+	// gangs in addition to the regular reserve.
+	ReserveForGangs(writes float64)
+	// LowerLimits applies the announced lower rate limits.
 	LowerLimits()
-	// TokensUsed returns the number of requests and writes of the budget used since the start.
+	// TokensUsed returns the number of request and write tokens consumed since the start.
 	TokensUsed() (requests, writes float64)
 }
 
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Response statuses that affect parsing, and the form of a status.
+// Range and length of a response status, and the statuses that affect parsing.
 const (
 	minStatus         = 100
 	minFinalStatus    = 200 // lower ones are interim responses
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -31,7 +31,7 @@
 type Message struct {
 	Method, Target string // of a request
 	Status         int    // of a response
-	Close          bool   // the sender closes the connection after the message
+	Close          bool   // the sender closes the connection after the message, by its headers or its HTTP version
 	RetryAfter     string // value of the Retry-After header, unparsed
 	Body           []byte
 }
--- a/internal/httpwire/parser.go
+++ b/internal/httpwire/parser.go
@@ -20,7 +20,7 @@
 	stageBodyUntilClose              // a body that extends to the end of the stream
 )
 
-// lengthUnknown is the length of a body without a Content-Length header so far.
+// lengthUnknown is the value of Parser.length until a Content-Length header has been parsed.
 const lengthUnknown = -1
 
 // lineEndBytes is the length of the line end after a chunk.
@@ -57,19 +57,19 @@
 // ErrMalformed or ErrTooLarge; every later call returns the same error.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
-		complete, needMore := p.step()
+		complete, stop := p.step()
 		if complete {
 			return p.completeMessage(), nil
 		}
-		if needMore {
+		if stop {
 			break
 		}
 	}
 	return nil, p.err
 }
 
-// EndOfStream handles the end of the stream. It returns the response whose body extends to the end of
-// the stream, or nil if there is none.
+// EndOfStream handles the end of the stream. It returns the response whose body extends to the
+// end of the stream, or nil if there is none.
 func (p *Parser) EndOfStream() *Message {
 	if p.err != nil || p.stage != stageBodyUntilClose {
 		return nil
@@ -86,12 +86,12 @@
 	return m
 }
 
-// step parses the next element. complete reports whether it completed a message, needMore whether
-// more bytes are needed or the message is invalid.
-func (p *Parser) step() (complete, needMore bool) {
+// step parses the next element. complete reports whether that completed a message, stop whether
+// parsing can't continue, because more bytes are needed or because the message is invalid (p.err).
+func (p *Parser) step() (complete, stop bool) {
 	switch p.stage {
 	case stageStartLine:
-		return false, p.readStart()
+		return false, p.readStartLine()
 	case stageHeaders:
 		return p.readHeader()
 	case stageBody:
@@ -103,13 +103,13 @@
 	case stageTrailers:
 		return p.readTrailer()
 	case stageBodyUntilClose:
-		return p.readUntilClose()
+		return p.readBodyUntilClose()
 	}
 	panic("httpwire: invalid parser stage")
 }
 
-// readStart reads and parses a start line.
-func (p *Parser) readStart() (needMore bool) {
+// readStartLine reads and parses a start line.
+func (p *Parser) readStartLine() (stop bool) {
 	s, ok := p.readLine()
 	if !ok {
 		return true
@@ -122,7 +122,7 @@
 }
 
 // readHeader reads a header, or the blank line that ends the headers.
-func (p *Parser) readHeader() (complete, needMore bool) {
+func (p *Parser) readHeader() (complete, stop bool) {
 	s, ok := p.readLine()
 	if !ok {
 		return false, true
@@ -140,7 +140,7 @@
 }
 
 // readBody reads a body of a known length.
-func (p *Parser) readBody() (complete, needMore bool) {
+func (p *Parser) readBody() (complete, stop bool) {
 	if len(p.buf) < p.length {
 		return false, true
 	}
@@ -150,7 +150,7 @@
 }
 
 // readChunkSize reads the line with the size of the next chunk.
-func (p *Parser) readChunkSize() (needMore bool) {
+func (p *Parser) readChunkSize() (stop bool) {
 	s, ok := p.readLine()
 	if !ok {
 		return true
@@ -174,7 +174,7 @@
 }
 
 // readChunk reads a chunk and the line end after it.
-func (p *Parser) readChunk() (needMore bool) {
+func (p *Parser) readChunk() (stop bool) {
 	if len(p.buf) < p.length+lineEndBytes {
 		return true
 	}
@@ -189,7 +189,7 @@
 }
 
 // readTrailer reads a header after the last chunk, or the blank line that ends the message.
-func (p *Parser) readTrailer() (complete, needMore bool) {
+func (p *Parser) readTrailer() (complete, stop bool) {
 	s, ok := p.readLine()
 	if !ok {
 		return false, true
@@ -203,8 +203,9 @@
 	return false, p.err != nil
 }
 
-// readUntilClose checks the size of a body that extends to the end of the stream; End completes it.
-func (p *Parser) readUntilClose() (complete, needMore bool) {
+// readBodyUntilClose checks the size of a body that extends to the end of the stream. EndOfStream
+// completes the message.
+func (p *Parser) readBodyUntilClose() (complete, stop bool) {
 	if len(p.buf) > p.limits.BodyBytes {
 		p.err = ErrTooLarge
 	}
--- a/internal/httpwire/parser_test.go
+++ b/internal/httpwire/parser_test.go
@@ -73,7 +73,7 @@
 		}
 		got, err := parseFragments(NewParser(response, RequestLimits), splitRandomly(t, stream.String()))
 		if err != nil {
-			t.Fatalf("valid stream rejected: %v", err)
+			t.Fatalf("valid stream: got error %v, want none", err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatalf("messages differ (-want +got):\n%s", d)
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -40,10 +40,11 @@
 // Cause is the exit cause of a task as its worker reported it.
 func Cause(cause string) slog.Attr { return slog.String(keyCause, cause) }
 
-// PredecessorsStopped is whether all earlier leaders of a shard have certainly stopped responding to workers.
-func PredecessorsStopped(clean bool) slog.Attr { return slog.Bool(keyPredecessorsStopped, clean) }
+// PredecessorsStopped is whether all earlier leaders of a shard have certainly stopped responding
+// to workers.
+func PredecessorsStopped(stopped bool) slog.Attr { return slog.Bool(keyPredecessorsStopped, stopped) }
 
-// Controllers is a number of controllers.
+// Controllers is the number of controllers that share the rate limits.
 func Controllers(count int) slog.Attr { return slog.Int(keyControllers, count) }
 
 // Err is an error; it may be nil.
@@ -73,7 +74,7 @@
 // Saved is whether a task saved its progress before it ended.
 func Saved(saved bool) slog.Attr { return slog.Bool(keySaved, saved) }
 
-// Shard is a shard, named by the host name of its home controller.
+// Shard is the name of a shard, which is the host name of the shard's home controller.
 func Shard(name string) slog.Attr { return slog.String(keyShard, name) }
 
 // Task is the name of a task.
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,4 +1,4 @@
-// Package node describes this controller process: settings, policy, features, clock, random
+// Package node describes this controller process: its settings, policy, features, clock, random
 // number generator, log and incarnation. The description is made at the start and does not change
-// afterwards; a simulation replaces the clock and the asynchronous execution before its first use.
+// afterwards, except that a simulation replaces the clock and RunAsync before they are first used.
 package node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,7 +11,7 @@
 )
 
 // Info describes this controller process: its configuration, clock, random number generator and
-// log. It does not change after the start.
+// log. It does not change after the start of the process.
 type Info struct {
 	Settings    *config.Settings
 	Policy      *config.Policy
@@ -19,10 +19,10 @@
 	Log         *slog.Logger
 	Now         func() time.Time
 	Random      *rand.Rand
-	Shards      []string // all shards by the host name of their home controller, sorted
+	Shards      []string // sorted names of all shards; each is the host name of the shard's home controller
 	Incarnation uint64   // identifies this run of the process
 
-	RunAsync       func(func()) // runs a function in a goroutine of its own
+	RunAsync       func(func()) // runs a function asynchronously; in production in a new goroutine
 	SimulatedClock bool         // a simulation advances the clock, so code must not block until a time is reached
 }
 
@@ -39,8 +39,8 @@
 		Shards:      []string{settings.HostName},
 		RunAsync:    func(f func()) { go f() },
 	}
-	for _, m := range settings.Members {
-		info.Shards = append(info.Shards, m.HostName)
+	for _, member := range settings.Members {
+		info.Shards = append(info.Shards, member.HostName)
 	}
 	slices.Sort(info.Shards)
 	return info
--- a/internal/simulator/change_log.go
+++ b/internal/simulator/change_log.go
@@ -11,8 +11,8 @@
 // HistoryLength is the number of recent changes that the state service keeps for watches (PROTOCOL).
 const HistoryLength = 10_000
 
-// logChange appends a change to the log. It removes old changes only when the log has reached twice
-// the length of the history, so the log may contain changes beyond the history.
+// logChange appends a change to the change log. It removes old changes only when the log has reached
+// twice the length of the history, so the log may contain changes older than the history.
 func (s *Store) logChange(c store.Change) {
 	s.log = append(s.log, c)
 	if len(s.log) >= 2*HistoryLength {
@@ -44,7 +44,7 @@
 	return matching, s.revision, nil
 }
 
-// ExpireHistory adds so many changes that all earlier ones are beyond the history.
+// ExpireHistory adds so many changes that all earlier ones are older than the history.
 func (s *Store) ExpireHistory() {
 	for range HistoryLength + 1 {
 		s.revision++
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -20,7 +20,7 @@
 	env               *Environment
 	sortedWorkers     []*Worker           // workers in the order of their machines' names; nil: not computed
 	terminated        []*Worker           // terminated machines, which the list may still contain because of ListLag
-	rentals           map[string][]string // machines by the name of the rental request, so that a repeated request rents nothing
+	rentals           map[string][]string // machine names by the name of their rental request, so that a repeated request rents nothing
 	nextMachineNumber int
 
 	cachedList   []cloud.Machine // list of machines, computed at cachedListAt; nil: not computed
@@ -79,16 +79,16 @@
 	}
 }
 
-// page returns at most limit machines of the lagging list whose names sort after since, and whether
-// the list contains more.
-func (c *Cloud) page(since string, limit int) (hosts []cloud.Machine, truncated bool) {
+// page returns at most limit machines whose names sort after since, from the list as it was ListLag
+// ago, and whether that list contains more.
+func (c *Cloud) page(since string, limit int) (machines []cloud.Machine, truncated bool) {
 	list := c.list()
-	start, found := slices.BinarySearchFunc(list, since, func(h cloud.Machine, name string) int { return strings.Compare(h.UID, name) })
+	start, found := slices.BinarySearchFunc(list, since, func(m cloud.Machine, name string) int { return strings.Compare(m.UID, name) })
 	if found {
 		start++
 	}
-	hosts = append([]cloud.Machine{}, list[start:min(len(list), start+limit)]...)
-	return hosts, start+len(hosts) < len(list)
+	machines = append([]cloud.Machine{}, list[start:min(len(list), start+limit)]...)
+	return machines, start+len(machines) < len(list)
 }
 
 // list returns the machines that existed ListLag ago, in the order of their names.
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -22,7 +22,7 @@
 // available reports whether the cloud serves requests of the node.
 func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.UnreachableNodes[c.Node] }
 
-// MachineTypes returns the machine types that the cloud offers: the one of the simulation.
+// MachineTypes returns the only machine type of the cloud.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
 	if !c.available() {
 		return nil, cloud.ErrUnavailable
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// ListPage returns a page of the list of machines, as it was ListLag ago.
-func (c *CloudClient) ListPage(_ context.Context, since string) (hosts []cloud.Machine, truncated bool, err error) {
+// ListPage returns a page of the list of machines as it was ListLag ago.
+func (c *CloudClient) ListPage(_ context.Context, since string) (machines []cloud.Machine, truncated bool, err error) {
 	if !c.available() {
 		return nil, false, cloud.ErrUnavailable
 	}
 	c.Cloud.PagesRead++
-	hosts, truncated = c.Cloud.page(since, cloud.MaxMachinesPerPage)
-	return hosts, truncated, nil
+	machines, truncated = c.Cloud.page(since, cloud.MaxMachinesPerPage)
+	return machines, truncated, nil
 }
--- a/internal/simulator/command_client.go
+++ b/internal/simulator/command_client.go
@@ -14,22 +14,22 @@
 type CommandClient struct {
 	Environment       *Environment
 	Node              string
-	DelayedDeliveries []func() // deliveries of commands delayed by a partition or a hung worker; a test runs them
+	DelayedDeliveries []func() // each delivers commands that a partition or a hung worker delays; a test runs them
 	Partitioned       bool     // the node is partitioned from all workers
 
 	PartitionedFrom func(worker *Worker) bool // whether the node is partitioned from a worker; nil: from none
 }
 
 // partitionedFrom reports whether the node is partitioned from a worker.
-func (d *CommandClient) partitionedFrom(worker *Worker) bool {
-	return d.Partitioned || d.PartitionedFrom != nil && d.PartitionedFrom(worker)
+func (c *CommandClient) partitionedFrom(worker *Worker) bool {
+	return c.Partitioned || c.PartitionedFrom != nil && c.PartitionedFrom(worker)
 }
 
 // FetchHeartbeat requests a heartbeat from a worker. It returns ErrNoResponse if the worker does not
 // respond.
-func (d *CommandClient) FetchHeartbeat(_ context.Context, addr string) (*api.Heartbeat, error) {
-	for _, worker := range d.Environment.Cloud.WorkersByHost {
-		if worker.Addr == addr && worker.Booted() && worker.responds() && !d.partitionedFrom(worker) {
+func (c *CommandClient) FetchHeartbeat(_ context.Context, addr string) (*api.Heartbeat, error) {
+	for _, worker := range c.Environment.Cloud.WorkersByHost {
+		if worker.Addr == addr && worker.Booted() && worker.responds() && !c.partitionedFrom(worker) {
 			return worker.Heartbeat(), nil
 		}
 	}
@@ -38,18 +38,18 @@
 
 // SendCommands sends commands to a worker. It returns the worker's heartbeat and whether the worker
 // accepted the commands, or ErrNoResponse. If the worker is partitioned or hung, the commands are
-// delivered when a test runs CommandClient.DelayedDeliveries. If the machine is missing or has the fault
-// InboundLost, they are never delivered.
-func (d *CommandClient) SendCommands(_ context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
-	for _, worker := range d.Environment.Cloud.Workers() {
+// delivered when a test runs the functions in DelayedDeliveries. If there is no such machine, or it
+// has not booted or has the fault InboundLost, they are never delivered.
+func (c *CommandClient) SendCommands(_ context.Context, addr string, batch api.CommandBatch) (*api.Heartbeat, bool, error) {
+	for _, worker := range c.Environment.Cloud.Workers() {
 		if worker.Addr != addr || !worker.Booted() {
 			continue
 		}
 		if worker.InboundLost {
 			break
 		}
-		if !worker.responds() || d.partitionedFrom(worker) {
-			d.DelayedDeliveries = append(d.DelayedDeliveries, func() { worker.handleDirect(batch) })
+		if !worker.responds() || c.partitionedFrom(worker) {
+			c.DelayedDeliveries = append(c.DelayedDeliveries, func() { worker.handleDirect(batch) })
 			break
 		}
 		heartbeat, accepted := worker.handleDirect(batch)
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Deployment4000 returns a deployment of about 4000 machines and three controllers, with the same state
-// service limits as the one of 2000 machines, and with long tasks.
+// Deployment4000 returns a deployment of about 4000 machines and three controllers, with the same
+// state service limits as Deployment2000, and with longer tasks.
 func Deployment4000() *Deployment {
 	return &Deployment{
 		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
--- a/internal/simulator/environment.go
+++ b/internal/simulator/environment.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/api"
 )
 
-// maxTick is the maximum step of the simulated clock. It is short enough for every timer.
+// maxTick is the maximum step of the simulated clock, short enough for every simulated timer.
 const maxTick = 100 * time.Millisecond
 
 // MachineType is the only machine type of the simulated cloud.
@@ -22,14 +22,14 @@
 	MachineType      MachineType
 	Zones            []string
 	WorkerLease      time.Duration      // duration of a worker's lease
-	CancelTimeout    time.Duration      // time after the confirmation of a cancellation from which on no task of the job may run
+	CancelTimeout    time.Duration      // time after the confirmation of a cancellation by which all tasks of the job must have ended
 	GangStartTimeout time.Duration      // time that a gang's task waits for the other tasks
 	PeerLossTimeout  time.Duration      // time after which a gang's tasks detect the loss of one of them
 	TeamGPULimits    map[string]float64 // maximum GPUs of a team's tasks; no entry: no limit
 	ListLag          time.Duration      // age of the cloud's list of machines
 }
 
-// Callbacks are callbacks for events, called at the moment of the event. Each may be nil.
+// Callbacks are functions that are called at the moment of an event. Each may be nil.
 type Callbacks struct {
 	OnTaskDone    func(uid string)                 // a task of the job has completed
 	OnTaskStarted func(worker *Worker, uid string) // a task of the job has started on the worker
@@ -43,7 +43,7 @@
 	Now   time.Time
 	Store *Store
 	Cloud *Cloud
-	Jobs  map[string]*Job
+	Jobs  map[string]*Job // submitted jobs by their ID
 
 	Violations          []Violation // in the order in which they occurred
 	LaunchesAfterCancel int         // tasks launched after the cancellation of their job was confirmed to the user
@@ -52,17 +52,18 @@
 // Job is a submitted job, with what its user has requested and received in responses.
 type Job struct {
 	Spec            api.Job
-	RunTime         time.Duration // of the first task of an array, or of a gang
+	RunTime         time.Duration // run time of the first task of an array, or of a gang
 	RunTimeStep     time.Duration // difference between the run times of consecutive tasks of an array
 	Accepted        bool          // a response has confirmed the job
 	FinalPhase      api.JobPhase  // final phase (done or cancelled) reported to the user; "": none yet
 	CancelRequested bool          // the user has requested the cancellation
 	CancelConfirmed time.Time     // when a response first confirmed the cancellation; zero: not yet
 	DoneTasks       map[int]bool  // indexes of the completed tasks
-	gang            gangProgress
+	gang            gangProgress  // of a gang
 }
 
-// NewEnvironment returns an environment without machines, jobs and faults, whose clock is set to start.
+// NewEnvironment returns an environment without machines, jobs and faults, whose clock is set to
+// start.
 func NewEnvironment(start time.Time) *Environment {
 	env := &Environment{Now: start, Jobs: map[string]*Job{}, Settings: Settings{TeamGPULimits: map[string]float64{}}}
 	env.Store = newStore(env)
@@ -70,7 +71,7 @@
 	return env
 }
 
-// Advance advances the clock by d, in steps that are short enough for every timer.
+// Advance advances the clock by d, in steps of at most maxTick.
 func (e *Environment) Advance(d time.Duration) {
 	for end := e.Now.Add(d); e.Now.Before(end); {
 		e.Now = e.Now.Add(min(maxTick, end.Sub(e.Now)))
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, t := range tasks {
-		if t.phase == api.TaskGathering && !t.worker.Hung && e.Now.Sub(t.since) >= e.GangStartTimeout {
+		if t.phase == api.TaskGathering && !t.worker.Hung && e.Now.Sub(t.phaseStartedAt) >= e.GangStartTimeout {
 			t.end(api.CauseGangIncomplete)
 		}
 	}
@@ -105,11 +105,11 @@
 func (e *Environment) startAttempt(j *Job, number uint64, tasks []placedTask) {
 	for _, t := range tasks {
 		if t.phase == api.TaskGathering {
-			t.phase, t.since = api.TaskRunning, e.Now
+			t.phase, t.phaseStartedAt = api.TaskRunning, e.Now
 		}
 	}
 	progress := j.gang.saved
-	if len(j.DoneTasks) == j.Spec.Tasks { // the job has already completed
+	if len(j.DoneTasks) == j.Spec.Tasks { // an earlier attempt has completed the job, and its result is kept
 		progress = j.RunTime
 	}
 	j.gang.attempts[number] = &gangAttempt{startedAt: e.Now, initialProgress: progress, stopRequestedTasks: map[int]bool{}}
@@ -137,9 +137,9 @@
 	}
 }
 
-// advanceStop ends an attempt of which a task received a stop command. If all tasks received one,
-// the attempt ends after the time to save, with its progress saved. If some have not received one
-// within PeerLossTimeout, it ends as if a task were lost.
+// advanceStop ends an attempt in which at least one task has received a stop command. If all tasks
+// have received one, the attempt ends after the time to save, with its progress saved. If some have
+// not received one within PeerLossTimeout, it ends as if a task were lost.
 func (e *Environment) advanceStop(j *Job, attempt *gangAttempt, tasks []placedTask, progress time.Duration) {
 	sinceRequest := e.Now.Sub(attempt.stopRequestedAt)
 	allRequested := len(attempt.stopRequestedTasks) == j.Spec.Tasks
@@ -231,8 +231,8 @@
 	}
 }
 
-// checkGangLaunch records the launch of a task of a gang. It is a violation if a higher attempt was
-// launched before, or if tasks of another attempt have not ended.
+// checkGangLaunch records the launch of a task of a gang. The launch is a violation if a higher
+// attempt was launched before, or if tasks of another attempt have not ended.
 func (e *Environment) checkGangLaunch(j *Job, index int, attempt uint64) {
 	name := api.TaskName(j.Spec.UID, index)
 	if attempt < j.gang.lastAttempt {
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A gang's tasks start and end together, and the gang keeps its saved progress.
+// The tasks of a gang start and end together, and the gang keeps its saved progress.
 func TestGangTasksEndTogether(t *testing.T) {
 	grace := 5.0
 	stopAll := func(env *Environment) {
@@ -55,7 +55,7 @@
 	for _, test := range []struct {
 		name        string
 		injectFault func(env *Environment)
-		wait        time.Duration // after the fault, until the end of the attempt
+		wait        time.Duration // time after the fault until the attempt ends
 		wantCause   api.ExitCause
 		wantDone    int
 		wantSaved   time.Duration
--- a/internal/simulator/http_cloud.go
+++ b/internal/simulator/http_cloud.go
@@ -21,33 +21,33 @@
 
 // machinesResponse is a page of the list of machines.
 type machinesResponse struct {
-	Hosts     []cloud.Machine `json:"hosts"`
+	Machines  []cloud.Machine `json:"hosts"`
 	Truncated bool            `json:"truncated"`
 }
 
-// CloudHandler returns the handler of requests to the cloud. Each rented machine gets its own loopback
-// address, with the given port.
+// CloudHandler returns the handler of requests to the cloud. Each rented machine gets its own
+// loopback address, with the given port.
 func (s *Server) CloudHandler(port int) http.Handler {
-	c := &cloudHandler{s: s, client: CloudClient{Cloud: s.env.Cloud}, port: port}
+	c := &cloudHandler{server: s, client: CloudClient{Cloud: s.env.Cloud}, port: port}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", c.machineTypes)
 	mux.HandleFunc("POST /rentals", c.rent)
 	mux.HandleFunc("POST /rentals/return", c.returnMachines)
-	mux.HandleFunc("GET /rentals", c.list)
+	mux.HandleFunc("GET /rentals", c.listMachines)
 	return mux
 }
 
 // cloudHandler handles requests to the cloud.
 type cloudHandler struct {
-	s      *Server
+	server *Server
 	client CloudClient
 	port   int // port of the machines' workers
 }
 
 func (c *cloudHandler) machineTypes(w http.ResponseWriter, r *http.Request) {
-	c.s.mu.Lock()
+	c.server.mu.Lock()
 	types, _ := c.client.MachineTypes(r.Context()) // fails only under a cloud fault, which no test injects over HTTP
-	c.s.mu.Unlock()
+	c.server.mu.Unlock()
 	writeJSON(w, http.StatusOK, machineTypesResponse{types})
 }
 
@@ -56,12 +56,12 @@
 	if !readJSON(w, r, &rental) {
 		return
 	}
-	c.s.mu.Lock()
+	c.server.mu.Lock()
 	hosts, err := c.client.Rent(r.Context(), rental)
 	for _, host := range hosts {
-		c.s.env.Cloud.WorkersByHost[host].Addr = loopbackAddr(host, c.port)
+		c.server.env.Cloud.WorkersByHost[host].Addr = loopbackAddr(host, c.port)
 	}
-	c.s.mu.Unlock()
+	c.server.mu.Unlock()
 	if err != nil {
 		writeJSON(w, http.StatusServiceUnavailable, errorResponse{err.Error()})
 		return
@@ -74,21 +74,21 @@
 	if !readJSON(w, r, &body) {
 		return
 	}
-	c.s.mu.Lock()
+	c.server.mu.Lock()
 	_ = c.client.Return(r.Context(), body.Hosts) // fails only under a cloud fault, which no test injects over HTTP
-	c.s.mu.Unlock()
+	c.server.mu.Unlock()
 	writeJSON(w, http.StatusOK, emptyResponse{})
 }
 
-func (c *cloudHandler) list(w http.ResponseWriter, r *http.Request) {
+func (c *cloudHandler) listMachines(w http.ResponseWriter, r *http.Request) {
 	limit, _ := strconv.Atoi(r.FormValue("limit"))
-	c.s.mu.Lock()
-	hosts, truncated := c.s.env.Cloud.page(r.FormValue("since"), limit)
-	c.s.mu.Unlock()
-	writeJSON(w, http.StatusOK, machinesResponse{hosts, truncated})
+	c.server.mu.Lock()
+	machines, truncated := c.server.env.Cloud.page(r.FormValue("since"), limit)
+	c.server.mu.Unlock()
+	writeJSON(w, http.StatusOK, machinesResponse{machines, truncated})
 }
 
-// loopbackAddr returns the loopback address of a machine, which depends on the number in its name.
+// loopbackAddr returns the loopback address of a machine, derived from the number in its name.
 func loopbackAddr(host string, port int) string {
 	n, _ := strconv.Atoi(strings.TrimPrefix(host, "i-"))
 	ip := net.IPv4(127, 1, byte(n>>8), byte(n))
--- a/internal/simulator/http_server.go
+++ b/internal/simulator/http_server.go
@@ -20,13 +20,13 @@
 	announcedRevision uint64        // revision of the state service when storeChanged was made
 }
 
-// NewServer returns a server of an environment, and sets its clock to the current time.
+// NewServer returns a server of an environment, and sets the environment's clock to the current time.
 func NewServer(env *Environment) *Server {
 	env.Now = time.Now()
 	return &Server{env: env, storeChanged: make(chan struct{})}
 }
 
-// WithLock calls f, which may read and change the environment, with the lock held.
+// WithLock calls f with the lock held. f may read and change the environment.
 func (s *Server) WithLock(f func(env *Environment)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	})
 }
 
-// errorResponse is the body of a response to a refused request.
+// errorResponse is the body of the response to a request that fails.
 type errorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/simulator/http_state.go
+++ b/internal/simulator/http_state.go
@@ -39,13 +39,13 @@
 	Log      []json.RawMessage `json:"log"`
 }
 
-// deleteEntry is the deletion of a key in a log of changes.
+// deleteEntry is the deletion of a key in the change log.
 type deleteEntry struct {
 	Key     string `json:"drop"`
 	Version uint64 `json:"stamp"`
 }
 
-// writeEntry is the write of a key in a log of changes.
+// writeEntry is the write of a key in the change log.
 type writeEntry struct {
 	Key     string          `json:"write"`
 	Value   json.RawMessage `json:"v"`
@@ -116,8 +116,8 @@
 	writeJSON(w, http.StatusOK, page)
 }
 
-// watchChanges responds to a watch request as soon as there are changes, or without changes when the
-// time that it may block has passed.
+// watchChanges responds to a watch request as soon as there are changes, or without changes when
+// the time for which the request may block has passed.
 func (s *Server) watchChanges(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.FormValue("since"), 10, 64)
 	blockMS, _ := strconv.Atoi(r.FormValue("blockMs"))
--- a/internal/simulator/http_workers.go
+++ b/internal/simulator/http_workers.go
@@ -7,30 +7,30 @@
 	"violetturn/internal/api"
 )
 
-// WorkerHandler returns the handler of direct requests to workers. The local address of the connection
-// identifies the worker.
+// WorkerHandler returns the handler of direct requests to workers. The local address of the
+// connection identifies the worker.
 func (s *Server) WorkerHandler() http.Handler {
-	h := &workersHandler{s: s, client: &CommandClient{Environment: s.env}}
+	h := &workerHandler{server: s, client: &CommandClient{Environment: s.env}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /commands", h.commands)
-	mux.HandleFunc("GET /show", h.status)
+	mux.HandleFunc("POST /commands", h.sendCommands)
+	mux.HandleFunc("GET /show", h.fetchHeartbeat)
 	return mux
 }
 
-// workersHandler handles direct requests to workers.
-type workersHandler struct {
-	s      *Server
+// workerHandler handles direct requests to workers.
+type workerHandler struct {
+	server *Server
 	client *CommandClient
 }
 
-func (h *workersHandler) commands(w http.ResponseWriter, r *http.Request) {
+func (h *workerHandler) sendCommands(w http.ResponseWriter, r *http.Request) {
 	var batch api.CommandBatch
 	if !readJSON(w, r, &batch) {
 		return
 	}
-	h.s.mu.Lock()
+	h.server.mu.Lock()
 	heartbeat, accepted, err := h.client.SendCommands(r.Context(), localAddr(r), batch)
-	h.s.mu.Unlock()
+	h.server.mu.Unlock()
 	switch {
 	case err != nil:
 		panic(http.ErrAbortHandler) // closes the connection without a response
@@ -41,10 +41,10 @@
 	}
 }
 
-func (h *workersHandler) status(w http.ResponseWriter, r *http.Request) {
-	h.s.mu.Lock()
+func (h *workerHandler) fetchHeartbeat(w http.ResponseWriter, r *http.Request) {
+	h.server.mu.Lock()
 	heartbeat, err := h.client.FetchHeartbeat(r.Context(), localAddr(r))
-	h.s.mu.Unlock()
+	h.server.mu.Unlock()
 	if err != nil {
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -91,8 +91,8 @@
 	e.checkPlacement(worker, t, tasksByZone)
 }
 
-// checkPlacement checks that a starting task is on a machine that its job allows. tasksByZone
-// counts the job's other active tasks in each zone.
+// checkPlacement checks that a starting task is on a machine and in a zone that its job allows.
+// tasksByZone counts the job's other active tasks in each zone.
 func (e *Environment) checkPlacement(worker *Worker, t *Task, tasksByZone map[string]int) {
 	spec := &t.job.Spec
 	wrongZone := spec.Zone != "" && spec.Zone != worker.Zone
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -7,8 +7,8 @@
 	"violetturn/internal/api"
 )
 
-// Responses about a job are checked against the job and the responses before.
-func TestCheckResponse(t *testing.T) {
+// Responses about a job are checked against the job and the earlier responses.
+func TestCheckUserResponse(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		job        *Job
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -7,15 +7,14 @@
 	"violetturn/internal/store"
 )
 
-// StoreClient is a node's client of the simulated state service. It implements the methods that a
-// controller requires of its state service client. It has no rate limit: every request is sent at
-// once.
+// StoreClient is a node's client of the simulated state service. It implements
+// external.StateService without rate limits: every request is sent at once.
 type StoreClient struct {
 	Store         *Store
 	Node          string
 	TxnOps        int           // maximum writes in a transaction, as announced to the node
 	MaxValueBytes int           // maximum size of a value, as announced to the node
-	OnServed      func(ok bool) // called for each request with whether it was served; may be nil
+	OnServed      func(ok bool) // called after each request with whether it was served; may be nil
 	BeforeCommit  func()        // called once before the next transaction is sent, to simulate a paused node; may be nil
 }
 
@@ -60,7 +59,7 @@
 	return c.Store.changes(prefix, since)
 }
 
-// Commit commits a transaction, subject to the fault injected for the node's next one.
+// Commit commits a transaction, subject to the fault injected for the node's next transaction.
 func (c *StoreClient) Commit(_ context.Context, t *store.Txn, _ store.Priority) (store.CommitResult, error) {
 	if beforeCommit := c.BeforeCommit; beforeCommit != nil {
 		c.BeforeCommit = nil
@@ -87,7 +86,7 @@
 
 // checkSize checks that a transaction is within the limits announced to the node.
 func (c *StoreClient) checkSize(t *store.Txn) {
-	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > guardsPerOp*c.TxnOps {
+	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > maxPreconditionsPerOp*c.TxnOps {
 		c.Store.env.RecordViolation(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Ops), len(t.Preconditions))
 	}
 	for _, op := range t.Ops {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -10,9 +10,9 @@
 	"violetturn/internal/store"
 )
 
-// guardsPerOp is the maximum number of preconditions in a transaction, as a multiple of the maximum
-// number of writes (PROTOCOL).
-const guardsPerOp = 4
+// maxPreconditionsPerOp is the maximum number of preconditions in a transaction, as a multiple of
+// the maximum number of writes (PROTOCOL).
+const maxPreconditionsPerOp = 4
 
 // StoreLimits are the limits that the state service enforces once it accepts less than announced.
 type StoreLimits struct {
@@ -25,7 +25,7 @@
 	if l.MaxOps == 0 {
 		return true
 	}
-	if len(t.Ops) > l.MaxOps || len(t.Preconditions) > guardsPerOp*l.MaxOps {
+	if len(t.Ops) > l.MaxOps || len(t.Preconditions) > maxPreconditionsPerOp*l.MaxOps {
 		return false
 	}
 	return !slices.ContainsFunc(t.Ops, func(op store.Op) bool { return len(op.Value) > l.MaxValueBytes })
@@ -37,7 +37,7 @@
 	RefusedTooLarge int // transactions that were refused because of their size
 }
 
-// Store is the simulated state service: versioned keys, transactions, leases and a log of changes.
+// Store is the simulated state service: versioned keys, transactions, leases and a change log.
 type Store struct {
 	ServiceFaults
 	StoreLimits
@@ -47,7 +47,7 @@
 	env         *Environment
 	revision    uint64
 	keys        map[string]storedValue
-	log         []store.Change
+	log         []store.Change // change log; see logChange
 	leases      map[uint64]*lease
 	lastLeaseID uint64
 	delayed     []*store.Txn // transactions with the fault Delayed, until DeliverDelayed is called
@@ -122,9 +122,9 @@
 		}
 	}
 	var conflicts []string
-	for _, g := range t.Preconditions {
-		if s.keys[g.Key].version != g.Version {
-			conflicts = append(conflicts, g.Key)
+	for _, precondition := range t.Preconditions {
+		if s.keys[precondition.Key].version != precondition.Version {
+			conflicts = append(conflicts, precondition.Key)
 		}
 	}
 	if conflicts != nil {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -42,46 +42,46 @@
 
 // submissionBody is the body of a request that submits a job.
 type submissionBody struct {
-	UID         string       `json:"uid"`
-	Class       string       `json:"lane"`
-	Team        string       `json:"owner"`
-	Kind        api.JobKind  `json:"shape"`
-	Priority    api.Priority `json:"rank"`
-	Tasks       int          `json:"pieces"`
-	CPUs        float64      `json:"cpus"`
-	GPUs        float64      `json:"gpus"`
-	MemGB       float64      `json:"memGb"`
-	Image       string       `json:"bundle"`
-	ImageGB     float64      `json:"sizeGb"`
-	Zone        string       `json:"site,omitempty"`
-	Together    bool         `json:"together"`
-	Spread      bool         `json:"scatter"`
-	Spot        bool         `json:"loaners"`
-	EstimateS   float64      `json:"guessS"`
-	CheckpointS float64      `json:"bookmarkS"`
-	SaveS       float64      `json:"stowS"`
+	UID                 string       `json:"uid"`
+	Class               string       `json:"lane"`
+	Team                string       `json:"owner"`
+	Kind                api.JobKind  `json:"shape"`
+	Priority            api.Priority `json:"rank"`
+	Tasks               int          `json:"pieces"`
+	CPUs                float64      `json:"cpus"`
+	GPUs                float64      `json:"gpus"`
+	MemGB               float64      `json:"memGb"`
+	Image               string       `json:"bundle"`
+	ImageGB             float64      `json:"sizeGb"`
+	Zone                string       `json:"site,omitempty"`
+	SingleZone          bool         `json:"together"`
+	Spread              bool         `json:"scatter"`
+	AllowSpot           bool         `json:"loaners"`
+	EstimatedRunS       float64      `json:"guessS"`
+	CheckpointIntervalS float64      `json:"bookmarkS"`
+	SaveDurationS       float64      `json:"stowS"`
 }
 
 // Submission returns the body of a request that submits a job.
 func Submission(j *api.Job) []byte {
 	return api.MustMarshal(submissionBody{
-		UID:         j.UID,
-		Class:       j.Class,
-		Team:        j.Team,
-		Kind:        j.Kind,
-		Priority:    j.Priority,
-		Tasks:       j.Tasks,
-		CPUs:        j.CPUs,
-		GPUs:        j.GPUs,
-		MemGB:       j.MemGB,
-		Image:       j.Image,
-		ImageGB:     j.ImageGB,
-		Zone:        j.Zone,
-		Together:    j.SingleZone,
-		Spread:      j.Spread,
-		Spot:        j.AllowSpot,
-		EstimateS:   j.EstimatedRunS,
-		CheckpointS: j.CheckpointIntervalS,
-		SaveS:       j.SaveDurationS,
+		UID:                 j.UID,
+		Class:               j.Class,
+		Team:                j.Team,
+		Kind:                j.Kind,
+		Priority:            j.Priority,
+		Tasks:               j.Tasks,
+		CPUs:                j.CPUs,
+		GPUs:                j.GPUs,
+		MemGB:               j.MemGB,
+		Image:               j.Image,
+		ImageGB:             j.ImageGB,
+		Zone:                j.Zone,
+		SingleZone:          j.SingleZone,
+		Spread:              j.Spread,
+		AllowSpot:           j.AllowSpot,
+		EstimatedRunS:       j.EstimatedRunS,
+		CheckpointIntervalS: j.CheckpointIntervalS,
+		SaveDurationS:       j.SaveDurationS,
 	})
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -45,27 +45,27 @@
 	}
 }
 
-// Task is an attempt of a task on a machine.
+// Task is one attempt of a task on a machine.
 type Task struct {
-	uid       string // of the job
-	job       *Job
-	index     int
-	attempt   uint64
-	phase     api.TaskPhase
-	cause     api.ExitCause // of the task's end
-	since     time.Time     // when the phase began
-	saveUntil time.Time
-	saved     bool
+	uid            string // of the job
+	job            *Job
+	index          int
+	attempt        uint64
+	phase          api.TaskPhase
+	cause          api.ExitCause // of the task's end
+	phaseStartedAt time.Time
+	saveUntil      time.Time
+	saved          bool
 }
 
-// name returns the task's name in messages.
+// name returns the task's name as in PROTOCOL's messages.
 func (t *Task) name() string { return api.TaskName(t.uid, t.index) }
 
 // end ends the task with the given cause.
 func (t *Task) end(cause api.ExitCause) { t.phase, t.cause = api.TaskEnded, cause }
 
-// isActive reports whether the rules count the task as being on its machine: after its image was
-// fetched, until the task ends.
+// isActive reports whether the rules count the task as being on its machine: from the time at which
+// its image was fetched until the task ends.
 func (t *Task) isActive() bool {
 	return t.phase == api.TaskRunning || t.phase == api.TaskSaving || t.phase == api.TaskGathering
 }
@@ -107,13 +107,13 @@
 
 // tickTask advances a task. tickGangs advances gathering and running tasks of gangs.
 func (w *Worker) tickTask(t *Task) {
-	timeInPhase := w.env.Now.Sub(t.since)
+	timeInPhase := w.env.Now.Sub(t.phaseStartedAt)
 	switch t.phase {
 	case api.TaskFetching:
 		if timeInPhase < w.env.MachineType.FetchTime {
 			return
 		}
-		t.phase, t.since = api.TaskRunning, w.env.Now
+		t.phase, t.phaseStartedAt = api.TaskRunning, w.env.Now
 		if t.job.Spec.Kind == api.Gang {
 			t.phase = api.TaskGathering
 		}
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -6,7 +6,8 @@
 	"violetturn/internal/api"
 )
 
-// execute carries out commands. A command that does not apply to the task's current state is ignored.
+// execute carries out commands. It ignores commands that do not apply to the current state of their
+// task.
 func (w *Worker) execute(commands []api.Command) {
 	for _, command := range commands {
 		uid, index, ok := api.SplitTaskName(command.Task)
@@ -55,7 +56,7 @@
 	if j.Spec.Kind == api.Gang {
 		w.env.checkGangLaunch(j, index, attempt)
 	}
-	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, since: w.env.Now}
+	t := &Task{uid: uid, job: j, index: index, attempt: attempt, phase: api.TaskFetching, phaseStartedAt: w.env.Now}
 	freeCPUs, freeGPUs := w.FreeCapacity()
 	switch {
 	case slices.ContainsFunc(w.Tasks, func(o *Task) bool { return o.phase != api.TaskEnded && o.uid == uid && o.index == index }):
--- a/internal/simulator/worker_heartbeat.go
+++ b/internal/simulator/worker_heartbeat.go
@@ -30,7 +30,8 @@
 	return h
 }
 
-// StateSummary returns a string that changes whenever the worker has to send a heartbeat at once.
+// StateSummary returns a string that changes whenever a change of state requires the worker to send
+// a heartbeat at once.
 func (w *Worker) StateSummary() string {
 	var b strings.Builder
 	fmt.Fprint(&b, w.AgentEpoch, w.Token, w.SpotNoticeS != nil)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -24,15 +24,15 @@
 	statusServiceUnavailable = 503
 )
 
-// Options are the parameters of New.
+// Options are the parameters of NewClient.
 type Options struct {
 	HTTP            *transport.Client
 	Addr            string
-	Timeout         time.Duration // of a request, without its wait for tokens and for changes
-	Limits          Limits        // the limits in force
-	AnnouncedLimits Limits        // announced lower limits; refusals show when they take effect
-	ControllerCount int           // number of controllers that share the limits
-	OnResponse      func(ok bool) // called after each request with whether the service is available
+	Timeout         time.Duration        // of a request, not counting the wait for tokens and for changes
+	Limits          Limits               // the current limits
+	AnnouncedLimits Limits               // announced lower limits; refused writes show when they take effect
+	ControllerCount int                  // number of controllers that share the limits
+	OnResponse      func(available bool) // called after each request with whether the service is available
 }
 
 // Client is a client of the state service that keeps within the controller's share of its rates.
@@ -40,13 +40,13 @@
 	http       *transport.Client
 	addr       string
 	timeout    time.Duration
-	onResponse func(ok bool)
+	onResponse func(available bool)
 	requests   *transport.TokenBucket // one token per request
 	writes     *transport.TokenBucket // one token per changed key
 
 	mu               sync.Mutex // guards the fields below
-	limits           Limits     // the limits assumed to be in force
-	announcedLimits  Limits     // announced lower limits, or those in force
+	limits           Limits     // the limits that the client assumes to be current
+	announcedLimits  Limits     // announced lower limits; equal to limits once applied
 	controllerCount  int
 	reservedForGangs float64     // write tokens that priorities below PriorityGang leave besides their regular reserve
 	writeRefusals    []time.Time // times of the latest refusals of writes
@@ -72,7 +72,7 @@
 type request struct {
 	method, target string
 	body           any // encoded as JSON; nil: no body
-	writeCount     int // number of keys that it changes
+	writeCount     int // number of keys that the request writes or deletes
 	priority       Priority
 	maxBlock       time.Duration // how long the service may delay the response to wait for changes
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// Changes that are no longer in the change log, or whose response exceeds the client's size limit,
-// return ErrChangesUnavailable, so that the caller lists the keys instead. The service is reported as available.
+// When changes are no longer in the change log, or their response exceeds the client's size limit,
+// Changes returns ErrChangesUnavailable, so that the caller lists the keys instead. The service is
+// reported as available.
 func TestUnavailableChangesRequireListing(t *testing.T) {
 	f := newFixture(t)
 	large := strings.Repeat(" ", httpwire.ResponseLimits.BodyBytes+1)
@@ -90,7 +91,8 @@
 	}
 }
 
-// Leases are granted, renewed and revoked; the renewal of a lease that has ended returns ErrLeaseEnded.
+// Leases are granted, renewed and revoked. The renewal of a lease that has ended returns
+// ErrLeaseEnded.
 func TestLeaseRequests(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
@@ -100,7 +102,7 @@
 	}
 	f.service.setResponse("/holds/7/touch", 200, `{}`)
 	if err := f.client.RenewLease(ctx, 7); err != nil {
-		t.Errorf("RenewLease: %v", err)
+		t.Errorf("RenewLease: got error %v, want none", err)
 	}
 	f.service.setResponse("/holds/7/touch", 404, `{}`)
 	if err := f.client.RenewLease(ctx, 7); !errors.Is(err, ErrLeaseEnded) {
@@ -108,7 +110,7 @@
 	}
 	f.service.setResponse("/holds/7", 200, `{}`)
 	if err := f.client.RevokeLease(ctx, 7); err != nil {
-		t.Errorf("RevokeLease: %v", err)
+		t.Errorf("RevokeLease: got error %v, want none", err)
 	}
 	want := []string{`POST /holds {"ttlMs":5000}`, "POST /holds/7/touch {}", "POST /holds/7/touch {}", "DELETE /holds/7"}
 	if d := cmp.Diff(want, f.service.takeRequests()); d != "" {
@@ -116,8 +118,8 @@
 	}
 }
 
-// newTransaction returns a transaction with a precondition, a write under a lease and a deletion.
-func newTransaction() *Txn {
+// newTestTransaction returns a transaction with a precondition, a write under a lease and a deletion.
+func newTestTransaction() *Txn {
 	leaseID := uint64(7)
 	return &Txn{
 		Preconditions: []Precondition{{"a/b", 0}},
@@ -143,7 +145,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f.service.setResponse("/multi", test.status, test.body)
-			result, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
+			result, err := f.client.Commit(context.Background(), newTestTransaction(), PriorityDecision)
 			if d := cmp.Diff(test.want, result); d != "" || !errors.Is(err, test.wantErr) || !f.reportedAvailable {
 				t.Errorf("error %v, available %t; want %v and true; result (-want +got):\n%s", err, f.reportedAvailable, test.wantErr, d)
 			}
@@ -155,22 +157,22 @@
 	}
 }
 
-// A refused transaction returns ErrRefused. Only several refusals for the rate (429) lower the
-// limits. After a 503 the service is reported as unavailable, after a 429 as available.
+// A refused transaction returns ErrRefused. Only several refusals because of the rate limit (429)
+// lower the limits. After a 503 the service is reported as unavailable, after a 429 as available.
 func TestRefusalsLowerLimits(t *testing.T) {
 	f := newFixture(t)
 	for _, status := range []int{503, 429, 429, 429} {
 		if status == 429 && f.client.limits == f.client.announcedLimits {
-			t.Error("limits lowered before several refusals")
+			t.Errorf("got the announced limits %+v after fewer than 3 refusals, want the initial ones", f.client.limits)
 		}
 		f.service.setResponse("/multi", status, `{}`)
-		_, err := f.client.Commit(context.Background(), newTransaction(), PriorityDecision)
+		_, err := f.client.Commit(context.Background(), newTestTransaction(), PriorityDecision)
 		if !errors.Is(err, ErrRefused) || f.reportedAvailable != (status == 429) {
 			t.Errorf("status %d: got error %v, available %t; want %v and %t", status, err, f.reportedAvailable, ErrRefused, status == 429)
 		}
 	}
 	if f.client.limits != f.client.announcedLimits {
-		t.Errorf("got limits %+v after several refusals, want the announced %+v", f.client.limits, f.client.announcedLimits)
+		t.Errorf("got limits %+v after 3 refusals, want the announced %+v", f.client.limits, f.client.announcedLimits)
 	}
 }
 
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -10,8 +10,8 @@
 // # Failures
 //
 // A request that fails with ErrRefused was certainly not carried out. One that fails with
-// ErrOutcomeUnknown may have been carried out or may still be; its outcome can only be determined by
-// reading. The other errors of this package are derived from responses of the service. A
+// ErrOutcomeUnknown may have been carried out or may still be; its outcome can only be determined
+// by reading. The other errors of this package are derived from responses of the service. A
 // StatusError is a response with a status that PROTOCOL does not define for the request.
 //
 // # Goroutines
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,13 +10,15 @@
 	// ErrRefused means that the request was certainly not carried out: the response had status
 	// 503 or 429, or the request was never sent.
 	ErrRefused = errors.New("state service refused the request")
-	// ErrOutcomeUnknown means that the request may have been carried out or may still be carried out later.
+	// ErrOutcomeUnknown means that the request may have been carried out, or may still be carried
+	// out later.
 	ErrOutcomeUnknown = errors.New("state service did not respond; outcome of the request unknown")
 	// ErrLeaseEnded means that the lease has expired or was revoked.
 	ErrLeaseEnded = errors.New("no such lease")
 	// ErrTooLarge means that a transaction or a value exceeds the service's size limit.
 	ErrTooLarge = errors.New("transaction or value exceeds the size limit of the state service")
-	// ErrChangesUnavailable means that the changes since the requested revision can't be read from the change log.
+	// ErrChangesUnavailable means that the changes since the requested revision can't be read
+	// from the change log.
 	ErrChangesUnavailable = errors.New("changes since the revision can't be read from the change log")
 )
 
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -11,7 +11,7 @@
 	"violetturn/internal/httpwire"
 )
 
-// pageSize is the most keys that the service may return in one page of a list.
+// pageSize is the number of keys requested per page of a list.
 const pageSize = 1000
 
 // noLeaseText is the service's error text for a transaction that names a lease that has ended.
@@ -67,8 +67,8 @@
 }
 
 // Changes waits up to maxBlock for changes after a revision to keys with a prefix. It returns
-// them and the revision up to which they are complete. After ErrChangesUnavailable the caller must list the
-// keys instead.
+// them and the revision up to which they are complete. After ErrChangesUnavailable the caller must
+// list the keys instead.
 func (c *Client) Changes(ctx context.Context, prefix string, since uint64, maxBlock time.Duration) ([]Change, uint64, error) {
 	target := fmt.Sprintf("/changes?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, maxBlock.Milliseconds())
 	m, err := c.send(ctx, request{method: "GET", target: target, priority: PriorityDecision, maxBlock: maxBlock})
@@ -110,7 +110,8 @@
 		if m.Status == statusBadRequest && response.Error == noLeaseText {
 			return CommitResult{}, fmt.Errorf("commit: %w", ErrLeaseEnded)
 		}
-		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, bodyExcerpt(m.Body)) // otherwise only the size can be invalid
+		// Apart from its lease, only the size of a transaction can be invalid.
+		return CommitResult{}, fmt.Errorf("commit: %w: %s", ErrTooLarge, bodyExcerpt(m.Body))
 	}
 	return CommitResult{}, fmt.Errorf("commit: %w", &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)})
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -37,7 +37,7 @@
 	return fmt.Errorf("renew lease %d: %w", leaseID, &StatusError{Status: m.Status, Body: bodyExcerpt(m.Body)})
 }
 
-// RevokeLease ends a lease immediately. It is no error if the lease has ended already.
+// RevokeLease ends a lease immediately. Revoking a lease that has already ended is not an error.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	if _, err := c.sendLeaseRequest(ctx, "DELETE", leaseTarget(leaseID), nil); err != nil {
 		return fmt.Errorf("revoke lease %d: %w", leaseID, err)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// sendLeaseRequest sends a request about a lease at lease priority.
+// sendLeaseRequest sends a request about a lease with PriorityLease.
 func (c *Client) sendLeaseRequest(ctx context.Context, method, target string, body any) (*httpwire.Message, error) {
 	return c.send(ctx, request{method: method, target: target, body: body, priority: PriorityLease})
 }
--- a/internal/store/priority.go
+++ b/internal/store/priority.go
@@ -28,5 +28,6 @@
 // reservedShares holds the share of a budget that each priority leaves to higher priorities.
 var reservedShares = [...]float64{PriorityLease: 0, PriorityGang: 0.05, PriorityDecision: 0.1, PrioritySubmission: 0.15}
 
-// maxReservedShare is the largest share of the write budget that is reserved, for gangs included.
+// maxReservedShare bounds the share of the write budget that a priority leaves to higher ones,
+// including the reserve set by ReserveForGangs.
 const maxReservedShare = 0.5
--- a/internal/store/rates.go
+++ b/internal/store/rates.go
@@ -14,30 +14,32 @@
 }
 
 // writeBurstSeconds bounds the write tokens that a controller may accumulate, in seconds of the
-// rate of all controllers. A controller may accumulate one second of its own share if that is more.
+// write rate of all controllers. A controller may accumulate the tokens of one second of its own
+// share if that is more.
 const writeBurstSeconds = 0.6
 
-// refusalsToLowerLimits is the number of refused writes within a short time from which the client
-// concludes that the announced lower limits are in force. A single refusal can also occur when
-// several controllers spend their accumulated tokens at the same time.
+// refusalsToLowerLimits is the number of refused writes within refusalWindowTimeouts from which
+// the client concludes that the announced lower limits have taken effect. A single refusal can
+// also occur when several controllers spend their accumulated tokens at the same time.
 const refusalsToLowerLimits = 3
 
-// refusalWindowTimeouts is the length of that time, in timeouts of a request.
+// refusalWindowTimeouts is the length of the time window in which refused writes are counted, in
+// request timeouts.
 const refusalWindowTimeouts = 4
 
 // rateShare returns the share of one controller: requests and writes per second, and the most
-// write tokens that it may accumulate. With several controllers that is more than one second of
-// its share, because they rarely spend their bursts in the same second.
-func (l Limits) rateShare(controllers int) (requests, writes, burst float64) {
-	n := float64(max(controllers, 1))
+// write tokens that it may accumulate. With several controllers these are the tokens of more than
+// one second, because controllers rarely spend their bursts in the same second.
+func (l Limits) rateShare(controllerCount int) (requests, writes, burst float64) {
+	n := float64(max(controllerCount, 1))
 	return l.RPS / n, l.WriteRPS / n, max(l.WriteRPS/n, writeBurstSeconds*l.WriteRPS)
 }
 
 // SetControllerCount sets the number of controllers that share the rates.
-func (c *Client) SetControllerCount(controllers int) {
+func (c *Client) SetControllerCount(controllerCount int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.controllerCount = controllers
+	c.controllerCount = controllerCount
 	c.setRates()
 }
 
@@ -49,8 +51,8 @@
 	c.setRates()
 }
 
-// ReserveForGangs makes priorities below PriorityGang leave this many write tokens besides their
-// regular reserve.
+// ReserveForGangs makes requests below PriorityGang leave this many write tokens in addition to
+// their regular reserve.
 func (c *Client) ReserveForGangs(writes float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,9 +64,10 @@
 	return c.requests.TokensUsed(), c.writes.TokensUsed()
 }
 
-// AwaitWriteBudget waits for the budget of n writes, for at most one request timeout, and returns how
-// many writes can be sent now. Callers build their transaction after that, from the newest state:
-// one that is built first and then waits for its budget may conflict with a write made meanwhile.
+// AwaitWriteBudget waits for the budget of n writes, for at most one request timeout, and returns
+// how many writes can be sent now. Callers build their transaction after that, from the newest
+// state: one that is built first and then waits for its budget may conflict with a write made
+// meanwhile.
 func (c *Client) AwaitWriteBudget(ctx context.Context, n int, p Priority) int {
 	deadline := time.Now().Add(c.timeout)
 	reservedShare := c.reservedShare(p)
@@ -91,8 +94,8 @@
 	c.writes.SetRate(now, writes, burst)
 }
 
-// recordWriteRefusal records that a write was refused because of the rate limit. Several refusals
-// within a short time make it apply the announced lower limits.
+// recordWriteRefusal records that a write was refused because of the rate limit. It applies the
+// announced lower limits after refusalsToLowerLimits refusals within a short time.
 func (c *Client) recordWriteRefusal(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/service_test.go
+++ b/internal/store/service_test.go
@@ -15,7 +15,7 @@
 // scriptedService is a state service that gives a preset response for each path and records the
 // requests.
 type scriptedService struct {
-	mu        sync.Mutex
+	mu        sync.Mutex                    // guards the fields below, shared by the server's event loop and the test
 	responses map[string]transport.Response // by target, or by path without the query
 	requests  []string                      // method, target and body of each, separated by spaces
 }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -17,6 +17,7 @@
 	}
 }
 
-// UserRequestTimeout is the time limit for the work on one user request. By PROTOCOL users wait
-// 2 s for the response to a poll and 5 s for that to a submission; they get one before that.
+// UserRequestTimeout is the time limit for the work on one user request. According to PROTOCOL,
+// users wait 2 s for the response to a poll and 5 s for the response to a submission. The limit
+// is shorter than both, so that they receive a response in time.
 const UserRequestTimeout = 1800 * time.Millisecond
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,8 +36,8 @@
 	Body    []byte        // nil: a request without a body
 	Timeout time.Duration // limit for the whole request, including connection setup
 
-	// CloseAfter closes the connection after the response. It is meant for clients with more
-	// server addresses than sockets, which can't keep a connection open to each.
+	// CloseAfter closes the connection after the response. It is meant for clients of more
+	// servers than there are sockets, which can't keep a connection open to each.
 	CloseAfter bool
 }
 
@@ -54,7 +54,7 @@
 
 // clientConn is one connection of a Client.
 type clientConn struct {
-	conn   gnet.Conn        // set before the first request
+	conn   gnet.Conn        // set before the first request is sent
 	parser *httpwire.Parser // accessed by the event loop only
 
 	mu       sync.Mutex  // guards the fields below
@@ -140,9 +140,8 @@
 	return gnet.None
 }
 
-// Do sends one request and waits for the response until r.Deadline has passed. After
-// ErrNoResponse the server may have carried out the request; any other error means that the
-// request was never sent.
+// Do sends one request and waits for the response for at most r.Timeout. After ErrNoResponse the
+// server may have carried out the request; any other error means that the request was never sent.
 func (c *Client) Do(ctx context.Context, r Request) (*httpwire.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -18,17 +18,17 @@
 	tableElement *list.Element // in the connection table; nil after removal
 }
 
-// connectionTable holds a server's connections in the order of their last use, the longest
-// idle ones first. Only the event loop accesses it.
+// connectionTable holds a server's connections in the order of their last use, least recently
+// used first. Only the event loop accesses it.
 type connectionTable struct {
 	maxConns  int
 	maxIdle   time.Duration
 	byLastUse list.List // of *serverConn
 }
 
-// add adds a new connection, or reports false if the table is full. It first closes the
-// connections that were idle for more than maxIdle, then, if the table is still full, the
-// longest idle one.
+// add adds a new connection. It first closes the connections that were last used more than
+// maxIdle ago, then, if the table is still full, the one that was idle longest. It reports false
+// if the table is full of busy connections.
 func (t *connectionTable) add(sc *serverConn) bool {
 	t.closeIdle(sc.lastUsed)
 	if t.byLastUse.Len() >= t.maxConns && !t.evictLongestIdle() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// evictLongestIdle closes the connection that was idle longest. It reports false if all are busy.
+// evictLongestIdle closes the connection that was idle longest, and reports whether there was one.
 func (t *connectionTable) evictLongestIdle() bool {
 	for e := t.byLastUse.Front(); e != nil; e = e.Next() {
 		if sc := connectionOf(e); !sc.busy {
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -13,10 +13,10 @@
 //
 // # Failures
 //
-// A client request that was never sent fails with an error other than ErrNoResponse and can
+// A client request that fails with an error other than ErrNoResponse was never sent and can
 // safely be retried. Once the request may have been sent, a closed connection, a malformed
-// response or a timeout is reported as ErrNoResponse: the server may or may not have carried the
-// request out. A server responds to a malformed request with status 400 and to one that is too
+// response or a timeout is reported as ErrNoResponse: the server may or may not have carried out
+// the request. A server responds to a malformed request with status 400 and to one that is too
 // large with 413, and closes the connection in both cases.
 package transport
 
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -10,6 +10,8 @@
 	"violetturn/internal/httpwire"
 )
 
+// startServer starts a server that holds at most 10 connections and returns its address. The server
+// is stopped when the test ends.
 func startServer(t *testing.T, h Handler, idle time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,20 +114,21 @@
 	}
 }
 
+// Take with a reserved share leaves that share of the burst to a Take without one.
 func TestTokenBucketKeepsReserve(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewTokenBucket(10, 10)
 	for range 7 {
 		if _, ok := b.Take(now, 1, 0.3); !ok {
-			t.Fatal("Take failed although the tokens above the reserve suffice")
+			t.Fatal("Take of a token above the reserve: got false, want true")
 		}
 	}
 	wait, ok := b.Take(now, 1, 0.3)
 	if ok {
-		t.Fatal("Take with a reserved share of 0.3 used the reserve")
+		t.Fatal("Take of a token of the reserve with a reserved share of 0.3: got true, want false")
 	}
 	if _, ok := b.Take(now, 3, 0); !ok {
-		t.Fatal("Take without a reserved share failed with 3 tokens left")
+		t.Fatal("Take of the last 3 tokens without a reserved share: got false, want true")
 	}
 	now = now.Add(wait + 300*time.Millisecond)
 	if _, ok := b.Take(now, 1, 0.3); !ok || wait <= 0 {
@@ -151,8 +154,8 @@
 }
 
 // sendRequest sends one request on a new connection. It reports whether the server responded and
-// whether the response closes the connection.
-func sendRequest(t *testing.T, addr string) (responded, closed bool) {
+// whether the connection is closed with the response.
+func sendRequest(t *testing.T, addr string) (responded, closes bool) {
 	t.Helper()
 	c := openIdleConnection(t, addr, "GET /now HTTP/1.1\r\nHost: x\r\n\r\n")
 	p := httpwire.NewParser(true, httpwire.ResponseLimits)
@@ -175,15 +178,15 @@
 // to each request, even when many clients hold idle connections or never complete a request.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	addr := startServer(t, func(*httpwire.Message, func(Response)) (Response, bool) { return Response{Status: 200}, true }, time.Hour)
-	if ok, closed := sendRequest(t, addr); !ok || closed {
-		t.Fatalf("no other connections: responded %t, closed %t; want a response and an open connection", ok, closed)
+	if ok, closes := sendRequest(t, addr); !ok || closes {
+		t.Fatalf("no other connections: responded %t, closes %t; want a response and an open connection", ok, closes)
 	}
 	for i := range 40 { // the server holds at most 10
 		openIdleConnection(t, addr, []string{"", "POST /checkin HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"}[i%2])
 	}
 	for range 20 {
-		if ok, closed := sendRequest(t, addr); !ok || !closed {
-			t.Fatalf("connection table full: responded %t, closed %t; want a response that closes the connection", ok, closed)
+		if ok, closes := sendRequest(t, addr); !ok || !closes {
+			t.Fatalf("connection table full: responded %t, closes %t; want a response that closes the connection", ok, closes)
 		}
 	}
 }
@@ -195,7 +198,7 @@
 	c := openIdleConnection(t, addr, "")
 	sendRequest(t, addr)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the server kept a connection that was idle for longer than the limit")
+		t.Fatal("read from a connection that was idle for too long: got no error, want it closed by the server")
 	}
 }
 
@@ -204,7 +207,7 @@
 	now := time.Unix(0, 0)
 	b := NewTokenBucket(10, 10)
 	if _, ok := b.Take(now, 8, 0); !ok {
-		t.Fatal("Take of 8 of 10 tokens failed")
+		t.Fatal("Take of 8 of 10 tokens: got false, want true")
 	}
 	b.SetRate(now, 30, 30)
 	if n := b.Available(now, 0); n != 2 {
--- a/internal/transport/token_bucket.go
+++ b/internal/transport/token_bucket.go
@@ -12,8 +12,8 @@
 	mu         sync.Mutex // guards the fields below
 	rate       float64    // tokens per second
 	burst      float64    // the most tokens that the bucket holds
-	tokens     float64    // at refilledAt; negative after Take of more than the burst
-	refilledAt time.Time  // time of the last refill; zero: never, the bucket is full
+	tokens     float64    // at refilledAt; negative after a Take of more than the burst
+	refilledAt time.Time  // time of the last refill; zero: not yet used, the bucket is full
 	totalTaken float64    // all tokens taken since the start
 }
 
@@ -42,8 +42,8 @@
 }
 
 // Take removes n tokens and returns true if at least reservedShare (0 to 1) of the burst remains
-// after that. If n tokens and the reserve exceed the burst, a full bucket suffices. Otherwise it
-// removes none and returns how long to wait before the next attempt.
+// after that. If n tokens and the reserve together exceed the burst, a full bucket suffices.
+// Otherwise Take removes none and returns how long to wait before the next attempt.
 func (b *TokenBucket) Take(now time.Time, n, reservedShare float64) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -19,7 +19,8 @@
 	"violetturn/internal/transport"
 )
 
-// ErrLaunchNotAllowed means that a batch contains a launch, which must not be sent directly. Nothing was sent.
+// ErrLaunchNotAllowed means that a batch contains a launch, which must not be sent directly. The
+// batch was not sent.
 var ErrLaunchNotAllowed = errors.New("launch commands must not be sent directly")
 
 // StatusError is a response with a status that PROTOCOL does not define for the request.
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -76,11 +76,11 @@
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, AgentEpoch: 2, Commands: []api.Command{{Action: api.Stop, Task: "run-1/0", Attempt: 3}}}
 	for _, test := range []struct {
-		name     string
-		status   int
-		body     string
-		executed bool
-		ok       bool
+		name         string
+		status       int
+		body         string
+		wantExecuted bool
+		wantOK       bool
 	}{
 		{"executed", 200, minimalHeartbeat, true, true},
 		{"out of date", 409, minimalHeartbeat, false, true},
@@ -90,8 +90,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			worker.setResponse(test.status, test.body)
 			h, executed, err := client.SendCommands(context.Background(), addr, batch)
-			if (err == nil) != test.ok || (h != nil) != test.ok || executed != test.executed {
-				t.Errorf("got heartbeat %+v, executed %t, error %v; want executed %t, success %t", h, executed, err, test.executed, test.ok)
+			if (err == nil) != test.wantOK || (h != nil) != test.wantOK || executed != test.wantExecuted {
+				t.Errorf("got heartbeat %+v, executed %t, error %v; want executed %t, success %t",
+					h, executed, err, test.wantExecuted, test.wantOK)
 			}
 			want := `POST /commands {"baton":41,"tenure":2,"orders":[{"verb":"halt","piece":"run-1/0","try":3}]}`
 			if requests := worker.receivedRequests(); len(requests) != 1 || requests[0] != want {
@@ -107,16 +108,16 @@
 	client, addr := newClient(t, worker)
 	batch := api.CommandBatch{Token: 41, Commands: []api.Command{{Action: api.Stop}, {Action: api.Launch, Task: "run-1/0"}}}
 	if _, executed, err := client.SendCommands(context.Background(), addr, batch); !errors.Is(err, ErrLaunchNotAllowed) || executed {
-		t.Errorf("got executed %t, error %v; want error %v", executed, err, ErrLaunchNotAllowed)
+		t.Errorf("got executed %t, error %v; want executed false, error %v", executed, err, ErrLaunchNotAllowed)
 	}
 	if requests := worker.receivedRequests(); len(requests) != 0 {
 		t.Errorf("got requests %q, want none", requests)
 	}
 }
 
-// Status returns the worker's heartbeat. A response with another status or an invalid heartbeat
-// is an error.
-func TestHeartbeatRequest(t *testing.T) {
+// FetchHeartbeat returns the worker's heartbeat. A response with a status other than 200 or with an
+// invalid heartbeat is an error.
+func TestFetchHeartbeat(t *testing.T) {
 	worker := &scriptedWorker{status: 200, body: minimalHeartbeat}
 	client, addr := newClient(t, worker)
 	h, err := client.FetchHeartbeat(context.Background(), addr)
