--- a/internal/cloud/listing.go
+++ b/internal/cloud/listing.go
@@ -14,7 +14,7 @@
 }
 
 // Listing reads the list of rented machines a few pages at a time. The eight pages of 4,000
-// machines take more calls than a controller's rate share allows in one decision step: reading
+// machines take more calls than a controller's rate share allows in one autoscaler run: reading
 // them all at once would delay rentals and returns by seconds.
 //
 // The cloud lists machines in the order of their creation. A machine that is created during a
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -51,7 +51,8 @@
 }
 
 // NewServer makes a server that accepts requests within the limits and holds at most maxConns
-// connections, each of which may be idle for the given time between two requests.
+// connections. When a new connection opens, the server closes those that were last used longer ago
+// than the given idle time.
 //
 // Connections are persistent while the server has few of them. Above half of maxConns each
 // response closes its connection, and at maxConns a new connection replaces the longest idle
