--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -41,7 +41,7 @@
 	c.node.Log.Info(
 		"summary",
 		"store_rps", requestRate, "write_rps", writeRate,
-		"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.Shards()),
+		"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.HeldShards()),
 		"heap_kb", memory.HeapAlloc>>10,
 	)
 	c.logCommits(state)
