--- a/cmd/violetturn/cluster_test.go
+++ b/cmd/violetturn/cluster_test.go
@@ -39,34 +39,34 @@
 }
 
 // startServer serves HTTP until the end of the test and returns its address.
-func startServer(b testing.TB, addr string, h http.Handler) string {
-	b.Helper()
+func startServer(tb testing.TB, addr string, h http.Handler) string {
+	tb.Helper()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.Serve(l) }() // returns after Close
-	b.Cleanup(func() { _ = s.Close() })
+	tb.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
 // freeAddr returns a loopback address with a free port.
-func freeAddr(b testing.TB) string {
-	b.Helper()
+func freeAddr(tb testing.TB) string {
+	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
 // newCluster returns a cluster without starting its controllers.
-func newCluster(b testing.TB, d *simulator.Deployment) *cluster {
-	b.Helper()
+func newCluster(tb testing.TB, d *simulator.Deployment) *cluster {
+	tb.Helper()
 	return &cluster{
-		tb:         b,
+		tb:         tb,
 		deployment: d,
 		server:     simulator.NewServer(d.NewEnvironment(time.Now())),
 		random:     rand.New(rand.NewPCG(1, 1)),
@@ -100,7 +100,8 @@
 	return files
 }
 
-// memberSettings returns the part of controller i's settings that lists the controllers.
+// memberSettings returns the part of controller i's settings that names the controller itself and its
+// peers.
 func (c *cluster) memberSettings(i int, peers []string) string {
 	zones := []string{"x", "y", "z"}
 	var s strings.Builder
@@ -148,14 +149,14 @@
 	return s.String()
 }
 
-// runPeriodically calls f at intervals of d in a goroutine until the cluster stops.
-func (c *cluster) runPeriodically(d time.Duration, f func()) {
+// runPeriodically calls f in a goroutine at the given interval until the cluster stops.
+func (c *cluster) runPeriodically(interval time.Duration, f func()) {
 	c.running.Go(func() {
 		for {
 			select {
 			case <-c.stop:
 				return
-			case <-time.After(d):
+			case <-time.After(interval):
 				f()
 			}
 		}
@@ -170,7 +171,7 @@
 }
 
 // sendRequest sends a request to a controller. Status 0 means that there was no response.
-func (c *cluster) sendRequest(node int, method, path string, body []byte) (status int, answer []byte) {
+func (c *cluster) sendRequest(node int, method, path string, body []byte) (status int, responseBody []byte) {
 	req, err := http.NewRequest(method, "http://"+c.controllerAddrs[node]+path, bytes.NewReader(body))
 	if err != nil {
 		c.tb.Error(err)
@@ -181,11 +182,11 @@
 		return 0, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err = io.ReadAll(resp.Body)
+	responseBody, err = io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return resp.StatusCode, answer
+	return resp.StatusCode, responseBody
 }
 
 // simulateUser submits a job until it is accepted, and then queries it until the cluster stops.
@@ -193,8 +194,8 @@
 	c.mu.Lock()
 	job, runTime := class.NewJob(n, c.random)
 	c.mu.Unlock()
-	c.server.WithLock(func(w *simulator.Environment) {
-		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
+	c.server.WithLock(func(env *simulator.Environment) {
+		env.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
 	})
 	body := simulator.Submission(&job)
 	accepted := false
--- a/cmd/violetturn/exitcode_test.go
+++ b/cmd/violetturn/exitcode_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// settingsServingOn returns valid settings for a controller that serves on the given address. All other
-// addresses are free loopback ports, so that the state service and the cloud can't be reached.
+// settingsServingOn returns valid settings for a controller that serves on the given address. All
+// other addresses are free loopback ports, so that the state service and the cloud can't be reached.
 func settingsServingOn(t *testing.T, serveOn string) string {
 	t.Helper()
 	return strings.NewReplacer(
@@ -77,5 +77,5 @@
 			return
 		}
 	}
-	t.Errorf("no response from %s within 20s", url)
+	t.Errorf("no response from %s within 20s, want one of any status", url)
 }
--- a/cmd/violetturn/golden_test.go
+++ b/cmd/violetturn/golden_test.go
@@ -15,9 +15,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The golden files hold the output and exit codes of the program. They were written by a build of
-// commit 1a43aa6, before the code was refactored (only help texts and one error were reworded since),
-// with
+// The golden files contain the output and exit codes of the program. They were written by a build of
+// commit 1a43aa6, before the code was refactored; only help texts and one error have been reworded
+// since. The command was
 //
 //	go test ./cmd/violetturn -run TestGolden -update -program PATH
 //
@@ -60,9 +60,10 @@
 	environment []string
 }
 
-// goldenMasks replace the parts of the output that golden files don't compare: Go identifiers in errors
-// (the TOML decoder prints the name of the field, the policy compiler that of the type), and the time
-// and message of log lines, because messages may be reworded. Level and attributes are compared.
+// goldenMasks replace the parts of the output that are not compared with the golden files: Go
+// identifiers in errors (the TOML decoder prints the name of the field, the policy compiler that of
+// the type), and the time and message of log lines, because messages may be reworded. Level and
+// attributes are compared.
 var goldenMasks = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -72,8 +73,8 @@
 	{regexp.MustCompile(`time=\S+ level=(\w+) msg="[^"]*"`), "time=TIME level=$1 msg=MESSAGE"},
 }
 
-// runAndDescribe runs the program and returns its output and exit code, masked, and with the folder's
-// path replaced by DIR.
+// runAndDescribe runs the program in a folder and returns its output and exit code. The text is
+// masked with goldenMasks, and the folder's path is replaced by DIR.
 func (c programCase) runAndDescribe(t *testing.T, dir string) string {
 	t.Helper()
 	cmd := programCommand(t, dir, c.args, c.environment...)
@@ -130,7 +131,8 @@
 	return string(b)
 }
 
-// Help texts, the version, and the errors for invalid arguments and environment variables.
+// The help texts, the version, and the errors for invalid arguments and environment variables are
+// those of the golden file.
 func TestGoldenArguments(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "settings.toml", validSettings(t))
@@ -194,17 +196,18 @@
 	return got.String()
 }
 
-// Valid settings, and invalid ones with their one-line error.
+// Valid settings are accepted, and invalid ones are rejected with a one-line error.
 func TestGoldenSettings(t *testing.T) {
 	compareGolden(t, "settings.golden", checkFiles(t, "--config", validSettings(t), settingsCases))
 }
 
-// Valid policies with the warnings for deprecated names, and invalid ones with their error.
+// Valid policies are accepted, with warnings for deprecated names, and invalid ones are rejected with
+// an error.
 func TestGoldenPolicy(t *testing.T) {
 	compareGolden(t, "policy.golden", checkFiles(t, "--policy", "", policyCases))
 }
 
-// Valid features files, and invalid ones with their error.
+// Valid features files are accepted, and invalid ones are rejected with an error.
 func TestGoldenFeatures(t *testing.T) {
 	compareGolden(t, "features.golden", checkFiles(t, "--features", "", featuresCases))
 }
--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -11,9 +11,9 @@
 
 // heartbeatSchedule is the state of a worker's heartbeats.
 type heartbeatSchedule struct {
-	next        time.Time
-	lastSummary string // summary of the tasks in the last heartbeat; a different summary is sent earlier
-	sending     bool
+	next        time.Time // when the next heartbeat is due, unless the summary changes earlier
+	lastSummary string    // summary of the tasks in the last heartbeat; a different summary is sent early
+	sending     bool      // a heartbeat is in flight
 }
 
 // simulateWorkers sends the heartbeats of the simulated workers.
@@ -21,11 +21,11 @@
 	schedules := map[string]*heartbeatSchedule{}
 	var mu sync.Mutex // guards schedules and its values
 	c.runPeriodically(100*time.Millisecond, func() {
-		c.server.WithLock(func(w *simulator.Environment) {
+		c.server.WithLock(func(env *simulator.Environment) {
 			mu.Lock()
 			defer mu.Unlock()
-			for _, host := range w.Cloud.HostNames() {
-				worker := w.Cloud.WorkersByHost[host]
+			for _, host := range env.Cloud.HostNames() {
+				worker := env.Cloud.WorkersByHost[host]
 				schedule := schedules[host]
 				if schedule == nil {
 					schedule = &heartbeatSchedule{}
@@ -37,13 +37,13 @@
 				}
 				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
 				earliest := schedule.next.Add(500*time.Millisecond - interval)
-				if summary == "" || w.Now.Before(schedule.next) && (summary == schedule.lastSummary || w.Now.Before(earliest)) {
+				if summary == "" || env.Now.Before(schedule.next) && (summary == schedule.lastSummary || env.Now.Before(earliest)) {
 					continue
 				}
 				schedule.lastSummary, schedule.sending = summary, true
-				intervals := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
-				schedule.next = w.Now.Add(time.Duration(intervals * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), w.Now, worker.AgentEpoch, worker.Node
+				intervalFactor := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
+				schedule.next = env.Now.Add(time.Duration(intervalFactor * c.deployment.HeartbeatS * float64(time.Second)))
+				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), env.Now, worker.AgentEpoch, worker.Node
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sentAt, agentEpoch)
 					mu.Lock()
@@ -58,8 +58,8 @@
 // sendHeartbeat sends a worker's heartbeat and passes the response to the worker.
 func (c *cluster) sendHeartbeat(host string, node int, heartbeat []byte, sentAt time.Time, agentEpoch uint64) {
 	status, body := c.sendRequest(node, "POST", "/checkin", heartbeat)
-	c.server.WithLock(func(w *simulator.Environment) {
-		worker := w.Cloud.WorkersByHost[host]
+	c.server.WithLock(func(env *simulator.Environment) {
+		worker := env.Cloud.WorkersByHost[host]
 		if worker == nil || worker.Partitioned { // the response is lost
 			return
 		}
--- a/cmd/violetturn/main.go
+++ b/cmd/violetturn/main.go
@@ -65,13 +65,13 @@
 }
 
 // reportUsageError prints an error in the arguments or files and returns the exit code for it.
-func reportUsageError(to io.Writer, err error) int {
-	_, _ = fmt.Fprintf(to, "violetturn: %v\n", err) // a failure to print can't be reported anywhere
+func reportUsageError(w io.Writer, err error) int {
+	_, _ = fmt.Fprintf(w, "violetturn: %v\n", err) // a failure to print can't be reported anywhere
 	return exitUsage
 }
 
-// runController runs a controller until SIGTERM or SIGINT and returns the exit code. If profileDir is
-// not empty, it writes profiles into that folder.
+// runController runs a controller until SIGTERM or SIGINT and returns the exit code. If profileDir
+// is not empty, it writes profiles into that folder.
 func runController(in inputs, profileDir string, log *slog.Logger) int {
 	limitResources(in.settings)
 	c, err := controller.New(in.settings, in.policy, in.features, log)
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -15,9 +15,9 @@
 // benchmarkDuration is how long the benchmark runs a deployment.
 const benchmarkDuration = 60 * time.Second
 
-// BenchmarkProcesses runs three controllers as separate processes under the load of a deployment for a
-// minute. They write their profiles into the subfolders n0, n1 and n2 of a folder for the deployment
-// in PROFILE_DIR.
+// BenchmarkProcesses runs three controllers as separate processes under the load of a deployment for
+// a minute. They write their profiles into the subfolders n0, n1 and n2 of a folder for the
+// deployment in PROFILE_DIR.
 func BenchmarkProcesses(b *testing.B) {
 	base := os.Getenv("PROFILE_DIR")
 	if base == "" {
@@ -82,7 +82,7 @@
 	}
 	close(c.stop)
 	c.running.Wait()
-	c.server.WithLock(func(w *simulator.Environment) {
-		c.tb.Logf("%d machines, %d jobs, violated rules: %v", len(w.Cloud.WorkersByHost), jobs, w.Violations)
+	c.server.WithLock(func(env *simulator.Environment) {
+		c.tb.Logf("%d machines, %d jobs, violations: %v", len(env.Cloud.WorkersByHost), jobs, env.Violations)
 	})
 }
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	loopbackReaderTasks   = 6 // tasks of the readers (production services) bound to zone x
+	loopbackReplicas      = 6 // replicas of all services that are bound to zone x
 	loopbackArrayCount    = 4 // number of arrays bound to zone x
 	loopbackTasksPerArray = 8 // tasks of each array
 	loopbackWaitTimeout   = 90 * time.Second
@@ -37,7 +37,7 @@
 	startedAt  time.Time
 	uid        string
 	host       string
-	isReader   bool
+	isReplica  bool
 	arrayTasks int // tasks of arrays present in the zone at that time
 }
 
@@ -50,7 +50,7 @@
 	featuresFile  string
 	processes     []*exec.Cmd
 	jobUIDs       []string        // IDs of all jobs
-	readerUIDs    []string        // IDs of the readers in zone x
+	serviceUIDs   []string        // IDs of the services in zone x
 	taskStarts    []zoneTaskStart // guarded by the server's lock
 }
 
@@ -68,12 +68,12 @@
 		t.Fatal(err)
 	}
 	z.settingsFiles = z.writeSettings(dir)
-	z.server.WithLock(func(w *simulator.Environment) {
-		w.ListLag = time.Second
-		w.OnTaskStarted = func(worker *simulator.Worker, uid string) {
+	z.server.WithLock(func(env *simulator.Environment) {
+		env.ListLag = time.Second
+		env.OnTaskStarted = func(worker *simulator.Worker, uid string) {
 			if worker.Zone == "x" {
 				z.taskStarts = append(
-					z.taskStarts, zoneTaskStart{w.Now, uid, worker.Host, w.Jobs[uid].Spec.Kind == api.Service, arrayTasksInX(w)},
+					z.taskStarts, zoneTaskStart{env.Now, uid, worker.Host, env.Jobs[uid].Spec.Kind == api.Service, arrayTasksInX(env)},
 				)
 			}
 		}
@@ -88,13 +88,13 @@
 }
 
 // arrayTasksInX returns the number of tasks of arrays present in zone x.
-func arrayTasksInX(w *simulator.Environment) (n int) {
-	for _, worker := range w.Cloud.Workers() {
+func arrayTasksInX(env *simulator.Environment) (n int) {
+	for _, worker := range env.Cloud.Workers() {
 		if worker.Zone != "x" {
 			continue
 		}
 		for _, uid := range worker.UnfinishedTaskJobs() {
-			if w.Jobs[uid].Spec.Kind == api.Array {
+			if env.Jobs[uid].Spec.Kind == api.Array {
 				n++
 			}
 		}
@@ -118,13 +118,14 @@
 	z.processes[i] = p
 }
 
-// killController kills controller i without a clean shutdown.
+// killController kills controller i, which therefore doesn't shut down cleanly.
 func (z *zoneCluster) killController(i int) {
 	_ = z.processes[i].Process.Kill() // fails if the process has already exited
 	_ = z.processes[i].Wait()         // returns an error because the process was killed
 }
 
-// stopAll kills all controllers. If the test has failed, it prints the relevant lines of their logs.
+// stopAll kills all controllers. If the test has failed, it prints the lines of their logs about
+// zones, shards and placements.
 func (z *zoneCluster) stopAll() {
 	for i := range z.processes {
 		z.killController(i)
@@ -148,8 +149,8 @@
 	}
 }
 
-// submit submits a job, an array with the given change, until a controller accepts it. It returns the
-// job's ID.
+// submit submits an array, which change can modify or turn into another job, until a controller
+// accepts it. It returns the job's ID.
 func (z *zoneCluster) submit(change func(*api.Job), runTime time.Duration) string {
 	z.t.Helper()
 	job := api.Job{
@@ -158,8 +159,8 @@
 	}
 	change(&job)
 	z.jobUIDs = append(z.jobUIDs, job.UID)
-	z.server.WithLock(func(w *simulator.Environment) {
-		w.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
+	z.server.WithLock(func(env *simulator.Environment) {
+		env.Jobs[job.UID] = &simulator.Job{Spec: job, RunTime: runTime, DoneTasks: map[int]bool{}}
 	})
 	z.waitFor(job.UID+" is accepted", func() bool {
 		status, body := z.sendRequest(z.randomBelow(controllerCount), "POST", "/v2/runs", simulator.Submission(&job))
@@ -171,16 +172,16 @@
 
 // checkResponse lets the simulator check the response that a user got, and returns the job's phase.
 func (z *zoneCluster) checkResponse(uid string, status int, body []byte, submission bool) (phase api.JobPhase) {
-	var a struct {
+	var state struct {
 		Phase api.JobPhase `json:"phase"`
 	}
-	_ = json.Unmarshal(body, &a) // a response without a phase leaves it empty
-	z.server.WithLock(func(w *simulator.Environment) { w.CheckUserResponse(uid, status, a.Phase, submission) })
-	return a.Phase
+	_ = json.Unmarshal(body, &state) // a response without a phase leaves it empty
+	z.server.WithLock(func(env *simulator.Environment) { env.CheckUserResponse(uid, status, state.Phase, submission) })
+	return state.Phase
 }
 
-// waitFor polls until a condition holds. It fails the test after loopbackWaitTimeout; shorter times are
-// not checked.
+// waitFor polls until a condition holds. It fails the test after loopbackWaitTimeout; shorter times
+// are not checked.
 func (z *zoneCluster) waitFor(what string, condition func() bool) {
 	z.t.Helper()
 	for deadline := time.Now().Add(loopbackWaitTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -191,13 +192,14 @@
 	z.t.Fatalf("condition %q not met within %v", what, loopbackWaitTimeout)
 }
 
-// runningReaderTasks returns the number of reader tasks running on reachable machines of zone x.
-func (z *zoneCluster) runningReaderTasks() int { return z.runningTasksInX(z.readerUIDs...) }
+// runningReplicas returns the number of replicas of services running on reachable machines of zone x.
+func (z *zoneCluster) runningReplicas() int { return z.runningTasksInX(z.serviceUIDs...) }
 
-// runningTasksInX returns the number of tasks of the given jobs running on reachable machines of zone x.
+// runningTasksInX returns the number of tasks of the given jobs running on reachable machines of
+// zone x.
 func (z *zoneCluster) runningTasksInX(uids ...string) (n int) {
-	z.server.WithLock(func(w *simulator.Environment) {
-		for _, worker := range w.Cloud.Workers() {
+	z.server.WithLock(func(env *simulator.Environment) {
+		for _, worker := range env.Cloud.Workers() {
 			for _, task := range worker.Heartbeat().Tasks {
 				uid, _, _ := api.SplitTaskName(task.Task)
 				if worker.Zone == "x" && !worker.Partitioned && slices.Contains(uids, uid) && task.Phase == api.TaskRunning {
@@ -209,21 +211,21 @@
 	return n
 }
 
-// machinesInX returns the machines of zone x: those with readers, and the others.
-func (z *zoneCluster) machinesInX() (withReaders, others []*simulator.Worker) {
-	z.server.WithLock(func(w *simulator.Environment) {
-		for _, worker := range w.Cloud.Workers() {
+// machinesInX returns the machines of zone x: those that run a replica of a service, and the others.
+func (z *zoneCluster) machinesInX() (serviceMachines, otherMachines []*simulator.Worker) {
+	z.server.WithLock(func(env *simulator.Environment) {
+		for _, worker := range env.Cloud.Workers() {
 			if worker.Zone != "x" {
 				continue
 			}
-			if present := worker.UnfinishedTaskJobs(); len(present) > 0 && w.Jobs[present[0]].Spec.Kind == api.Service {
-				withReaders = append(withReaders, worker)
+			if present := worker.UnfinishedTaskJobs(); len(present) > 0 && env.Jobs[present[0]].Spec.Kind == api.Service {
+				serviceMachines = append(serviceMachines, worker)
 			} else {
-				others = append(others, worker)
+				otherMachines = append(otherMachines, worker)
 			}
 		}
 	})
-	return withReaders, others
+	return serviceMachines, otherMachines
 }
 
 // setPartitioned partitions machines from the network, or ends the partition.
@@ -237,9 +239,9 @@
 
 // terminate terminates machines permanently.
 func (z *zoneCluster) terminate(machines []*simulator.Worker) {
-	z.server.WithLock(func(w *simulator.Environment) {
+	z.server.WithLock(func(env *simulator.Environment) {
 		for _, worker := range machines {
-			w.Cloud.Terminate(worker.Host)
+			env.Cloud.Terminate(worker.Host)
 		}
 	})
 }
@@ -247,8 +249,8 @@
 // zoneStateIs returns a condition that reports whether the record of zone x has the given state.
 func (z *zoneCluster) zoneStateIs(state string) func() bool {
 	return func() (is bool) {
-		z.server.WithLock(func(w *simulator.Environment) {
-			for _, item := range w.Store.Items("live/z/x") {
+		z.server.WithLock(func(env *simulator.Environment) {
+			for _, item := range env.Store.Items("live/z/x") {
 				is = strings.Contains(string(item.Value), `"s":"`+state+`"`)
 			}
 		})
@@ -256,50 +258,50 @@
 	}
 }
 
-// checkReadersStartFirst checks the task starts since machines returned to an empty zone: until the last
-// reader task started, arrays never had more tasks in the zone at a time than the returned machines
-// have capacity for in addition to the readers.
-func (z *zoneCluster) checkReadersStartFirst(when string, since time.Time, returnedMachines int) {
+// checkServicesStartFirst checks the task starts since machines returned to an empty zone: until the
+// last replica of the services started, arrays never had more tasks in the zone at a time than the
+// returned machines have capacity for in addition to the replicas.
+func (z *zoneCluster) checkServicesStartFirst(when string, since time.Time, returnedMachines int) {
 	z.t.Helper()
 	z.server.WithLock(func(*simulator.Environment) {
-		readerTasks, maxArrayTasks := 0, 0
+		startedReplicas, maxArrayTasks := 0, 0
 		for _, start := range z.taskStarts {
 			switch {
 			case start.startedAt.Before(since):
-			case start.isReader:
-				readerTasks++
-			case readerTasks < loopbackReaderTasks:
+			case start.isReplica:
+				startedReplicas++
+			case startedReplicas < loopbackReplicas:
 				maxArrayTasks = max(maxArrayTasks, start.arrayTasks)
 			}
 		}
-		if allowed := max(2*returnedMachines-loopbackReaderTasks, 0); maxArrayTasks > allowed {
-			z.t.Errorf("%s: %d array tasks ran before the last reader started, want at most %d", when, maxArrayTasks, allowed)
+		if allowed := max(2*returnedMachines-loopbackReplicas, 0); maxArrayTasks > allowed {
+			z.t.Errorf("%s: %d array tasks ran before the last replica started, want at most %d", when, maxArrayTasks, allowed)
 			for _, start := range z.taskStarts {
-				z.t.Logf("%v: %s on %s, reader %t, %d array tasks in the zone",
-					start.startedAt.Sub(since), start.uid, start.host, start.isReader, start.arrayTasks)
+				z.t.Logf("%v: %s on %s, replica %t, %d array tasks in the zone",
+					start.startedAt.Sub(since), start.uid, start.host, start.isReplica, start.arrayTasks)
 			}
 		}
-		z.t.Logf("%s: %d reader tasks started, at most %d array tasks ran before the last of them", when, readerTasks, maxArrayTasks)
+		z.t.Logf("%s: %d replicas started, at most %d array tasks ran before the last of them", when, startedReplicas, maxArrayTasks)
 	})
 }
 
 // simulatedTime returns the current time of the simulator.
 func (z *zoneCluster) simulatedTime() (now time.Time) {
-	z.server.WithLock(func(w *simulator.Environment) { now = w.Now })
+	z.server.WithLock(func(env *simulator.Environment) { now = env.Now })
 	return now
 }
 
-// Production services (the readers) must restart before arrays when a zone returns. Three controllers
-// run as processes, with simulated workers in three zones. Zone x fails together with its controller,
-// a part of it returns, and it fails again twice before it returns for good. All arrays must be done in
-// the end, and no rule may be violated.
+// Production services must restart before arrays when a zone returns. Three controllers run as
+// processes, with simulated workers in three zones. Zone x fails together with its controller, a part
+// of it returns, and it fails again twice before it returns for good. All arrays must be done in the
+// end, and no rule may be violated.
 //
-// Everything runs on one machine over loopback with worker leases of four seconds, so the test checks
-// only the order of task starts, never durations.
+// Everything runs on one machine over loopback with worker leases of four seconds, so the test
+// checks only the order of task starts, never durations.
 func TestZoneReturnsOnLoopback(t *testing.T) {
 	z := newZoneCluster(t)
 	arrays := z.startJobs()
-	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = true })
+	z.server.WithLock(func(env *simulator.Environment) { env.Cloud.NoCapacity = true })
 	z.failAndReturnPartly()
 	z.failRepeatedly()
 	for _, uid := range arrays {
@@ -308,57 +310,57 @@
 			return z.checkResponse(uid, status, body, false) == api.JobDone
 		})
 	}
-	z.server.WithLock(func(w *simulator.Environment) {
-		for _, violation := range w.Violations {
+	z.server.WithLock(func(env *simulator.Environment) {
+		for _, violation := range env.Violations {
 			t.Error(violation)
 		}
 	})
 }
 
-// startJobs starts readers in all zones and arrays in zone x, and waits until those in zone x run. It
-// returns the arrays' IDs.
+// startJobs submits services in all zones and arrays in zone x, and waits until those in zone x run.
+// It returns the arrays' IDs.
 func (z *zoneCluster) startJobs() (arrays []string) {
-	readerJob := func(zone string, tasks int) func(*api.Job) {
+	serviceJob := func(zone string, tasks int) func(*api.Job) {
 		return func(j *api.Job) {
 			j.Class, j.Kind, j.Priority, j.Tasks, j.Zone, j.Image = "service", api.Service, "production", tasks, zone, "reader"
 		}
 	}
-	z.submit(readerJob("y", 6), 0)
-	z.submit(readerJob("z", 6), 0)
+	z.submit(serviceJob("y", 6), 0)
+	z.submit(serviceJob("z", 6), 0)
 	for range 2 {
-		z.readerUIDs = append(z.readerUIDs, z.submit(readerJob("x", loopbackReaderTasks/2), 0))
+		z.serviceUIDs = append(z.serviceUIDs, z.submit(serviceJob("x", loopbackReplicas/2), 0))
 	}
-	z.waitFor("readers run", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
+	z.waitFor("all replicas run", func() bool { return z.runningReplicas() == loopbackReplicas })
 	for range loopbackArrayCount {
 		arrays = append(arrays, z.submit(func(*api.Job) {}, 8*time.Second))
 	}
-	z.waitFor("arrays run as well as the readers", func() bool { return z.runningTasksInX(arrays...) >= 2*loopbackTasksPerArray })
+	z.waitFor("arrays run as well as the replicas", func() bool { return z.runningTasksInX(arrays...) >= 2*loopbackTasksPerArray })
 	return arrays
 }
 
-// failAndReturnPartly partitions zone x and kills its controller. Then the controller and five machines
-// without readers return.
+// failAndReturnPartly partitions zone x and kills its controller. Then the controller and five
+// machines that ran no replica return.
 func (z *zoneCluster) failAndReturnPartly() {
-	withReaders, others := z.machinesInX()
+	serviceMachines, otherMachines := z.machinesInX()
 	z.killController(0)
-	z.setPartitioned(withReaders, true)
-	z.setPartitioned(others, true)
+	z.setPartitioned(serviceMachines, true)
+	z.setPartitioned(otherMachines, true)
 	z.waitFor("the zone is down", z.zoneStateIs("down"))
-	z.waitEmpty(append(withReaders, others...))
+	z.waitEmpty(append(serviceMachines, otherMachines...))
 	const returning = 5
-	z.terminate(append(withReaders, others[returning:]...))
+	z.terminate(append(serviceMachines, otherMachines[returning:]...))
 	returned := z.simulatedTime()
-	z.setPartitioned(others[:returning], false)
+	z.setPartitioned(otherMachines[:returning], false)
 	z.startController(0)
-	z.waitFor("readers run again", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
-	z.checkReadersStartFirst("part returned", returned, returning)
+	z.waitFor("all replicas run again", func() bool { return z.runningReplicas() == loopbackReplicas })
+	z.checkServicesStartFirst("part returned", returned, returning)
 }
 
 // waitEmpty waits until no task runs on the given machines, except on those that were terminated.
 func (z *zoneCluster) waitEmpty(machines []*simulator.Worker) {
 	z.waitFor("no task runs on the partitioned machines", func() (none bool) {
-		z.server.WithLock(func(w *simulator.Environment) {
-			none = !slices.ContainsFunc(w.Cloud.Workers(), func(worker *simulator.Worker) bool {
+		z.server.WithLock(func(env *simulator.Environment) {
+			none = !slices.ContainsFunc(env.Cloud.Workers(), func(worker *simulator.Worker) bool {
 				return slices.Contains(machines, worker) && len(worker.UnfinishedTaskJobs()) > 0
 			})
 		})
@@ -366,13 +368,13 @@
 	})
 }
 
-// failRepeatedly partitions zone x, ends the partition briefly, and partitions the zone again until no
-// task runs there. Then the zone returns for good, and the cloud can replace terminated machines. The
-// order of starts is checked only by failAndReturnPartly: here it depends on how many machines were
-// terminated.
+// failRepeatedly partitions zone x, ends the partition briefly, and partitions the zone again until
+// no task runs there. Then the zone returns for good, and the cloud can replace terminated machines.
+// The order of starts is checked only by failAndReturnPartly: here it depends on how many machines
+// were terminated.
 func (z *zoneCluster) failRepeatedly() {
-	withReaders, others := z.machinesInX()
-	all := append(withReaders, others...)
+	serviceMachines, otherMachines := z.machinesInX()
+	all := append(serviceMachines, otherMachines...)
 	z.setPartitioned(all, true)
 	z.waitFor("the zone is down again", z.zoneStateIs("down"))
 	z.setPartitioned(all, false)
@@ -380,6 +382,6 @@
 	z.setPartitioned(all, true)
 	z.waitEmpty(all)
 	z.setPartitioned(all, false)
-	z.server.WithLock(func(w *simulator.Environment) { w.Cloud.NoCapacity = false })
-	z.waitFor("readers run again", func() bool { return z.runningReaderTasks() == loopbackReaderTasks })
+	z.server.WithLock(func(env *simulator.Environment) { env.Cloud.NoCapacity = false })
+	z.waitFor("all replicas run again", func() bool { return z.runningReplicas() == loopbackReplicas })
 }
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/store"
 )
 
-// BenchmarkPlan measures the plan of one decision on shards of the sizes of large deployments.
-// The lock of the state is held for the same time.
+// BenchmarkPlan measures how long one decision step plans, on shards of the sizes of large
+// deployments. A controller holds the lock of its state for that time.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, n/10)
@@ -91,8 +91,8 @@
 	}
 }
 
-// BenchmarkScaleIn measures one run that decides which machines to return, where every second
-// machine has one replica that may fit elsewhere.
+// BenchmarkScaleIn measures one run of the autoscaler that decides which machines to return. Every
+// second machine has one replica, which may fit elsewhere.
 func BenchmarkScaleIn(b *testing.B) {
 	for _, n := range []int{50, 900, 2700} {
 		c := newSizedController(n, 0)
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -15,11 +15,11 @@
 )
 
 // Responses to reads and to this controller's transactions arrive in any order, some delayed. In
-// every order the replica equals the state service once it has read all changes. A delayed write
-// that arrived after the deletion of its key once left the deleted key in the replica for good.
-func TestReplicaWithDelayedResponses(t *testing.T) {
+// every order the cache equals the state service once it has read all changes. The delayed response
+// to a write, received after the key was deleted, once left the deleted key in the cache for good.
+func TestCacheWithDelayedResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := newReplicaModel()
+		model := newCacheModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"change": model.change,
 			"read":   func(_ *rapid.T) { model.delayedResponses = append(model.delayedResponses, model.read()) },
@@ -29,8 +29,8 @@
 			deliver()
 		}
 		model.read()()
-		if !maps.Equal(model.replica.Versions, model.storeVersions) || len(model.replica.Nodes) != len(model.storeVersions) {
-			t.Fatalf("replica has versions %v, want %v as in the state service", model.replica.Versions, model.storeVersions)
+		if !maps.Equal(model.cache.Versions, model.storeVersions) || len(model.cache.Nodes) != len(model.storeVersions) {
+			t.Fatalf("cache has versions %v, want %v as in the state service", model.cache.Versions, model.storeVersions)
 		}
 	})
 }
@@ -42,49 +42,49 @@
 	version uint64
 }
 
-// replicaModel is a replica with a model of the state service that it replicates.
-type replicaModel struct {
-	replica          *statecache.Cache
+// cacheModel is a cache with a model of the state service that it caches.
+type cacheModel struct {
+	cache            *statecache.Cache
 	changes          []keyChange
-	storeVersions    map[string]uint64 // of the existing keys
+	storeVersions    map[string]uint64 // versions of the existing keys
 	revision         uint64
 	delayedResponses []func() // deliveries of responses that have not arrived yet
 }
 
-// newReplicaModel returns an empty replica of an empty state service.
-func newReplicaModel() *replicaModel {
+// newCacheModel returns an empty cache of an empty state service.
+func newCacheModel() *cacheModel {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	return &replicaModel{
-		replica:       statecache.New(log),
+	return &cacheModel{
+		cache:         statecache.New(log),
 		storeVersions: map[string]uint64{},
 	}
 }
 
-// apply applies a change to the replica.
-func (m *replicaModel) apply(change keyChange) {
+// apply applies a change to the cache.
+func (m *cacheModel) apply(change keyChange) {
 	if change.deleted {
-		m.replica.Apply(change.key, nil, change.version)
+		m.cache.Apply(change.key, nil, change.version)
 	} else {
-		m.replica.Apply(change.key, api.MustMarshal(shard.NodeRecord{Term: change.version}), change.version)
+		m.cache.Apply(change.key, api.MustMarshal(shard.NodeRecord{Term: change.version}), change.version)
 	}
 }
 
-// read reads the changes that the replica lacks, and returns a function that delivers the
-// response.
-func (m *replicaModel) read() func() {
-	from, until := m.replica.Revision, m.revision
+// read reads the changes that the cache lacks, and returns a function that delivers the response.
+func (m *cacheModel) read() func() {
+	from, until := m.cache.Revision, m.revision
 	return func() {
 		for _, change := range m.changes {
 			if change.version > from && change.version <= until {
 				m.apply(change)
 			}
 		}
-		m.replica.AdvanceRevision(until)
+		m.cache.AdvanceRevision(until)
 	}
 }
 
-// change writes or deletes a key. The response of a transaction of this controller is delayed.
-func (m *replicaModel) change(t *rapid.T) {
+// change writes or deletes a key. If this controller sent the transaction, the response to it is
+// delayed.
+func (m *cacheModel) change(t *rapid.T) {
 	key := statecache.NodeKey(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key")))
 	m.revision++
 	change := keyChange{key, m.storeVersions[key] != 0 && rapid.Bool().Draw(t, "drop"), m.revision}
@@ -99,7 +99,7 @@
 }
 
 // deliver delivers a drawn delayed response.
-func (m *replicaModel) deliver(t *rapid.T) {
+func (m *cacheModel) deliver(t *rapid.T) {
 	if len(m.delayedResponses) == 0 {
 		t.Skip("no delayed response")
 	}
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -15,7 +15,7 @@
 func runStoreOutage(t *testing.T, fault func(s *testCluster, leader, other int)) (s *testCluster, uncancelled string) {
 	t.Helper()
 	s = newReadyCluster()
-	zoneService := func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" }
+	zoneService := func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks, j.Zone = api.Service, 3, "x" }
 	cancelled := s.submitJob(zoneService)
 	uncancelled = s.submitJob(zoneService)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(uncancelled) == 3 })
@@ -39,17 +39,17 @@
 }
 
 // Tasks whose cancellation the old leader can't read end within the cancellation timeout,
-// whatever happens to the leader and to the controller that confirmed. As long as all controllers
-// can report their cancellations to one another, no other task ends with them.
+// whatever happens to the leader and to the controller that confirmed the cancellation. As long as
+// all controllers can report their cancellations to one another, no other task ends with them.
 func TestCancellationDuringStoreOutage(t *testing.T) {
 	noFault := func(*testCluster, int, int) {}
 	s, uncancelled := runStoreOutage(t, noFault)
 	if running := s.runningTasks(uncancelled); running != 3 {
-		t.Errorf("%d replicas run after an outage in which all controllers reach one another, want 3", running)
+		t.Errorf("%d replicas of the other service run after an outage in which all controllers reach one another, want 3", running)
 	}
 	for name, fault := range map[string]func(s *testCluster, leader, other int){
 		"peers refused":                   func(s *testCluster, _, _ int) { s.peersRefused = true },
-		"confirming controller ends":      func(s *testCluster, _, other int) { s.nodes[other].running = false },
+		"confirming controller stops":     func(s *testCluster, _, other int) { s.nodes[other].running = false },
 		"confirming controller restarts":  func(s *testCluster, _, other int) { s.startNode(other) },
 		"leader restarts":                 func(s *testCluster, leader, _ int) { s.startNode(leader) },
 		"confirming controller is paused": func(s *testCluster, _, other int) { s.nodes[other].paused = true },
@@ -62,7 +62,7 @@
 				worker.Hung = false
 			}
 		},
-		"leader can't reach its peers, its workers can": func(s *testCluster, leader, _ int) {
+		"only workers reach the leader": func(s *testCluster, leader, _ int) {
 			s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.peersRefused = true, true
 		},
 	} {
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -11,10 +11,10 @@
 )
 
 // A leader may be paused between evaluating a heartbeat and sending its response, a worker may
-// receive only old responses, and leases and cancellation timeouts leave much time, little or
-// none. On both sides of each bound no task is on its machine later than the timeout after a user
-// received the confirmation; and if the controllers reach one another, the cancellation is
-// confirmed once all faults have ended.
+// receive only old responses, and the drawn leases and cancellation timeouts leave much time,
+// little time or none. Below, at and above each time bound, no task is on its machine for longer
+// than the cancellation timeout after a user received the confirmation. Once all faults have
+// ended, the cancellation is confirmed.
 func TestCancellationDuringStoreOutageTimings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOutageSchedule(t)
@@ -119,9 +119,9 @@
 // scheduleControllerFault may schedule that a controller is down for some time, restarts, or is
 // paused.
 func (o *outageSchedule) scheduleControllerFault(i int) {
-	switch rapid.SampledFrom([]string{"", "", "away", "restart", "paused"}).Draw(o.t, "node") {
-	case "away":
-		o.scheduleFault("away", 16, func(down bool) {
+	switch rapid.SampledFrom([]string{"", "", "down", "restart", "paused"}).Draw(o.t, "node") {
+	case "down":
+		o.scheduleFault("down", 16, func(down bool) {
 			if o.nodes[i].running = false; !down {
 				o.startNode(i)
 			}
@@ -168,7 +168,7 @@
 	}
 }
 
-// checkBounds fails if a rule is violated, and logs the time bounds in force.
+// checkBounds fails the test if a rule is violated. The message contains the time bounds.
 func (o *outageSchedule) checkBounds() {
 	if len(o.environment.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -14,9 +14,9 @@
 func TestOneTaskJobsWithCancellations(t *testing.T) {
 	s := newReadyCluster()
 	for round := range 120 { // one minute with two jobs per round
-		for half := range 2 {
-			id := s.submitArray(1, 2*time.Second, func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.5, 1 })
-			if submitted := 2*round + half; submitted%4 == 0 {
+		for jobInRound := range 2 {
+			id := s.submitArray(1, 2*time.Second, func(j *api.Job) { j.GPUs, j.CPUs, j.MemGB = 0, 0.5, 1 })
+			if submitted := 2*round + jobInRound; submitted%4 == 0 {
 				s.environment.Jobs[id].RunTime = time.Minute
 				s.cancel(submitted%3, s.jobIDs[max(0, len(s.jobIDs)-1-submitted%7)])
 			}
@@ -43,7 +43,7 @@
 			for _, kind := range []api.JobKind{api.Array, api.Gang} {
 				t.Run(fmt.Sprintf("n%d, %s, fault %v", node, kind, fault), func(t *testing.T) {
 					s := newReadyCluster()
-					id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
+					id := s.submitArray(2, 2*time.Second, func(j *api.Job) { j.Kind = kind })
 					endedTasks := 0
 					s.environment.OnTaskDone = func(uid string) {
 						if endedTasks++; uid == id && endedTasks == 2 {
@@ -60,7 +60,7 @@
 					s.environment.Store.DeliverDelayed()
 					s.queryEverywhere(id)
 					if s.checkRecovery(t); s.environment.Jobs[id].FinalPhase == "" {
-						t.Errorf("node %d, fault %d, %s: job has no final phase", node, fault, kind)
+						t.Errorf("node %d, fault %v, %s: job has no final phase, want one", node, fault, kind)
 					}
 				})
 			}
@@ -68,16 +68,17 @@
 	}
 }
 
-// Another node confirms a cancellation between a decision and its transaction: a placement, the
-// end of the last task, or a claim of a gang. The later of the two is not carried out.
+// Another node confirms a cancellation between a decision and its transaction. The decision is a
+// placement, the end of the last task, or a claim of a gang. The transaction, which comes later,
+// must have no effect.
 func TestCancellationDuringDecision(t *testing.T) {
 	for _, kind := range []api.JobKind{api.Array, api.Gang} {
 		for _, lastTaskEnded := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, last task ended %t", kind, lastTaskEnded), func(t *testing.T) {
 				s := newReadyCluster()
-				idleArray := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
-				s.runUntil(t, 80, "machines are up", func() bool { return s.runningTasks(idleArray) == 4 })
-				id := s.submitArray(2, 2*time.Second, func(r *api.Job) { r.Kind = kind })
+				idleArray := s.submitArray(4, time.Hour, func(j *api.Job) { j.Priority = "idle" })
+				s.runUntil(t, 80, "machines run tasks", func() bool { return s.runningTasks(idleArray) == 4 })
+				id := s.submitArray(2, 2*time.Second, func(j *api.Job) { j.Kind = kind })
 				if lastTaskEnded {
 					endedTasks := 0
 					s.environment.OnTaskDone = func(uid string) {
@@ -136,7 +137,7 @@
 		}
 		switch round {
 		case 6:
-			s.environment.Store.RefusedNodes["n2"] = true // it redirects its users
+			s.environment.Store.RefusedNodes["n2"] = true // it forwards requests to its peers
 		case 12:
 			s.environment.Store.RefusedNodes["n2"] = false
 		case 15:
--- a/internal/controller/checkers_test.go
+++ b/internal/controller/checkers_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// partitionServiceMachine partitions one machine whose tasks continue to run, while another machine
+// partitionServiceMachine partitions one machine, whose tasks continue to run, while another machine
 // has free capacity.
 func partitionServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
@@ -64,7 +64,8 @@
 	s.runFor(60)
 }
 
-// hangServiceMachine hangs one machine for less than its lease; then the machine continues.
+// hangServiceMachine hangs one machine for slightly less than its worker lease; then the machine
+// continues.
 func hangServiceMachine(s *testCluster) {
 	s.submitService(3, nil)
 	s.runFor(60)
@@ -74,7 +75,7 @@
 			defer func() { worker.Hung = false }()
 		}
 	}
-	s.runFor(17) // slightly less than its lease
+	s.runFor(17) // 8.5 s; the lease is 9 s
 }
 
 // cancelServiceInPartitionedZone cancels a service in a zone that has just been partitioned.
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	s.endFaults()
 	waitingSince := map[string]time.Time{}
-	s.runUntil(t, maxRecoveryRounds, "every node answers for every job, and all jobs are done or run", func() bool {
+	s.runUntil(t, maxRecoveryRounds, "every node answers queries about every job, and all jobs are done or run", func() bool {
 		for i := range s.nodes {
 			for _, id := range s.jobIDs {
 				s.poll(i, id)
@@ -71,7 +71,7 @@
 }
 
 // checkWaiting records a violation if, after all faults have ended, a job has waited for longer
-// than maxWait while a suitable machine has free capacity and its team is below its limit.
+// than maxWait while a suitable machine has free capacity and the job's team is below its limit.
 // waitingSince contains the time since which each job has waited.
 func (s *testCluster) checkWaiting(waitingSince map[string]time.Time) {
 	teamGPUs := map[string]float64{}
@@ -120,9 +120,9 @@
 	return false
 }
 
-// arraysDone reports whether every accepted job that is not a service has finished and a query has
-// returned so.
-func (s *testCluster) arraysDone() bool {
+// allButServicesDone reports whether every accepted job that is not a service has finished, and the
+// response to a query has said so.
+func (s *testCluster) allButServicesDone() bool {
 	for _, id := range s.jobIDs {
 		j := s.environment.Jobs[id]
 		if j.FinalPhase != "" || j.Spec.Kind == api.Service {
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -16,7 +16,7 @@
 // Faults of heartbeats.
 const (
 	heartbeatServed  heartbeatFault = iota // no fault
-	heartbeatDelayed                       // if a partition blocks it, the test delivers it later
+	heartbeatDelayed                       // if a partition blocks the heartbeat, the test delivers it later
 	responseLost                           // the worker does not receive the response
 	responseDelayed                        // the worker receives the response when its next heartbeat is due
 )
@@ -44,11 +44,12 @@
 	leader   string // the node that the worker should report to
 }
 
-// sentHeartbeat describes a heartbeat that was sent: its sender, its receiver and its time.
+// sentHeartbeat describes a heartbeat that was sent: its sender, its receiver, its time, and the
+// sender's agent epoch at that time.
 type sentHeartbeat struct {
 	worker     *simulator.Worker
 	to         int
-	at         time.Time
+	sentAt     time.Time
 	agentEpoch uint64
 }
 
@@ -100,8 +101,8 @@
 		return false
 	}
 	delete(s.pendingResponses, worker.Host)
-	if s.environment.Now.Sub(pending.sent.at) < responseTimeout {
-		worker.HandleResponse(pending.commands, pending.sent.at, pending.sent.agentEpoch)
+	if s.environment.Now.Sub(pending.sent.sentAt) < responseTimeout {
+		worker.HandleResponse(pending.commands, pending.sent.sentAt, pending.sent.agentEpoch)
 	}
 	return true
 }
@@ -111,17 +112,18 @@
 	return worker.Partitioned || worker.OutboundLost || s.nodes[node].commands.Partitioned || s.partitioned(s.zoneOf(node), worker.Zone)
 }
 
-// tryNextNode makes a worker that got no usable response from a node report to the next one.
+// tryNextNode makes a worker that got no usable response from a node send its next heartbeat to the
+// next node.
 func (s *clusterNodes) tryNextNode(worker *simulator.Worker, node int) {
 	worker.Node = (node + 1) % len(s.nodes)
 }
 
 // handleHeartbeatResponse makes a worker process a response: it carries out the commands, follows
-// a redirect, or turns to the next node.
+// a redirect, or tries the next node.
 func (s *clusterNodes) handleHeartbeatResponse(sent sentHeartbeat, response heartbeatResponse) {
 	switch {
 	case response.status == http.StatusOK:
-		sent.worker.HandleResponse(response.commands, sent.at, sent.agentEpoch)
+		sent.worker.HandleResponse(response.commands, sent.sentAt, sent.agentEpoch)
 	case response.status == http.StatusMisdirectedRequest && response.leader != "" && response.leader != s.nodes[sent.to].name:
 		sent.worker.Node = slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == response.leader })
 	default:
@@ -130,7 +132,7 @@
 }
 
 // deliverHeartbeat makes a node handle a heartbeat and returns its response, which is empty if the
-// node does not serve.
+// node is stopped or paused.
 func (s *clusterNodes) deliverHeartbeat(to int, body []byte) heartbeatResponse {
 	n := s.nodes[to]
 	if !n.serves() {
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -74,9 +74,9 @@
 
 // leaderOf returns the name of the node that leads a shard and may act for it, or "" if there is
 // none.
-func (s *testCluster) leaderOf(shard string) string {
+func (s *testCluster) leaderOf(shardID string) string {
 	for _, n := range s.nodes {
-		if n.running && n.state().Leadership.Leads(shard) && n.state().Leadership.MayAct(n.controller.node.Now()) {
+		if n.running && n.state().Leadership.Leads(shardID) && n.state().Leadership.MayAct(n.controller.node.Now()) {
 			return n.name
 		}
 	}
@@ -88,8 +88,8 @@
 	return slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == name })
 }
 
-// preferredLeaderOf returns the index of the preferred leader of a machine's shard: the node after which
-// the shard is named.
+// preferredLeaderOf returns the index of the preferred leader of a machine's shard: the node after
+// which the shard is named.
 func (s *testCluster) preferredLeaderOf(host string) int {
 	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
@@ -130,7 +130,7 @@
 	}
 	for host, machine := range cache.Machines {
 		worker := s.environment.Cloud.WorkersByHost[host]
-		description += fmt.Sprintf(" host %s %s exists %t up %t", host, api.MustMarshal(machine), worker != nil,
+		description += fmt.Sprintf(" machine %s %s exists %t booted %t", host, api.MustMarshal(machine), worker != nil,
 			worker != nil && worker.Booted())
 	}
 	for _, n := range s.nodes {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -40,15 +40,15 @@
 	nodes       []*testNode
 	log         *slog.Logger
 
-	delayedHeartbeats []func()                    // deliver heartbeats that a partition delays
-	heartbeatCopies   []heartbeatCopy             // of heartbeats that arrived, for a second and late delivery
-	pendingResponses  map[string]*pendingResponse // by worker; in transit to it
+	delayedHeartbeats []func()                    // each delivers a heartbeat that a partition has delayed
+	heartbeatCopies   []heartbeatCopy             // copies of heartbeats that arrived, to be delivered again later
+	pendingResponses  map[string]*pendingResponse // by machine, the response in transit to its worker
 
 	stateLimits, nextStateLimits config.StateLimits // current and announced limits of the state service
 	limitsLowered                bool               // the state service applies the announced limits
 
 	adjustSettings func(*testNode, *config.Settings) // changes the settings of a controller before it starts; may be nil
-	onStart        func(*testNode)                   // is called with each controller after its start; may be nil
+	onStart        func(*testNode)                   // called with each controller after its start; may be nil
 }
 
 // testStates caches the states of the controllers of tests. Tests run one after the other.
@@ -68,20 +68,20 @@
 
 // testNode is a controller and its connections.
 type testNode struct {
-	name         string
-	controller   *Controller
-	storeClient  *simulator.StoreClient
-	commands     *simulator.CommandClient
-	asyncWork    []func() // asynchronous work of the controller, which runs at the end of its next step
-	running      bool
-	inProduction bool // it behaves like the version in production
-	paused       bool // it does nothing, but its clock advances
+	name                  string
+	controller            *Controller
+	storeClient           *simulator.StoreClient
+	commands              *simulator.CommandClient
+	asyncWork             []func() // asynchronous work of the controller, which runs at the end of its next step
+	running               bool
+	runsProductionVersion bool // it behaves like the version in production
+	paused                bool // it does nothing, but its clock advances
 }
 
 // state returns the state of the node's controller.
 func (n *testNode) state() *state.State { return n.controller.testState() }
 
-// serves reports whether the node is running, not paused, and so answers requests.
+// serves reports whether the node is running and not paused, so that it answers requests.
 func (n *testNode) serves() bool { return n.running && !n.paused }
 
 // rounds returns the number of rounds that a duration takes.
@@ -111,15 +111,15 @@
 // newTestCluster returns a cluster of three controllers that have just started. If the
 // environment variable SIM_LOG is set, they log to stderr.
 func newTestCluster() *testCluster {
-	w := simulator.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
-	w.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: bootTime, FetchTime: 2 * time.Second}
-	w.Zones = []string{"x", "y"}
-	w.WorkerLease, w.CancelTimeout, w.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
-	w.GangStartTimeout, w.PeerLossTimeout = 12*time.Second, 3*time.Second
-	w.TeamGPULimits = map[string]float64{"a": 5}
+	environment := simulator.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	environment.MachineType = simulator.MachineType{Name: "m", CPUs: 8, GPUs: 2, MemGB: 64, BootTime: bootTime, FetchTime: 2 * time.Second}
+	environment.Zones = []string{"x", "y"}
+	environment.WorkerLease, environment.CancelTimeout, environment.ListLag = 9*time.Second, 40*time.Second, 2*time.Second
+	environment.GangStartTimeout, environment.PeerLossTimeout = 12*time.Second, 3*time.Second
+	environment.TeamGPULimits = map[string]float64{"a": 5}
 	limits := config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 	nextLimits := config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: 2, TxnOps: 4}
-	s := newClusterWithoutNodes(w, limits, nextLimits)
+	s := newClusterWithoutNodes(environment, limits, nextLimits)
 	if os.Getenv("SIM_LOG") != "" {
 		s.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
@@ -132,10 +132,10 @@
 
 // newClusterWithoutNodes returns a cluster without controllers. limits and nextLimits are the
 // current and the announced limits of its state service.
-func newClusterWithoutNodes(w *simulator.Environment, limits, nextLimits config.StateLimits) *testCluster {
+func newClusterWithoutNodes(environment *simulator.Environment, limits, nextLimits config.StateLimits) *testCluster {
 	return &testCluster{clusterUsers{clusterNodes: clusterNodes{
 		networkFaults:    networkFaults{isolated: map[int]bool{}},
-		environment:      w,
+		environment:      environment,
 		log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		pendingResponses: map[string]*pendingResponse{},
 		stateLimits:      limits,
@@ -173,10 +173,10 @@
 	n.commands = &simulator.CommandClient{
 		Environment:     s.environment,
 		Node:            n.name,
-		PartitionedFrom: func(w *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), w.Zone) },
+		PartitionedFrom: func(worker *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), worker.Zone) },
 	}
 	c.services.Peers = peerLink{s, i}
-	c.services.Store = s.newStateService(n, cfg)
+	c.services.Store = s.newStoreClient(n, cfg)
 	c.services.Cloud = &simulator.CloudClient{Cloud: s.environment.Cloud, Node: n.name}
 	c.services.Workers = n.commands
 	n.running, n.paused = true, false
@@ -193,7 +193,7 @@
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelTimeoutS = s.environment.WorkerLease.Seconds(), s.environment.CancelTimeout.Seconds()
 	next := s.nextStateLimits
 	cfg.Facts.State.StateLimits, cfg.Facts.State.NextLimits = s.stateLimits, &next
-	if n.inProduction {
+	if n.runsProductionVersion {
 		cfg.Facts.State.NextLimits = nil
 	}
 	if s.adjustSettings != nil {
@@ -202,10 +202,10 @@
 	return cfg
 }
 
-// newStateService returns a node's client of the state service. The client reports a violation if
-// a transaction exceeds the announced limit, or, for a node that behaves like the version in
-// production, the current limit.
-func (s *clusterNodes) newStateService(n *testNode, cfg *config.Settings) external.StateService {
+// newStoreClient returns a node's client of the state service. The client reports a violation if
+// a transaction has more writes than the announced limit or, for a node that behaves like the
+// version in production, the current limit allows.
+func (s *clusterNodes) newStoreClient(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.environment.Store,
 		Node:          n.name,
@@ -213,7 +213,7 @@
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
-	if !n.inProduction {
+	if !n.runsProductionVersion {
 		return n.storeClient
 	}
 	n.storeClient.TxnOps = cfg.Facts.State.TxnOps
@@ -254,8 +254,8 @@
 	}
 }
 
-// runRound runs one step of all controllers, sends a heartbeat of each worker and advances the
-// time by half a second.
+// runRound runs one step of all controllers, has each worker send a heartbeat, and advances the
+// time by roundInterval.
 func (s *clusterNodes) runRound() {
 	for i := range s.nodes {
 		s.stepNode(i)
@@ -282,8 +282,8 @@
 	}
 }
 
-// runUntil runs rounds until reached returns true. It fails the test if a rule is violated or if
-// that takes more than maxRounds.
+// runUntil runs rounds until reached returns true. It fails the test if a rule is violated, or if
+// reached still returns false after maxRounds.
 func (s *testCluster) runUntil(t testing.TB, maxRounds int, awaited string, reached func() bool) {
 	t.Helper()
 	for range maxRounds {
@@ -305,8 +305,8 @@
 	s.networkFaults = networkFaults{isolated: map[int]bool{}}
 	s.environment.MachineType.BootTime = bootTime
 	for i, n := range s.nodes {
-		if !n.running || n.inProduction {
-			n.inProduction = false
+		if !n.running || n.runsProductionVersion {
+			n.runsProductionVersion = false
 			s.startNode(i)
 		}
 	}
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -18,9 +18,9 @@
 	jobIDs []string // of submitted jobs, in order
 }
 
-// submit submits a job through a node, possibly again.
+// submit submits a job through a node, or submits it again.
 func (s *clusterUsers) submit(i int, uid string) {
-	if !s.nodes[i].serves() || s.nodes[i].inProduction && s.environment.Jobs[uid].Spec.Kind == api.Gang {
+	if !s.nodes[i].serves() || s.nodes[i].runsProductionVersion && s.environment.Jobs[uid].Spec.Kind == api.Gang {
 		return // the version in production does not support gangs
 	}
 	r := s.nodes[i].controller.frontend.ServeOrForward(
@@ -48,7 +48,7 @@
 	s.checkResponse(uid, r.Status, r.Body, false)
 }
 
-// checkResponse checks the response that a user got for a job.
+// checkResponse has the environment check the response that a user got for a job.
 func (s *clusterUsers) checkResponse(uid string, status int, body []byte, submission bool) {
 	var state struct {
 		Phase api.JobPhase `json:"phase"`
@@ -88,8 +88,8 @@
 	{"unknown team", 422, func(fields map[string]json.RawMessage) { fields["owner"] = json.RawMessage(`"nobody"`) }},
 }
 
-// submitInvalid submits invalid jobs through a node. The node must refuse new jobs. For an existing
-// job it returns the job's state.
+// submitInvalid submits invalid jobs through a node. The node must refuse those that are new. The
+// invalid resubmission of an existing job is answered with the job's state.
 func (s *clusterUsers) submitInvalid(t fataler, i int) {
 	t.Helper()
 	n := s.nodes[i]
@@ -136,15 +136,15 @@
 // nil, can modify the job and the run time of its tasks.
 func (s *clusterUsers) submitJob(change func(*api.Job, *time.Duration)) string {
 	id := fmt.Sprintf("run-%06d", len(s.jobIDs))
-	r := &api.Job{
+	j := &api.Job{
 		UID: id, Class: "l", Team: "b", Kind: api.Array, Priority: "standard", Tasks: 2, CPUs: 1, GPUs: 1,
 		MemGB: 4, Image: "img", ImageGB: 1,
 	}
-	d := 5 * time.Second
+	runTime := 5 * time.Second
 	if change != nil {
-		change(r, &d)
+		change(j, &runTime)
 	}
-	s.environment.Jobs[id] = &simulator.Job{Spec: *r, RunTime: d, DoneTasks: map[int]bool{}}
+	s.environment.Jobs[id] = &simulator.Job{Spec: *j, RunTime: runTime, DoneTasks: map[int]bool{}}
 	s.jobIDs = append(s.jobIDs, id)
 	s.submit(0, id)
 	return id
@@ -152,20 +152,20 @@
 
 // submitService submits a service and returns its UID.
 func (s *clusterUsers) submitService(tasks int, change func(*api.Job)) string {
-	return s.submitJob(func(r *api.Job, _ *time.Duration) {
-		r.Kind, r.Tasks = api.Service, tasks
+	return s.submitJob(func(j *api.Job, _ *time.Duration) {
+		j.Kind, j.Tasks = api.Service, tasks
 		if change != nil {
-			change(r)
+			change(j)
 		}
 	})
 }
 
 // submitArray submits an array with the given run time of its tasks and returns its UID.
-func (s *clusterUsers) submitArray(tasks int, run time.Duration, change func(*api.Job)) string {
-	return s.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Tasks, *d = tasks, run
+func (s *clusterUsers) submitArray(tasks int, runTime time.Duration, change func(*api.Job)) string {
+	return s.submitJob(func(j *api.Job, jobRunTime *time.Duration) {
+		j.Tasks, *jobRunTime = tasks, runTime
 		if change != nil {
-			change(r)
+			change(j)
 		}
 	})
 }
@@ -173,11 +173,11 @@
 // submitGang submits a gang of four tasks, and fails the test if it is not accepted.
 func (s *clusterUsers) submitGang(t *testing.T, change func(*api.Job, *time.Duration)) string {
 	t.Helper()
-	id := s.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Kind, r.Tasks, r.GPUs, r.CPUs, r.MemGB = api.Gang, 4, 1, 1, 4
-		*d = 30 * time.Second
+	id := s.submitJob(func(j *api.Job, runTime *time.Duration) {
+		j.Kind, j.Tasks, j.GPUs, j.CPUs, j.MemGB = api.Gang, 4, 1, 1, 4
+		*runTime = 30 * time.Second
 		if change != nil {
-			change(r, d)
+			change(j, runTime)
 		}
 	})
 	if !s.environment.Jobs[id].Accepted {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -78,9 +78,9 @@
 }
 
 // responseLimits returns the size limits of a response from an external system: its body may use
-// a sixteenth of the controller's memory. Only the response to a watch that has missed many
-// changes can be larger. A controller that has missed that many reads all records again, in
-// pages.
+// a sixteenth of the controller's memory, or 1 MiB if that is more. Only the response to a watch
+// that has missed many changes can be larger. A controller that has missed that many reads all
+// records again, in pages.
 func responseLimits(settings *config.Settings) httpwire.Limits {
 	const memoryDivisor, minBytes = 16, 1 << 20
 	limits := httpwire.ResponseLimits
@@ -152,7 +152,8 @@
 
 // Run serves until ctx is done, and then shuts down in order: it stops the loops first, then
 // revokes the lease, so that other controllers take over its shards at once, and then stops the
-// servers. It returns an error if it can't listen on an address.
+// servers. It returns an error if a server fails, for instance because it can't listen on its
+// address, or if the shutdown fails.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -175,8 +176,8 @@
 	return c.shutDown()
 }
 
-// loops returns the functions that Run runs in goroutines of their own, besides the servers. Each
-// returns when its context is done.
+// loops returns the functions that Run calls in one goroutine each, besides the servers. Each
+// function returns when its context is done.
 func (c *Controller) loops() []func(context.Context) {
 	return []func(context.Context){
 		c.election.LeaseLoop,
@@ -213,7 +214,7 @@
 // StartLockMeter starts recording the use of the state's lock. Call it before Run.
 func (c *Controller) StartLockMeter() { c.guard.StartMeter() }
 
-// LockUses returns the uses of the state's lock, by function, that were recorded since StartLockMeter
-// or since the last call of LockUses. The function that used the lock longest in total comes
-// first.
+// LockUses returns the uses of the state's lock, by function, that were recorded since
+// StartLockMeter or since the last call of LockUses. The function that held the lock longest in
+// total comes first.
 func (c *Controller) LockUses() []state.LockUse { return c.guard.LockUses() }
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -34,13 +34,14 @@
 	s.checkRecovery(t)
 }
 
-// A controller that loses contact with its workers only keeps its lease. It once kept its shard as
-// well, while the leases of all its workers ran out. It must release the shard to a controller that
-// workers can reach, without losing a replica, and acquire it again when workers reach it again.
+// A controller that loses contact with its workers, but not with the state service, keeps its lease.
+// It once kept its shard as well, while the leases of all its workers expired. It must release the
+// shard to a controller that workers can reach, without losing a replica, and acquire it again when
+// workers reach it again.
 func TestControllerWithoutWorkerContactReleasesShard(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 8, "y" })
-	otherService := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 4, "x" })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks, j.Zone = api.Service, 8, "y" })
+	otherService := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks, j.Zone = api.Service, 4, "x" })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 8 && s.runningTasks(otherService) == 4 })
 	preferred := "n1" // the only controller in its zone
 	n := s.nodes[1]
@@ -54,7 +55,7 @@
 	if leader := s.leaderOf(preferred); leader == preferred || leader == "" {
 		t.Fatalf("leader of shard %s: got %q, want another controller", preferred, leader)
 	}
-	array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
+	array := s.submitJob(func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 4, time.Second })
 	s.submit(s.nodeOf(preferred), array)
 	s.runUntil(t, 100, "another job done", s.isDone(array))
 	n.commands.Partitioned = false
@@ -79,8 +80,9 @@
 // and another controller must take over its shard without a task running twice.
 func TestControllerWithWorkersButNoStore(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
+	// The ID of a shard is the name of its preferred leader.
 	shardID := s.nodes[0].state().Cache.Machines[s.environment.Cloud.HostNames()[0]].Shard
 	s.environment.Store.UnreachableNodes[shardID] = true
 	settings := s.nodes[0].controller.node.Settings
@@ -106,14 +108,15 @@
 	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGrace()) {
 		s.runRound()
 	}
-	for _, worker := range s.environment.Cloud.WorkersByHost { // a worker that has not got the new leader's token must not be kept
+	// The former leader must not extend the lease of a worker that does not have the new leader's token.
+	for _, worker := range s.environment.Cloud.WorkersByHost {
 		heartbeat := worker.Heartbeat()
 		heartbeat.Token = shard.FencingToken(s.nodes[partitioned].state().Leadership.Lookup(shardID).Term, 0)
 		if s.deliverHeartbeat(partitioned, api.MustMarshal(heartbeat)).status == 200 {
 			t.Error("heartbeat after the former leader's grace period: got status 200, want another")
 		}
 	}
-	array := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
+	array := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks = 6 })
 	s.submit(1, array)
 	s.runUntil(t, 120, "new job done and replicas run", func() bool { return s.isDone(array)() && s.runningTasks(id) == 4 })
 	s.environment.Store.UnreachableNodes[shardID] = false
--- a/internal/controller/controllers_down_test.go
+++ b/internal/controller/controllers_down_test.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/api"
 )
 
-// A shard changes its leader and back, then all controllers are down, in some cases for longer
-// than a lease, and a single one returns: it acquires that shard.
+// The leader of a shard changes and changes back. Then all controllers are down, in some cases for
+// longer than a lease, and a single one restarts: it must acquire that shard.
 func TestAllControllersDown(t *testing.T) {
 	for _, downtime := range []time.Duration{0, 4 * time.Second, 8500 * time.Millisecond, 9500 * time.Millisecond, 25 * time.Second} {
 		for _, firstReturning := range []int{0, 2} {
@@ -41,7 +41,7 @@
 // an outage of the state service that is longer than the lease.
 func TestReplicasSurviveControllerRestartAndStoreOutage(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	for _, n := range s.nodes {
 		n.running = false
@@ -65,9 +65,9 @@
 	check(60)
 }
 
-// A leader ends while machines with long tasks are partitioned, or don't receive the responses of
-// the new leader: the tasks are placed elsewhere, each after it has certainly ended.
-func TestLeaderEndsWhileMachinesAreUnreachable(t *testing.T) {
+// A leader stops while machines with long tasks are partitioned, or don't receive the responses of
+// the new leader: the tasks are placed elsewhere, each after its old attempt has certainly ended.
+func TestLeaderStopsWhileMachinesAreUnreachable(t *testing.T) {
 	for _, inboundLost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("inbound lost %t", inboundLost), func(t *testing.T) {
 			s := newReadyCluster()
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -8,17 +8,17 @@
 	"violetturn/internal/simulator"
 )
 
-// A heartbeat that was delayed since before a start reaches the new leader after the job was
-// cancelled and its machine partitioned. It proves nothing about the present, and the team, which
-// is at its limit, gets no capacity before the lease has expired.
+// A heartbeat from before the job's tasks started is delayed, and reaches the new leader after the
+// job was cancelled and its machines were partitioned. It does not prove that the tasks have ended:
+// the team, which is at its limit, must get no capacity before the worker leases have expired.
 func TestDelayedHeartbeatReachesNewLeader(t *testing.T) {
 	s := newReadyCluster()
-	firstArray := s.submitArray(5, time.Second, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
-	s.runUntil(t, 120, "machines are up", s.isDone(firstArray))
+	firstArray := s.submitArray(5, time.Second, func(j *api.Job) { j.Team, j.Zone = "a", "x" })
+	s.runUntil(t, 120, "machines run and array done", s.isDone(firstArray))
 	delayed := s.heartbeats()
-	cancelledService := s.submitService(5, func(r *api.Job) { r.Team, r.Zone = "a", "x" })
+	cancelledService := s.submitService(5, func(j *api.Job) { j.Team, j.Zone = "a", "x" })
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelledService) == 5 })
-	otherZoneService := s.submitService(4, func(r *api.Job) { r.Zone = "y" }) // leaves free capacity when it is cancelled
+	otherZoneService := s.submitService(4, func(j *api.Job) { j.Zone = "y" }) // leaves free capacity when it is cancelled
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(otherZoneService) == 4 })
 	for host := range s.runningTasksByHost(cancelledService) {
 		s.environment.Cloud.WorkersByHost[host].Partitioned = true
@@ -31,7 +31,7 @@
 	for _, id := range []string{cancelledService, otherZoneService} {
 		s.cancel(1, id)
 	}
-	s.submitArray(4, 2*time.Second, func(r *api.Job) { r.Team, r.Zone = "a", "y" })
+	s.submitArray(4, 2*time.Second, func(j *api.Job) { j.Team, j.Zone = "a", "y" })
 	s.runRounds(t, 1) // the new leader has recorded the cancellations and the array
 	s.deliverCopies(delayed)
 	s.runRounds(t, 24)
@@ -39,8 +39,8 @@
 }
 
 // Old heartbeats reach every controller just when a new leader begins, and others are delayed
-// until it has acted. The current heartbeats of the machines still count, and their tasks keep
-// running.
+// until it has acted. The current heartbeats of the machines must still count, and their tasks must
+// keep running.
 func TestOldHeartbeatsReachNewLeader(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitService(2, nil)
@@ -66,7 +66,7 @@
 	}
 	successor := s.leaderOf(s.nodes[leader].name)
 	if successor == "" {
-		t.Fatal("no controller acquired the shard of the ended leader")
+		t.Fatal("no controller acquired the shard of the stopped leader, want one")
 	}
 	for _, heartbeat := range oldHeartbeats {
 		for i := range s.nodes {
@@ -91,7 +91,7 @@
 // that was terminated long ago.
 func TestDelayedHeartbeatCopies(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	var host string
 	for tasksHost := range s.runningTasksByHost(id) {
--- a/internal/controller/fault_actions_controllers_test.go
+++ b/internal/controller/fault_actions_controllers_test.go
@@ -29,10 +29,10 @@
 // version, either at once or later.
 func (s controllerFaults) upgradeController(t *rapid.T) {
 	n := s.nodes[s.drawNode(t)]
-	if !n.inProduction {
+	if !n.runsProductionVersion {
 		t.Skip("already upgraded")
 	}
-	n.inProduction = false
+	n.runsProductionVersion = false
 	if n.running = false; rapid.Bool().Draw(t, "at once") {
 		s.startNode(slices.Index(s.nodes, n))
 	}
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -26,7 +26,8 @@
 	s.environment.Cloud.NoCapacity = !s.environment.Cloud.NoCapacity
 }
 
-// refuseController makes the state service refuse one controller only, or serve it again.
+// refuseController makes the state service refuse the requests of one controller, or serve them
+// again.
 func (s serviceFaults) refuseController(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
 	s.environment.Store.RefusedNodes[name] = !s.environment.Store.RefusedNodes[name]
@@ -69,11 +70,11 @@
 	s.lowerStateLimits()
 }
 
-// upgraded reports whether all controllers are running the new version, and have recorded that all
-// others do too.
+// upgraded reports whether all controllers are running the new version, and the first one has read
+// from the records that all do.
 func (s serviceFaults) upgraded() bool {
 	for _, n := range s.nodes {
-		if n.inProduction || !n.running {
+		if n.runsProductionVersion || !n.running {
 			return false
 		}
 	}
--- a/internal/controller/fault_actions_test.go
+++ b/internal/controller/fault_actions_test.go
@@ -69,7 +69,7 @@
 		{"submit invalid jobs", users.submitInvalidJobs},
 		{"store outage", services.toggleStoreOutage},
 		{"poll", users.pollJob},
-		{"spot notice", workers.noticeSpotInterruption},
+		{"spot notice", workers.sendSpotNotice},
 		{"store refuses a controller", services.refuseController},
 		{"heartbeat", workers.sendDrawnHeartbeat},
 		{"restart a controller", controllers.restartController},
--- a/internal/controller/fault_actions_workers_test.go
+++ b/internal/controller/fault_actions_workers_test.go
@@ -57,9 +57,8 @@
 	}
 }
 
-// noticeSpotInterruption sends a worker on a spot machine the notice that its machine will be
-// interrupted.
-func (s workerFaults) noticeSpotInterruption(t *rapid.T) {
+// sendSpotNotice notifies a worker that its machine will be interrupted, if that is a spot machine.
+func (s workerFaults) sendSpotNotice(t *rapid.T) {
 	worker, noticeS := s.drawWorker(t), 4.0
 	if worker.Spot {
 		worker.SpotNoticeS = &noticeS
--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -10,8 +10,8 @@
 	"violetturn/internal/simulator"
 )
 
-// Three controllers fill four thousand simulated machines. One controller ends and its machines
-// are taken over, then all restart at once, and no rule is violated.
+// Three controllers fill four thousand simulated machines. One controller stops and another one takes
+// over its machines, then all restart at once, and no rule may be violated.
 //
 // It runs in simulated time in one goroutine, so it does not show whether real processes keep up.
 // Under the race detector it takes minutes, so test.sh runs it separately.
@@ -34,7 +34,7 @@
 	scenario.nodes[2].running = false
 	scenario.runPhase("takeover", 30*time.Second)
 	if leader := scenario.nodes[0].state().Cache.Leaders["n2"].Record; leader == nil || leader.Node == "n2" {
-		t.Fatalf("shard of the ended controller n2 has leader record %v, want another leader", leader)
+		t.Fatalf("shard of the stopped controller n2 has leader record %+v, want another leader", leader)
 	}
 	for i := range scenario.nodes {
 		scenario.startNode(i)
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -14,15 +14,15 @@
 	"violetturn/internal/simulator"
 )
 
-// The tasks of a gang start together under one attempt number and end together: a gang of one
-// task, one in several shards, and one whose tasks need several records.
+// The tasks of a gang start together under one attempt number and end together. The gangs are one of
+// a single task, one in several shards, and one whose tasks need several records.
 func TestGangTasksStartAndEndTogether(t *testing.T) {
 	for _, tasks := range []int{1, 4, 60} {
 		t.Run(fmt.Sprintf("%d tasks", tasks), func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) {
-				if r.Tasks = tasks; tasks > 4 {
-					r.GPUs, r.CPUs = 0, 0.5
+			id := s.submitGang(t, func(j *api.Job, _ *time.Duration) {
+				if j.Tasks = tasks; tasks > 4 {
+					j.GPUs, j.CPUs = 0, 0.5
 				}
 			})
 			s.runUntil(t, 300, "all tasks run", func() bool {
@@ -49,7 +49,8 @@
 	for _, n := range s.nodes {
 		n.controller.node.Settings.Facts.Workers.GangGatherTimeoutS = 25
 	}
-	firstGang := s.submitGang(t, func(_ *api.Job, d *time.Duration) { *d = 2 * time.Second }) // leaves a booted machine for each task
+	// The first gang leaves a booted machine for each task.
+	firstGang := s.submitGang(t, func(_ *api.Job, runTime *time.Duration) { *runTime = 2 * time.Second })
 	s.runUntil(t, 300, "job done", s.isDone(firstGang))
 	s.environment.MachineType.FetchTime = 6 * time.Second
 	id := s.submitGang(t, nil)
@@ -68,7 +69,7 @@
 	for _, failure := range []string{"terminated", "hung", "partitioned"} {
 		t.Run(failure, func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.CheckpointIntervalS, r.SaveDurationS, r.SingleZone = 5, 1, true })
+			id := s.submitGang(t, func(j *api.Job, _ *time.Duration) { j.CheckpointIntervalS, j.SaveDurationS, j.SingleZone = 5, 1, true })
 			s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 			s.runFor(20)
 			worker := s.workerOf(id)
@@ -93,13 +94,13 @@
 // continues from it.
 func TestPreemptedGangSavesProgress(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitGang(t, func(r *api.Job, d *time.Duration) {
-		r.Priority, r.CheckpointIntervalS, r.SaveDurationS, *d = "idle", 100, 1, 40*time.Second
+	id := s.submitGang(t, func(j *api.Job, runTime *time.Duration) {
+		j.Priority, j.CheckpointIntervalS, j.SaveDurationS, *runTime = "idle", 100, 1, 40*time.Second
 	})
 	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	s.runFor(20)
 	s.environment.Cloud.NoCapacity = true
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Priority, r.Tasks, r.Kind = "production", 4, api.Array })
+	s.submitJob(func(j *api.Job, _ *time.Duration) { j.Priority, j.Tasks, j.Kind = "production", 4, api.Array })
 	saved := false
 	s.runUntil(t, 100, "gang is preempted", func() bool {
 		for _, worker := range s.environment.Cloud.WorkersByHost {
@@ -118,15 +119,15 @@
 }
 
 // A gang that has reserved only a part of the capacity it needs releases it after too many failed
-// claims. What is reserved when the user cancels is free at once, without a heartbeat from the
-// machines.
+// claims. Capacity that is reserved when the user cancels becomes free at once, without a heartbeat
+// from the machines.
 func TestReservedCapacityIsReleased(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
-	warmUp := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, 2*time.Second })
+	warmUp := s.submitJob(func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 4, 2*time.Second })
 	s.runUntil(t, 300, "job done", s.isDone(warmUp))
 	reserve := func(cancelled bool) {
-		id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.Team = 300, 1, "b" })
+		id := s.submitGang(t, func(j *api.Job, _ *time.Duration) { j.Tasks, j.GPUs, j.Team = 300, 1, "b" })
 		j := c.testState().Cache.Jobs[id]
 		var host *sched.Host
 		for _, candidate := range c.testState().Scheduler.SchedulableHosts(c.node.Now()) {
@@ -160,12 +161,12 @@
 		}
 		s.runUntil(t, 40, "claims are released", func() bool { return j.CountPlaced() == 0 })
 		if !c.testState().Scheduler.HasReleasedClaims(id) {
-			t.Fatal("released claims of the gang are not recorded, so newer gangs may go first")
+			t.Fatal("released claims of the gang: not recorded, want them recorded, as newer gangs would be placed first otherwise")
 		}
 		for _, worker := range s.environment.Cloud.WorkersByHost {
 			for _, taskState := range worker.Heartbeat().Tasks {
 				if uid, _, _ := api.SplitTaskName(taskState.Task); uid == id {
-					t.Fatalf("task %s was started without the rest of the gang", taskState.Task)
+					t.Fatalf("task %s was started without the rest of the gang, want no task started", taskState.Task)
 				}
 			}
 		}
@@ -179,7 +180,7 @@
 // of the shard: no task is started again, and no controller reports another phase.
 func TestDoneGangStaysDone(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.SingleZone, *d = true, 8*time.Second })
+	id := s.submitGang(t, func(j *api.Job, runTime *time.Duration) { j.SingleZone, *runTime = true, 8*time.Second })
 	s.runUntil(t, 300, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 4 })
 	worker := s.workerOf(id)
 	s.runUntil(t, 60, "no task runs any more", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 0 })
@@ -196,8 +197,8 @@
 	}
 }
 
-// Phases and causes of a newer worker that this version does not have are read as the safest
-// ones: a running task, and an end without success.
+// Phases and causes that a newer worker sends and this version does not define are interpreted as
+// the safest ones: a running task, and an end without success.
 func TestUnknownPhasesAndCauses(t *testing.T) {
 	if agent.ExitReasonOf("melted") != job.ExitLost || api.ExitCause("melted").Known() || api.TaskPhase("melting").Known() {
 		t.Fatalf("unknown cause read as %v, want %v; unknown cause or phase must not count as known",
@@ -206,7 +207,7 @@
 	for _, cause := range []api.ExitCause{api.CausePeerLost, api.CauseGangIncomplete} {
 		g := &job.Gang{Attempt: 1, Launched: true}
 		if g.RecordTaskEnd(1, agent.ExitReasonOf(cause), true); !g.Ended {
-			t.Fatalf("attempt is not over after a task ended with cause %s", cause)
+			t.Fatalf("attempt continues after a task ended with cause %s, want it ended", cause)
 		}
 	}
 }
@@ -215,12 +216,12 @@
 // starts under a stream of small ones.
 func TestGangsDontBlockOneAnother(t *testing.T) {
 	s := newReadyCluster()
-	firstGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
-	secondGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
+	firstGang := s.submitGang(t, func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 8, 3*time.Second })
+	secondGang := s.submitGang(t, func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 8, 3*time.Second })
 	s.runUntil(t, 400, "first gang done", s.isDone(firstGang))
 	s.runUntil(t, 400, "second gang done", s.isDone(secondGang))
 	s.environment.Cloud.NoCapacity = true // only the existing machines are available
-	largeGang := s.submitGang(t, func(r *api.Job, d *time.Duration) { r.Tasks, *d = 8, 3*time.Second })
+	largeGang := s.submitGang(t, func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 8, 3*time.Second })
 	round := 0
 	s.runUntil(t, 480, "large gang done", func() bool {
 		if round++; round%6 == 0 {
@@ -240,12 +241,12 @@
 func TestGangChoosesZoneWithPreemptibleTasks(t *testing.T) {
 	s := newReadyCluster()
 	for zone, priority := range map[string]api.Priority{"x": api.Standard, "y": api.Idle} {
-		s.submitJob(func(r *api.Job, d *time.Duration) {
-			r.Zone, r.Priority, r.Tasks, *d = zone, priority, 4, 10*time.Minute
+		s.submitJob(func(j *api.Job, runTime *time.Duration) {
+			j.Zone, j.Priority, j.Tasks, *runTime = zone, priority, 4, 10*time.Minute
 		})
 	}
 	s.runUntil(t, 100, "both zones are full", func() bool { return s.runningTasks("run-000000")+s.runningTasks("run-000001") == 8 })
 	s.environment.Cloud.NoCapacity = true
-	id := s.submitGang(t, func(r *api.Job, _ *time.Duration) { r.SingleZone, r.Tasks = true, 3 })
+	id := s.submitGang(t, func(j *api.Job, _ *time.Duration) { j.SingleZone, j.Tasks = true, 3 })
 	s.runUntil(t, 80, "all tasks run", func() bool { return s.tasksInPhase(id, api.TaskRunning) == 3 })
 }
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -10,9 +10,10 @@
 	"violetturn/internal/api"
 )
 
-// No rule is violated while messages are lost, delayed, repeated or reordered, while processes
-// crash, services fail, networks are partitioned and machines fail. After the faults end, every
-// accepted job runs.
+// No rule is violated while messages are lost, delayed, repeated or reordered, processes crash,
+// services fail, networks are partitioned and machines fail. After the faults have ended, every
+// accepted array and gang is done, unless it was cancelled, and every node answers queries about
+// every accepted job.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newDrawnCluster(t)
@@ -34,7 +35,7 @@
 	s.setStateLimits(8, 8, 1, 4)
 	initialState := rapid.SampledFrom([]string{"production", "new", "lowered limits"}).Draw(t, "begin")
 	for i, n := range s.nodes {
-		n.inProduction = initialState == "production"
+		n.runsProductionVersion = initialState == "production"
 		s.startNode(i)
 	}
 	if initialState == "lowered limits" {
@@ -60,10 +61,10 @@
 		s.checkWaiting(waitingSince)
 		s.checkDerivedState(t)
 	}
-	for k := 0; k < maxRounds && (k < minRounds || !s.arraysDone()); k++ {
+	for round := 0; round < maxRounds && (round < minRounds || !s.allButServicesDone()); round++ {
 		s.runRound()
 		s.checkWaiting(waitingSince)
-		if k%10 == 0 {
+		if round%10 == 0 {
 			s.cancelServices()
 		}
 	}
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -9,12 +9,12 @@
 )
 
 // An outage of the state service must not make nodes unhealthy for the load balancer, not even a
-// node that starts during the outage. A node that is still loading its replica is not ready.
+// node that starts during the outage. A node that is still loading its cache is not ready.
 func TestHealthDuringStoreOutage(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
 	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
-		t.Errorf("health before the replica is loaded: got status %d, want 503", r.Status)
+		t.Errorf("health before the cache is loaded: got status %d, want 503", r.Status)
 	}
 	c.sync.RecordStoreAnswer(false)
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
@@ -29,12 +29,12 @@
 	s.stepNode(0)
 	c.sync.RecordStoreAnswer(true)
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
-		t.Errorf("health once the replica is loaded: got status %d, want 200", r.Status)
+		t.Errorf("health once the cache is loaded: got status %d, want 200", r.Status)
 	}
 }
 
-// A node that reaches neither the state service nor any peer is unhealthy: it can't answer its users,
-// for whom their jobs would seem unknown. A node stays healthy if a peer can't reach the state
+// A node that reaches neither the state service nor any peer is unhealthy: it can't answer its users
+// and would report their jobs as unknown. A node stays healthy if a peer can't reach the state
 // service either.
 func TestIsolatedNodeIsUnhealthy(t *testing.T) {
 	s := newReadyCluster()
--- a/internal/controller/large_shard_test.go
+++ b/internal/controller/large_shard_test.go
@@ -19,7 +19,7 @@
 // largeShard builds a controller that leads a shard of many machines. Its clock does not advance.
 type largeShard struct {
 	*Controller
-	lastVersion uint64 // of the last applied record
+	lastVersion uint64 // version of the last applied record
 	clock       time.Time
 }
 
@@ -29,8 +29,8 @@
 	tasksPerJob    = 16
 )
 
-// newSizedController returns a controller that leads a shard with the given number of machines,
-// all but some of them full, and of waiting arrays.
+// newSizedController returns a controller that leads a shard with the given numbers of machines and
+// of waiting arrays. All machines are full, except for one in 128, which is empty.
 func newSizedController(machines, waiting int) *Controller {
 	s := newLargeShard()
 	s.addMachines(machines)
@@ -136,7 +136,8 @@
 // recordHeartbeats records a current heartbeat of every machine.
 func (s *largeShard) recordHeartbeats() {
 	for host := range s.testState().Cache.Machines {
-		a := s.testState().Agents.Ensure(host, s.testState().Leadership.Lookup("n0"))
-		a.State, a.LastSeen, a.LastAnswered, a.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: host}
+		agentState := s.testState().Agents.Ensure(host, s.testState().Leadership.Lookup("n0"))
+		agentState.State, agentState.LastSeen, agentState.LastAnswered,
+			agentState.Heartbeat = agent.Responsive, s.clock, s.clock, &api.Heartbeat{Host: host}
 	}
 }
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -28,9 +28,9 @@
 	s.checkRecovery(t)
 }
 
-// Jobs are cancelled during the seconds in which the leader of a shard changes: before the end of the
-// old leader is detected, while the shard has no leader, while it is acquired, and while it is
-// released.
+// Jobs are cancelled during the seconds in which the leader of a shard changes: before the other
+// controllers detect that the old leader has stopped, while the shard has no leader, while it is
+// acquired, and while it is released.
 func TestCancellationDuringLeaderChange(t *testing.T) {
 	for delayRounds := range 12 {
 		t.Run(fmt.Sprintf("after %d rounds", delayRounds), func(t *testing.T) {
@@ -92,14 +92,14 @@
 }
 
 // A job whose tasks run in the shards of several leaders must be reported as done when its last task
-// has ended. Each leader once waited for ends that only the other leaders could observe, and
-// committed the ends in its own shard as late as writes that are not urgent.
+// has ended. Each leader once waited for task ends that only the other leaders could observe, and
+// committed those in its own shard as late as writes that are not urgent.
 func TestJobDoneAcrossLeaders(t *testing.T) {
 	s := newReadyCluster()
-	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Spread = api.Service, 2, true })
+	service := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks, j.Spread = api.Service, 2, true })
 	s.runUntil(t, 60, "a replica runs in each zone", func() bool { return s.runningTasks(service) == 2 })
-	id := s.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Tasks, r.GPUs, r.CPUs, r.Spread, *d = 4, 0, 0.1, true, 10*time.Second
+	id := s.submitJob(func(j *api.Job, runTime *time.Duration) {
+		j.Tasks, j.GPUs, j.CPUs, j.Spread, *runTime = 4, 0, 0.1, true, 10*time.Second
 	})
 	s.environment.Jobs[id].RunTimeStep = time.Second
 	s.runUntil(t, 120, "all tasks ended", func() bool { return len(s.environment.Jobs[id].DoneTasks) == 4 })
@@ -128,13 +128,13 @@
 			s.runRounds(t, 10)
 			var services []string
 			for _, team := range []string{"a", "b"} {
-				services = append(services, s.submitService(5, func(r *api.Job) { r.Team = team }))
+				services = append(services, s.submitService(5, func(j *api.Job) { j.Team = team }))
 			}
 			s.runUntil(t, 120, "teams at their limits", func() bool {
 				return s.runningTasks(services[0]) == 5 && s.runningTasks(services[1]) == 5
 			})
 			for _, team := range []string{"a", "b"} {
-				s.submitArray(4, 3*time.Second, func(r *api.Job) { r.Team = team })
+				s.submitArray(4, 3*time.Second, func(j *api.Job) { j.Team = team })
 			}
 			for i, host := range s.environment.Cloud.HostNames() {
 				if i%2 == 0 {
@@ -164,7 +164,7 @@
 // first leadership to a machine that was still booting then and has started in the meantime.
 func TestMachineSurvivesLeaderChanges(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 1 })
 	s.runUntil(t, 20, "machine registered", func() bool { return len(s.nodes[0].state().Cache.Machines) > 0 })
 	preferred := 0
 	for host := range s.nodes[0].state().Cache.Machines {
@@ -186,7 +186,7 @@
 // after the time for a whole boot has passed again.
 func TestLostMachineIsReturnedByNextLeader(t *testing.T) {
 	s := newReadyCluster()
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "replica runs on a machine", func() bool {
 		return len(s.environment.Cloud.WorkersByHost) > 0 && s.runningTasks("run-000000") == 1
 	})
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -31,14 +31,14 @@
 	lastSummary   map[string]string               // by machine, the summary of its last heartbeat
 	pollAt        map[string]time.Time            // by unfinished job, the time of its next query
 	cancelAt      map[string]time.Time            // by service, the time at which its user cancels it
-	dueJobs       map[*simulator.JobClass]float64 // jobs of a class to submit, with the fraction carried over
+	dueJobs       map[*simulator.JobClass]float64 // by class, the jobs to submit; fractions are carried over
 	resubmissions []string                        // refused submissions, to be sent again
-	costs         map[string]*phaseCost
+	costs         map[string]*phaseCost           // by phase
 }
 
 // newLoadScenario returns a deployment whose controllers have just started.
 func newLoadScenario(deployment *simulator.Deployment) *loadScenario {
-	world := deployment.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
+	environment := deployment.NewEnvironment(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))
 	scenario := &loadScenario{
 		deployment:    deployment,
 		random:        rand.New(rand.NewPCG(1, 1)),
@@ -49,7 +49,7 @@
 		dueJobs:       map[*simulator.JobClass]float64{},
 		costs:         map[string]*phaseCost{},
 	}
-	scenario.testCluster = newClusterWithoutNodes(world, deployment.State, deployment.State)
+	scenario.testCluster = newClusterWithoutNodes(environment, deployment.State, deployment.State)
 	scenario.adjustSettings = func(_ *testNode, cfg *config.Settings) {
 		cfg.Facts.Workers.HeartbeatIntervalS = deployment.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
@@ -127,7 +127,7 @@
 	return status, responseBody
 }
 
-// sendHeartbeats has each worker send a heartbeat that is due or whose content has changed.
+// sendHeartbeats has each worker send a heartbeat if it is due or its content has changed.
 func (l *loadScenario) sendHeartbeats() {
 	for _, host := range l.environment.Cloud.HostNames() {
 		worker := l.environment.Cloud.WorkersByHost[host]
@@ -242,14 +242,14 @@
 		cost.simulated += duration
 		for _, n := range l.nodes {
 			for _, lockUse := range n.controller.guard.LockUses() {
-				sum := cost.lockUses[lockUse.Function]
-				if sum == nil {
-					sum = &state.LockUse{Function: lockUse.Function}
-					cost.lockUses[lockUse.Function] = sum
+				total := cost.lockUses[lockUse.Function]
+				if total == nil {
+					total = &state.LockUse{Function: lockUse.Function}
+					cost.lockUses[lockUse.Function] = total
 				}
-				sum.Holds += lockUse.Holds
-				sum.TotalHeld += lockUse.TotalHeld
-				sum.LongestHold = max(sum.LongestHold, lockUse.LongestHold)
+				total.Holds += lockUse.Holds
+				total.TotalHeld += lockUse.TotalHeld
+				total.LongestHold = max(total.LongestHold, lockUse.LongestHold)
 			}
 		}
 	}
@@ -293,9 +293,9 @@
 
 // Commit commits a transaction if the budget allows its writes, and returns store.ErrRefused
 // otherwise.
-func (b *budgetedStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
-	if _, ok := b.budget.Take(b.now(), float64(len(t.Ops)), 0); !ok {
+func (b *budgetedStore) Commit(ctx context.Context, txn *store.Txn, priority store.Priority) (store.CommitResult, error) {
+	if _, ok := b.budget.Take(b.now(), float64(len(txn.Ops)), 0); !ok {
 		return store.CommitResult{}, store.ErrRefused
 	}
-	return b.StoreClient.Commit(ctx, t, r)
+	return b.StoreClient.Commit(ctx, txn, priority)
 }
--- a/internal/controller/lost_machines_test.go
+++ b/internal/controller/lost_machines_test.go
@@ -10,10 +10,10 @@
 // Jobs that are bound to one zone, a service and arrays, lose machines there and recover.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	s := newReadyCluster()
-	inZoneY := func(r *api.Job) { r.Zone = "y" }
+	inZoneY := func(j *api.Job) { j.Zone = "y" }
 	s.submitService(3, inZoneY)
 	array := s.submitArray(8, 6*time.Second, inZoneY)
-	s.submitArray(4, 6*time.Second, func(r *api.Job) { r.SingleZone = true })
+	s.submitArray(4, 6*time.Second, func(j *api.Job) { j.SingleZone = true })
 	s.runUntil(t, 80, "some tasks of the array run", func() bool { return s.runningTasks(array) > 0 })
 	for range 3 {
 		for i, host := range s.environment.Cloud.HostNames() {
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -12,14 +12,14 @@
 	"violetturn/internal/statecache"
 )
 
-// newClusterInProduction returns a cluster of the version in production whose current limits
-// allow large records, and whose announced lower limits are far smaller.
-func newClusterInProduction(t *testing.T) *testCluster {
+// newProductionVersionCluster returns a cluster whose controllers run the version in production. The
+// current limits allow large records; the announced limits are far lower.
+func newProductionVersionCluster(t *testing.T) *testCluster {
 	t.Helper()
 	s := newTestCluster()
 	s.setStateLimits(16, 20, 2, 4)
 	for i := range s.nodes {
-		s.nodes[i].inProduction = true
+		s.nodes[i].runsProductionVersion = true
 		s.startNode(i)
 	}
 	s.runFor(10)
@@ -28,15 +28,15 @@
 
 // setStateLimits sets the current and the announced lower limits of the state service, for
 // controllers that start after this.
-func (s *testCluster) setStateLimits(kb float64, ops int, nextKB float64, nextOps int) {
-	s.stateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: kb, TxnOps: ops}
-	s.nextStateLimits = config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: nextKB, TxnOps: nextOps}
+func (s *testCluster) setStateLimits(valueKB float64, txnOps int, nextValueKB float64, nextTxnOps int) {
+	s.stateLimits = config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: valueKB, TxnOps: txnOps}
+	s.nextStateLimits = config.StateLimits{RPS: 120, WriteRPS: 18, ValueKB: nextValueKB, TxnOps: nextTxnOps}
 }
 
 // upgradeNodes restarts all controllers with the new version, one after the other.
 func (s *testCluster) upgradeNodes() {
 	for i, n := range s.nodes {
-		n.inProduction = false
+		n.runsProductionVersion = false
 		s.startNode(i)
 		s.runFor(6)
 	}
@@ -49,13 +49,13 @@
 
 // Jobs with large records of the version in production keep running, are cancelled and finish
 // when the limits are lowered right after the last controller was upgraded: their records are
-// split, and no refused transaction is repeated in the same form without end.
+// split, and no refused transaction is retried unchanged again and again.
 func TestLargeRecordsAreSplitWhenLimitsFall(t *testing.T) {
-	s := newClusterInProduction(t)
-	setSmallTasks := func(r *api.Job) { r.GPUs, r.CPUs, r.MemGB = 0, 0.05, 0.05 }
-	inline := s.submitJob(func(r *api.Job, d *time.Duration) { setSmallTasks(r); r.Tasks, *d = 120, time.Minute })
-	inRanges := s.submitJob(func(r *api.Job, d *time.Duration) { setSmallTasks(r); r.Tasks, *d = 450, 90*time.Second })
-	cancelled := s.submitJob(func(r *api.Job, _ *time.Duration) { setSmallTasks(r); r.Tasks, r.Kind = 110, api.Service })
+	s := newProductionVersionCluster(t)
+	setSmallTasks := func(j *api.Job) { j.GPUs, j.CPUs, j.MemGB = 0, 0.05, 0.05 }
+	inline := s.submitJob(func(j *api.Job, runTime *time.Duration) { setSmallTasks(j); j.Tasks, *runTime = 120, time.Minute })
+	inRanges := s.submitJob(func(j *api.Job, runTime *time.Duration) { setSmallTasks(j); j.Tasks, *runTime = 450, 90*time.Second })
+	cancelled := s.submitJob(func(j *api.Job, _ *time.Duration) { setSmallTasks(j); j.Tasks, j.Kind = 110, api.Service })
 	s.runUntil(t, 200, "all tasks run", func() bool {
 		return s.runningTasks(inline) == 120 && s.runningTasks(cancelled) == 110 && s.runningTasks(inRanges) == 450
 	})
@@ -89,9 +89,9 @@
 
 // While the current limits still apply, large records are split in the background.
 func TestLargeRecordsAreSplitBeforeLimitsFall(t *testing.T) {
-	s := newClusterInProduction(t)
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) {
-		r.GPUs, r.CPUs, r.MemGB, r.Tasks, r.Kind = 0, 0.05, 0.05, 120, api.Service
+	s := newProductionVersionCluster(t)
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) {
+		j.GPUs, j.CPUs, j.MemGB, j.Tasks, j.Kind = 0, 0.05, 0.05, 120, api.Service
 	})
 	s.runUntil(t, 100, "all tasks run", func() bool { return s.runningTasks(id) == 120 })
 	s.upgradeNodes()
@@ -107,8 +107,9 @@
 	}
 }
 
-// The leader uses all machines of a shard whose free capacity does not fit the capacity record:
-// only peers are limited to the machines with the most free capacity, which the record lists.
+// The leader uses all machines of its shard even if its capacity record is too small to list the
+// free capacity of all: only peers are limited to the machines with the most free capacity, which
+// the record lists.
 func TestLeaderUsesMachinesMissingFromCapacityRecord(t *testing.T) {
 	s := newTestCluster()
 	s.setStateLimits(1, 8, 1, 4)
@@ -117,8 +118,8 @@
 	}
 	s.runFor(10)
 	for i := range 3 {
-		s.submitJob(func(r *api.Job, _ *time.Duration) {
-			r.Kind, r.Tasks, r.Zone, r.CPUs, r.Image = api.Service, 120, "x", 0.5+0.001*float64(i), fmt.Sprint(i)
+		s.submitJob(func(j *api.Job, _ *time.Duration) {
+			j.Kind, j.Tasks, j.Zone, j.CPUs, j.Image = api.Service, 120, "x", 0.5+0.001*float64(i), fmt.Sprint(i)
 		})
 	}
 	running := 0
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -11,8 +11,8 @@
 	"violetturn/internal/statecache"
 )
 
-// A returned machine is not registered again, neither by a heartbeat that a partition delayed nor
-// because the list of machines still contains it.
+// A returned machine is not registered again, neither because of a delayed heartbeat nor because the
+// cloud's list of machines still contains it.
 func TestReturnedMachineStaysDeregistered(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitJob(nil)
@@ -32,7 +32,7 @@
 		s.runRound()
 		for _, n := range s.nodes {
 			if n.state().Cache.Machines[host] != nil {
-				t.Fatalf("returned machine %s is registered again at %s", host, n.name)
+				t.Fatalf("returned machine %s is registered again at %s, want it to stay deregistered", host, n.name)
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 		cache.RecordTerminated(name(i))
 		for previous := range min(i, statecache.MinTerminated/2) {
 			if previous%97 == 0 && !cache.Terminated[name(i-previous)] {
-				t.Fatalf("of %d terminated machines, number %d from the end is not recorded", i+1, previous+1)
+				t.Fatalf("of %d terminated machines, number %d from the end is not recorded, want it recorded", i+1, previous+1)
 			}
 		}
 	}
@@ -77,8 +77,8 @@
 // Machines in pages of a hundred are deregistered, and others registered, after the limits are
 // lowered so that values hold ten: a finer page supersedes a coarser one for its machines.
 func TestMachinePagesAreSplitWhenLimitsFall(t *testing.T) {
-	s := newClusterInProduction(t)
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.CPUs = 30, api.Service, 1 })
+	s := newProductionVersionCluster(t)
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks, j.Kind, j.CPUs = 30, api.Service, 1 })
 	s.runUntil(t, 200, "all tasks run", func() bool { return s.runningTasks(id) == 30 })
 	s.upgradeNodes()
 	s.lowerStateLimits()
@@ -87,7 +87,7 @@
 		return len(s.environment.Cloud.WorkersByHost) == 0 && len(s.nodes[0].state().Cache.Machines) == 0
 	})
 	s.runUntil(t, 400, "machine pages are deleted", func() bool { return len(s.nodes[0].state().Cache.Pages) == 0 })
-	secondJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 30 })
+	secondJob := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks = 30 })
 	s.runUntil(t, 400, "second job done", s.isDone(secondJob))
 	if s.environment.Store.RefusedTooLarge > 3 {
 		t.Fatalf("%d transactions were refused because of their size, want at most 3", s.environment.Store.RefusedTooLarge)
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -12,7 +12,8 @@
 )
 
 // A machine that was fenced (by raising its token to the current term) before its first heartbeat
-// was answered once counted as silent since long before it was rented, and was returned at once.
+// was answered must not be returned at once. It once counted as silent since a time long before it
+// was rented.
 func TestNewMachineIsNotReturned(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(60) // the terms are old by then
@@ -25,7 +26,7 @@
 		}
 		s.environment.Advance(roundInterval)
 		if s.environment.Cloud.WorkersByHost[firstMachine] == nil {
-			t.Fatalf("machine %s was returned before its first heartbeat", firstMachine)
+			t.Fatalf("machine %s was returned before its first heartbeat, want it kept", firstMachine)
 		}
 	}
 	s.runUntil(t, 60, "array done", s.isDone(id))
@@ -48,7 +49,7 @@
 				s.runRounds(t, 1)
 			}
 			if len(s.environment.Cloud.WorkersByHost) == 0 {
-				t.Error("no machine was rented in 20 rounds")
+				t.Error("no machine was rented in 20 rounds, want at least one")
 			}
 			for i := range s.nodes {
 				s.startNode(i)
@@ -72,28 +73,28 @@
 	}
 }
 
-// A job that needs a thousand machines has all of them rented while the first ones boot. Once its
-// tasks were planned a few hundred at a time: those fit the provisioning machines, and no more
-// were rented until these had booted.
+// All machines of a job that needs a thousand are rented while the first ones boot. The job's tasks
+// were once planned a few hundred at a time: those fit the provisioning machines, and no more
+// machines were rented until these had booted.
 func TestLargeJobRentsAllMachinesWhileFirstBoot(t *testing.T) {
 	s := newTestCluster()
 	s.environment.MachineType.BootTime = 100 * time.Second
 	s.runFor(10)
-	s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 2000, time.Hour })
+	s.submitJob(func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 2000, time.Hour })
 	s.runUntil(t, 60, "a thousand machines are rented", func() bool { return len(s.environment.Cloud.WorkersByHost) >= 1000 })
 	if machines := len(s.environment.Cloud.WorkersByHost); machines > 1100 {
 		t.Errorf("%d machines are rented for 2000 tasks, two per machine; want at most 1100", machines)
 	}
 	for _, worker := range s.environment.Cloud.Workers() {
 		if worker.Booted() {
-			t.Fatalf("machine %s has booted before the last machine was rented", worker.Host)
+			t.Fatalf("machine %s has booted before the last machine was rented, want none booted", worker.Host)
 		}
 	}
 }
 
-// Headroom is rented as soon as it is needed, and in each run until there is enough: a rental is
-// limited to what the cloud provides at once, and a check only every sixteenth of a boot time
-// left too few machines in the first minutes.
+// Headroom is rented as soon as it is needed, and in each run of the autoscaler until there is
+// enough. A rental is limited to what the cloud provides at once, and an autoscaler that checked the
+// headroom only every sixteenth of a boot time once rented too few machines in the first minutes.
 func TestHeadroomTakesSeveralRentals(t *testing.T) {
 	s := newTestCluster()
 	s.environment.MachineType.BootTime = time.Minute
--- a/internal/controller/peer_acknowledgements_test.go
+++ b/internal/controller/peer_acknowledgements_test.go
@@ -11,8 +11,9 @@
 )
 
 // A controller acknowledges to its peers the cancellations that it has confirmed after a revision.
-// It must not claim to be complete for cancellations that it can't list: those before its start and
-// those that it has already removed from its list. It leaves out those that the peer has read.
+// It must not mark its acknowledgement as complete if there may be cancellations that it can't list:
+// those before its start and those that it has already removed from its list. It leaves out those
+// that the peer has read.
 func TestPeerAcknowledgements(t *testing.T) {
 	s := newReadyCluster()
 	id := s.submitService(2, nil)
@@ -25,8 +26,9 @@
 	checkAcknowledgedUntil(t, s.nodes[0].controller)
 }
 
-// checkOwnAcknowledgements checks whether a controller acknowledges a cancellation that it confirmed
-// after a revision.
+// checkOwnAcknowledgements checks that a controller acknowledges a cancellation that it confirmed
+// after the revision before, and leaves it out for a peer that has read it. It then fills the
+// controller's list of cancellations, so that the acknowledgement is no longer complete.
 func checkOwnAcknowledgements(t *testing.T, c *Controller, before uint64, cancelled string) {
 	t.Helper()
 	if ack := c.testState().Leadership.Acknowledgement(before); !ack.GetComplete() || !slices.Contains(ack.GetCancelled(), cancelled) {
@@ -52,7 +54,7 @@
 	t.Helper()
 	c := s.nodes[1].controller
 	if c.testState().Leadership.Acknowledgement(before).GetComplete() {
-		t.Error("acknowledgement before the replica is loaded: got complete, want incomplete")
+		t.Error("acknowledgement before the cache is loaded: got complete, want incomplete")
 	}
 	s.runFor(4)
 	if c.testState().Leadership.Acknowledgement(before).GetComplete() {
@@ -83,8 +85,8 @@
 	if !c.testState().Leadership.AcknowledgedByAllUntil().IsZero() {
 		t.Error("acknowledged time with a controller that can't be queried: got a time, want none")
 	}
-	old := &peer.Reply{StoreReached: true, Status: 404}
-	if old.GetAcknowledgement().GetComplete() {
+	productionReply := &peer.Reply{StoreReached: true, Status: 404}
+	if productionReply.GetAcknowledgement().GetComplete() {
 		t.Error("acknowledgement in a reply of the version in production: got complete, want incomplete")
 	}
 }
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -11,13 +11,13 @@
 // Work of a higher priority preempts work of a lower one, but no more tasks than it needs.
 func TestProductionPreemptsIdle(t *testing.T) {
 	s := newReadyCluster()
-	idleJob := s.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Team, r.Priority, r.Tasks = "b", "idle", 4
-		*d = time.Hour
+	idleJob := s.submitJob(func(j *api.Job, runTime *time.Duration) {
+		j.Team, j.Priority, j.Tasks = "b", "idle", 4
+		*runTime = time.Hour
 	})
 	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleJob) == 4 })
 	s.environment.Cloud.NoCapacity = true
-	productionJob := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Priority, r.Tasks = api.Service, "production", 1 })
+	productionJob := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Priority, j.Tasks = api.Service, "production", 1 })
 	s.runUntil(t, 20, "production task runs", func() bool { return s.runningTasks(productionJob) == 1 })
 	if running := s.runningTasks(idleJob); running != 3 {
 		t.Fatalf("%d idle tasks run, want 3 of 4", running)
@@ -28,13 +28,13 @@
 // jobs run first, and no job is lost.
 func TestUrgentJobsRunFirstWhenCapacityIsShort(t *testing.T) {
 	s := newReadyCluster()
-	idleArray := s.submitArray(8, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+	idleArray := s.submitArray(8, time.Hour, func(j *api.Job) { j.Priority = "idle" })
 	s.runUntil(t, 80, "idle tasks run", func() bool { return s.runningTasks(idleArray) > 0 })
 	s.environment.Cloud.NoCapacity = true
 	var urgent []string
 	for range 3 {
-		urgent = append(urgent, s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "urgent" }))
-		s.submitArray(3, 3*time.Second, func(r *api.Job) { r.Priority = "standard" })
+		urgent = append(urgent, s.submitArray(3, 3*time.Second, func(j *api.Job) { j.Priority = "urgent" }))
+		s.submitArray(3, 3*time.Second, func(j *api.Job) { j.Priority = "standard" })
 	}
 	for round := 0; round < 400 && slices.ContainsFunc(urgent, func(id string) bool { return !s.isDone(id)() }); round++ {
 		for i := range s.nodes {
--- a/internal/controller/production_version_store_test.go
+++ b/internal/controller/production_version_store_test.go
@@ -67,8 +67,8 @@
 	}
 )
 
-// jobKinds keeps the kind of each job by key. The version in production reads a kind that it does
-// not support as an array, and writes it back under its own name.
+// jobKinds keeps the kind of each job by key. The version in production treats a job of a kind that
+// it does not support as an array, and writes the job's own kind back.
 type jobKinds map[string]api.JobKind
 
 // read returns a record as the version in production reads it, or nil for a type of record that
@@ -85,8 +85,8 @@
 	return raw
 }
 
-// write returns a record that the version in production writes, with the kind of the job that was
-// read.
+// write returns a record that the version in production writes. A job's record gets the kind that
+// was read.
 func (s jobKinds) write(key string, raw json.RawMessage) json.RawMessage {
 	if kind := s[key]; kind != "" && strings.HasPrefix(key, statecache.JobKey("")) {
 		var record prodJobRecord
@@ -162,9 +162,9 @@
 }
 
 // Commit commits a transaction, as the version in production writes its records.
-func (p *productionVersionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
-	rewritten := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
-	for _, op := range t.Ops {
+func (p *productionVersionStore) Commit(ctx context.Context, txn *store.Txn, priority store.Priority) (store.CommitResult, error) {
+	rewritten := &store.Txn{Preconditions: txn.Preconditions, Ops: []store.Op{}}
+	for _, op := range txn.Ops {
 		if op.DeleteKey == "" {
 			value, err := asProduction(op.WriteKey, op.Value)
 			if err != nil {
@@ -177,7 +177,7 @@
 		}
 		rewritten.Ops = append(rewritten.Ops, op)
 	}
-	return p.StateService.Commit(ctx, rewritten, r)
+	return p.StateService.Commit(ctx, rewritten, priority)
 }
 
 // taskRangePrefix is the prefix of the keys of task ranges.
--- a/internal/controller/production_version_test.go
+++ b/internal/controller/production_version_test.go
@@ -66,11 +66,11 @@
 // schema version that a node writes to its own record, which no other node rewrites.
 func TestProductionVersionPreservesNewRecords(t *testing.T) {
 	s := newTestCluster()
-	s.nodes[1].inProduction = true
+	s.nodes[1].runsProductionVersion = true
 	s.startNode(1)
 	s.runFor(20)
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.GPUs, r.CPUs, r.MemGB = 40, 0, 0.1, 0.1 })
-	s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.Kind, r.SingleZone = 2, api.Service, true })
+	s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks, j.GPUs, j.CPUs, j.MemGB = 40, 0, 0.1, 0.1 })
+	s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks, j.Kind, j.SingleZone = 2, api.Service, true })
 	s.runFor(20)
 	items, _, err := s.nodes[0].controller.services.Store.List(context.Background(), statecache.LivePrefix)
 	if err != nil || len(items) < 8 {
@@ -97,17 +97,17 @@
 		}
 	}
 	if s.nodes[0].state().Schema.AllUpgraded() {
-		t.Error("all controllers count as upgraded, though n1 runs the version in production")
+		t.Error("all controllers count as upgraded, want not, as n1 runs the version in production")
 	}
 }
 
-// The records that each controller leaves show that all controllers are upgraded: also to a
-// single controller after all have ended, and not as long as one controller has never recorded
-// it.
+// The records that each controller leaves show whether all controllers are upgraded. A single
+// controller that runs after all others have stopped reads that they are. As long as one controller
+// has never recorded its upgrade, they are not.
 func TestUpgradeIsDetectedFromRecords(t *testing.T) {
 	s := newTestCluster()
 	for i := range s.nodes {
-		s.nodes[i].inProduction = true
+		s.nodes[i].runsProductionVersion = true
 		s.startNode(i)
 	}
 	submitGang := func() int {
@@ -124,7 +124,7 @@
 		}
 		s.environment.Jobs[spec.UID] = &simulator.Job{Spec: *spec, RunTime: time.Second, DoneTasks: map[int]bool{}}
 		for _, n := range s.nodes {
-			if n.running && !n.inProduction {
+			if n.running && !n.runsProductionVersion {
 				return n.controller.frontend.Submit(context.Background(), simulator.Submission(spec)).Status
 			}
 		}
@@ -132,14 +132,14 @@
 	}
 	for i := range s.nodes {
 		s.runFor(10)
-		s.nodes[i].inProduction = false
+		s.nodes[i].runsProductionVersion = false
 		s.startNode(i)
 		s.runFor(10)
 		if i < 2 {
 			if status := submitGang(); status != 503 {
 				t.Fatalf("gang submitted with %d of 3 controllers upgraded: status %d, want 503", i+1, status)
 			}
-			s.nodes[0].running = i == 0 // the first controller ends after the second is upgraded, and still counts
+			s.nodes[0].running = i == 0 // the first controller stops after the second is upgraded, and still counts
 		}
 	}
 	for _, n := range s.nodes {
@@ -154,11 +154,11 @@
 }
 
 // The checkers of the simulator detect that a controller of the version in production places the
-// tasks of a gang one by one, if the gang was accepted too early.
+// tasks of a gang one by one if the gang was accepted before all controllers were upgraded.
 func TestCheckersDetectGangAcceptedTooEarly(t *testing.T) {
 	s := newTestCluster()
 	for i := range s.nodes {
-		s.nodes[i].inProduction = i > 0
+		s.nodes[i].runsProductionVersion = i > 0
 		s.startNode(i)
 	}
 	s.runFor(30)
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -9,30 +9,31 @@
 )
 
 // When a peer reports to a leader that the leader's shard was acquired, the leader must stop
-// answering heartbeats at once and redirect its workers to the new leader, long before its own grace
-// period ends.
+// answering heartbeats at once and redirect its workers to the new leader, long before its own
+// leadership grace period ends.
 func TestReplacedLeaderRedirectsWorkers(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks, r.Zone = api.Service, 3, "x" })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks, j.Zone = api.Service, 3, "x" })
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
-	shard := s.nodes[leader].name
-	s.environment.Store.RefusedNodes[shard] = true
+	shardID := s.nodes[leader].name
+	s.environment.Store.RefusedNodes[shardID] = true
 	s.runUntil(t, 40, "shard acquired by a peer", func() bool {
-		newLeader := s.leaderOf(shard)
-		return newLeader != "" && newLeader != shard
+		newLeader := s.leaderOf(shardID)
+		return newLeader != "" && newLeader != shardID
 	})
 	c := s.nodes[leader].controller
 	c.members.QueryPeers(context.Background())
-	if leadership := c.testState().Leadership.Lookup(shard); leadership == nil || leadership.Successor() != s.leaderOf(shard) {
-		t.Fatalf("leadership of shard %s at its former leader: got %+v, want successor %q", shard, leadership, s.leaderOf(shard))
+	if leadership := c.testState().Leadership.Lookup(shardID); leadership == nil || leadership.Successor() != s.leaderOf(shardID) {
+		t.Fatalf("leadership of shard %s at its former leader: got %+v, want successor %q", shardID, leadership, s.leaderOf(shardID))
 	}
 	for host, m := range c.testState().Cache.Machines {
-		if worker := s.environment.Cloud.WorkersByHost[host]; m.Shard == shard && worker != nil && worker.Booted() {
-			r := worker.Heartbeat()
-			r.Token = 0
-			if got := s.deliverHeartbeat(leader, api.MustMarshal(r)); got.status != 421 || got.leader != s.leaderOf(shard) {
-				t.Errorf("heartbeat of %s: got status %d, leader %q, want 421, leader %q", host, got.status, got.leader, s.leaderOf(shard))
+		if worker := s.environment.Cloud.WorkersByHost[host]; m.Shard == shardID && worker != nil && worker.Booted() {
+			heartbeat := worker.Heartbeat()
+			heartbeat.Token = 0
+			if got := s.deliverHeartbeat(leader, api.MustMarshal(heartbeat)); got.status != 421 || got.leader != s.leaderOf(shardID) {
+				t.Errorf("heartbeat of %s: got status %d, leader %q, want 421, leader %q",
+					host, got.status, got.leader, s.leaderOf(shardID))
 			}
 		}
 	}
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -43,7 +43,7 @@
 }
 
 // A controller must not take over a shard that a peer has acquired between the controller's read of
-// the leader key and its transaction.
+// the leader key and the controller's transaction.
 func TestShardIsNotAcquiredFromRunningLeader(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[1].controller
@@ -69,7 +69,7 @@
 // must keep running.
 func TestRestartDuringElection(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	s.nodes[1].running = false
 	s.runUntil(t, 40, "shard of n1 without a leader", func() bool { return s.nodes[0].state().Cache.Leaders["n1"].Record == nil })
@@ -101,7 +101,7 @@
 
 // An acquisition that conflicts with another one, which raised the term, must be retried at once
 // and not only with the next renewal of the lease: when all controllers have stopped and restart,
-// they acquire shards at the same time, while the workers' leases are running out.
+// they acquire shards at the same time, while the remaining time of the worker leases is short.
 func TestConflictedAcquisitionIsRetried(t *testing.T) {
 	s := newReadyCluster()
 	s.startNode(1)
--- a/internal/controller/store_requests_test.go
+++ b/internal/controller/store_requests_test.go
@@ -11,12 +11,12 @@
 // after the other must need only a few writes, not one for each of its tasks.
 func TestArrayNeedsFewWrites(t *testing.T) {
 	s := newReadyCluster()
-	service := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	service := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "a replica runs on a machine", func() bool { return s.runningTasks(service) == 1 })
 	before := s.environment.Store.SentWrites
 	jobs := []string{}
 	for range 4 {
-		id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks, r.CPUs, r.GPUs, r.MemGB = 12, 0.1, 0, 0.1 })
+		id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks, j.CPUs, j.GPUs, j.MemGB = 12, 0.1, 0, 0.1 })
 		s.environment.Jobs[id].RunTimeStep = time.Second
 		jobs = append(jobs, id)
 	}
@@ -31,7 +31,7 @@
 }
 
 // The running controllers share the rate limits of the state service. The last running controller
-// once had to do the work of all with its initial fifth of the rates.
+// once had to do the work of all with the fifth of the rates that it had at first.
 func TestLastControllerUsesFullRates(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
@@ -57,7 +57,7 @@
 // read all records again and then continue the watch.
 func TestWatchReloadsAfterFallingBehind(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 2 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 	s.nodes[2].paused = true
 	s.environment.Store.ExpireHistory()
--- a/internal/controller/submissions_test.go
+++ b/internal/controller/submissions_test.go
@@ -16,8 +16,8 @@
 	s := newTestCluster()
 	c := s.nodes[0].controller
 	ctx := context.Background()
-	body := func(change func(m *api.Job)) []byte {
-		r := &api.Job{
+	body := func(change func(j *api.Job)) []byte {
+		spec := &api.Job{
 			UID:      "run-000100",
 			Class:    "l",
 			Team:     "b",
@@ -29,8 +29,8 @@
 			MemGB:    1,
 			Image:    "i",
 		}
-		change(r)
-		return simulator.Submission(r)
+		change(spec)
+		return simulator.Submission(spec)
 	}
 	if r := c.frontend.Submit(ctx, body(func(*api.Job) {})); r.Status != 503 || r.RetryAfter == 0 {
 		t.Errorf("before the machine types are loaded: got status %d, retry after %d s, want 503 with a retry time", r.Status, r.RetryAfter)
@@ -41,17 +41,17 @@
 		status int
 		change func(*api.Job)
 	}{
-		{"unknown team", 422, func(r *api.Job) { r.Team = "z" }},
-		{"too large", 422, func(r *api.Job) { r.GPUs = 3 }},
-		{"service over the limit", 422, func(r *api.Job) { r.Team, r.Kind, r.Tasks = "a", api.Service, 6 }},
-		{"unknown zone", 422, func(r *api.Job) { r.Zone = "z" }},
-		{"spread in one zone", 422, func(r *api.Job) { r.Zone, r.Spread, r.Tasks = "x", true, 2 }},
-		{"unknown kind", 400, func(r *api.Job) { r.Kind = "gang" }},
-		{"gang over the limit", 422, func(r *api.Job) { r.Team, r.Kind, r.Tasks = "a", api.Gang, 6 }},
-		{"exceeds the size limit of a record", 400, func(r *api.Job) { r.Image = strings.Repeat("x", 4000) }},
-		{"array over the limit", 201, func(r *api.Job) { r.Team, r.Tasks = "a", 50 }},
-		{"repeated, now malformed", 200, func(r *api.Job) { r.Kind = "gang" }},
-		{"repeated, now with an unknown team", 200, func(r *api.Job) { r.Team = "z" }},
+		{"unknown team", 422, func(j *api.Job) { j.Team = "z" }},
+		{"too large", 422, func(j *api.Job) { j.GPUs = 3 }},
+		{"service over the limit", 422, func(j *api.Job) { j.Team, j.Kind, j.Tasks = "a", api.Service, 6 }},
+		{"unknown zone", 422, func(j *api.Job) { j.Zone = "z" }},
+		{"spread in one zone", 422, func(j *api.Job) { j.Zone, j.Spread, j.Tasks = "x", true, 2 }},
+		{"unknown kind", 400, func(j *api.Job) { j.Kind = "gang" }},
+		{"gang over the limit", 422, func(j *api.Job) { j.Team, j.Kind, j.Tasks = "a", api.Gang, 6 }},
+		{"exceeds the size limit of a record", 400, func(j *api.Job) { j.Image = strings.Repeat("x", 4000) }},
+		{"array over the limit", 201, func(j *api.Job) { j.Team, j.Tasks = "a", 50 }},
+		{"repeated, now malformed", 200, func(j *api.Job) { j.Kind = "gang" }},
+		{"repeated, now with an unknown team", 200, func(j *api.Job) { j.Team = "z" }},
 	} {
 		if r := c.frontend.Submit(ctx, body(test.change)); r.Status != test.status {
 			t.Errorf("submission (%s): got status %d, body %s, want status %d", test.name, r.Status, r.Body, test.status)
@@ -74,13 +74,13 @@
 	s.runUntil(t, 80, "array done", s.isDone(id))
 	s.startNode(1)
 	s.runRounds(t, 6)
-	r := s.environment.Jobs[id].Spec
-	r.Image = strings.Repeat("x", 4000)
-	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 200 {
+	spec := s.environment.Jobs[id].Spec
+	spec.Image = strings.Repeat("x", 4000)
+	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&spec)); got.Status != 200 {
 		t.Errorf("repeated submission of a finished job: got status %d, want 200", got.Status)
 	}
-	r.UID = "run-999999"
-	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&r)); got.Status != 400 {
+	spec.UID = "run-999999"
+	if got := s.nodes[1].controller.frontend.Submit(t.Context(), simulator.Submission(&spec)); got.Status != 400 {
 		t.Errorf("oversized submission of a new job: got status %d, want 400", got.Status)
 	}
 }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -36,16 +36,16 @@
 func (c *Controller) logSummary(requestRate, writeRate float64) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	state := c.guard.Lock()
+	s := c.guard.Lock()
 	defer c.guard.Unlock()
 	c.node.Log.Info(
 		"summary",
 		"store_rps", requestRate, "write_rps", writeRate,
-		"jobs", len(state.Cache.Jobs), "hosts", len(state.Cache.Machines), "shards", len(state.Leadership.Shards()),
+		"jobs", len(s.Cache.Jobs), "hosts", len(s.Cache.Machines), "shards", len(s.Leadership.Shards()),
 		"heap_kb", memory.HeapAlloc>>10,
 	)
-	c.logCommits(state)
-	state.DropFinishedJobs()
+	c.logCommits(s)
+	s.DropFinishedJobs()
 }
 
 // logCommits logs the outcomes of transactions since the last summary, by purpose, and resets
--- a/internal/controller/token_raises_test.go
+++ b/internal/controller/token_raises_test.go
@@ -7,13 +7,13 @@
 	"violetturn/internal/api"
 )
 
-// A worker reacts to a raised token with an early heartbeat, but not to raises in quick succession.
-// Stops were once announced by raises, so that a launch on the same machine soon afterwards had to
-// wait for the worker's next regular heartbeat. Stops must be sent as direct commands, and raises
-// must be used for launches only.
+// A worker responds to a raised token with an early heartbeat, but not if raises follow one another
+// quickly. Stops were once announced by raises, so that a launch on the same machine soon
+// afterwards had to wait for the worker's next regular heartbeat. Stops must be sent as direct
+// commands, and raises must be used for launches only.
 func TestTokenRaisesAreReservedForLaunches(t *testing.T) {
 	s := newReadyCluster()
-	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 1 })
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	host := ""
 	for h := range s.runningTasksByHost(id) {
@@ -36,7 +36,7 @@
 	s.runUntil(t, 6, "machine empty", func() bool {
 		return len(c.testState().Cache.Placements[host]) == 0 && len(c.testState().Agents.Agent(host).Heartbeat.Tasks) == 0
 	})
-	next := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 1 })
+	next := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 1 })
 	for range 2 {
 		s.stepNode(0)
 		s.stepNode(leader)
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -53,9 +53,9 @@
 func TestLostCommitResponseWhileOthersRead(t *testing.T) {
 	s := newReadyCluster()
 	s.environment.Store.NextFault["n0"] = simulator.ResponseLost
-	array := s.submitArray(2, 4*time.Second, nil) // its user may not have got the acceptance
+	array := s.submitArray(2, 4*time.Second, nil)
 	if !s.environment.Jobs[array].Accepted {
-		t.Error("acceptance whose commit response was lost: not confirmed to the user by a read, want it confirmed")
+		t.Error("job whose acceptance got no commit response: not confirmed to the user, want it confirmed after a read")
 	}
 	s.queryEverywhere(array)
 	service := s.submitService(2, nil)
--- a/internal/controller/worker_partitions_test.go
+++ b/internal/controller/worker_partitions_test.go
@@ -15,7 +15,7 @@
 	s := newReadyCluster()
 	id := s.submitService(4, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 4 })
-	idle := s.submitArray(4, time.Hour, func(r *api.Job) { r.Priority = "idle" })
+	idle := s.submitArray(4, time.Hour, func(j *api.Job) { j.Priority = "idle" })
 	s.runUntil(t, 80, "idle tasks that can be preempted run", func() bool { return s.runningTasks(idle) == 4 })
 	s.environment.Cloud.Down = true // nothing is rented or returned
 	unreachable := map[string]bool{}
@@ -36,15 +36,15 @@
 }
 
 // The heartbeats of a worker arrive, but responses and commands don't reach it, so that its lease
-// expires again and again. As its heartbeats were answered, it once counted as alive forever: its
-// tasks waited there and were launched with each response. The worker's agent epochs show that it
-// receives nothing. Its tasks must be moved to other machines, and it must get no more tasks until
-// it carries out commands, also if the leader of its shard changes in the meantime.
+// expires again and again. As its heartbeats were answered, it once counted as responsive forever:
+// its tasks waited there, and each response contained their launches. The worker's agent epochs
+// show that it receives nothing. Its tasks must be moved to other machines, and it must get no more
+// tasks until it carries out commands, also if the leader of its shard changes in the meantime.
 func TestWorkerInboundPartition(t *testing.T) {
 	for _, leaderChanges := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader changes %t", leaderChanges), func(t *testing.T) {
 			s := newReadyCluster()
-			id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 2 })
+			id := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Kind, j.Tasks = api.Service, 2 })
 			s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 2 })
 			var worker *simulator.Worker
 			for h := range s.runningTasksByHost(id) {
@@ -63,7 +63,7 @@
 			if s.environment.Cloud.WorkersByHost[worker.Host] == nil {
 				return // it was returned as idle, which is correct too
 			}
-			array := s.submitJob(func(r *api.Job, d *time.Duration) { r.Tasks, *d = 4, time.Second })
+			array := s.submitJob(func(j *api.Job, runTime *time.Duration) { j.Tasks, *runTime = 4, time.Second })
 			s.runUntil(t, 100, "another job done", s.isDone(array))
 			if !elsewhere() {
 				t.Fatalf("running replicas by machine: got %v, want 2 in total and none on %s", s.runningTasksByHost(id), worker.Host)
@@ -124,13 +124,14 @@
 		t.Run(fmt.Sprintf("%d rounds", count), func(t *testing.T) {
 			s := newReadyCluster()
 			for _, zone := range s.environment.Zones {
-				s.submitService(2, func(r *api.Job) { r.Zone = zone })
+				s.submitService(2, func(j *api.Job) { j.Zone = zone })
 			}
-			cancelled := s.submitService(2, func(r *api.Job) { r.Zone = "y" })
+			cancelled := s.submitService(2, func(j *api.Job) { j.Zone = "y" })
 			s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 2 })
 			s.partitionZone("y")
 			s.runRounds(t, 1)
-			s.environment.Cloud.Down = count > 100 // else the other controllers would return the machines, from which no heartbeat arrives
+			// Without this the other controllers would return the machines, from which no heartbeat arrives.
+			s.environment.Cloud.Down = count > 100
 			s.cancel(0, cancelled)
 			s.runRounds(t, count)
 			s.checkRecovery(t)
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -23,13 +23,13 @@
 	c.testState().Cache.Zones["x"] = statecache.Versioned[zonehealth.Record]{Record: &record}
 }
 
-// Arrays restart in place on a growing share of the machines, and never on the capacity that
-// waiting production tasks need. Which machines are admitted is determined by their names.
+// The slow start admits a growing share of the machines, on which arrays restart in place, but never
+// the capacity that waiting production tasks need. Machines are admitted in the order of their names.
 func TestSlowStartAdmitsMachinesGradually(t *testing.T) {
 	const machines = 64
 	for _, test := range []struct {
 		slowStartShare float64
-		waitingTasks   int // tasks, two of which fill a machine
+		waitingTasks   int // waiting production tasks, two of which fill a machine
 		state          zonehealth.State
 		wantAdmitted   int
 	}{
@@ -60,14 +60,14 @@
 		}
 		for _, name := range names[:test.wantAdmitted] {
 			if !admitted[name] {
-				t.Errorf("%+v: machine %s is not admitted", test, name)
+				t.Errorf("%+v: machine %s is not admitted, want the first machines by name admitted", test, name)
 			}
 		}
 	}
 }
 
 // The zone reserves capacity for production tasks that may still be running on lost machines: no
-// other work gets it, also when the slow start is over.
+// other task gets it, not even after the slow start has ended.
 func TestReservationKeepsCapacityForProduction(t *testing.T) {
 	countPlacements := func(waitingTasks int) int {
 		c := newSizedController(256, 4) // free capacity for four tasks
--- a/internal/controller/zone_recovery_benchmark_test.go
+++ b/internal/controller/zone_recovery_benchmark_test.go
@@ -24,13 +24,13 @@
 	writesPerSecond float64       // to the state service
 }
 
-// zoneOutcomes collects the outcomes of many returns.
+// zoneOutcomes collects the outcomes of many returns of a zone, with or without zone recovery.
 type zoneOutcomes struct {
 	name                            string
 	serviceDelays, arrayDelays      *hdrhistogram.Histogram // milliseconds
-	stoppedTasks                    int
-	machineSeconds, writesPerSecond float64
-	failed                          int
+	stoppedTasks                    int                     // sum over all outcomes
+	machineSeconds, writesPerSecond float64                 // sums over all outcomes
+	failed                          int                     // returns after which not everything ran again in time, or a rule was violated
 	outcomes                        []zoneOutcome
 }
 
@@ -71,23 +71,23 @@
 	if enabled {
 		onStart = enableZoneRecovery
 	}
-	rnd := rand.New(rand.NewPCG(seed, 7))
+	random := rand.New(rand.NewPCG(seed, 7))
 	z := newZoneScenario(tb, onStart)
 	serviceMachines, otherMachines := z.zoneMachines()
 	setPartitioned(serviceMachines, true)
 	setPartitioned(otherMachines, true)
 	leaseRounds := rounds(z.environment.WorkerLease)
-	z.runChecked(leaseRounds/2 + rnd.IntN(2*leaseRounds))
-	if rnd.IntN(2) == 0 { // the zone returns and fails again
+	z.runChecked(leaseRounds/2 + random.IntN(2*leaseRounds))
+	if random.IntN(2) == 0 { // the zone returns and fails again
 		setPartitioned(otherMachines, false)
-		z.runChecked(4 + rnd.IntN(leaseRounds))
+		z.runChecked(4 + random.IntN(leaseRounds))
 		setPartitioned(otherMachines, true)
-		z.runChecked(4 + rnd.IntN(leaseRounds))
+		z.runChecked(4 + random.IntN(leaseRounds))
 	}
 	for _, worker := range serviceMachines {
 		z.environment.Cloud.Terminate(worker.Host)
 	}
-	returning := otherMachines[:serviceReplicas/2+rnd.IntN(len(otherMachines)-serviceReplicas/2)]
+	returning := otherMachines[:serviceReplicas/2+random.IntN(len(otherMachines)-serviceReplicas/2)]
 	for _, worker := range otherMachines[len(returning):] {
 		z.environment.Cloud.Terminate(worker.Host)
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, start := range z.taskStarts[firstStart:] {
-		if !start.service {
+		if !start.isReplica {
 			outcome.stoppedTasks++
 		}
 	}
--- a/internal/controller/zone_recovery_controllers_test.go
+++ b/internal/controller/zone_recovery_controllers_test.go
@@ -12,8 +12,8 @@
 	"violetturn/internal/zonehealth"
 )
 
-// The controller of the zone fails with it, and returns either last, or first and alone while the
-// machines stay partitioned.
+// The controller of the zone fails together with the zone. It returns either after the machines, or
+// before them, while they are still partitioned.
 func TestZoneFailsWithItsController(t *testing.T) {
 	for _, controllerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("controller returns first %t", controllerFirst), func(t *testing.T) {
@@ -24,7 +24,7 @@
 				z.startNode(0)
 				z.runChecked(30)
 				if state := z.zoneRecord(1).State; state == zonehealth.Healthy {
-					t.Errorf("zone is %s as soon as its controller is back, want any other state", state)
+					t.Errorf("zone is %s while only its controller has returned, want any other state", state)
 				}
 			}
 			returnedAt := z.environment.Now
@@ -62,8 +62,8 @@
 	})
 	newRecord := z.zoneRecord(other)
 
-	// The paused controller has an old replica and its lease expired long ago. Even if it could
-	// act, the preconditions on the newer records fail.
+	// The paused controller has an old cache and its lease expired long ago. Even if it could act,
+	// the preconditions on the newer records would fail.
 	staleWrite := statecache.NewTransaction()
 	staleWrite.Require(statecache.ZoneKey("x"), staleController.testState().Cache.Zones["x"].Version)
 	staleWrite.Require(statecache.LeaderKey("n0"), staleController.testState().Leadership.Lookup("n0").Version)
@@ -87,7 +87,7 @@
 	s := newTestCluster()
 	s.environment.Zones = []string{"x"}
 	s.restartNodes(enableZoneRecovery)
-	id := s.submitJob(func(r *api.Job, d *time.Duration) { r.Priority, r.Tasks, *d = "idle", 8, time.Hour })
+	id := s.submitJob(func(j *api.Job, runTime *time.Duration) { j.Priority, j.Tasks, *runTime = "idle", 8, time.Hour })
 	s.runUntil(t, 100, "array runs", func() bool { return s.runningTasks(id) == 8 })
 	for _, worker := range s.environment.Cloud.Workers() {
 		worker.Partitioned = true
@@ -116,7 +116,7 @@
 	z.runChecked(60)
 	for i, n := range z.nodes {
 		if n.state().Schema.FeatureEnabled(features.ZoneRecoveryName) || len(n.state().Cache.Zones) > 0 {
-			t.Fatalf("controller %d has zone recovery enabled or zone records, though controller n2 lacks the feature", i)
+			t.Fatalf("controller %d has zone recovery enabled or zone records, want neither, as controller n2 lacks the feature", i)
 		}
 	}
 	setPartitioned(otherMachines, false)
@@ -135,13 +135,13 @@
 		return !z.nodes[1].state().Schema.FeatureEnabled(features.ZoneRecoveryName)
 	})
 	if z.nodes[1].state().Zones.Admission(z.environment.Now) != nil {
-		t.Error("zone recovery restricts placement though the feature is disabled")
+		t.Error("zone recovery restricts placement, want no restriction, as the feature is disabled")
 	}
 }
 
-// A controller that ended before it had the feature keeps the feature disabled: the capability
-// record that it left does not list it.
-func TestEndedControllerKeepsFeatureDisabled(t *testing.T) {
+// A controller that stopped before it had the feature keeps the feature disabled: the capability
+// record that it left does not list the feature.
+func TestStoppedControllerKeepsFeatureDisabled(t *testing.T) {
 	hasFeature := map[string]bool{"n0": true, "n1": true}
 	z := newZoneScenario(t, func(n *testNode) { n.controller.node.Features.ZoneRecovery.Enabled = hasFeature[n.name] })
 	z.nodes[2].running = false
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -11,10 +11,10 @@
 	"violetturn/internal/zonehealth"
 )
 
-// Half of a zone returns, without the machines that ran its services and before these have
-// certainly ended. With zone recovery the services run again before any array takes the capacity
-// that they need, and the arrays follow gradually. Without it arrays take all the capacity first
-// and are stopped again.
+// Half of a zone returns, without the machines that ran its services and before these services have
+// certainly ended. With zone recovery the services run again before any array uses the capacity
+// that they need, and the arrays follow gradually. Without it arrays use all the capacity first and
+// are stopped again.
 func TestServicesRestartFirstWhenHalfOfZoneReturns(t *testing.T) {
 	for _, enabled := range []bool{true, false} {
 		t.Run(fmt.Sprintf("feature %t", enabled), func(t *testing.T) {
@@ -78,8 +78,9 @@
 }
 
 // Capacity stays reserved for a production task until its end is committed and it is queued
-// again. Two gaps once let arrays take it: the seconds in which a new leader has not received any
-// heartbeat yet, and those between the return of the task's machine to the cloud and the commit.
+// again. There were once two gaps in which arrays got it: the seconds in which a new leader has not
+// received any heartbeat yet, and those between the return of the task's machine to the cloud and
+// the commit.
 func TestCapacityIsReservedUntilEndsAreCommitted(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	serviceMachines, _ := z.partitionUntilDown()
@@ -111,16 +112,16 @@
 	}
 }
 
-// A reservation ends when the missing capacity can't be had: so few machines return that the
-// services don't all fit, and arrays that fit nowhere else still run after a while.
+// So few machines return that the services don't all fit, and the missing capacity can't be rented.
+// The reservation must end, so that arrays that fit beside the services run after a while.
 func TestReservationEndsWhenCapacityIsMissing(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	serviceMachines, otherMachines := z.partitionUntilDown()
 	for _, worker := range slices.Concat(serviceMachines, otherMachines[2:]) {
 		z.environment.Cloud.Terminate(worker.Host)
 	}
-	smallArray := z.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Priority, r.Tasks, r.Zone, r.GPUs, *d = "idle", 4, "x", 0, 5*time.Second
+	smallArray := z.submitJob(func(j *api.Job, runTime *time.Duration) {
+		j.Priority, j.Tasks, j.Zone, j.GPUs, *runTime = "idle", 4, "x", 0, 5*time.Second
 	})
 	setPartitioned(otherMachines[:2], false)
 	z.runUntil(t, 300, "small array is done beside the services", z.isDone(smallArray))
@@ -184,13 +185,13 @@
 	z.runUntilRecovered(2 * arrayTasks)
 }
 
-// A gang bound to the zone, and an array that is cancelled during the outage: the gang restarts
-// as a whole after the services, no team exceeds its limit, and no task of the cancelled array
-// runs again.
+// A gang is bound to the zone, and an array there is cancelled while the zone is down. The gang
+// restarts as a whole after the services, no team exceeds its limit, and no task of the cancelled
+// array runs again.
 func TestZoneRecoveryWithGangsAndCancellations(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
-	gang := z.submitJob(func(r *api.Job, d *time.Duration) {
-		r.Kind, r.Tasks, r.Zone, r.SingleZone, r.GPUs, *d = api.Gang, 4, "x", true, 0, 400*time.Second
+	gang := z.submitJob(func(j *api.Job, runTime *time.Duration) {
+		j.Kind, j.Tasks, j.Zone, j.SingleZone, j.GPUs, *runTime = api.Gang, 4, "x", true, 0, 400*time.Second
 	})
 	z.runUntil(t, 120, "gang runs", func() bool { return z.runningTasks(gang) == 4 })
 	_, otherMachines := z.partitionUntilDown()
@@ -207,13 +208,13 @@
 	z.runUntilRecovered(arrayTasks)
 }
 
-// A service spread over zones gets those replicas back that may only run in this zone; replicas
-// that were placed elsewhere stay there.
+// All replicas of a service that is spread over zones run again after the zone has returned, and
+// replicas that were placed in other zones in the meantime stay there.
 func TestSpreadServicesKeepReplicasInOtherZones(t *testing.T) {
 	z := newZoneScenario(t, enableZoneRecovery)
 	z.environment.Cloud.NoCapacity = false
-	spreadService := z.submitJob(func(r *api.Job, _ *time.Duration) {
-		r.Kind, r.Priority, r.Tasks, r.Spread, r.Image = api.Service, "production", 6, true, "spread"
+	spreadService := z.submitJob(func(j *api.Job, _ *time.Duration) {
+		j.Kind, j.Priority, j.Tasks, j.Spread, j.Image = api.Service, "production", 6, true, "spread"
 	})
 	z.runUntil(t, 200, "spread replicas run", func() bool { return z.runningTasks(spreadService) == 6 })
 	z.environment.Cloud.NoCapacity = true
--- a/internal/controller/zone_scenario_test.go
+++ b/internal/controller/zone_scenario_test.go
@@ -22,15 +22,15 @@
 
 // zoneTaskStart records the start of a task in zone x.
 type zoneTaskStart struct {
-	at      time.Time
-	uid     string
-	service bool // a replica of a service, not a task of an array
-	host    string
+	startedAt time.Time
+	uid       string
+	isReplica bool // the task is a replica of a service, not a task of an array
+	host      string
 }
 
 const (
-	serviceReplicas = 8
-	arrayTasks      = 8
+	serviceReplicas = 8 // replicas of all services that are bound to zone x
+	arrayTasks      = 8 // tasks of each array
 )
 
 // enableZoneRecovery enables zone recovery on a controller.
@@ -65,8 +65,8 @@
 func (z *zoneScenario) submitInitialJobs() {
 	z.t.Helper()
 	for _, zone := range []string{"y", "z"} {
-		z.submitJob(func(r *api.Job, _ *time.Duration) {
-			r.Kind, r.Priority, r.Tasks, r.Zone = api.Service, "production", 8, zone
+		z.submitJob(func(j *api.Job, _ *time.Duration) {
+			j.Kind, j.Priority, j.Tasks, j.Zone = api.Service, "production", 8, zone
 		})
 	}
 	for range 2 {
@@ -83,16 +83,16 @@
 
 // submitZoneService submits a production service that is bound to zone x.
 func (z *zoneScenario) submitZoneService(tasks int) string {
-	return z.submitJob(func(r *api.Job, _ *time.Duration) {
-		r.Kind, r.Priority, r.Tasks, r.Zone, r.Image = api.Service, "production", tasks, "x", "reader"
+	return z.submitJob(func(j *api.Job, _ *time.Duration) {
+		j.Kind, j.Priority, j.Tasks, j.Zone, j.Image = api.Service, "production", tasks, "x", "reader"
 	})
 }
 
 // submitIdleArray submits an array of priority idle that is bound to zone x.
 func (z *zoneScenario) submitIdleArray(tasks int, runTime time.Duration) string {
-	return z.submitJob(func(r *api.Job, jobRunTime *time.Duration) {
-		r.Priority, r.Tasks, r.Zone, r.Image, *jobRunTime = "idle", tasks, "x", "array", runTime
-		r.CheckpointIntervalS, r.SaveDurationS = 5, 4 // a stopped task saves its progress first
+	return z.submitJob(func(j *api.Job, jobRunTime *time.Duration) {
+		j.Priority, j.Tasks, j.Zone, j.Image, *jobRunTime = "idle", tasks, "x", "array", runTime
+		j.CheckpointIntervalS, j.SaveDurationS = 5, 4 // a stopped task saves its progress first
 	})
 }
 
@@ -147,7 +147,7 @@
 	return zonehealth.Record{}
 }
 
-// runUntilZoneState runs until the record of zone x that a controller has cached shows a state.
+// runUntilZoneState runs until the record of zone x that a controller has cached has a state.
 func (z *zoneScenario) runUntilZoneState(state zonehealth.State, node, maxRounds int) {
 	z.t.Helper()
 	z.runUntil(z.t, maxRounds, "zone x is "+string(state), func() bool { return z.zoneRecord(node).State == state })
@@ -183,10 +183,10 @@
 func (z *zoneScenario) arrayStartsBeforeServices(from time.Time) (count int) {
 	startedReplicas := 0
 	for _, start := range z.taskStarts {
-		if start.at.Before(from) {
+		if start.startedAt.Before(from) {
 			continue
 		}
-		if start.service {
+		if start.isReplica {
 			startedReplicas++
 		} else if startedReplicas < serviceReplicas {
 			count++
--- a/tools/known_red_test.go
+++ b/tools/known_red_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The test command may only tolerate failures of the tests that KNOWN-RED.txt lists. It rejects a list
-// of more than three entries, an entry that does not have exactly four fields or has an empty one, and
-// a name that is not exactly the name of a test.
+// The test command may only tolerate failures of the tests that KNOWN-RED.txt lists. It rejects a
+// list of more than three entries, an entry that does not have exactly four fields or has an empty
+// one, and a name that is not exactly the name of a test.
 func TestKnownRedList(t *testing.T) {
 	const (
 		command = "`go test ./tools -run '^TestKnownRedList$'`, no seed"
--- a/tools/lint_test.go
+++ b/tools/lint_test.go
@@ -1,4 +1,5 @@
-// Package tools_test tests the tools that CI uses: the configuration of the linters and the test command.
+// Package tools_test tests the tools that CI uses: the configuration of the linters and the test
+// command.
 package tools_test
 
 import (
@@ -19,7 +20,8 @@
 	Pos        struct{ Filename string }
 }
 
-// linterPath builds golangci-lint in the version of tools/lint.mod and returns the path of the binary.
+// linterPath builds golangci-lint in the version of tools/lint.mod and returns the path of the
+// binary.
 func linterPath(t *testing.T) string {
 	t.Helper()
 	find := exec.CommandContext(t.Context(), "go", "tool", "-modfile=tools/lint.mod", "-n", "golangci-lint")
@@ -47,8 +49,8 @@
 	return found.Issues
 }
 
-// The linters enforce each limit and rule of the project: the expected linter reports each source that
-// violates one, and no linter reports a source within the limits.
+// The linters enforce each limit and rule of the project: the expected linter reports each source
+// that violates one, and no linter reports a source within the limits.
 func TestLintersReportViolations(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "go.mod"), "module violetturn\n\ngo 1.26\n")
@@ -90,7 +92,7 @@
 		name := filepath.Base(filepath.Dir(path))
 		rule := "        " + name + ":\n          list-mode: strict\n          files: [\"**/internal/" + name + "/*.go\", \"!$test\"]\n"
 		if !strings.Contains(config, rule) {
-			t.Errorf("%s: .golangci.yml has no depguard rule for package %s", path, name)
+			t.Errorf("%s: .golangci.yml has no depguard rule for package %s, want one", path, name)
 		}
 	}
 }
