--- a/cmd/violetturn/golden_test.go
+++ b/cmd/violetturn/golden_test.go
@@ -172,7 +172,7 @@
 		return c.new
 	}
 	if !strings.Contains(valid, c.old) {
-		t.Fatalf("%s: the valid file does not contain %q", c.name, c.old)
+		t.Fatalf("%s: the valid file does not contain %q, want it there to be replaced", c.name, c.old)
 	}
 	return strings.Replace(valid, c.old, c.new, 1)
 }
--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -36,6 +36,7 @@
 					summary = worker.StateSummary()
 				}
 				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
+				// A changed summary is sent about half a second after the last heartbeat at the earliest.
 				earliest := schedule.next.Add(500*time.Millisecond - interval)
 				if summary == "" || env.Now.Before(schedule.next) && (summary == schedule.lastSummary || env.Now.Before(earliest)) {
 					continue
--- a/cmd/violetturn/processes_test.go
+++ b/cmd/violetturn/processes_test.go
@@ -25,7 +25,7 @@
 	}
 	program := filepath.Join(b.TempDir(), "violetturn")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		b.Fatalf("%v: %s", err, out)
+		b.Fatalf("go build: %v: %s", err, out)
 	}
 	for _, d := range []*simulator.Deployment{simulator.Deployment300(), simulator.Deployment2000()} {
 		b.Run(d.Name, func(b *testing.B) {
--- a/cmd/violetturn/profile_test.go
+++ b/cmd/violetturn/profile_test.go
@@ -24,7 +24,7 @@
 	}
 	dir := t.TempDir()
 	if _, err = startProfile(filepath.Join(dir, "none"), c); err == nil {
-		t.Fatal("startProfile returned no error for a folder that does not exist")
+		t.Fatal("startProfile returned no error for a folder that does not exist, want one")
 	}
 	stop, err := startProfile(dir, c)
 	if err != nil {
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -181,7 +181,7 @@
 		}
 	})
 	if !s.environment.Jobs[id].Accepted {
-		t.Fatal("gang was not accepted")
+		t.Fatal("gang was not accepted, want it accepted")
 	}
 	return id
 }
--- a/internal/controller/delayed_heartbeats_test.go
+++ b/internal/controller/delayed_heartbeats_test.go
@@ -122,7 +122,7 @@
 		deliverCopiesAndRun()
 		for _, n := range s.nodes {
 			if n.state().Cache.Machines[host] != nil {
-				t.Fatalf("machine %s, terminated long ago, is registered again at %s", host, n.name)
+				t.Fatalf("machine %s, terminated long ago, is registered again at %s, want it to stay deregistered", host, n.name)
 			}
 		}
 	}
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -112,7 +112,7 @@
 		return s.tasksInPhase(id, api.TaskRunning) == 0
 	})
 	if !saved {
-		t.Fatal("no task of the preempted gang reports saved progress")
+		t.Fatal("no task of the preempted gang reports saved progress, want at least one")
 	}
 	s.environment.Cloud.NoCapacity = false
 	s.runUntil(t, 400, "job done", s.isDone(id))
@@ -136,14 +136,14 @@
 			}
 		}
 		if host == nil {
-			t.Fatal("no schedulable machine of shard n0")
+			t.Fatal("no schedulable machine of shard n0, want one")
 		}
 		c.guard.Lock()
 		gangClaim := &scheduler.GangClaim{UID: id, Placements: []capacity.Placement{{UID: id, Host: host}}}
 		transaction := c.testState().Scheduler.GangTransaction(gangClaim, c.node.Now()).Transaction
 		c.guard.Unlock()
 		if transaction == nil {
-			t.Fatal("no transaction for the claim of the gang")
+			t.Fatal("no transaction for the claim of the gang, want one")
 		}
 		if committed, _, err := c.sync.Commit(t.Context(), "gangs", transaction, 0); !committed {
 			t.Fatal(err)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -84,7 +84,7 @@
 	ctx := context.Background()
 	l.measure("watch", func() {
 		if n.state().Cache.Loaded {
-			_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // refused in an outage
+			_ = n.controller.sync.ApplyChanges(ctx, n.state().Cache.Revision, 0) // fails during an outage
 			n.controller.commands.RequestHeartbeats(ctx)
 		} else {
 			_ = n.controller.sync.Load(ctx)
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -39,7 +39,7 @@
 }
 
 // Rented machines are registered in groups, not with one write each.
-func TestMachinesAreRecordedInGroups(t *testing.T) {
+func TestMachinesAreRegisteredInGroups(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
 	for i := range 60 {
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -52,7 +52,7 @@
 	}
 	for _, id := range urgent {
 		if !s.isDone(id)() {
-			t.Errorf("urgent job %s is not done after 400 rounds", id)
+			t.Errorf("urgent job %s is not done after 400 rounds, want it done", id)
 		}
 	}
 	s.cancel(1, idleArray)
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -53,7 +53,7 @@
 func TestLostCommitResponseWhileOthersRead(t *testing.T) {
 	s := newReadyCluster()
 	s.environment.Store.NextFault["n0"] = simulator.ResponseLost
-	array := s.submitArray(2, 4*time.Second, nil)
+	array := s.submitArray(2, 4*time.Second, nil) // the commit of its acceptance gets no response
 	if !s.environment.Jobs[array].Accepted {
 		t.Error("job whose acceptance got no commit response: not confirmed to the user, want it confirmed after a read")
 	}
--- a/tools/lint_test.go
+++ b/tools/lint_test.go
@@ -83,7 +83,7 @@
 	config := readFile(t, "../.golangci.yml")
 	sources, err := filepath.Glob("../internal/*/*.go")
 	if err != nil || len(sources) == 0 {
-		t.Fatalf("%d sources: %v", len(sources), err)
+		t.Fatalf("%d sources, error %v, want some sources and no error", len(sources), err)
 	}
 	for _, path := range sources {
 		if strings.HasSuffix(path, "_test.go") {
@@ -137,7 +137,7 @@
 	for _, pattern := range []string{"../cmd/*/*.go", "../internal/*/*.go", "*.go"} {
 		sources, err := filepath.Glob(pattern)
 		if err != nil || len(sources) == 0 {
-			t.Fatalf("%s: %d sources: %v", pattern, len(sources), err)
+			t.Fatalf("%s: %d sources, error %v, want some sources and no error", pattern, len(sources), err)
 		}
 		for _, path := range sources {
 			if found := suppression.FindString(readFile(t, path)); found != "" {
