--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -152,7 +152,7 @@
 			}
 			o.sendHeartbeat(o.environment.Cloud.WorkersByHost[host], fault)
 		}
-		if o.environment.Jobs[o.cancelledJob].CancelRequested { // any node may return the final phase to the user
+		if o.environment.Jobs[o.cancelledJob].CancelRequested { // any controller may return the final phase to the user
 			o.poll(round%len(o.nodes), o.cancelledJob)
 		}
 		o.environment.Advance(step)
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -10,7 +10,7 @@
 )
 
 // One-task jobs are submitted at four per second for a minute, and a quarter of them cause a
-// cancellation of a recent job, through any node and at any age of the job.
+// cancellation of a recent job, through any controller and at any age of the job.
 func TestOneTaskJobsWithCancellations(t *testing.T) {
 	s := newReadyCluster()
 	for round := range 120 { // one minute with two jobs per round
@@ -60,7 +60,7 @@
 					s.environment.Store.DeliverDelayed()
 					s.queryEverywhere(id)
 					if s.checkRecovery(t); s.environment.Jobs[id].FinalPhase == "" {
-						t.Errorf("node %d, fault %v, %s: job has no final phase, want one", node, fault, kind)
+						t.Errorf("controller %d, fault %v, %s: job has no final phase, want one", node, fault, kind)
 					}
 				})
 			}
@@ -68,9 +68,9 @@
 	}
 }
 
-// Another node confirms a cancellation between a decision and its transaction. The decision is a
-// placement, the end of the last task, or a claim of a gang. The transaction, which comes later,
-// must have no effect.
+// Another controller confirms a cancellation between a decision and its transaction. The decision
+// is a placement, the end of the last task, or a claim of a gang. The transaction, which comes
+// later, must have no effect.
 func TestCancellationDuringDecision(t *testing.T) {
 	for _, kind := range []api.JobKind{api.Array, api.Gang} {
 		for _, lastTaskEnded := range []bool{false, true} {
@@ -116,7 +116,7 @@
 	}
 }
 
-// Users query all nodes repeatedly and repeat the submission, right after a job was accepted,
+// Users query all controllers repeatedly and repeat the submission, right after a job was accepted,
 // ended or confirmed as cancelled, and some cancel at once.
 func TestQueriesRightAfterChanges(t *testing.T) {
 	s := newReadyCluster()
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkRecovery ends all faults and runs the cluster until it has recovered: every node can
+// checkRecovery ends all faults and runs the cluster until it has recovered: every controller can
 // answer queries about every job, no cancelled job has tasks, and all other jobs are done or, if
 // they are services, run. In the meantime no task may wait for long while there is free capacity.
 // The environment checks the rules at each step.
@@ -39,7 +39,7 @@
 	t.Helper()
 	s.endFaults()
 	waitingSince := map[string]time.Time{}
-	s.runUntil(t, maxRecoveryRounds, "every node answers queries about every job, and all jobs are done or run", func() bool {
+	s.runUntil(t, maxRecoveryRounds, "every controller answers queries about every job, and all jobs are done or run", func() bool {
 		for i := range s.nodes {
 			for _, id := range s.jobIDs {
 				s.poll(i, id)
@@ -50,9 +50,9 @@
 	})
 }
 
-// recovered reports whether every node answers queries about a job, and the job has either finished
-// without leaving tasks behind, or is a service with all its tasks present. A job that was not
-// accepted must have no tasks.
+// recovered reports whether every controller answers queries about a job, and the job has either
+// finished without leaving tasks behind, or is a service with all its tasks present. A job that was
+// not accepted must have no tasks.
 func (s *testCluster) recovered(t *testing.T, id string) bool {
 	t.Helper()
 	j := s.environment.Jobs[id]
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -31,7 +31,7 @@
 	responseTimeout    = 4 * time.Second // after this time a worker ignores a response
 )
 
-// heartbeatCopy is a heartbeat that arrived, with the node that it was sent to.
+// heartbeatCopy is a heartbeat that arrived, with the controller that it was sent to.
 type heartbeatCopy struct {
 	to   int
 	body []byte
@@ -41,7 +41,7 @@
 type heartbeatResponse struct {
 	status   int
 	commands api.CommandBatch
-	leader   string // the node that the worker should report to
+	leader   string // the controller that the worker should report to
 }
 
 // sentHeartbeat describes a heartbeat that was sent: its sender, its receiver, its time, and the
@@ -59,8 +59,8 @@
 	commands api.CommandBatch
 }
 
-// sendHeartbeat makes a worker send a heartbeat to the node that it reports to, or receive the
-// response that it is waiting for.
+// sendHeartbeat makes a worker send a heartbeat to the controller that it reports to, or receive
+// the response that it is waiting for.
 func (s *clusterNodes) sendHeartbeat(worker *simulator.Worker, fault heartbeatFault) {
 	if !worker.Booted() || worker.Hung {
 		return
@@ -107,19 +107,19 @@
 	return true
 }
 
-// workerPartitioned reports whether heartbeats of a worker can't reach a node.
+// workerPartitioned reports whether heartbeats of a worker can't reach a controller.
 func (s *clusterNodes) workerPartitioned(worker *simulator.Worker, node int) bool {
 	return worker.Partitioned || worker.OutboundLost || s.nodes[node].commands.Partitioned || s.partitioned(s.zoneOf(node), worker.Zone)
 }
 
-// tryNextNode makes a worker that got no usable response from a node send its next heartbeat to the
-// next node.
+// tryNextNode makes a worker that got no usable response from a controller send its next heartbeat
+// to the next controller.
 func (s *clusterNodes) tryNextNode(worker *simulator.Worker, node int) {
 	worker.Node = (node + 1) % len(s.nodes)
 }
 
-// handleHeartbeatResponse makes a worker process a response: it carries out the commands, follows
-// a redirect, or tries the next node.
+// handleHeartbeatResponse makes a worker process a response: it carries out the commands, follows a
+// redirect, or tries the next controller.
 func (s *clusterNodes) handleHeartbeatResponse(sent sentHeartbeat, response heartbeatResponse) {
 	switch {
 	case response.status == http.StatusOK:
@@ -131,8 +131,8 @@
 	}
 }
 
-// deliverHeartbeat makes a node handle a heartbeat and returns its response, which is empty if the
-// node is stopped or paused.
+// deliverHeartbeat makes a controller handle a heartbeat and returns its response, which is empty
+// if the controller is stopped or paused.
 func (s *clusterNodes) deliverHeartbeat(to int, body []byte) heartbeatResponse {
 	n := s.nodes[to]
 	if !n.serves() {
@@ -146,7 +146,7 @@
 	return heartbeatResponse{r.Status, commands, leader}
 }
 
-// deliverCopies delivers copies of heartbeats to every node.
+// deliverCopies delivers copies of heartbeats to every controller.
 func (s *clusterNodes) deliverCopies(copies [][]byte) {
 	for _, body := range copies {
 		for i := range s.nodes {
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -23,7 +23,7 @@
 	return a != b && (f.zonesPartitioned || f.partitionedZone == a || f.partitionedZone == b)
 }
 
-// zoneOf returns the zone of a node.
+// zoneOf returns the zone of a controller.
 func (s *clusterNodes) zoneOf(i int) string { return s.environment.Zones[i%len(s.environment.Zones)] }
 
 // partitionZone partitions a zone from everything outside it, including the state service and the
@@ -63,7 +63,7 @@
 	return !s.peersRefused && !s.isolated[a] && !s.isolated[b] && !s.partitioned(s.zoneOf(a), s.zoneOf(b))
 }
 
-// beforeCommits makes each node call f before its next transaction.
+// beforeCommits makes each controller call f before its next transaction.
 func (s *clusterNodes) beforeCommits(f func(node int)) {
 	for i, n := range s.nodes {
 		n.storeClient.BeforeCommit = func() { f(i) }
--- a/internal/controller/cluster_queries_test.go
+++ b/internal/controller/cluster_queries_test.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// leaderOf returns the name of the node that leads a shard and may act for it, or "" if there is
-// none.
+// leaderOf returns the name of the controller that leads a shard and may act for it, or "" if there
+// is none.
 func (s *testCluster) leaderOf(shardID string) string {
 	for _, n := range s.nodes {
 		if n.running && n.state().Leadership.Leads(shardID) && n.state().Leadership.MayAct(n.controller.node.Now()) {
@@ -83,19 +83,19 @@
 	return ""
 }
 
-// nodeOf returns the index of the node with a name.
+// nodeOf returns the index of the controller with a name.
 func (s *testCluster) nodeOf(name string) int {
 	return slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == name })
 }
 
-// preferredLeaderOf returns the index of the preferred leader of a machine's shard: the node after
-// which the shard is named.
+// preferredLeaderOf returns the index of the preferred leader of a machine's shard: the controller
+// after which the shard is named.
 func (s *testCluster) preferredLeaderOf(host string) int {
 	return s.nodeOf(s.nodes[0].state().Cache.Machines[host].Shard)
 }
 
-// leaderOfJob returns the index of the node that leads the shard of a machine with a running task
-// of a job, and the index of another node.
+// leaderOfJob returns the index of the controller that leads the shard of a machine with a running
+// task of a job, and the index of another controller.
 func (s *testCluster) leaderOfJob(t fataler, uid string) (leader, other int) {
 	t.Helper()
 	for h := range s.runningTasksByHost(uid) {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -22,14 +22,14 @@
 // bootTime is the boot time of a machine, unless a test changes it.
 const bootTime = 6 * time.Second
 
-// clockDrift is the amount by which the clock of each node runs faster than that of the node
-// before it. The clock of the last node is 0.05 per cent fast.
+// clockDrift is the amount by which the clock of each controller runs faster than that of the
+// controller before it. The clock of the last controller is 0.05 per cent fast.
 const clockDrift = 0.00025
 
-// testCluster connects controllers to the simulated services. It runs everything in one
-// goroutine, so that a seed produces the same events every time. The embedded types contain the
-// nodes, the network and the users; the methods of testCluster itself query and check the state
-// of jobs and controllers.
+// testCluster connects controllers to the simulated services. It runs everything in one goroutine,
+// so that a seed produces the same events every time. The embedded types contain the controllers,
+// the network and the users; the methods of testCluster itself query and check the state of jobs
+// and controllers.
 type testCluster struct{ clusterUsers }
 
 // clusterNodes are the controllers of a cluster, the simulated environment and the network
@@ -81,13 +81,13 @@
 // state returns the state of the node's controller.
 func (n *testNode) state() *state.State { return n.controller.testState() }
 
-// serves reports whether the node is running and not paused, so that it answers requests.
+// serves reports whether the controller is running and not paused, so that it answers requests.
 func (n *testNode) serves() bool { return n.running && !n.paused }
 
 // rounds returns the number of rounds that a duration takes.
 func rounds(d time.Duration) int { return int(d / roundInterval) }
 
-// testSettings returns the settings of a node in a small deployment. limits contains the GPU
+// testSettings returns the settings of a controller in a small deployment. limits contains the GPU
 // limit of each team.
 func testSettings(i int, names, zones []string, limits map[string]float64) *config.Settings {
 	s := &config.Settings{HostName: names[i], Zone: zones[i%len(zones)]}
@@ -185,7 +185,7 @@
 	}
 }
 
-// settingsOf returns the settings of a node.
+// settingsOf returns the settings of a controller.
 func (s *clusterNodes) settingsOf(i int) *config.Settings {
 	n := s.nodes[i]
 	names := []string{"n0", "n1", "n2"}
@@ -202,9 +202,9 @@
 	return cfg
 }
 
-// newStoreClient returns a node's client of the state service. The client reports a violation if
-// a transaction has more writes than the announced limit or, for a node that behaves like the
-// version in production, the current limit allows.
+// newStoreClient returns a controller's client of the state service. The client reports a violation
+// if a transaction has more writes than the announced limit or, for a controller that behaves like
+// the version in production, the current limit allows.
 func (s *clusterNodes) newStoreClient(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.environment.Store,
--- a/internal/controller/cluster_users_test.go
+++ b/internal/controller/cluster_users_test.go
@@ -18,7 +18,7 @@
 	jobIDs []string // of submitted jobs, in order
 }
 
-// submit submits a job through a node, or submits it again.
+// submit submits a job through a controller, or submits it again.
 func (s *clusterUsers) submit(i int, uid string) {
 	if !s.nodes[i].serves() || s.nodes[i].runsProductionVersion && s.environment.Jobs[uid].Spec.Kind == api.Gang {
 		return // the version in production does not support gangs
@@ -30,7 +30,7 @@
 	s.checkResponse(uid, r.Status, r.Body, true)
 }
 
-// poll queries a node for the state of a job.
+// poll queries a controller for the state of a job.
 func (s *clusterUsers) poll(i int, uid string) {
 	if s.nodes[i].serves() {
 		r := s.nodes[i].controller.frontend.ServeOrForward(context.Background(), &peer.Request{Kind: peer.Request_KIND_QUERY, Uid: uid})
@@ -38,7 +38,7 @@
 	}
 }
 
-// cancel cancels a job through a node.
+// cancel cancels a job through a controller.
 func (s *clusterUsers) cancel(i int, uid string) {
 	if !s.nodes[i].serves() {
 		return
@@ -57,7 +57,7 @@
 	s.environment.CheckUserResponse(uid, status, state.Phase, submission)
 }
 
-// queryEverywhere queries all nodes for a job and submits it to each of them again, without
+// queryEverywhere queries all controllers for a job and submits it to each of them again, without
 // advancing the time.
 func (s *clusterUsers) queryEverywhere(uid string) {
 	for i := range s.nodes {
@@ -88,8 +88,8 @@
 	{"unknown team", 422, func(fields map[string]json.RawMessage) { fields["owner"] = json.RawMessage(`"nobody"`) }},
 }
 
-// submitInvalid submits invalid jobs through a node. The node must refuse those that are new. The
-// invalid resubmission of an existing job is answered with the job's state.
+// submitInvalid submits invalid jobs through a controller. The controller must refuse those that
+// are new. The invalid resubmission of an existing job is answered with the job's state.
 func (s *clusterUsers) submitInvalid(t fataler, i int) {
 	t.Helper()
 	n := s.nodes[i]
@@ -106,8 +106,8 @@
 	}
 }
 
-// submitChanged submits a small job through a node after change has modified the fields of its
-// body, and returns the status of the response.
+// submitChanged submits a small job through a controller after change has modified the fields of
+// its body, and returns the status of the response.
 func (s *clusterUsers) submitChanged(n *testNode, uid string, change func(fields map[string]json.RawMessage)) int {
 	body := simulator.Submission(&api.Job{
 		UID:      uid,
--- a/internal/controller/generated_faults_test.go
+++ b/internal/controller/generated_faults_test.go
@@ -12,8 +12,8 @@
 
 // No rule is violated while messages are lost, delayed, repeated or reordered, processes crash,
 // services fail, networks are partitioned and machines fail. After the faults have ended, every
-// accepted array and gang is done, unless it was cancelled, and every node answers queries about
-// every accepted job.
+// accepted array and gang is done, unless it was cancelled, and every controller answers queries
+// about every accepted job.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newDrawnCluster(t)
@@ -79,14 +79,15 @@
 	}
 }
 
-// checkOutcome checks that every node can answer queries about an accepted job, that the job has no
-// running tasks if it was cancelled, and that it is done if it was accepted and is not a service.
+// checkOutcome checks that every controller can answer queries about an accepted job, that the job
+// has no running tasks if it was cancelled, and that it is done if it was accepted and is not a
+// service.
 func (s drawnCluster) checkOutcome(t *rapid.T, id string) {
 	j := s.environment.Jobs[id]
 	for i, n := range s.nodes {
 		r := n.controller.frontend.Query(context.Background(), id)
 		if s.checkResponse(id, r.Status, r.Body, false); j.Accepted && r.Status != 200 {
-			t.Fatalf("query of %s at node %d after all faults: got status %d, want 200", id, i, r.Status)
+			t.Fatalf("query of %s at controller %d after all faults: got status %d, want 200", id, i, r.Status)
 		}
 	}
 	running := s.runningTasks(id)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -8,8 +8,9 @@
 	"violetturn/internal/simulator"
 )
 
-// An outage of the state service must not make nodes unhealthy for the load balancer, not even a
-// node that starts during the outage. A node that is still loading its cache is not ready.
+// An outage of the state service must not make controllers unhealthy for the load balancer, not
+// even a controller that starts during the outage. A controller that is still loading its cache is
+// not ready.
 func TestHealthDuringStoreOutage(t *testing.T) {
 	s := newTestCluster()
 	c := s.nodes[0].controller
@@ -18,7 +19,7 @@
 	}
 	c.sync.RecordStoreAnswer(false)
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
-		t.Errorf("health of a node started in an outage: got status %d, want 200", r.Status)
+		t.Errorf("health of a controller started in an outage: got status %d, want 200", r.Status)
 	}
 	if r := c.frontend.Submit(
 		context.Background(),
@@ -33,9 +34,9 @@
 	}
 }
 
-// A node that reaches neither the state service nor any peer is unhealthy: it can't answer its users
-// and would report their jobs as unknown. A node stays healthy if a peer can't reach the state
-// service either.
+// A controller that reaches neither the state service nor any peer is unhealthy: it can't answer
+// its users and would report their jobs as unknown. A controller stays healthy if a peer can't
+// reach the state service either.
 func TestIsolatedNodeIsUnhealthy(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
@@ -48,6 +49,6 @@
 	}
 	delete(c.testState().Reachability.StoreReachableByPeer, "n1")
 	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
-		t.Errorf("health of an isolated node: got status %d, want 503", r.Status)
+		t.Errorf("health of an isolated controller: got status %d, want 503", r.Status)
 	}
 }
--- a/internal/controller/production_version_test.go
+++ b/internal/controller/production_version_test.go
@@ -62,8 +62,8 @@
 }
 
 // Records that are written while one controller may still run the version in production have the
-// same content after that version has read them and written them back. The exception is the
-// schema version that a node writes to its own record, which no other node rewrites.
+// same content after that version has read them and written them back. The exception is the schema
+// version that a controller writes to its own record, which no other controller rewrites.
 func TestProductionVersionPreservesNewRecords(t *testing.T) {
 	s := newTestCluster()
 	s.nodes[1].runsProductionVersion = true
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// A node that does not lead a worker's shard must redirect the worker to the leader. A node that
-// may no longer answer for a shard must not respond with 200, which would keep the worker there.
+// A controller that does not lead a worker's shard must redirect the worker to the leader. A
+// controller that may no longer answer for a shard must not respond with 200, which would keep the
+// worker there.
 func TestOtherNodesRedirectWorkers(t *testing.T) {
 	s := newReadyCluster()
 	s.submitJob(nil)
@@ -66,14 +67,14 @@
 			}
 		}
 	}
-	for range 100 { // the state service refuses only this node
+	for range 100 { // the state service refuses only this controller
 		s.environment.Store.RefusedNodes["n0"] = true
 		s.runRound()
 	}
 	for host := range s.nodes[1].state().Cache.Machines {
 		if worker := s.environment.Cloud.WorkersByHost[host]; worker != nil {
 			if s.deliverHeartbeat(0, api.MustMarshal(worker.Heartbeat())).status == 200 {
-				t.Error("heartbeat long after the end of the node's lease: got status 200, want another")
+				t.Error("heartbeat long after the end of the controller's lease: got status 200, want another")
 			}
 		}
 	}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -9,11 +9,11 @@
 	"violetturn/internal/scheduler"
 )
 
-// Without faults, each node leads its own shard, an array finishes, a service runs until it is
-// cancelled, and all machines are then returned.
+// Without faults, each controller leads its own shard, an array finishes, a service runs until it
+// is cancelled, and all machines are then returned.
 func TestJobsWithoutFaults(t *testing.T) {
 	s := newTestCluster()
-	s.runUntil(t, 20, "each node leads its own shard", func() bool {
+	s.runUntil(t, 20, "each controller leads its own shard", func() bool {
 		return s.leaderOf("n0") == "n0" && s.leaderOf("n1") == "n1" && s.leaderOf("n2") == "n2"
 	})
 	array := s.submitJob(nil)
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -10,8 +10,8 @@
 )
 
 // A shard once had no active leader after the response to its acquisition was lost: the leader key
-// belonged to this node and was kept alive by its lease, but the node did not treat the shard as
-// one that it leads.
+// belonged to this controller and was kept alive by its lease, but the controller did not treat the
+// shard as one that it leads.
 func TestShardIsLedAfterLostCommitResponse(t *testing.T) {
 	s := newTestCluster()
 	for i, n := range s.nodes { // the first transaction registers, the next acquires the shard
--- a/internal/controller/transaction_faults_test.go
+++ b/internal/controller/transaction_faults_test.go
@@ -48,8 +48,8 @@
 	s.checkRecovery(t)
 }
 
-// A transaction is carried out at once and only its response is lost, while other nodes read what
-// it wrote and report it to users: the acceptance, the end and the cancellation of a job.
+// A transaction is carried out at once and only its response is lost, while other controllers read
+// what it wrote and report it to users: the acceptance, the end and the cancellation of a job.
 func TestLostCommitResponseWhileOthersRead(t *testing.T) {
 	s := newReadyCluster()
 	s.environment.Store.NextFault["n0"] = simulator.ResponseLost
