--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -44,7 +44,7 @@
 				schedule.lastSummary, schedule.sending = summary, true
 				intervalFactor := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
 				schedule.next = env.Now.Add(time.Duration(intervalFactor * c.deployment.HeartbeatS * float64(time.Second)))
-				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), env.Now, worker.AgentEpoch, worker.Node
+				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), env.Now, worker.AgentEpoch, worker.NodeIndex
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sentAt, agentEpoch)
 					mu.Lock()
@@ -71,11 +71,11 @@
 		case status == 200:
 			worker.HandleResponse(batch, sentAt, agentEpoch)
 		case status == 421 && leader != "":
-			if _, err := fmt.Sscanf(leader, "n%d", &worker.Node); err != nil {
+			if _, err := fmt.Sscanf(leader, "n%d", &worker.NodeIndex); err != nil {
 				c.tb.Error(err)
 			}
 		default:
-			worker.Node = (node + 1) % controllerCount
+			worker.NodeIndex = (node + 1) % controllerCount
 		}
 	})
 }
--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -28,7 +28,7 @@
 	return &simulator.Deployment{
 		Name: "loopback", HeartbeatS: 0.5, LeaseS: 4, CancelS: 24, BootTime: 6 * time.Second, FetchTime: 500 * time.Millisecond,
 		MachineType: simulator.MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
-		State:       config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
+		StateLimits: config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -50,7 +50,7 @@
 // also stale if it shows an earlier term although the worker showed the current one more than
 // deliveryTimeout ago; within deliveryTimeout, such a heartbeat may still be in transit.
 func (a *Agent) IsStale(h *api.Heartbeat, now time.Time, deliveryTimeout time.Duration) bool {
-	if last := a.LastHeartbeat; last != (HeartbeatNumber{}) && !h.NewerThan(last.AgentEpoch, last.Sequence) {
+	if last := a.LastHeartbeatNumber; last != (HeartbeatNumber{}) && !h.NewerThan(last.AgentEpoch, last.Sequence) {
 		return true
 	}
 	return a.Fenced() && shard.TokenTerm(h.Token) < a.Term && now.Sub(a.fencedAt) > deliveryTimeout
@@ -80,7 +80,7 @@
 			a.State = Responsive
 		}
 	}
-	a.UnacknowledgedAnswers = 0
+	a.UnacknowledgedResponses = 0
 	if a.Heartbeat == nil || h.NewerThan(a.Heartbeat.AgentEpoch, a.Heartbeat.Sequence) {
 		a.Heartbeat = h
 	}
@@ -94,9 +94,9 @@
 	a.RaiseToken(now)
 }
 
-// MaxUnacknowledgedAnswers is the number of answers in a row that a worker may fail to receive before it
+// MaxUnacknowledgedResponses is the number of answers in a row that a worker may fail to receive before it
 // is assumed to receive none. Single answers are lost now and then.
-const MaxUnacknowledgedAnswers = 3
+const MaxUnacknowledgedResponses = 3
 
 // MayAnswerOlderTerm reports whether to answer a worker that has not shown the current term yet, so
 // that the worker receives the term. It also counts the answer. A worker that keeps showing an
@@ -104,9 +104,9 @@
 // counting them as renewals would delay the recovery of its tasks forever. leaseBound is the
 // bound of IsLeaseExpired, interval the time between heartbeats.
 func (a *Agent) MayAnswerOlderTerm(now time.Time, leaseBound, interval time.Duration) bool {
-	if a.UnacknowledgedAnswers >= MaxUnacknowledgedAnswers {
+	if a.UnacknowledgedResponses >= MaxUnacknowledgedResponses {
 		if a.IsLeaseExpired(now, leaseBound) {
-			a.UnacknowledgedAnswers = 0 // nothing runs on the machine any more, so the worker may be answered again
+			a.UnacknowledgedResponses = 0 // nothing runs on the machine any more, so the worker may be answered again
 		}
 		return false
 	}
@@ -114,7 +114,7 @@
 	// a new leader at once. If each copy counted as an answer that the worker did not receive, a
 	// running worker would be refused.
 	if now.Sub(a.UnacknowledgedCountedAt) >= interval/2 {
-		a.UnacknowledgedAnswers++
+		a.UnacknowledgedResponses++
 		a.UnacknowledgedCountedAt = now
 	}
 	return true
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -58,7 +58,7 @@
 			if a.IsStale(h, now, 0) {
 				t.Fatalf("new heartbeat %d/%d is stale", h.AgentEpoch, h.Sequence)
 			}
-			a.LastHeartbeat = HeartbeatNumber{AgentEpoch: agentEpoch, Sequence: sequence}
+			a.LastHeartbeatNumber = HeartbeatNumber{AgentEpoch: agentEpoch, Sequence: sequence}
 			if !a.Accept(h, now) {
 				t.Fatalf("new heartbeat %d/%d is not accepted", h.AgentEpoch, h.Sequence)
 			}
@@ -162,23 +162,23 @@
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
-	for round := range MaxUnacknowledgedAnswers {
+	for round := range MaxUnacknowledgedResponses {
 		now := start.Add(time.Duration(round) * interval)
 		for range 5 { // a heartbeat and its copies; only the first one is answered in the last round
-			if a.UnacknowledgedAnswers < MaxUnacknowledgedAnswers && !a.MayAnswerOlderTerm(now, bound, interval) {
+			if a.UnacknowledgedResponses < MaxUnacknowledgedResponses && !a.MayAnswerOlderTerm(now, bound, interval) {
 				t.Fatalf("the worker is not answered in round %d", round)
 			}
 		}
-		if a.UnacknowledgedAnswers != round+1 {
-			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnacknowledgedAnswers, round+1)
+		if a.UnacknowledgedResponses != round+1 {
+			t.Fatalf("counted %d answers in %d rounds, want one per round", a.UnacknowledgedResponses, round+1)
 		}
 	}
-	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedAnswers != MaxUnacknowledgedAnswers {
+	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedResponses != MaxUnacknowledgedResponses {
 		t.Errorf("within its lease the worker is answered once more or the count changed: %d answers counted, want %d",
-			a.UnacknowledgedAnswers, MaxUnacknowledgedAnswers)
+			a.UnacknowledgedResponses, MaxUnacknowledgedResponses)
 	}
-	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedAnswers != 0 {
-		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnacknowledgedAnswers)
+	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedResponses != 0 {
+		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d answers, want 0", a.UnacknowledgedResponses)
 	}
 	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
 		t.Error("the worker is not answered after its lease has expired")
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -32,6 +32,6 @@
 // PendingLaunch counts the answers that carried the launch of an attempt.
 type PendingLaunch struct {
 	Attempt           uint64
-	SentAnswers       int
+	SentResponses     int
 	BlockedHeartbeats int // consecutive heartbeats without capacity for the task, and with no stopping task about to free any
 }
--- a/internal/agent/contact.go
+++ b/internal/agent/contact.go
@@ -48,14 +48,14 @@
 
 // Contact records what a worker has reported and which commands and answers were sent to it.
 type Contact struct {
-	State         State
-	Heartbeat     *api.Heartbeat  // the newest accepted heartbeat; nil exactly while the state is Unfenced
-	LastHeartbeat HeartbeatNumber // the newest heartbeat, accepted or not; excludes answers to direct commands
-	LastSeen      time.Time       // when a heartbeat was last accepted
-	LastCommandAt time.Time       // when a direct command was last sent
+	State               State
+	Heartbeat           *api.Heartbeat  // the newest accepted heartbeat; nil exactly while the state is Unfenced
+	LastHeartbeatNumber HeartbeatNumber // the newest heartbeat, accepted or not; excludes answers to direct commands
+	LastSeen            time.Time       // when a heartbeat was last accepted
+	LastCommandAt       time.Time       // when a direct command was last sent
 
-	UnacknowledgedAnswers   int       // heartbeat intervals in a row with an answer to a heartbeat that still showed an older term
-	UnacknowledgedCountedAt time.Time // when UnacknowledgedAnswers was last incremented
+	UnacknowledgedResponses int       // heartbeat intervals in a row with an answer to a heartbeat that still showed an older term
+	UnacknowledgedCountedAt time.Time // when UnacknowledgedResponses was last incremented
 
 	fencedAt time.Time // when the worker first showed this term
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -18,9 +18,9 @@
 	return agent.MayAnswerOlderTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
-// AcceptCommandAnswer processes the heartbeat in a worker's answer to direct commands that were sent
+// AcceptCommandResponse processes the heartbeat in a worker's answer to direct commands that were sent
 // under a term.
-func (r *Registry) AcceptCommandAnswer(host string, term uint64, heartbeat *api.Heartbeat) {
+func (r *Registry) AcceptCommandResponse(host string, term uint64, heartbeat *api.Heartbeat) {
 	if agent := r.agents[host]; agent != nil && agent.Term == term && heartbeat.Host == host {
 		r.AcceptHeartbeat(host, agent, heartbeat)
 	}
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -29,7 +29,7 @@
 		}
 	case api.CauseInsufficientResources:
 		agent.AvoidUntil = r.node.Now().Add(2 * r.node.Settings.HeartbeatInterval())
-	case api.CauseStopped, api.CauseBusy, api.CauseUnknown, api.CausePeerLost, api.CauseGangIncomplete:
+	case api.CauseStopped, api.CauseBusy, api.CauseUnknownTask, api.CausePeerLost, api.CauseGangIncomplete:
 		// implies nothing about the machine
 	}
 }
@@ -41,7 +41,7 @@
 	switch cause {
 	case api.CauseDone:
 		return job.ExitDone
-	case api.CauseError, api.CauseUnknown:
+	case api.CauseError, api.CauseUnknownTask:
 		return job.ExitError
 	case api.CauseInsufficientResources, api.CauseBusy:
 		return job.ExitRefused
--- a/internal/api/enums.go
+++ b/internal/api/enums.go
@@ -94,7 +94,7 @@
 	CauseError                 ExitCause = "error"      // the task failed
 	CauseInsufficientResources ExitCause = "no_room"    // start refused: the machine lacks free resources
 	CauseBusy                  ExitCause = "busy"       // start refused: the machine has another attempt of the task
-	CauseUnknown               ExitCause = "unknown"    // start refused: no such job or task
+	CauseUnknownTask           ExitCause = "unknown"    // start refused: no such job or task
 	CausePeerLost              ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
 	CauseGangIncomplete        ExitCause = "alone"      // task of a gang: not all tasks of the gang were ready in time
 )
@@ -103,7 +103,7 @@
 // without success that does not count as a failure of the task or of its machine.
 func (c ExitCause) Known() bool {
 	switch c {
-	case CauseDone, CauseStopped, CauseError, CauseInsufficientResources, CauseBusy, CauseUnknown, CausePeerLost, CauseGangIncomplete:
+	case CauseDone, CauseStopped, CauseError, CauseInsufficientResources, CauseBusy, CauseUnknownTask, CausePeerLost, CauseGangIncomplete:
 		return true
 	}
 	return false
--- a/internal/api/enums_test.go
+++ b/internal/api/enums_test.go
@@ -38,7 +38,7 @@
 		{CauseError, "error", true},
 		{CauseInsufficientResources, "no_room", true},
 		{CauseBusy, "busy", true},
-		{CauseUnknown, "unknown", true},
+		{CauseUnknownTask, "unknown", true},
 		{CausePeerLost, "mates_gone", true},
 		{CauseGangIncomplete, "alone", true},
 		{ExitCause("melted"), "melted", false},
--- a/internal/capacity/calculator.go
+++ b/internal/capacity/calculator.go
@@ -54,15 +54,15 @@
 			continue
 		}
 		if job == nil {
-			load.Arrays++
+			load.OtherTasks++
 			continue
 		}
 		need := statecache.ResourcesOf(&job.Record.Spec)
 		load.Used = load.Used.Add(need)
 		if job.Record.Spec.Kind == api.Service {
-			load.Services++
+			load.ServiceTasks++
 		} else {
-			load.Arrays++
+			load.OtherTasks++
 		}
 		if job.MustStop(task.Placement) {
 			load.Stopping = load.Stopping.Add(need)
@@ -77,7 +77,7 @@
 // UnfinishedTasks returns the number of unfinished tasks on a machine.
 func (r *Calculator) UnfinishedTasks(host string) int {
 	load := r.LoadOf(host)
-	return load.Services + load.Arrays
+	return load.ServiceTasks + load.OtherTasks
 }
 
 // StartDelay estimates the seconds until a machine's worker sends the heartbeat whose answer can
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -31,7 +31,7 @@
 // anyway, so refreshes are only made at intervals. tasksWait reports whether tasks of this
 // controller's jobs wait for capacity.
 func (a *Accounting) RefreshTransaction(now time.Time, tasksWait func() bool) *statecache.Transaction {
-	for _, name := range a.leadership.Shards() {
+	for _, name := range a.leadership.HeldShards() {
 		record := a.cache.Capacities[name].Record
 		inForce := a.leadership.InForce(name)
 		if inForce == nil || record == nil || !a.catalog.IsLoaded() {
--- a/internal/commands/sender.go
+++ b/internal/commands/sender.go
@@ -79,7 +79,7 @@
 func (s *Sender) acceptAnswer(command *agent.DirectCommand, heartbeat *api.Heartbeat) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Agents.AcceptCommandAnswer(command.Host, command.Term, heartbeat)
+	state.Agents.AcceptCommandResponse(command.Host, command.Term, heartbeat)
 }
 
 // RequestHeartbeats makes workers whose tasks have changed send a heartbeat at once: launches are
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -170,8 +170,8 @@
 			c.testState().Cache.InvalidateLoad(host)
 			if computed := c.testState().FreeCapacity.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
 				!computed.Stopping.ApproxEqual(cached.Stopping) ||
-				computed.Services != cached.Services ||
-				computed.Arrays != cached.Arrays ||
+				computed.ServiceTasks != cached.ServiceTasks ||
+				computed.OtherTasks != cached.OtherTasks ||
 				!slices.EqualFunc(computed.RunningByPriority[:], cached.RunningByPriority[:], sched.Resources.ApproxEqual) {
 				t.Fatalf("load of %s cached by %s: got %+v, want %+v", host, n.name, cached, computed)
 			}
--- a/internal/controller/cluster_heartbeats_test.go
+++ b/internal/controller/cluster_heartbeats_test.go
@@ -69,7 +69,7 @@
 		return
 	}
 	body := api.MustMarshal(worker.Heartbeat())
-	to := worker.Node
+	to := worker.NodeIndex
 	partitioned := s.workerPartitioned(worker, to)
 	if partitioned && fault == heartbeatDelayed {
 		s.delayedHeartbeats = append(s.delayedHeartbeats, func() { s.deliverHeartbeat(to, body) })
@@ -115,7 +115,7 @@
 // tryNextNode makes a worker that got no usable response from a controller send its next heartbeat
 // to the next controller.
 func (s *clusterNodes) tryNextNode(worker *simulator.Worker, node int) {
-	worker.Node = (node + 1) % len(s.nodes)
+	worker.NodeIndex = (node + 1) % len(s.nodes)
 }
 
 // handleHeartbeatResponse makes a worker process a response: it carries out the commands, follows a
@@ -125,7 +125,7 @@
 	case response.status == http.StatusOK:
 		sent.worker.HandleResponse(response.commands, sent.sentAt, sent.agentEpoch)
 	case response.status == http.StatusMisdirectedRequest && response.leader != "" && response.leader != s.nodes[sent.to].name:
-		sent.worker.Node = slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == response.leader })
+		sent.worker.NodeIndex = slices.IndexFunc(s.nodes, func(n *testNode) bool { return n.name == response.leader })
 	default:
 		s.tryNextNode(sent.worker, sent.to)
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -209,7 +209,7 @@
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.environment.Store,
 		Node:          n.name,
-		OnServed:      n.controller.sync.RecordStoreAnswer,
+		OnServed:      n.controller.sync.RecordStoreResponse,
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -99,7 +99,7 @@
 		Limits:          store.Limits{RPS: current.RPS, WriteRPS: current.WriteRPS},
 		AnnouncedLimits: store.Limits{RPS: lowest.RPS, WriteRPS: lowest.WriteRPS},
 		ControllerCount: settings.Facts.ControllerCount,
-		OnResponse:      c.sync.RecordStoreAnswer,
+		OnResponse:      c.sync.RecordStoreResponse,
 	})
 	cloudRPS := settings.Facts.Cloud.RPS / float64(settings.Facts.ControllerCount)
 	c.services.Cloud = cloud.NewClient(client, settings.External.Cloud, cloudTimeout, cloudRPS)
@@ -184,7 +184,7 @@
 		c.watchLoop,
 		c.decisions.Run,
 		c.decisions.RunGangPlacement,
-		c.scaling.AutoscaleLoop,
+		c.scaling.Run,
 		c.members.PeerLoop,
 		c.summaryLoop,
 	}
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -97,7 +97,7 @@
 			}
 			for host, machine := range s.nodes[s.nodeOf(leader)].state().Cache.Machines {
 				if worker := s.environment.Cloud.WorkersByHost[host]; machine.Shard == shardID &&
-					(worker == nil || s.nodes[worker.Node].name != leader) {
+					(worker == nil || s.nodes[worker.NodeIndex].name != leader) {
 					return false
 				}
 			}
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -17,7 +17,7 @@
 	if r := c.frontend.HandleHealthCheck(); r.Status != 503 {
 		t.Errorf("health before the cache is loaded: got status %d, want 503", r.Status)
 	}
-	c.sync.RecordStoreAnswer(false)
+	c.sync.RecordStoreResponse(false)
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("health of a controller started in an outage: got status %d, want 200", r.Status)
 	}
@@ -28,7 +28,7 @@
 		t.Errorf("submission in an outage: got status %d, retry after %d s, want 503 with a retry time", r.Status, r.RetryAfter)
 	}
 	s.stepNode(0)
-	c.sync.RecordStoreAnswer(true)
+	c.sync.RecordStoreResponse(true)
 	if r := c.frontend.HandleHealthCheck(); r.Status != 200 {
 		t.Errorf("health once the cache is loaded: got status %d, want 200", r.Status)
 	}
@@ -40,7 +40,7 @@
 func TestIsolatedNodeIsUnhealthy(t *testing.T) {
 	s := newReadyCluster()
 	c := s.nodes[0].controller
-	c.sync.RecordStoreAnswer(false)
+	c.sync.RecordStoreResponse(false)
 	s.environment.Advance(c.node.Settings.ControllerLeaseTTL())
 	c.testState().Reachability.PeersQueried = true
 	c.testState().Reachability.StoreReachableByPeer["n1"] = false
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -49,7 +49,7 @@
 		dueJobs:       map[*simulator.JobClass]float64{},
 		costs:         map[string]*phaseCost{},
 	}
-	scenario.testCluster = newClusterWithoutNodes(environment, deployment.State, deployment.State)
+	scenario.testCluster = newClusterWithoutNodes(environment, deployment.StateLimits, deployment.StateLimits)
 	scenario.adjustSettings = func(_ *testNode, cfg *config.Settings) {
 		cfg.Facts.Workers.HeartbeatIntervalS = deployment.HeartbeatS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
@@ -58,10 +58,10 @@
 		}
 	}
 	scenario.onStart = func(n *testNode) {
-		writeRPSPerNode := deployment.State.WriteRPS / float64(len(scenario.nodes))
+		writeRPSPerNode := deployment.StateLimits.WriteRPS / float64(len(scenario.nodes))
 		n.controller.services.Store = &budgetedStore{
 			n.storeClient,
-			transport.NewTokenBucket(writeRPSPerNode, 0.6*deployment.State.WriteRPS),
+			transport.NewTokenBucket(writeRPSPerNode, 0.6*deployment.StateLimits.WriteRPS),
 			func() time.Time { return scenario.environment.Now },
 		}
 		n.controller.guard.StartMeter()
@@ -141,9 +141,9 @@
 		l.lastSummary[host] = summary
 		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
 		l.nextHeartbeat[host] = l.environment.Now.Add(time.Duration(interval * float64(time.Second)))
-		node := worker.Node
+		node := worker.NodeIndex
 		if !l.nodes[node].serves() {
-			worker.Node = (node + 1) % len(l.nodes)
+			worker.NodeIndex = (node + 1) % len(l.nodes)
 			l.nextHeartbeat[host] = l.environment.Now.Add(time.Second)
 			continue
 		}
--- a/internal/controller/machine_records_test.go
+++ b/internal/controller/machine_records_test.go
@@ -60,17 +60,17 @@
 func TestRecentTerminationsStayRecorded(t *testing.T) {
 	cache := statecache.New(nil)
 	name := func(i int) string { return fmt.Sprintf("i-%06d", i) }
-	const machines = 3 * statecache.MinTerminated
+	const machines = 3 * statecache.MinTerminatedLimit
 	for i := range machines {
 		cache.RecordTerminated(name(i))
-		for previous := range min(i, statecache.MinTerminated/2) {
+		for previous := range min(i, statecache.MinTerminatedLimit/2) {
 			if previous%97 == 0 && !cache.Terminated[name(i-previous)] {
 				t.Fatalf("of %d terminated machines, number %d from the end is not recorded, want it recorded", i+1, previous+1)
 			}
 		}
 	}
-	if len(cache.Terminated) > statecache.MinTerminated {
-		t.Errorf("%d terminated machines are recorded, want at most %d", len(cache.Terminated), statecache.MinTerminated)
+	if len(cache.Terminated) > statecache.MinTerminatedLimit {
+		t.Errorf("%d terminated machines are recorded, want at most %d", len(cache.Terminated), statecache.MinTerminatedLimit)
 	}
 }
 
--- a/internal/controller/new_machines_test.go
+++ b/internal/controller/new_machines_test.go
@@ -114,7 +114,7 @@
 		Image:    "i",
 	}
 	for range 40 {
-		c.testState().Capacity.Arrivals().Record(&job.Record{Spec: *spec, AcceptedMS: c.node.Now().UnixMilli()})
+		c.testState().Accounting.Arrivals().Record(&job.Record{Spec: *spec, AcceptedMS: c.node.Now().UnixMilli()})
 	}
 	s.runFor(6) // a sixteenth of the boot time is eight rounds
 	if machines := len(s.environment.Cloud.WorkersByHost); machines < 150 {
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -41,7 +41,7 @@
 	c.node.Log.Info(
 		"summary",
 		"store_rps", requestRate, "write_rps", writeRate,
-		"jobs", len(s.Cache.Jobs), "hosts", len(s.Cache.Machines), "shards", len(s.Leadership.Shards()),
+		"jobs", len(s.Cache.Jobs), "hosts", len(s.Cache.Machines), "shards", len(s.Leadership.HeldShards()),
 		"heap_kb", memory.HeapAlloc>>10,
 	)
 	c.logCommits(s)
--- a/internal/decisions/archive.go
+++ b/internal/decisions/archive.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if isDoneGang(j) {
-		return job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}, placed == 0 || !s.Capacity.CountsAgainstQuota(j)
+		return job.FinalState{Phase: api.JobDone, Done: j.Record.Spec.Tasks}, placed == 0 || !s.Accounting.CountsAgainstQuota(j)
 	}
 	return job.FinalState{Phase: api.JobCancelled, Done: done}, placed == 0
 }
--- a/internal/decisions/capacity_records.go
+++ b/internal/decisions/capacity_records.go
@@ -11,7 +11,7 @@
 // placements in the shard write the record anyway.
 func (l *Loop) refreshCapacityRecord(ctx context.Context) (more bool) {
 	state := l.guard.Lock()
-	transaction := state.Capacity.RefreshTransaction(l.node.Now(), state.Scheduler.HasPendingTasks)
+	transaction := state.Accounting.RefreshTransaction(l.node.Now(), state.Scheduler.HasPendingTasks)
 	l.guard.Unlock()
 	if transaction == nil {
 		return false
@@ -23,7 +23,7 @@
 // placement.
 func (l *Loop) reclaimQuota(ctx context.Context) {
 	state := l.guard.Lock()
-	transaction := state.Capacity.ReclaimTransaction(l.node.Now())
+	transaction := state.Accounting.ReclaimTransaction(l.node.Now())
 	l.guard.Unlock()
 	if transaction == nil || !l.sync.MayActNow() {
 		return
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -77,7 +77,7 @@
 
 // newRecordsPlan returns the plan with the changes that an editor has collected.
 func newRecordsPlan(editor *schema.Editor) recordsPlan {
-	transaction := editor.Transaction()
+	transaction := editor.BuildTransaction()
 	if editor.Changes == 0 || editor.HasOversizedRecord {
 		return recordsPlan{recordTooLarge: editor.HasOversizedRecord}
 	}
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -203,5 +203,5 @@
 	if !searchDue || !s.Leadership.MayAct(now) {
 		return nil
 	}
-	return s.Scheduler.Plan(now).Gangs
+	return s.Scheduler.Plan(now).GangClaims
 }
--- a/internal/decisions/placements.go
+++ b/internal/decisions/placements.go
@@ -57,7 +57,7 @@
 	}
 	plan := s.Scheduler.Plan(now)
 	s.Scheduler.CachePlan(plan, now)
-	return placementPlan{placements: plan.Placements, gangs: plan.Gangs, preemptions: plan.GangVictims}
+	return placementPlan{placements: plan.Placements, gangs: plan.GangClaims, preemptions: plan.GangVictims}
 }
 
 // commitPlacements commits the placements of a plan made at plannedAt. It returns the tasks to be
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -130,7 +130,7 @@
 		Leader:               self,
 		PredecessorMayAnswer: !predecessorsStopped,
 		Free:                 shard.FreeCapacity{},
-		QuotaUse:             state.Capacity.QuotaUseOf(name),
+		QuotaUse:             state.Accounting.QuotaUseOf(name),
 	})
 	return acquisition{
 		txn:      txn,
--- a/internal/finalstate/finalstate.go
+++ b/internal/finalstate/finalstate.go
@@ -48,5 +48,5 @@
 // maxEntries returns the maximum number of entries. Final states beyond it are read from the state
 // service on request.
 func maxEntries(settings *config.Settings) int {
-	return max(capacity.MinArrivalsPerClass, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor/finalStateBytes))
+	return max(capacity.MinArrivalLimit, int(settings.Facts.Limits.MemoryMB*(1<<20)/memoryDivisor/finalStateBytes))
 }
--- a/internal/golden/variants_test.go
+++ b/internal/golden/variants_test.go
@@ -77,7 +77,7 @@
 	"cause error":                api.CauseError,
 	"cause no room":              api.CauseInsufficientResources,
 	"cause busy":                 api.CauseBusy,
-	"cause unknown":              api.CauseUnknown,
+	"cause unknown":              api.CauseUnknownTask,
 	"cause peer lost":            api.CausePeerLost,
 	"cause gang incomplete":      api.CauseGangIncomplete,
 	"command launch":             api.Launch,
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -24,8 +24,8 @@
 	return t.LastAttempt
 }
 
-// PlaceAttempt places task i of a gang under the attempt number that all tasks of the gang share.
-func (t *TaskRange) PlaceAttempt(i int, host string, attempt uint64, atS int64) {
+// PlaceGangTask places task i of a gang under the attempt number that all tasks of the gang share.
+func (t *TaskRange) PlaceGangTask(i int, host string, attempt uint64, atS int64) {
 	t.LastAttempt = max(t.LastAttempt, attempt)
 	t.Placements[i] = &Placement{Attempt: attempt, Host: host, PlacedS: atS}
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -67,9 +67,9 @@
 // none.
 func (t *Table) Lookup(shard string) *Leadership { return t.byShard[shard] }
 
-// Shards returns the shards that this node has a leadership of, in force or not, in no
+// HeldShards returns the shards that this node has a leadership of, in force or not, in no
 // particular order.
-func (t *Table) Shards() []string {
+func (t *Table) HeldShards() []string {
 	shards := make([]string, 0, len(t.byShard))
 	for shard := range t.byShard {
 		shards = append(shards, shard)
--- a/internal/reconcile/comparison.go
+++ b/internal/reconcile/comparison.go
@@ -153,7 +153,7 @@
 	c.endAttempt(task.placementKey, agent.EndedAttempt{
 		Attempt: attempt,
 		Done:    done && spec.Kind != api.Service,
-		Failed:  reported.Cause == api.CauseError || reported.Cause == api.CauseUnknown,
+		Failed:  reported.Cause == api.CauseError || reported.Cause == api.CauseUnknownTask,
 		Reason:  agent.ExitReasonOf(reported.Cause),
 	})
 	firstRun := c.worker.FirstRuns[task.placementKey]
@@ -196,7 +196,7 @@
 // it, that the worker is considered to ignore launches.
 func (c *comparison) ignoresLaunches(task committedTask) bool {
 	pending := c.worker.PendingLaunches[task.placementKey]
-	return pending.Attempt == task.attempt.Attempt && pending.SentAnswers >= agent.MaxUnacknowledgedAnswers
+	return pending.Attempt == task.attempt.Attempt && pending.SentResponses >= agent.MaxUnacknowledgedResponses
 }
 
 // markUnresponsive marks the worker as unresponsive, if it is not marked yet.
@@ -206,7 +206,7 @@
 	}
 	c.worker.BecomeUnresponsive(c.now)
 	c.reconciler.node.Log.Info("worker ignores launches", logkey.Host(c.heartbeat.Host),
-		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].SentAnswers))
+		logkey.Task(task.attempt.Task), logkey.Launches(c.worker.PendingLaunches[task.placementKey].SentResponses))
 }
 
 // endAttempt records that the attempt of the placement with the key has ended.
@@ -246,7 +246,7 @@
 			continue
 		}
 		c.free = c.free.Sub(task.resources())
-		pending.SentAnswers++
+		pending.SentResponses++
 		pending.BlockedHeartbeats = 0
 		c.worker.PendingLaunches[task.placementKey] = pending
 		c.commands = append(c.commands, task.attempt.Command(api.Launch))
@@ -262,7 +262,7 @@
 		pending.BlockedHeartbeats = 0
 	}
 	c.worker.PendingLaunches[task.placementKey] = pending
-	if pending.BlockedHeartbeats >= agent.MaxUnacknowledgedAnswers {
+	if pending.BlockedHeartbeats >= agent.MaxUnacknowledgedResponses {
 		c.endAttempt(task.placementKey, agent.EndedAttempt{Attempt: task.attempt.Attempt, Reason: job.ExitRefused})
 	}
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -39,7 +39,7 @@
 	if machine.Addr != heartbeat.Addr && heartbeat.Addr != "" {
 		r.cache.SetAddress(heartbeat.Host, heartbeat.Addr) // the record may have been made before the address was known
 	}
-	worker.LastHeartbeat = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
+	worker.LastHeartbeatNumber = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(heartbeat.Token) < leadership.Term {
 		if !r.agents.MayAnswerOlderTerm(worker, now) {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// AutoscaleLoop calls Autoscale at intervals until ctx ends.
-func (l *Loop) AutoscaleLoop(ctx context.Context) {
+// Run calls Autoscale at intervals until ctx ends.
+func (l *Loop) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.Autoscale(ctx)
 		timing.Sleep(ctx, l.node.Settings.AutoscaleInterval())
--- a/internal/sched/gang_assign.go
+++ b/internal/sched/gang_assign.go
@@ -8,7 +8,7 @@
 // GangTask is a gang task that needs a machine.
 type GangTask struct {
 	ZoneAllowed func(zone string) bool // zones allowed given the job's other tasks; nil: any
-	Assigned    func(zone string)      // called with the zone of the assigned machine; may be nil
+	OnAssigned  func(zone string)      // called with the zone of the assigned machine; may be nil
 }
 
 // CountFits returns how many tasks fit into the free capacity of the machines that the job may use,
@@ -47,8 +47,8 @@
 				assigned[i] = h
 				gangHosts[h] = true
 				h.Free = h.Free.Sub(request.Need)
-				if task.Assigned != nil {
-					task.Assigned(h.Zone)
+				if task.OnAssigned != nil {
+					task.OnAssigned(h.Zone)
 				}
 				break
 			}
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -8,7 +8,7 @@
 // ahead of newer gangs. None of its tasks starts until capacity for all of them is claimed.
 type GangRetry struct {
 	MaxMisses         int           // misses in a row that are allowed before the claims are released
-	RetryDelay        time.Duration // delay after each miss
+	MissInterval      time.Duration // delay after each miss
 	HasReleasedClaims bool          // the gang has released its claims and started over, so it precedes newer gangs
 
 	consecutiveMisses int
@@ -17,13 +17,13 @@
 
 // The initial values, as docs/design.md gives them.
 const (
-	InitialRetryDelay = time.Second
-	InitialMaxMisses  = 3
+	InitialMissInterval = time.Second
+	InitialMaxMisses    = 3
 )
 
 // NewGangRetry returns the state of a gang that has not searched for capacity yet.
 func NewGangRetry() *GangRetry {
-	return &GangRetry{MaxMisses: InitialMaxMisses, RetryDelay: InitialRetryDelay}
+	return &GangRetry{MaxMisses: InitialMaxMisses, MissInterval: InitialMissInterval}
 }
 
 // RecordClaim records that the gang claimed capacity: it resets the misses and the delay.
@@ -36,7 +36,7 @@
 		return false
 	}
 	g.consecutiveMisses++
-	g.delayedUntil = now.Add(g.RetryDelay)
+	g.delayedUntil = now.Add(g.MissInterval)
 	if g.consecutiveMisses <= g.MaxMisses {
 		return false
 	}
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -24,7 +24,7 @@
 				delayed := now.Before(delayedUntil)
 				if !delayed {
 					misses++
-					delayedUntil = now.Add(InitialRetryDelay)
+					delayedUntil = now.Add(InitialMissInterval)
 				}
 				release := retry.RecordMiss(now)
 				if release != (!delayed && misses > InitialMaxMisses) {
--- a/internal/sched/rental.go
+++ b/internal/sched/rental.go
@@ -12,9 +12,9 @@
 
 // UnmetDemand is a number of tasks of one job that lack capacity.
 type UnmetDemand struct {
-	Request  TaskRequest
-	Count    int
-	Assigned func(zone string) // called with the zone of each task, for Request.ZoneAllowed; may be nil
+	Request    TaskRequest
+	Count      int
+	OnAssigned func(zone string) // called with the zone of each task, for Request.ZoneAllowed; may be nil
 }
 
 // RentalOrder is an offer and the number of machines to rent of it.
@@ -65,8 +65,8 @@
 			p.ranking.Add(h)
 		}
 		h.Free = h.Free.Sub(demand.Request.Need)
-		if demand.Assigned != nil {
-			demand.Assigned(h.Zone)
+		if demand.OnAssigned != nil {
+			demand.OnAssigned(h.Zone)
 		}
 	}
 	p.hosts = slices.DeleteFunc(p.hosts, func(h *Host) bool {
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -99,7 +99,7 @@
 	if t.hasAttemptEnded(placement) {
 		return placementRefused
 	}
-	taskRange.PlaceAttempt(placement.Index, placement.Host.Name, t.attempt, secondsSinceAccepted(t.job, t.now))
+	taskRange.PlaceGangTask(placement.Index, placement.Host.Name, t.attempt, secondsSinceAccepted(t.job, t.now))
 	t.zones.addTask(placement.RangeIndex, placement.Host.Zone)
 	t.placed = append(t.placed, newPlacementLog(t.job, &placement, t.attempt))
 	return placementAdded
@@ -136,7 +136,7 @@
 	if t.placedBefore+len(t.placed) == t.job.Record.Spec.Tasks {
 		t.editor.Record(t.job).Gang.Launch(secondsSinceAccepted(t.job, t.now))
 	}
-	transaction := t.editor.Transaction()
+	transaction := t.editor.BuildTransaction()
 	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -186,7 +186,7 @@
 	for _, task := range g.job.tasks {
 		tasks = append(tasks, sched.GangTask{
 			ZoneAllowed: func(zone string) bool { return constraint.allows(task.RangeIndex, zone) },
-			Assigned:    func(zone string) { constraint.addTask(task.RangeIndex, zone) },
+			OnAssigned:  func(zone string) { constraint.addTask(task.RangeIndex, zone) },
 		})
 	}
 	hosts := sched.AssignGang(groups, request, tasks)
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -70,8 +70,8 @@
 			Free:         free,
 			Stopping:     load.Stopping,
 			Images:       s.cache.PlacedImages[name],
-			ServiceTasks: load.Services,
-			ArrayTasks:   load.Arrays,
+			ServiceTasks: load.ServiceTasks,
+			ArrayTasks:   load.OtherTasks,
 			StartDelayS:  s.freeCapacity.StartDelay(name, load, now),
 		})
 		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -89,7 +89,7 @@
 	if len(t.placed) == 0 {
 		return PlacementResult{StopSeparately: result.StopSeparately}
 	}
-	transaction := t.editor.Transaction()
+	transaction := t.editor.BuildTransaction()
 	if t.editor.HasOversizedRecord {
 		return PlacementResult{}
 	}
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -13,7 +13,7 @@
 // Plan is what this controller would do, computed from the state at one moment.
 type Plan struct {
 	Placements     []capacity.Placement
-	Gangs          []*GangClaim             // claims for all unplaced tasks of a gang each
+	GangClaims     []*GangClaim             // claims for all unplaced tasks of a gang each
 	GangVictims    []*statecache.PlacedTask // tasks to stop for gangs
 	UnmetDemand    []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
 	AllUnmetDemand []sched.UnmetDemand      // the same, and the unplaced tasks of peers' jobs
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -172,7 +172,7 @@
 	search := p.searchGangCapacity(job)
 	if search.isComplete() {
 		if job.entry.ledLocally {
-			p.plan.Gangs = append(p.plan.Gangs, search.claim())
+			p.plan.GangClaims = append(p.plan.GangClaims, search.claim())
 		}
 		job.tasks = nil
 		return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -48,7 +48,7 @@
 	FreeCapacity *capacity.Calculator
 	Estimates    *estimate.Estimates
 	Zones        *zonestate.Zones
-	Accounts     *capacity.Accounting
+	Accounting   *capacity.Accounting
 	Wake         notify.Signal
 }
 
@@ -64,7 +64,7 @@
 		freeCapacity: d.FreeCapacity,
 		estimates:    d.Estimates,
 		zones:        d.Zones,
-		accounts:     d.Accounts,
+		accounts:     d.Accounting,
 		wake:         d.Wake,
 		gangs:        newGangTable(),
 		backoffs:     backoffTable{},
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -42,7 +42,7 @@
 	demand.Request.ZoneAllowed = func(zone string) bool {
 		return next >= len(tasks) || job.zoneConstraint.allows(tasks[next].RangeIndex, zone)
 	}
-	demand.Assigned = func(zone string) {
+	demand.OnAssigned = func(zone string) {
 		job.zoneConstraint.addTask(tasks[next].RangeIndex, zone)
 		next++
 	}
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -172,9 +172,9 @@
 	return size
 }
 
-// Transaction adds the edited records to the transaction and returns it. If a record exceeds the
+// BuildTransaction adds the edited records to the transaction and returns it. If a record exceeds the
 // maximum size, it sets Outgrown and requests that the job's records be split.
-func (e *Editor) Transaction() *statecache.Transaction {
+func (e *Editor) BuildTransaction() *statecache.Transaction {
 	e.putRanges()
 	for uid, record := range e.Records {
 		if record != nil {
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -15,7 +15,7 @@
 	HeartbeatS, LeaseS, CancelS float64       // seconds
 	BootTime, FetchTime         time.Duration // time that a machine takes to boot, time to fetch an image
 	MachineType                 MachineType
-	State                       config.StateLimits
+	StateLimits                 config.StateLimits
 	TeamGPULimit                float64 // GPU limit of each team; 0: no limit
 	ServiceJobs, ArrayJobs      JobClass
 }
@@ -38,7 +38,7 @@
 	return &Deployment{
 		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:        config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 4000,
 		ServiceJobs: JobClass{
 			Name:          "service",
@@ -70,7 +70,7 @@
 	return &Deployment{
 		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
-		State:        config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
+		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 8000,
 		ServiceJobs: JobClass{
 			Name:          "service",
@@ -101,7 +101,7 @@
 	return &Deployment{
 		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, BootTime: 40 * time.Second, FetchTime: 8 * time.Second,
 		MachineType: MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
-		State:       config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
+		StateLimits: config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
 		ServiceJobs: JobClass{
 			Name:          "service",
 			Service:       true,
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -25,8 +25,8 @@
 	Machine
 	AgentState
 	WorkerFaults
-	Tasks []*Task
-	Node  int // index of the controller that the worker sends heartbeats to
+	Tasks     []*Task
+	NodeIndex int // index of the controller that the worker sends heartbeats to
 
 	env                              *Environment
 	rentedAt, bootedAt, terminatedAt time.Time
--- a/internal/state/reachability.go
+++ b/internal/state/reachability.go
@@ -12,9 +12,9 @@
 	StoreReachableByPeer map[string]bool // by each peer that answered: whether it reaches the state service
 }
 
-// RecordStoreAnswer records whether the state service served a request. It reports whether the result
+// RecordStoreResponse records whether the state service served a request. It reports whether the result
 // differs from that of the previous request.
-func (r *Reachability) RecordStoreAnswer(served bool, now time.Time) (changed bool) {
+func (r *Reachability) RecordStoreResponse(served bool, now time.Time) (changed bool) {
 	if r.StoreReachable == served {
 		return false
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -30,7 +30,7 @@
 	DirectCommands *agent.DirectCommands  // commands sent to workers outside of heartbeat responses
 	FreeCapacity   *capacity.Calculator   // free capacity of machines
 	Zones          *zonestate.Zones       // health of zones
-	Capacity       *capacity.Accounting   // capacity records and quotas
+	Accounting     *capacity.Accounting   // capacity records and quotas
 	Scheduler      *scheduler.Scheduler   // placement of tasks
 	Autoscaler     *autoscaler.Autoscaler // rentals and returns of machines
 	Reconciler     *reconcile.Reconciler  // responses to heartbeats
@@ -72,7 +72,7 @@
 	s.Zones = zonestate.New(zonestate.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
-	s.Capacity = capacity.NewAccounting(capacity.AccountingDeps{
+	s.Accounting = capacity.NewAccounting(capacity.AccountingDeps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, FreeCapacity: s.FreeCapacity,
 	})
 }
@@ -82,11 +82,11 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounts: s.Capacity, Wake: wake,
+		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Accounting, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Commands: s.DirectCommands, FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Capacity,
+		Commands: s.DirectCommands, FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Accounting,
 		Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
@@ -97,7 +97,7 @@
 
 // JobAdded implements statecache.Observer. It records the arrival, from which future arrivals of
 // the job's class are estimated.
-func (s *State) JobAdded(record *job.Record) { s.Capacity.Arrivals().Record(record) }
+func (s *State) JobAdded(record *job.Record) { s.Accounting.Arrivals().Record(record) }
 
 // JobEnded implements statecache.Observer. It caches the final state of the job for users' queries.
 func (s *State) JobEnded(uid string, final job.FinalState) { s.FinalStates.Add(uid, final) }
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -110,15 +110,15 @@
 // SetAddress sets the address of a machine whose record was written before the address was known.
 func (x *MachineIndex) SetAddress(host, address string) { x.Machines[host].Addr = address }
 
-// MinTerminated is the minimum number of terminated machines that are kept before old ones are
+// MinTerminatedLimit is the minimum number of terminated machines that are kept before old ones are
 // removed: names of some ten bytes each.
-const MinTerminated = 8192
+const MinTerminatedLimit = 8192
 
 // RecordTerminated records that a machine was terminated, so that a delayed heartbeat does not register
 // it again. If the terminated machines exceed several times the number of machines, the older half
 // is removed: delayed heartbeats are from recently terminated machines.
 func (x *MachineIndex) RecordTerminated(host string) {
-	if limit := max(MinTerminated, 4*len(x.Machines)); len(x.Terminated) >= limit {
+	if limit := max(MinTerminatedLimit, 4*len(x.Machines)); len(x.Terminated) >= limit {
 		names := slices.Sorted(maps.Keys(x.Terminated)) // names sort by time of creation
 		for _, name := range names[:len(names)/2] {
 			delete(x.Terminated, name)
--- a/internal/statecache/placements.go
+++ b/internal/statecache/placements.go
@@ -65,11 +65,11 @@
 // MachineLoad is the load of a machine. It is computed by internal/capacity, which has the ended
 // tasks, and cached here, where placements change.
 type MachineLoad struct {
-	Used              sched.Resources                // resources of the unfinished tasks
-	Stopping          sched.Resources                // resources of the unfinished tasks that have to stop
-	RunningByPriority [NumPriorities]sched.Resources // resources of the other unfinished tasks
-	Services, Arrays  int                            // number of unfinished tasks: of services, and of all other kinds of jobs
-	LastPlacedMS      int64                          // when the most recent of the tasks was placed, Unix time in milliseconds
+	Used                     sched.Resources                // resources of the unfinished tasks
+	Stopping                 sched.Resources                // resources of the unfinished tasks that have to stop
+	RunningByPriority        [NumPriorities]sched.Resources // resources of the other unfinished tasks
+	ServiceTasks, OtherTasks int                            // number of unfinished tasks: of services, and of all other kinds of jobs
+	LastPlacedMS             int64                          // when the most recent of the tasks was placed, Unix time in milliseconds
 }
 
 // CachedLoad returns the cached load of a machine; nil if there is none.
--- a/internal/storesync/reachability.go
+++ b/internal/storesync/reachability.go
@@ -1,9 +1,9 @@
 package storesync
 
-// RecordStoreAnswer records whether the state service served a request.
-func (s *Sync) RecordStoreAnswer(served bool) {
+// RecordStoreResponse records whether the state service served a request.
+func (s *Sync) RecordStoreResponse(served bool) {
 	state := s.guard.Lock()
-	changed := state.Reachability.RecordStoreAnswer(served, s.node.Now())
+	changed := state.Reachability.RecordStoreResponse(served, s.node.Now())
 	s.guard.Unlock()
 	if changed {
 		s.node.Log.Info("state service reachability", "reachable", served)
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -62,7 +62,7 @@
 	observations := Observations{}
 	for _, zone := range z.node.Settings.Facts.Zones {
 		observations[zone] = map[string]zonehealth.Observation{}
-		for _, name := range z.leadership.Shards() {
+		for _, name := range z.leadership.HeldShards() {
 			if z.leadership.Leads(name) {
 				observations[zone][name] = zonehealth.Observation{RentalsRefused: z.catalog.AllOffersRefused(zone, now)}
 			}
