--- a/internal/agent/cloud_listing.go
+++ b/internal/agent/cloud_listing.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// updateListedAgent updates the agent of a listed machine whose shard this node leads. A machine
-// that the cloud lists as failed is cordoned.
+// updateListedAgent updates the agent of a listed machine whose shard this controller leads. A
+// machine that the cloud lists as failed is cordoned.
 func (c *CloudListing) updateListedAgent(machine cloud.Machine, leadership *leadership.Leadership) {
 	agent := c.registry.Ensure(machine.UID, leadership)
 	agent.MissingFromLists = 0
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -37,7 +37,7 @@
 }
 
 // StopCancelledTasks returns the commands that stop the tasks of cancelled jobs on a machine, for
-// a node that may not act as a leader. Such a node may have missed newer commits, but a
+// a controller that may not act as a leader. Such a controller may have missed newer commits, but a
 // cancellation is never reverted, and the tasks of a cancelled job must end in time.
 func (r *Registry) StopCancelledTasks(host string) []api.Command {
 	commands := []api.Command{}
--- a/internal/agent/direct_commands.go
+++ b/internal/agent/direct_commands.go
@@ -105,8 +105,8 @@
 func (d *DirectCommands) RequestHeartbeat(host string) { d.requestedHosts[host] = true }
 
 // DueHeartbeatRequests prepares the commands that make workers send a heartbeat now, as many as
-// there are free slots. The next call prepares the others. There are none while this node may not
-// act as a leader.
+// there are free slots. The next call prepares the others. There are none while this controller may
+// not act as a leader.
 func (d *DirectCommands) DueHeartbeatRequests(now time.Time) []*DirectCommand {
 	if !d.registry.leadership.MayAct(now) {
 		return nil
@@ -147,7 +147,7 @@
 }
 
 // acceptsCommands reports whether a worker can be expected to carry out a command now. Its shard
-// must be led by this node.
+// must be led by this controller.
 func (d *DirectCommands) acceptsCommands(host string, agent *Agent) bool {
 	machine := d.registry.cache.Machines[host]
 	return machine != nil && d.registry.leadership.Leads(machine.Shard) &&
--- a/internal/agent/machine_state.go
+++ b/internal/agent/machine_state.go
@@ -32,7 +32,7 @@
 	return "unknown"
 }
 
-// ObservedState returns the state of a machine as observed by this node, the leader of the
+// ObservedState returns the state of a machine as observed by this controller, the leader of the
 // machine's shard.
 func (r *Registry) ObservedState(host string, machine *shard.Machine, agent *Agent, now time.Time) MachineState {
 	silenceLimit := 2 * r.node.Settings.HeartbeatInterval() // every worker that sends heartbeats has sent one within this time
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -115,7 +115,7 @@
 	r.DropLeadership(shard)
 	newLeadership := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
 	if !acquired.PredecessorsStopped {
-		newLeadership.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGrace())
+		newLeadership.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGracePeriod())
 	}
 	r.leadership.Begin(shard, newLeadership)
 	r.node.Log.Info("shard acquired", logkey.Shard(shard), logkey.Term(acquired.Term),
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -78,10 +78,10 @@
 
 // A leadership begins with an agent for each machine. If an earlier leader may still answer, the
 // last response counts as sent at the end of the grace period. The leadership does not begin if
-// another controller has acquired the shard since.
+// a peer has acquired the shard since.
 func TestBeginLeadershipCreatesAgents(t *testing.T) {
 	f := newRegistryFixture(t)
-	grace := f.node.Settings.LeadershipGrace()
+	grace := f.node.Settings.LeadershipGracePeriod()
 	for _, test := range []struct {
 		name         string
 		acquired     AcquiredShard
--- a/internal/agent/task_ends.go
+++ b/internal/agent/task_ends.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// ExitReasonOf returns the exit reason for the cause that a worker reported. A cause unknown to
-// this version is treated as an error: the task did not complete, and whether the task or the
+// ExitReasonOf returns the exit reason for the cause that a worker reported: job.ExitLost for a
+// cause unknown to this version, since the task did not complete, and whether the task or the
 // machine failed is unknown.
 func ExitReasonOf(cause api.ExitCause) job.ExitReason {
 	switch cause {
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -10,11 +10,11 @@
 // maxProbes limits the number of workers that are probed at a time.
 const maxProbes = 4
 
-// CheckWorkerContact checks whether workers reach this node. releaseAll reports that this node
-// should release all its shards. That requires a peer that has contact with workers: otherwise the
-// workers themselves may have failed, and their shards would pass from controller to controller.
-// probes are the addresses of workers to be probed; they are returned only while no worker reaches
-// this node.
+// CheckWorkerContact checks whether workers reach this controller. releaseAll reports that this
+// controller should release all its shards. That requires a peer that has contact with workers:
+// otherwise the workers themselves may have failed, and their shards would pass from controller to
+// controller. probes are the addresses of workers to be probed; they are returned only while no
+// worker reaches this controller.
 func (d *DirectCommands) CheckWorkerContact(now time.Time) (releaseAll bool, probes []string) {
 	contact := d.registry.leadership.Contact()
 	if contact.Unreachable() {
@@ -25,10 +25,10 @@
 	return contact.Unreachable() && contact.PeerHasContact(), probes
 }
 
-// countExpectedAgents counts the machines of the shards that this node leads from which heartbeats
-// are expected: those that have sent one under this term, and those with tasks once their agent has
-// existed for longer than a heartbeat interval. Machines that are terminated or whose worker lease
-// has expired are not expected to send any.
+// countExpectedAgents counts the machines of the shards that this controller leads from which
+// heartbeats are expected: those that have sent one under this term, and those with tasks once
+// their agent has existed for longer than a heartbeat interval. Machines that are terminated or
+// whose worker lease has expired are not expected to send any.
 func (r *Registry) countExpectedAgents(now time.Time) int {
 	expected := 0
 	for host, machine := range r.cache.Machines {
--- a/internal/api/enums.go
+++ b/internal/api/enums.go
@@ -92,7 +92,7 @@
 	CauseDone                  ExitCause = "done"       // completed
 	CauseStopped               ExitCause = "stopped"    // stopped by a command
 	CauseError                 ExitCause = "error"      // the task failed
-	CauseInsufficientResources ExitCause = "no_room"    // start refused: the machine lacks free resources
+	CauseInsufficientResources ExitCause = "no_room"    // start refused: the machine lacks free capacity
 	CauseBusy                  ExitCause = "busy"       // start refused: the machine has another attempt of the task
 	CauseUnknownTask           ExitCause = "unknown"    // start refused: no such job or task
 	CausePeerLost              ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -183,7 +183,7 @@
 func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
 	machines := map[string]bool{}
 	for _, headroom := range a.headroomRequests(now) {
-		candidates := a.freeCapacity.WithPreemptibleCapacity(hosts, headroom.priority)
+		candidates := a.capacityCalculator.WithPreemptibleCapacity(hosts, headroom.priority)
 		for _, demand := range headroom.demands {
 			ranking := sched.NewRanking(nil, candidates, &demand.Request)
 			for range demand.Count {
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -87,7 +87,7 @@
 // isBusy reports whether a machine has unfinished tasks, by its placements or by its worker's
 // heartbeat.
 func (r *ScaleInReview) isBusy(host string, worker *agent.Agent) bool {
-	if r.autoscaler.freeCapacity.UnfinishedTasks(host) > 0 {
+	if r.autoscaler.capacityCalculator.UnfinishedTasks(host) > 0 {
 		return true
 	}
 	isUnfinished := func(task api.TaskState) bool { return task.Phase != api.TaskEnded }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -41,18 +41,18 @@
 	}
 	plan := a.scheduler.RecentPlan(now)
 	preferredZone := a.node.Settings.Zone
-	orders := sched.PlanRentals(plan.UnmetDemand, a.freeCapacity.ProvisioningHosts(now, false),
+	orders := sched.PlanRentals(plan.UnmetDemand, a.capacityCalculator.ProvisioningHosts(now, false),
 		a.catalog.AvailableOffers(now), preferredZone)
 	if len(headroom) == 0 {
 		return orders
 	}
 	// Tasks that lack capacity now, here and at the peers, have been rented for already, so they
 	// get their share of the booting machines before the headroom does.
-	hosts := append(a.freeCapacity.ProvisioningHosts(now, true), plan.RemainingHosts...)
+	hosts := append(a.capacityCalculator.ProvisioningHosts(now, true), plan.RemainingHosts...)
 	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
 	for _, request := range headroom {
-		candidates := a.freeCapacity.WithPreemptibleCapacity(hosts, request.priority)
+		candidates := a.capacityCalculator.WithPreemptibleCapacity(hosts, request.priority)
 		additional := sched.PlanRentals(request.demands, candidates, a.catalog.AvailableOffers(now), preferredZone)
 		if len(additional) == 0 { // otherwise the next run rents the rest, as one run's rentals are limited
 			sufficient.tasksByClass[request.class] = request.taskCount()
--- a/internal/capacity/accounting.go
+++ b/internal/capacity/accounting.go
@@ -15,12 +15,12 @@
 // Accounting computes what shards offer to peers and what teams use of their quotas, and adds the
 // writes of these records to transactions. The lock of internal/state guards it.
 type Accounting struct {
-	node         *node.Info
-	cache        *statecache.Cache
-	schema       *schema.State
-	leadership   *leadership.Table
-	catalog      *catalog.Catalog
-	freeCapacity *Calculator
+	node       *node.Info
+	cache      *statecache.Cache
+	schema     *schema.State
+	leadership *leadership.Table
+	catalog    *catalog.Catalog
+	calculator *Calculator
 
 	arrivals       *Arrivals
 	peerDemand     cachedPeerDemand
@@ -29,12 +29,12 @@
 
 // AccountingDeps are the dependencies that NewAccounting takes.
 type AccountingDeps struct {
-	Node         *node.Info
-	Cache        *statecache.Cache
-	Schema       *schema.State
-	Leadership   *leadership.Table
-	Catalog      *catalog.Catalog
-	FreeCapacity *Calculator
+	Node       *node.Info
+	Cache      *statecache.Cache
+	Schema     *schema.State
+	Leadership *leadership.Table
+	Catalog    *catalog.Catalog
+	Calculator *Calculator
 }
 
 // NewAccounting returns the accounting of capacity and quotas, without any recorded arrival.
@@ -45,7 +45,7 @@
 		schema:         d.Schema,
 		leadership:     d.Leadership,
 		catalog:        d.Catalog,
-		freeCapacity:   d.FreeCapacity,
+		calculator:     d.Calculator,
 		arrivals:       newArrivals(d.Node, d.Catalog),
 		quotaShortages: map[string]bool{},
 	}
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -59,8 +59,8 @@
 	return &Claims{accounting: a, byShard: map[string]*shardClaim{}}
 }
 
-// Changes returns the number of capacity and quota records that the claims write.
-func (c *Claims) Changes() int { return c.writes }
+// Writes returns the number of capacity and quota records that the claims write.
+func (c *Claims) Writes() int { return c.writes }
 
 // PendingClaim is a placement that was checked against the current free capacity and quota. It
 // claims nothing until Apply is called.
@@ -82,8 +82,8 @@
 // Job returns the job of the placement.
 func (p *PendingClaim) Job() *statecache.Job { return p.job }
 
-// Changes returns the number of additional capacity and quota records that the claim writes.
-func (p *PendingClaim) Changes() int {
+// Writes returns the number of additional capacity and quota records that the claim writes.
+func (p *PendingClaim) Writes() int {
 	writes := 0
 	if p.opensShard {
 		writes++
--- a/internal/capacity/refresh.go
+++ b/internal/capacity/refresh.go
@@ -97,7 +97,7 @@
 }
 
 // updateTransaction returns a transaction that writes a shard's capacity record and as many of the
-// reduced quota shares as its operation limit allows.
+// reduced quota shares as its limit on writes allows.
 func (a *Accounting) updateTransaction(shardName string, update capacityUpdate) *statecache.Transaction {
 	for team := range update.reducedShares {
 		if len(update.reducedShares) < a.schema.TransactionLimits().TxnOps {
@@ -116,7 +116,7 @@
 // rounded as in the shard's capacity record.
 func (a *Accounting) offeredCapacity(shardName string, now time.Time) shard.FreeCapacity {
 	free := shard.FreeCapacity{}
-	for host, amount := range a.freeCapacity.freeInShard(shardName, now) {
+	for host, amount := range a.calculator.freeInShard(shardName, now) {
 		free[host] = amount.Rounded()
 	}
 	return free
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -157,5 +157,5 @@
 	if m.Status == statusServiceUnavailable && response.Error == noCapacityText {
 		return ErrNoCapacity
 	}
-	return fmt.Errorf("%w: status %d", ErrUnavailable, m.Status)
+	return fmt.Errorf("%w: unexpected status %d", ErrUnavailable, m.Status)
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -79,16 +79,17 @@
 		t.Fatalf("controller lease is %v, want at least %v; staleness is %v, want at least the lease",
 			s.ControllerLeaseTTL(), minControllerLease, s.MaxStaleness())
 	}
-	grace := s.LeadershipGrace()
+	grace := s.LeadershipGracePeriod()
 	if total := s.ControllerLeaseTTL() + grace + s.WorkerLeaseBound(); grace > 0 && total > seconds(s.Facts.Workers.CancelTimeoutS) {
 		t.Fatalf("a cancellation that a partitioned leader can't read takes %v, want at most %v", total,
 			seconds(s.Facts.Workers.CancelTimeoutS))
 	}
 	if grace < 0 || s.DecisionInterval() < 0 || s.DecisionInterval() > s.HeartbeatInterval() {
-		t.Fatalf("grace is %v, want at least 0; decision interval is %v, want 0 to %v", grace, s.DecisionInterval(), s.HeartbeatInterval())
+		t.Fatalf("grace period is %v, want at least 0; decision interval is %v, want 0 to %v",
+			grace, s.DecisionInterval(), s.HeartbeatInterval())
 	}
 	if s.ConfirmsCancelAfterTasksEnd() && grace > 0 {
-		t.Fatalf("grace is %v, want 0 if cancellations are confirmed only when the job is empty", grace)
+		t.Fatalf("grace period is %v, want 0 if cancellations are confirmed only when the job is empty", grace)
 	}
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -93,7 +93,7 @@
 		{"decision interval", s.DecisionInterval()},
 		{"read interval", s.QueryReadInterval()},
 		{"controller lease", s.ControllerLeaseTTL()},
-		{"leadership grace", s.LeadershipGrace()},
+		{"leadership grace", s.LeadershipGracePeriod()},
 		{"staleness", s.MaxStaleness()},
 		{"confirms a cancellation when empty", s.ConfirmsCancelAfterTasksEnd()},
 		{"processors of 8", s.MaxProcs(8)},
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -9,7 +9,7 @@
 )
 
 // Lowest limits of a controller's machine in any deployment: memory for the program and an empty
-// replica, and sockets for some connections of each kind.
+// cache, and sockets for some connections of each kind.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -67,11 +67,11 @@
 	return max(min(2*s.HeartbeatInterval(), s.WorkerLease()/3), minControllerLease)
 }
 
-// LeadershipGrace returns how long a leader that can't reach the state service may answer heartbeats
-// after its lease may have expired. Meanwhile it can't read cancellations, and a cancelled job's tasks
-// must still end within cancel_s: the controller's lease, the grace period and the workers' lease
-// together stay below cancel_s.
-func (s *Settings) LeadershipGrace() time.Duration {
+// LeadershipGracePeriod returns how long a leader that can't reach the state service may answer
+// heartbeats after its lease may have expired. Meanwhile it can't read cancellations, and a
+// cancelled job's tasks must still end within cancel_s: the controller's lease, the grace period
+// and the workers' lease together stay below cancel_s.
+func (s *Settings) LeadershipGracePeriod() time.Duration {
 	return max(0, min(2*s.WorkerLease(), s.cancelMargin()-s.ControllerLeaseTTL()))
 }
 
--- a/internal/controller/cancellation_during_store_outage_test.go
+++ b/internal/controller/cancellation_during_store_outage_test.go
@@ -20,7 +20,7 @@
 	uncancelled = s.submitJob(zoneService)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(uncancelled) == 3 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.environment.Store.RefusedNodes[s.nodes[leader].name] = true
+	s.environment.Store.RefusedControllers[s.nodes[leader].name] = true
 	s.stepNode(leader) // it observes the refusal
 	if s.cancel(other, cancelled); s.environment.Jobs[cancelled].FinalPhase != api.JobCancelled {
 		t.Fatalf("job in phase %q after its cancellation, want it confirmed as %q", s.environment.Jobs[cancelled].FinalPhase,
@@ -63,7 +63,7 @@
 			}
 		},
 		"leader can't reach its peers, its workers can": func(s *testCluster, leader, _ int) {
-			s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.peersRefused = true, true
+			s.environment.Store.UnreachableControllers[s.nodes[leader].name], s.peersRefused = true, true
 		},
 	} {
 		t.Run(name, func(t *testing.T) { runStoreOutage(t, fault) })
--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -104,7 +104,7 @@
 // faults of the controllers.
 func (o *outageSchedule) scheduleFaults() {
 	name := o.nodes[o.leader].name
-	o.scheduleFault("refused", 4, func(active bool) { o.environment.Store.RefusedNodes[name] = active })
+	o.scheduleFault("refused", 4, func(active bool) { o.environment.Store.RefusedControllers[name] = active })
 	o.scheduleFault("outage", 8, func(active bool) { o.environment.Store.Down = active })
 	o.scheduleEvent("cancel", 8, func() { o.cancel(o.other, o.cancelledJob) })
 	if rapid.Bool().Draw(o.t, "peers refused") {
@@ -173,7 +173,8 @@
 	if len(o.environment.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
 		o.t.Fatalf("lease %v, cancellation timeout %v, leadership grace %v, max staleness %v: violations %v",
-			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGrace(), cfg.MaxStaleness(), o.environment.Violations)
+			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGracePeriod(), cfg.MaxStaleness(),
+			o.environment.Violations)
 	}
 }
 
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -136,9 +136,9 @@
 		}
 		switch round {
 		case 6:
-			s.environment.Store.RefusedNodes["n2"] = true // it redirects its users
+			s.environment.Store.RefusedControllers["n2"] = true // it redirects its users
 		case 12:
-			s.environment.Store.RefusedNodes["n2"] = false
+			s.environment.Store.RefusedControllers["n2"] = false
 		case 15:
 			s.startNode(1)
 		}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -168,7 +168,7 @@
 		for _, host := range c.testState().Cache.MachinesWithCachedLoad() {
 			cached := c.testState().Cache.CachedLoad(host)
 			c.testState().Cache.InvalidateLoad(host)
-			if computed := c.testState().FreeCapacity.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
+			if computed := c.testState().CapacityCalculator.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
 				!computed.Stopping.ApproxEqual(cached.Stopping) ||
 				computed.ServiceTasks != cached.ServiceTasks ||
 				computed.OtherTasks != cached.OtherTasks ||
--- a/internal/controller/cluster_network_test.go
+++ b/internal/controller/cluster_network_test.go
@@ -32,7 +32,7 @@
 	s.partitionedZone = zone
 	for i, n := range s.nodes {
 		unreachable := s.zoneOf(i) == zone
-		s.environment.Store.UnreachableNodes[n.name], s.environment.Cloud.UnreachableNodes[n.name] = unreachable, unreachable
+		s.environment.Store.UnreachableControllers[n.name], s.environment.Cloud.UnreachableControllers[n.name] = unreachable, unreachable
 	}
 }
 
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -172,12 +172,12 @@
 	}
 	n.commands = &simulator.CommandClient{
 		Environment:     s.environment,
-		Node:            n.name,
+		Controller:      n.name,
 		PartitionedFrom: func(w *simulator.Worker) bool { return s.partitioned(s.zoneOf(i), w.Zone) },
 	}
 	c.services.Peers = peerLink{s, i}
 	c.services.Store = s.newStateService(n, cfg)
-	c.services.Cloud = &simulator.CloudClient{Cloud: s.environment.Cloud, Node: n.name}
+	c.services.Cloud = &simulator.CloudClient{Cloud: s.environment.Cloud, Controller: n.name}
 	c.services.Workers = n.commands
 	n.running, n.paused = true, false
 	if s.onStart != nil {
@@ -208,7 +208,7 @@
 func (s *clusterNodes) newStateService(n *testNode, cfg *config.Settings) external.StateService {
 	n.storeClient = &simulator.StoreClient{
 		Store:         s.environment.Store,
-		Node:          n.name,
+		Controller:    n.name,
 		OnServed:      n.controller.sync.RecordStoreResponse,
 		TxnOps:        cfg.LowestLimits().TxnOps,
 		MaxValueBytes: int(cfg.Facts.State.ValueKB * 1024),
@@ -299,9 +299,9 @@
 // version in production.
 func (s *clusterNodes) endFaults() {
 	s.environment.Store.Down, s.environment.Cloud.Down, s.environment.Cloud.NoCapacity = false, false, false
-	clear(s.environment.Store.RefusedNodes)
-	clear(s.environment.Store.UnreachableNodes)
-	clear(s.environment.Cloud.UnreachableNodes)
+	clear(s.environment.Store.RefusedControllers)
+	clear(s.environment.Store.UnreachableControllers)
+	clear(s.environment.Cloud.UnreachableControllers)
 	s.networkFaults = networkFaults{isolated: map[int]bool{}}
 	s.environment.MachineType.BootTime = bootTime
 	for i, n := range s.nodes {
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -17,7 +17,7 @@
 	cancelled, service := s.submitService(3, nil), s.submitService(2, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(service) == 2 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
+	s.environment.Store.UnreachableControllers[s.nodes[leader].name], s.isolated[leader] = true, true
 	for i, n := range s.nodes { // the others can't reach its workers, which keep reporting to it
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
@@ -82,11 +82,11 @@
 	id := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Kind, r.Tasks = api.Service, 4 })
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	shardID := s.nodes[0].state().Cache.Machines[s.environment.Cloud.HostNames()[0]].Shard
-	s.environment.Store.UnreachableNodes[shardID] = true
+	s.environment.Store.UnreachableControllers[shardID] = true
 	settings := s.nodes[0].controller.node.Settings
 	s.runUntil(
 		t,
-		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGrace()+settings.WorkerLeaseBound())+20,
+		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGracePeriod()+settings.WorkerLeaseBound())+20,
 		"shard led by another controller",
 		func() bool {
 			leader := s.leaderOf(shardID)
@@ -103,7 +103,7 @@
 		},
 	)
 	partitioned := s.nodeOf(shardID)
-	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGrace()) {
+	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGracePeriod()) {
 		s.runRound()
 	}
 	for _, worker := range s.environment.Cloud.WorkersByHost { // a worker that has not got the new leader's token must not be kept
@@ -116,6 +116,6 @@
 	array := s.submitJob(func(r *api.Job, _ *time.Duration) { r.Tasks = 6 })
 	s.submit(1, array)
 	s.runUntil(t, 120, "new job done and replicas run", func() bool { return s.isDone(array)() && s.runningTasks(id) == 4 })
-	s.environment.Store.UnreachableNodes[shardID] = false
+	s.environment.Store.UnreachableControllers[shardID] = false
 	s.runUntil(t, 60, "shard led by its preferred leader again", func() bool { return s.leaderOf(shardID) == shardID })
 }
--- a/internal/controller/controllers_away_test.go
+++ b/internal/controller/controllers_away_test.go
@@ -18,9 +18,9 @@
 				id := s.submitService(3, nil)
 				s.submitArray(6, 10*time.Second, nil)
 				s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
-				s.environment.Store.RefusedNodes["n1"] = true // its shard gets another leader
+				s.environment.Store.RefusedControllers["n1"] = true // its shard gets another leader
 				s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
-				s.environment.Store.RefusedNodes["n1"] = false // and returns to n1
+				s.environment.Store.RefusedControllers["n1"] = false // and returns to n1
 				s.runRounds(t, 3)
 				for _, n := range s.nodes {
 					n.running = false
--- a/internal/controller/fault_actions_controllers_test.go
+++ b/internal/controller/fault_actions_controllers_test.go
@@ -63,7 +63,7 @@
 func (s controllerFaults) isolateController(t *rapid.T) {
 	i := s.drawNode(t)
 	s.isolated[i] = !s.isolated[i]
-	s.environment.Store.UnreachableNodes[s.nodes[i].name] = s.isolated[i]
+	s.environment.Store.UnreachableControllers[s.nodes[i].name] = s.isolated[i]
 }
 
 // makeWorkersUnreachable partitions a controller from its workers only, or ends that partition.
--- a/internal/controller/fault_actions_services_test.go
+++ b/internal/controller/fault_actions_services_test.go
@@ -29,14 +29,14 @@
 // refuseController makes the state service refuse one controller only, or serve it again.
 func (s serviceFaults) refuseController(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.environment.Store.RefusedNodes[name] = !s.environment.Store.RefusedNodes[name]
+	s.environment.Store.RefusedControllers[name] = !s.environment.Store.RefusedControllers[name]
 }
 
 // makeStoreUnreachable partitions a controller from the state service but not from its workers, or
 // ends that partition.
 func (s serviceFaults) makeStoreUnreachable(t *rapid.T) {
 	name := s.nodes[s.drawNode(t)].name
-	s.environment.Store.UnreachableNodes[name] = !s.environment.Store.UnreachableNodes[name]
+	s.environment.Store.UnreachableControllers[name] = !s.environment.Store.UnreachableControllers[name]
 }
 
 // failNextTransaction injects a fault into the next transaction of a controller.
@@ -84,7 +84,7 @@
 // cancel a job, and then the state service refuse all controllers.
 func (s serviceFaults) cancelDuringStoreOutage(t *rapid.T) {
 	i, id := s.drawNode(t), s.drawJobID(t)
-	s.environment.Store.RefusedNodes[s.nodes[i].name] = true
+	s.environment.Store.RefusedControllers[s.nodes[i].name] = true
 	s.stepNode(i)
 	s.cancel((i+1)%len(s.nodes), id)
 	s.environment.Store.Down = true
--- a/internal/controller/leader_changes_test.go
+++ b/internal/controller/leader_changes_test.go
@@ -170,10 +170,10 @@
 	for host := range s.nodes[0].state().Cache.Machines {
 		preferred = s.preferredLeaderOf(host)
 	}
-	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = true // before the machine has booted
+	s.environment.Store.RefusedControllers[s.nodes[preferred].name] = true // before the machine has booted
 	s.runUntil(t, 60, "replica runs", func() bool { return s.runningTasks(id) == 1 })
 	s.runFor(100)
-	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = false
+	s.environment.Store.RefusedControllers[s.nodes[preferred].name] = false
 	for range 60 {
 		s.runRound()
 		if s.runningTasks(id) != 1 {
@@ -194,9 +194,9 @@
 	s.runFor(90) // long enough for any boot
 	preferred := s.preferredLeaderOf(host)
 	s.environment.Cloud.WorkersByHost[host].Partitioned = true
-	s.environment.Store.RefusedNodes[s.nodes[preferred].name] = true
+	s.environment.Store.RefusedControllers[s.nodes[preferred].name] = true
 	settings := s.nodes[0].controller.node.Settings
 	// By the end of this time its task has certainly ended.
-	bound := settings.LeadershipGrace() + settings.WorkerLeaseBound() + 2*settings.ControllerLeaseTTL() + 2*time.Second
+	bound := settings.LeadershipGracePeriod() + settings.WorkerLeaseBound() + 2*settings.ControllerLeaseTTL() + 2*time.Second
 	s.runUntil(t, rounds(bound), "machine returned", func() bool { return s.environment.Cloud.WorkersByHost[host] == nil })
 }
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -294,7 +294,7 @@
 // Commit commits a transaction if the budget allows its writes, and returns store.ErrRefused
 // otherwise.
 func (b *budgetedStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
-	if _, ok := b.budget.Take(b.now(), float64(len(t.Ops)), 0); !ok {
+	if _, ok := b.budget.Take(b.now(), float64(len(t.Writes)), 0); !ok {
 		return store.CommitResult{}, store.ErrRefused
 	}
 	return b.StoreClient.Commit(ctx, t, r)
--- a/internal/controller/lowered_limits_test.go
+++ b/internal/controller/lowered_limits_test.go
@@ -44,7 +44,7 @@
 
 // lowerStateLimits has the state service enforce the announced lower limits.
 func (s *testCluster) lowerStateLimits() {
-	s.environment.Store.MaxOps, s.environment.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
+	s.environment.Store.MaxWrites, s.environment.Store.MaxValueBytes = s.nextStateLimits.TxnOps, int(s.nextStateLimits.ValueKB*1024)
 }
 
 // Jobs with large records of the version in production keep running, are cancelled and finish
--- a/internal/controller/production_store_test.go
+++ b/internal/controller/production_store_test.go
@@ -163,8 +163,8 @@
 
 // Commit commits a transaction, as the version in production writes its records.
 func (p *productionVersionStore) Commit(ctx context.Context, t *store.Txn, r store.Priority) (store.CommitResult, error) {
-	rewritten := &store.Txn{Preconditions: t.Preconditions, Ops: []store.Op{}}
-	for _, op := range t.Ops {
+	rewritten := &store.Txn{Preconditions: t.Preconditions, Writes: []store.Write{}}
+	for _, op := range t.Writes {
 		if op.DeleteKey == "" {
 			value, err := asProduction(op.WriteKey, op.Value)
 			if err != nil {
@@ -175,7 +175,7 @@
 			}
 			op.Value = p.kinds.write(op.WriteKey, value)
 		}
-		rewritten.Ops = append(rewritten.Ops, op)
+		rewritten.Writes = append(rewritten.Writes, op)
 	}
 	return p.StateService.Commit(ctx, rewritten, r)
 }
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -17,7 +17,7 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
 	shard := s.nodes[leader].name
-	s.environment.Store.RefusedNodes[shard] = true
+	s.environment.Store.RefusedControllers[shard] = true
 	s.runUntil(t, 40, "shard acquired by a peer", func() bool {
 		newLeader := s.leaderOf(shard)
 		return newLeader != "" && newLeader != shard
@@ -66,7 +66,7 @@
 		}
 	}
 	for range 100 { // the state service refuses only this node
-		s.environment.Store.RefusedNodes["n0"] = true
+		s.environment.Store.RefusedControllers["n0"] = true
 		s.runRound()
 	}
 	for host := range s.nodes[1].state().Cache.Machines {
--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -28,16 +28,17 @@
 func TestPredecessorMayAnswerSurvivesRestart(t *testing.T) {
 	s := newTestCluster()
 	s.runFor(20)
-	s.environment.Store.RefusedNodes["n1"] = true // n1 continues to run, partitioned from the state service
+	s.environment.Store.RefusedControllers["n1"] = true // n1 continues to run, partitioned from the state service
 	s.runUntil(t, 40, "shard of n1 acquired", func() bool { leader := s.leaderOf("n1"); return leader != "" && leader != "n1" })
 	successor := s.nodeOf(s.leaderOf("n1"))
 	s.startNode(successor)
 	s.runUntil(t, 10, "shard acquired again", func() bool { return s.leaderOf("n1") == s.nodes[successor].name })
 	c := s.nodes[successor].controller
-	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGrace()/2 {
+	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.
+		Sub(c.node.Now()); got <= c.node.Settings.LeadershipGracePeriod()/2 {
 		t.Fatalf(
 			"time for which the previous leader may still answer: got %v, want more than half of the grace period of %v",
-			got, c.node.Settings.LeadershipGrace(),
+			got, c.node.Settings.LeadershipGracePeriod(),
 		)
 	}
 }
--- a/internal/decisions/capacity_records.go
+++ b/internal/decisions/capacity_records.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/store"
 )
 
-// refreshCapacityRecord writes the capacity record of a shard that this node leads, after the
+// refreshCapacityRecord writes the capacity record of a shard that this controller leads, after the
 // shard's machines or their free capacity have changed. It does so at intervals only, since
 // placements in the shard write the record anyway.
 func (l *Loop) refreshCapacityRecord(ctx context.Context) (more bool) {
--- a/internal/decisions/commit.go
+++ b/internal/decisions/commit.go
@@ -69,16 +69,16 @@
 	return available, true
 }
 
-// recordsPlan is a planned transaction that changes job records.
+// recordsPlan is a planned transaction that writes job records.
 type recordsPlan struct {
 	transaction    *statecache.Transaction // nil if there is nothing to commit
 	recordTooLarge bool                    // a record exceeds the size limit: it must be split, and the rest planned again
 }
 
-// newRecordsPlan returns the plan with the changes that an editor has collected.
+// newRecordsPlan returns the plan with the writes that an editor has collected.
 func newRecordsPlan(editor *schema.Editor) recordsPlan {
 	transaction := editor.BuildTransaction()
-	if editor.Changes == 0 || editor.HasOversizedRecord {
+	if editor.Writes == 0 || editor.HasOversizedRecord {
 		return recordsPlan{recordTooLarge: editor.HasOversizedRecord}
 	}
 	return recordsPlan{transaction: transaction}
--- a/internal/decisions/decide.go
+++ b/internal/decisions/decide.go
@@ -125,7 +125,7 @@
 }
 
 // targetTransactionWrites returns the number of writes that Decide waits for: as many as a
-// transaction may have, but not more than this node's budget gains in a second.
+// transaction may have, but not more than this controller's budget gains in a second.
 func (l *Loop) targetTransactionWrites() int {
 	return min(l.node.Settings.LowestLimits().TxnOps, l.sync.WritesPerSecond())
 }
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -27,8 +27,8 @@
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// fixture is the loop of node n0 in zone x, in a cluster with n1 in zone y and n2 in zone x, on a
-// simulated state service. It leads its own shard.
+// fixture is the loop of controller n0 in zone x, in a cluster with n1 in zone y and n2 in zone x,
+// on a simulated state service. It leads its own shard.
 type fixture struct {
 	*Loop
 	state    *state.State
@@ -54,7 +54,9 @@
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler))
 	info.Now = func() time.Time { return environment.Now }
 	info.SimulatedClock = true
-	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
+	services := &external.Services{
+		Store: &simulator.StoreClient{Store: environment.Store, Controller: "n0", TxnOps: 8, MaxValueBytes: 4096},
+	}
 	wake := notify.NewSignal()
 	s := state.New(info, wake, unlimitedWrites{})
 	guard := state.NewGuard(s)
@@ -164,8 +166,8 @@
 		if len(plan.hosts) == 0 {
 			break
 		}
-		if changes := plan.transaction.Changes(); changes == 0 || changes > f.state.Schema.MaxChanges() {
-			t.Fatalf("got %d changes for %v, want 1 to %d", changes, plan.hosts, f.state.Schema.MaxChanges())
+		if writes := plan.transaction.Writes(); writes == 0 || writes > f.state.Schema.MaxWrites() {
+			t.Fatalf("got %d writes for %v, want 1 to %d", writes, plan.hosts, f.state.Schema.MaxWrites())
 		}
 		f.revision++
 		f.state.Cache.ApplyCommitted(plan.transaction, f.revision)
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -14,7 +14,7 @@
 
 // deregistrationsPlan is a planned transaction that deregisters machines.
 type deregistrationsPlan struct {
-	transaction *statecache.Transaction // has no changes if there is nothing to commit
+	transaction *statecache.Transaction // has no writes if there is nothing to commit
 	hosts       []string
 }
 
@@ -29,7 +29,7 @@
 	}
 	plan := planDeregistrations(state, l.node, now)
 	l.guard.Unlock()
-	if plan.transaction.Changes() == 0 {
+	if plan.transaction.Writes() == 0 {
 		return false
 	}
 	if l.commit(ctx, purposeDeregistrations, plan.transaction, store.PriorityDecision) != committed {
@@ -75,8 +75,8 @@
 	return plan
 }
 
-// canDeregister reports whether a terminated machine is in a shard that this node leads, has no
-// tasks and is no longer offered in the shard's capacity record. While it is offered, a peer may
+// canDeregister reports whether a terminated machine is in a shard that this controller leads, has
+// no tasks and is no longer offered in the shard's capacity record. While it is offered, a peer may
 // still place a task on it.
 func canDeregister(s *state.State, host string, m *shard.Machine) bool {
 	if !s.Leadership.Leads(m.Shard) || len(s.Cache.Placements[host]) > 0 {
--- a/internal/decisions/gangs.go
+++ b/internal/decisions/gangs.go
@@ -131,7 +131,7 @@
 // commitGangClaim commits the claim of a gang in as many transactions as it takes.
 func (l *Loop) commitGangClaim(ctx context.Context, claim *scheduler.GangClaim) {
 	for conflicts := 0; len(claim.Placements) > 0 && conflicts < maxConsecutiveConflicts; {
-		writes := min(scheduler.GangClaimChanges, l.node.Settings.LowestLimits().TxnOps)
+		writes := min(scheduler.GangClaimWrites, l.node.Settings.LowestLimits().TxnOps)
 		if _, ok := l.prepareCommit(ctx, writes, minGangClaimWrites, store.PriorityGang); !ok {
 			return
 		}
@@ -177,7 +177,7 @@
 func (l *Loop) placeWaitingGangs(ctx context.Context) {
 	now := l.node.Now()
 	state := l.guard.Lock()
-	reserved := state.Scheduler.ChangesReservedForGangs(now)
+	reserved := state.Scheduler.WritesReservedForGangs(now)
 	claims := planWaitingGangs(state, gangRetryIntervals*l.node.Settings.DecisionInterval(), now)
 	l.guard.Unlock()
 	l.services.Store.ReserveForGangs(reserved)
--- a/internal/decisions/machine_pages.go
+++ b/internal/decisions/machine_pages.go
@@ -13,7 +13,7 @@
 // allows 64 KiB for the whole transaction; the rest is for keys, preconditions and JSON syntax.
 const maxPageBytesPerTransaction = 48 << 10
 
-// pageEdits collects changes of machine pages for one transaction.
+// pageEdits collects edits of machine pages for one transaction.
 type pageEdits struct {
 	schema         *schema.State
 	transaction    *statecache.Transaction
@@ -22,7 +22,7 @@
 	maxBytesToOpen int                          // no further page is opened if bytes is larger
 }
 
-// newPageEdits returns a pageEdits without changes.
+// newPageEdits returns a pageEdits without edits.
 func newPageEdits(s *state.State, info *node.Info) *pageEdits {
 	return &pageEdits{
 		schema:         s.Schema,
@@ -38,7 +38,7 @@
 	if page, ok = e.pages[e.schema.PageIDFor(host)]; ok {
 		return page, true
 	}
-	if len(e.pages) >= e.schema.MaxChanges() || e.bytes > e.maxBytesToOpen {
+	if len(e.pages) >= e.schema.MaxWrites() || e.bytes > e.maxBytesToOpen {
 		return nil, false
 	}
 	_, page = e.schema.EditPage(e.transaction, host)
--- a/internal/decisions/zones.go
+++ b/internal/decisions/zones.go
@@ -20,7 +20,7 @@
 
 // updateZones evaluates the health of the zones once per heartbeat interval and commits the
 // changes. It writes only zone records. Each write requires the version of the record that the
-// evaluation used and this node's leadership of its shards, so that the write of a delayed or
+// evaluation used and this controller's leadership of its shards, so that the write of a delayed or
 // replaced leader is rejected.
 func (l *Loop) updateZones(ctx context.Context) (more bool) {
 	now := l.node.Now()
@@ -48,7 +48,7 @@
 	plan := zonesPlan{transaction: statecache.NewTransaction(), changedRecords: map[string]zonehealth.Record{}}
 	for _, zone := range s.Zones.ObservedZones() {
 		next, ok := s.Zones.Evaluate(zone, now)
-		if !ok || plan.transaction.Changes() >= s.Schema.TransactionLimits().TxnOps {
+		if !ok || plan.transaction.Writes() >= s.Schema.TransactionLimits().TxnOps {
 			continue
 		}
 		key := statecache.ZoneKey(zone)
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -20,7 +20,7 @@
 	renewalsPerLease         = 4   // interval between renewals while the state service responds
 	retriesPerLease          = 10  // interval between attempts while it does not
 	leaderlessPausesPerLease = 32  // pause before an early renewal when a shard has become leaderless
-	clockMarginDivisor       = 256 // safety margin, since this node's clock may run slower than the state service's
+	clockMarginDivisor       = 256 // safety margin, since this controller's clock may run slower than the state service's
 )
 
 // revokeTimeout limits how long a shutdown waits for the lease to be revoked.
@@ -43,14 +43,14 @@
 	return &Elector{node: info, guard: guard, services: services, sync: sync, commands: commands}
 }
 
-// LeaseLoop maintains this node's lease, and with it the shards that the node leads, until ctx is
-// done.
+// LeaseLoop maintains this controller's lease, and with it the shards that the controller leads,
+// until ctx is done.
 func (e *Elector) LeaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(e.MaintainLease(ctx))
 		select {
 		case <-timer.C:
-		case <-e.sync.LeaderlessShardSignal(): // this node may be the next to acquire the shard
+		case <-e.sync.LeaderlessShardSignal(): // this controller may be the next to acquire the shard
 			timing.Sleep(ctx, e.node.Settings.ControllerLeaseTTL()/leaderlessPausesPerLease)
 		case <-ctx.Done():
 		}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// handleLostLease drops all state that this node held under a lease that has ended, since other
-// controllers may lead its shards already.
+// handleLostLease drops all state that this controller held under a lease that has ended, since
+// peers may lead its shards already.
 func (e *Elector) handleLostLease(leaseID uint64) {
 	e.node.Log.Info("lease lost", logkey.Lease(leaseID))
 	state := e.guard.Lock()
@@ -125,7 +125,7 @@
 	return state.Cache.Loaded && sentAt.Sub(state.Cache.ChangesReadAt) > ttl/renewalsPerLease
 }
 
-// RevokeLease ends the lease during an orderly shutdown, so that other controllers take over at
+// RevokeLease ends the lease during an orderly shutdown, so that peers take over at
 // once.
 func (e *Elector) RevokeLease() {
 	state := e.guard.Lock()
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -19,7 +19,7 @@
 	commitShard = "shard"
 )
 
-// maintainLeaderships registers this node, releases shards to their home controllers, and
+// maintainLeaderships registers this controller, releases shards to their home controllers, and
 // acquires shards without a leader.
 func (e *Elector) maintainLeaderships(ctx context.Context) {
 	plan, ok := e.planLeaderships()
@@ -49,7 +49,7 @@
 	controllerCount        int // controllers that share the state service's rate limits
 	controllerCountChanged bool
 	probes                 []string                // addresses of workers to be probed
-	registration           *statecache.Transaction // nil if this node's records are up to date
+	registration           *statecache.Transaction // nil if this controller's records are up to date
 	changes                leadership.Changes
 }
 
@@ -84,7 +84,7 @@
 func (e *Elector) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
 	state := e.guard.Lock()
 	if state.Cache.Leaders[shard].Version != leaderVersion {
-		// Another controller has acquired the shard since. A precondition on the newer version
+		// A peer has acquired the shard since. A precondition on the newer version
 		// would hold, and the shard would be taken from a running leader.
 		e.guard.Unlock()
 		return
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -62,7 +62,7 @@
 	FetchHeartbeat(ctx context.Context, addr string) (*api.Heartbeat, error)
 }
 
-// Peers sends requests to the other controllers.
+// Peers sends requests to the peers, which are the other controllers.
 type Peers interface {
 	Call(ctx context.Context, addr string, request *peer.Request, timeout time.Duration) (*peer.Reply, error)
 }
--- a/internal/frontend/peers.go
+++ b/internal/frontend/peers.go
@@ -56,7 +56,7 @@
 	return transport.Response{Status: api.StatusNotFound}
 }
 
-// HandlePeer serves the requests of other controllers. It is the transport.Handler of the cluster
+// HandlePeer serves the requests of peers. It is the transport.Handler of the cluster
 // address. A request from a peer is never forwarded to another peer.
 func (f *Frontend) HandlePeer(message *httpwire.Message, send func(transport.Response)) (response transport.Response, answered bool) {
 	var request peer.Request
--- a/internal/frontend/queries.go
+++ b/internal/frontend/queries.go
@@ -22,7 +22,7 @@
 
 // jobState returns the committed state of a job, or errUnknownJob if the job was never accepted.
 // Any other error implies nothing about the job. It refreshes the cache before it reads an
-// unfinished job, so that the state is not older than one that another controller reported before
+// unfinished job, so that the state is not older than one that a peer reported before
 // the call.
 func (f *Frontend) jobState(ctx context.Context, uid string) (api.JobState, error) {
 	state := f.guard.Lock()
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -50,7 +50,9 @@
 	info := node.New(settings, config.DefaultPolicy(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	info.Now = func() time.Time { return environment.Now }
 	info.SimulatedClock = true
-	services := &external.Services{Store: &simulator.StoreClient{Store: environment.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 4096}}
+	services := &external.Services{
+		Store: &simulator.StoreClient{Store: environment.Store, Controller: "n0", TxnOps: 8, MaxValueBytes: 4096},
+	}
 	wake := notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, unlimitedWrites{}))
 	sync := storesync.New(info, guard, services, wake)
@@ -63,7 +65,7 @@
 	}
 }
 
-// load loads the controller's replica from the state service and sets the cloud's machine types.
+// load loads the controller's cache from the state service and sets the cloud's machine types.
 func (n *testNode) load(t *testing.T) {
 	t.Helper()
 	if err := n.sync.Load(t.Context()); err != nil {
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -99,7 +99,7 @@
 	return []goldenValue{
 		{"store.Txn", &store.Txn{
 			Preconditions: []store.Precondition{{Key: "a", Version: 1}},
-			Ops:           []store.Op{{WriteKey: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {DeleteKey: "b"}},
+			Writes:        []store.Write{{WriteKey: "a", Value: json.RawMessage(`1`), Lease: pointer(uint64(7))}, {DeleteKey: "b"}},
 		}},
 		{"store.Item", &store.Item{Key: "a", Value: json.RawMessage(`1`), Version: 2}},
 		{"store.Change", &store.Change{WrittenKey: "a", Value: json.RawMessage(`1`), Version: 2}},
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -1,6 +1,6 @@
 package job
 
-// Placement assigns an unfinished task to a machine.
+// Placement is the machine on which an attempt of an unfinished task is placed.
 type Placement struct {
 	Attempt  uint64 `json:"t"`
 	Host     string `json:"m"`
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -8,19 +8,19 @@
 )
 
 // A leader that cannot reach the state service receives neither cancellations nor the news that it
-// was replaced. On its own it may answer its workers only for a bounded time (LeadershipGrace,
-// MaxStaleness). But only controllers confirm cancellations and acquire shards, and each of them
-// has a record of its own actions. A controller that acknowledges these actions to the leader has,
-// up to that moment, done nothing that the leader has no record of. So the leader's time counts
-// from the oldest among the newest acknowledgements of all configured controllers, each counted
-// from when it was requested. A controller counts as not acknowledging if it does not answer, has
-// no complete record of what it may have done (it has only just started), or runs a version that
-// does not support the request. The time then runs out as it would without acknowledgements.
-// docs/design.md has the argument.
+// was replaced. On its own it may answer its workers only for a bounded time
+// (LeadershipGracePeriod, MaxStaleness). But only controllers confirm cancellations and acquire
+// shards, and each of them has a record of its own actions. A controller that acknowledges these
+// actions to the leader has, up to that moment, done nothing that the leader has no record of. So
+// the leader's time counts from the oldest among the newest acknowledgements of all configured
+// controllers, each counted from when it was requested. A controller counts as not acknowledging if
+// it does not answer, has no complete record of what it may have done (it has only just started),
+// or runs a version that does not support the request. The time then runs out as it would without
+// acknowledgements. docs/design.md has the argument.
 
-// Acknowledgement returns what this node reports to a peer: the jobs that were cancelled since a
-// revision, and the newest leader of each shard. It is not complete if this node has no complete
-// record of the cancellations since that revision.
+// Acknowledgement returns what this controller reports to a peer: the jobs that were cancelled
+// since a revision, and the newest leader of each shard. It is not complete if this controller has
+// no complete record of the cancellations since that revision.
 func (t *Table) Acknowledgement(since uint64) *peer.Acknowledgement {
 	cancelled, complete := t.cache.CancelledSince(since)
 	if !t.cache.Loaded || !complete {
@@ -67,8 +67,8 @@
 	}
 }
 
-// recordSuccessor records that another controller has acquired a shard of which this node has the
-// leadership, if the reported term is higher than that of the leadership.
+// recordSuccessor records that a peer has acquired a shard of which this controller has
+// the leadership, if the reported term is higher than that of the leadership.
 func (t *Table) recordSuccessor(leader *peer.ShardLeader) {
 	shard := leader.GetShard()
 	leadership := t.byShard[shard]
--- a/internal/leadership/contact.go
+++ b/internal/leadership/contact.go
@@ -8,12 +8,13 @@
 	"violetturn/internal/statecache"
 )
 
-// WorkerContact records whether workers reach this node: contact is an accepted heartbeat, or a
-// response to a direct command or probe. It guards against a partition that separates a node from
-// its workers only: the node would keep its lease, and with it its shards, while the leases of all
-// its workers expire. Such a node writes to its node record that workers do not reach it. If a peer
-// has contact with workers, the node also releases its shards in an orderly way, and acquires none
-// until it has contact again. The lock of internal/state guards it.
+// WorkerContact records whether workers reach this controller: contact is an accepted heartbeat, or
+// a response to a direct command or probe. It guards against a partition that separates a
+// controller from its workers only: the controller would keep its lease, and with it its shards,
+// while the leases of all its workers expire. Such a controller writes to its node record that
+// workers do not reach it. If a peer has contact with workers, the controller also releases its
+// shards in an orderly way, and acquires none until it has contact again. The lock of
+// internal/state guards it.
 type WorkerContact struct {
 	node  *node.Info
 	cache *statecache.Cache
@@ -28,14 +29,14 @@
 	hasContact    bool      // there is contact with at least one worker
 }
 
-// MinSilentCount is a minimum for two counts. A node counts as unreachable only after this many
-// consecutive checks, one per renewal of its lease, without contact with a worker, so that a node
-// that was itself suspended can first receive heartbeats again. At least this many machines must be
-// silent: one or two silent machines are as likely to have failed themselves, and each change of
-// the leader restarts the wait for the end of their leases.
+// MinSilentCount is a minimum for two counts. A controller counts as unreachable only after this
+// many consecutive checks, one per renewal of its lease, without contact with a worker, so that a
+// controller that was itself suspended can first receive heartbeats again. At least this many
+// machines must be silent: one or two silent machines are as likely to have failed themselves, and
+// each change of the leader restarts the wait for the end of their leases.
 const MinSilentCount = 3
 
-// RecordContact records that a worker reached this node, by a heartbeat or a response.
+// RecordContact records that a worker reached this controller, by a heartbeat or a response.
 func (c *WorkerContact) RecordContact(now time.Time) {
 	if c.unreachable {
 		c.node.Log.Info("heartbeats reach this controller again")
@@ -46,18 +47,18 @@
 // Reset restarts the checks because there is no worker that could respond.
 func (c *WorkerContact) Reset(now time.Time) { c.contactState = contactState{lastContactAt: now} }
 
-// Unreachable reports whether no worker reaches this node although some are expected to.
+// Unreachable reports whether no worker reaches this controller although some are expected to.
 func (c *WorkerContact) Unreachable() bool { return c.unreachable }
 
-// HasContactSince reports whether workers reach this node and the last contact was at the given
-// time or later.
+// HasContactSince reports whether workers reach this controller and the last contact was at the
+// given time or later.
 func (c *WorkerContact) HasContactSince(since time.Time) bool {
 	return !c.unreachable && !c.lastContactAt.Before(since)
 }
 
-// CheckSilence checks whether workers reach this node. It is called once per renewal of the lease.
-// countExpected returns how many workers are expected to send heartbeats; it is called only after
-// MinSilentCount checks without contact.
+// CheckSilence checks whether workers reach this controller. It is called once per renewal of the
+// lease. countExpected returns how many workers are expected to send heartbeats; it is called only
+// after MinSilentCount checks without contact.
 func (c *WorkerContact) CheckSilence(now time.Time, countExpected func() int) {
 	maxHeartbeatGap := c.node.Settings.HeartbeatInterval() * 5 / 4 // every worker that sends heartbeats has sent one within this time
 	if now.Sub(c.lastContactAt) <= maxHeartbeatGap {
@@ -87,9 +88,9 @@
 	return false
 }
 
-// reachedByWorkers reports whether a node is running and reached by workers, according to its
+// reachedByWorkers reports whether a controller is running and reached by workers, according to its
 // record.
-func reachedByWorkers(cache *statecache.Cache, node string) bool {
-	record := cache.Nodes[node].Record
+func reachedByWorkers(cache *statecache.Cache, controller string) bool {
+	record := cache.Nodes[controller].Record
 	return record != nil && !record.WorkersUnreachable
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -7,8 +7,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Leadership is this node's leadership of one shard under one term. The exported fields are set
-// when it begins and do not change.
+// Leadership is this controller's leadership of one shard under one term. The exported fields are
+// set when it begins and do not change.
 //
 // It is in force unless it is being released, a peer has acquired the shard, or the cache has
 // another version of the leader's key (see Table.InForce).
@@ -27,8 +27,8 @@
 // none was reported.
 func (l *Leadership) Successor() string { return l.successor }
 
-// RequestNewTerm requests that this node acquires the shard again, under a term above the one that
-// a worker has received.
+// RequestNewTerm requests that this controller acquires the shard again, under a term above the one
+// that a worker has received.
 func (l *Leadership) RequestNewTerm() { l.needsNewTerm = true }
 
 // BeginRelease stops the responses to the shard's workers, so that none is sent after the release is
@@ -49,8 +49,8 @@
 // its own.
 func (l *Leadership) MarkCapacityRecorded(now time.Time) { l.capacityRecordedAt = now }
 
-// InForce returns this node's leadership of a shard, or nil if it has none under which it may act
-// or answer workers.
+// InForce returns this controller's leadership of a shard, or nil if it has none under which it may
+// act or answer workers.
 func (t *Table) InForce(shard string) *Leadership {
 	leadership := t.byShard[shard]
 	if leadership == nil || leadership.releasing || leadership.successor != "" ||
@@ -60,14 +60,14 @@
 	return leadership
 }
 
-// Leads reports whether this node's leadership of a shard is in force.
+// Leads reports whether this controller's leadership of a shard is in force.
 func (t *Table) Leads(shard string) bool { return t.InForce(shard) != nil }
 
-// Lookup returns this node's leadership of a shard, whether or not it is in force; nil if there is
-// none.
+// Lookup returns this controller's leadership of a shard, whether or not it is in force; nil if
+// there is none.
 func (t *Table) Lookup(shard string) *Leadership { return t.byShard[shard] }
 
-// HeldShards returns the shards that this node has a leadership of, in force or not, in no
+// HeldShards returns the shards that this controller has a leadership of, in force or not, in no
 // particular order.
 func (t *Table) HeldShards() []string {
 	shards := make([]string, 0, len(t.byShard))
@@ -99,15 +99,16 @@
 	return lost
 }
 
-// RequireLeadership makes a transaction conditional on this node's leadership of a shard, so that a
-// superseded leader cannot commit. It does nothing if the leadership is not in force.
+// RequireLeadership makes a transaction conditional on this controller's leadership of a shard, so
+// that a superseded leader cannot commit. It does nothing if the leadership is not in force.
 func (t *Table) RequireLeadership(txn *statecache.Transaction, shard string) {
 	if leadership := t.InForce(shard); leadership != nil {
 		txn.Require(statecache.LeaderKey(shard), leadership.Version)
 	}
 }
 
-// RequireLeaderships makes a transaction conditional on all of this node's leaderships in force.
+// RequireLeaderships makes a transaction conditional on all of this controller's leaderships in
+// force.
 func (t *Table) RequireLeaderships(txn *statecache.Transaction) {
 	for shard := range t.byShard {
 		t.RequireLeadership(txn, shard)
--- a/internal/leadership/planner.go
+++ b/internal/leadership/planner.go
@@ -13,14 +13,14 @@
 	LeaderVersion uint64 // version of the leader's key; 0 if there is none
 }
 
-// Changes lists the shards that this node acquires and releases now.
+// Changes lists the shards that this controller acquires and releases now.
 type Changes struct {
 	Acquire []Acquisition
 	Release []string
 }
 
-// Planner decides which shards this node acquires and releases, based on the table, the cache and
-// how long the present state of shards and controllers has lasted. The lock of internal/state
+// Planner decides which shards this controller acquires and releases, based on the table, the cache
+// and how long the present state of shards and controllers has lasted. The lock of internal/state
 // guards it.
 type Planner struct {
 	table *Table
@@ -48,9 +48,9 @@
 	}
 }
 
-// Plan returns which shards this node acquires and which it releases now. releaseAll means that
-// no worker reaches this node, so that others should lead: it releases all shards and acquires
-// none.
+// Plan returns which shards this controller acquires and which it releases now. releaseAll means
+// that no worker reaches this controller, so that others should lead: it releases all shards and
+// acquires none.
 func (p *Planner) Plan(now time.Time, releaseAll bool) Changes {
 	p.trackReachablePeers(now)
 	var changes Changes
@@ -82,7 +82,7 @@
 	return now.Sub(p.leaderlessSince[shard])
 }
 
-// mustReacquire reports whether this node must acquire a shard again although the shard has a
+// mustReacquire reports whether this controller must acquire a shard again although the shard has a
 // leader.
 func (p *Planner) mustReacquire(shard string, leader *shard.LeaderRecord, releaseAll bool) bool {
 	leadership := p.table.byShard[shard]
@@ -90,14 +90,14 @@
 	isHeld := leadership != nil && p.table.isOwnIncarnation(leader.Node, leader.Incarnation)
 	if isOurs && !isHeld && !releaseAll {
 		// The key was written by an earlier incarnation of this process, or by an acquisition
-		// whose response was lost. No other controller would ever act on the key.
+		// whose response was lost. No peer would ever act on the key.
 		return true
 	}
 	return leadership != nil && leadership.needsNewTerm
 }
 
-// mustRelease reports whether this node must release a shard: any shard if releaseAll is set, a
-// shard whose earlier release has an unknown outcome, until the cache shows the outcome, and a
+// mustRelease reports whether this controller must release a shard: any shard if releaseAll is set,
+// a shard whose earlier release has an unknown outcome, until the cache shows the outcome, and a
 // peer's home shard once workers have reached that peer for a while, unless the peer was
 // downgraded.
 func (p *Planner) mustRelease(shard string, now time.Time, releaseAll bool) bool {
@@ -114,9 +114,9 @@
 	return found && now.Sub(reachableSince) > p.table.node.Settings.ControllerLeaseTTL()/2 && !p.table.schema.IsDowngraded(shard)
 }
 
-// takeoverDelay returns how long this node waits before it acquires a shard without a leader. The
-// home controller goes first, then the other controllers that are running and reached by workers, in
-// a ring order that spreads several shards over several nodes.
+// takeoverDelay returns how long this controller waits before it acquires a shard without a leader.
+// The home controller goes first, then the others that are running and reached by
+// workers, in a ring order that spreads several shards over several controllers.
 func (p *Planner) takeoverDelay(shard string) time.Duration {
 	self := p.table.node.Settings.HostName
 	if shard == self {
--- a/internal/leadership/rates.go
+++ b/internal/leadership/rates.go
@@ -52,7 +52,7 @@
 }
 
 // absenceDuration returns for how long a controller has not been registered, 0 if it is
-// registered. This node always counts as registered.
+// registered. This controller always counts as registered.
 func (r *RateSharing) absenceDuration(controller string, now time.Time) time.Duration {
 	if controller == r.node.Settings.HostName || r.cache.Nodes[controller].Record != nil {
 		delete(r.absentSince, controller)
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/statecache"
 )
 
-// Registration returns the transaction that updates this node's record and its capability record;
-// nil if both are up to date.
+// Registration returns the transaction that updates this controller's record and its capability
+// record; nil if both are up to date.
 func (t *Table) Registration() *statecache.Transaction {
 	self := t.node.Settings.HostName
 	record, desired := t.cache.Nodes[self].Record, t.nodeRecord()
@@ -35,7 +35,7 @@
 		slices.Equal(capabilities.Features, t.node.Features.Names())
 }
 
-// nodeRecord returns the record that describes the current state of this node.
+// nodeRecord returns the record that describes the current state of this controller.
 func (t *Table) nodeRecord() shard.NodeRecord {
 	return shard.NodeRecord{
 		Node:               t.node.Settings.HostName,
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -40,7 +40,7 @@
 	return t
 }
 
-// Contact returns the record of whether workers reach this node.
+// Contact returns the record of whether workers reach this controller.
 func (t *Table) Contact() *WorkerContact { return t.contact }
 
 // Rates returns the count of controllers that share the state service's rate limits.
@@ -49,9 +49,9 @@
 // Planner returns the planner that decides which shards are acquired and released.
 func (t *Table) Planner() *Planner { return t.planner }
 
-// Redirect returns the response to a worker of a shard for which this node may not answer. It names
-// the shard's leader if that is known. The worker is redirected at once: after a 200, which the
-// worker has to drop, the worker would stay with this node while its lease expires.
+// Redirect returns the response to a worker of a shard for which this controller may not answer. It
+// names the shard's leader if that is known. The worker is redirected at once: after a 200, which
+// the worker has to drop, the worker would stay with this controller while its lease expires.
 func (t *Table) Redirect(shard string) transport.Response {
 	self := t.node.Settings.HostName
 	if held := t.byShard[shard]; held != nil && held.successor != "" && held.successor != self {
@@ -63,7 +63,7 @@
 	return respond.Misdirected("")
 }
 
-// isOwnIncarnation reports whether the node and incarnation in a record are those of this
+// isOwnIncarnation reports whether the controller and incarnation in a record are those of this
 // process.
 func (t *Table) isOwnIncarnation(node string, incarnation uint64) bool {
 	return node == t.node.Settings.HostName && incarnation == t.node.Incarnation
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -16,8 +16,8 @@
 	"violetturn/internal/store"
 )
 
-// tableFixture is the table of node n0 in a cluster of n0, n1 and n2. Its lease is valid, and its
-// cache is loaded and empty.
+// tableFixture is the table of controller n0 in a cluster of n0, n1 and n2. Its lease is valid, and
+// its cache is loaded and empty.
 type tableFixture struct {
 	*Table
 	now     time.Time
@@ -47,8 +47,8 @@
 	return f.version
 }
 
-// setLeader makes a node the leader of a shard in the cache, and begins this node's leadership
-// if the leader is n0.
+// setLeader makes a controller the leader of a shard in the cache, and begins this controller's
+// leadership if the leader is n0.
 func (f *tableFixture) setLeader(name, leader string) {
 	record := shard.LeaderRecord{Node: leader, Incarnation: 7, Term: 1}
 	if leader == "n0" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// registerNode adds the record of a node that workers reach.
+// registerNode adds the record of a controller that workers reach.
 func (f *tableFixture) registerNode(name string) {
 	f.applyRecord(statecache.NodeKey(name), shard.NodeRecord{Node: name})
 }
@@ -97,7 +97,7 @@
 }
 
 func TestMayAnswerHeartbeats(t *testing.T) {
-	grace := newTableFixture(t).node.Settings.LeadershipGrace()
+	grace := newTableFixture(t).node.Settings.LeadershipGracePeriod()
 	staleness := newTableFixture(t).node.Settings.MaxStaleness()
 	ttl := newTableFixture(t).node.Settings.ControllerLeaseTTL()
 	cases := []struct {
@@ -190,8 +190,8 @@
 	}
 }
 
-// A node is unreachable after MinSilentCount consecutive checks without contact if heartbeats are
-// expected from at least MinSilentCount workers, until there is contact again.
+// A controller is unreachable after MinSilentCount consecutive checks without contact if heartbeats
+// are expected from at least MinSilentCount workers, until there is contact again.
 func TestCheckSilenceRequiresEnoughSilentWorkers(t *testing.T) {
 	for _, expected := range []int{MinSilentCount - 1, MinSilentCount} {
 		f := newTableFixture(t)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -40,7 +40,7 @@
 }
 
 // QueryPeers queries each peer about whether it reaches the state service, and what it has done
-// that this node cannot read meanwhile.
+// that this controller cannot read meanwhile.
 func (m *Membership) QueryPeers(ctx context.Context) {
 	for _, member := range m.node.Settings.Members {
 		m.queryPeer(ctx, member.HostName, member.Addr)
@@ -51,7 +51,7 @@
 }
 
 // queryPeer queries one peer about whether it reaches the state service, and what it has done
-// since the revision up to which this node has read the changes.
+// since the revision up to which this controller has read the changes.
 func (m *Membership) queryPeer(ctx context.Context, name, addr string) {
 	state := m.guard.Lock()
 	request := &peer.Request{
@@ -73,8 +73,9 @@
 	state.Leadership.RecordAcknowledgement(name, reply.GetAcknowledgement(), requestedAt)
 }
 
-// ForwardingPeer returns the address of a peer that can serve users for this node while the state
-// service is unreachable. It returns "" if this node reaches the state service, or no peer does.
+// ForwardingPeer returns the address of a peer that can serve users for this controller while the
+// state service is unreachable. It returns "" if this controller reaches the state service, or no
+// peer does.
 func (m *Membership) ForwardingPeer() string {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
@@ -89,8 +90,8 @@
 	return ""
 }
 
-// ShouldServePeer reports whether this node carries out a peer's request: the request is not
-// answered by PeerStatus alone, and this node can serve it.
+// ShouldServePeer reports whether this controller carries out a peer's request: the request is not
+// answered by PeerStatus alone, and this controller can serve it.
 func (m *Membership) ShouldServePeer(request *peer.Request) bool {
 	switch request.GetKind() {
 	case peer.Request_KIND_HEALTH, peer.Request_KIND_ACKNOWLEDGE:
@@ -101,8 +102,8 @@
 	return m.canServe()
 }
 
-// PeerStatus returns the reply to a peer: whether this node can serve users and, if requested,
-// what it has done.
+// PeerStatus returns the reply to a peer: whether this controller can serve users and, if
+// requested, what it has done.
 func (m *Membership) PeerStatus(request *peer.Request) *peer.Reply {
 	reply := &peer.Reply{StoreReached: m.canServe()}
 	if request.GetKind() == peer.Request_KIND_ACKNOWLEDGE {
@@ -113,15 +114,15 @@
 	return reply
 }
 
-// canServe reports whether this node can serve users, its own and those of peers: it reaches the
-// state service and its cache is fully loaded.
+// canServe reports whether this controller can serve users, its own and those of peers: it reaches
+// the state service and its cache is fully loaded.
 func (m *Membership) canServe() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
 	return state.Cache.Loaded && state.Reachability.StoreReachable
 }
 
-// storeReachable reports whether the state service served this node's last request.
+// storeReachable reports whether the state service served this controller's last request.
 func (m *Membership) storeReachable() bool {
 	state := m.guard.Lock()
 	defer m.guard.Unlock()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -32,9 +32,9 @@
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
-// Client sends requests to other controllers.
+// Client sends requests to peers, the other controllers.
 type Client struct {
 	http *transport.Client
 }
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -13,9 +13,9 @@
 
 const statusOK = 200
 
-// AnswerHeartbeat answers a parsed heartbeat. It redirects the worker if this node may not answer
-// for the machine's shard, and answers busy if this node cannot give a response that the worker may
-// rely on.
+// AnswerHeartbeat answers a parsed heartbeat. It redirects the worker if this controller may not
+// answer for the machine's shard, and answers busy if this controller cannot give a response that
+// the worker may rely on.
 func (r *Reconciler) AnswerHeartbeat(heartbeat *api.Heartbeat, now time.Time) transport.Response {
 	if !r.cache.Loaded {
 		return respond.Busy
@@ -67,7 +67,7 @@
 
 // handleHigherTerm handles a heartbeat with a token of a higher term than that of the leadership,
 // which means that the worker ignores responses under this leadership. If the recorded term is at
-// least as high as the token's, another controller has acquired the shard since or tried to, and
+// least as high as the token's, a peer has acquired the shard since or tried to, and
 // the shard is to be acquired again under a new term.
 func (r *Reconciler) handleHigherTerm(heartbeat *api.Heartbeat, leadership *leadership.Leadership) {
 	if shard.TokenTerm(heartbeat.Token) <= r.cache.HighestTerm {
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// A heartbeat is answered only if no other controller may be answering the worker, and only if it
+// A heartbeat is answered only if no peer may be answering the worker, and only if it
 // is new.
 func TestAnswerHeartbeatStatus(t *testing.T) {
 	valid := api.Heartbeat{Host: host, MachineType: "m", AgentEpoch: 1, Sequence: 5, Token: shard.FencingToken(term, 0)}
--- a/internal/scaling/rent.go
+++ b/internal/scaling/rent.go
@@ -77,7 +77,7 @@
 }
 
 // newRentalRequest returns a rental request with a unique name. The name consists of shard, term
-// and a number, so that no other controller, and no later incarnation of this one, uses it.
+// and a number, so that no peer, and no later incarnation of this one, uses it.
 func (l *Loop) newRentalRequest(offer sched.Offer, count int, renting autoscaler.RentingShard) cloud.RentalRequest {
 	l.rentals.requestCount++
 	return cloud.RentalRequest{
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// GangRetry is the retry state of a gang that waits for capacity, after Algorithm 2 of the paper on
-// which docs/design.md builds. A gang may hold claims on capacity for some of its tasks; none of its
+// GangRetry is the retry state of a gang that waits for capacity, after Algorithm 2 of the paper
+// (see internal/scheduler). A gang may hold claims on capacity for some of its tasks; none of its
 // tasks starts until capacity for all of them is claimed. A miss is a search that finds too little
 // capacity for the rest. After too many misses in a row the gang releases all its claims and starts
 // over, ahead of newer gangs.
--- a/internal/sched/gang_retry_test.go
+++ b/internal/sched/gang_retry_test.go
@@ -8,7 +8,8 @@
 )
 
 // The gang releases all its claims after more consecutive misses than the limit, as in Algorithm 2 of
-// the paper. Misses soon after a counted miss are ignored, and a claim resets the count.
+// the paper (see internal/scheduler). Misses soon after a counted miss are ignored, and a claim
+// resets the count.
 func TestGangRetryReleasesAfterTooManyMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -1,11 +1,11 @@
-// Package sched makes the scheduling decisions as pure functions: which machine a task is assigned
-// to, which tasks are preempted, how a gang retries its search for capacity, which machines are
+// Package sched makes the scheduling decisions as pure functions: which machine a task is placed
+// on, which tasks are preempted, how a gang retries its search for capacity, which machines are
 // rented, and how much of a team's quota a shard holds.
 //
 // Invariants:
 //   - no decision does I/O; times and random sources come from the caller, and the same input
 //     gives the same decision;
-//   - a task is only assigned to a machine that has enough free capacity and that its job allows;
+//   - a task is only placed on a machine that has enough free capacity and that its job allows;
 //   - tasks are preempted only if that frees enough capacity;
 //   - the shares of a quota that the shards hold never exceed the limit in total.
 package sched
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -10,16 +10,16 @@
 	"violetturn/internal/statecache"
 )
 
-// GangClaimChanges is the usual number of changes in the transaction of a gang's claim: the job's
+// GangClaimWrites is the usual number of writes in the transaction of a gang's claim: the job's
 // main record and the capacity records of the shards in which it is placed. Other decisions leave
-// this many changes of the write budget to gangs while gangs arrive.
-const GangClaimChanges = 3
+// this many writes of the write budget to gangs while gangs arrive.
+const GangClaimWrites = 3
 
-// ChangesReservedForGangs returns how many changes of the write budget other decisions leave to
-// gangs: GangClaimChanges if a gang arrived within MaxStartDelay, otherwise none.
-func (s *Scheduler) ChangesReservedForGangs(now time.Time) float64 {
+// WritesReservedForGangs returns how many writes of the write budget other decisions leave to
+// gangs: GangClaimWrites if a gang arrived within MaxStartDelay, otherwise none.
+func (s *Scheduler) WritesReservedForGangs(now time.Time) float64 {
 	if s.accounting.Arrivals().ArrivedSince(api.Gang, now.Add(-MaxStartDelay)) {
-		return GangClaimChanges
+		return GangClaimWrites
 	}
 	return 0
 }
@@ -61,7 +61,7 @@
 		zones:        s.zoneConstraintOf(gangJob, s.zones.Admission(now)),
 		placedBefore: gangJob.CountPlaced(),
 	}
-	t.editor.MaxChanges = s.schema.TransactionLimits().TxnOps
+	t.editor.MaxWrites = s.schema.TransactionLimits().TxnOps
 	var remaining []capacity.Placement
 	for i, placement := range claim.Placements {
 		outcome := t.add(placement)
@@ -82,8 +82,8 @@
 	if pending == nil || !t.zones.allows(placement.RangeIndex, placement.Host.Zone) {
 		return placementRefused
 	}
-	changes := pending.Changes() + t.editor.RangeCost(t.job, placement.RangeIndex)
-	if changes > 0 && t.editor.IsFull(changes, t.claims.Changes()) {
+	writes := pending.Writes() + t.editor.RangeCost(t.job, placement.RangeIndex)
+	if writes > 0 && t.editor.IsFull(writes, t.claims.Writes()) {
 		return transactionFull
 	}
 	pending.Apply()
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -21,7 +21,7 @@
 	capacityUnavailable                 // none of these at present
 )
 
-// gangAssignment is the machines that a gang's tasks would be placed on in a zone.
+// gangAssignment is a tentative placement of a gang: the machines of a zone for its tasks.
 type gangAssignment struct {
 	hosts  []*sched.Host // by task; nil: the task does not fit
 	zone   string        // zone of all machines; "" if the search was not limited to one
@@ -157,7 +157,7 @@
 	for _, host := range g.allHosts {
 		if expected < size && request.Allows(host.MachineType, host.Zone, host.Spot) {
 			stopping := *host
-			stopping.Free = g.planner.scheduler.freeCapacity.LoadOf(host.Name).Stopping
+			stopping.Free = g.planner.scheduler.capacityCalculator.LoadOf(host.Name).Stopping
 			expected += sched.CountFits([]*sched.Host{&stopping}, request, size-expected)
 		}
 	}
@@ -169,7 +169,7 @@
 func (g *gangSearch) sourceWhenShort(request *sched.TaskRequest) capacitySource {
 	s := g.planner.scheduler
 	size := len(g.job.tasks)
-	if sched.CountFits(s.freeCapacity.WithPreemptibleCapacity(g.planner.hosts, g.job.entry.priority), request, size) >= size {
+	if sched.CountFits(s.capacityCalculator.WithPreemptibleCapacity(g.planner.hosts, g.job.entry.priority), request, size) >= size {
 		return capacityByPreemption
 	}
 	for _, offer := range s.catalog.AvailableOffers(g.planner.now) {
--- a/internal/scheduler/gang_updates.go
+++ b/internal/scheduler/gang_updates.go
@@ -33,7 +33,7 @@
 	release   bool     // its claims are released; none of their tasks was ever started
 }
 
-// UpdateGang adds to a transaction the changes of a gang's records that follow from the ends of its
+// UpdateGang adds to a transaction the writes of a gang's records that follow from the ends of its
 // tasks, the gang's phase and a cancellation. It reports whether there is anything to write.
 func (s *Scheduler) UpdateGang(editor *schema.Editor, j *statecache.Job, ends []agent.EndedTask, now time.Time) bool {
 	u := &gangUpdate{scheduler: s, editor: editor, now: now, job: j, ends: ends, gang: *j.Record.Gang}
@@ -143,6 +143,6 @@
 
 // isFullFor reports whether the transaction has no space for a change of a task range.
 func (u *gangUpdate) isFullFor(rangeIndex int) bool {
-	changes := u.editor.RangeCost(u.job, rangeIndex)
-	return changes > 0 && u.editor.IsFull(changes, 0)
+	writes := u.editor.RangeCost(u.job, rangeIndex)
+	return writes > 0 && u.editor.IsFull(writes, 0)
 }
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -51,7 +51,7 @@
 		}
 		var free, size sched.Resources
 		if view.ledLocally {
-			free, size, ok = s.freeCapacity.FreeOnMachine(name, now)
+			free, size, ok = s.capacityCalculator.FreeOnMachine(name, now)
 		} else {
 			free, ok = view.offered[name]
 			size, _ = s.catalog.MachineCapacity(machine.MachineType)
@@ -59,7 +59,7 @@
 		if !ok {
 			continue
 		}
-		load := s.freeCapacity.LoadOf(name)
+		load := s.capacityCalculator.LoadOf(name)
 		hostStorage = append(hostStorage, sched.Host{
 			Name:         name,
 			Shard:        machine.Shard,
@@ -72,7 +72,7 @@
 			Images:       s.cache.PlacedImages[name],
 			ServiceTasks: load.ServiceTasks,
 			ArrayTasks:   load.OtherTasks,
-			StartDelayS:  s.freeCapacity.StartDelay(name, load, now),
+			StartDelayS:  s.capacityCalculator.StartDelay(name, load, now),
 		})
 		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
 	}
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -74,7 +74,7 @@
 		admission:  s.zones.Admission(now),
 		zonesByJob: map[string]*zoneConstraint{},
 	}
-	t.editor.MaxChanges = min(t.editor.MaxChanges, budget)
+	t.editor.MaxWrites = min(t.editor.MaxWrites, budget)
 	var result PlacementResult
 	for i := range placements {
 		outcome := t.add(&placements[i])
@@ -106,21 +106,21 @@
 		return placementRefused
 	}
 	job := pending.Job()
-	changes := pending.Changes() + t.editor.RangeCost(job, placement.RangeIndex)
+	writes := pending.Writes() + t.editor.RangeCost(job, placement.RangeIndex)
 	if job.Record.Spec.SingleZone && job.Record.Zone == "" {
-		changes++
+		writes++
 	}
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
 		if !t.scheduler.CanStop(victimJob, victim) {
 			return placementRefused // the victim's capacity may be free by now
 		}
-		changes += t.editor.StopCost(victimJob, victim)
+		writes += t.editor.StopCost(victimJob, victim)
 	}
-	if t.editor.Changes == 0 && len(placement.Victims) > 0 && changes > t.scheduler.schema.TransactionLimits().TxnOps {
+	if t.editor.Writes == 0 && len(placement.Victims) > 0 && writes > t.scheduler.schema.TransactionLimits().TxnOps {
 		return placementTooLarge
 	}
-	if changes > 0 && t.editor.IsFull(changes, t.claims.Changes()) {
+	if writes > 0 && t.editor.IsFull(writes, t.claims.Writes()) {
 		return transactionFull
 	}
 	pending.Apply()
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -123,7 +123,7 @@
 		}
 		if host != nil {
 			p.placement.teamUsage[team.Name] = usage
-			p.assign(job, task, host)
+			p.placeTask(job, task, host)
 			continue
 		}
 		unplacedRanges[task.RangeIndex], anyUnplaced = true, true
@@ -135,9 +135,9 @@
 	job.tasks = remaining
 }
 
-// assign places a task on a machine with capacity for it. For a task of a peer's job it only holds
-// back the capacity, since the leader of the job's shard places the task.
-func (p *planner) assign(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
+// placeTask places a task on a machine with capacity for it. For a task of a peer's job it only
+// holds back the capacity, since the leader of the job's shard places the task.
+func (p *planner) placeTask(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
 	host.Free = host.Free.Sub(job.request.Need)
 	if !host.Free.Fits(p.smallestRequest) {
 		byShard := p.placement.hostsByShard
@@ -166,7 +166,7 @@
 		return
 	}
 	if p.placement.provisioning == nil {
-		p.placement.provisioning = p.scheduler.freeCapacity.ProvisioningHosts(p.now, true)
+		p.placement.provisioning = p.scheduler.capacityCalculator.ProvisioningHosts(p.now, true)
 	}
 	search := p.searchGangCapacity(job)
 	if search.isComplete() {
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -42,8 +42,8 @@
 	return job.preemptOptions
 }
 
-// assignInPlaceOfVictims assigns a task of the job to the machine on which its victims free capacity.
-func (p *planner) assignInPlaceOfVictims(job *waitingJob, rangeIndex int, choice victimChoice) {
+// placeInsteadOfVictims places a task of the job on the machine on which its victims free capacity.
+func (p *planner) placeInsteadOfVictims(job *waitingJob, rangeIndex int, choice victimChoice) {
 	host := choice.host
 	for _, victim := range choice.tasks {
 		host.Free = host.Free.Add(statecache.ResourcesOf(&p.scheduler.cache.Jobs[victim.UID].Record.Spec))
@@ -65,15 +65,15 @@
 		}
 		choice := p.reclaim.preemption.chooseVictims(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
 		if choice.found() {
-			p.assignInPlaceOfVictims(start.job, placement.RangeIndex, choice)
+			p.placeInsteadOfVictims(start.job, placement.RangeIndex, choice)
 			placement.Host, placement.Victims = choice.host, choice.tasks
 		}
 	}
 }
 
-// unassignedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks for
+// unplacedTasks returns the tasks of a job that need capacity. Of a gang these are the tasks for
 // which no machine was found, or all its unplaced tasks if the machines found are not reserved.
-func (p *planner) unassignedTasks(job *waitingJob) []statecache.TaskIndex {
+func (p *planner) unplacedTasks(job *waitingJob) []statecache.TaskIndex {
 	search := p.gangSearches[job]
 	if search == nil {
 		return job.tasks
@@ -90,7 +90,7 @@
 // reclaimCapacityFor finds capacity for the unplaced tasks of a job: that of stopping tasks, or else
 // by preemption. The tasks that remain become unmet demand, for which machines are rented.
 func (p *planner) reclaimCapacityFor(job *waitingJob) {
-	tasks := p.unassignedTasks(job)
+	tasks := p.unplacedTasks(job)
 	if !job.entry.ledLocally {
 		p.plan.AllUnmetDemand = append(p.plan.AllUnmetDemand,
 			sched.UnmetDemand{Request: job.request, Count: min(len(tasks), maxReclaimTasks)})
@@ -119,7 +119,7 @@
 			placement.Victims = choice.tasks
 			p.reclaim.preemptingPlacements = append(p.reclaim.preemptingPlacements, placement)
 		}
-		p.assignInPlaceOfVictims(job, task.RangeIndex, choice)
+		p.placeInsteadOfVictims(job, task.RangeIndex, choice)
 		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task needs
 	}
 	p.dropFullHosts()
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -133,7 +133,7 @@
 	if entry.withinGuarantee {
 		return true
 	}
-	running := p.scheduler.freeCapacity.LoadOf(host.Name).RunningByPriority[:]
+	running := p.scheduler.capacityCalculator.LoadOf(host.Name).RunningByPriority[:]
 	lower := running[min(entry.priority+1, len(running)):]
 	return slices.ContainsFunc(lower, func(used sched.Resources) bool { return used != sched.Resources{} })
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -19,17 +19,17 @@
 // Between plans it keeps the state of each gang's search for capacity, the backoff of jobs whose
 // tasks fail, and the newest plan. The lock of internal/state guards it.
 type Scheduler struct {
-	node         *node.Info
-	cache        *statecache.Cache
-	schema       *schema.State
-	leadership   *leadership.Table
-	catalog      *catalog.Catalog
-	agents       *agent.Registry
-	freeCapacity *capacity.Calculator
-	estimates    *estimate.Estimates
-	zones        *zonestate.Zones
-	accounting   *capacity.Accounting
-	wake         notify.Signal // triggers a decision step
+	node               *node.Info
+	cache              *statecache.Cache
+	schema             *schema.State
+	leadership         *leadership.Table
+	catalog            *catalog.Catalog
+	agents             *agent.Registry
+	capacityCalculator *capacity.Calculator
+	estimates          *estimate.Estimates
+	zones              *zonestate.Zones
+	accounting         *capacity.Accounting
+	wake               notify.Signal // triggers a decision step
 
 	gangs        gangTable
 	backoffs     backoffTable
@@ -39,35 +39,35 @@
 
 // Deps holds the dependencies of a Scheduler.
 type Deps struct {
-	Node         *node.Info
-	Cache        *statecache.Cache
-	Schema       *schema.State
-	Leadership   *leadership.Table
-	Catalog      *catalog.Catalog
-	Agents       *agent.Registry
-	FreeCapacity *capacity.Calculator
-	Estimates    *estimate.Estimates
-	Zones        *zonestate.Zones
-	Accounting   *capacity.Accounting
-	Wake         notify.Signal // triggers a decision step
+	Node               *node.Info
+	Cache              *statecache.Cache
+	Schema             *schema.State
+	Leadership         *leadership.Table
+	Catalog            *catalog.Catalog
+	Agents             *agent.Registry
+	CapacityCalculator *capacity.Calculator
+	Estimates          *estimate.Estimates
+	Zones              *zonestate.Zones
+	Accounting         *capacity.Accounting
+	Wake               notify.Signal // triggers a decision step
 }
 
 // New returns a scheduler that has not made a plan yet.
 func New(d Deps) *Scheduler {
 	return &Scheduler{
-		node:         d.Node,
-		cache:        d.Cache,
-		schema:       d.Schema,
-		leadership:   d.Leadership,
-		catalog:      d.Catalog,
-		agents:       d.Agents,
-		freeCapacity: d.FreeCapacity,
-		estimates:    d.Estimates,
-		zones:        d.Zones,
-		accounting:   d.Accounting,
-		wake:         d.Wake,
-		gangs:        newGangTable(),
-		backoffs:     backoffTable{},
+		node:               d.Node,
+		cache:              d.Cache,
+		schema:             d.Schema,
+		leadership:         d.Leadership,
+		catalog:            d.Catalog,
+		agents:             d.Agents,
+		capacityCalculator: d.CapacityCalculator,
+		estimates:          d.Estimates,
+		zones:              d.Zones,
+		accounting:         d.Accounting,
+		wake:               d.Wake,
+		gangs:              newGangTable(),
+		backoffs:           backoffTable{},
 	}
 }
 
--- a/internal/scheduler/unmet_demand.go
+++ b/internal/scheduler/unmet_demand.go
@@ -30,7 +30,7 @@
 	if len(job.deferred) <= maxRentalsAhead {
 		return job.deferred
 	}
-	expected := sched.CountFits(p.scheduler.freeCapacity.ProvisioningHosts(p.now, false), &job.request, len(job.deferred))
+	expected := sched.CountFits(p.scheduler.capacityCalculator.ProvisioningHosts(p.now, false), &job.request, len(job.deferred))
 	return job.deferred[:min(len(job.deferred), expected+maxRentalsAhead)]
 }
 
--- a/internal/schema/editor.go
+++ b/internal/schema/editor.go
@@ -9,13 +9,13 @@
 // (PROTOCOL): four preconditions for each change, and 64 KiB. A quarter of the 64 KiB is reserved
 // for bytes that the estimates below leave out.
 const (
-	preconditionsPerChange = 4
-	maxTransactionBytes    = 48 << 10
+	preconditionsPerWrite = 4
+	maxTransactionBytes   = 48 << 10
 )
 
 // Estimated sizes in bytes of the parts of a transaction, rounded up.
 const (
-	changeBytes    = 512 // a change with its precondition, without the record
+	writeBytes     = 512 // a change with its precondition, without the record
 	inlineJobBytes = 768 // a main record that contains its task range
 	placementBytes = 64
 )
@@ -26,15 +26,15 @@
 	Index int
 }
 
-// Editor collects changes to job records for one transaction. It copies a record on first access;
+// Editor collects writes of job records for one transaction. It copies a record on first access;
 // callers change the copies, and Editor.BuildTransaction writes them. Create it with
 // State.NewRecordEditor.
 type Editor struct {
 	Txn                *statecache.Transaction
 	Records            map[string]*job.Record // copies of main records, by job; nil if the job is archived
 	DeletedRanges      map[RangeID]bool       // edited task ranges whose records are deleted
-	Changes            int                    // number of changes so far
-	MaxChanges         int
+	Writes             int                    // number of writes so far
+	MaxWrites          int
 	HasOversizedRecord bool // a record exceeds the size of a value; the transaction must not be committed
 
 	schema       *State
@@ -42,13 +42,13 @@
 	editedRanges map[RangeID]*job.TaskRange
 }
 
-// NewRecordEditor returns an editor for a transaction with at most MaxChanges changes.
+// NewRecordEditor returns an editor for a transaction with at most MaxWrites writes.
 func (s *State) NewRecordEditor() *Editor {
 	return &Editor{
 		Txn:           statecache.NewTransaction(),
 		Records:       map[string]*job.Record{},
 		DeletedRanges: map[RangeID]bool{},
-		MaxChanges:    s.MaxChanges(),
+		MaxWrites:     s.MaxWrites(),
 		schema:        s,
 		editedJobs:    map[string]*statecache.Job{},
 		editedRanges:  map[RangeID]*job.TaskRange{},
@@ -63,7 +63,7 @@
 		record = j.Record.Copy()
 		e.Records[uid], e.editedJobs[uid] = record, j
 		e.Txn.Require(statecache.JobKey(uid), j.Version)
-		e.Changes++
+		e.Writes++
 	}
 	return record
 }
@@ -84,12 +84,12 @@
 	}
 	if !j.Record.Inline {
 		e.Txn.Require(j.RangeRecord(index))
-		e.Changes++
+		e.Writes++
 	}
 	return tasks
 }
 
-// RangeCost returns the number of changes that TaskRange would add.
+// RangeCost returns the number of writes that TaskRange would add.
 func (e *Editor) RangeCost(j *statecache.Job, index int) int {
 	uid := j.Record.Spec.UID
 	if e.editedRanges[RangeID{UID: uid, Index: index}] != nil {
@@ -111,7 +111,7 @@
 	e.Txn.Require(statecache.JobKey(uid), j.Version)
 	e.Txn.Require(j.RangeRecord(index))
 	e.Txn.Delete(statecache.TaskRangeKey(uid, j.Record.Generation, index))
-	e.Changes++
+	e.Writes++
 }
 
 // Archive deletes a job's main record and writes its final state.
@@ -122,7 +122,7 @@
 	e.Txn.Delete(statecache.JobKey(uid))
 	e.Txn.Require(statecache.FinalStateKey(uid), 0)
 	e.Txn.Put(statecache.FinalStateKey(uid), final)
-	e.Changes++
+	e.Writes++
 }
 
 // StopTask marks a task as stopping. For a gang it marks the whole attempt, so that all tasks save
@@ -135,7 +135,7 @@
 	e.TaskRange(j, task.RangeIndex).Placements[task.Index].Stopping = true
 }
 
-// StopCost returns the number of changes that StopTask would add.
+// StopCost returns the number of writes that StopTask would add.
 func (e *Editor) StopCost(j *statecache.Job, task *statecache.PlacedTask) int {
 	if !j.IsGang() {
 		return e.RangeCost(j, task.RangeIndex)
@@ -146,18 +146,18 @@
 	return 1
 }
 
-// IsFull reports whether the transaction would exceed its limits with extraChanges more changes to
-// job records and otherRecords changes to other records.
-func (e *Editor) IsFull(extraChanges, otherRecords int) bool {
+// IsFull reports whether the transaction would exceed its limits with extraWrites more writes of
+// job records and otherRecords writes of other records.
+func (e *Editor) IsFull(extraWrites, otherRecords int) bool {
 	limits := e.schema.TransactionLimits()
-	if e.Changes+extraChanges+otherRecords > e.MaxChanges {
+	if e.Writes+extraWrites+otherRecords > e.MaxWrites {
 		return true
 	}
-	if e.Txn.Preconditions()+2*extraChanges+otherRecords > preconditionsPerChange*limits.TxnOps {
+	if e.Txn.Preconditions()+2*extraWrites+otherRecords > preconditionsPerWrite*limits.TxnOps {
 		return true
 	}
 	const largeRecords = 2 // at most this many of the other records are as large as a value may be
-	size := e.rangeBytes() + changeBytes*float64(e.Changes+extraChanges)
+	size := e.rangeBytes() + writeBytes*float64(e.Writes+extraWrites)
 	return size+limits.ValueKB*bytesPerKB*float64(min(otherRecords, largeRecords)) > maxTransactionBytes
 }
 
--- a/internal/schema/limits.go
+++ b/internal/schema/limits.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/statecache"
 )
 
-// minTxnOps is the number of changes of the largest step that can't be divided: a placement with
+// minTxnOps is the number of writes of the largest step that can't be divided: a placement with
 // the records of its shard and its team.
 const minTxnOps = 4
 
@@ -31,10 +31,10 @@
 	return limits
 }
 
-// MaxChanges returns how many changes a transaction may have now. It is bounded by the available
+// MaxWrites returns how many writes a transaction may have now. It is bounded by the available
 // write budget, so that a large transaction does not delay others until the budget has refilled,
 // but is at least what one step needs.
-func (s *State) MaxChanges() int {
+func (s *State) MaxWrites() int {
 	return min(s.TransactionLimits().TxnOps, max(minTxnOps, s.budget.Available()))
 }
 
@@ -77,10 +77,10 @@
 	return true
 }
 
-// ReduceMaxChanges records that the state service refused a transaction with this many changes
+// ReduceMaxWrites records that the state service refused a transaction with this many writes
 // although it was within the announced limits. It lowers the maximum to one change less, but not
 // below what the largest step needs.
-func (s *State) ReduceMaxChanges(changes int) { s.reducedTxnOps = max(changes-1, minTxnOps) }
+func (s *State) ReduceMaxWrites(writes int) { s.reducedTxnOps = max(writes-1, minTxnOps) }
 
 // RequestSplit requests that a job's records be split before its tasks change again.
 func (s *State) RequestSplit(j *statecache.Job) {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -12,7 +12,7 @@
 // package decides on the use of every format that the previous program can't read.
 const Version = 2
 
-// WriteBudget provides the number of changes that may be sent to the state service now.
+// WriteBudget provides the number of writes that may be sent to the state service now.
 type WriteBudget interface {
 	Available() int
 }
@@ -25,7 +25,7 @@
 	budget WriteBudget
 
 	limitsLowered bool           // the announced lower limits are in force: the state service refused a larger transaction
-	reducedTxnOps int            // maximum changes per transaction if lower than announced; 0: as announced
+	reducedTxnOps int            // maximum writes per transaction if lower than announced; 0: as announced
 	splitRequests map[string]int // by job with an oversized record: the generation that the split creates
 }
 
--- a/internal/shard/capacity_trim.go
+++ b/internal/shard/capacity_trim.go
@@ -8,7 +8,7 @@
 	"violetturn/internal/sched"
 )
 
-// PeerDemand is the number of tasks of one size that other controllers are likely to place on
+// PeerDemand is the number of tasks of one size that peers are likely to place on
 // machines of this shard.
 type PeerDemand struct {
 	Need  sched.Resources
@@ -76,7 +76,7 @@
 	maxBytes int
 	demand   []PeerDemand // the task sizes with the most tasks
 	selected map[string]bool
-	amounts  map[sched.Resources]bool // the distinct free resources of the selected machines
+	amounts  map[sched.Resources]bool // the distinct free capacities of the selected machines
 	bytes    int
 }
 
@@ -162,7 +162,7 @@
 	return fitting
 }
 
-// countFits returns how many tasks fit into the free resources, at most maxTasksPerMachine.
+// countFits returns how many tasks fit into the free capacity, at most maxTasksPerMachine.
 func countFits(free, need sched.Resources) float64 {
 	n := 0.0
 	for free.Fits(need) && n < maxTasksPerMachine {
@@ -219,7 +219,7 @@
 	return served
 }
 
-// machineCapacity is a machine with its free resources.
+// machineCapacity is a machine with its free capacity.
 type machineCapacity struct {
 	name string
 	free sched.Resources
--- a/internal/shard/free_capacity.go
+++ b/internal/shard/free_capacity.go
@@ -9,12 +9,12 @@
 	"violetturn/internal/sched"
 )
 
-// FreeCapacity holds the free resources of machines by machine name. Its encoding has each distinct
+// FreeCapacity holds the free capacity of machines by machine name. Its encoding has each distinct
 // amount once, with the names of all machines that have it, so that a shard of hundreds of machines
 // fits into one value of the state service.
 type FreeCapacity map[string]sched.Resources
 
-// capacityGroup is the encoding of the machines with the same free resources.
+// capacityGroup is the encoding of the machines with the same free capacity.
 type capacityGroup struct {
 	Free     sched.Resources `json:"r"`
 	Machines []string        `json:"h"`
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -29,7 +29,7 @@
 	Leader               string                     `json:"by"`            // the leader in that term
 	Released             bool                       `json:"rel,omitempty"` // the leader released the shard and no longer answers workers
 	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the previous leader may answer workers within its grace period
-	Free                 FreeCapacity               `json:"free"`          // free resources of the machines that can run further tasks
+	Free                 FreeCapacity               `json:"free"`          // free capacity of the machines that can run further tasks
 	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team: resources that its tasks use in this shard
 }
 
--- a/internal/simulator/cloud_client.go
+++ b/internal/simulator/cloud_client.go
@@ -13,14 +13,16 @@
 	spotPrice     = 1
 )
 
-// CloudClient is a node's client of the simulated cloud.
+// CloudClient is a controller's client of the simulated cloud.
 type CloudClient struct {
-	Cloud *Cloud
-	Node  string
+	Cloud      *Cloud
+	Controller string
 }
 
-// available reports whether the cloud serves requests of the node.
-func (c *CloudClient) available() bool { return !c.Cloud.Down && !c.Cloud.UnreachableNodes[c.Node] }
+// available reports whether the cloud serves requests of the controller.
+func (c *CloudClient) available() bool {
+	return !c.Cloud.Down && !c.Cloud.UnreachableControllers[c.Controller]
+}
 
 // MachineTypes returns the only machine type of the cloud.
 func (c *CloudClient) MachineTypes(context.Context) ([]cloud.MachineType, error) {
@@ -44,7 +46,7 @@
 // Rent rents machines and returns their names. A request with the name of an earlier one rents
 // nothing and gets the same response.
 func (c *CloudClient) Rent(_ context.Context, r cloud.RentalRequest) ([]string, error) {
-	fault := c.Cloud.consumeNextFault(c.Node)
+	fault := c.Cloud.consumeNextFault(c.Controller)
 	if !c.available() || fault == RequestLost {
 		return nil, cloud.ErrUnavailable
 	}
@@ -63,7 +65,7 @@
 
 // Return returns machines to the cloud, which terminates them.
 func (c *CloudClient) Return(_ context.Context, hosts []string) error {
-	fault := c.Cloud.consumeNextFault(c.Node)
+	fault := c.Cloud.consumeNextFault(c.Controller)
 	if !c.available() || fault == RequestLost {
 		return cloud.ErrUnavailable
 	}
--- a/internal/simulator/command_client.go
+++ b/internal/simulator/command_client.go
@@ -10,17 +10,17 @@
 // ErrNoResponse is returned when a worker does not respond.
 var ErrNoResponse = errors.New("no response from the worker")
 
-// CommandClient is a node's client for direct requests to workers.
+// CommandClient is a controller's client for direct requests to workers.
 type CommandClient struct {
 	Environment       *Environment
-	Node              string
+	Controller        string
 	DelayedDeliveries []func() // each delivers commands that a partition or a hung worker delays; a test runs them
-	Partitioned       bool     // the node is partitioned from all workers
+	Partitioned       bool     // the controller is partitioned from all workers
 
-	PartitionedFrom func(worker *Worker) bool // whether the node is partitioned from a worker; nil: from none
+	PartitionedFrom func(worker *Worker) bool // whether the controller is partitioned from a worker; nil: from none
 }
 
-// partitionedFrom reports whether the node is partitioned from a worker.
+// partitionedFrom reports whether the controller is partitioned from a worker.
 func (c *CommandClient) partitionedFrom(worker *Worker) bool {
 	return c.Partitioned || c.PartitionedFrom != nil && c.PartitionedFrom(worker)
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -31,17 +31,17 @@
 
 // ServiceFaults are the faults of a service that controllers call.
 type ServiceFaults struct {
-	Down             bool             // no request is served
-	UnreachableNodes map[string]bool  // nodes whose requests do not reach the service
-	NextFault        map[string]Fault // fault of each node's next transaction, rental or return of machines
+	Down                   bool             // no request is served
+	UnreachableControllers map[string]bool  // controllers whose requests do not reach the service
+	NextFault              map[string]Fault // fault of each controller's next transaction, rental or return of machines
 }
 
 // newServiceFaults returns a ServiceFaults without faults.
 func newServiceFaults() ServiceFaults {
-	return ServiceFaults{UnreachableNodes: map[string]bool{}, NextFault: map[string]Fault{}}
+	return ServiceFaults{UnreachableControllers: map[string]bool{}, NextFault: map[string]Fault{}}
 }
 
-// consumeNextFault returns the fault in NextFault for a node, and clears it.
+// consumeNextFault returns the fault in NextFault for a controller, and clears it.
 func (s *ServiceFaults) consumeNextFault(node string) Fault {
 	f := s.NextFault[node]
 	delete(s.NextFault, node)
--- a/internal/simulator/gangs_test.go
+++ b/internal/simulator/gangs_test.go
@@ -12,7 +12,7 @@
 // launchTestGang rents two machines and launches a gang of two tasks on them.
 func launchTestGang(t *testing.T, env *Environment) (*Job, []*Worker) {
 	t.Helper()
-	client := &CloudClient{Cloud: env.Cloud, Node: "n0"}
+	client := &CloudClient{Cloud: env.Cloud, Controller: "n0"}
 	if _, err := client.Rent(context.Background(), cloud.RentalRequest{Name: "r", MachineType: "m", Zone: "x", Count: 2}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/state_client.go
+++ b/internal/simulator/state_client.go
@@ -7,15 +7,15 @@
 	"violetturn/internal/store"
 )
 
-// StoreClient is a node's client of the simulated state service. It implements
+// StoreClient is a controller's client of the simulated state service. It implements
 // external.StateService without rate limits: every request is sent at once.
 type StoreClient struct {
 	Store         *Store
-	Node          string
-	TxnOps        int           // maximum writes in a transaction, as announced to the node
-	MaxValueBytes int           // maximum size of a value, as announced to the node
+	Controller    string
+	TxnOps        int           // maximum writes in a transaction, as announced to the controller
+	MaxValueBytes int           // maximum size of a value, as announced to the controller
 	OnServed      func(ok bool) // called after each request with whether it was served; may be nil
-	BeforeCommit  func()        // called once before the next transaction is sent, to simulate a paused node; may be nil
+	BeforeCommit  func()        // called once before the next transaction is sent, to simulate a paused controller; may be nil
 }
 
 // checkAvailable returns the error of a request that is not served: store.ErrRefused for HTTP
@@ -23,9 +23,9 @@
 func (c *StoreClient) checkAvailable() error {
 	var err error
 	switch {
-	case c.Store.UnreachableNodes[c.Node]:
+	case c.Store.UnreachableControllers[c.Controller]:
 		err = store.ErrOutcomeUnknown
-	case c.Store.Down || c.Store.RefusedNodes[c.Node]:
+	case c.Store.Down || c.Store.RefusedControllers[c.Controller]:
 		err = store.ErrRefused
 	}
 	if c.OnServed != nil {
@@ -59,7 +59,8 @@
 	return c.Store.changes(prefix, since)
 }
 
-// Commit commits a transaction, subject to the fault injected for the node's next transaction.
+// Commit commits a transaction, subject to the fault injected for the controller's next
+// transaction.
 func (c *StoreClient) Commit(_ context.Context, t *store.Txn, _ store.Priority) (store.CommitResult, error) {
 	if beforeCommit := c.BeforeCommit; beforeCommit != nil {
 		c.BeforeCommit = nil
@@ -68,9 +69,9 @@
 	if err := c.checkAvailable(); err != nil {
 		return store.CommitResult{}, err
 	}
-	c.Store.SentWrites += len(t.Ops)
+	c.Store.SentWrites += len(t.Writes)
 	c.checkSize(t)
-	switch c.Store.consumeNextFault(c.Node) {
+	switch c.Store.consumeNextFault(c.Controller) {
 	case NoFault:
 	case RequestLost:
 		return store.CommitResult{}, store.ErrOutcomeUnknown
@@ -84,14 +85,14 @@
 	return c.Store.apply(t)
 }
 
-// checkSize checks that a transaction is within the limits announced to the node.
+// checkSize checks that a transaction is within the limits announced to the controller.
 func (c *StoreClient) checkSize(t *store.Txn) {
-	if len(t.Ops) > c.TxnOps || len(t.Preconditions) > maxPreconditionsPerOp*c.TxnOps {
-		c.Store.env.RecordViolation(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Ops), len(t.Preconditions))
+	if len(t.Writes) > c.TxnOps || len(t.Preconditions) > maxPreconditionsPerWrite*c.TxnOps {
+		c.Store.env.RecordViolation(RuleLimits, "transaction has %d writes and %d preconditions", len(t.Writes), len(t.Preconditions))
 	}
-	for _, op := range t.Ops {
-		if len(op.Value) > c.MaxValueBytes {
-			c.Store.env.RecordViolation(RuleLimits, "value of key %q has %d bytes", op.WriteKey, len(op.Value))
+	for _, write := range t.Writes {
+		if len(write.Value) > c.MaxValueBytes {
+			c.Store.env.RecordViolation(RuleLimits, "value of key %q has %d bytes", write.WriteKey, len(write.Value))
 		}
 	}
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -10,25 +10,25 @@
 	"violetturn/internal/store"
 )
 
-// maxPreconditionsPerOp is the maximum number of preconditions in a transaction, as a multiple of
-// the maximum number of writes (PROTOCOL).
-const maxPreconditionsPerOp = 4
+// maxPreconditionsPerWrite is the maximum number of preconditions in a transaction, as a multiple
+// of the maximum number of writes (PROTOCOL).
+const maxPreconditionsPerWrite = 4
 
 // StoreLimits are the limits that the state service enforces once it accepts less than announced.
 type StoreLimits struct {
-	MaxOps        int // writes in a transaction; 0: the limits were not lowered
+	MaxWrites     int // writes in a transaction; 0: the limits were not lowered
 	MaxValueBytes int // bytes of a value
 }
 
 // accept reports whether a transaction is within the limits.
 func (l *StoreLimits) accept(t *store.Txn) bool {
-	if l.MaxOps == 0 {
+	if l.MaxWrites == 0 {
 		return true
 	}
-	if len(t.Ops) > l.MaxOps || len(t.Preconditions) > maxPreconditionsPerOp*l.MaxOps {
+	if len(t.Writes) > l.MaxWrites || len(t.Preconditions) > maxPreconditionsPerWrite*l.MaxWrites {
 		return false
 	}
-	return !slices.ContainsFunc(t.Ops, func(op store.Op) bool { return len(op.Value) > l.MaxValueBytes })
+	return !slices.ContainsFunc(t.Writes, func(write store.Write) bool { return len(write.Value) > l.MaxValueBytes })
 }
 
 // StoreCounters count requests to the state service.
@@ -42,7 +42,7 @@
 	ServiceFaults
 	StoreLimits
 	StoreCounters
-	RefusedNodes map[string]bool // nodes whose requests get status 503
+	RefusedControllers map[string]bool // controllers whose requests get status 503
 
 	env         *Environment
 	revision    uint64
@@ -63,11 +63,11 @@
 // newStore returns an empty state service.
 func newStore(env *Environment) *Store {
 	return &Store{
-		ServiceFaults: newServiceFaults(),
-		RefusedNodes:  map[string]bool{},
-		env:           env,
-		keys:          map[string]storedValue{},
-		leases:        map[uint64]*lease{},
+		ServiceFaults:      newServiceFaults(),
+		RefusedControllers: map[string]bool{},
+		env:                env,
+		keys:               map[string]storedValue{},
+		leases:             map[uint64]*lease{},
 	}
 }
 
@@ -116,8 +116,8 @@
 		s.RefusedTooLarge++
 		return store.CommitResult{}, store.ErrTooLarge
 	}
-	for _, op := range t.Ops {
-		if op.Lease != nil && s.leases[*op.Lease] == nil {
+	for _, write := range t.Writes {
+		if write.Lease != nil && s.leases[*write.Lease] == nil {
 			return store.CommitResult{}, store.ErrLeaseEnded
 		}
 	}
@@ -131,27 +131,27 @@
 		return store.CommitResult{Revision: s.revision, Conflicts: conflicts}, nil
 	}
 	s.revision++
-	for _, op := range t.Ops {
-		s.applyOp(op)
+	for _, write := range t.Writes {
+		s.applyWrite(write)
 	}
 	return store.CommitResult{Committed: true, Revision: s.revision}, nil
 }
 
-// applyOp applies one write or deletion of a transaction at the current revision.
-func (s *Store) applyOp(op store.Op) {
-	if op.DeleteKey != "" {
-		if _, ok := s.keys[op.DeleteKey]; ok {
-			delete(s.keys, op.DeleteKey)
-			s.logChange(store.Change{DeletedKey: op.DeleteKey, Version: s.revision})
+// applyWrite applies one write of a transaction at the current revision.
+func (s *Store) applyWrite(write store.Write) {
+	if write.DeleteKey != "" {
+		if _, ok := s.keys[write.DeleteKey]; ok {
+			delete(s.keys, write.DeleteKey)
+			s.logChange(store.Change{DeletedKey: write.DeleteKey, Version: s.revision})
 		}
 		return
 	}
-	stored := storedValue{value: op.Value, version: s.revision}
-	if op.Lease != nil {
-		stored.leaseID = *op.Lease
+	stored := storedValue{value: write.Value, version: s.revision}
+	if write.Lease != nil {
+		stored.leaseID = *write.Lease
 	}
-	s.keys[op.WriteKey] = stored
-	s.logChange(store.Change{WrittenKey: op.WriteKey, Value: op.Value, Version: s.revision})
+	s.keys[write.WriteKey] = stored
+	s.logChange(store.Change{WrittenKey: write.WriteKey, Value: write.Value, Version: s.revision})
 }
 
 // lease is a lease of the state service. Keys written with it are deleted when it ends.
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -20,21 +20,21 @@
 	return env
 }
 
-// newTestClient returns a node's client of an environment's state service.
+// newTestClient returns a controller's client of an environment's state service.
 func newTestClient(env *Environment) *StoreClient {
-	return &StoreClient{Store: env.Store, Node: "n0", TxnOps: 8, MaxValueBytes: 100}
+	return &StoreClient{Store: env.Store, Controller: "n0", TxnOps: 8, MaxValueBytes: 100}
 }
 
 // writeTxn returns a transaction that writes the keys without preconditions.
 func writeTxn(keys ...string) *store.Txn {
 	t := &store.Txn{}
 	for _, key := range keys {
-		t.Ops = append(t.Ops, store.Op{WriteKey: key, Value: json.RawMessage("1")})
+		t.Writes = append(t.Writes, store.Write{WriteKey: key, Value: json.RawMessage("1")})
 	}
 	return t
 }
 
-// A fault injected into transactions applies to the node's next transaction only.
+// A fault injected into transactions applies to the controller's next transaction only.
 func TestTransactionFaults(t *testing.T) {
 	for _, test := range []struct {
 		fault                 Fault
@@ -96,7 +96,7 @@
 			t.Fatalf("granting a lease: %v", err)
 		}
 		txn := writeTxn(key)
-		txn.Ops[0].Lease = &id
+		txn.Writes[0].Lease = &id
 		if result, err := c.Commit(context.Background(), txn, 0); !result.Committed {
 			t.Fatalf("transaction with a lease: result %+v, error %v; want it committed", result, err)
 		}
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -31,7 +31,7 @@
 			s.deleteGarbage(t, uid, key, taskRange.Version)
 		}
 	}
-	if t.Changes() == 0 {
+	if t.Writes() == 0 {
 		return nil
 	}
 	return t
@@ -44,11 +44,11 @@
 // isFull reports whether no other deletion fits into a transaction.
 func (s *Splitter) isFull(t *statecache.Transaction) bool {
 	limits := s.schema.TransactionLimits()
-	return t.Changes() >= limits.TxnOps || t.Preconditions()+maxPreconditionsPerDelete > preconditionsPerChange*limits.TxnOps
+	return t.Writes() >= limits.TxnOps || t.Preconditions()+maxPreconditionsPerDelete > preconditionsPerWrite*limits.TxnOps
 }
 
-// isGarbageCollectorOf reports whether this node deletes the garbage of a job: whether it leads the
-// job's shard or, for a finished job (j is nil), the first shard.
+// isGarbageCollectorOf reports whether this controller deletes the garbage of a job: whether it
+// leads the job's shard or, for a finished job (j is nil), the first shard.
 func (s *Splitter) isGarbageCollectorOf(j *statecache.Job) bool {
 	if j == nil {
 		return s.leadership.Leads(s.node.Shards[0])
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -10,9 +10,9 @@
 	"violetturn/internal/statecache"
 )
 
-// preconditionsPerChange is the state service's limit on the preconditions of a transaction, as a
-// multiple of its limit on the number of changes (PROTOCOL).
-const preconditionsPerChange = 4
+// preconditionsPerWrite is the state service's limit on the preconditions of a transaction, as a
+// multiple of its limit on the number of writes (PROTOCOL).
+const preconditionsPerWrite = 4
 
 // backgroundSplitIntervals is the minimum number of decision intervals between the starts of two
 // splits that were not requested. No other write waits for these splits, so they may use only a
@@ -31,7 +31,8 @@
 	lastGarbageCollection time.Time
 }
 
-// New returns a splitter for the jobs of the shards that this node leads according to leadership.
+// New returns a splitter for the jobs of the shards that this controller leads according to
+// leadership.
 func New(node *node.Info, cache *statecache.Cache, schema *schema.State, leadership *leadership.Table) *Splitter {
 	return &Splitter{node: node, cache: cache, schema: schema, leadership: leadership}
 }
@@ -68,7 +69,7 @@
 		return step
 	}
 	s.copyRanges(step.Transaction, j, step.RangeSize)
-	if step.Transaction.Changes() == 0 { // all task ranges are copied
+	if step.Transaction.Writes() == 0 { // all task ranges are copied
 		split := j.Record.Copy()
 		split.Split(step.RangeSize)
 		step.Transaction.Put(key, split)
@@ -148,7 +149,7 @@
 		if existing.Record != nil && existing.Version > max(version, j.Version) {
 			continue // it has the current contents
 		}
-		if t.Changes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerChange*limits.TxnOps-1 {
+		if t.Writes() >= limits.TxnOps || t.Preconditions() >= preconditionsPerWrite*limits.TxnOps-1 {
 			return false
 		}
 		t.Require(key, version)
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -22,7 +22,8 @@
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// fixture is the splitter of node n0, which leads the only shard. The size limit of a value is 2 KiB.
+// fixture is the splitter of controller n0, which leads the only shard. The size limit of a value
+// is 2 KiB.
 type fixture struct {
 	*Splitter
 	now     time.Time
@@ -85,8 +86,8 @@
 		if step.UID != uid || step.RangeSize != size {
 			t.Fatalf("step %d: job %s, ranges of %d tasks, want job %s, ranges of %d", steps, step.UID, step.RangeSize, uid, size)
 		}
-		if n := step.Transaction.Changes(); n == 0 || n > f.schema.TransactionLimits().TxnOps {
-			t.Fatalf("step %d: transaction of %d changes, want 1 to %d", steps, n, f.schema.TransactionLimits().TxnOps)
+		if n := step.Transaction.Writes(); n == 0 || n > f.schema.TransactionLimits().TxnOps {
+			t.Fatalf("step %d: transaction of %d writes, want 1 to %d", steps, n, f.schema.TransactionLimits().TxnOps)
 		}
 		f.commit(step.Transaction)
 		if steps == 0 && !f.cache.Jobs[uid].Record.Frozen {
@@ -131,7 +132,7 @@
 	f.schema.RequestSplit(f.cache.Jobs[uid])
 	f.split(t, uid, f.cache.Jobs[uid].Record.SplitSize(2))
 	garbage := f.GarbageTransaction()
-	if garbage == nil || garbage.Changes() != 2 {
+	if garbage == nil || garbage.Writes() != 2 {
 		t.Fatalf("GarbageTransaction() = %v, want 2 deletions", garbage)
 	}
 	keys := slices.Sorted(slices.Values(garbage.Keys()))
--- a/internal/state/reachability.go
+++ b/internal/state/reachability.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// IsolatedFor reports whether this controller has not reached the state service for longer than d,
-// and queried its peers meanwhile without a response from any of them.
-func (r *Reachability) IsolatedFor(d time.Duration, now time.Time) bool {
+// PartitionedFor reports whether this controller has not reached the state service for longer than
+// d, and queried its peers meanwhile without a response from any of them.
+func (r *Reachability) PartitionedFor(d time.Duration, now time.Time) bool {
 	return !r.StoreReachable && now.Sub(r.Since) > d && r.PeersQueried && len(r.StoreReachableByPeer) == 0
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,20 +22,20 @@
 // State is all the state that the controller's lock guards. Each component depends only on those
 // that are listed before it. Create it with New.
 type State struct {
-	Cache          *statecache.Cache      // live records of the state service
-	Schema         *schema.State          // permitted formats and sizes of records
-	Leadership     *leadership.Table      // shards that this controller leads
-	Catalog        *catalog.Catalog       // machine types that the cloud offers
-	Agents         *agent.Registry        // workers of the shards that this controller leads
-	DirectCommands *agent.DirectCommands  // commands sent to workers outside of heartbeat responses
-	FreeCapacity   *capacity.Calculator   // free capacity of machines
-	Zones          *zonestate.Zones       // health of zones
-	Accounting     *capacity.Accounting   // capacity records and quotas
-	Scheduler      *scheduler.Scheduler   // placement of tasks
-	Autoscaler     *autoscaler.Autoscaler // rentals and returns of machines
-	Reconciler     *reconcile.Reconciler  // responses to heartbeats
-	Splitter       *splitter.Splitter     // splits of records that exceed the limits
-	FinalStates    *finalstate.Cache      // final states of finished jobs
+	Cache              *statecache.Cache      // live records of the state service
+	Schema             *schema.State          // permitted formats and sizes of records
+	Leadership         *leadership.Table      // shards that this controller leads
+	Catalog            *catalog.Catalog       // machine types that the cloud offers
+	Agents             *agent.Registry        // workers of the shards that this controller leads
+	DirectCommands     *agent.DirectCommands  // commands sent to workers outside of heartbeat responses
+	CapacityCalculator *capacity.Calculator   // free capacity of machines
+	Zones              *zonestate.Zones       // health of zones
+	Accounting         *capacity.Accounting   // capacity records and quotas
+	Scheduler          *scheduler.Scheduler   // placement of tasks
+	Autoscaler         *autoscaler.Autoscaler // rentals and returns of machines
+	Reconciler         *reconcile.Reconciler  // responses to heartbeats
+	Splitter           *splitter.Splitter     // splits of records that exceed the limits
+	FinalStates        *finalstate.Cache      // final states of finished jobs
 
 	Stats        Stats
 	Reachability Reachability
@@ -66,14 +66,14 @@
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Wake: wake,
 	})
 	s.DirectCommands = agent.NewDirectCommands(s.Agents)
-	s.FreeCapacity = capacity.NewCalculator(capacity.CalculatorDeps{
+	s.CapacityCalculator = capacity.NewCalculator(capacity.CalculatorDeps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
 	s.Zones = zonestate.New(zonestate.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
 	})
 	s.Accounting = capacity.NewAccounting(capacity.AccountingDeps{
-		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, FreeCapacity: s.FreeCapacity,
+		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Calculator: s.CapacityCalculator,
 	})
 }
 
@@ -82,12 +82,12 @@
 	estimates := estimate.New(info)
 	s.Scheduler = scheduler.New(scheduler.Deps{
 		Node: info, Cache: s.Cache, Schema: s.Schema, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Accounting, Wake: wake,
+		CapacityCalculator: s.CapacityCalculator, Estimates: estimates, Zones: s.Zones, Accounting: s.Accounting, Wake: wake,
 	})
 	s.Autoscaler = autoscaler.New(autoscaler.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
-		Commands: s.DirectCommands, FreeCapacity: s.FreeCapacity, Estimates: estimates, Zones: s.Zones, Accounting: s.Accounting,
-		Scheduler: s.Scheduler, Wake: wake,
+		Commands: s.DirectCommands, CapacityCalculator: s.CapacityCalculator, Estimates: estimates, Zones: s.Zones,
+		Accounting: s.Accounting, Scheduler: s.Scheduler, Wake: wake,
 	})
 	s.Reconciler = reconcile.New(reconcile.Deps{
 		Node: info, Cache: s.Cache, Leadership: s.Leadership, Catalog: s.Catalog, Agents: s.Agents,
--- a/internal/state/stats.go
+++ b/internal/state/stats.go
@@ -17,24 +17,24 @@
 	DeregisteredAt time.Time // when machines were last deregistered
 }
 
-// CountCommitted counts a committed transaction with the given number of changes.
-func (s *Stats) CountCommitted(purpose string, changes int) { s.count(purpose, changes, CommitStats{}) }
+// CountCommitted counts a committed transaction with the given number of writes.
+func (s *Stats) CountCommitted(purpose string, writes int) { s.count(purpose, writes, CommitStats{}) }
 
 // CountConflict counts a transaction whose preconditions did not hold.
-func (s *Stats) CountConflict(purpose string, changes int) {
-	s.count(purpose, changes, CommitStats{Conflicts: 1, ConflictedWrites: changes})
+func (s *Stats) CountConflict(purpose string, writes int) {
+	s.count(purpose, writes, CommitStats{Conflicts: 1, ConflictedWrites: writes})
 }
 
 // CountFailed counts a transaction that was refused or whose outcome is unknown.
-func (s *Stats) CountFailed(purpose string, changes int) {
-	s.count(purpose, changes, CommitStats{Failed: 1})
+func (s *Stats) CountFailed(purpose string, writes int) {
+	s.count(purpose, writes, CommitStats{Failed: 1})
 }
 
-// count adds a transaction with the given number of changes and the counts of its outcome.
-func (s *Stats) count(purpose string, changes int, outcome CommitStats) {
+// count adds a transaction with the given number of writes and the counts of its outcome.
+func (s *Stats) count(purpose string, writes int, outcome CommitStats) {
 	sum := s.Commits[purpose]
 	sum.Transactions++
-	sum.Writes += changes
+	sum.Writes += writes
 	sum.Conflicts += outcome.Conflicts
 	sum.ConflictedWrites += outcome.ConflictedWrites
 	sum.Failed += outcome.Failed
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// LivePrefix is the prefix of all keys that every controller replicates. A finished job leaves one
+// LivePrefix is the prefix of all keys that every controller caches. A finished job leaves one
 // record under another prefix (FinalStateKey), which is read on demand.
 const LivePrefix = "live/"
 
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -8,14 +8,14 @@
 	"violetturn/internal/store"
 )
 
-// Transaction collects the preconditions and changes of one compare-and-swap, with the changes in
+// Transaction collects the preconditions and writes of one compare-and-swap, with the writes in
 // the order in which they are added. Create it with NewTransaction.
 type Transaction struct {
 	preconditions map[string]uint64
 	writes        map[string]json.RawMessage
 	leases        map[string]uint64 // leases to which writes are attached, by key
 	deletes       map[string]bool
-	changedKeys   []string // keys of writes and deletions, in the order in which they were added
+	changedKeys   []string // keys of the writes, deletions included, in the order in which they were added
 
 	capacities map[string]*shard.CapacityRecord // written capacity records in decoded form, by key
 }
@@ -70,9 +70,9 @@
 	delete(t.writes, key)
 }
 
-// Changes returns the number of writes and deletions. A record that is both written and deleted in
-// this transaction counts twice.
-func (t *Transaction) Changes() int {
+// Writes returns the number of writes, which include deletions. A record that is both written and
+// deleted in this transaction counts twice.
+func (t *Transaction) Writes() int {
 	n := 0
 	for _, key := range t.changedKeys {
 		if t.deletes[key] || t.writes[key] != nil {
@@ -85,12 +85,12 @@
 // Size returns the size in bytes of the record to be written under a key; 0 if there is no write.
 func (t *Transaction) Size(key string) int { return len(t.writes[key]) }
 
-// Keys returns the keys of the changes, in order. A key may occur twice.
+// Keys returns the keys of the writes, in order. A key may occur twice.
 func (t *Transaction) Keys() []string { return t.changedKeys }
 
 // Request returns the transaction as a request to the state service.
 func (t *Transaction) Request() *store.Txn {
-	request := &store.Txn{Preconditions: []store.Precondition{}, Ops: []store.Op{}}
+	request := &store.Txn{Preconditions: []store.Precondition{}, Writes: []store.Write{}}
 	for key, version := range t.preconditions {
 		request.Preconditions = append(request.Preconditions, store.Precondition{Key: key, Version: version})
 	}
@@ -100,25 +100,25 @@
 			continue
 		}
 		seen[key] = true
-		if op, ok := t.operation(key); ok {
-			request.Ops = append(request.Ops, op)
+		if write, ok := t.requestedWrite(key); ok {
+			request.Writes = append(request.Writes, write)
 		}
 	}
 	return request
 }
 
-// operation returns the write or deletion of a key; ok is false if there is none.
-func (t *Transaction) operation(key string) (op store.Op, ok bool) {
+// requestedWrite returns the write of a key; ok is false if there is none.
+func (t *Transaction) requestedWrite(key string) (write store.Write, ok bool) {
 	if t.deletes[key] {
-		return store.Op{DeleteKey: key}, true
+		return store.Write{DeleteKey: key}, true
 	}
 	value := t.writes[key]
 	if value == nil {
-		return store.Op{}, false
+		return store.Write{}, false
 	}
-	op = store.Op{WriteKey: key, Value: value}
+	write = store.Write{WriteKey: key, Value: value}
 	if leaseID, ok := t.leases[key]; ok {
-		op.Lease = &leaseID
+		write.Lease = &leaseID
 	}
-	return op, true
+	return write, true
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -123,7 +123,7 @@
 	leaseID := uint64(7)
 	return &Txn{
 		Preconditions: []Precondition{{"a/b", 0}},
-		Ops:           []Op{{WriteKey: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {DeleteKey: "c/d"}},
+		Writes:        []Write{{WriteKey: "a/b", Value: []byte(`{}`), Lease: &leaseID}, {DeleteKey: "c/d"}},
 	}
 }
 
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of the state service. They are wrapped in errors that name the operation.
+// Errors of the state service. They are wrapped in errors that name the request.
 var (
 	// ErrRefused means that the request was certainly not carried out: the response had status
 	// 503 or 429, or the request was never sent.
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -93,7 +93,7 @@
 // Commit sends a transaction to the service. Preconditions that do not hold are reported in the
 // result, not as an error.
 func (c *Client) Commit(ctx context.Context, t *Txn, p Priority) (CommitResult, error) {
-	m, err := c.send(ctx, request{method: "POST", target: "/multi", body: t, writeCount: len(t.Ops), priority: p})
+	m, err := c.send(ctx, request{method: "POST", target: "/multi", body: t, writeCount: len(t.Writes), priority: p})
 	if err != nil {
 		return CommitResult{}, fmt.Errorf("commit: %w", err)
 	}
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -24,23 +24,23 @@
 	Version uint64 `json:"stamp"`
 }
 
-// Op is an operation of a transaction: a write or a deletion of a key.
-type Op struct {
+// Write is a write of a transaction: it sets or deletes a key.
+type Write struct {
 	WriteKey  string          `json:"write,omitempty"` // the key to write; "" for a deletion
 	Value     json.RawMessage `json:"v,omitempty"`
 	Lease     *uint64         `json:"permit,omitempty"` // the key is deleted when the lease ends; nil: no lease
 	DeleteKey string          `json:"drop,omitempty"`   // the key to delete; "" for a write
 }
 
-// Txn is a transaction: all of its operations are applied if all preconditions hold, else none.
+// Txn is a transaction: all of its writes are applied if all preconditions hold, else none.
 type Txn struct {
 	Preconditions []Precondition `json:"guards"`
-	Ops           []Op           `json:"then"`
+	Writes        []Write        `json:"then"`
 }
 
 // CommitResult is the outcome of a transaction that the service has evaluated.
 type CommitResult struct {
-	// Committed reports whether the preconditions held and the operations were applied.
+	// Committed reports whether the preconditions held and the writes were applied.
 	Committed bool
 	// Revision is that of the commit, or the one at which the preconditions were evaluated.
 	Revision uint64
--- a/internal/storesync/commit.go
+++ b/internal/storesync/commit.go
@@ -19,10 +19,10 @@
 	request := txn.Request()
 	result, err := s.services.Store.Commit(ctx, request, priority)
 	if err == nil && result.Committed {
-		s.applyCommitted(purpose, txn, result.Revision, len(request.Ops))
+		s.applyCommitted(purpose, txn, result.Revision, len(request.Writes))
 		return true, nil, nil
 	}
-	s.countFailure(purpose, len(request.Ops), err)
+	s.countFailure(purpose, len(request.Writes), err)
 	if err == nil {
 		s.node.Log.Debug("transaction conflict", "for", purpose, "keys", result.Conflicts)
 	} else {
@@ -37,28 +37,28 @@
 }
 
 // applyCommitted applies a committed transaction to the cache.
-func (s *Sync) applyCommitted(purpose string, txn *statecache.Transaction, revision uint64, changes int) {
+func (s *Sync) applyCommitted(purpose string, txn *statecache.Transaction, revision uint64, writes int) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
-	state.Stats.CountCommitted(purpose, changes)
+	state.Stats.CountCommitted(purpose, writes)
 	state.Cache.ApplyCommitted(txn, revision)
 }
 
 // countFailure counts a transaction that did not commit or whose outcome is unknown.
-func (s *Sync) countFailure(purpose string, changes int, err error) {
+func (s *Sync) countFailure(purpose string, writes int, err error) {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
 	if err != nil {
-		state.Stats.CountFailed(purpose, changes)
+		state.Stats.CountFailed(purpose, writes)
 		return
 	}
-	state.Stats.CountConflict(purpose, changes)
+	state.Stats.CountConflict(purpose, writes)
 }
 
-// handleTooLarge handles a refusal of a transaction for its size or number of changes. Such a refusal
-// means that the limits of the state service were lowered, and below the announced ones if the
-// transaction was within those. Later transactions are made smaller. handleTooLarge reports whether
-// err is such a refusal, so that a smaller transaction may succeed.
+// handleTooLarge handles a refusal of a transaction for its size or number of writes. Such a
+// refusal means that the limits of the state service were lowered, and below the announced ones if
+// the transaction was within those. Later transactions are made smaller. handleTooLarge reports
+// whether err is such a refusal, so that a smaller transaction may succeed.
 func (s *Sync) handleTooLarge(err error, request *store.Txn) bool {
 	if !errors.Is(err, store.ErrTooLarge) {
 		return false
@@ -66,11 +66,11 @@
 	state := s.guard.Lock()
 	lowered := state.Schema.LowerLimits()
 	if !lowered {
-		// The transaction was within the announced limits: reduce the maximum number of changes,
+		// The transaction was within the announced limits: reduce the maximum number of writes,
 		// and split the records of the jobs in it.
-		state.Schema.ReduceMaxChanges(len(request.Ops))
-		for _, op := range request.Ops {
-			if uid, ok := statecache.JobOfKey(op.WriteKey); ok && state.Cache.Jobs[uid] != nil {
+		state.Schema.ReduceMaxWrites(len(request.Writes))
+		for _, write := range request.Writes {
+			if uid, ok := statecache.JobOfKey(write.WriteKey); ok && state.Cache.Jobs[uid] != nil {
 				state.Schema.RequestSplit(state.Cache.Jobs[uid])
 			}
 		}
@@ -80,7 +80,7 @@
 		s.services.Store.LowerLimits()
 		s.node.Log.Info("state service limits lowered")
 	} else {
-		s.node.Log.Error("state service accepts less than announced", "changes", len(request.Ops), "err", err)
+		s.node.Log.Error("state service accepts less than announced", "changes", len(request.Writes), "err", err)
 	}
 	return true
 }
--- a/internal/storesync/sync.go
+++ b/internal/storesync/sync.go
@@ -49,7 +49,8 @@
 	return max(minWritesPerSecond, int(share))
 }
 
-// MayActNow reports whether this controller may now commit changes for the shards that it leads.
+// MayActNow reports whether this controller may now commit transactions for the shards that it
+// leads.
 func (s *Sync) MayActNow() bool {
 	state := s.guard.Lock()
 	defer s.guard.Unlock()
@@ -57,7 +58,8 @@
 }
 
 // Watch keeps the cache up to date until ctx is done. After each successful read of changes it calls
-// changed, which corresponds to the state change callback of the paper.
+// changed, which corresponds to the state change callback of the paper
+// (see internal/scheduler).
 func (s *Sync) Watch(ctx context.Context, changed func(context.Context)) {
 	for ctx.Err() == nil {
 		s.watchOnce(ctx, changed)
--- a/internal/zonehealth/evaluation_test.go
+++ b/internal/zonehealth/evaluation_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// A record has a fixed JSON form, and is decoded to the same value.
+// A record has a fixed JSON encoding, and is decoded to the same value.
 func TestRecordJSONRoundTrip(t *testing.T) {
 	waiting := []Demand{{Need: sched.Resources{CPUs: 4, GPUs: 1, MemGB: 29}, Spot: true, Tasks: 3}}
 	r := Record{
--- a/internal/zonestate/observation.go
+++ b/internal/zonestate/observation.go
@@ -111,7 +111,7 @@
 	return demands[:min(len(demands), maxDemandSizes)]
 }
 
-// demandOf returns the size of a job's tasks in the form of zone records.
+// demandOf returns the size of a job's tasks as zone records contain it.
 func demandOf(spec *api.Job) zonehealth.Demand {
 	return zonehealth.Demand{Need: statecache.ResourcesOf(spec).Rounded(), Spot: spec.AllowSpot}
 }
