--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -162,27 +162,27 @@
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
-	for round := range MaxUnacknowledgedResponses {
-		now := start.Add(time.Duration(round) * interval)
-		for range 5 { // a heartbeat and its copies; only the first one is answered in the last round
+	for intervals := range MaxUnacknowledgedResponses {
+		now := start.Add(time.Duration(intervals) * interval)
+		for range 5 { // a heartbeat and its copies; only the first one is answered in the last interval
 			if a.UnacknowledgedResponses < MaxUnacknowledgedResponses && !a.MayAnswerOlderTerm(now, bound, interval) {
-				t.Fatalf("the worker is not answered in round %d, want an answer", round)
+				t.Fatalf("the worker is not answered in interval %d, want a response", intervals)
 			}
 		}
-		if a.UnacknowledgedResponses != round+1 {
-			t.Fatalf("counted %d responses in %d rounds, want one per round", a.UnacknowledgedResponses, round+1)
+		if a.UnacknowledgedResponses != intervals+1 {
+			t.Fatalf("counted %d responses in %d intervals, want one per interval", a.UnacknowledgedResponses, intervals+1)
 		}
 	}
 	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedResponses != MaxUnacknowledgedResponses {
-		t.Errorf("within its lease the worker is answered once more or the count changed: %d responses counted, want no answer and %d",
+		t.Errorf("within its lease the worker is answered once more or the count changed: %d responses counted, want no response and %d",
 			a.UnacknowledgedResponses, MaxUnacknowledgedResponses)
 	}
 	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedResponses != 0 {
-		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d responses counted, want no answer and 0",
+		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d responses counted, want no response and 0",
 			a.UnacknowledgedResponses)
 	}
 	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
-		t.Error("the worker is not answered after its lease has expired, want an answer")
+		t.Error("the worker is not answered after its lease has expired, want a response")
 	}
 }
 
--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -33,7 +33,7 @@
 }
 
 // EndedTasks collects the ended attempts on the machines of the shards that this controller leads,
-// by task range. On a machine whose worker lease has expired, all attempts have ended.
+// by task range. On a machine whose worker's lease has expired, all attempts have ended.
 func (r *Registry) EndedTasks(now time.Time) map[schema.RangeID][]EndedTask {
 	ended := map[schema.RangeID][]EndedTask{}
 	for host, machine := range r.cache.Machines {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -135,8 +135,8 @@
 	r.dropAgentsOf(shard)
 }
 
-// DropLostLeaderships ends the leaderships of the shards that are no longer led by this process
-// according to the cache, and removes the agents of these shards.
+// DropLostLeaderships ends the leaderships of the shards that are no longer led by this incarnation
+// of the controller according to the cache, and removes the agents of these shards.
 func (r *Registry) DropLostLeaderships() {
 	for _, shard := range r.leadership.EndLost() {
 		r.dropAgentsOf(shard)
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -28,7 +28,7 @@
 // countExpectedAgents counts the machines of the shards that this controller leads from which
 // heartbeats are expected: those that have sent one under this term, and those with tasks once
 // their agent has existed for longer than a heartbeat interval. Machines that are terminated or
-// whose worker lease has expired are not expected to send any.
+// whose worker's lease has expired are not expected to send any.
 func (r *Registry) countExpectedAgents(now time.Time) int {
 	expected := 0
 	for host, machine := range r.cache.Machines {
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -176,12 +176,12 @@
 	return ending
 }
 
-// headroomMachines returns the idle machines that the headroom needs: those to which its tasks
+// headroomHosts returns the idle machines that the headroom needs: those to which its tasks
 // would be assigned once the capacity of machines in use is exhausted. The tasks of each class are
 // assigned to copies of the hosts, so the hosts do not change, and the same capacity may be
 // assigned to several classes.
-func (a *Autoscaler) headroomMachines(hosts []*sched.Host, now time.Time) map[string]bool {
-	machines := map[string]bool{}
+func (a *Autoscaler) headroomHosts(hosts []*sched.Host, now time.Time) map[string]bool {
+	idleHosts := map[string]bool{}
 	for _, headroom := range a.headroomRequests(now) {
 		candidates := a.capacityCalculator.WithPreemptibleCapacity(hosts, headroom.priority)
 		for _, demand := range headroom.demands {
@@ -193,10 +193,10 @@
 				}
 				host.Free = host.Free.Sub(demand.Request.Need)
 				if host.ServiceTasks+host.ArrayTasks == 0 {
-					machines[host.Name] = true
+					idleHosts[host.Name] = true
 				}
 			}
 		}
 	}
-	return machines
+	return idleHosts
 }
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// evaluateExpired cordons a machine whose worker lease expired long ago. A worker that has just
+// evaluateExpired cordons a machine whose worker's lease expired long ago. A worker that has just
 // started may be fenced before any of its heartbeats was answered; its time then counts from the
 // response to the fence, which sets LastSeen.
 func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
@@ -144,7 +144,7 @@
 // that does not have all of its capacity yet.
 func (r *ScaleInReview) isNeededWhileIdle(host string) bool {
 	if r.headroomHosts == nil {
-		r.headroomHosts = r.autoscaler.headroomMachines(r.planRemainingHosts(), r.now)
+		r.headroomHosts = r.autoscaler.headroomHosts(r.planRemainingHosts(), r.now)
 	}
 	return r.headroomHosts[host] || r.reservedHosts[host]
 }
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -33,7 +33,7 @@
 	return requests
 }
 
-// RentalOrders returns the machines to rent for tasks that do not fit on existing and booting
+// RentalOrders returns the machines to rent for tasks that do not fit on existing and provisioning
 // machines, and for the headroom.
 func (a *Autoscaler) RentalOrders(now time.Time, headroom []HeadroomRequest) []sched.RentalOrder {
 	if len(headroom) == 0 && !a.scheduler.HasPendingTasks() {
@@ -47,7 +47,7 @@
 		return orders
 	}
 	// Tasks that lack capacity now, here and at the peers, have been rented for already, so they
-	// get their share of the booting machines before the headroom does.
+	// get their share of the provisioning machines before the headroom does.
 	hosts := append(a.capacityCalculator.ProvisioningHosts(now, true), plan.RemainingHosts...)
 	sched.PlanRentals(plan.AllUnmetDemand, hosts, nil, "")
 	sufficient := sufficientHeadroom{checkedAt: now, tasksByClass: map[string]int{}}
--- a/internal/capacity/accounting.go
+++ b/internal/capacity/accounting.go
@@ -70,7 +70,7 @@
 	}
 	if shardLeadership := a.leadership.InForce(shardName); shardLeadership != nil &&
 		a.node.Now().After(shardLeadership.PredecessorAnswersUntil) {
-		record.PredecessorMayAnswer = false // the previous leader's grace period has ended
+		record.PredecessorMayAnswer = false // the grace periods of earlier leaders have ended
 	}
 	if omitted := a.trimCapacity(record.Free, quotaUse, a.node.Now()); omitted > 0 {
 		const reason = "the capacity record is full; the machines that peers are least likely to use are omitted"
--- a/internal/capacity/calculator.go
+++ b/internal/capacity/calculator.go
@@ -132,7 +132,7 @@
 // without free capacity are omitted.
 func (c *Calculator) freeInShard(shardName string, now time.Time) map[string]sched.Resources {
 	free := map[string]sched.Resources{}
-	for _, host := range c.cache.MachineNames() {
+	for _, host := range c.cache.HostNames() {
 		if c.cache.Machines[host].Shard != shardName {
 			continue
 		}
@@ -165,8 +165,8 @@
 // all of them, or only those that were rented for shards that this controller leads.
 func (c *Calculator) ProvisioningHosts(now time.Time, all bool) []*sched.Host {
 	var hosts []*sched.Host
-	for name, machine := range c.cache.Machines {
-		if !all && !c.leadership.Leads(machine.RentedFor) || len(c.cache.Placements[name]) > 0 {
+	for host, machine := range c.cache.Machines {
+		if !all && !c.leadership.Leads(machine.RentedFor) || len(c.cache.Placements[host]) > 0 {
 			continue
 		}
 		size, machineType := c.catalog.MachineCapacity(machine.MachineType)
@@ -174,17 +174,17 @@
 		if machineType == nil || record == nil {
 			continue
 		}
-		if _, offered := record.Free[name]; offered {
+		if _, offered := record.Free[host]; offered {
 			continue
 		}
-		if worker := c.agents.Agent(name); worker != nil && worker.Fenced() {
+		if worker := c.agents.Agent(host); worker != nil && worker.Fenced() {
 			continue
 		}
 		if float64(now.UnixMilli()-machine.RegisteredMS)/1000 > 2*machineType.BootS {
 			continue // overdue: it may never start
 		}
 		hosts = append(hosts, &sched.Host{
-			Name:        name,
+			Name:        host,
 			Shard:       machine.Shard,
 			MachineType: machine.MachineType,
 			Zone:        machine.Zone,
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -182,7 +182,7 @@
 			}
 		}
 		names := slices.Sorted(maps.Keys(c.testState().Cache.Machines))
-		if cached := c.testState().Cache.MachineNames(); !slices.Equal(cached, names) {
+		if cached := c.testState().Cache.HostNames(); !slices.Equal(cached, names) {
 			t.Fatalf("machine names cached by %s: got %v, want %v", n.name, cached, names)
 		}
 	}
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -53,7 +53,7 @@
 		record = record.WithObservation("n0", zonehealth.Observation{Healthy: machines})
 		waitingProduction := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: test.waitingTasks}}
 		c.setZoneRecord(record.WithObservation("n1", zonehealth.Observation{Lost: 1, WaitingProduction: waitingProduction}))
-		names := c.testState().Cache.MachineNames()
+		names := c.testState().Cache.HostNames()
 		admitted := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
 		if len(admitted) != test.wantAdmitted {
 			t.Errorf("%+v: %d machines admitted, want %d", test, len(admitted), test.wantAdmitted)
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -36,10 +36,10 @@
 			return
 		}
 	}
-	for _, shard := range plan.changes.Release {
+	for _, shard := range plan.shards.Release {
 		e.releaseShard(ctx, shard)
 	}
-	for _, acquisition := range plan.changes.Acquire {
+	for _, acquisition := range plan.shards.Acquire {
 		e.AcquireShard(ctx, acquisition.Shard, acquisition.LeaderVersion)
 	}
 }
@@ -50,7 +50,7 @@
 	controllerCountChanged bool
 	probes                 []string                // addresses of workers to be probed
 	registration           *statecache.Transaction // nil if this controller's records are up to date
-	changes                leadership.Changes
+	shards                 leadership.Plan
 }
 
 // planLeaderships decides under the lock what to do. ok is false while the cache is not fully
@@ -68,7 +68,7 @@
 	releaseAll, probes := state.DirectCommands.CheckWorkerContact(now)
 	plan.probes = probes
 	plan.registration = state.Leadership.Registration()
-	plan.changes = state.Leadership.Planner().Plan(now, releaseAll)
+	plan.shards = state.Leadership.Planner().Plan(now, releaseAll)
 	return plan, true
 }
 
@@ -142,10 +142,10 @@
 // answering its workers, according to its capacity record. It guards against a new leader that
 // treats a worker's lease as expired while an earlier leader still renews it.
 //
-// An earlier incarnation of this process has ended, and a leader that released the shard has
+// An earlier incarnation of this controller has ended, and a leader that released the shard has
 // stopped answering. Any other leader may continue to answer for its grace period. So may a leader
 // before those, if its successors did not last until its grace period had ended. Therefore the
-// record keeps PredecessorMayAnswer; otherwise a quick restart of this process would lose it.
+// record keeps PredecessorMayAnswer; otherwise a quick restart of this controller would lose it.
 func havePredecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
 	if capacity == nil {
 		return true // it was never led
--- a/internal/leadership/acknowledgement.go
+++ b/internal/leadership/acknowledgement.go
@@ -52,7 +52,7 @@
 // RecordAcknowledgement applies a peer's acknowledgement. It was requested at requestedAt, for the
 // time after the cache's revision at that moment. An acknowledgement that is not complete is
 // ignored.
-func (t *Table) RecordAcknowledgement(node string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
+func (t *Table) RecordAcknowledgement(controller string, acknowledgement *peer.Acknowledgement, requestedAt time.Time) {
 	if !acknowledgement.GetComplete() || !t.cache.Loaded {
 		return
 	}
@@ -62,8 +62,8 @@
 	for _, leader := range acknowledgement.GetShardLeaders() {
 		t.recordSuccessor(leader)
 	}
-	if requestedAt.After(t.acknowledgedUntil[node]) {
-		t.acknowledgedUntil[node] = requestedAt
+	if requestedAt.After(t.acknowledgedUntil[controller]) {
+		t.acknowledgedUntil[controller] = requestedAt
 	}
 }
 
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -84,7 +84,7 @@
 func (t *Table) End(shard string) { delete(t.byShard, shard) }
 
 // EndLost ends the leaderships of the shards that, according to the cache, are led by another
-// process or have no leader, and returns these shards.
+// controller or incarnation or have no leader, and returns these shards.
 func (t *Table) EndLost() []string {
 	var lost []string
 	for shard, leadership := range t.byShard {
--- a/internal/leadership/planner.go
+++ b/internal/leadership/planner.go
@@ -13,8 +13,8 @@
 	LeaderVersion uint64 // version of the leader's key; 0 if there is none
 }
 
-// Changes lists the shards that this controller acquires and releases now.
-type Changes struct {
+// Plan lists the shards that this controller acquires and releases now.
+type Plan struct {
 	Acquire []Acquisition
 	Release []string
 }
@@ -51,26 +51,26 @@
 // Plan returns which shards this controller acquires and which it releases now. releaseAll means
 // that no worker reaches this controller, so that others should lead: it releases all shards and
 // acquires none.
-func (p *Planner) Plan(now time.Time, releaseAll bool) Changes {
+func (p *Planner) Plan(now time.Time, releaseAll bool) Plan {
 	p.trackReachablePeers(now)
-	var changes Changes
+	var plan Plan
 	for _, shard := range p.table.node.Shards {
 		leader, hasLeader := p.table.cache.Leaders[shard]
 		acquisition := Acquisition{Shard: shard, LeaderVersion: leader.Version}
 		switch {
 		case !hasLeader:
-			if p.leaderlessDuration(shard, now) >= p.takeoverDelay(shard) && !releaseAll {
-				changes.Acquire = append(changes.Acquire, acquisition)
+			if p.leaderlessDuration(shard, now) >= p.acquisitionDelay(shard) && !releaseAll {
+				plan.Acquire = append(plan.Acquire, acquisition)
 			}
 			continue
 		case p.mustReacquire(shard, leader.Record, releaseAll):
-			changes.Acquire = append(changes.Acquire, acquisition)
+			plan.Acquire = append(plan.Acquire, acquisition)
 		case p.mustRelease(shard, now, releaseAll):
-			changes.Release = append(changes.Release, shard)
+			plan.Release = append(plan.Release, shard)
 		}
 		delete(p.leaderlessSince, shard)
 	}
-	return changes
+	return plan
 }
 
 // leaderlessDuration records that a shard has no leader, and returns for how long that has been
@@ -89,7 +89,7 @@
 	isOurs := leader.Node == p.table.node.Settings.HostName
 	isHeld := leadership != nil && p.table.isOwnIncarnation(leader.Node, leader.Incarnation)
 	if isOurs && !isHeld && !releaseAll {
-		// The key was written by an earlier incarnation of this process, or by an acquisition
+		// The key was written by an earlier incarnation of this controller, or by an acquisition
 		// whose response was lost. No peer would ever act on the key.
 		return true
 	}
@@ -114,10 +114,10 @@
 	return found && now.Sub(reachableSince) > p.table.node.Settings.ControllerLeaseTTL()/2 && !p.table.schema.IsDowngraded(shard)
 }
 
-// takeoverDelay returns how long this controller waits before it acquires a shard without a leader.
-// The home controller goes first, then the others that are running and reached by
-// workers, in a ring order that spreads several shards over several controllers.
-func (p *Planner) takeoverDelay(shard string) time.Duration {
+// acquisitionDelay returns how long this controller waits before it acquires a shard without a
+// leader. The home controller goes first, then the others that are running and reached by workers,
+// in a ring order that spreads several shards over several controllers.
+func (p *Planner) acquisitionDelay(shard string) time.Duration {
 	self := p.table.node.Settings.HostName
 	if shard == self {
 		return 0
--- a/internal/leadership/registration.go
+++ b/internal/leadership/registration.go
@@ -28,7 +28,7 @@
 }
 
 // capabilitiesAnnounced reports whether the capability record, which outlives this process,
-// includes the schema version and the features that this process supports.
+// includes the schema version and the features that this controller supports.
 func (t *Table) capabilitiesAnnounced() bool {
 	capabilities := t.cache.Capabilities[t.node.Settings.HostName].Record
 	return capabilities != nil && capabilities.SchemaVersion >= schema.Version &&
--- a/internal/leadership/table.go
+++ b/internal/leadership/table.go
@@ -64,7 +64,7 @@
 }
 
 // isOwnIncarnation reports whether the controller and incarnation in a record are those of this
-// process.
-func (t *Table) isOwnIncarnation(node string, incarnation uint64) bool {
-	return node == t.node.Settings.HostName && incarnation == t.node.Incarnation
+// controller process.
+func (t *Table) isOwnIncarnation(controller string, incarnation uint64) bool {
+	return controller == t.node.Settings.HostName && incarnation == t.node.Incarnation
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -160,13 +160,13 @@
 			f := newTableFixture(t)
 			test.prepare(f)
 			f.Planner().Plan(f.now, test.releaseAll) // records since when shards have no leader
-			changes := f.Planner().Plan(f.now.Add(test.after), test.releaseAll)
+			plan := f.Planner().Plan(f.now.Add(test.after), test.releaseAll)
 			var acquired []string
-			for _, acquisition := range changes.Acquire {
+			for _, acquisition := range plan.Acquire {
 				acquired = append(acquired, acquisition.Shard)
 			}
-			if !reflect.DeepEqual(acquired, test.wantAcquired) || !reflect.DeepEqual(changes.Release, test.wantReleased) {
-				t.Errorf("acquire %v, release %v; want %v, %v", acquired, changes.Release, test.wantAcquired, test.wantReleased)
+			if !reflect.DeepEqual(acquired, test.wantAcquired) || !reflect.DeepEqual(plan.Release, test.wantReleased) {
+				t.Errorf("acquire %v, release %v; want %v, %v", acquired, plan.Release, test.wantAcquired, test.wantReleased)
 			}
 		})
 	}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -59,8 +59,8 @@
 	// maxRentalAttempts is the maximum number of rental decisions in one run. After a refusal, the
 	// next best offer is tried at once.
 	maxRentalAttempts = 6
-	// machineTypesMaxAgeLeases is the age, in worker lease durations, above which the machine types
-	// are read again.
+	// machineTypesMaxAgeLeases is the age, in durations of a worker's lease, above which the machine
+	// types are read again.
 	machineTypesMaxAgeLeases = 2
 )
 
--- a/internal/sched/gang_retry.go
+++ b/internal/sched/gang_retry.go
@@ -27,7 +27,7 @@
 	return &GangRetry{MaxMisses: InitialMaxMisses, MissInterval: InitialMissInterval}
 }
 
-// RecordClaim records that the gang claimed capacity, which ends the row of misses.
+// RecordClaim records that the gang claimed capacity, which ends the sequence of misses.
 func (g *GangRetry) RecordClaim() { g.consecutiveMisses, g.ignoreMissesBefore = 0, time.Time{} }
 
 // RecordMiss records that a gang that holds claims found too little capacity. It reports whether the
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -40,7 +40,7 @@
 // capacity records.
 func (s *Scheduler) SchedulableHosts(now time.Time) []*sched.Host {
 	views := s.shardViews()
-	names := s.cache.MachineNames()
+	names := s.cache.HostNames()
 	hostStorage := make([]sched.Host, 0, len(names)) // one allocation for all machines
 	hosts := make([]*sched.Host, 0, len(names))
 	for _, name := range names {
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -56,7 +56,8 @@
 }
 
 // mustCommitNow reports whether an end is to be committed without waiting for others: the task has
-// to run again, its machine is to be returned or is gone, or two worker leases have passed since.
+// to run again, its machine is to be returned or is gone, or twice the duration of a worker's lease
+// has passed since.
 func (s *Scheduler) mustCommitNow(ended agent.EndedTask, now time.Time) bool {
 	worker := s.agents.Agent(ended.Task.Placement.Host)
 	if !ended.Attempt.Done || worker == nil || worker.Cordoned || worker.Terminated {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -66,7 +66,7 @@
 	return capability != nil && capability.SchemaVersion >= Version
 }
 
-// FeatureEnabled reports whether a feature is enabled in this process and, according to the
+// FeatureEnabled reports whether a feature is enabled in this controller and, according to the
 // capability records, on every configured controller, running or not. A controller whose node
 // record lacks the feature, because it was started without it or its version does not support it,
 // disables the feature everywhere.
--- a/internal/shard/free_capacity.go
+++ b/internal/shard/free_capacity.go
@@ -16,8 +16,8 @@
 
 // capacityGroup is the encoding of the machines with the same free capacity.
 type capacityGroup struct {
-	Free     sched.Resources `json:"r"`
-	Machines []string        `json:"h"`
+	Free  sched.Resources `json:"r"`
+	Hosts []string        `json:"h"`
 }
 
 // MarshalJSON implements json.Marshaler. Equal values have the same encoding: machines are sorted
@@ -25,15 +25,15 @@
 func (f FreeCapacity) MarshalJSON() ([]byte, error) {
 	groupIndexes := map[sched.Resources]int{}
 	groups := []capacityGroup{}
-	for _, machine := range slices.Sorted(maps.Keys(f)) {
-		free := f[machine]
+	for _, host := range slices.Sorted(maps.Keys(f)) {
+		free := f[host]
 		i, ok := groupIndexes[free]
 		if !ok {
 			i = len(groups)
 			groupIndexes[free] = i
 			groups = append(groups, capacityGroup{Free: free})
 		}
-		groups[i].Machines = append(groups[i].Machines, machine)
+		groups[i].Hosts = append(groups[i].Hosts, host)
 	}
 	return json.Marshal(groups)
 }
@@ -46,8 +46,8 @@
 	}
 	*f = FreeCapacity{}
 	for _, g := range groups {
-		for _, machine := range g.Machines {
-			(*f)[machine] = g.Free
+		for _, host := range g.Hosts {
+			(*f)[host] = g.Free
 		}
 	}
 	return nil
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -28,7 +28,7 @@
 	Term                 uint64                     `json:"term"`
 	Leader               string                     `json:"by"`            // the leader in that term
 	Released             bool                       `json:"rel,omitempty"` // the leader released the shard and no longer answers workers
-	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // the previous leader may answer workers within its grace period
+	PredecessorMayAnswer bool                       `json:"d,omitempty"`   // an earlier leader may answer workers within its grace period
 	Free                 FreeCapacity               `json:"free"`          // free capacity of the machines that can run further tasks
 	QuotaUse             map[string]sched.Resources `json:"u,omitempty"`   // by limited team: resources that its tasks use in this shard
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -42,9 +42,9 @@
 }
 
 // consumeNextFault returns the fault in NextFault for a controller, and clears it.
-func (s *ServiceFaults) consumeNextFault(node string) Fault {
-	f := s.NextFault[node]
-	delete(s.NextFault, node)
+func (s *ServiceFaults) consumeNextFault(controller string) Fault {
+	f := s.NextFault[controller]
+	delete(s.NextFault, controller)
 	return f
 }
 
--- a/internal/splitter/garbage.go
+++ b/internal/splitter/garbage.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/statecache"
 )
 
-// IsGarbageCollectionDue reports whether garbage is to be collected: a quarter of a worker lease
+// IsGarbageCollectionDue reports whether garbage is to be collected: a quarter of a worker's lease
 // after the last collection. Nothing waits for a collection, so it need not run more often.
 func (s *Splitter) IsGarbageCollectionDue(now time.Time) bool {
 	return now.Sub(s.lastGarbageCollection) >= s.node.Settings.WorkerLease()/4
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// Garbage is collected at intervals of a quarter of a worker lease.
+// Garbage is collected at intervals of a quarter of a worker's lease.
 func TestGarbageCollectionDueEveryQuarterLease(t *testing.T) {
 	f := newFixture(t)
 	if !f.IsGarbageCollectionDue(f.now) {
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -69,11 +69,11 @@
 func LeaderKey(shard string) string { return leaderPrefix + shard }
 
 // NodeKey returns the key of the record of a running controller, which is attached to its lease.
-func NodeKey(node string) string { return nodePrefix + node }
+func NodeKey(controller string) string { return nodePrefix + controller }
 
 // CapabilityKey returns the key of the record of the record formats that a controller reads, which
 // remains when the controller ends.
-func CapabilityKey(node string) string { return capabilityPrefix + node }
+func CapabilityKey(controller string) string { return capabilityPrefix + controller }
 
 // MachinePageKey returns the key of the machine page with the given ID (see PageID).
 func MachinePageKey(pageID string) string { return machinePagePrefix + pageID }
--- a/internal/statecache/machines.go
+++ b/internal/statecache/machines.go
@@ -128,8 +128,8 @@
 	x.Terminated[host] = true
 }
 
-// MachineNames returns the names of all machines in order. The caller must not change the slice.
-func (x *MachineIndex) MachineNames() []string {
+// HostNames returns the names of all machines in order. The caller must not change the slice.
+func (x *MachineIndex) HostNames() []string {
 	if x.sortedNames == nil {
 		x.sortedNames = slices.Sorted(maps.Keys(x.Machines))
 	}
