--- a/internal/agent/ended_tasks.go
+++ b/internal/agent/ended_tasks.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		agent, placed := r.Ensure(host, leadership), r.cache.Placements[host]
-		dropObsoleteAttempts(agent, placed)
+		removeObsoleteAttempts(agent, placed)
 		expired := r.updateLease(host, agent, len(placed), now)
 		if len(agent.EndedAttempts) == 0 && !expired {
 			continue
@@ -72,10 +72,10 @@
 	return expired
 }
 
-// dropObsoleteAttempts removes an agent's entries of attempts that are no longer committed for its
-// machine. Obsolete first runs and pending launches are harmless, since a later attempt has another
-// number, so they are removed only once there are more entries than placed tasks.
-func dropObsoleteAttempts(agent *Agent, placed map[string]*statecache.PlacedTask) {
+// removeObsoleteAttempts removes an agent's entries of attempts that are no longer committed for
+// its machine. Obsolete first runs and pending launches are harmless, since a later attempt has
+// another number, so they are removed only once there are more entries than placed tasks.
+func removeObsoleteAttempts(agent *Agent, placed map[string]*statecache.PlacedTask) {
 	if len(agent.FirstRuns) > len(placed) {
 		maps.DeleteFunc(agent.FirstRuns, func(key string, _ FirstRun) bool { return placed[key] == nil })
 	}
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -77,8 +77,8 @@
 	return agent
 }
 
-// Drop removes a machine's agent.
-func (r *Registry) Drop(host string) {
+// Remove removes a machine's agent.
+func (r *Registry) Remove(host string) {
 	delete(r.agents, host)
 	r.cache.InvalidateLoad(host)
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// DropAll removes all agents, as required when the lease is lost.
-func (r *Registry) DropAll() {
+// RemoveAll removes all agents, as required when the lease is lost.
+func (r *Registry) RemoveAll() {
 	clear(r.agents)
 	r.cache.InvalidateLoads()
 }
@@ -112,7 +112,7 @@
 	if leader.Record == nil || leader.Record.Term != acquired.Term || r.leadership.LeaseID() == 0 {
 		return false
 	}
-	r.DropLeadership(shard)
+	r.EndLeadership(shard)
 	newLeadership := &leadership.Leadership{Term: acquired.Term, Version: leader.Version, PredecessorAnswersUntil: now}
 	if !acquired.PredecessorsStopped {
 		newLeadership.PredecessorAnswersUntil = now.Add(r.node.Settings.LeadershipGracePeriod())
@@ -129,25 +129,25 @@
 	return true
 }
 
-// DropLeadership ends the leadership of a shard and removes its agents.
-func (r *Registry) DropLeadership(shard string) {
+// EndLeadership ends the leadership of a shard and removes its agents.
+func (r *Registry) EndLeadership(shard string) {
 	r.leadership.End(shard)
-	r.dropAgentsOf(shard)
+	r.removeAgentsOf(shard)
 }
 
-// DropLostLeaderships ends the leaderships of the shards that are no longer led by this incarnation
+// EndLostLeaderships ends the leaderships of the shards that are no longer led by this incarnation
 // of the controller according to the cache, and removes the agents of these shards.
-func (r *Registry) DropLostLeaderships() {
+func (r *Registry) EndLostLeaderships() {
 	for _, shard := range r.leadership.EndLost() {
-		r.dropAgentsOf(shard)
+		r.removeAgentsOf(shard)
 	}
 }
 
-// dropAgentsOf removes the agents of a shard, and those of machines without a record.
-func (r *Registry) dropAgentsOf(shard string) {
+// removeAgentsOf removes the agents of a shard, and those of machines without a record.
+func (r *Registry) removeAgentsOf(shard string) {
 	for host := range r.agents {
 		if machine := r.cache.Machines[host]; machine == nil || machine.Shard == shard {
-			r.Drop(host)
+			r.Remove(host)
 		}
 	}
 }
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -94,7 +94,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
-			f.DropLeadership("n0")
+			f.EndLeadership("n0")
 			begun, worker := f.BeginLeadership(test.acquired), f.Agent(testHost)
 			if begun != test.wantBegun || f.leadership.Leads("n0") != test.wantBegun || (worker != nil) != test.wantBegun {
 				t.Fatalf("begun %t, leads %t, agent %v; want begun %t", begun, f.leadership.Leads("n0"), worker, test.wantBegun)
--- a/internal/agent/running_gangs.go
+++ b/internal/agent/running_gangs.go
@@ -21,7 +21,7 @@
 // to the attempt.
 func (g *RunningGangs) WasRunning(uid string, attempt uint64) bool { return g.attempts[uid] == attempt }
 
-// DropEnded removes the entries of gangs that no longer have a record.
-func (g *RunningGangs) DropEnded() {
+// RemoveEnded removes the entries of gangs that no longer have a record.
+func (g *RunningGangs) RemoveEnded() {
 	maps.DeleteFunc(g.attempts, func(uid string, _ uint64) bool { return g.cache.Jobs[uid] == nil })
 }
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -192,7 +192,7 @@
 					break
 				}
 				host.Free = host.Free.Sub(demand.Request.Need)
-				if host.ServiceTasks+host.ArrayTasks == 0 {
+				if host.ServiceTasks+host.OtherTasks == 0 {
 					idleHosts[host.Name] = true
 				}
 			}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("lowest limits %+v exceed the current limits %+v", lowest, current)
 	}
 	if n := s.MaxProcs(8); n < 1 || n > 8 {
-		t.Fatalf("uses %d of 8 processors, want 1 to 8", n)
+		t.Fatalf("uses %d of 8 CPUs, want 1 to 8", n)
 	}
 	if m := s.MemoryTarget(); m <= 0 || float64(m) > s.Facts.Limits.MemoryMB*bytesPerMB {
 		t.Fatalf("memory target is %d bytes, want above 0 and at most the limit of %g MB", m, s.Facts.Limits.MemoryMB)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -28,7 +28,7 @@
 	maxMemoryTarget = 1 << 40
 )
 
-// MaxProcs returns how many processors the process may use at once: the configured number of
+// MaxProcs returns how many CPUs the process may use at once: the configured number of
 // cores, rounded, but at least one and at most the available ones.
 func (s *Settings) MaxProcs(available int) int {
 	return max(1, int(min(s.Facts.Limits.Cores+0.5, float64(available))))
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -78,13 +78,13 @@
 	}
 }
 
-// The derived number of processors and memory target are within bounds for extreme settings: cores
+// The derived number of CPUs and memory target are within bounds for extreme settings: cores
 // left out count as one, too many as the available ones, and a huge memory limit doesn't overflow the
 // conversion to an integer.
 func TestMachineLimits(t *testing.T) {
 	for _, tt := range []struct {
-		from, to       string
-		wantProcessors int
+		from, to string
+		wantCPUs int
 	}{
 		{"cores = 0.1", "cores = 0.1", 1},
 		{"cores = 0.1", "", 1},
@@ -98,8 +98,8 @@
 			t.Errorf("%s: Parse returned %v, want no error", tt.to, err)
 			continue
 		}
-		if got := s.MaxProcs(8); got != tt.wantProcessors {
-			t.Errorf("%s: uses %d processors, want %d", tt.to, got, tt.wantProcessors)
+		if got := s.MaxProcs(8); got != tt.wantCPUs {
+			t.Errorf("%s: uses %d CPUs, want %d", tt.to, got, tt.wantCPUs)
 		}
 		if m := s.MemoryTarget(); m <= 0 || m > 1<<40 || float64(m) > s.Facts.Limits.MemoryMB*(1<<20) {
 			t.Errorf("%s: memory target is %d, want above 0 and at most 1<<40 and the limit of %g MB", tt.to, m, s.Facts.Limits.MemoryMB)
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -45,7 +45,7 @@
 		"heap_kb", memory.HeapAlloc>>10,
 	)
 	c.logCommits(state)
-	state.DropFinishedJobs()
+	state.RemoveFinishedJobs()
 }
 
 // logCommits logs the outcomes of transactions since the last summary, by purpose, and resets
--- a/internal/controller/zone_recovery_test.go
+++ b/internal/controller/zone_recovery_test.go
@@ -102,7 +102,7 @@
 		t.Errorf("machines terminated: capacity reserved for %d tasks, want %d", reserved, serviceReplicas)
 	}
 	for _, worker := range serviceMachines {
-		leaderController.testState().Agents.Drop(worker.Host)
+		leaderController.testState().Agents.Remove(worker.Host)
 		leadership := leaderController.testState().Leadership.Lookup(leaderController.testState().Cache.Machines[worker.Host].Shard)
 		leaderController.testState().Agents.Ensure(worker.Host, leadership).LastAnswered = leaderController.node.Now()
 	}
--- a/internal/decisions/deregistrations.go
+++ b/internal/decisions/deregistrations.go
@@ -39,7 +39,7 @@
 	state = l.guard.Lock()
 	state.Stats.DeregisteredAt = now
 	for _, host := range plan.hosts {
-		state.Agents.Drop(host)
+		state.Agents.Remove(host)
 	}
 	l.guard.Unlock()
 	l.node.Log.Info("machines deregistered", "hosts", plan.hosts)
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -106,13 +106,13 @@
 	return nil
 }
 
-// handleLostLease drops all state that this controller held under a lease that has ended, since
+// handleLostLease removes all state that this controller held under a lease that has ended, since
 // peers may lead its shards already.
 func (e *Elector) handleLostLease(leaseID uint64) {
 	e.node.Log.Info("lease lost", logkey.Lease(leaseID))
 	state := e.guard.Lock()
-	state.Leadership.DropExpiredLease()
-	state.Agents.DropAll()
+	state.Leadership.EndLease()
+	state.Agents.RemoveAll()
 	e.guard.Unlock()
 }
 
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -62,7 +62,7 @@
 	if !state.Cache.Loaded {
 		return plan, false
 	}
-	state.Agents.DropLostLeaderships()
+	state.Agents.EndLostLeaderships()
 	plan.controllerCountChanged = state.Leadership.Rates().Update(now)
 	plan.controllerCount = state.Leadership.Rates().ControllerCount()
 	releaseAll, probes := state.DirectCommands.CheckWorkerContact(now)
@@ -167,7 +167,7 @@
 	defer e.guard.Unlock()
 	if committed {
 		e.node.Log.Info("shard released", logkey.Shard(shard), logkey.Term(released.Term))
-		state.Agents.DropLeadership(shard)
+		state.Agents.EndLeadership(shard)
 		return
 	}
 	// If the outcome is unknown, workers stay unanswered until the cache shows the shard's leader.
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -13,7 +13,7 @@
 
 // However many jobs finish, the cache holds no more than its limit. It removes the oldest entries
 // first, and adding a job again takes no further entry.
-func TestCacheDropsOldestWhenFull(t *testing.T) {
+func TestCacheRemovesOldestWhenFull(t *testing.T) {
 	settings := &config.Settings{HostName: "n0"}
 	settings.Facts.Limits.MemoryMB = 1
 	cache := New(node.New(settings, config.DefaultPolicy(), slog.New(slog.DiscardHandler)))
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -27,8 +27,8 @@
 	return id
 }
 
-// DropExpiredLease clears a lease that has ended, and ends all leaderships.
-func (t *Table) DropExpiredLease() {
+// EndLease clears a lease that has ended, and ends all leaderships.
+func (t *Table) EndLease() {
 	t.lease = lease{}
 	clear(t.byShard)
 }
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -77,7 +77,7 @@
 		{"release did not commit", func(f *tableFixture) { f.Lookup("n1").BeginRelease(); f.Lookup("n1").CancelRelease() }, true},
 		{"successor reported", func(f *tableFixture) { f.Lookup("n1").successor = "n2" }, false},
 		{"another leader's key", func(f *tableFixture) { f.setLeader("n1", "n1") }, false},
-		{"lease lost", func(f *tableFixture) { f.DropExpiredLease() }, false},
+		{"lease lost", func(f *tableFixture) { f.EndLease() }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 		want   bool
 	}{
 		{"within the lease", 0, func(*tableFixture) {}, true},
-		{"without a lease", 0, func(f *tableFixture) { f.DropExpiredLease() }, false},
+		{"without a lease", 0, func(f *tableFixture) { f.EndLease() }, false},
 		{"cache not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
 		{"within the grace period", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
 		{"after the grace period", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,7 +12,7 @@
 
 // Intervals as fractions of the lease time.
 const (
-	queryRoundsPerLease   = 8 // interval between queries of all peers while the state service is unreachable
+	peerQueriesPerLease   = 8 // interval between queries of all peers while the state service is unreachable
 	queryTimeoutsPerLease = 4 // timeout for one peer's reply
 )
 
@@ -32,7 +32,7 @@
 
 // PeerLoop queries the peers while the state service is unreachable, until ctx is done.
 func (m *Membership) PeerLoop(ctx context.Context) {
-	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/queryRoundsPerLease) {
+	for timing.Sleep(ctx, m.node.Settings.ControllerLeaseTTL()/peerQueriesPerLease) {
 		if !m.storeReachable() {
 			m.QueryPeers(ctx)
 		}
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -19,7 +19,7 @@
 	Capacity, Free                 Resources
 	Stopping                       Resources       // resources of tasks that were sent a stop command
 	Images                         map[string]bool // images that the machine probably has
-	ServiceTasks, ArrayTasks       int             // number of its tasks, by the kind of their jobs
+	ServiceTasks, OtherTasks       int             // number of its tasks: of services, and of arrays and gangs
 	StartDelayS                    float64         // estimated seconds until it can start a task
 }
 
@@ -49,11 +49,11 @@
 }
 
 // otherKindTasks returns the number of a machine's tasks that are of the other job kind. Replicas of
-// services run on and tasks of arrays end, so if the two are kept on separate machines, those with
-// array tasks become empty and can be returned.
+// services run on and other tasks end, so if the two are kept on separate machines, those with other
+// tasks become empty and can be returned.
 func otherKindTasks(h *Host, request *TaskRequest) int {
 	if request.Service {
-		return h.ArrayTasks
+		return h.OtherTasks
 	}
 	return h.ServiceTasks
 }
--- a/internal/sched/ranking_test.go
+++ b/internal/sched/ranking_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		for _, h := range hosts {
-			h.ArrayTasks = rapid.IntRange(0, 1).Draw(t, "arrays")
+			h.OtherTasks = rapid.IntRange(0, 1).Draw(t, "arrays")
 			if rapid.Bool().Draw(t, "has image") {
 				h.Images = map[string]bool{"i": true}
 			}
@@ -51,7 +51,7 @@
 				if h.Free = h.Free.Sub(request.Need); request.Service {
 					h.ServiceTasks++
 				} else {
-					h.ArrayTasks++
+					h.OtherTasks++
 				}
 			}
 		}
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -31,12 +31,12 @@
 	if !free.Fits(need) {
 		return nil, 0
 	}
-	return dropUnneeded(free, need, selected)
+	return removeUnneeded(free, need, selected)
 }
 
-// dropUnneeded removes victims that are no longer needed because a larger one was selected after
+// removeUnneeded removes victims that are no longer needed because a larger one was selected after
 // them. It returns the others and their total cost.
-func dropUnneeded(free, need Resources, selected []Victim) ([]Victim, float64) {
+func removeUnneeded(free, need Resources, selected []Victim) ([]Victim, float64) {
 	cost := 0.0
 	for i := 0; i < len(selected); {
 		if reduced := free.Sub(selected[i].FreedResources); reduced.Fits(need) {
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -71,7 +71,7 @@
 			Stopping:     load.Stopping,
 			Images:       s.cache.PlacedImages[name],
 			ServiceTasks: load.ServiceTasks,
-			ArrayTasks:   load.OtherTasks,
+			OtherTasks:   load.OtherTasks,
 			StartDelayS:  s.capacityCalculator.StartDelay(name, load, now),
 		})
 		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -147,7 +147,7 @@
 	if job.request.Service {
 		host.ServiceTasks++
 	} else {
-		host.ArrayTasks++
+		host.OtherTasks++
 	}
 	if !job.entry.ledLocally {
 		return
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -122,7 +122,7 @@
 		p.placeInsteadOfVictims(job, task.RangeIndex, choice)
 		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task needs
 	}
-	p.dropFullHosts()
+	p.removeFullHosts()
 	if len(unmetTasks) == 0 {
 		p.plan.GangVictims = append(p.plan.GangVictims, victims...)
 		return
@@ -141,8 +141,9 @@
 	return p.reclaim.preemption.chooseVictims(p.preemptOptions(job), &request, math.Inf(1))
 }
 
-// dropFullHosts removes the machines that no longer have capacity for any task from candidateHosts.
-func (p *planner) dropFullHosts() {
+// removeFullHosts removes the machines that no longer have capacity for any task from
+// candidateHosts.
+func (p *planner) removeFullHosts() {
 	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallestRequest) }
 	p.reclaim.candidateHosts = slices.DeleteFunc(p.reclaim.candidateHosts, isFull)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -81,8 +81,8 @@
 	return false
 }
 
-// DropFinishedJobs removes the state kept for jobs that no longer exist.
-func (s *Scheduler) DropFinishedJobs() {
+// RemoveFinishedJobs removes the state kept for jobs that no longer exist.
+func (s *Scheduler) RemoveFinishedJobs() {
 	exists := func(uid string) bool { return s.cache.Jobs[uid] != nil }
 	s.backoffs.removeExcept(exists)
 	s.gangs.removeExcept(exists)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -106,8 +106,8 @@
 // worker, whose response contains the new commands.
 func (s *State) TasksChanged(host string) { s.DirectCommands.RequestHeartbeat(host) }
 
-// DropFinishedJobs removes the in-memory state of finished jobs.
-func (s *State) DropFinishedJobs() {
-	s.Scheduler.DropFinishedJobs()
-	s.Agents.Gangs().DropEnded()
+// RemoveFinishedJobs removes the in-memory state of finished jobs.
+func (s *State) RemoveFinishedJobs() {
+	s.Scheduler.RemoveFinishedJobs()
+	s.Agents.Gangs().RemoveEnded()
 }
