--- a/internal/frontend/peers_test.go
+++ b/internal/frontend/peers_test.go
@@ -13,7 +13,7 @@
 )
 
 // sendPeerRequest sends a peer's request and waits for its response.
-func (n *testNode) sendPeerRequest(t *testing.T, method, target string, body []byte) transport.Response {
+func (n *testController) sendPeerRequest(t *testing.T, method, target string, body []byte) transport.Response {
 	t.Helper()
 	responses := make(chan transport.Response, 1)
 	response, answered := n.frontend.HandlePeer(
@@ -34,7 +34,7 @@
 // A reply states whether this controller can serve users. A request that a peer forwards for its
 // user is executed only if it can, and the reply then contains the exact response for the user.
 func TestHandlePeerReturnsExactReplies(t *testing.T) {
-	n := newTestNode(t)
+	n := newTestController(t)
 	for _, test := range []struct {
 		name    string
 		before  func()
@@ -94,7 +94,7 @@
 }
 
 func TestHandlePeerRejectsMalformedRequests(t *testing.T) {
-	n := newTestNode(t)
+	n := newTestController(t)
 	for _, test := range []struct {
 		name, method, target string
 		body                 []byte
--- a/internal/frontend/responses_test.go
+++ b/internal/frontend/responses_test.go
@@ -27,15 +27,15 @@
 
 func (unlimitedWrites) Available() int { return 1000 }
 
-// testNode is the frontend of a controller with a simulated state service.
-type testNode struct {
+// testController is the frontend of a controller with a simulated state service.
+type testController struct {
 	store    *simulator.Store
 	guard    *state.Guard
 	sync     *storesync.Sync
 	frontend *frontend.Frontend
 }
 
-func newTestNode(t *testing.T) *testNode {
+func newTestController(t *testing.T) *testController {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	facts := &settings.Facts
@@ -56,7 +56,7 @@
 	wake := notify.NewSignal()
 	guard := state.NewGuard(state.New(info, wake, unlimitedWrites{}))
 	sync := storesync.New(info, guard, services, wake)
-	return &testNode{
+	return &testController{
 		store: environment.Store, guard: guard, sync: sync,
 		frontend: frontend.New(frontend.Deps{
 			Node: info, Guard: guard, Services: services, Sync: sync,
@@ -66,7 +66,7 @@
 }
 
 // load loads the controller's cache from the state service and sets the cloud's machine types.
-func (n *testNode) load(t *testing.T) {
+func (n *testController) load(t *testing.T) {
 	t.Helper()
 	if err := n.sync.Load(t.Context()); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 }
 
 // sendRequest sends a request and waits for its response.
-func (n *testNode) sendRequest(t *testing.T, method, target string, body []byte) transport.Response {
+func (n *testController) sendRequest(t *testing.T, method, target string, body []byte) transport.Response {
 	t.Helper()
 	responses := make(chan transport.Response, 1)
 	response, answered := n.frontend.Handle(
@@ -116,7 +116,7 @@
 // sending.
 var responseCases = []struct {
 	name           string
-	before         func(*testing.T, *testNode) // called before the request unless nil
+	before         func(*testing.T, *testController) // called before the request unless nil
 	method, target string
 	body           []byte
 	status         int
@@ -126,7 +126,7 @@
 	{"health before loading", nil, "GET", "/healthz", nil, 503, busyBody, 1},
 	{"submission before loading", nil, "POST", "/v2/runs", encodeJob(func(*api.Job) {}), 503, busyBody, 1},
 	{"query before loading", nil, "GET", "/v2/runs/run-000100", nil, 503, busyBody, 1},
-	{"health", func(t *testing.T, n *testNode) { t.Helper(); n.load(t) }, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
+	{"health", func(t *testing.T, n *testController) { t.Helper(); n.load(t) }, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 	{"health with a query string", nil, "GET", "/healthz?x=1", nil, 200, `{"node":"n0"}`, 0},
 	{"health by another method", nil, "POST", "/healthz", nil, 405, methodNotAllowedBody, 0},
 	{"heartbeat by another method", nil, "GET", "/checkin", nil, 405, methodNotAllowedBody, 0},
@@ -171,14 +171,17 @@
 		"query of a cancelled job", nil, "GET", "/v2/runs/run-000100", nil,
 		200, `{"uid":"run-000100","phase":"withdrawn","done":0,"running":0}`, 0,
 	},
-	{"query in an outage", func(_ *testing.T, n *testNode) { n.store.Down = true }, "GET", "/v2/runs/run-000100", nil, 503, busyBody, 1},
+	{
+		"query in an outage", func(_ *testing.T, n *testController) { n.store.Down = true },
+		"GET", "/v2/runs/run-000100", nil, 503, busyBody, 1,
+	},
 	{"health in an outage", nil, "GET", "/healthz", nil, 200, `{"node":"n0"}`, 0},
 }
 
 // Response bodies must not change by a byte, whatever types they are encoded from, because users'
 // programs parse them.
 func TestHandleReturnsExactResponses(t *testing.T) {
-	n := newTestNode(t)
+	n := newTestController(t)
 	for _, test := range responseCases {
 		t.Run(test.name, func(t *testing.T) {
 			if test.before != nil {
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -11,7 +11,7 @@
 // The delay before the next attempt never exceeds a worker's lease, however many failures a job
 // has: a longer wait would let the job count as starving.
 func TestBackoffNeverExceedsWorkerLease(t *testing.T) {
-	info := testNode(t)
+	info := testNodeInfo(t)
 	s := New(Deps{Node: info})
 	now := time.Unix(1_800_000_000, 0)
 	const uid = "job-1"
--- a/internal/scheduler/plan_cache_test.go
+++ b/internal/scheduler/plan_cache_test.go
@@ -11,9 +11,9 @@
 	"violetturn/internal/node"
 )
 
-// testNode returns the node information of a controller for tests. Workers send a heartbeat every
+// testNodeInfo returns the node information of a controller for tests. Workers send a heartbeat every
 // second and have a lease of nine seconds.
-func testNode(t *testing.T) *node.Info {
+func testNodeInfo(t *testing.T) *node.Info {
 	t.Helper()
 	settings := &config.Settings{HostName: "n0", Zone: "x"}
 	settings.Facts.ControllerCount, settings.Facts.Zones = 1, []string{"x", "y"}
@@ -25,7 +25,7 @@
 // The planning of rentals reuses the plan of the last decision step only once, because it assigns
 // tasks to the plan's machines, and not if the plan is older than the autoscaling interval.
 func TestCachedPlanIsReturnedOnce(t *testing.T) {
-	info := testNode(t)
+	info := testNodeInfo(t)
 	s := New(Deps{Node: info, Catalog: catalog.New(info)})
 	now := time.Unix(1_800_000_000, 0)
 	first := &Plan{}
