--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -78,10 +78,10 @@
 
 // A leadership begins with an agent for each machine. If an earlier leader may still answer, the
 // last response counts as sent at the end of the grace period. The leadership does not begin if
-// another controller has acquired the shard since.
+// a peer has acquired the shard since.
 func TestBeginLeadershipCreatesAgents(t *testing.T) {
 	f := newRegistryFixture(t)
-	grace := f.node.Settings.LeadershipGrace()
+	grace := f.node.Settings.LeadershipGracePeriod()
 	for _, test := range []struct {
 		name         string
 		acquired     AcquiredShard
@@ -94,7 +94,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newRegistryFixture(t)
-			f.DropLeadership("n0")
+			f.EndLeadership("n0")
 			begun, worker := f.BeginLeadership(test.acquired), f.Agent(testHost)
 			if begun != test.wantBegun || f.leadership.Leads("n0") != test.wantBegun || (worker != nil) != test.wantBegun {
 				t.Fatalf("begun %t, leads %t, agent %v; want begun %t", begun, f.leadership.Leads("n0"), worker, test.wantBegun)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -9,7 +9,7 @@
 )
 
 // Lowest limits of a controller's machine in any deployment: memory for the program and an empty
-// replica, and sockets for some connections of each kind.
+// cache, and sockets for some connections of each kind.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
@@ -28,7 +28,7 @@
 	maxMemoryTarget = 1 << 40
 )
 
-// MaxProcs returns how many processors the process may use at once: the configured number of
+// MaxProcs returns how many CPUs the process may use at once: the configured number of
 // cores, rounded, but at least one and at most the available ones.
 func (s *Settings) MaxProcs(available int) int {
 	return max(1, int(min(s.Facts.Limits.Cores+0.5, float64(available))))
--- a/internal/controller/cancellation_races_test.go
+++ b/internal/controller/cancellation_races_test.go
@@ -137,9 +137,9 @@
 		}
 		switch round {
 		case 6:
-			s.environment.Store.RefusedNodes["n2"] = true // it forwards requests to its peers
+			s.environment.Store.RefusedControllers["n2"] = true // it forwards requests to its peers
 		case 12:
-			s.environment.Store.RefusedNodes["n2"] = false
+			s.environment.Store.RefusedControllers["n2"] = false
 		case 15:
 			s.startNode(1)
 		}
--- a/internal/controller/cluster_checks_test.go
+++ b/internal/controller/cluster_checks_test.go
@@ -168,7 +168,7 @@
 		for _, host := range c.testState().Cache.MachinesWithCachedLoad() {
 			cached := c.testState().Cache.CachedLoad(host)
 			c.testState().Cache.InvalidateLoad(host)
-			if computed := c.testState().FreeCapacity.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
+			if computed := c.testState().CapacityCalculator.LoadOf(host); !computed.Used.ApproxEqual(cached.Used) ||
 				!computed.Stopping.ApproxEqual(cached.Stopping) ||
 				computed.ServiceTasks != cached.ServiceTasks ||
 				computed.OtherTasks != cached.OtherTasks ||
@@ -182,7 +182,7 @@
 			}
 		}
 		names := slices.Sorted(maps.Keys(c.testState().Cache.Machines))
-		if cached := c.testState().Cache.MachineNames(); !slices.Equal(cached, names) {
+		if cached := c.testState().Cache.HostNames(); !slices.Equal(cached, names) {
 			t.Fatalf("machine names cached by %s: got %v, want %v", n.name, cached, names)
 		}
 	}
--- a/internal/controller/controller_partitions_test.go
+++ b/internal/controller/controller_partitions_test.go
@@ -17,7 +17,7 @@
 	cancelled, service := s.submitService(3, nil), s.submitService(2, nil)
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(cancelled) == 3 && s.runningTasks(service) == 2 })
 	leader, other := s.leaderOfJob(t, cancelled)
-	s.environment.Store.UnreachableNodes[s.nodes[leader].name], s.isolated[leader] = true, true
+	s.environment.Store.UnreachableControllers[s.nodes[leader].name], s.isolated[leader] = true, true
 	for i, n := range s.nodes { // the others can't reach its workers, which keep reporting to it
 		n.commands.PartitionedFrom = func(*simulator.Worker) bool { return i != leader }
 	}
@@ -84,11 +84,11 @@
 	s.runUntil(t, 60, "replicas run", func() bool { return s.runningTasks(id) == 4 })
 	// The ID of a shard is the name of its preferred leader.
 	shardID := s.nodes[0].state().Cache.Machines[s.environment.Cloud.HostNames()[0]].Shard
-	s.environment.Store.UnreachableNodes[shardID] = true
+	s.environment.Store.UnreachableControllers[shardID] = true
 	settings := s.nodes[0].controller.node.Settings
 	s.runUntil(
 		t,
-		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGrace()+settings.WorkerLeaseBound())+20,
+		rounds(settings.ControllerLeaseTTL()+settings.LeadershipGracePeriod()+settings.WorkerLeaseBound())+20,
 		"shard led by another controller",
 		func() bool {
 			leader := s.leaderOf(shardID)
@@ -105,7 +105,7 @@
 		},
 	)
 	partitioned := s.nodeOf(shardID)
-	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGrace()) {
+	for range rounds(settings.ControllerLeaseTTL() + settings.LeadershipGracePeriod()) {
 		s.runRound()
 	}
 	// The former leader must not extend the lease of a worker that does not have the new leader's token.
@@ -119,6 +119,6 @@
 	array := s.submitJob(func(j *api.Job, _ *time.Duration) { j.Tasks = 6 })
 	s.submit(1, array)
 	s.runUntil(t, 120, "new job done and replicas run", func() bool { return s.isDone(array)() && s.runningTasks(id) == 4 })
-	s.environment.Store.UnreachableNodes[shardID] = false
+	s.environment.Store.UnreachableControllers[shardID] = false
 	s.runUntil(t, 60, "shard led by its preferred leader again", func() bool { return s.leaderOf(shardID) == shardID })
 }
--- a/internal/controller/redirects_test.go
+++ b/internal/controller/redirects_test.go
@@ -17,7 +17,7 @@
 	s.runUntil(t, 80, "replicas run", func() bool { return s.runningTasks(id) == 3 })
 	leader, _ := s.leaderOfJob(t, id)
 	shardID := s.nodes[leader].name
-	s.environment.Store.RefusedNodes[shardID] = true
+	s.environment.Store.RefusedControllers[shardID] = true
 	s.runUntil(t, 40, "shard acquired by a peer", func() bool {
 		newLeader := s.leaderOf(shardID)
 		return newLeader != "" && newLeader != shardID
@@ -68,7 +68,7 @@
 		}
 	}
 	for range 100 { // the state service refuses only this controller
-		s.environment.Store.RefusedNodes["n0"] = true
+		s.environment.Store.RefusedControllers["n0"] = true
 		s.runRound()
 	}
 	for host := range s.nodes[1].state().Cache.Machines {
--- a/internal/election/shards.go
+++ b/internal/election/shards.go
@@ -19,7 +19,7 @@
 	commitShard = "shard"
 )
 
-// maintainLeaderships registers this node, releases shards to their home controllers, and
+// maintainLeaderships registers this controller, releases shards to their home controllers, and
 // acquires shards without a leader.
 func (e *Elector) maintainLeaderships(ctx context.Context) {
 	plan, ok := e.planLeaderships()
@@ -36,10 +36,10 @@
 			return
 		}
 	}
-	for _, shard := range plan.changes.Release {
+	for _, shard := range plan.shards.Release {
 		e.releaseShard(ctx, shard)
 	}
-	for _, acquisition := range plan.changes.Acquire {
+	for _, acquisition := range plan.shards.Acquire {
 		e.AcquireShard(ctx, acquisition.Shard, acquisition.LeaderVersion)
 	}
 }
@@ -49,8 +49,8 @@
 	controllerCount        int // controllers that share the state service's rate limits
 	controllerCountChanged bool
 	probes                 []string                // addresses of workers to be probed
-	registration           *statecache.Transaction // nil if this node's records are up to date
-	changes                leadership.Changes
+	registration           *statecache.Transaction // nil if this controller's records are up to date
+	shards                 leadership.Plan
 }
 
 // planLeaderships decides under the lock what to do. ok is false while the cache is not fully
@@ -62,13 +62,13 @@
 	if !state.Cache.Loaded {
 		return plan, false
 	}
-	state.Agents.DropLostLeaderships()
+	state.Agents.EndLostLeaderships()
 	plan.controllerCountChanged = state.Leadership.Rates().Update(now)
 	plan.controllerCount = state.Leadership.Rates().ControllerCount()
 	releaseAll, probes := state.DirectCommands.CheckWorkerContact(now)
 	plan.probes = probes
 	plan.registration = state.Leadership.Registration()
-	plan.changes = state.Leadership.Planner().Plan(now, releaseAll)
+	plan.shards = state.Leadership.Planner().Plan(now, releaseAll)
 	return plan, true
 }
 
@@ -84,7 +84,7 @@
 func (e *Elector) AcquireShard(ctx context.Context, shard string, leaderVersion uint64) {
 	state := e.guard.Lock()
 	if state.Cache.Leaders[shard].Version != leaderVersion {
-		// Another controller has acquired the shard since. A precondition on the newer version
+		// A peer has acquired the shard since. A precondition on the newer version
 		// would hold, and the shard would be taken from a running leader.
 		e.guard.Unlock()
 		return
@@ -142,10 +142,10 @@
 // answering its workers, according to its capacity record. It guards against a new leader that
 // treats a worker's lease as expired while an earlier leader still renews it.
 //
-// An earlier incarnation of this process has ended, and a leader that released the shard has
+// An earlier incarnation of this controller has ended, and a leader that released the shard has
 // stopped answering. Any other leader may continue to answer for its grace period. So may a leader
 // before those, if its successors did not last until its grace period had ended. Therefore the
-// record keeps PredecessorMayAnswer; otherwise a quick restart of this process would lose it.
+// record keeps PredecessorMayAnswer; otherwise a quick restart of this controller would lose it.
 func havePredecessorsStopped(capacity *shard.CapacityRecord, self string) bool {
 	if capacity == nil {
 		return true // it was never led
@@ -167,7 +167,7 @@
 	defer e.guard.Unlock()
 	if committed {
 		e.node.Log.Info("shard released", logkey.Shard(shard), logkey.Term(released.Term))
-		state.Agents.DropLeadership(shard)
+		state.Agents.EndLeadership(shard)
 		return
 	}
 	// If the outcome is unknown, workers stay unanswered until the cache shows the shard's leader.
--- a/internal/leadership/table_test.go
+++ b/internal/leadership/table_test.go
@@ -16,8 +16,8 @@
 	"violetturn/internal/store"
 )
 
-// tableFixture is the table of node n0 in a cluster of n0, n1 and n2. Its lease is valid, and its
-// cache is loaded and empty.
+// tableFixture is the table of controller n0 in a cluster of n0, n1 and n2. Its lease is valid, and
+// its cache is loaded and empty.
 type tableFixture struct {
 	*Table
 	now     time.Time
@@ -47,8 +47,8 @@
 	return f.version
 }
 
-// setLeader makes a node the leader of a shard in the cache, and begins this node's leadership
-// if the leader is n0.
+// setLeader makes a controller the leader of a shard in the cache, and begins this controller's
+// leadership if the leader is n0.
 func (f *tableFixture) setLeader(name, leader string) {
 	record := shard.LeaderRecord{Node: leader, Incarnation: 7, Term: 1}
 	if leader == "n0" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// registerNode adds the record of a node that workers reach.
+// registerNode adds the record of a controller that workers reach.
 func (f *tableFixture) registerNode(name string) {
 	f.applyRecord(statecache.NodeKey(name), shard.NodeRecord{Node: name})
 }
@@ -77,7 +77,7 @@
 		{"release did not commit", func(f *tableFixture) { f.Lookup("n1").BeginRelease(); f.Lookup("n1").CancelRelease() }, true},
 		{"successor reported", func(f *tableFixture) { f.Lookup("n1").successor = "n2" }, false},
 		{"another leader's key", func(f *tableFixture) { f.setLeader("n1", "n1") }, false},
-		{"lease lost", func(f *tableFixture) { f.DropExpiredLease() }, false},
+		{"lease lost", func(f *tableFixture) { f.EndLease() }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 }
 
 func TestMayAnswerHeartbeats(t *testing.T) {
-	grace := newTableFixture(t).node.Settings.LeadershipGrace()
+	grace := newTableFixture(t).node.Settings.LeadershipGracePeriod()
 	staleness := newTableFixture(t).node.Settings.MaxStaleness()
 	ttl := newTableFixture(t).node.Settings.ControllerLeaseTTL()
 	cases := []struct {
@@ -107,7 +107,7 @@
 		want   bool
 	}{
 		{"within the lease", 0, func(*tableFixture) {}, true},
-		{"without a lease", 0, func(f *tableFixture) { f.DropExpiredLease() }, false},
+		{"without a lease", 0, func(f *tableFixture) { f.EndLease() }, false},
 		{"cache not loaded", 0, func(f *tableFixture) { f.cache.Loaded = false }, false},
 		{"within the grace period", ttl + grace - 1, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, true},
 		{"after the grace period", ttl + grace, func(f *tableFixture) { f.cache.ChangesReadAt = f.now }, false},
@@ -160,13 +160,13 @@
 			f := newTableFixture(t)
 			test.prepare(f)
 			f.Planner().Plan(f.now, test.releaseAll) // records since when shards have no leader
-			changes := f.Planner().Plan(f.now.Add(test.after), test.releaseAll)
+			plan := f.Planner().Plan(f.now.Add(test.after), test.releaseAll)
 			var acquired []string
-			for _, acquisition := range changes.Acquire {
+			for _, acquisition := range plan.Acquire {
 				acquired = append(acquired, acquisition.Shard)
 			}
-			if !reflect.DeepEqual(acquired, test.wantAcquired) || !reflect.DeepEqual(changes.Release, test.wantReleased) {
-				t.Errorf("acquire %v, release %v; want %v, %v", acquired, changes.Release, test.wantAcquired, test.wantReleased)
+			if !reflect.DeepEqual(acquired, test.wantAcquired) || !reflect.DeepEqual(plan.Release, test.wantReleased) {
+				t.Errorf("acquire %v, release %v; want %v, %v", acquired, plan.Release, test.wantAcquired, test.wantReleased)
 			}
 		})
 	}
@@ -190,8 +190,8 @@
 	}
 }
 
-// A node is unreachable after MinSilentCount consecutive checks without contact if heartbeats are
-// expected from at least MinSilentCount workers, until there is contact again.
+// A controller is unreachable after MinSilentCount consecutive checks without contact if heartbeats
+// are expected from at least MinSilentCount workers, until there is contact again.
 func TestCheckSilenceRequiresEnoughSilentWorkers(t *testing.T) {
 	for _, expected := range []int{MinSilentCount - 1, MinSilentCount} {
 		f := newTableFixture(t)
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -1,11 +1,11 @@
-// Package sched makes the scheduling decisions as pure functions: which machine a task is assigned
-// to, which tasks are preempted, how a gang retries its search for capacity, which machines are
+// Package sched makes the scheduling decisions as pure functions: which machine a task is placed
+// on, which tasks are preempted, how a gang retries its search for capacity, which machines are
 // rented, and how much of a team's quota a shard holds.
 //
 // Invariants:
 //   - no decision does I/O; times and random sources come from the caller, and the same input
 //     gives the same decision;
-//   - a task is only assigned to a machine that has enough free capacity and that its job allows;
+//   - a task is only placed on a machine that has enough free capacity and that its job allows;
 //   - tasks are preempted only if that frees enough capacity;
 //   - the shares of a quota that the shards hold never exceed the limit in total.
 package sched
@@ -19,7 +19,7 @@
 	Capacity, Free                 Resources
 	Stopping                       Resources       // resources of tasks that were sent a stop command
 	Images                         map[string]bool // images that the machine probably has
-	ServiceTasks, ArrayTasks       int             // number of its tasks, by the kind of their jobs
+	ServiceTasks, OtherTasks       int             // number of its tasks: of services, and of arrays and gangs
 	StartDelayS                    float64         // estimated seconds until it can start a task
 }
 
@@ -49,11 +49,11 @@
 }
 
 // otherKindTasks returns the number of a machine's tasks that are of the other job kind. Replicas of
-// services run on and tasks of arrays end, so if the two are kept on separate machines, those with
-// array tasks become empty and can be returned.
+// services run on and other tasks end, so if the two are kept on separate machines, those with other
+// tasks become empty and can be returned.
 func otherKindTasks(h *Host, request *TaskRequest) int {
 	if request.Service {
-		return h.ArrayTasks
+		return h.OtherTasks
 	}
 	return h.ServiceTasks
 }
--- a/internal/scheduler/hosts.go
+++ b/internal/scheduler/hosts.go
@@ -40,7 +40,7 @@
 // capacity records.
 func (s *Scheduler) SchedulableHosts(now time.Time) []*sched.Host {
 	views := s.shardViews()
-	names := s.cache.MachineNames()
+	names := s.cache.HostNames()
 	hostStorage := make([]sched.Host, 0, len(names)) // one allocation for all machines
 	hosts := make([]*sched.Host, 0, len(names))
 	for _, name := range names {
@@ -51,7 +51,7 @@
 		}
 		var free, size sched.Resources
 		if view.ledLocally {
-			free, size, ok = s.freeCapacity.FreeOnMachine(name, now)
+			free, size, ok = s.capacityCalculator.FreeOnMachine(name, now)
 		} else {
 			free, ok = view.offered[name]
 			size, _ = s.catalog.MachineCapacity(machine.MachineType)
@@ -59,7 +59,7 @@
 		if !ok {
 			continue
 		}
-		load := s.freeCapacity.LoadOf(name)
+		load := s.capacityCalculator.LoadOf(name)
 		hostStorage = append(hostStorage, sched.Host{
 			Name:         name,
 			Shard:        machine.Shard,
@@ -71,8 +71,8 @@
 			Stopping:     load.Stopping,
 			Images:       s.cache.PlacedImages[name],
 			ServiceTasks: load.ServiceTasks,
-			ArrayTasks:   load.OtherTasks,
-			StartDelayS:  s.freeCapacity.StartDelay(name, load, now),
+			OtherTasks:   load.OtherTasks,
+			StartDelayS:  s.capacityCalculator.StartDelay(name, load, now),
 		})
 		hosts = append(hosts, &hostStorage[len(hostStorage)-1])
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -12,7 +12,7 @@
 // package decides on the use of every format that the previous program can't read.
 const Version = 2
 
-// WriteBudget provides the number of changes that may be sent to the state service now.
+// WriteBudget provides the number of writes that may be sent to the state service now.
 type WriteBudget interface {
 	Available() int
 }
@@ -25,7 +25,7 @@
 	budget WriteBudget
 
 	limitsLowered bool           // the announced lower limits are in force: the state service refused a larger transaction
-	reducedTxnOps int            // maximum changes per transaction if lower than announced; 0: as announced
+	reducedTxnOps int            // maximum writes per transaction if lower than announced; 0: as announced
 	splitRequests map[string]int // by job with an oversized record: the generation that the split creates
 }
 
@@ -66,7 +66,7 @@
 	return capability != nil && capability.SchemaVersion >= Version
 }
 
-// FeatureEnabled reports whether a feature is enabled in this process and, according to the
+// FeatureEnabled reports whether a feature is enabled in this controller and, according to the
 // capability records, on every configured controller, running or not. A controller whose node
 // record lacks the feature, because it was started without it or its version does not support it,
 // disables the feature everywhere.
