--- a/internal/controller/cancellation_outage_timings_test.go
+++ b/internal/controller/cancellation_outage_timings_test.go
@@ -173,7 +173,8 @@
 	if len(o.environment.Violations) > 0 {
 		cfg := o.nodes[0].controller.node.Settings
 		o.t.Fatalf("lease %v, cancellation timeout %v, leadership grace %v, max staleness %v: violations %v, want none",
-			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGracePeriod(), cfg.MaxStaleness(), o.environment.Violations)
+			o.environment.WorkerLease, o.environment.CancelTimeout, cfg.LeadershipGracePeriod(), cfg.MaxStaleness(),
+			o.environment.Violations)
 	}
 }
 
