--- a/internal/controller/shard_acquisition_test.go
+++ b/internal/controller/shard_acquisition_test.go
@@ -34,7 +34,8 @@
 	s.startNode(successor)
 	s.runUntil(t, 10, "shard acquired again", func() bool { return s.leaderOf("n1") == s.nodes[successor].name })
 	c := s.nodes[successor].controller
-	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.Sub(c.node.Now()); got <= c.node.Settings.LeadershipGracePeriod()/2 {
+	if got := c.testState().Leadership.Lookup("n1").PredecessorAnswersUntil.
+		Sub(c.node.Now()); got <= c.node.Settings.LeadershipGracePeriod()/2 {
 		t.Fatalf(
 			"time for which the previous leader may still answer: got %v, want more than half of the grace period of %v",
 			got, c.node.Settings.LeadershipGracePeriod(),
