--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -10,17 +10,18 @@
 
 // ScaleIn is the result of one scale-in decision.
 type ScaleIn struct {
-	Return []string               // names of the machines to return to the cloud
-	Fences []*agent.DirectCommand // send this leader's fencing token to workers that have not shown its term yet
+	Return []string               // hosts of the machines to return to the cloud
+	Fences []*agent.DirectCommand // commands that send this leader's fencing token to workers that have not shown its term yet
 }
 
 // missesUntilTerminated is the number of consecutive lists of the cloud that lack a machine after
 // which the machine counts as terminated.
 const missesUntilTerminated = 2
 
-// ScaleIn returns the machines of the shards that this controller leads that are to be returned. It
-// also prepares fence commands to workers that have not shown this leader's term, and reviews which
-// machines to cordon.
+// ScaleIn decides which machines to return to the cloud, among those of the shards that this
+// controller leads. It also prepares fence commands for workers that have not shown this leader's
+// term and, if the periodic review is due, cordons machines that are to be returned once they are
+// empty.
 func (a *Autoscaler) ScaleIn(now time.Time) ScaleIn {
 	var decision ScaleIn
 	if !a.leadership.MayAct(now) {
@@ -52,8 +53,8 @@
 		if review != nil {
 			review.Evaluate(host, machine, worker)
 		}
-		_, offered := record.Free[host]
-		if a.isToReturn(host, worker, offered, now) {
+		_, offeredToPeers := record.Free[host]
+		if a.isToReturn(host, worker, offeredToPeers, now) {
 			decision.Return = append(decision.Return, host)
 		}
 	}
@@ -62,13 +63,14 @@
 	return decision
 }
 
-// isToReturn reports whether a machine is to be returned: either it is cordoned, holds no task and
-// no peer can place a task on it, or the cloud's lists lack it and its worker sends no heartbeats.
-// In the second case a successful return proves that the machine is terminated.
-func (a *Autoscaler) isToReturn(host string, worker *agent.Agent, offered bool, now time.Time) bool {
+// isToReturn reports whether a machine is to be returned to the cloud. That is so if it is cordoned,
+// holds no task and is not offered to peers, so that none can place a task on it. It is also so if
+// the cloud's lists lack it and its worker sends no heartbeats; in this case a successful return
+// proves that the machine is terminated.
+func (a *Autoscaler) isToReturn(host string, worker *agent.Agent, offeredToPeers bool, now time.Time) bool {
 	silent := now.Sub(worker.LastSeen) > 2*a.node.Settings.HeartbeatInterval()
 	if worker.MissingFromLists >= missesUntilTerminated && silent {
 		return true
 	}
-	return worker.Cordoned && !offered && len(a.cache.Placements[host]) == 0
+	return worker.Cordoned && !offeredToPeers && len(a.cache.Placements[host]) == 0
 }
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -13,15 +13,15 @@
 	"violetturn/internal/statecache"
 )
 
-// ScaleInReview is one run of the check that determines which machines to cordon. Idle and
-// underused machines are evaluated against a plan of all machines, which is the most expensive
-// computation of a controller. The plan is therefore made at most once, and only if a machine
+// ScaleInReview is one run of the periodic check that cordons machines. Idle and underused machines
+// are evaluated against a placement plan for all machines, which is the most expensive computation
+// of a controller. The plan is therefore made at most once, and only if the evaluation of a machine
 // requires it.
 type ScaleInReview struct {
 	autoscaler         *Autoscaler
 	now                time.Time
-	remainingHosts     []*sched.Host            // with the capacity that remains after a plan; nil: not planned yet
-	replicaHostsByZone map[string][]*sched.Host // remainingHosts with service replicas, by zone
+	remainingHosts     []*sched.Host            // all machines, with the capacity that remains after the plan; nil: not planned yet
+	replicaHostsByZone map[string][]*sched.Host // those of remainingHosts that hold service replicas, by zone
 	headroomHosts      map[string]bool          // idle machines that the headroom needs
 	reservedHosts      map[string]bool          // machines reserved until a gang has all of its capacity
 }
@@ -31,7 +31,7 @@
 	return &ScaleInReview{autoscaler: a, now: now}
 }
 
-// Evaluate evaluates one machine and cordons it if it is to be returned once it is empty.
+// Evaluate cordons a machine if it is to be returned to the cloud once it is empty.
 func (r *ScaleInReview) Evaluate(host string, machine *shard.Machine, worker *agent.Agent) {
 	_, machineType := r.autoscaler.catalog.MachineCapacity(machine.MachineType)
 	if machineType == nil || worker.Cordoned {
@@ -53,7 +53,7 @@
 	return time.Duration(machineType.BootS * float64(time.Second))
 }
 
-// cordon excludes a machine from new placements.
+// cordon excludes a machine from new placements and wakes the decision loop.
 func (r *ScaleInReview) cordon(host string, worker *agent.Agent, reason string) {
 	worker.Cordoned = true
 	r.autoscaler.node.Log.Info("machine cordoned", "host", host, "why", reason)
@@ -62,25 +62,25 @@
 
 // evaluateUnfenced cordons a machine whose worker has sent no heartbeat under this term, although
 // the machine had time to boot and this leader has led its shard for long enough to receive a
-// response to a fence. The time under an earlier leader does not suffice, because the machine may
-// have been running under it. The boot time counts from registration, so that a machine lost under
-// an earlier leader is not given another whole boot.
+// response to a fence. The age of the machine alone does not suffice, because the machine may have
+// been running under an earlier leader. The boot time counts from registration, so that a machine
+// lost under an earlier leader does not get a second boot time.
 func (r *ScaleInReview) evaluateUnfenced(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
 	settings := r.autoscaler.node.Settings
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
 	termAge := r.now.Sub(worker.CreatedAt)
 	if age > 4*bootDuration(machineType)+settings.WorkerLease() && termAge > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
+		r.cordon(host, worker, "no heartbeat since the shard was acquired, although the machine had time to boot")
 	}
 }
 
-// evaluateExpired cordons a machine whose worker's lease expired long ago. A worker that has just
-// started may be fenced before any of its heartbeats was answered; its time then counts from the
-// response to the fence, which sets LastSeen.
+// evaluateExpired cordons a machine whose worker's lease expired long ago and that has sent no
+// heartbeat for as long. A worker that has just started may be fenced before any of its heartbeats
+// was answered; the limit then counts from its response to the fence, which sets LastSeen.
 func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
 	silenceLimit := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
 	if r.now.Sub(worker.LastAnswered) > silenceLimit && r.now.Sub(worker.LastSeen) > silenceLimit {
-		r.cordon(host, worker, "silent for long")
+		r.cordon(host, worker, "worker lease expired and no heartbeat for a long time")
 	}
 }
 
@@ -94,8 +94,9 @@
 	return worker.Heartbeat != nil && slices.ContainsFunc(worker.Heartbeat.Tasks, isUnfinished)
 }
 
-// evaluateBusy cordons a machine that holds only a few service replicas, once those have fit on
-// other machines for two boot times. At most one machine is cordoned this way per boot time.
+// evaluateBusy cordons a machine that holds only a few service replicas, once reviews have found for
+// two boot times that they fit on other machines. At most one machine is cordoned this way per boot
+// time.
 func (r *ScaleInReview) evaluateBusy(host string, boot time.Duration, worker *agent.Agent) {
 	worker.IdleSince = time.Time{}
 	if !r.canMigrateReplicas(host, boot) {
@@ -108,13 +109,13 @@
 	}
 	if r.now.Sub(worker.UnderusedSince) > 2*boot && r.now.Sub(r.autoscaler.migratedAt) > boot {
 		r.autoscaler.migratedAt = r.now
-		r.cordon(host, worker, "its replicas fit elsewhere")
+		r.cordon(host, worker, "its service replicas fit on other machines")
 	}
 }
 
 // evaluateIdle cordons a machine that has been idle for longer than the policy keeps it, unless the
 // headroom or a gang needs it. It does not cordon machines in a zone that is down or recovering:
-// they are idle because their capacity is reserved or the zone does not admit all jobs yet, and
+// they are idle because their capacity is reserved or the zone does not admit all jobs yet, and they
 // will be needed soon.
 func (r *ScaleInReview) evaluateIdle(host string, machine *shard.Machine, machineType *cloud.MachineType, worker *agent.Agent) {
 	if worker.IdleSince.IsZero() {
@@ -130,8 +131,8 @@
 	}
 }
 
-// planRemainingHosts returns all machines with the capacity that remains after a plan. It makes the
-// plan on its first call.
+// planRemainingHosts returns all machines with the capacity that remains after a placement plan. It
+// makes the plan on its first call.
 func (r *ScaleInReview) planRemainingHosts() []*sched.Host {
 	if r.remainingHosts == nil {
 		plan := r.autoscaler.scheduler.Plan(r.now)
@@ -149,13 +150,14 @@
 	return r.headroomHosts[host] || r.reservedHosts[host]
 }
 
-// canMigrateReplicas reports whether a machine holds only a few service replicas that have run for
-// at least one boot time and that fit on other machines in use that have their images. Moving them
-// then takes seconds and saves a machine.
+// canMigrateReplicas reports whether a machine holds only service replicas, which need at most half
+// of its capacity, were placed at least one boot time ago, and fit on other machines that hold
+// replicas and have their images. It returns false for a machine that the headroom or a gang needs.
+// Moving the replicas takes seconds and saves a machine.
 func (r *ScaleInReview) canMigrateReplicas(host string, boot time.Duration) bool {
 	a := r.autoscaler
 	machine := a.cache.Machines[host]
-	size, _ := a.catalog.MachineCapacity(machine.MachineType)
+	machineCapacity, _ := a.catalog.MachineCapacity(machine.MachineType)
 	used := sched.Resources{}
 	for _, task := range a.cache.Placements[host] {
 		job := a.cache.Jobs[task.UID]
@@ -168,7 +170,7 @@
 		}
 		used = used.Add(statecache.ResourcesOf(&job.Record.Spec))
 	}
-	if !size.Fits(used.Scale(2)) {
+	if !machineCapacity.Fits(used.Scale(2)) {
 		return false
 	}
 	var requests []sched.TaskRequest
--- a/internal/decisions/task_ends.go
+++ b/internal/decisions/task_ends.go
@@ -16,15 +16,16 @@
 	"violetturn/internal/store"
 )
 
-// taskEndsPlan is a planned transaction that records ended attempts.
+// taskEndsPlan is a planned transaction that records the ends of task attempts.
 type taskEndsPlan struct {
 	recordsPlan
-	doneJobs []string // jobs that are done with this transaction
+	doneJobs []string // IDs of the jobs that this transaction completes
 	more     bool     // not all ended attempts fit into the transaction
 }
 
-// commitTaskEnds commits ended attempts. The capacity that they free appears in a shard's capacity
-// record when that record is next written.
+// commitTaskEnds commits one transaction that records ended attempts, and reports whether there is
+// more to commit. The capacity that the attempts free appears in a shard's capacity record when that
+// record is next written.
 func (l *Loop) commitTaskEnds(ctx context.Context) (more bool) {
 	now := l.node.Now()
 	state := l.guard.Lock()
@@ -39,8 +40,8 @@
 	return l.commit(ctx, purposeTaskEnds, plan.transaction, store.PriorityDecision).isKnown() && plan.more
 }
 
-// planTaskEnds collects as many ended attempts as fit into a transaction, of all kinds of jobs
-// except gangs.
+// planTaskEnds plans a transaction with the ended attempts of as many task ranges as fit into it.
+// It skips gangs, whose task ends UpdateGangs commits.
 func planTaskEnds(s *state.State, now time.Time) taskEndsPlan {
 	var plan taskEndsPlan
 	editor := s.Schema.NewRecordEditor()
@@ -63,22 +64,23 @@
 	return plan
 }
 
-// compareRangeIDs orders task ranges by job, then by index. If a transaction can't hold all ranges,
-// it holds all of the first jobs, which may be complete with it.
+// compareRangeIDs orders task ranges by job, then by index. A transaction that can't hold all ranges
+// then holds all ranges of the first jobs in this order, and may complete those jobs.
 func compareRangeIDs(a, b schema.RangeID) int {
 	return cmp.Or(cmp.Compare(a.UID, b.UID), cmp.Compare(a.Index, b.Index))
 }
 
-// taskEndsCost returns the maximum number of writes that recording the ends in a task range takes.
+// taskEndsCost returns the maximum number of writes that it takes to record the ends in a task range.
 func taskEndsCost(j *statecache.Job) int {
 	if j.Record.Inline {
 		return 2 // the main record and the final state
 	}
-	return 3 // the record of the task range as well
+	return 3 // these two and the record of the task range
 }
 
-// addTaskEnds adds the ends of attempts in one task range to a transaction. It reports whether the
-// job is done with them.
+// addTaskEnds adds the ends of attempts in one task range to a transaction. If all tasks of the range
+// are then done, it finishes the range; if this completes the job, it archives the job and returns
+// true. Only arrays that are not cancelled are completed in this way.
 func addTaskEnds(editor *schema.Editor, j *statecache.Job, id schema.RangeID, ends []agent.EndedTask) (jobDone bool) {
 	spec := &j.Record.Spec
 	taskRange := editor.TaskRange(j, id.Index)
--- a/internal/job/gang.go
+++ b/internal/job/gang.go
@@ -136,11 +136,11 @@
 	return g.Attempt
 }
 
-// Launch marks the attempt as launched, atS seconds after the job was accepted, so that the
+// Launch marks the attempt as launched, launchedS seconds after the job was accepted, so that the
 // workers may start its tasks. All placements of the attempt must have been reserved.
-func (g *Gang) Launch(atS int64) {
+func (g *Gang) Launch(launchedS int64) {
 	if !g.Launched {
-		g.Launched, g.LaunchedS = true, atS
+		g.Launched, g.LaunchedS = true, launchedS
 	}
 }
 
--- a/internal/job/placement.go
+++ b/internal/job/placement.go
@@ -1,11 +1,11 @@
 package job
 
-// Placement is the machine on which an attempt of an unfinished task is placed.
+// Placement records on which machine an attempt of an unfinished task is placed.
 type Placement struct {
 	Attempt  uint64 `json:"t"`
 	Host     string `json:"m"`
 	Stopping bool   `json:"s,omitempty"` // the task is to be stopped
-	PlacedS  int64  `json:"a,omitempty"` // when the task was placed, in seconds after the job was accepted
+	PlacedS  int64  `json:"a,omitempty"` // time of the placement, in seconds after the job was accepted
 }
 
 // PlacementOf returns the placement of task i, nil if it has none.
@@ -16,23 +16,24 @@
 	return t.Placements[i]
 }
 
-// Place places task i on a machine, atS seconds after the job was accepted, and returns the
+// Place places task i on a machine, placedS seconds after the job was accepted, and returns the
 // number of the new attempt.
-func (t *TaskRange) Place(i int, host string, atS int64) uint64 {
+func (t *TaskRange) Place(i int, host string, placedS int64) uint64 {
 	t.LastAttempt++
-	t.Placements[i] = &Placement{Attempt: t.LastAttempt, Host: host, PlacedS: atS}
+	t.Placements[i] = &Placement{Attempt: t.LastAttempt, Host: host, PlacedS: placedS}
 	return t.LastAttempt
 }
 
-// PlaceGangTask places task i of a gang on a machine, atS seconds after the job was accepted, under
+// PlaceGangTask places task i of a gang on a machine, placedS seconds after the job was accepted, under
 // the attempt number that all tasks of the gang share.
-func (t *TaskRange) PlaceGangTask(i int, host string, attempt uint64, atS int64) {
+func (t *TaskRange) PlaceGangTask(i int, host string, attempt uint64, placedS int64) {
 	t.LastAttempt = max(t.LastAttempt, attempt)
-	t.Placements[i] = &Placement{Attempt: attempt, Host: host, PlacedS: atS}
+	t.Placements[i] = &Placement{Attempt: attempt, Host: host, PlacedS: placedS}
 }
 
-// EndAttempt removes the placement of task i and records whether the task is done or has failed.
-// It reports whether the placement has the given attempt number; if not, it changes nothing.
+// EndAttempt removes the placement of task i. If the task is done, it marks the task as done and
+// resets the streak of failures; if the attempt failed, it increments the streak. It reports whether
+// the placement has the given attempt number; if not, it changes nothing.
 func (t *TaskRange) EndAttempt(i int, attempt uint64, done, failed bool) bool {
 	p := t.Placements[i]
 	if p == nil || p.Attempt != attempt {
