--- a/internal/controller/four_thousand_machines_test.go
+++ b/internal/controller/four_thousand_machines_test.go
@@ -10,11 +10,12 @@
 	"violetturn/internal/simulator"
 )
 
-// Three controllers fill four thousand simulated machines. One controller stops and another one takes
-// over its machines, then all restart at once, and no rule may be violated.
+// Three controllers fill four thousand simulated machines with tasks. One controller stops and another
+// one acquires its shard, then all controllers restart at once. No rule of the protocol may be violated.
 //
-// It runs in simulated time in one goroutine, so it does not show whether real processes keep up.
-// Under the race detector it takes minutes, so test.sh runs it separately.
+// The test runs in simulated time in one goroutine, so it does not show whether real processes handle
+// this load. Under the race detector it would take minutes, so it is excluded there and test.sh runs it
+// separately.
 func TestFourThousandMachines(t *testing.T) {
 	scenario := newLoadScenario(simulator.Deployment4000())
 	scenario.phase = "fill"
@@ -25,9 +26,9 @@
 	}
 	scenario.runPhase("fill", 150*time.Second)
 	booted := scenario.bootedMachines()
-	const minBooted = 3400 // the drawn jobs need about four thousand
+	const minBooted = 3400 // the randomly drawn jobs need about four thousand
 	if booted < minBooted {
-		t.Fatalf("%d machines have booted, want at least %d", booted, minBooted)
+		t.Fatalf("%d machines have booted when the fill phase ends, want at least %d", booted, minBooted)
 	}
 	tasksBefore := scenario.totalPresentTasks()
 
@@ -42,7 +43,7 @@
 	scenario.runPhase("start", 45*time.Second)
 
 	if tasksAfter := scenario.totalPresentTasks(); tasksAfter < tasksBefore*9/10 {
-		t.Errorf("%d tasks run after the restart, want at least 9/10 of the %d before", tasksAfter, tasksBefore)
+		t.Errorf("%d unfinished tasks are on machines after the restart, want at least 9/10 of the %d before", tasksAfter, tasksBefore)
 	}
 	scenario.checkAcceptedJobs(t)
 	for _, violation := range scenario.environment.Violations {
@@ -61,7 +62,7 @@
 	return n
 }
 
-// totalPresentTasks counts the tasks that are on machines.
+// totalPresentTasks counts the unfinished tasks on all machines.
 func (l *loadScenario) totalPresentTasks() int {
 	n := 0
 	for _, worker := range l.environment.Cloud.Workers() {
@@ -70,8 +71,8 @@
 	return n
 }
 
-// checkAcceptedJobs queries every job at every controller and checks that accepted jobs are
-// found. The simulator checks the content of the responses.
+// checkAcceptedJobs queries every job at every controller and checks that the jobs that were accepted
+// and not cancelled are found. The simulator checks the content of the responses.
 func (l *loadScenario) checkAcceptedJobs(t *testing.T) {
 	t.Helper()
 	for i := range l.nodes {
@@ -79,7 +80,7 @@
 			status, body := l.request("user", i, "GET", "/v2/runs/"+uid, nil)
 			l.checkResponse(uid, status, body, false)
 			if job := l.environment.Jobs[uid]; job.Accepted && status != 200 && job.FinalPhase != api.JobCancelled {
-				t.Errorf("controller %d answers with status %d, want 200, for accepted job %s", i, status, uid)
+				t.Errorf("controller %d answers with status %d, want 200, the query for accepted job %s", i, status, uid)
 			}
 		}
 	}
--- a/internal/finalstate/finalstate_test.go
+++ b/internal/finalstate/finalstate_test.go
@@ -11,8 +11,8 @@
 	"violetturn/internal/node"
 )
 
-// However many jobs finish, the cache holds no more than its limit. It removes the oldest entries
-// first, and adding a job again takes no further entry.
+// The cache holds no more entries than its limit, however many jobs finish. It removes the oldest
+// entry first, and adding the same job again makes no further entry.
 func TestCacheRemovesOldestWhenFull(t *testing.T) {
 	settings := &config.Settings{HostName: "n0"}
 	settings.Facts.Limits.MemoryMB = 1
@@ -24,20 +24,20 @@
 	}
 	cache.Add(uid(1), job.FinalState{Phase: api.JobDone, Done: 1})
 	if _, ok := cache.Get(uid(0)); !ok {
-		t.Errorf("the oldest entry was removed with %d entries, the limit; want it kept", limit)
+		t.Errorf("the oldest entry was removed from a cache of %d entries, which is the limit; want it kept", limit)
 	}
 	cache.Add(uid(limit), job.FinalState{Phase: api.JobCancelled, Done: 7})
 	if _, ok := cache.Get(uid(0)); ok {
-		t.Error("the oldest entry was kept with one entry more than the limit, want it removed")
+		t.Error("the oldest entry was kept after one entry more than the limit was added, want it removed")
 	}
 	if final, ok := cache.Get(uid(1)); !ok || final.Done != 1 || final.Phase != api.JobDone {
-		t.Errorf("second entry: got %v, found %t; want done 1, true", final, ok)
+		t.Errorf("second entry: got %+v, found %t; want phase done with 1 task done, found", final, ok)
 	}
 	if final, ok := cache.Get(uid(limit)); !ok || final.Phase != api.JobCancelled || final.Done != 7 {
-		t.Errorf("last entry: got %v, found %t; want cancelled with done 7, true", final, ok)
+		t.Errorf("last entry: got %+v, found %t; want phase cancelled with 7 tasks done, found", final, ok)
 	}
 	if len(cache.byJob) != limit || len(cache.insertionOrder) != limit {
-		t.Errorf("cache holds %d states and %d job IDs, want %d of each", len(cache.byJob), len(cache.insertionOrder), limit)
+		t.Errorf("cache holds %d final states, %d ordered job IDs, want %d of each", len(cache.byJob), len(cache.insertionOrder), limit)
 	}
 }
 
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -8,8 +8,8 @@
 	"violetturn/internal/statecache"
 )
 
-// The delay before the next attempt never exceeds a worker's lease, however many failures a job
-// has: a longer wait would let the job count as starving.
+// The delay before the next attempt never exceeds the duration of a worker's lease, however many
+// failures a job has: with a longer delay the job would count as starving.
 func TestBackoffNeverExceedsWorkerLease(t *testing.T) {
 	info := testNodeInfo(t)
 	s := New(Deps{Node: info})
@@ -23,14 +23,14 @@
 		if !s.isBackingOff(&queueEntry{job: j, uid: uid}, now) {
 			t.Fatalf("isBackingOff() = false after %d failures, want true", failures)
 		}
-		if wait := s.backoffs[uid].retryAt.Sub(now); wait > info.Settings.WorkerLease() || wait <= 0 {
-			t.Fatalf("delay after %d failures is %v, want above 0 and at most %v", failures, wait, info.Settings.WorkerLease())
+		if delay := s.backoffs[uid].retryAt.Sub(now); delay > info.Settings.WorkerLease() || delay <= 0 {
+			t.Fatalf("delay after %d failures is %v, want above 0 and at most %v", failures, delay, info.Settings.WorkerLease())
 		}
 	}
 }
 
-// The delay doubles with each new failure up to the maximum and then expires. The entry is removed
-// once a job has no failures or no longer exists.
+// The delay doubles with each further failure, up to the maximum, and the job no longer waits once it
+// has passed. The entry is removed once a job has no failures or is not among the jobs to keep.
 func TestBackoffTableDoublesDelayAndRemovesEntries(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	const initialDelay, maxDelay = time.Second, 9 * time.Second
@@ -49,7 +49,7 @@
 		}
 	}
 	if table.isWaiting("a", 0, now, initialDelay, maxDelay) || len(table) != 0 {
-		t.Errorf("job without failures waits or has an entry: table is %v, want it empty", table)
+		t.Errorf("job without failures waits or has an entry: table is %v, want no wait and an empty table", table)
 	}
 	table.isWaiting("a", 1, now, initialDelay, maxDelay)
 	table.isWaiting("b", 1, now, initialDelay, maxDelay)
