--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -40,7 +40,7 @@
 	agent.LastSeen = now
 	if agent.Unresponsive() && !wasUnresponsive {
 		r.node.Log.Info("worker unresponsive", logkey.Host(host),
-			logkey.Reason("its lease expired although its heartbeats were answered; no tasks until a heartbeat shows the raised token"))
+			logkey.Reason("its lease expired although its heartbeats were answered: no tasks until it shows a raised token"))
 	}
 	if wasUnresponsive != agent.Unresponsive() || heartbeatChanged(previous, heartbeat) {
 		r.wake.Notify()
--- a/internal/autoscaler/scale_in_review.go
+++ b/internal/autoscaler/scale_in_review.go
@@ -70,7 +70,7 @@
 	age := r.now.Sub(time.UnixMilli(machine.RegisteredMS))
 	termAge := r.now.Sub(worker.CreatedAt)
 	if age > 4*bootDuration(machineType)+settings.WorkerLease() && termAge > 2*settings.WorkerLeaseBound() {
-		r.cordon(host, worker, "no heartbeat since the shard was acquired, although the machine had time to boot")
+		r.cordon(host, worker, "never came up, or silent since before the shard was acquired")
 	}
 }
 
@@ -80,7 +80,7 @@
 func (r *ScaleInReview) evaluateExpired(host string, worker *agent.Agent) {
 	silenceLimit := 2 * r.autoscaler.node.Settings.WorkerLeaseBound()
 	if r.now.Sub(worker.LastAnswered) > silenceLimit && r.now.Sub(worker.LastSeen) > silenceLimit {
-		r.cordon(host, worker, "worker lease expired and no heartbeat for a long time")
+		r.cordon(host, worker, "silent for long")
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	if r.now.Sub(worker.UnderusedSince) > 2*boot && r.now.Sub(r.autoscaler.migratedAt) > boot {
 		r.autoscaler.migratedAt = r.now
-		r.cordon(host, worker, "its service replicas fit on other machines")
+		r.cordon(host, worker, "its replicas fit elsewhere")
 	}
 }
 
