--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -99,12 +99,12 @@
 // then.
 const MaxUnacknowledgedResponses = 3
 
-// MayAnswerOlderTerm reports whether to answer a worker that has not shown the current term yet, so
+// AllowOlderTermResponse reports whether to answer a worker that has not shown the current term yet, so
 // that the worker receives the term. It also counts the response. A worker that keeps showing an
 // older term after several responses receives none of them: they do not renew its lease, and
 // counting them as renewals would delay the recovery of its tasks forever. leaseBound is the bound
 // of IsLeaseExpired, interval the time between heartbeats.
-func (a *Agent) MayAnswerOlderTerm(now time.Time, leaseBound, interval time.Duration) bool {
+func (a *Agent) AllowOlderTermResponse(now time.Time, leaseBound, interval time.Duration) bool {
 	if a.UnacknowledgedResponses >= MaxUnacknowledgedResponses {
 		if a.IsLeaseExpired(now, leaseBound) {
 			a.UnacknowledgedResponses = 0 // nothing runs on the machine any more, so the worker may be answered again
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -158,14 +158,14 @@
 
 // A worker that does not show the current term is answered for a few heartbeat intervals; copies
 // within an interval count once. After that it is not answered until its lease has expired.
-func TestMayAnswerOlderTermStopsWithoutAcknowledgement(t *testing.T) {
+func TestOlderTermNotAnsweredWithoutAcknowledgement(t *testing.T) {
 	const bound, interval = 10 * time.Second, 2 * time.Second
 	start := time.Unix(100, 0)
 	a := New(7, start, start)
 	for intervals := range MaxUnacknowledgedResponses {
 		now := start.Add(time.Duration(intervals) * interval)
 		for range 5 { // a heartbeat and its copies; only the first one is answered in the last interval
-			if a.UnacknowledgedResponses < MaxUnacknowledgedResponses && !a.MayAnswerOlderTerm(now, bound, interval) {
+			if a.UnacknowledgedResponses < MaxUnacknowledgedResponses && !a.AllowOlderTermResponse(now, bound, interval) {
 				t.Fatalf("the worker is not answered in interval %d, want a response", intervals)
 			}
 		}
@@ -173,15 +173,15 @@
 			t.Fatalf("counted %d responses in %d intervals, want one per interval", a.UnacknowledgedResponses, intervals+1)
 		}
 	}
-	if a.MayAnswerOlderTerm(start.Add(bound), bound, interval) || a.UnacknowledgedResponses != MaxUnacknowledgedResponses {
+	if a.AllowOlderTermResponse(start.Add(bound), bound, interval) || a.UnacknowledgedResponses != MaxUnacknowledgedResponses {
 		t.Errorf("within its lease the worker is answered once more or the count changed: %d responses counted, want no response and %d",
 			a.UnacknowledgedResponses, MaxUnacknowledgedResponses)
 	}
-	if a.MayAnswerOlderTerm(start.Add(bound+1), bound, interval) || a.UnacknowledgedResponses != 0 {
+	if a.AllowOlderTermResponse(start.Add(bound+1), bound, interval) || a.UnacknowledgedResponses != 0 {
 		t.Errorf("after its lease the worker is answered at once or the count is not reset: %d responses counted, want no response and 0",
 			a.UnacknowledgedResponses)
 	}
-	if !a.MayAnswerOlderTerm(start.Add(bound+2), bound, interval) {
+	if !a.AllowOlderTermResponse(start.Add(bound+2), bound, interval) {
 		t.Error("the worker is not answered after its lease has expired, want a response")
 	}
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -12,10 +12,10 @@
 // document (PROTOCOL) specifies.
 const HeartbeatTimeout = 4 * time.Second
 
-// MayAnswerOlderTerm reports whether to answer a heartbeat that shows an older term than this
-// leader's, and counts the response. Agent.MayAnswerOlderTerm describes when it is not answered.
-func (r *Registry) MayAnswerOlderTerm(agent *Agent, now time.Time) bool {
-	return agent.MayAnswerOlderTerm(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
+// AllowOlderTermResponse reports whether to answer a heartbeat that shows an older term than this
+// leader's, and counts the response. Agent.AllowOlderTermResponse describes when it is not answered.
+func (r *Registry) AllowOlderTermResponse(agent *Agent, now time.Time) bool {
+	return agent.AllowOlderTermResponse(now, r.node.Settings.WorkerLeaseBound(), r.node.Settings.HeartbeatInterval())
 }
 
 // AcceptCommandResponse processes the heartbeat in a worker's response to direct commands that were
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -10,8 +10,8 @@
 
 // ScaleIn is the result of one scale-in decision.
 type ScaleIn struct {
-	Return []string               // hosts of the machines to return to the cloud
-	Fences []*agent.DirectCommand // commands that send this leader's fencing token to workers that have not shown its term yet
+	HostsToReturn []string               // hosts of the machines to return to the cloud
+	Fences        []*agent.DirectCommand // commands that send this leader's fencing token to workers that have not shown its term yet
 }
 
 // missesUntilTerminated is the number of consecutive lists of the cloud that lack a machine after
@@ -55,11 +55,11 @@
 		}
 		_, offeredToPeers := record.Free[host]
 		if a.isToReturn(host, worker, offeredToPeers, now) {
-			decision.Return = append(decision.Return, host)
+			decision.HostsToReturn = append(decision.HostsToReturn, host)
 		}
 	}
-	slices.Sort(decision.Return)
-	decision.Return = decision.Return[:min(len(decision.Return), cloud.MaxMachinesPerReturn)]
+	slices.Sort(decision.HostsToReturn)
+	decision.HostsToReturn = decision.HostsToReturn[:min(len(decision.HostsToReturn), cloud.MaxMachinesPerReturn)]
 	return decision
 }
 
--- a/internal/reconcile/heartbeat.go
+++ b/internal/reconcile/heartbeat.go
@@ -43,7 +43,7 @@
 	worker.LastHeartbeatNumber = agent.HeartbeatNumber{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence}
 	commands := []api.Command{}
 	if shard.TokenTerm(heartbeat.Token) < leadership.Term {
-		if !r.agents.MayAnswerOlderTerm(worker, now) {
+		if !r.agents.AllowOlderTermResponse(worker, now) {
 			return respond.Busy
 		}
 	} else if r.agents.AcceptHeartbeat(heartbeat.Host, worker, heartbeat) {
--- a/internal/scaling/return.go
+++ b/internal/scaling/return.go
@@ -14,17 +14,17 @@
 	decision := state.Autoscaler.ScaleIn(l.node.Now())
 	l.guard.Unlock()
 	l.commands.SendAll(ctx, decision.Fences)
-	if len(decision.Return) == 0 {
+	if len(decision.HostsToReturn) == 0 {
 		return
 	}
-	if err := l.services.Cloud.Return(ctx, decision.Return); err != nil {
-		l.node.Log.Info("machines not returned", "hosts", decision.Return, "err", err)
+	if err := l.services.Cloud.Return(ctx, decision.HostsToReturn); err != nil {
+		l.node.Log.Info("machines not returned", "hosts", decision.HostsToReturn, "err", err)
 		return
 	}
 	state = l.guard.Lock()
-	recordReturned(state, decision.Return)
+	recordReturned(state, decision.HostsToReturn)
 	l.guard.Unlock()
-	l.node.Log.Info("machines returned", "hosts", decision.Return)
+	l.node.Log.Info("machines returned", "hosts", decision.HostsToReturn)
 	l.wake.Notify()
 }
 
