--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -21,7 +21,7 @@
 	cache      *statecache.Cache
 	leadership *leadership.Table
 	catalog    *catalog.Catalog
-	wake       notify.Signal
+	wake       notify.Signal // wakes the decision loop
 
 	agents       map[string]*Agent // by machine
 	unregistered *UnregisteredMachines
--- a/internal/agent/unregistered.go
+++ b/internal/agent/unregistered.go
@@ -13,7 +13,7 @@
 // internal/state guards it.
 type UnregisteredMachines struct {
 	cache    *statecache.Cache
-	wake     notify.Signal
+	wake     notify.Signal            // wakes the decision loop
 	machines map[string]shard.Machine // by host name
 }
 
--- a/internal/agent/worker_contact.go
+++ b/internal/agent/worker_contact.go
@@ -10,11 +10,11 @@
 // maxProbes limits the number of workers that are probed at a time.
 const maxProbes = 4
 
-// CheckWorkerContact checks whether workers reach this controller. releaseAll reports that this
-// controller should release all its shards. That requires a peer that has contact with workers:
-// otherwise the workers themselves may have failed, and their shards would pass from controller to
-// controller. probes are the addresses of workers to be probed; they are returned only while no
-// worker reaches this controller.
+// CheckWorkerContact checks whether workers reach this controller. If none does, it returns the
+// addresses of workers to be probed. releaseAll is true if no worker reaches this controller but a
+// peer has contact with workers; this controller should then release all its shards. Without such a
+// peer the workers themselves may have failed, and their shards would pass from controller to
+// controller.
 func (d *DirectCommands) CheckWorkerContact(now time.Time) (releaseAll bool, probes []string) {
 	contact := d.registry.leadership.Contact()
 	if contact.Unreachable() {
@@ -25,10 +25,10 @@
 	return contact.Unreachable() && contact.PeerHasContact(), probes
 }
 
-// countExpectedAgents counts the machines of the shards that this controller leads from which
-// heartbeats are expected: those that have sent one under this term, and those with tasks once
-// their agent has existed for longer than a heartbeat interval. Machines that are terminated or
-// whose worker's lease has expired are not expected to send any.
+// countExpectedAgents counts the workers from which heartbeats are expected, in the shards that this
+// controller leads: workers that have sent one under the leader's current term, and workers with
+// tasks once this controller has had an Agent for them for longer than a heartbeat interval. No
+// heartbeat is expected from a terminated machine or a worker whose lease has expired.
 func (r *Registry) countExpectedAgents(now time.Time) int {
 	expected := 0
 	for host, machine := range r.cache.Machines {
@@ -48,10 +48,11 @@
 	return expected
 }
 
-// probeTargets returns the addresses of up to maxProbes machines of the home shard, those with tasks
-// first. If there are none, no worker could respond, and the contact is reset.
+// probeTargets returns the addresses of up to maxProbes workers of the shard whose home controller is
+// this one; workers with tasks come first. If there are none, no worker could respond to a probe, and
+// the checks of the contact start again.
 func (d *DirectCommands) probeTargets(contact *leadership.WorkerContact) []string {
-	var withTasks, idle []string
+	var withTasks, withoutTasks []string
 	for host, machine := range d.registry.cache.Machines {
 		if machine.Shard != d.registry.node.Settings.HostName || machine.Addr == "" {
 			continue
@@ -59,10 +60,10 @@
 		if len(d.registry.cache.Placements[host]) > 0 {
 			withTasks = append(withTasks, machine.Addr)
 		} else {
-			idle = append(idle, machine.Addr)
+			withoutTasks = append(withoutTasks, machine.Addr)
 		}
 	}
-	targets := slices.Concat(withTasks, idle)
+	targets := slices.Concat(withTasks, withoutTasks)
 	if len(targets) == 0 {
 		contact.Reset(d.registry.node.Now())
 	}
--- a/internal/api/enums.go
+++ b/internal/api/enums.go
@@ -23,13 +23,13 @@
 
 // Phases of jobs.
 const (
-	JobPending   JobPhase = "pending"   // no task is placed on a machine
-	JobRunning   JobPhase = "running"   // some tasks are placed on machines
+	JobPending   JobPhase = "pending"   // no task is placed on a machine; of a gang: not all tasks are placed yet
+	JobRunning   JobPhase = "running"   // at least one task is placed on a machine; of a gang: all tasks were placed
 	JobDone      JobPhase = "done"      // all tasks have completed; final
 	JobCancelled JobPhase = "withdrawn" // final
 )
 
-// Final reports whether the phase of a job never changes again.
+// Final reports whether a job never leaves the phase.
 func (p JobPhase) Final() bool { return p == JobDone || p == JobCancelled }
 
 // String returns the word that the protocol uses.
@@ -53,7 +53,7 @@
 func (p Priority) Known() bool { return slices.Contains(priorities, p) }
 
 // Level returns the position of a priority in the order of importance; 0 is the most important.
-// The level of an unknown priority is 0, but ParseJob rejects unknown priorities.
+// An unknown priority also has level 0; ParseJob rejects jobs with one.
 func (p Priority) Level() int { return max(0, slices.Index(priorities, p)) }
 
 // String returns the word that the protocol uses.
@@ -64,15 +64,15 @@
 
 // Phases of tasks in heartbeats.
 const (
-	TaskFetching  TaskPhase = "pulling"   // waits until its image is fetched
-	TaskGathering TaskPhase = "gathering" // task of a gang: waits for the other tasks of its attempt
+	TaskFetching  TaskPhase = "pulling"   // waits until its image has been fetched
+	TaskGathering TaskPhase = "gathering" // task of a gang: waits until all tasks of its attempt are ready
 	TaskRunning   TaskPhase = "running"
-	TaskSaving    TaskPhase = "saving" // received a stop command and saves its progress
-	TaskEnded     TaskPhase = "ended"  // the exit cause states why
+	TaskSaving    TaskPhase = "saving" // is being stopped and saves its progress
+	TaskEnded     TaskPhase = "ended"  // the ExitCause states why
 )
 
-// Known reports whether this version supports the phase. A task in an unknown phase is treated as
-// running.
+// Known reports whether this version of the program supports the phase. A task in an unknown phase
+// is treated as running.
 func (p TaskPhase) Known() bool {
 	switch p {
 	case TaskFetching, TaskGathering, TaskRunning, TaskSaving, TaskEnded:
@@ -87,20 +87,20 @@
 // ExitCause is the reason why a task ended. Its value is the word that the protocol uses.
 type ExitCause string
 
-// Causes of the end of a task.
+// Reasons why tasks end.
 const (
 	CauseDone                  ExitCause = "done"       // completed
 	CauseStopped               ExitCause = "stopped"    // stopped by a command
 	CauseError                 ExitCause = "error"      // the task failed
-	CauseInsufficientResources ExitCause = "no_room"    // start refused: the machine lacks free capacity
-	CauseBusy                  ExitCause = "busy"       // start refused: the machine has another attempt of the task
-	CauseUnknownTask           ExitCause = "unknown"    // start refused: no such job or task
+	CauseInsufficientResources ExitCause = "no_room"    // not started: the machine lacks free capacity
+	CauseBusy                  ExitCause = "busy"       // not started: another attempt of the task is on the machine
+	CauseUnknownTask           ExitCause = "unknown"    // not started: no such job or task
 	CausePeerLost              ExitCause = "mates_gone" // task of a gang: another task of the gang has ended
 	CauseGangIncomplete        ExitCause = "alone"      // task of a gang: not all tasks of the gang were ready in time
 )
 
-// Known reports whether this version supports the cause. An unknown cause is treated as an end
-// without success that does not count as a failure of the task or of its machine.
+// Known reports whether this version of the program supports the cause. A task that ended with an
+// unknown cause counts as not completed, but neither as a failure of the task nor of its machine.
 func (c ExitCause) Known() bool {
 	switch c {
 	case CauseDone, CauseStopped, CauseError, CauseInsufficientResources, CauseBusy, CauseUnknownTask, CausePeerLost, CauseGangIncomplete:
@@ -112,7 +112,7 @@
 // String returns the word that the protocol uses.
 func (c ExitCause) String() string { return string(c) }
 
-// CommandAction is the action that a worker has to execute. Its value is the word that the protocol
+// CommandAction is what a command directs a worker to do. Its value is the word that the protocol
 // uses.
 type CommandAction string
 
@@ -120,7 +120,7 @@
 const (
 	Launch CommandAction = "launch" // start a task
 	Stop   CommandAction = "halt"   // stop a task, which may save its progress within the grace period
-	Clear  CommandAction = "clear"  // remove an ended task from the worker's list
+	Clear  CommandAction = "clear"  // remove an ended task from the worker's list of tasks
 )
 
 // String returns the word that the protocol uses.
--- a/internal/catalog/offers.go
+++ b/internal/catalog/offers.go
@@ -6,7 +6,7 @@
 	"violetturn/internal/sched"
 )
 
-// offerKey identifies an offer regardless of its current price.
+// offerKey identifies an offer; it does not contain the price, which may change.
 type offerKey struct {
 	machineType, zone string
 	spot              bool
@@ -16,26 +16,26 @@
 	return offerKey{machineType: offer.MachineType, zone: offer.Zone, spot: offer.Spot}
 }
 
-// backoff is the time until which a refused offer is not requested again, and the delay that led to
-// it.
+// backoff describes how long a refused offer is not requested again.
 type backoff struct {
 	until time.Time
-	delay time.Duration
+	delay time.Duration // delay after the last refusal, which the next refusal doubles
 }
 
-// AvailableOffers returns all offers except refused ones whose backoff has not ended.
+// AvailableOffers returns the combinations of machine type, zone and spot or on-demand machine that
+// can be rented, except refused ones whose backoff has not ended.
 func (c *Catalog) AvailableOffers(now time.Time) []sched.Offer {
 	var offers []sched.Offer
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
-		size := resourcesOf(machineType)
+		capacity := resourcesOf(machineType)
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
 				offer := sched.Offer{
 					MachineType: machineType.Name,
 					Zone:        zone,
 					Spot:        spot,
-					Capacity:    size,
+					Capacity:    capacity,
 					Price:       PriceOf(machineType, spot),
 				}
 				if entry, ok := c.backoffs[offerKeyOf(&offer)]; !ok || now.After(entry.until) {
@@ -48,25 +48,25 @@
 }
 
 // BackOff delays further requests for a refused offer. The delay doubles with each refusal, from a
-// quarter of the boot time up to two boot times, because a refused offer seldom becomes available
-// sooner than a machine would boot.
+// quarter of the machine type's boot time to twice the boot time, because a refused offer seldom
+// becomes available sooner than a machine would boot.
 func (c *Catalog) BackOff(offer *sched.Offer, now time.Time) {
-	boot := c.node.Settings.WorkerLease() // substitute for the boot time if the machine type is unknown
+	bootTime := c.node.Settings.WorkerLease() // used if the catalog does not contain the machine type
 	if _, machineType := c.MachineCapacity(offer.MachineType); machineType != nil {
-		boot = durationOfSeconds(machineType.BootS)
+		bootTime = durationOfSeconds(machineType.BootS)
 	}
 	entry := c.backoffs[offerKeyOf(offer)]
-	entry.delay = min(max(2*entry.delay, boot/4), 2*boot)
+	entry.delay = min(max(2*entry.delay, bootTime/4), 2*bootTime)
 	entry.until = now.Add(entry.delay)
 	c.backoffs[offerKeyOf(offer)] = entry
 }
 
-// ClearBackoff makes an offer available again, after the cloud rented such a machine or received
-// one back.
+// ClearBackoff makes an offer available again. It is called when such a machine has been rented or
+// returned.
 func (c *Catalog) ClearBackoff(offer *sched.Offer) { delete(c.backoffs, offerKeyOf(offer)) }
 
-// AllOffersRefused reports whether a zone has no available offer, because the cloud refused all of
-// them recently. It returns false before the machine types have been read.
+// AllOffersRefused reports whether a zone has no available offer, because the cloud has refused all
+// of them recently. It returns false before the machine types have been read.
 func (c *Catalog) AllOffersRefused(zone string, now time.Time) bool {
 	available := false
 	for _, offer := range c.AvailableOffers(now) {
--- a/internal/controller/zone_admission_test.go
+++ b/internal/controller/zone_admission_test.go
@@ -15,16 +15,17 @@
 // setZoneRecord enables zone recovery on all controllers and sets the record of zone x.
 func (c *Controller) setZoneRecord(record zonehealth.Record) {
 	c.node.Features.ZoneRecovery.Enabled = true
-	for _, node := range c.node.Shards {
-		c.testState().Cache.Capabilities[node] = statecache.Versioned[shard.CapabilityRecord]{
+	for _, controller := range c.node.Shards {
+		c.testState().Cache.Capabilities[controller] = statecache.Versioned[shard.CapabilityRecord]{
 			Record: &shard.CapabilityRecord{SchemaVersion: schema.Version, Features: c.node.Features.Names()},
 		}
 	}
 	c.testState().Cache.Zones["x"] = statecache.Versioned[zonehealth.Record]{Record: &record}
 }
 
-// The slow start admits a growing share of the machines, on which arrays restart in place, but never
-// the capacity that waiting production tasks need. Machines are admitted in the order of their names.
+// The slow start of a recovering zone admits a growing share of its machines, on which arrays restart
+// in place, but never the capacity that waiting production tasks need. Machines are admitted in the
+// order of their names.
 func TestSlowStartAdmitsMachinesGradually(t *testing.T) {
 	const machines = 64
 	for _, test := range []struct {
@@ -40,7 +41,7 @@
 		{1. / 4, 32, zonehealth.Recovering, 16},
 		{1, 200, zonehealth.Recovering, 0},
 		{1, 0, zonehealth.Down, 0},
-		{0, 0, zonehealth.Healthy, 0}, // a healthy zone restricts nothing
+		{0, 0, zonehealth.Healthy, 0}, // a healthy zone restricts no tasks, so no machines have to be admitted
 	} {
 		c := newSizedController(machines, 0)
 		record := zonehealth.Record{
@@ -53,21 +54,21 @@
 		record = record.WithObservation("n0", zonehealth.Observation{Healthy: machines})
 		waitingProduction := []zonehealth.Demand{{Need: sched.Resources{CPUs: 5, GPUs: 1, MemGB: 40}, Tasks: test.waitingTasks}}
 		c.setZoneRecord(record.WithObservation("n1", zonehealth.Observation{Lost: 1, WaitingProduction: waitingProduction}))
-		names := c.testState().Cache.HostNames()
-		admitted := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(names)}, c.node.Now())
+		hosts := c.testState().Cache.HostNames()
+		admitted := c.testState().Zones.AdmittedMachines(map[string][]string{"x": slices.Clone(hosts)}, c.node.Now())
 		if len(admitted) != test.wantAdmitted {
 			t.Errorf("%+v: %d machines admitted, want %d", test, len(admitted), test.wantAdmitted)
 		}
-		for _, name := range names[:test.wantAdmitted] {
-			if !admitted[name] {
-				t.Errorf("%+v: machine %s is not admitted, want the first machines by name admitted", test, name)
+		for _, host := range hosts[:test.wantAdmitted] {
+			if !admitted[host] {
+				t.Errorf("%+v: machine %s is not admitted, want the first machines by name admitted", test, host)
 			}
 		}
 	}
 }
 
-// The zone reserves capacity for production tasks that may still be running on lost machines: no
-// other task gets it, not even after the slow start has ended.
+// In a recovering zone, capacity is reserved for production tasks that may still be running on lost
+// machines: no other task is placed on it, not even after the slow start has ended.
 func TestReservationKeepsCapacityForProduction(t *testing.T) {
 	countPlacements := func(waitingTasks int) int {
 		c := newSizedController(256, 4) // free capacity for four tasks
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -12,7 +12,8 @@
 )
 
 // Reconciler compares the tasks that workers report with the tasks that are committed for their
-// machines. It has no state of its own: it stores observations in the agent registry.
+// machines. It has no state of its own: what it observes is stored in its dependencies, most of
+// it in the agent registry.
 type Reconciler struct {
 	node       *node.Info
 	cache      *statecache.Cache
@@ -21,7 +22,7 @@
 	agents     *agent.Registry
 	estimates  *estimate.Estimates
 	zones      *zonestate.Zones
-	wake       notify.Signal
+	wake       notify.Signal // wakes the decision loop
 }
 
 // Deps are the dependencies of a Reconciler.
--- a/internal/scheduler/gang_claim.go
+++ b/internal/scheduler/gang_claim.go
@@ -32,15 +32,15 @@
 
 // gangTransaction collects the placements of a gang for one transaction.
 type gangTransaction struct {
-	scheduler    *Scheduler
-	now          time.Time
-	job          *statecache.Job
-	editor       *schema.Editor
-	claims       *capacity.Claims
-	zones        *zoneConstraint
-	placedBefore int
-	attempt      uint64 // attempt number of all tasks that this transaction places
-	placed       []PlacementLog
+	scheduler      *Scheduler
+	now            time.Time
+	job            *statecache.Job
+	editor         *schema.Editor
+	claims         *capacity.Claims
+	zoneConstraint *zoneConstraint
+	placedBefore   int
+	attempt        uint64 // attempt number of all tasks that this transaction places
+	placed         []PlacementLog
 }
 
 // GangTransaction prepares a transaction that claims capacity for as many tasks of a gang as fit into
@@ -53,13 +53,13 @@
 		return PlacementResult{}
 	}
 	t := &gangTransaction{
-		scheduler:    s,
-		now:          now,
-		job:          gangJob,
-		editor:       s.schema.NewRecordEditor(),
-		claims:       s.accounting.NewClaims(),
-		zones:        s.zoneConstraintOf(gangJob, s.zones.Admission(now)),
-		placedBefore: gangJob.CountPlaced(),
+		scheduler:      s,
+		now:            now,
+		job:            gangJob,
+		editor:         s.schema.NewRecordEditor(),
+		claims:         s.accounting.NewClaims(),
+		zoneConstraint: s.zoneConstraintOf(gangJob, s.zones.Admission(now)),
+		placedBefore:   gangJob.CountPlaced(),
 	}
 	t.editor.MaxWrites = s.schema.TransactionLimits().TxnOps
 	var remaining []capacity.Placement
@@ -78,15 +78,15 @@
 
 // add claims capacity for one task. If one task is refused, the whole claim is abandoned.
 func (t *gangTransaction) add(placement capacity.Placement) placementOutcome {
-	pending := t.claims.Check(placement, t.now)
-	if pending == nil || !t.zones.allows(placement.RangeIndex, placement.Host.Zone) {
+	pendingClaim := t.claims.Check(placement, t.now)
+	if pendingClaim == nil || !t.zoneConstraint.allows(placement.RangeIndex, placement.Host.Zone) {
 		return placementRefused
 	}
-	writes := pending.Writes() + t.editor.RangeCost(t.job, placement.RangeIndex)
+	writes := pendingClaim.Writes() + t.editor.RangeCost(t.job, placement.RangeIndex)
 	if writes > 0 && t.editor.IsFull(writes, t.claims.Writes()) {
 		return transactionFull
 	}
-	pending.Apply()
+	pendingClaim.Apply()
 	t.scheduler.leadership.RequireLeadership(t.editor.Txn, t.job.Record.Shard)
 	taskRange := t.editor.TaskRange(t.job, placement.RangeIndex)
 	record := t.editor.Record(t.job)
@@ -100,7 +100,7 @@
 		return placementRefused
 	}
 	taskRange.PlaceGangTask(placement.Index, placement.Host.Name, t.attempt, secondsSinceAccepted(t.job, t.now))
-	t.zones.addTask(placement.RangeIndex, placement.Host.Zone)
+	t.zoneConstraint.addTask(placement.RangeIndex, placement.Host.Zone)
 	t.placed = append(t.placed, newPlacementLog(t.job, &placement, t.attempt))
 	return placementAdded
 }
--- a/internal/scheduler/gang_search.go
+++ b/internal/scheduler/gang_search.go
@@ -76,7 +76,7 @@
 // first, then the other shards in random order, so that controllers that search at the same time
 // seldom claim the same machines.
 func (p *planner) hostsInSearchOrder(ownShard string) [][]*sched.Host {
-	available := p.placement.hostsByShard
+	available := p.placementStage.hostsByShard
 	var peers []string
 	for _, name := range slices.Sorted(maps.Keys(available)) {
 		if name != ownShard {
@@ -153,7 +153,7 @@
 // on the capacity of stopping tasks.
 func (g *gangSearch) countExpected(request *sched.TaskRequest, free int) int {
 	size := len(g.job.tasks)
-	expected := free + sched.CountFits(g.planner.placement.provisioning, request, size-free)
+	expected := free + sched.CountFits(g.planner.placementStage.provisioning, request, size-free)
 	for _, host := range g.allHosts {
 		if expected < size && request.Allows(host.MachineType, host.Zone, host.Spot) {
 			stopping := *host
--- a/internal/scheduler/placement_transaction.go
+++ b/internal/scheduler/placement_transaction.go
@@ -9,11 +9,11 @@
 	"violetturn/internal/statecache"
 )
 
-// PlacementResult is a transaction that commits placements, and what remains to be done.
+// PlacementResult is a transaction that commits placements, together with the work that it leaves.
 type PlacementResult struct {
-	Transaction    *statecache.Transaction  // nil: nothing to commit now
+	Transaction    *statecache.Transaction  // nil: there is nothing to commit
 	Remaining      []capacity.Placement     // placements that do not fit into the transaction
-	Placed         []PlacementLog           // to be logged once the transaction is committed
+	Placed         []PlacementLog           // log entries of the placements, to be logged once the transaction is committed
 	StopSeparately []*statecache.PlacedTask // victims that do not fit into one transaction with their placement; to be stopped first
 }
 
@@ -22,13 +22,13 @@
 
 const (
 	placementAdded    placementOutcome = iota
-	placementRefused                   // the state has changed since the plan; the task is planned again
-	placementTooLarge                  // with its victims it exceeds the limit of a transaction
-	transactionFull                    // it does not fit into this transaction
+	placementRefused                   // no longer possible, because the state has changed since the plan; the task is planned again
+	placementTooLarge                  // the placement and the stops of its victims exceed the limit of a transaction
+	transactionFull                    // the placement does not fit into the rest of this transaction
 )
 
-// CanStop reports whether a task can still be stopped: its job is not blocked, and the attempt is
-// still placed and not stopping already.
+// CanStop reports whether a task can still be stopped: its job's tasks are not blocked (see
+// schema.TasksBlocked), and the attempt is still placed and not stopping already.
 func (s *Scheduler) CanStop(job *statecache.Job, task *statecache.PlacedTask) bool {
 	if job == nil || s.schema.TasksBlocked(job) {
 		return false
@@ -37,7 +37,7 @@
 	return placement != nil && placement.Attempt == task.Placement.Attempt && !job.MustStop(placement)
 }
 
-// CountJobs counts the jobs that placements change, those of the victims included.
+// CountJobs counts the jobs whose records placements change, including the jobs of preempted tasks.
 func CountJobs(placements []capacity.Placement) int {
 	uids := map[string]bool{}
 	for _, placement := range placements {
@@ -49,32 +49,32 @@
 	return len(uids)
 }
 
-// placementTransaction collects placements for one transaction.
+// placementTransaction builds a transaction from placements.
 type placementTransaction struct {
-	scheduler  *Scheduler
-	now        time.Time
-	editor     *schema.Editor
-	claims     *capacity.Claims
-	admission  *recovery.Admission
-	zonesByJob map[string]*zoneConstraint // computed at first use
-	placed     []PlacementLog
+	scheduler       *Scheduler
+	now             time.Time
+	editor          *schema.Editor
+	claims          *capacity.Claims
+	admission       *recovery.Admission
+	zoneConstraints map[string]*zoneConstraint // by job, each computed at its first use
+	placed          []PlacementLog
 }
 
 // PlacementTransaction prepares a transaction with as many placements as fit into it and into the
 // write budget. The plan may be older than the state, so each placement is checked again. A placement
-// with victims is committed together with the marks that stop them: the leader's next heartbeat
-// response then stops the victims and starts the task, without a separate commit and heartbeat for
-// each.
-func (s *Scheduler) PlacementTransaction(placements []capacity.Placement, budget int, now time.Time) PlacementResult {
+// that preempts tasks (its victims) is committed together with the marks that stop them: the leader's
+// next heartbeat response then stops the victims and starts the task, without a separate commit and
+// heartbeat for each.
+func (s *Scheduler) PlacementTransaction(placements []capacity.Placement, writeBudget int, now time.Time) PlacementResult {
 	t := &placementTransaction{
-		scheduler:  s,
-		now:        now,
-		editor:     s.schema.NewRecordEditor(),
-		claims:     s.accounting.NewClaims(),
-		admission:  s.zones.Admission(now),
-		zonesByJob: map[string]*zoneConstraint{},
+		scheduler:       s,
+		now:             now,
+		editor:          s.schema.NewRecordEditor(),
+		claims:          s.accounting.NewClaims(),
+		admission:       s.zones.Admission(now),
+		zoneConstraints: map[string]*zoneConstraint{},
 	}
-	t.editor.MaxWrites = min(t.editor.MaxWrites, budget)
+	t.editor.MaxWrites = min(t.editor.MaxWrites, writeBudget)
 	var result PlacementResult
 	for i := range placements {
 		outcome := t.add(&placements[i])
@@ -98,22 +98,22 @@
 	return result
 }
 
-// add adds a placement and the stops of its victims, if they are all still possible and there is
-// space.
+// add adds a placement and the stops of its victims, if they are all still possible and fit into the
+// transaction.
 func (t *placementTransaction) add(placement *capacity.Placement) placementOutcome {
-	pending := t.claims.Check(*placement, t.now)
-	if pending == nil || !t.zonesOf(pending.Job()).allows(placement.RangeIndex, placement.Host.Zone) {
+	pendingClaim := t.claims.Check(*placement, t.now)
+	if pendingClaim == nil || !t.zoneConstraintOf(pendingClaim.Job()).allows(placement.RangeIndex, placement.Host.Zone) {
 		return placementRefused
 	}
-	job := pending.Job()
-	writes := pending.Writes() + t.editor.RangeCost(job, placement.RangeIndex)
+	job := pendingClaim.Job()
+	writes := pendingClaim.Writes() + t.editor.RangeCost(job, placement.RangeIndex)
 	if job.Record.Spec.SingleZone && job.Record.Zone == "" {
 		writes++
 	}
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
 		if !t.scheduler.CanStop(victimJob, victim) {
-			return placementRefused // the victim's capacity may be free by now
+			return placementRefused // the victim may have ended and left its capacity free
 		}
 		writes += t.editor.StopCost(victimJob, victim)
 	}
@@ -123,7 +123,7 @@
 	if writes > 0 && t.editor.IsFull(writes, t.claims.Writes()) {
 		return transactionFull
 	}
-	pending.Apply()
+	pendingClaim.Apply()
 	logEntry := t.place(job, placement)
 	for _, victim := range placement.Victims {
 		victimJob := t.scheduler.cache.Jobs[victim.UID]
@@ -131,11 +131,11 @@
 		logEntry.Preempts = append(logEntry.Preempts, victim.TaskName(victimJob))
 	}
 	t.placed = append(t.placed, logEntry)
-	t.zonesOf(job).addTask(placement.RangeIndex, placement.Host.Zone)
+	t.zoneConstraintOf(job).addTask(placement.RangeIndex, placement.Host.Zone)
 	return placementAdded
 }
 
-// place adds a placement to the job's records and returns its log entry.
+// place records a placement in the job's records and returns its log entry.
 func (t *placementTransaction) place(job *statecache.Job, placement *capacity.Placement) PlacementLog {
 	spec := &job.Record.Spec
 	t.scheduler.leadership.RequireLeadership(t.editor.Txn, job.Record.Shard)
@@ -148,13 +148,14 @@
 	return newPlacementLog(job, placement, attempt)
 }
 
-// zonesOf returns the zone constraint of a job, which includes the placements in the transaction.
-func (t *placementTransaction) zonesOf(job *statecache.Job) *zoneConstraint {
+// zoneConstraintOf returns the zone constraint of a job, which includes the placements that were
+// added to the transaction.
+func (t *placementTransaction) zoneConstraintOf(job *statecache.Job) *zoneConstraint {
 	uid := job.Record.Spec.UID
-	constraint := t.zonesByJob[uid]
+	constraint := t.zoneConstraints[uid]
 	if constraint == nil {
 		constraint = t.scheduler.zoneConstraintOf(job, t.admission)
-		t.zonesByJob[uid] = constraint
+		t.zoneConstraints[uid] = constraint
 	}
 	return constraint
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -10,31 +10,32 @@
 	"violetturn/internal/statecache"
 )
 
-// Plan is what this controller would do, computed from the state at one moment.
+// Plan lists the scheduling decisions that follow from the state at one moment. It changes nothing
+// itself: the placements, claims and preemptions take effect when they are committed.
 type Plan struct {
 	Placements     []capacity.Placement
-	GangClaims     []*GangClaim             // each for all unplaced tasks of a gang
-	GangVictims    []*statecache.PlacedTask // tasks to stop for gangs
-	UnmetDemand    []sched.UnmetDemand      // tasks without capacity, for which machines are to be rented
-	AllUnmetDemand []sched.UnmetDemand      // UnmetDemand and the unplaced tasks of peers' jobs
+	GangClaims     []*GangClaim             // one for each gang whose unplaced tasks all fit
+	GangVictims    []*statecache.PlacedTask // tasks to be preempted for gangs
+	UnmetDemand    []sched.UnmetDemand      // tasks of this controller's jobs without capacity, for which machines are to be rented
+	AllUnmetDemand []sched.UnmetDemand      // UnmetDemand and the unplaced tasks of jobs in shards that peers lead
 	ReservedHosts  map[string]bool          // machines reserved for gangs that do not have all their capacity yet
-	RemainingHosts []*sched.Host            // all machines, with the capacity left after the plan
+	RemainingHosts []*sched.Host            // all machines on which tasks can be placed, with the capacity left after the plan
 }
 
-// waitingJob is a job with tasks to place. Tasks are removed from its list as they are placed.
+// waitingJob is a job with tasks to place.
 type waitingJob struct {
 	entry          *queueEntry
 	request        sched.TaskRequest
-	tasks          []statecache.TaskIndex
+	tasks          []statecache.TaskIndex // tasks that are not placed yet
 	zoneConstraint *zoneConstraint
 
 	deferred []statecache.TaskIndex // unplaced tasks for which this plan does not try to reclaim capacity
 
-	preemptOptions      []*preemptOption // machines where it could preempt tasks
-	preemptOptionsKnown bool             // whether preemptOptions has been computed
+	preemptOptions         []*preemptOption // machines where the job could preempt tasks; see planner.preemptOptions
+	preemptOptionsComputed bool             // preemptOptions is valid
 }
 
-// placementOf returns the placement of a task of the job on a machine.
+// placementOf returns a placement of one of the job's tasks on a machine.
 func (w *waitingJob) placementOf(task statecache.TaskIndex, host *sched.Host) capacity.Placement {
 	return capacity.Placement{UID: w.entry.uid, RangeIndex: task.RangeIndex, Index: task.Index, Host: host}
 }
@@ -42,37 +43,38 @@
 // coldStart is a placement on a machine that does not have the image, so that the task misses its
 // start objective.
 type coldStart struct {
-	job   *waitingJob
-	index int // in the plan's placements
+	job            *waitingJob
+	placementIndex int // in Plan.Placements
 }
 
-// planner computes a plan in stages: it selects the waiting jobs, places tasks on free capacity,
-// and reclaims the capacity of stopping tasks, or of tasks that may be preempted, for the rest.
-// Machines are to be rented for tasks that are unplaced after that. A planner is used for one plan.
+// planner computes one plan in stages. It selects the waiting jobs and places their tasks on free
+// capacity. For tasks that do not fit, it reclaims the capacity of stopping tasks, or of tasks that
+// may be preempted. The tasks that remain become unmet demand, for which machines are rented.
 type planner struct {
 	scheduler *Scheduler
 	now       time.Time
 	plan      *Plan
 
 	// Set by selectJobs.
-	hosts           []*sched.Host // machines that can take tasks
-	queue           []*queueEntry
-	smallestRequest sched.Resources     // least amount of each resource that any waiting task requests
+	hosts           []*sched.Host       // machines on which tasks can be placed, by name
+	queue           []*queueEntry       // all jobs that are not cancelled, in scheduling order
+	smallestRequest sched.Resources     // least amount of each resource that any unplaced task requests
 	admission       *recovery.Admission // limits placement in zones that are down or recovering
-	jobs            []*waitingJob       // in scheduling order
+	jobs            []*waitingJob       // jobs of the queue with tasks to place, in scheduling order
 
-	placement placementStage
+	placementStage placementStage
 
 	// Output of the placement stage for the reclaim stage.
 	coldStarts   []coldStart
-	unplaced     []*waitingJob
-	gangSearches map[*waitingJob]*gangSearch // of gangs that lack capacity
+	unplaced     []*waitingJob               // jobs with tasks that did not fit on free capacity
+	gangSearches map[*waitingJob]*gangSearch // searches of the gangs that did not fit on free capacity
 
-	reclaim reclaimStage
+	reclaimStage reclaimStage
 }
 
-// Plan places tasks on free capacity, selects tasks to preempt for those that do not fit, and
-// lists the demand that is still unmet.
+// Plan computes which tasks to place on free capacity, which tasks to preempt for those that do not
+// fit, and the demand that is still unmet. The plan is empty if this controller may not act now or
+// the machine types are unknown.
 func (s *Scheduler) Plan(now time.Time) *Plan {
 	start := time.Now()
 	defer func() { s.planningTime += time.Since(start) }()
@@ -102,7 +104,7 @@
 	p.admission = s.zones.Admission(p.now)
 	p.queue = s.queue(p.now)
 	p.smallestRequest = smallestRequest(p.queue)
-	p.placement = p.newPlacementStage()
+	p.placementStage = p.newPlacementStage()
 	for _, entry := range p.queue {
 		isBackingOff := entry.ledLocally && s.isBackingOff(entry, p.now)
 		if isBackingOff || s.schema.TasksBlocked(entry.job) || len(entry.job.PendingTasks()) == 0 {
@@ -117,11 +119,13 @@
 	}
 }
 
-// fetchMargin is the factor applied to the estimated time to fetch an image: the rate of a fetch may
-// be a third lower than the catalog states.
+// fetchMargin is the factor applied to the estimated time to fetch an image, because the actual fetch
+// rate may be a third lower than the catalog states.
 const fetchMargin = 1.5
 
-// requestOf returns what a task of a job requests of a machine.
+// requestOf returns the requirements of a job's tasks on a machine. The tasks prefer machines that
+// have the image if a heartbeat interval and an image fetch would make the job miss its deadline or
+// an objective.
 func (p *planner) requestOf(job *statecache.Job) sched.TaskRequest {
 	s := p.scheduler
 	spec := &job.Record.Spec
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -13,7 +13,7 @@
 // placementStage is the working data of the stage that places tasks on free capacity.
 type placementStage struct {
 	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
-	hostSelector       *sched.HostSelector
+	selector           *sched.HostSelector
 	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
 	provisioning       []*sched.Host              // provisioning machines; nil until the first gang needs them
 	productionReserved bool                       // whether capacity is reserved for waiting production tasks
@@ -26,7 +26,7 @@
 	hostsByShard := hostsWithCapacity(p.hosts, p.smallestRequest)
 	stage := placementStage{
 		hostsByShard: hostsByShard,
-		hostSelector: sched.NewHostSelector(hostsByShard, s.node.Random),
+		selector:     sched.NewHostSelector(hostsByShard, s.node.Random),
 		teamUsage:    map[string]sched.Resources{},
 	}
 	for _, team := range s.node.Settings.Facts.Teams {
@@ -60,8 +60,8 @@
 // lost machines, before the first job below production is placed.
 func (p *planner) reserveForProduction(jobs []*waitingJob) {
 	isBelowProduction := func(job *waitingJob) bool { return job.entry.priority > zonestate.ProductionPriority }
-	if !p.placement.productionReserved && slices.ContainsFunc(jobs, isBelowProduction) {
-		p.placement.productionReserved = true
+	if !p.placementStage.productionReserved && slices.ContainsFunc(jobs, isBelowProduction) {
+		p.placementStage.productionReserved = true
 		p.admission.Reserve(p.hosts)
 	}
 }
@@ -105,12 +105,12 @@
 	team, _ := p.scheduler.node.Settings.Team(spec.Team)
 	request := job.request
 	request.RequireImage = withImageOnly
-	p.placement.hostSelector.BeginJob(job.entry.job.Record.Shard, &request)
+	p.placementStage.selector.BeginJob(job.entry.job.Record.Shard, &request)
 	anyUnplaced := false
 	unplacedRanges := map[int]bool{} // task ranges with a task that did not fit
 	remaining := job.tasks[:0]
 	for i, task := range job.tasks {
-		usage := p.placement.teamUsage[team.Name].Add(request.Need)
+		usage := p.placementStage.teamUsage[team.Name].Add(request.Need)
 		if exceedsQuota(team, usage) {
 			if withImageOnly {
 				remaining = append(remaining, job.tasks[i:]...)
@@ -119,17 +119,17 @@
 		}
 		var host *sched.Host
 		if !unplacedRanges[task.RangeIndex] || !spec.Spread && !anyUnplaced {
-			host = p.placement.hostSelector.NextHost(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
+			host = p.placementStage.selector.NextHost(func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) })
 		}
 		if host != nil {
-			p.placement.teamUsage[team.Name] = usage
+			p.placementStage.teamUsage[team.Name] = usage
 			p.placeTask(job, task, host)
 			continue
 		}
 		unplacedRanges[task.RangeIndex], anyUnplaced = true, true
 		remaining = append(remaining, task)
 		if !withImageOnly {
-			p.placement.teamUsage[team.Name] = usage
+			p.placementStage.teamUsage[team.Name] = usage
 		}
 	}
 	job.tasks = remaining
@@ -140,7 +140,7 @@
 func (p *planner) placeTask(job *waitingJob, task statecache.TaskIndex, host *sched.Host) {
 	host.Free = host.Free.Sub(job.request.Need)
 	if !host.Free.Fits(p.smallestRequest) {
-		byShard := p.placement.hostsByShard
+		byShard := p.placementStage.hostsByShard
 		byShard[host.Shard] = removeHost(byShard[host.Shard], host)
 	}
 	job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
@@ -153,7 +153,7 @@
 		return
 	}
 	if job.request.PreferImage && !host.Images[job.request.Image] {
-		p.coldStarts = append(p.coldStarts, coldStart{job: job, index: len(p.plan.Placements)})
+		p.coldStarts = append(p.coldStarts, coldStart{job: job, placementIndex: len(p.plan.Placements)})
 	}
 	p.plan.Placements = append(p.plan.Placements, job.placementOf(task, host))
 }
@@ -165,8 +165,8 @@
 		job.tasks = nil // tasks beyond the limit are no unmet demand
 		return
 	}
-	if p.placement.provisioning == nil {
-		p.placement.provisioning = p.scheduler.capacityCalculator.ProvisioningHosts(p.now, true)
+	if p.placementStage.provisioning == nil {
+		p.placementStage.provisioning = p.scheduler.capacityCalculator.ProvisioningHosts(p.now, true)
 	}
 	search := p.searchGangCapacity(job)
 	if search.isComplete() {
@@ -196,11 +196,11 @@
 	if !team.HasLimit() {
 		return false
 	}
-	usage := p.placement.teamUsage[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
+	usage := p.placementStage.teamUsage[team.Name].Add(job.request.Need.Scale(float64(len(job.tasks))))
 	if exceedsQuota(team, usage) {
 		return true
 	}
-	p.placement.teamUsage[team.Name] = usage
+	p.placementStage.teamUsage[team.Name] = usage
 	return false
 }
 
--- a/internal/scheduler/planner_reclaim.go
+++ b/internal/scheduler/planner_reclaim.go
@@ -22,22 +22,22 @@
 // reclaimCapacity finds capacity for unplaced tasks, and better machines for cold starts.
 func (p *planner) reclaimCapacity() {
 	for _, hosts := range hostsWithCapacity(p.hosts, p.smallestRequest) {
-		p.reclaim.candidateHosts = append(p.reclaim.candidateHosts, hosts...)
+		p.reclaimStage.candidateHosts = append(p.reclaimStage.candidateHosts, hosts...)
 	}
-	slices.SortFunc(p.reclaim.candidateHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
-	p.reclaim.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
+	slices.SortFunc(p.reclaimStage.candidateHosts, func(a, b *sched.Host) int { return cmp.Compare(a.Name, b.Name) })
+	p.reclaimStage.preemption = p.scheduler.newPreemption(p.queue, p.hosts, p.now)
 	p.preemptForColdStarts()
 	for _, job := range p.unplaced {
 		p.reclaimCapacityFor(job)
 	}
-	p.plan.Placements = append(p.plan.Placements, p.reclaim.preemptingPlacements...)
+	p.plan.Placements = append(p.plan.Placements, p.reclaimStage.preemptingPlacements...)
 }
 
 // preemptOptions returns the machines where a job could preempt tasks, computed at the first call.
 func (p *planner) preemptOptions(job *waitingJob) []*preemptOption {
-	if !job.preemptOptionsKnown {
-		job.preemptOptionsKnown = true
-		job.preemptOptions = p.reclaim.preemption.findOptions(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
+	if !job.preemptOptionsComputed {
+		job.preemptOptionsComputed = true
+		job.preemptOptions = p.reclaimStage.preemption.findOptions(job.entry, &job.request, 2*job.entry.job.Record.Spec.Tasks+16)
 	}
 	return job.preemptOptions
 }
@@ -57,13 +57,13 @@
 // the cold start leaves free.
 func (p *planner) preemptForColdStarts() {
 	for _, start := range p.coldStarts {
-		placement := &p.plan.Placements[start.index]
+		placement := &p.plan.Placements[start.placementIndex]
 		request := start.job.request
 		request.RequireImage = true
 		request.ZoneAllowed = func(zone string) bool {
 			return zone == placement.Host.Zone || start.job.zoneConstraint.allows(placement.RangeIndex, zone)
 		}
-		choice := p.reclaim.preemption.chooseVictims(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
+		choice := p.reclaimStage.preemption.chooseVictims(p.preemptOptions(start.job), &request, 2*request.ImageFetchS)
 		if choice.found() {
 			p.placeInsteadOfVictims(start.job, placement.RangeIndex, choice)
 			placement.Host, placement.Victims = choice.host, choice.tasks
@@ -99,10 +99,10 @@
 	isGang := p.gangSearches[job] != nil
 	var unmetTasks []statecache.TaskIndex
 	var victims []*statecache.PlacedTask
-	p.reclaim.ranking = sched.NewRanking(p.reclaim.ranking, p.reclaim.candidateHosts, &job.request)
+	p.reclaimStage.ranking = sched.NewRanking(p.reclaimStage.ranking, p.reclaimStage.candidateHosts, &job.request)
 	for _, task := range tasks {
 		zoneAllowed := func(zone string) bool { return job.zoneConstraint.allows(task.RangeIndex, zone) }
-		if host := p.reclaim.ranking.Best(zoneAllowed); host != nil {
+		if host := p.reclaimStage.ranking.Best(zoneAllowed); host != nil {
 			host.Free = host.Free.Sub(job.request.Need)
 			job.zoneConstraint.addTask(task.RangeIndex, host.Zone)
 			continue
@@ -117,10 +117,10 @@
 		} else {
 			placement := job.placementOf(task, choice.host)
 			placement.Victims = choice.tasks
-			p.reclaim.preemptingPlacements = append(p.reclaim.preemptingPlacements, placement)
+			p.reclaimStage.preemptingPlacements = append(p.reclaimStage.preemptingPlacements, placement)
 		}
 		p.placeInsteadOfVictims(job, task.RangeIndex, choice)
-		p.reclaim.ranking.Add(choice.host) // the victims may free more than the task needs
+		p.reclaimStage.ranking.Add(choice.host) // the victims may free more than the task needs
 	}
 	p.removeFullHosts()
 	if len(unmetTasks) == 0 {
@@ -138,12 +138,12 @@
 func (p *planner) preemptFor(job *waitingJob, zoneAllowed func(zone string) bool) victimChoice {
 	request := job.request
 	request.ZoneAllowed = zoneAllowed
-	return p.reclaim.preemption.chooseVictims(p.preemptOptions(job), &request, math.Inf(1))
+	return p.reclaimStage.preemption.chooseVictims(p.preemptOptions(job), &request, math.Inf(1))
 }
 
 // removeFullHosts removes the machines that no longer have capacity for any task from
 // candidateHosts.
 func (p *planner) removeFullHosts() {
 	isFull := func(host *sched.Host) bool { return !host.Free.Fits(p.smallestRequest) }
-	p.reclaim.candidateHosts = slices.DeleteFunc(p.reclaim.candidateHosts, isFull)
+	p.reclaimStage.candidateHosts = slices.DeleteFunc(p.reclaimStage.candidateHosts, isFull)
 }
--- a/internal/scheduler/zone_constraint_test.go
+++ b/internal/scheduler/zone_constraint_test.go
@@ -8,8 +8,8 @@
 )
 
 // A spread job whose records were split still has at most half of its tasks in a zone. The smaller
-// task ranges must be counted together, since one of them may have all its tasks in one zone; counted
-// separately, they would let too many tasks into a zone.
+// task ranges must be counted together, since one of them may have all its tasks in one zone. Counted
+// separately, they would allow too many tasks in a zone.
 func TestZoneConstraintKeepsSplitJobSpread(t *testing.T) {
 	record := &job.Record{RangeSize: 8}
 	record.Spec.Tasks, record.Spec.Spread = 8, true
@@ -20,16 +20,16 @@
 		constraint.addTask(0, "x")
 	}
 	if constraint.allows(0, "x") {
-		t.Fatal("zone x is allowed for another task though it has 4 of 8, want at most half there")
+		t.Fatal("zone x is allowed for another task although it has 4 of the 8 tasks, want at most half in a zone")
 	}
 	record.Split(2)
 	constraint = &zoneConstraint{job: j, tasksByZone: map[int]map[string]int{}}
-	for _, index := range []int{0, 0, 1, 1} {
-		constraint.addTask(index, "x")
+	for _, rangeIndex := range []int{0, 0, 1, 1} {
+		constraint.addTask(rangeIndex, "x")
 	}
-	for index := range 4 {
-		if x, y := constraint.allows(index, "x"), constraint.allows(index, "y"); x || !y {
-			t.Fatalf("task range %d of the split job: zones allowed are x %t, y %t; want x false, y true", index, x, y)
+	for rangeIndex := range 4 {
+		if x, y := constraint.allows(rangeIndex, "x"), constraint.allows(rangeIndex, "y"); x || !y {
+			t.Fatalf("task range %d of the split job: zones allowed are x %t, y %t; want x false, y true", rangeIndex, x, y)
 		}
 	}
 	if !j.RecordCoversTasks() {
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -6,31 +6,31 @@
 	"violetturn/internal/config"
 )
 
-// listLag is the age of the cloud's list of machines in a deployment.
+// listLag is how old the machine list that the simulated cloud returns is.
 const listLag = 5 * time.Second
 
-// Deployment defines the size and the load of a simulated deployment.
+// Deployment defines the machines, timings, limits and load of a simulated deployment.
 type Deployment struct {
 	Name                        string
-	HeartbeatS, LeaseS, CancelS float64       // seconds
-	BootTime, FetchTime         time.Duration // time that a machine takes to boot, time to fetch an image
+	HeartbeatS, LeaseS, CancelS float64       // heartbeat interval, worker lease and cancel timeout in seconds
+	BootTime, FetchTime         time.Duration // time that a machine takes to boot; time to fetch any image
 	MachineType                 MachineType
 	StateLimits                 config.StateLimits
-	TeamGPULimit                float64 // GPU limit of each team; 0: no limit
+	TeamGPULimit                float64 // maximum GPUs of a team's tasks; 0: no limit
 	ServiceJobs, ArrayJobs      JobClass
 }
 
-// JobClass defines a class of jobs that users submit.
+// JobClass defines a group of similar jobs that simulated users submit.
 type JobClass struct {
 	Name          string
-	Service       bool
-	InitialJobs   int     // jobs submitted at the start
-	JobsPerSecond float64 // jobs submitted each second after the start
-	MeanTasks     int     // mean number of tasks of a job
-	CPUs          float64
-	MemGB         float64
-	RunTime       time.Duration // run time of an array's task, or time until a service is cancelled
-	ImageCount    int           // number of different images
+	Service       bool          // the jobs are services; otherwise they are arrays
+	InitialJobs   int           // jobs submitted at the start
+	JobsPerSecond float64       // jobs submitted per second after the start
+	MeanTasks     int           // mean number of tasks of a job
+	CPUs          float64       // of each task
+	MemGB         float64       // of each task
+	RunTime       time.Duration // mean run time of an array's tasks, or mean time until a service is cancelled
+	ImageCount    int           // number of different images, one of which each job uses
 }
 
 // Deployment2000 returns a deployment of about 2000 machines and three controllers.
