--- a/internal/api/command.go
+++ b/internal/api/command.go
@@ -1,6 +1,6 @@
 package api
 
-// Command tells a worker to launch, stop or clear one task.
+// Command directs a worker to launch, stop or clear one task.
 type Command struct {
 	Action  CommandAction `json:"verb"`
 	Task    string        `json:"piece"` // name of the task, see TaskName
--- a/internal/api/enums.go
+++ b/internal/api/enums.go
@@ -53,7 +53,7 @@
 func (p Priority) Known() bool { return slices.Contains(priorities, p) }
 
 // Level returns the position of a priority in the order of importance; 0 is the most important.
-// An unknown priority also has level 0; ParseJob rejects jobs with one.
+// An unknown priority also has level 0; ParseJob rejects jobs with such a priority.
 func (p Priority) Level() int { return max(0, slices.Index(priorities, p)) }
 
 // String returns the word that the protocol uses.
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,3 +1,3 @@
-// Package catalog keeps what the cloud offers: the machine types, and the backoffs of refused
-// offers, until whose end those are not requested again. The lock of internal/state guards it.
+// Package catalog keeps what the cloud offers: the machine types, and for each offer that the cloud
+// refused the backoff, during which it is not requested again. The lock of internal/state guards it.
 package catalog
--- a/internal/scheduler/planner_placement.go
+++ b/internal/scheduler/planner_placement.go
@@ -12,10 +12,10 @@
 
 // placementStage is the working data of the stage that places tasks on free capacity.
 type placementStage struct {
-	hostsByShard       map[string][]*sched.Host // machines with capacity for the smallest request
-	selector           *sched.HostSelector
+	hostsByShard       map[string][]*sched.Host   // machines with capacity for the smallest request
+	selector           *sched.HostSelector        // selects a machine for each task
 	teamUsage          map[string]sched.Resources // by team with a limit; includes this plan's placements
-	provisioning       []*sched.Host              // provisioning machines; nil until the first gang needs them
+	provisioning       []*sched.Host              // machines that are still booting; nil until the first gang needs them
 	productionReserved bool                       // whether capacity is reserved for waiting production tasks
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -37,14 +37,14 @@
 	victimHostsByHost map[*sched.Host][]*victimHost // for all kinds of preempting jobs
 }
 
-// preemptorKind is the properties of a job that determine which tasks it may stop.
+// preemptorKind contains the properties of a job that determine which tasks it may stop.
 type preemptorKind struct {
 	priority        int
 	withinGuarantee bool
 	team            string
 }
 
-// victimHosts is the machines where a kind of job may stop tasks.
+// victimHosts contains the machines where a kind of job may stop tasks.
 type victimHosts struct {
 	all     []*victimHost
 	byImage map[string][]*victimHost // the machines with an image, computed at first use
@@ -70,8 +70,8 @@
 	candidatesAtSelection int
 }
 
-// victimChoice is the tasks to stop for another one and their machine. The zero value means that
-// none were found.
+// victimChoice contains the tasks to stop in favor of another task, and the machine on which they
+// run. The zero value means that no such tasks were found.
 type victimChoice struct {
 	tasks []*statecache.PlacedTask
 	host  *sched.Host
