--- a/cmd/violetturn/cluster_test.go
+++ b/cmd/violetturn/cluster_test.go
@@ -145,7 +145,7 @@
 cores = 0.09
 memory_mb = 212.0
 max_sockets = 3000
-`, d.HeartbeatS, d.LeaseS, d.CancelS, d.StateLimits.RPS, d.StateLimits.WriteRPS, d.StateLimits.ValueKB, d.StateLimits.TxnOps)
+`, d.HeartbeatIntervalS, d.LeaseS, d.CancelTimeoutS, d.StateLimits.RPS, d.StateLimits.WriteRPS, d.StateLimits.ValueKB, d.StateLimits.TxnOps)
 	return s.String()
 }
 
--- a/cmd/violetturn/heartbeats_test.go
+++ b/cmd/violetturn/heartbeats_test.go
@@ -35,7 +35,7 @@
 				if worker.Booted() && !worker.Partitioned && !schedule.sending {
 					summary = worker.StateSummary()
 				}
-				interval := time.Duration(c.deployment.HeartbeatS * float64(time.Second))
+				interval := time.Duration(c.deployment.HeartbeatIntervalS * float64(time.Second))
 				// A changed summary is sent about half a second after the last heartbeat at the earliest.
 				earliest := schedule.next.Add(500*time.Millisecond - interval)
 				if summary == "" || env.Now.Before(schedule.next) && (summary == schedule.lastSummary || env.Now.Before(earliest)) {
@@ -43,7 +43,7 @@
 				}
 				schedule.lastSummary, schedule.sending = summary, true
 				intervalFactor := 0.75 + 0.5*float64(c.randomBelow(1000))/1000
-				schedule.next = env.Now.Add(time.Duration(intervalFactor * c.deployment.HeartbeatS * float64(time.Second)))
+				schedule.next = env.Now.Add(time.Duration(intervalFactor * c.deployment.HeartbeatIntervalS * float64(time.Second)))
 				heartbeat, sentAt, agentEpoch, node := api.MustMarshal(worker.Heartbeat()), env.Now, worker.AgentEpoch, worker.NodeIndex
 				c.running.Go(func() {
 					c.sendHeartbeat(host, node, heartbeat, sentAt, agentEpoch)
--- a/internal/controller/load_scenario_test.go
+++ b/internal/controller/load_scenario_test.go
@@ -51,7 +51,7 @@
 	}
 	scenario.testCluster = newClusterWithoutNodes(environment, deployment.StateLimits, deployment.StateLimits)
 	scenario.adjustSettings = func(_ *testNode, cfg *config.Settings) {
-		cfg.Facts.Workers.HeartbeatIntervalS = deployment.HeartbeatS
+		cfg.Facts.Workers.HeartbeatIntervalS = deployment.HeartbeatIntervalS
 		cfg.Facts.Objectives = []config.Objective{{Kind: config.ObjectiveWait, Class: "service", WithinS: 12, Share: 0.9}}
 		for i := range cfg.Facts.Teams {
 			cfg.Facts.Teams[i].GuaranteedGPUs, cfg.Facts.Teams[i].MaxGPUs = deployment.TeamGPULimit/2, deployment.TeamGPULimit
@@ -139,7 +139,7 @@
 			continue
 		}
 		l.lastSummary[host] = summary
-		interval := l.deployment.HeartbeatS * (0.75 + 0.5*l.random.Float64())
+		interval := l.deployment.HeartbeatIntervalS * (0.75 + 0.5*l.random.Float64())
 		l.nextHeartbeat[host] = l.environment.Now.Add(time.Duration(interval * float64(time.Second)))
 		node := worker.NodeIndex
 		if !l.nodes[node].serves() {
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -11,13 +11,13 @@
 
 // Deployment defines the machines, timings, limits and load of a simulated deployment.
 type Deployment struct {
-	Name                        string
-	HeartbeatS, LeaseS, CancelS float64       // heartbeat interval, worker lease and cancel timeout in seconds
-	BootTime, FetchTime         time.Duration // time that a machine takes to boot; time to fetch any image
-	MachineType                 MachineType
-	StateLimits                 config.StateLimits
-	TeamGPULimit                float64 // maximum GPUs of a team's tasks; 0: no limit
-	ServiceJobs, ArrayJobs      JobClass
+	Name                                       string
+	HeartbeatIntervalS, LeaseS, CancelTimeoutS float64       // heartbeat interval, worker lease and cancel timeout in seconds
+	BootTime, FetchTime                        time.Duration // time that a machine takes to boot; time to fetch any image
+	MachineType                                MachineType
+	StateLimits                                config.StateLimits
+	TeamGPULimit                               float64 // maximum GPUs of a team's tasks; 0: no limit
+	ServiceJobs, ArrayJobs                     JobClass
 }
 
 // JobClass defines a group of similar jobs that simulated users submit.
@@ -36,7 +36,7 @@
 // Deployment2000 returns a deployment of about 2000 machines and three controllers.
 func Deployment2000() *Deployment {
 	return &Deployment{
-		Name: "2000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		Name: "2000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
 		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 4000,
@@ -68,7 +68,7 @@
 // state service limits as Deployment2000, and with longer tasks.
 func Deployment4000() *Deployment {
 	return &Deployment{
-		Name: "4000-machines", HeartbeatS: 10, LeaseS: 45, CancelS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		Name: "4000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
 		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 8000,
@@ -99,7 +99,7 @@
 // Deployment300 returns a deployment of about 300 machines, whose workers send heartbeats often.
 func Deployment300() *Deployment {
 	return &Deployment{
-		Name: "300-machines", HeartbeatS: 1.5, LeaseS: 10, CancelS: 40, BootTime: 40 * time.Second, FetchTime: 8 * time.Second,
+		Name: "300-machines", HeartbeatIntervalS: 1.5, LeaseS: 10, CancelTimeoutS: 40, BootTime: 40 * time.Second, FetchTime: 8 * time.Second,
 		MachineType: MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		StateLimits: config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
 		ServiceJobs: JobClass{
@@ -132,7 +132,7 @@
 	env.MachineType = d.MachineType
 	env.MachineType.BootTime, env.MachineType.FetchTime = d.BootTime, d.FetchTime
 	env.Zones = []string{"x", "y", "z"}
-	env.WorkerLease, env.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelS)
+	env.WorkerLease, env.CancelTimeout = seconds(d.LeaseS), seconds(d.CancelTimeoutS)
 	env.ListLag = listLag
 	return env
 }
