--- a/cmd/violetturn/zoneloopback_test.go
+++ b/cmd/violetturn/zoneloopback_test.go
@@ -26,7 +26,8 @@
 // loopbackDeployment returns a small deployment with short heartbeat intervals and worker leases.
 func loopbackDeployment() *simulator.Deployment {
 	return &simulator.Deployment{
-		Name: "loopback", HeartbeatIntervalS: 0.5, LeaseS: 4, CancelTimeoutS: 24, BootTime: 6 * time.Second, FetchTime: 500 * time.Millisecond,
+		Name: "loopback", HeartbeatIntervalS: 0.5, LeaseS: 4, CancelTimeoutS: 24, BootTime: 6 * time.Second,
+		FetchTime:   500 * time.Millisecond,
 		MachineType: simulator.MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		StateLimits: config.StateLimits{RPS: 300, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
 	}
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -36,7 +36,8 @@
 // Deployment2000 returns a deployment of about 2000 machines and three controllers.
 func Deployment2000() *Deployment {
 	return &Deployment{
-		Name: "2000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		Name: "2000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second,
+		FetchTime:    8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
 		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 4000,
@@ -68,7 +69,8 @@
 // state service limits as Deployment2000, and with longer tasks.
 func Deployment4000() *Deployment {
 	return &Deployment{
-		Name: "4000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second, FetchTime: 8 * time.Second,
+		Name: "4000-machines", HeartbeatIntervalS: 10, LeaseS: 45, CancelTimeoutS: 75, BootTime: 60 * time.Second,
+		FetchTime:    8 * time.Second,
 		MachineType:  MachineType{Name: "m", CPUs: 16, GPUs: 2, MemGB: 128},
 		StateLimits:  config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 16, TxnOps: 20},
 		TeamGPULimit: 8000,
@@ -99,7 +101,8 @@
 // Deployment300 returns a deployment of about 300 machines, whose workers send heartbeats often.
 func Deployment300() *Deployment {
 	return &Deployment{
-		Name: "300-machines", HeartbeatIntervalS: 1.5, LeaseS: 10, CancelTimeoutS: 40, BootTime: 40 * time.Second, FetchTime: 8 * time.Second,
+		Name: "300-machines", HeartbeatIntervalS: 1.5, LeaseS: 10, CancelTimeoutS: 40, BootTime: 40 * time.Second,
+		FetchTime:   8 * time.Second,
 		MachineType: MachineType{Name: "m", CPUs: 12, GPUs: 2, MemGB: 96},
 		StateLimits: config.StateLimits{RPS: 120, WriteRPS: 25, ValueKB: 4, TxnOps: 8},
 		ServiceJobs: JobClass{
